--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -4,7 +4,9 @@
 	"encoding/json"
 	"fmt"
 	"log/slog"
+	"maps"
 	"math/rand/v2"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
@@ -48,6 +50,8 @@
 	ran         map[string]int // executions by the clients' keys and copies
 	faults      []string
 	storeCalls  int
+	// record, if set, is told of all that a controller does.
+	record func(values ...any)
 }
 
 // wakeRequest is what a client knows of its request.
@@ -171,8 +175,16 @@
 	})
 }
 
+// did tells what the controller does.
+func (n *wakeNode) did(values ...any) {
+	if n.w.record != nil {
+		n.w.record(append([]any{n.w.now, n.name}, values...)...)
+	}
+}
+
 func (n *wakeNode) storeCall(method, path string, body []byte, timeout time.Duration, done wake.Answer) {
 	n.w.storeCalls++
+	n.did(method, path, string(body), timeout)
 	n.call("state", timeout, func(reply func(func())) {
 		n.w.store.handle(n.name, method, path, body, func(status int, answer []byte) { reply(func() { done(status, answer) }) })
 	}, func() { done(0, nil) })
@@ -201,6 +213,7 @@
 }
 
 func (n *wakeNode) Command(server string, c wake.Command, done func(wake.CopyReport)) {
+	n.did("command", server, c)
 	n.call(server, callTimeout, func(reply func(func())) {
 		report := n.w.servers[server].Command(c, n.w.now)
 		reply(func() { done(report) })
@@ -208,6 +221,7 @@
 }
 
 func (n *wakeNode) Ask(server string, r *wake.Request, done func(wake.Outcome, []byte)) {
+	n.did("ask", server, *r)
 	n.call(server, callTimeout, func(reply func(func())) { n.w.serve(server, r, reply, done) }, func() { done(wake.Unknown, nil) })
 }
 
@@ -237,6 +251,7 @@
 func (n *wakeNode) Now() time.Duration { return n.w.now }
 
 func (n *wakeNode) Reply(id uint64, r wake.Reply) {
+	n.did("reply", id, r)
 	delete(n.pending, id)
 	q := n.w.asked[id]
 	if q == nil {
@@ -501,16 +516,19 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playWakeDay(t, seed)
+			playWakeDay(t, seed, nil)
 		})
 	}
 }
 
-func playWakeDay(t *testing.T, seed uint64) {
+// playWakeDay plays a random day; record, if set, is told of all that controllers do.
+func playWakeDay(t *testing.T, seed uint64, record func(values ...any)) {
+	t.Helper()
 	r := rand.New(rand.NewPCG(seed, 23))
 	w := newWakeWorld(seed, []int{1, 3, 5, 5}[r.IntN(4)], wakeRegistry)
-	for _, s := range w.servers {
-		s.Load = RandomLoad(w.rng, 8*time.Second, []float64{0, 0, 0.3}[r.IntN(3)])
+	w.record = record
+	for _, name := range slices.Sorted(maps.Keys(w.servers)) { // so that each draws its own share of failing loads
+		w.servers[name].Load = RandomLoad(w.rng, 8*time.Second, []float64{0, 0, 0.3}[r.IntN(3)])
 	}
 	w.run(3 * time.Second)
 	anyNode := func() *wakeNode { return w.controllers[r.IntN(len(w.controllers))] }
