--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -8,11 +8,11 @@
 	"os"
 	"path/filepath"
 	"slices"
-	"strconv"
 	"sync"
 	"time"
 
 	"github.com/BurntSushi/toml"
+	"github.com/brookwalk/brookwalk/internal/loopback"
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
@@ -33,6 +33,8 @@
 	runners []*runner
 	plan    *plan.Plan
 	links   map[string]*cutLink // by "from>to"
+
+	addresses *loopback.Claim // for the controllers of all regions
 }
 
 // regionPart is what a runner needs to know to play one region of several.
@@ -46,7 +48,12 @@
 // runRegions runs an experiment with several regions and reports on each and on the teams'
 // use over all of them.
 func runRegions(ctx context.Context, e *Experiment, opts Options) (*Report, error) {
-	g := &regionRun{e: e, opts: opts, tally: newTally(e), links: map[string]*cutLink{}}
+	claim, err := loopback.NewClaim()
+	if err != nil {
+		return nil, err
+	}
+	defer claim.Close() // after the processes have ended
+	g := &regionRun{e: e, opts: opts, tally: newTally(e), links: map[string]*cutLink{}, addresses: claim}
 	defer g.stop()
 	if err := g.prepare(); err != nil {
 		return nil, err
@@ -67,15 +74,11 @@
 
 // prepare makes the regions' runners and the links between them.
 func (g *regionRun) prepare() error {
-	n := len(g.e.Regions)
-	ports, err := freePorts(n * g.e.Controllers)
-	if err != nil {
-		return err
-	}
-	addresses := make([][]string, n)
+	addresses := make([][]string, len(g.e.Regions))
 	for i := range addresses {
-		for k := range g.e.Controllers {
-			addresses[i] = append(addresses[i], host+":"+strconv.Itoa(ports[i*g.e.Controllers+k]))
+		var err error
+		if addresses[i], err = controllerAddresses(g.addresses, g.e.Controllers); err != nil {
+			return err
 		}
 	}
 	g.plan = g.planOf(addresses)
@@ -85,13 +88,14 @@
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
+		var err error
 		if part.planned, err = g.writePlan(i, dir); err != nil {
 			return err
 		}
 		opts := g.opts
 		opts.Dir, opts.Log = dir, opts.Log.With("region", region.Name)
 		opts.Progress = nil
-		r := newRunner(g.experimentOf(i), opts)
+		r := newRunner(g.experimentOf(i), opts, g.addresses)
 		r.region = part
 		g.runners = append(g.runners, r)
 		if err := r.prepare(); err != nil {
--- a/internal/hollow/run.go
+++ b/internal/hollow/run.go
@@ -20,6 +20,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/history"
 	"github.com/brookwalk/brookwalk/internal/httpserve"
+	"github.com/brookwalk/brookwalk/internal/loopback"
 	"github.com/brookwalk/brookwalk/internal/sim"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -50,8 +51,9 @@
 	controllers []*controller
 	observer    *observer
 	history     *history.Log
-	region      *regionPart // nil if there is one region only
-	own         meter       // this process: all stand-ins
+	region      *regionPart     // nil if there is one region only
+	addresses   *loopback.Claim // for the controllers
+	own         meter           // this process: all stand-ins
 
 	workers, commands, users, state, cloud httpserve.Traffic
 
@@ -65,7 +67,12 @@
 	if len(e.Regions) > 0 {
 		return runRegions(ctx, e, opts)
 	}
-	r := newRunner(e, opts)
+	addresses, err := loopback.NewClaim()
+	if err != nil {
+		return nil, err
+	}
+	defer addresses.Close() // after the processes have ended
+	r := newRunner(e, opts, addresses)
 	defer r.stop()
 	if err := r.prepare(); err != nil {
 		return nil, err
@@ -73,9 +80,10 @@
 	return r.play(ctx), nil
 }
 
-// newRunner makes a runner of an experiment of one region.
-func newRunner(e *Experiment, opts Options) *runner {
-	return &runner{e: e, opts: opts, observer: newObserver(), history: &history.Log{}, servers: map[string]io.Closer{}}
+// newRunner makes a runner of an experiment of one region, whose controllers listen on the
+// addresses of a claim.
+func newRunner(e *Experiment, opts Options, addresses *loopback.Claim) *runner {
+	return &runner{e: e, opts: opts, addresses: addresses, observer: newObserver(), history: &history.Log{}, servers: map[string]io.Closer{}}
 }
 
 // play plays the experiment to its end and reports.
@@ -118,7 +126,7 @@
 	return func(status int, body []byte) { reply(httpserve.Response{Status: status, Body: body}) }
 }
 
-// The addresses of the controllers and the services are on loopback.
+// host is the address of the services, whose listeners stay open.
 const host = "127.0.0.1"
 
 // prepare starts the servers of the stand-ins and writes the controllers' settings.
@@ -135,12 +143,16 @@
 		return err
 	}
 	cfg.External = config.External{State: state.Addr(), Cloud: cloud.Addr()}
-	ports, err := freePorts(2 * r.e.Controllers)
+	listen, err := controllerAddresses(r.addresses, r.e.Controllers)
+	if err != nil {
+		return err
+	}
+	peerListen, err := controllerAddresses(r.addresses, r.e.Controllers)
 	if err != nil {
 		return err
 	}
 	for i := range r.e.Controllers {
-		if err := r.addController(i, *cfg, ports); err != nil {
+		if err := r.addController(i, *cfg, listen, peerListen); err != nil {
 			return err
 		}
 	}
@@ -227,30 +239,27 @@
 	return net.IP(b[:]).String()
 }
 
-// freePorts finds ports that nobody listens on.
-func freePorts(n int) ([]int, error) {
-	var ports []int
-	for range n {
-		l, err := net.Listen("tcp4", host+":0")
-		if err != nil {
+// controllerAddresses takes an address for each controller from a claim.
+func controllerAddresses(claim *loopback.Claim, controllers int) ([]string, error) {
+	addresses := make([]string, controllers)
+	for i := range addresses {
+		var err error
+		if addresses[i], err = claim.Address(); err != nil {
 			return nil, err
 		}
-		defer l.Close()
-		ports = append(ports, l.Addr().(*net.TCPAddr).Port)
 	}
-	return ports, nil
+	return addresses, nil
 }
 
-// addController writes a controller's settings and makes its process, which the
-// world starts.
-func (r *runner) addController(i int, cfg config.Settings, ports []int) error {
-	at := func(k int) string { return host + ":" + strconv.Itoa(ports[k]) }
+// addController writes a controller's settings and makes its process, which the world starts.
+// listen and peerListen have the addresses of all controllers.
+func (r *runner) addController(i int, cfg config.Settings, listen, peerListen []string) error {
 	cfg.Name, cfg.Zone = r.live.Name(i), r.live.Zone(i)
-	cfg.Listen, cfg.PeerListen = at(2*i), at(2*i+1)
+	cfg.Listen, cfg.PeerListen = listen[i], peerListen[i]
 	cfg.Peers = nil
 	for k := range r.e.Controllers {
 		if k != i {
-			cfg.Peers = append(cfg.Peers, config.Peer{Name: r.live.Name(k), Zone: r.live.Zone(k), Addr: at(2*k + 1)})
+			cfg.Peers = append(cfg.Peers, config.Peer{Name: r.live.Name(k), Zone: r.live.Zone(k), Addr: peerListen[k]})
 		}
 	}
 	path := filepath.Join(r.opts.Dir, cfg.Name+".toml")
--- /dev/null
+++ b/internal/loopback/loopback.go
@@ -0,0 +1,76 @@
+// Package loopback hands out addresses on this machine for processes that are started later.
+// A port that was merely found free may be taken by anybody before its process listens, or
+// while that process restarts. The package avoids that in two ways: each claim has an IP address
+// in 127.0.0.0/8 to itself, held by an open listener, and its ports are below the range
+// from which the system assigns ports.
+package loopback
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"sync"
+)
+
+const (
+	// lockPort is the port whose listener holds a claim.
+	lockPort = 20000
+	// maxPorts is how many ports a claim can hand out. They follow lockPort and stay below
+	// 32768, where Linux begins to assign ports.
+	maxPorts = 10000
+	// claimableIPs is how many IP addresses there are to claim: 127.64.0.0 to 127.64.255.255.
+	claimableIPs = 1 << 16
+)
+
+// ErrNoAddress means that every IP address of the range is claimed.
+var ErrNoAddress = errors.New("loopback: no unclaimed address")
+
+// ErrNoPort means that a claim has handed out all its ports.
+var ErrNoPort = errors.New("loopback: no port left")
+
+// A Claim is an IP address that no other claim on this machine has. It may be used by several
+// goroutines.
+type Claim struct {
+	ip   string
+	lock net.Listener
+
+	mu   sync.Mutex
+	used int // ports handed out
+}
+
+// NewClaim claims an IP address. The caller closes the claim once the processes that
+// listen on its ports have ended.
+func NewClaim() (*Claim, error) {
+	first := os.Getpid()
+	for offset := range claimableIPs {
+		n := (first + offset) % claimableIPs
+		ip := fmt.Sprintf("127.64.%d.%d", n>>8, n&0xff)
+		if lock, err := net.Listen("tcp4", address(ip, lockPort)); err == nil {
+			return &Claim{ip: ip, lock: lock}, nil
+		}
+	}
+	return nil, ErrNoAddress
+}
+
+// Address returns the next address, in the form "host:port". Nothing listens on it: a port on
+// which a process of an earlier claim is left is passed over.
+func (c *Claim) Address() (string, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for c.used < maxPorts {
+		c.used++
+		a := address(c.ip, lockPort+c.used)
+		probe, err := net.Listen("tcp4", a)
+		if err != nil {
+			continue
+		}
+		return a, probe.Close()
+	}
+	return "", ErrNoPort
+}
+
+// Close gives the IP address up.
+func (c *Claim) Close() error { return c.lock.Close() }
+
+func address(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
--- /dev/null
+++ b/internal/loopback/loopbacktest/loopbacktest.go
@@ -0,0 +1,29 @@
+// Package loopbacktest gives tests addresses on loopback that nothing else takes.
+package loopbacktest
+
+import (
+	"testing"
+
+	"github.com/brookwalk/brookwalk/internal/loopback"
+)
+
+// Addresses returns addresses on which nothing listens. They belong to the test until it ends.
+func Addresses(t testing.TB, count int) []string {
+	t.Helper()
+	claim, err := loopback.NewClaim()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() {
+		if err := claim.Close(); err != nil {
+			t.Error(err)
+		}
+	})
+	addresses := make([]string, count)
+	for i := range addresses {
+		if addresses[i], err = claim.Address(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return addresses
+}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -10,22 +10,16 @@
 
 	"github.com/brookwalk/brookwalk/httpwire"
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/loopback/loopbacktest"
 	"github.com/tidwall/evio"
 )
 
-func freeAddr(t *testing.T) string {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
 // testSettings are those of a controller on loopback with no services to reach.
 func testSettings(t *testing.T) *config.Settings {
-	return &config.Settings{Name: "node-0", Listen: freeAddr(t), PeerListen: freeAddr(t),
-		External: config.External{Cloud: freeAddr(t), State: freeAddr(t)},
+	t.Helper()
+	addresses := loopbacktest.Addresses(t, 4)
+	return &config.Settings{Name: "node-0", Listen: addresses[0], PeerListen: addresses[1],
+		External: config.External{Cloud: addresses[2], State: addresses[3]},
 		Deployment: config.Deployment{
 			Workers: config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 30, GangPeerS: 5, CancelS: 30},
 			State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/loopback/loopbacktest"
 	"github.com/brookwalk/brookwalk/internal/peer"
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 	"github.com/brookwalk/brookwalk/wire"
@@ -39,8 +40,9 @@
 // one is kept open.
 func TestRegionStream(t *testing.T) {
 	cfg := testSettings(t)
-	listen := freeAddr(t)
-	p := &plan.Plan{Regions: []plan.Region{{Name: "north", Controllers: []string{listen}}, {Name: "south", Controllers: []string{freeAddr(t)}}}}
+	addresses := loopbacktest.Addresses(t, 2)
+	listen := addresses[0]
+	p := &plan.Plan{Regions: []plan.Region{{Name: "north", Controllers: []string{listen}}, {Name: "south", Controllers: []string{addresses[1]}}}}
 	log := &lockedBuffer{}
 	n := New(cfg, nil, slog.New(slog.NewTextHandler(log, nil)))
 	n.JoinRegions(p, &config.Operator{Region: "north", RegionListen: listen})
--- a/internal/wake/gate/process_test.go
+++ b/internal/wake/gate/process_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"net"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -12,6 +11,7 @@
 
 	"github.com/BurntSushi/toml"
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/loopback/loopbacktest"
 )
 
 // buildProgram builds the program as the deploy file's build does, without its linker flags.
@@ -25,17 +25,6 @@
 	return program
 }
 
-// freeAddr is an address on loopback that nobody listens on.
-func freeAddr(t *testing.T) string {
-	t.Helper()
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	return l.Addr().String()
-}
-
 // settingsFor writes the settings of a controller whose state service is at an address.
 func settingsFor(t *testing.T, dir, name, state string) string {
 	t.Helper()
@@ -69,8 +58,9 @@
 	p := newPlace(t, 3, time.Second, 5*time.Millisecond)
 	registry := writeTOML(t, filepath.Join(dir, "wake.toml"), p.registry)
 	var processes []*exec.Cmd
+	addresses := loopbacktest.Addresses(t, len(p.states))
 	for i, s := range p.states {
-		addr := freeAddr(t)
+		addr := addresses[i]
 		process := exec.Command(program, "wake", "--config", settingsFor(t, dir, fmt.Sprint("node-", i), s.Addr()),
 			"--registry", registry, "--listen", addr, "--patience", patience.String())
 		if err := process.Start(); err != nil {
