--- a/httpwire/httpwire.go
+++ b/httpwire/httpwire.go
@@ -8,6 +8,8 @@
 	"errors"
 	"strconv"
 	"strings"
+
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 )
 
 // Limits of what is read.
@@ -267,23 +269,13 @@
 	}
 }
 
-var reasons = map[int]string{
-	200: "OK", 201: "Created", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-	413: "Content Too Large", 421: "Misdirected Request", 422: "Unprocessable Content",
-	429: "Too Many Requests", 503: "Service Unavailable", 504: "Gateway Timeout",
-}
-
 // AppendResponse writes a response with a JSON body. A retryAfter of 0 leaves
 // the header out.
 func AppendResponse(b []byte, status int, body []byte, retryAfter int, close bool) []byte {
-	reason := reasons[status]
-	if reason == "" {
-		reason = "Status"
-	}
 	b = append(b, "HTTP/1.1 "...)
 	b = strconv.AppendInt(b, int64(status), 10)
 	b = append(b, ' ')
-	b = append(b, reason...)
+	b = append(b, httpstatus.Text(status)...)
 	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
 	b = strconv.AppendInt(b, int64(len(body)), 10)
 	if retryAfter > 0 {
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -1,19 +1,6 @@
 package core
 
-// HTTP status codes of answers, of the controllers and of the services that they
-// call. The core does not need net/http for anything else.
-const (
-	statusNoAnswer         = 0 // of a Result: no answer came
-	statusOK               = 200
-	statusCreated          = 201
-	statusBadRequest       = 400
-	statusNotFound         = 404
-	statusMethodNotAllowed = 405
-	statusConflict         = 409
-	statusMisdirected      = 421
-	statusUnprocessable    = 422
-	statusUnavailable      = 503
-)
+import "github.com/brookwalk/brookwalk/httpwire/httpstatus"
 
 // retrySoon is the Retry-After, in seconds, of what may work in a moment.
 const retrySoon = 1
@@ -38,5 +25,5 @@
 
 // answerRetry refuses a request for now, and asks the user to come back soon.
 func (c *Core) answerRetry(req uint64, text string) {
-	c.answer(req, statusUnavailable, errorBody{text}, retrySoon)
+	c.answer(req, httpstatus.ServiceUnavailable, errorBody{text}, retrySoon)
 }
--- a/internal/core/await_lists.go
+++ b/internal/core/await_lists.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -120,11 +121,11 @@
 	txn := &wire.Txn{If: []wire.Cond{w.firstUnchanged()}}
 	bytes := 0
 	for n := w.written; n < len(w.records) && len(txn.Writes) < maxWrites; n++ {
-		value := encode(w.records[n])
-		if len(txn.Writes) > 0 && bytes+len(value) > maxTxnBytes {
+		value := kv.Encode(w.records[n])
+		if len(txn.Writes) > 0 && bytes+len(value) > kv.MaxTxnBytes {
 			break
 		}
-		bytes += len(value) + writeOverhead
+		bytes += len(value) + kv.WriteOverhead
 		txn.Writes = append(txn.Writes, wire.Write{Put: w.ref.key(n), Value: value})
 	}
 	return txn, len(txn.Writes)
@@ -150,25 +151,24 @@
 		return
 	}
 	w := s.list
-	txn, count := w.next(c.limits().TxnOps)
-	c.commit(txn, false, func(r Result) {
-		var result wire.TxnResult
-		switch {
-		case r.Status == statusOK && json.Unmarshal(r.Body, &result) == nil:
+	txn, count := w.next(c.store.MaxWrites())
+	c.store.Commit(txn, func(r kv.TxnResult) {
+		switch r.Status {
+		case kv.OK:
 			if w.written == 0 {
-				w.version = result.Revision
+				w.version = r.Revision
 			}
 			w.written += count
 			if !w.complete() {
 				c.writeListRecords(s)
 				return
 			}
-		case r.Status == statusNoAnswer || r.Status == statusConflict:
+		case kv.Unanswered, kv.Conflict:
 			// Carried out or not: begun again under another token.
 			s.list = nil
 		default:
-			if r.Status == statusBadRequest {
-				c.refusedTxn(count)
+			if r.Status == kv.Rejected {
+				c.rejectedWrites(count)
 			}
 			c.answerRetry(s.req, errorStoreSilent)
 			return
@@ -187,15 +187,15 @@
 const noRetry = time.Duration(math.MaxInt64)
 
 func (l *leader) readListPage(j *job, after string, names []string) {
-	l.c.readPage(j.list.prefix, after, false, func(p *wire.Page) {
+	l.c.store.List(j.list.prefix, after, func(r kv.ListResult) {
 		if l.deposed || l.jobs[j.ID] != j {
 			return
 		}
-		if p == nil {
+		if r.Status != kv.OK {
 			l.retryList(j)
 			return
 		}
-		for _, item := range p.Items {
+		for _, item := range r.Page.Items {
 			after = item.Key
 			var record listRecord
 			if json.Unmarshal(item.Value, &record) != nil {
@@ -207,7 +207,7 @@
 			j.listRead++
 		}
 		switch {
-		case p.More:
+		case r.Page.More:
 			l.readListPage(j, after, names)
 		case j.listRead < j.list.records:
 			// Accepted with the whole list: read once more.
@@ -276,11 +276,11 @@
 // findAbandoned reads all list records and clears those of attempts that have
 // led to no job.
 func (l *leader) findAbandoned(after string, found []attempt) {
-	l.c.readPage(prefixList, after, false, func(p *wire.Page) {
-		if l.deposed || p == nil {
+	l.c.store.List(prefixList, after, func(r kv.ListResult) {
+		if l.deposed || r.Status != kv.OK {
 			return
 		}
-		for _, item := range p.Items {
+		for _, item := range r.Page.Items {
 			after = item.Key
 			ref, job, ok := attemptOf(item.Key)
 			if !ok {
@@ -296,7 +296,7 @@
 				a.version, a.at = item.Version, record.At
 			}
 		}
-		if p.More {
+		if r.Page.More {
 			l.findAbandoned(after, found)
 			return
 		}
@@ -313,7 +313,7 @@
 			found = found[1:]
 			continue
 		}
-		count := min(len(a.keys), l.c.limits().TxnOps)
+		count := min(len(a.keys), l.c.store.MaxWrites())
 		// The job may just have been accepted, and the first record just have
 		// been written.
 		txn := &wire.Txn{If: []wire.Cond{
@@ -324,11 +324,11 @@
 		for _, key := range a.keys[:count] {
 			txn.Writes = append(txn.Writes, wire.Write{Delete: key})
 		}
-		l.c.commit(txn, false, func(r Result) {
-			if l.deposed || r.Status != statusOK && r.Status != statusConflict {
+		l.c.store.Commit(txn, func(r kv.TxnResult) {
+			if l.deposed || r.Status != kv.OK && r.Status != kv.Conflict {
 				return // looked for again later
 			}
-			if r.Status == statusConflict {
+			if r.Status == kv.Conflict {
 				l.clearAbandoned(found[1:])
 				return
 			}
--- a/internal/core/await_lists_test.go
+++ b/internal/core/await_lists_test.go
@@ -11,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -23,7 +24,7 @@
 }
 
 // jsonNames is a list of names as a submission holds it.
-func jsonNames(names []string) string { return string(encode(names)) }
+func jsonNames(names []string) string { return string(kv.Encode(names)) }
 
 // openJobs puts open jobs on record and returns their names.
 func openJobs(b *harness, count int) []string {
@@ -31,7 +32,7 @@
 	for n := range count {
 		rec := records.Open{At: b.c.wall, Job: wire.Job{ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
 			Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}}
-		b.write(records.OpenKey(rec.Job.ID), "", encode(rec))
+		b.write(records.OpenKey(rec.Job.ID), "", kv.Encode(rec))
 		names = append(names, rec.Job.ID)
 	}
 	return names
@@ -194,7 +195,7 @@
 
 // end records a job's end as an earlier leader would.
 func (b *harness) end(id string, status wire.JobState) {
-	b.write(records.FinalKey(id), records.OpenKey(id), encode(records.Final{Status: status, Tasks: 1}))
+	b.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
 }
 
 // TestLongListHoldsTheJob has a new leader read a list from its records: the job
@@ -238,7 +239,7 @@
 			var rec records.Open
 			stdjson.Unmarshal(b.store[records.OpenKey(last)].Value, &rec)
 			rec.Cancelled, rec.AskedAt = true, b.c.wall
-			b.write(records.OpenKey(last), "", encode(rec))
+			b.write(records.OpenKey(last), "", kv.Encode(rec))
 			if l != nil {
 				l.noteOpen(last, b.store[records.OpenKey(last)].Version, rec)
 			}
@@ -272,7 +273,7 @@
 	var rec records.Open
 	stdjson.Unmarshal(b.store[records.OpenKey(names[0])].Value, &rec)
 	rec.Cancelled, rec.AskedAt = true, b.c.wall
-	b.write(records.OpenKey(names[0]), "", encode(rec))
+	b.write(records.OpenKey(names[0]), "", kv.Encode(rec))
 	l.deps.Drop(id)
 	l.noteOpen(names[0], b.store[records.OpenKey(names[0])].Version, rec)
 	b.run(5 * time.Second)
@@ -289,7 +290,7 @@
 	id, _ := acceptLong(t, b)
 	accepted := len(b.listKeys())
 	record := func(key string, age time.Duration) {
-		b.write(key, "", encode(listRecord{At: b.c.wall - age.Milliseconds(), Names: []string{jobID(1000)}}))
+		b.write(key, "", kv.Encode(listRecord{At: b.c.wall - age.Milliseconds(), Names: []string{jobID(1000)}}))
 	}
 	old := time.Duration(0)
 	for _, key := range []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/10", "a/job-7/x-1/2", "a/job-7/x-1/3", "a/job-7/x-1/4", "a/job-7/x-1/5"} {
@@ -311,12 +312,12 @@
 	}
 	w := listWriter{ref: listRef{prefix: "a/job-7/x-1/", records: 12}, records: make([]listRecord, 12), written: 11, version: first}
 	late, _ := w.next(5)
-	if status, _ := b.commit(encode(late)); status != 409 {
+	if status, _ := b.commit(kv.Encode(late)); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
 	}
 	s := &submit{rec: records.Open{Job: wire.Job{ID: "job-7"}}, list: &w}
 	p, _ := b.c.prepare(s)
-	if status, _ := b.commit(encode(wire.Txn{If: p.conds, Writes: p.writes})); status != 409 {
+	if status, _ := b.commit(kv.Encode(wire.Txn{If: p.conds, Writes: p.writes})); status != 409 {
 		t.Errorf("a late acceptance is answered %d, want 409", status)
 	}
 }
@@ -330,10 +331,10 @@
 	accepted, begun := "a/job-7/x-1/", "a/job-8/y-1/"
 	for _, prefix := range []string{accepted, begun} {
 		for _, n := range []string{"0", "1"} {
-			b.write(prefix+n, "", encode(listRecord{Names: []string{jobID(1000)}}))
+			b.write(prefix+n, "", kv.Encode(listRecord{Names: []string{jobID(1000)}}))
 		}
 	}
-	b.write(records.OpenKey("job-7"), "", encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Awaits: []string{accepted + "2"}}}))
+	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Awaits: []string{accepted + "2"}}}))
 	l.loading.retry = func() {
 		l.clearAbandoned([]attempt{
 			{ref: listRef{prefix: accepted}, job: "job-7", version: b.store[accepted+"0"].Version, keys: []string{accepted + "0", accepted + "1"}},
@@ -372,7 +373,7 @@
 	for _, limit := range []int{300, 1848, 16184} {
 		var got []string
 		for _, record := range splitList(names, 1_700_000_000_000, limit) {
-			if size := len(encode(record)); size > limit || len(record.Names) == 0 {
+			if size := len(kv.Encode(record)); size > limit || len(record.Names) == 0 {
 				t.Errorf("limit %d: a record of %d bytes with %d names", limit, size, len(record.Names))
 			}
 			got = append(got, record.Names...)
--- a/internal/core/awaited.go
+++ b/internal/core/awaited.go
@@ -1,9 +1,10 @@
 package core
 
 import (
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
 // A submission that names other jobs is accepted by one transaction on the
@@ -37,7 +38,7 @@
 	p.conds = []wire.Cond{{Key: records.OpenKey(id)}, {Key: records.FinalKey(id)}}
 	p.marks = map[string]records.Open{}
 	if s.withdrawn {
-		p.write(records.FinalKey(id), encode(s.final()))
+		p.write(records.FinalKey(id), kv.Encode(s.final()))
 		return p, true
 	}
 	if s.list != nil {
@@ -48,18 +49,18 @@
 		if _, over := c.users.final[a]; over || k == nil || k.rec.Cancelled {
 			return p, false
 		}
-		if len(p.conds) < c.maxConds() {
+		if len(p.conds) < c.store.MaxConditions() {
 			p.conds = append(p.conds, wire.Cond{Key: records.OpenKey(a), Version: k.version})
 		}
 		if c.canMark(k) {
 			rec := k.rec
 			rec.Needed = true
 			p.marks[a] = rec
-			p.write(records.OpenKey(a), encode(rec))
+			p.write(records.OpenKey(a), kv.Encode(rec))
 		}
 	}
-	p.write(records.OpenKey(id), encode(s.rec))
-	return p, len(p.writes) <= c.limits().TxnOps
+	p.write(records.OpenKey(id), kv.Encode(s.rec))
+	return p, len(p.writes) <= c.store.MaxWrites()
 }
 
 // canMark tells whether an awaited job's open record is to be marked as needed, and
@@ -70,13 +71,13 @@
 	}
 	rec := k.rec
 	rec.Needed = true
-	return len(encode(rec)) <= c.maxValue()
+	return len(kv.Encode(rec)) <= c.store.MaxValue()
 }
 
 // mayMarkOtherwise takes in that the state service has refused a transaction with
 // marks. It tells whether smaller ones may do, or one with fewer marks.
 func (c *Core) mayMarkOtherwise(writes int, marks map[string]records.Open) bool {
-	smaller := c.refusedTxn(writes)
+	smaller := c.rejectedWrites(writes)
 	fewer := c.noteUnwritable(marks)
 	return smaller || fewer
 }
@@ -95,11 +96,11 @@
 
 // mayBeUnmarked tells whether an open record is so large that the state service may
 // have refused to have it marked as needed.
-func mayBeUnmarked(rec records.Open) bool { return len(encode(rec)) > smallValue }
+func mayBeUnmarked(rec records.Open) bool { return len(kv.Encode(rec)) > kv.SmallValue }
 
 func (p *prepared) write(key string, v []byte) {
 	p.writes = append(p.writes, wire.Write{Put: key, Value: v})
-	p.bytes += len(v) + writeOverhead
+	p.bytes += len(v) + kv.WriteOverhead
 }
 
 // checkAwaited finds out about the jobs that a submission awaits, and has it
@@ -137,7 +138,7 @@
 			}
 			switch {
 			case unknown != "":
-				c.answerError(s.req, statusUnprocessable, "it awaits "+unknown+", which was never accepted")
+				c.answerError(s.req, httpstatus.UnprocessableEntity, "it awaits "+unknown+", which was never accepted")
 			case failed:
 				c.answerRetry(s.req, errorStoreSilent)
 			default:
@@ -163,7 +164,7 @@
 			c.answerRetry(s.req, errorNotNow)
 			return
 		case k.rec.Job.Shape == wire.ShapeService:
-			c.answerError(s.req, statusUnprocessable, "it awaits "+a+", a service")
+			c.answerError(s.req, httpstatus.UnprocessableEntity, "it awaits "+a+", a service")
 			return
 		case k.rec.Cancelled:
 			s.withdrawn = true
@@ -176,9 +177,9 @@
 	}
 	switch {
 	case s.withdrawn:
-	case len(unmarked) >= c.limits().TxnOps:
+	case len(unmarked) >= c.store.MaxWrites():
 		// More than go into one transaction beside the job itself.
-		c.markNeeded(s, unmarked[:c.limits().TxnOps])
+		c.markNeeded(s, unmarked[:c.store.MaxWrites()])
 		return
 	case !c.placeNames(s):
 		return
@@ -219,21 +220,20 @@
 		rec.Needed = true
 		marks[id] = rec
 		txn.If = append(txn.If, wire.Cond{Key: records.OpenKey(id), Version: k.version})
-		txn.Writes = append(txn.Writes, wire.Write{Put: records.OpenKey(id), Value: encode(rec)})
+		txn.Writes = append(txn.Writes, wire.Write{Put: records.OpenKey(id), Value: kv.Encode(rec)})
 	}
-	c.commit(txn, false, func(r Result) {
-		var tr wire.TxnResult
-		switch {
-		case r.Status == statusOK && json.Unmarshal(r.Body, &tr) == nil:
+	c.store.Commit(txn, func(r kv.TxnResult) {
+		switch r.Status {
+		case kv.OK:
 			for _, id := range ids {
-				c.cacheOpen(id, &openJob{version: tr.Revision, rec: marks[id]})
+				c.cacheOpen(id, &openJob{version: r.Revision, rec: marks[id]})
 			}
-		case r.Status == statusConflict || r.Status == statusNoAnswer:
+		case kv.Conflict, kv.Unanswered:
 			for _, id := range ids {
 				delete(c.users.open, id)
 			}
 		default:
-			if r.Status != statusBadRequest || !c.mayMarkOtherwise(len(txn.Writes), marks) {
+			if r.Status != kv.Rejected || !c.mayMarkOtherwise(len(txn.Writes), marks) {
 				c.answerRetry(s.req, errorStoreSilent)
 				return
 			}
--- a/internal/core/awaited_test.go
+++ b/internal/core/awaited_test.go
@@ -8,6 +8,7 @@
 	"github.com/segmentio/encoding/json"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
 func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
@@ -82,7 +83,7 @@
 					t.Fatal(err)
 				}
 				rec.Cancelled, rec.AskedAt = true, 1
-				b.write(records.OpenKey(asked), "", encode(rec))
+				b.write(records.OpenKey(asked), "", kv.Encode(rec))
 				delete(b.c.users.open, asked)
 				if !known {
 					clear(b.c.users.open) // accepted by another controller
@@ -146,7 +147,7 @@
 	var rec records.Open
 	json.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
 	rec.Cancelled, rec.AskedAt = true, 1
-	b.write(records.OpenKey(jobID(1)), "", encode(rec)) // by another controller
+	b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec)) // by another controller
 	if b.c.users.open[jobID(1)].rec.Cancelled {
 		t.Fatal("known already")
 	}
--- a/internal/core/cancel.go
+++ b/internal/core/cancel.go
@@ -3,12 +3,13 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cancellation"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
 // This file alone decides when a user is told that a job is cancelled. The
@@ -48,7 +49,7 @@
 
 func (c *Core) onCancel(req uint64, id string) {
 	if !validID(id) {
-		c.answerError(req, statusNotFound, errorNoSuchJob)
+		c.answerError(req, httpstatus.NotFound, errorNoSuchJob)
 		return
 	}
 	c.cancel(req, id, 0)
@@ -62,9 +63,9 @@
 		case f.failed || tries > 4:
 			c.answerRetry(req, errorStoreSilent)
 		case f.open == nil && f.final == nil:
-			c.answerError(req, statusNotFound, errorNoSuchJob)
+			c.answerError(req, httpstatus.NotFound, errorNoSuchJob)
 		case f.final != nil || f.open.rec.Acknowledged():
-			c.answer(req, statusOK, c.statusOf(id, f), 0)
+			c.answer(req, httpstatus.OK, c.statusOf(id, f), 0)
 		case f.open.rec.Cancelled:
 			c.awaitGone(req, id, f.open)
 		default:
@@ -79,16 +80,16 @@
 	rec := k.rec
 	rec.Cancelled, rec.AskedAt = true, c.wall
 	rec.Needed = rec.Needed || mayBeUnmarked(rec)
-	if least || len(encode(rec)) > c.maxValue() {
+	if least || len(kv.Encode(rec)) > c.store.MaxValue() {
 		rec, least = rec.Reduced(), true
 	}
-	c.writeOpen(id, k.version, rec, nil, func(now *openJob, status int) {
+	c.writeOpen(id, k.version, rec, nil, func(now *openJob, status kv.Status) {
 		switch {
 		case now != nil:
 			c.awaitGone(req, id, now)
-		case status == statusConflict:
+		case status == kv.Conflict:
 			c.cancel(req, id, tries+1)
-		case status == statusBadRequest && !least:
+		case status == kv.Rejected && !least:
 			c.recordCancellation(req, id, k, tries, true)
 		default:
 			c.answerRetry(req, errorStoreSilent)
@@ -97,21 +98,20 @@
 }
 
 // writeOpen changes a job's open record; f gets what is known then, or nil.
-func (c *Core) writeOpen(id string, version uint64, rec records.Open, also []wire.Cond, f func(k *openJob, status int)) {
+func (c *Core) writeOpen(id string, version uint64, rec records.Open, also []wire.Cond, f func(k *openJob, status kv.Status)) {
 	txn := &wire.Txn{
 		If:     append([]wire.Cond{{Key: records.OpenKey(id), Version: version}}, also...),
-		Writes: []wire.Write{{Put: records.OpenKey(id), Value: encode(rec)}},
+		Writes: []wire.Write{{Put: records.OpenKey(id), Value: kv.Encode(rec)}},
 	}
-	c.commit(txn, true, func(r Result) {
-		var tr wire.TxnResult
-		if r.Status != statusOK || json.Unmarshal(r.Body, &tr) != nil {
-			if r.Status == statusConflict {
+	c.store.CommitUrgent(txn, func(r kv.TxnResult) {
+		if !r.Committed() {
+			if r.Status == kv.Conflict {
 				delete(c.users.open, id)
 			}
 			f(nil, r.Status)
 			return
 		}
-		k := &openJob{version: tr.Revision, rec: rec}
+		k := &openJob{version: r.Revision, rec: rec}
 		c.cacheOpen(id, k)
 		f(k, r.Status)
 	})
@@ -120,7 +120,7 @@
 // awaitGone has a request wait for the end of a job that is to be cancelled.
 func (c *Core) awaitGone(req uint64, id string, k *openJob) {
 	if rec, ok := c.users.final[id]; ok {
-		c.answer(req, statusOK, rec.JobStatus(id), 0)
+		c.answer(req, httpstatus.OK, rec.JobStatus(id), 0)
 		return
 	}
 	c.users.cancels.Add(id, k.version, cancellation.RequestID(req), c.now)
@@ -145,14 +145,14 @@
 // answerStopping asks users to come back, since tasks of their jobs are being stopped.
 func (c *Core) answerStopping(requests []cancellation.RequestID) {
 	for _, req := range requests {
-		c.answer(uint64(req), statusUnavailable, errorBody{errorStopping}, cancelRetry)
+		c.answer(uint64(req), httpstatus.ServiceUnavailable, errorBody{errorStopping}, cancelRetry)
 	}
 }
 
 // answerOver tells users that their job is over.
 func (c *Core) answerOver(requests []cancellation.RequestID, status wire.JobStatus) {
 	for _, req := range requests {
-		c.answer(uint64(req), statusOK, status, 0)
+		c.answer(uint64(req), httpstatus.OK, status, 0)
 	}
 }
 
@@ -193,10 +193,10 @@
 	confirmation := cancels.Confirm(id)
 	rec := k.rec
 	rec.CancelledAt = c.wall
-	if len(encode(rec)) > c.maxValue() {
+	if len(kv.Encode(rec)) > c.store.MaxValue() {
 		rec = rec.Reduced()
 	}
-	c.writeOpen(id, k.version, rec, []wire.Cond{{Key: election.KeyTerm, Version: termVersion}}, func(k *openJob, _ int) {
+	c.writeOpen(id, k.version, rec, []wire.Cond{{Key: election.KeyTerm, Version: termVersion}}, func(k *openJob, _ kv.Status) {
 		requests := cancels.Settle(confirmation, k != nil)
 		if k == nil {
 			c.answerStopping(requests)
--- a/internal/core/cancel_leader.go
+++ b/internal/core/cancel_leader.go
@@ -81,7 +81,7 @@
 // goneLong tells whether a cancelled job has been without a task for longer
 // than it takes to record its end, or cannot have it recorded.
 func (l *leader) goneLong(j *job) bool {
-	return j.cancellation.GoneFor(l.c.report()/5, l.c.now) || j.cancellation.Gone() && !l.c.storeOK()
+	return j.cancellation.GoneFor(l.c.report()/5, l.c.now) || j.cancellation.Gone() && !l.c.store.Available()
 }
 
 // heldUp tells whether tasks of a job are on machines out of reach, so that
--- a/internal/core/chains_test.go
+++ b/internal/core/chains_test.go
@@ -12,6 +12,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -204,7 +205,7 @@
 		stdjson.Unmarshal(b.store[key].Value, &rec)
 		if id == cancelled {
 			rec.Cancelled, rec.AskedAt = true, b.c.wall
-			b.write(key, "", encode(rec))
+			b.write(key, "", kv.Encode(rec))
 		}
 		l.noteOpen(id, b.store[key].Version, rec)
 	}
@@ -319,7 +320,7 @@
 			var rec records.Open
 			stdjson.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
 			rec.Cancelled, rec.AskedAt = true, 1
-			b.write(records.OpenKey(jobID(1)), "", encode(rec))
+			b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec))
 		}, "withdrawn", "-"},
 		{"written for another reason", func(b *harness) {
 			b.write(records.OpenKey(jobID(1)), "", b.store[records.OpenKey(jobID(1))].Value)
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -3,7 +3,9 @@
 import (
 	"strings"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -133,7 +135,7 @@
 	}
 	m.directCalls++
 	session := m.session
-	body := encode(wire.Orders{Token: l.mandate.Term, Session: session, Commands: commands})
+	body := kv.Encode(wire.Orders{Token: l.mandate.Term, Session: session, Commands: commands})
 	l.c.call(Call{Dest: DestWorker, Addr: m.addr, Method: "POST", Path: "/do", Body: body, Timeout: l.c.report()}, func(r Result) {
 		m.directCalls--
 		if l.deposed {
@@ -142,7 +144,7 @@
 		if m.session == session && outcomeKnown(r) {
 			m.startsEnded(starts)
 		}
-		if r.Status != statusOK && r.Status != statusConflict {
+		if r.Status != httpstatus.OK && r.Status != httpstatus.Conflict {
 			m.directRetry = l.c.now + l.c.lease()/2
 			return
 		}
@@ -164,7 +166,7 @@
 // outcomeKnown tells whether direct commands were certainly carried out, or
 // certainly not and never will be.
 func outcomeKnown(r Result) bool {
-	return r.Status == statusOK || r.Status == statusConflict || r.Status == statusBadRequest || r.NotSent
+	return r.Status == httpstatus.OK || r.Status == httpstatus.Conflict || r.Status == httpstatus.BadRequest || r.NotSent
 }
 
 // startsEnded notes that no copy of direct starts is under way any more.
--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -178,7 +179,7 @@
 			if !reflect.DeepEqual(got, tc.want) {
 				t.Errorf("read as %+v, want %+v", got, tc.want)
 			}
-			before, after := decode(t, data, tc.frozen), decode(t, encode(got), tc.frozen)
+			before, after := decode(t, data, tc.frozen), decode(t, kv.Encode(got), tc.frozen)
 			if !reflect.DeepEqual(before, after) {
 				t.Errorf("the version in production reads %+v, of what this one writes %+v", before, after)
 			}
@@ -208,14 +209,14 @@
 	}
 	for _, layout := range []func() any{func() any { return &laterOpen{} }, func() any { return &productionOpen{} }} {
 		before, after := layout(), layout()
-		if json.Unmarshal(data, before) != nil || json.Unmarshal(encode(got), after) != nil {
+		if json.Unmarshal(data, before) != nil || json.Unmarshal(kv.Encode(got), after) != nil {
 			t.Fatalf("%T cannot be read", before)
 		}
 		if !reflect.DeepEqual(before, after) {
 			t.Errorf("%T is %+v, of what this version writes %+v", before, before, after)
 		}
 	}
-	sameJSON(t, data, encode(got))
+	sameJSON(t, data, kv.Encode(got))
 }
 
 // sameJSON requires that this version writes what an old one wrote, name by name.
@@ -282,7 +283,7 @@
 				if err := json.Unmarshal(w.Value, value); err != nil {
 					t.Fatalf("%s: %s: %v", dir, w.Put, err)
 				}
-				txn.Writes[i].Value = encode(value)
+				txn.Writes[i].Value = kv.Encode(value)
 				if (w.Lease != 0) != (kind == "leader") {
 					t.Errorf("%s: %s has lease %d", dir, w.Put, w.Lease)
 				}
@@ -292,7 +293,7 @@
 					t.Errorf("%s: unknown key %q", dir, cond.Key)
 				}
 			}
-			sameJSON(t, line, encode(txn))
+			sameJSON(t, line, kv.Encode(txn))
 		}
 		if got := sortedKeys(seen); !slices.Equal(got, kinds) {
 			t.Errorf("%s: records of the kinds %q, want %q", dir, got, kinds)
@@ -304,18 +305,18 @@
 // whose key is bound to a lease, and writes it again.
 func TestOldElection(t *testing.T) {
 	want := wire.Txn{If: []wire.Cond{{Key: election.KeyLeader}, {Key: election.KeyTerm, Version: 101}}, Writes: []wire.Write{
-		{Put: election.KeyLeader, Value: encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: encode(2)}}}
+		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)}}}
 	for _, dir := range []string{"production", "chains"} {
 		data, err := os.ReadFile("testdata/" + dir + "/transactions.jsonl")
 		if err != nil {
 			t.Fatal(err)
 		}
 		first, _, _ := bytes.Cut(data, []byte("\n"))
-		if got := encode(want); !bytes.Equal(got, first) {
+		if got := kv.Encode(want); !bytes.Equal(got, first) {
 			t.Errorf("%s wrote\n%s\nthis version writes\n%s", dir, first, got)
 		}
 	}
-	if got := string(encode(wire.GrantRequest{TTLMs: 2000})); got != `{"ttlMs":2000}` {
+	if got := string(kv.Encode(wire.GrantRequest{TTLMs: 2000})); got != `{"ttlMs":2000}` {
 		t.Errorf("a lease is asked for by %s", got)
 	}
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -13,8 +13,8 @@
 
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
 // Core is the state machine of one controller.
@@ -40,8 +40,7 @@
 	users users
 	elect *election.Election
 
-	fewerOps    int  // changes in a transaction, if fewer than announced; 0 unknown
-	smallValues bool // values that the settings allow were refused
+	store *kv.Client
 
 	peers map[string]*peerState
 	lead  *leader // nil on a follower
@@ -86,7 +85,8 @@
 	for _, p := range cfg.Peers {
 		c.peers[p.Name] = &peerState{}
 	}
-	c.elect = election.New(cfg.Name, c.ttl(), electionStore{c}, electionHost{c}, log)
+	c.store = kv.NewClient(storeTransport{c}, &cfg.Deployment)
+	c.elect = election.New(cfg.Name, c.ttl(), electionStore{c.store}, electionHost{c}, log)
 	c.initUsers()
 	return c
 }
@@ -145,20 +145,11 @@
 func (c *Core) answer(id uint64, status int, v any, retryAfter int) {
 	body := []byte("{}")
 	if v != nil {
-		body = encode(v)
+		body = kv.Encode(v)
 	}
 	c.out.Answers = append(c.out.Answers, Answer{ID: id, Status: status, Body: body, RetryAfter: retryAfter})
 }
 
-func encode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		// Only values of this program's own types come here.
-		panic("core: encode: " + err.Error())
-	}
-	return b
-}
-
 func (c *Core) lease() time.Duration  { return config.Seconds(c.cfg.Deployment.Workers.LeaseS) }
 func (c *Core) report() time.Duration { return config.Seconds(c.cfg.Deployment.Workers.ReportS) }
 
--- a/internal/core/election.go
+++ b/internal/core/election.go
@@ -1,10 +1,10 @@
 package core
 
 import (
-	"strconv"
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -12,30 +12,11 @@
 // workers' move to another controller must all fit within one worker lease.
 func (c *Core) ttl() time.Duration { return c.lease() / 5 }
 
-// electionStore is the state service as elections use it.
-type electionStore struct{ c *Core }
+// electionStore is the key-value store as elections use it.
+type electionStore struct{ *kv.Client }
 
-// Get reads a key.
-func (s electionStore) Get(key string, done election.Answer) {
-	s.c.get(key, func(r Result) { done(r.Status, r.Body) })
-}
-
-// Commit carries out a transaction.
-func (s electionStore) Commit(txn *wire.Txn, done election.Answer) {
-	s.c.commit(txn, true, func(r Result) { done(r.Status, r.Body) })
-}
-
-// Grant asks for a lease.
-func (s electionStore) Grant(ttl time.Duration, done election.Answer) {
-	s.c.call(Call{Dest: DestStore, Method: "POST", Path: "/grants", Urgent: true, Timeout: s.c.storeTimeout(),
-		Body: encode(wire.GrantRequest{TTLMs: int(ttl / time.Millisecond)})}, func(r Result) { done(r.Status, r.Body) })
-}
-
-// Extend renews a lease.
-func (s electionStore) Extend(lease uint64, timeout time.Duration, done election.Answer) {
-	s.c.call(Call{Dest: DestStore, Method: "POST", Path: "/grants/" + strconv.FormatUint(lease, 10) + "/extend", Urgent: true,
-		Body: []byte("{}"), Timeout: timeout}, func(r Result) { done(r.Status, r.Body) })
-}
+// Commit carries out a transaction ahead of other calls.
+func (s electionStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) { s.CommitUrgent(txn, done) }
 
 // electionHost is this controller as elections see it.
 type electionHost struct{ c *Core }
@@ -62,8 +43,8 @@
 // StepDown ends this controller's leadership.
 func (h electionHost) StepDown(why election.Reason) { h.c.stepDown(why) }
 
-// NoteStore is told whether the state service answers.
-func (h electionHost) NoteStore(status int) { h.c.noteStore(Result{Status: status}) }
+// ObserveStore is told whether the store answers.
+func (h electionHost) ObserveStore(status kv.Status) { h.c.store.Observe(status) }
 
 // HearsPeer tells whether any other controller is heard.
 func (h electionHost) HearsPeer() bool { return h.c.hearsPeer() }
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -11,8 +11,8 @@
 	"log/slog"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
 // Keys of the state service that leadership uses. Versions share them: they never
@@ -38,12 +38,6 @@
 	ReasonLeaseEnded Reason = "the lease ran out"
 )
 
-// Status codes of the state service's answers.
-const (
-	statusOK     = 200
-	statusAbsent = 404
-)
-
 // Mandate is what the winner of an election leads by.
 type Mandate struct {
 	Term        uint64
@@ -51,20 +45,16 @@
 	Lease       uint64 // of the leader key
 }
 
-// Answer is called with the status and the body of an answer of the state service;
-// status 0 if none came.
-type Answer func(status int, body []byte)
-
-// Store is the state service. Its answers come later.
+// Store is the key-value store. Its results come later.
 type Store interface {
-	// Get reads a key: an Item, or 404.
-	Get(key string, done Answer)
+	// Get reads a key.
+	Get(key string, done func(kv.GetResult))
 	// Commit carries out a transaction.
-	Commit(txn *wire.Txn, done Answer)
-	// Grant asks for a lease: a Grant.
-	Grant(ttl time.Duration, done Answer)
-	// Extend renews a lease: 404 if it has ended.
-	Extend(lease uint64, timeout time.Duration, done Answer)
+	Commit(txn *wire.Txn, done func(kv.TxnResult))
+	// Grant asks for a lease.
+	Grant(ttl time.Duration, done func(kv.GrantResult))
+	// Renew renews a lease; the status is NotFound if it has expired.
+	Renew(lease uint64, timeout time.Duration, done func(kv.Status))
 }
 
 // Host is the controller that takes part in elections.
@@ -77,8 +67,8 @@
 	Lead(Mandate)
 	// StepDown ends this controller's leadership, and calls SteppedDown.
 	StepDown(Reason)
-	// NoteStore is told whether the state service answers.
-	NoteStore(status int)
+	// ObserveStore is told whether the store answers.
+	ObserveStore(status kv.Status)
 	// HearsPeer tells whether any other controller is heard.
 	HearsPeer() bool
 	// LeaderLost tells whether others agree that the leader is out of reach.
@@ -137,16 +127,16 @@
 		e.renew(m)
 		return
 	}
-	e.store.Get(KeyLeader, func(status int, body []byte) {
-		e.host.NoteStore(status)
+	e.store.Get(KeyLeader, func(r kv.GetResult) {
+		e.host.ObserveStore(r.Status)
 		e.busy = false
 		if e.leads() {
 			return
 		}
-		switch status {
-		case statusOK:
-			e.onLeaderKey(body)
-		case statusAbsent:
+		switch r.Status {
+		case kv.OK:
+			e.onLeaderKey(r.Item)
+		case kv.NotFound:
 			e.asked = true
 			e.campaign(0)
 		}
@@ -161,12 +151,13 @@
 
 // onLeaderKey takes in the leader key, on a controller that does not lead. It
 // campaigns where nobody leads under the key, or where the leader is lost.
-func (e *Election) onLeaderKey(body []byte) {
-	version, v, ok := decodeLeader(body)
-	if !ok {
-		e.log.Error("leader key is not readable", "body", string(body))
+func (e *Election) onLeaderKey(item wire.Item) {
+	key, err := kv.Decode[LeaderValue](item.Value, item.Version)
+	if err != nil {
+		e.log.Error("leader key is not readable", "value", string(item.Value), "error", err)
 		return
 	}
+	v, version := key.Value, key.Version
 	first := !e.asked
 	e.asked = true
 	if v.Name == e.name {
@@ -188,15 +179,6 @@
 	}
 }
 
-// decodeLeader parses the leader key's record.
-func decodeLeader(body []byte) (version uint64, v LeaderValue, ok bool) {
-	var it wire.Item
-	if json.Unmarshal(body, &it) != nil || json.Unmarshal(it.Value, &v) != nil {
-		return 0, LeaderValue{}, false
-	}
-	return it.Version, v, true
-}
-
 // Learn takes in that a controller leads under a term.
 func (e *Election) Learn(term uint64, name string) {
 	if term < e.term {
@@ -220,43 +202,42 @@
 // reads the term, takes a lease for the key, and writes both.
 func (e *Election) campaign(leaderVersion uint64) {
 	e.busy = true
-	e.store.Get(KeyTerm, func(status int, body []byte) {
-		term, version, ok := e.decodeTerm(status, body)
+	e.store.Get(KeyTerm, func(r kv.GetResult) {
+		term, ok := e.decodeTerm(r)
 		if !ok {
 			e.busy = false
 			return
 		}
-		e.takeGrant(func(lease uint64) { e.claimTerm(leaderVersion, term+1, version, lease) })
+		e.takeGrant(func(lease uint64) { e.claimTerm(leaderVersion, term.Value+1, term.Version, lease) })
 	})
 }
 
 // decodeTerm parses the answer to a read of the term key. There is none before
 // the first election.
-func (e *Election) decodeTerm(status int, body []byte) (term, version uint64, ok bool) {
-	switch status {
-	case statusOK:
-		var it wire.Item
-		if json.Unmarshal(body, &it) != nil || json.Unmarshal(it.Value, &term) != nil {
-			e.log.Error("term key is not readable", "body", string(body))
-			return 0, 0, false
+func (e *Election) decodeTerm(r kv.GetResult) (term kv.Versioned[uint64], ok bool) {
+	switch r.Status {
+	case kv.OK:
+		term, err := kv.Decode[uint64](r.Item.Value, r.Item.Version)
+		if err != nil {
+			e.log.Error("term key is not readable", "value", string(r.Item.Value), "error", err)
 		}
-		return term, it.Version, true
-	case statusAbsent:
-		return 0, 0, true
+		return term, err == nil
+	case kv.NotFound:
+		return term, true
+	default:
+		return term, false
 	}
-	return 0, 0, false
 }
 
 // takeGrant asks the state service for a lease, for an election that goes on
 // with it.
 func (e *Election) takeGrant(next func(lease uint64)) {
-	e.store.Grant(e.ttl, func(status int, body []byte) {
-		var g wire.Grant
-		if status != statusOK || json.Unmarshal(body, &g) != nil {
+	e.store.Grant(e.ttl, func(r kv.GrantResult) {
+		if r.Status != kv.OK {
 			e.busy = false
 			return
 		}
-		next(g.Lease)
+		next(r.Lease)
 	})
 }
 
@@ -265,27 +246,17 @@
 func (e *Election) claimTerm(leaderVersion, term, termVersion, lease uint64) {
 	txn := &wire.Txn{
 		If:     []wire.Cond{{Key: KeyLeader, Version: leaderVersion}, {Key: KeyTerm, Version: termVersion}},
-		Writes: []wire.Write{{Put: KeyLeader, Value: encode(LeaderValue{e.name, term}), Lease: lease}, {Put: KeyTerm, Value: encode(term)}},
+		Writes: []wire.Write{{Put: KeyLeader, Value: kv.Encode(LeaderValue{e.name, term}), Lease: lease}, {Put: KeyTerm, Value: kv.Encode(term)}},
 	}
-	e.store.Commit(txn, func(status int, body []byte) {
+	e.store.Commit(txn, func(r kv.TxnResult) {
 		e.busy = false
-		var r wire.TxnResult
-		if status != statusOK || json.Unmarshal(body, &r) != nil {
+		if !r.Committed() {
 			return
 		}
 		e.win(Mandate{Term: term, TermVersion: r.Revision, Lease: lease})
 	})
 }
 
-// encode encodes a value of a key of this package.
-func encode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic("election: encode: " + err.Error()) // only own types and numbers come here
-	}
-	return b
-}
-
 // win begins to lead under a term that was won, unless another controller has won a
 // later one meanwhile.
 func (e *Election) win(m Mandate) {
@@ -300,13 +271,13 @@
 
 // renew extends the lease of this controller's leader key.
 func (e *Election) renew(m Mandate) {
-	e.store.Extend(m.Lease, e.ttl/2, func(status int, _ []byte) {
-		e.host.NoteStore(status)
+	e.store.Renew(m.Lease, e.ttl/2, func(status kv.Status) {
+		e.host.ObserveStore(status)
 		e.busy = false
 		if !e.leadsBy(m) {
 			return
 		}
-		if status == statusAbsent {
+		if status == kv.NotFound {
 			e.host.StepDown(ReasonLeaseEnded)
 			return
 		}
@@ -314,12 +285,12 @@
 			return
 		}
 		// Nobody is heard: another controller may have taken the key over.
-		e.store.Get(KeyLeader, func(status int, body []byte) {
-			if !e.leadsBy(m) || status != statusOK {
+		e.store.Get(KeyLeader, func(r kv.GetResult) {
+			if !e.leadsBy(m) || r.Status != kv.OK {
 				return
 			}
-			if _, v, ok := decodeLeader(body); ok {
-				e.Learn(v.Term, v.Name)
+			if key, err := kv.Decode[LeaderValue](r.Item.Value, r.Item.Version); err == nil {
+				e.Learn(key.Value.Term, key.Value.Name)
 			}
 		})
 	})
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -5,9 +5,11 @@
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
+	"net/http"
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -25,13 +27,13 @@
 	lost     float64 // share of answers that do not come
 }
 
-// later has an answer come some time.
-func (s *service) later(done Answer, status int, v any) {
-	body, _ := json.Marshal(v)
+// later gives an answer some time, or none.
+func (s *service) later(done func(kv.Response), number int, v any) {
+	response := kv.Response{Number: number, Body: kv.Encode(v)}
 	if s.rng.Float64() < s.lost {
-		status, body = 0, nil
+		response = kv.Response{}
 	}
-	s.pending = append(s.pending, func() { done(status, body) })
+	s.pending = append(s.pending, func() { done(response) })
 }
 
 // deliver gives the answers that wait, in a random order.
@@ -60,18 +62,20 @@
 	}
 }
 
-func (s *service) Get(key string, done Answer) {
+func (s *service) Get(key string, done func(kv.GetResult)) {
+	answer := func(r kv.Response) { done(kv.ParseGet(r)) }
 	if it, ok := s.keys[key]; ok {
-		s.later(done, statusOK, it)
+		s.later(answer, http.StatusOK, it)
 		return
 	}
-	s.later(done, statusAbsent, struct{}{})
+	s.later(answer, http.StatusNotFound, struct{}{})
 }
 
-func (s *service) Commit(txn *wire.Txn, done Answer) {
+func (s *service) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
+	answer := func(r kv.Response) { done(kv.ParseTxn(r)) }
 	for _, c := range txn.If {
 		if s.keys[c.Key].Version != c.Version {
-			s.later(done, 409, struct{}{})
+			s.later(answer, http.StatusConflict, struct{}{})
 			return
 		}
 	}
@@ -79,22 +83,23 @@
 	for _, w := range txn.Writes {
 		s.keys[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Version: s.revision, Lease: w.Lease}
 	}
-	s.later(done, statusOK, wire.TxnResult{Revision: s.revision})
+	s.later(answer, http.StatusOK, wire.TxnResult{Revision: s.revision})
 }
 
-func (s *service) Grant(ttl time.Duration, done Answer) {
+func (s *service) Grant(ttl time.Duration, done func(kv.GrantResult)) {
 	s.revision++
 	s.leases[s.revision] = s.now + ttl
-	s.later(done, statusOK, wire.Grant{Lease: s.revision})
+	s.later(func(r kv.Response) { done(kv.ParseGrant(r)) }, http.StatusOK, wire.Grant{Lease: s.revision})
 }
 
-func (s *service) Extend(lease uint64, _ time.Duration, done Answer) {
+func (s *service) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
+	answer := func(r kv.Response) { done(kv.StatusOf(r.Number)) }
 	if _, ok := s.leases[lease]; !ok {
-		s.later(done, statusAbsent, struct{}{})
+		s.later(answer, http.StatusNotFound, struct{}{})
 		return
 	}
 	s.leases[lease] = s.now + ttl
-	s.later(done, statusOK, struct{}{})
+	s.later(answer, http.StatusOK, struct{}{})
 }
 
 // controller takes part in elections.
@@ -133,7 +138,7 @@
 	c.SteppedDown()
 }
 
-func (c *controller) NoteStore(int) {}
+func (c *controller) ObserveStore(kv.Status) {}
 
 func (c *controller) HearsPeer() bool { return c.hears }
 
--- a/internal/core/gone_test.go
+++ b/internal/core/gone_test.go
@@ -4,6 +4,7 @@
 	"testing"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -24,7 +25,7 @@
 	runs := wire.Task{Task: "job-000001/0", Attempt: 2, State: wire.TaskRunning}
 	for i, rows := range [][]wire.Task{{ended, runs}, {runs, ended}, {ended, runs}} {
 		r := wire.Report{Machine: "n-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Session: 1, Seq: uint64(i + 1), Token: 5, Tasks: rows}
-		if status, body := l.handleReport(encode(r), "n0"); status != 200 {
+		if status, body := l.handleReport(kv.Encode(r), "n0"); status != 200 {
 			t.Fatalf("report %d: %d %s", i, status, body)
 		}
 		if x := &j.tasks[0]; x.machine != m || x.state != wire.TaskRunning {
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -4,8 +4,10 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -85,13 +87,13 @@
 			l.loadedAt -= 100 * time.Second
 		}
 		if tc.asked {
-			l.probeAnswered(m, l.c.now-time.Second, Result{Status: statusNoAnswer})
+			l.probeAnswered(m, l.c.now-time.Second, Result{Status: httpstatus.NoAnswer})
 		}
 		if tc.reached {
 			l.reached["a"] = l.c.now
 		}
 		if tc.answers {
-			l.onDirectReport(m, encode(wire.Report{Machine: "n-1", Type: "g4", Zone: "a", Session: 1, Seq: 9, Token: l.mandate.Term}))
+			l.onDirectReport(m, kv.Encode(wire.Report{Machine: "n-1", Type: "g4", Zone: "a", Session: 1, Seq: 9, Token: l.mandate.Term}))
 		}
 		if got := l.dead(m, l.surveySilence()); got != tc.want {
 			t.Errorf("%s: dead %v, want %v", tc.name, got, tc.want)
--- a/internal/core/jobcache.go
+++ b/internal/core/jobcache.go
@@ -2,7 +2,7 @@
 
 import (
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/wire"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/segmentio/encoding/json"
 )
 
@@ -58,13 +58,13 @@
 }
 
 func (c *Core) preload(after string) {
-	c.readPage(records.PrefixOpen, after, false, func(p *wire.Page) {
+	c.store.List(records.PrefixOpen, after, func(r kv.ListResult) {
 		u := &c.users
-		if p == nil {
+		if r.Status != kv.OK {
 			u.preloaded, u.preloadAt = false, c.now+c.ttl()
 			return
 		}
-		for _, it := range p.Items {
+		for _, it := range r.Page.Items {
 			after = it.Key
 			id := it.Key[len(records.PrefixOpen):]
 			k := &openJob{version: it.Version}
@@ -72,25 +72,8 @@
 				c.cacheOpen(id, k)
 			}
 		}
-		if p.More {
+		if r.Page.More {
 			c.preload(after)
 		}
 	})
 }
-
-// readPage reads keys in order; f gets nil if there was no answer.
-func (c *Core) readPage(prefix, after string, urgent bool, f func(*wire.Page)) {
-	path := "/store?under=" + prefix + "&limit=500"
-	if after != "" {
-		path += "&since=" + after
-	}
-	c.call(Call{Dest: DestStore, Method: "GET", Path: path, Timeout: 2 * c.storeTimeout(), Urgent: urgent}, func(r Result) {
-		c.noteStore(r)
-		var p wire.Page
-		if r.Status != 200 || json.Unmarshal(r.Body, &p) != nil {
-			f(nil)
-			return
-		}
-		f(&p)
-	})
-}
--- a/internal/core/leaseextension.go
+++ b/internal/core/leaseextension.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -80,7 +81,7 @@
 		c.log.Debug("lease extended without the leader", "machine", r.Machine)
 	}
 	k.extended[r.Machine] = leaseExtension{c.now, max(r.Token, k.extended[r.Machine].token)}
-	c.answer(req, statusOK, wire.Orders{Token: r.Token, Commands: []wire.Command{}}, 0)
+	c.answer(req, httpstatus.OK, wire.Orders{Token: r.Token, Commands: []wire.Command{}}, 0)
 	return true
 }
 
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -28,8 +29,7 @@
 		f(lookupResult{final: &rec})
 		return
 	}
-	bad := u.storeBadSince
-	if len(u.order) >= c.maxWaiting() || bad != 0 && c.now-bad > c.storeTimeout()/4 {
+	if len(u.order) >= c.maxWaiting() || c.storeOverdue() {
 		f(lookupResult{failed: true})
 		return
 	}
@@ -54,7 +54,7 @@
 	for len(u.order) > 0 && u.lookupBusy < maxLookupCalls {
 		limit := 0
 		if confirm {
-			limit = c.maxConds()
+			limit = c.store.MaxConditions()
 		}
 		batch, unknown := u.nextLookups(limit)
 		if unknown == "" && len(batch) == 0 {
@@ -101,13 +101,11 @@
 		txn.If = append(txn.If, wire.Cond{Key: records.OpenKey(id), Version: u.open[id].version})
 		waiting[id] = u.take(id)
 	}
-	c.commit(txn, false, func(r Result) {
+	c.store.Commit(txn, func(r kv.TxnResult) {
 		u.lookupBusy--
 		changed := map[string]bool{}
-		if r.Status == statusConflict {
-			var result wire.TxnResult
-			json.Unmarshal(r.Body, &result)
-			changed = records.Jobs(result.Failed)
+		if r.Status == kv.Conflict {
+			changed = records.Jobs(r.Conflicts)
 		}
 		for _, id := range batch {
 			c.endConfirmation(id, waiting[id], r.Status, changed[id])
@@ -118,12 +116,12 @@
 
 // endConfirmation ends the lookups of one known job after the transaction that
 // was to confirm it; if its record has changed, it is read.
-func (c *Core) endConfirmation(id string, waiting []*lookup, status int, changed bool) {
+func (c *Core) endConfirmation(id string, waiting []*lookup, status kv.Status, changed bool) {
 	u := &c.users
 	switch {
-	case status == statusNoAnswer:
+	case status == kv.Unanswered:
 		u.wait(id, waiting)
-	case status != statusOK && status != statusConflict:
+	case status != kv.OK && status != kv.Conflict:
 		resolve(waiting, lookupResult{failed: true})
 	case changed || u.open[id] == nil:
 		delete(u.open, id)
@@ -161,13 +159,13 @@
 		resolve(waiting, f)
 		c.pumpLookups()
 	}
-	c.get(records.OpenKey(id), func(r Result) {
-		c.noteStore(r)
+	c.store.Get(records.OpenKey(id), func(r kv.GetResult) {
+		c.store.Observe(r.Status)
 		k := openFromItem(r)
 		switch {
 		case k != nil:
 			end(c.newest(id, k))
-		case r.Status != statusNotFound:
+		case r.Status != kv.NotFound:
 			end(lookupResult{failed: true})
 		default:
 			c.readFinal(id, end)
@@ -177,13 +175,12 @@
 
 // openFromItem decodes the answer to a read of an open record; nil if it holds
 // none.
-func openFromItem(r Result) *openJob {
-	var item wire.Item
-	if r.Status != statusOK || json.Unmarshal(r.Body, &item) != nil {
+func openFromItem(r kv.GetResult) *openJob {
+	if r.Status != kv.OK {
 		return nil
 	}
-	k := &openJob{version: item.Version}
-	if json.Unmarshal(item.Value, &k.rec) != nil {
+	k := &openJob{version: r.Item.Version}
+	if json.Unmarshal(r.Item.Value, &k.rec) != nil {
 		return nil
 	}
 	return k
@@ -206,15 +203,14 @@
 
 // readFinal fetches the final record of a job that has no open one.
 func (c *Core) readFinal(id string, end func(lookupResult)) {
-	c.get(records.FinalKey(id), func(r Result) {
-		c.noteStore(r)
-		var item wire.Item
+	c.store.Get(records.FinalKey(id), func(r kv.GetResult) {
+		c.store.Observe(r.Status)
 		var f records.Final
 		switch {
-		case r.Status == statusNotFound:
+		case r.Status == kv.NotFound:
 			delete(c.users.open, id)
 			end(lookupResult{})
-		case r.Status == statusOK && json.Unmarshal(r.Body, &item) == nil && json.Unmarshal(item.Value, &f) == nil:
+		case r.Status == kv.OK && json.Unmarshal(r.Item.Value, &f) == nil:
 			c.cacheFinal(id, f)
 			end(lookupResult{final: &f})
 		default:
--- a/internal/core/machinetypes.go
+++ b/internal/core/machinetypes.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -24,17 +25,17 @@
 	c.call(Call{Dest: DestCloud, Method: "GET", Path: "/machine_types", Timeout: 3 * time.Second}, func(r Result) {
 		c.typesBusy = false
 		if r.Status == 200 && c.setTypes(r.Body) {
-			if raw := string(r.Body); c.lead != nil && raw != c.typesRaw && len(raw) <= c.maxValue() {
+			if raw := string(r.Body); c.lead != nil && raw != c.typesRaw && len(raw) <= c.store.MaxValue() {
 				c.typesRaw = raw
-				c.commit(&wire.Txn{If: []wire.Cond{c.lead.termCond()}, Writes: []wire.Write{{Put: records.KeyTypes, Value: r.Body}}}, false, func(Result) {})
+				txn := &wire.Txn{If: []wire.Cond{c.lead.termCond()}, Writes: []wire.Write{{Put: records.KeyTypes, Value: r.Body}}}
+				c.store.Commit(txn, func(kv.TxnResult) {}) // if it fails, the next answer of the cloud is kept
 			}
 			return
 		}
 		if len(c.types) == 0 {
-			c.get(records.KeyTypes, func(r Result) {
-				var it wire.Item
-				if r.Status == 200 && json.Unmarshal(r.Body, &it) == nil && len(c.types) == 0 {
-					c.setTypes(it.Value)
+			c.store.Get(records.KeyTypes, func(r kv.GetResult) {
+				if r.Status == kv.OK && len(c.types) == 0 {
+					c.setTypes(r.Item.Value)
 				}
 			})
 		}
--- a/internal/core/pace_test.go
+++ b/internal/core/pace_test.go
@@ -28,7 +28,7 @@
 	if len(first) != 1 || !first[0].Urgent {
 		t.Fatalf("a submission alone keeps to the pace: %+v", first)
 	}
-	ops := b.c.limits().TxnOps
+	ops := b.c.store.MaxWrites()
 	for n := range ops {
 		if late := commitsOf(b, submission(2+n)); len(late) != 0 {
 			t.Fatalf("a second transaction goes out beside the first: %+v", late)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -6,6 +6,8 @@
 	"strings"
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -47,7 +49,7 @@
 
 // redirect tells a worker to report to another controller.
 func (c *Core) redirect(req uint64, to string) {
-	c.answer(req, statusMisdirected, wire.Redirect{ReportTo: to}, 0)
+	c.answer(req, httpstatus.MisdirectedRequest, wire.Redirect{ReportTo: to}, 0)
 }
 
 // answerReport answers a report as the leader.
@@ -78,9 +80,9 @@
 	if c.extendLease(req, body) {
 		return true
 	}
-	if !c.storeOK() && !c.hearsPeer() {
+	if !c.store.Available() && !c.hearsPeer() {
 		// There is nobody to wait for; another controller may know more.
-		c.answer(req, statusUnavailable, nil, 0)
+		c.answer(req, httpstatus.ServiceUnavailable, nil, 0)
 		return true
 	}
 	return false
@@ -132,7 +134,7 @@
 	slices.SortFunc(r.Tasks, func(a, b wire.Task) int {
 		return cmp.Or(strings.Compare(a.Task, b.Task), cmp.Compare(b.Attempt, a.Attempt))
 	})
-	return encode(r)
+	return kv.Encode(r)
 }
 
 // forwardIDs lists the reports that wait, in their order.
@@ -152,7 +154,7 @@
 			delete(c.forwards, id)
 			if !c.extendLease(f.req, f.body) {
 				c.log.Debug("report not answered in time", "leader", f.sentTo)
-				c.answer(f.req, statusUnavailable, nil, 0)
+				c.answer(f.req, httpstatus.ServiceUnavailable, nil, 0)
 			}
 		}
 	}
@@ -244,7 +246,7 @@
 
 // sendDigest tells the other controllers of this one.
 func (c *Core) sendDigest() {
-	d := wire.Digest{Version: wire.PeerVersion, Term: c.elect.Term(), StoreOK: c.storeOK(), HearsLeader: c.hearsLeader(), Boot: c.boot, Clock: int64(c.now), Kept: c.extensions.list(c.now)}
+	d := wire.Digest{Version: wire.PeerVersion, Term: c.elect.Term(), StoreOK: c.store.Available(), HearsLeader: c.hearsLeader(), Boot: c.boot, Clock: int64(c.now), Kept: c.extensions.list(c.now)}
 	for _, id := range c.users.cancels.Jobs() {
 		d.Cancelled = append(d.Cancelled, wire.Cancelled{ID: id, Version: c.users.cancels.Version(id)})
 	}
--- a/internal/core/peers_test.go
+++ b/internal/core/peers_test.go
@@ -10,6 +10,7 @@
 	"testing"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -55,7 +56,7 @@
 	}
 	for n := range 200 {
 		r := reportOf(n, rng)
-		got, ok := decodeReport(presentFirst(encode(r)))
+		got, ok := decodeReport(presentFirst(kv.Encode(r)))
 		if !ok {
 			t.Fatal("no report")
 		}
@@ -82,7 +83,7 @@
 // TestForwardToOldLeader forwards a report: as it came to a leader that finds the
 // present attempts by itself, put in order to one that has not said so.
 func TestForwardToOldLeader(t *testing.T) {
-	body := encode(reportOf(8, rand.New(rand.NewPCG(2, 2))))
+	body := kv.Encode(reportOf(8, rand.New(rand.NewPCG(2, 2))))
 	for version, want := range map[int][]byte{0: presentFirst(body), wire.PeerVersion: body} {
 		c := New(&config.Settings{Name: "n0", Peers: []config.Peer{{Name: "n1", Zone: "b"}}}, nil, 1, nil)
 		c.elect.Learn(1, "n1")
--- a/internal/core/placements.go
+++ b/internal/core/placements.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -47,8 +48,7 @@
 
 // ranges tells whether records that name their range are to be written.
 func (l *leader) ranges() bool {
-	smaller := l.c.limits().ValueKB < l.c.cfg.Deployment.State.ValueKB || l.c.smallValues
-	return smaller && (l.records.limited || l.c.allUnderstand(wire.PeerVersionRanges))
+	return l.c.store.ShrinkValues() && (l.records.limited || l.c.allUnderstand(wire.PeerVersionRanges))
 }
 
 // layOut makes a job's chunks, for a job without records.
@@ -64,7 +64,7 @@
 
 // fillRanges adds chunks that name their range for the tasks that none covers.
 func (l *leader) fillRanges(j *job) {
-	per := max(1, l.c.placeBytes()/entryBytes)
+	per := max(1, l.c.store.MaxPlacementValue()/entryBytes)
 	var add []chunk
 	from := 0
 	gap := func(to int) {
@@ -171,7 +171,7 @@
 			}
 		}
 	}
-	return encode(rec), starts
+	return kv.Encode(rec), starts
 }
 
 // loadedPlace is a placement record as a new leader finds it.
@@ -214,10 +214,11 @@
 // adopt takes in a job's placement records.
 func (l *leader) adopt(j *job, found []loadedPlace) {
 	covered, named := namedRanges(found, len(j.tasks))
-	if named && l.c.limits().ValueKB >= l.c.cfg.Deployment.State.ValueKB {
+	if named && !l.c.store.AnnouncedToShrink() {
 		// A leader before this one found out that the service takes less than the
 		// settings say.
-		l.c.smallValues, l.records.limited = true, true
+		l.c.store.AssumeSmallValues()
+		l.records.limited = true
 	}
 	j.chunks = nil
 	for _, f := range found {
@@ -295,7 +296,7 @@
 
 // rereadChunk reads the version of a placement record that is not known.
 func (l *leader) rereadChunk(j *job, key string) {
-	l.c.get(key, func(r Result) {
+	l.c.store.Get(key, func(r kv.GetResult) {
 		if l.deposed {
 			return
 		}
@@ -304,11 +305,10 @@
 			return
 		}
 		ch := &j.chunks[n]
-		var it wire.Item
-		switch {
-		case r.Status == 200 && json.Unmarshal(r.Body, &it) == nil:
-			ch.version = it.Version
-		case r.Status == 404:
+		switch r.Status {
+		case kv.OK:
+			ch.version = r.Item.Version
+		case kv.NotFound:
 			ch.version = 0
 		default:
 			l.rereadChunk(j, key)
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -4,6 +4,8 @@
 	"slices"
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -37,10 +39,10 @@
 // probeAnswered takes in the answer to a probe that was sent at a time.
 func (l *leader) probeAnswered(m *machine, asked time.Duration, r Result) {
 	switch {
-	case r.Status == statusNoAnswer:
+	case r.Status == httpstatus.NoAnswer:
 		m.probeFailed = asked
 		l.probeControl(m)
-	case r.Status != statusOK:
+	case r.Status != httpstatus.OK:
 	default:
 		if report, ok := decodeReport(r.Body); ok && report.Machine == m.name && report.Token < l.mandate.Term {
 			l.showTerm(m, report.Session)
@@ -53,10 +55,10 @@
 // showTerm sends a worker that has not heard this term an empty list of commands.
 func (l *leader) showTerm(m *machine, session uint64) {
 	m.probeBusy = true
-	body := encode(wire.Orders{Token: l.mandate.Term, Session: session, Commands: []wire.Command{}})
+	body := kv.Encode(wire.Orders{Token: l.mandate.Term, Session: session, Commands: []wire.Command{}})
 	l.c.call(Call{Dest: DestWorker, Addr: m.addr, Method: "POST", Path: "/do", Body: body, Timeout: l.c.report()}, func(r Result) {
 		m.probeBusy = false
-		if !l.deposed && (r.Status == statusOK || r.Status == statusConflict) {
+		if !l.deposed && (r.Status == httpstatus.OK || r.Status == httpstatus.Conflict) {
 			l.onDirectReport(m, r.Body)
 		}
 	})
--- a/internal/core/record_batch.go
+++ b/internal/core/record_batch.go
@@ -2,8 +2,8 @@
 
 import (
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
 // Estimates of the bytes that a write takes in a transaction.
@@ -49,7 +49,7 @@
 	return &recordBatch{
 		leader:    l,
 		txn:       &wire.Txn{If: []wire.Cond{l.termCond()}},
-		maxWrites: l.c.limits().TxnOps,
+		maxWrites: l.c.store.MaxWrites(),
 		ranges:    l.ranges(),
 	}
 }
@@ -129,7 +129,7 @@
 	}
 	b.addWriter(j)
 	b.remove(records.OpenKey(j.ID))
-	b.put(records.FinalKey(j.ID), encode(final))
+	b.put(records.FinalKey(j.ID), kv.Encode(final))
 	deleted := writes - endWrites
 	for _, key := range keys[:deleted] {
 		b.remove(key)
@@ -183,7 +183,7 @@
 		rec.ReadyAt = b.leader.c.wall
 		b.requireAwaitedOver(j)
 	}
-	body := encode(rec)
+	body := kv.Encode(rec)
 	b.bytes += len(body) + recordOverhead
 	b.addWriter(j)
 	b.put(records.OpenKey(j.ID), body)
@@ -314,7 +314,7 @@
 }
 
 // onResult takes in the answer of the state service.
-func (b *recordBatch) onResult(r Result) {
+func (b *recordBatch) onResult(r kv.TxnResult) {
 	l := b.leader
 	l.records.busy = false
 	if l.deposed {
@@ -330,24 +330,25 @@
 }
 
 // outcome tells whether the batch was committed, and deals with the causes if not.
-func (b *recordBatch) outcome(r Result) batchOutcome {
+func (b *recordBatch) outcome(r kv.TxnResult) batchOutcome {
 	l := b.leader
-	var result wire.TxnResult
-	json.Unmarshal(r.Body, &result)
 	switch r.Status {
-	case 200:
+	case kv.OK:
 		l.records.oneJob = false
 		for _, j := range b.writers {
 			j.refusals = 0
 		}
-		return batchOutcome{committed: result.Revision != 0, version: result.Revision}
-	case 409:
-		l.conflict(result.Failed)
-	case 400:
+		return batchOutcome{committed: r.Revision != 0, version: r.Revision}
+	case kv.Conflict:
+		l.conflict(r.Conflicts)
+	case kv.Rejected:
 		l.refused(b.txn, b.writers)
-		fallthrough
+		l.retryRecordsLater()
 	default:
-		l.records.retryAt = l.c.now + l.c.ttl()/20
+		l.retryRecordsLater()
 	}
 	return batchOutcome{}
 }
+
+// retryRecordsLater puts the next transaction off for a moment.
+func (l *leader) retryRecordsLater() { l.records.retryAt = l.c.now + l.c.ttl()/20 }
--- a/internal/core/records_load.go
+++ b/internal/core/records_load.go
@@ -3,10 +3,10 @@
 import (
 	"slices"
 	"sort"
-	"strconv"
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -28,13 +28,13 @@
 
 // page reads a page of records, again and again until it is answered.
 func (l *leader) page(prefix, after string, f func(*wire.Page)) {
-	l.c.readPage(prefix, after, true, func(p *wire.Page) {
+	l.c.store.ListUrgent(prefix, after, func(r kv.ListResult) {
 		switch {
 		case l.deposed:
-		case p == nil:
+		case r.Status != kv.OK:
 			l.loading.retry, l.loading.retryAt = func() { l.page(prefix, after, f) }, l.c.now+l.c.ttl()/20
 		default:
-			f(p)
+			f(&r.Page)
 		}
 	})
 }
@@ -88,25 +88,25 @@
 	l.watch()
 }
 
+// watchHold is how long a watch stays open without a change.
+const watchHold = 20 * time.Second
+
 // watch follows the open jobs: submissions and cancellations by any
 // controller come this way.
 func (l *leader) watch() {
-	hold := 20 * time.Second
-	path := "/changes?under=" + records.OpenKey("&since=") + strconv.FormatUint(l.loading.revision, 10) + "&holdMs=" + strconv.Itoa(int(hold/time.Millisecond))
-	l.c.call(Call{Dest: DestStore, Method: "GET", Path: path, Timeout: hold + l.c.lease()/2, Watch: true}, func(r Result) {
+	l.c.store.Watch(records.PrefixOpen, l.loading.revision, watchHold, func(r kv.WatchResult) {
 		if l.deposed {
 			return
 		}
-		if r.Status == 410 {
+		if r.Status == kv.Compacted {
 			l.loadOpen("")
 			return
 		}
-		var ch wire.Changes
-		if r.Status != 200 || json.Unmarshal(r.Body, &ch) != nil {
+		if r.Status != kv.OK {
 			l.loading.watchRetryAt = l.c.now + l.c.ttl()/8
 			return
 		}
-		for _, e := range ch.Events {
+		for _, e := range r.Changes.Events {
 			if e.Put == "" {
 				continue
 			}
@@ -117,7 +117,7 @@
 			}
 			l.noteOpen(e.Put[len(records.PrefixOpen):], e.Version, rec)
 		}
-		l.loading.revision = max(l.loading.revision, ch.Revision)
+		l.loading.revision = max(l.loading.revision, r.Changes.Revision)
 		l.watch()
 	})
 }
--- a/internal/core/records_write.go
+++ b/internal/core/records_write.go
@@ -7,7 +7,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/wire"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/segmentio/encoding/json"
 )
 
@@ -38,7 +38,7 @@
 		return
 	}
 	l.records.busy = true
-	l.c.commit(batch.txn, true, batch.onResult)
+	l.c.store.CommitUrgent(batch.txn, batch.onResult)
 }
 
 // writable tells whether a job's records may be written: its end is not, and the
@@ -117,18 +117,17 @@
 }
 
 func (l *leader) rereadOpen(j *job) {
-	l.c.get(records.OpenKey(j.ID), func(r Result) {
+	l.c.store.Get(records.OpenKey(j.ID), func(r kv.GetResult) {
 		if l.deposed {
 			return
 		}
-		var it wire.Item
 		var rec records.Open
 		switch {
-		case r.Status == 200 && json.Unmarshal(r.Body, &it) == nil && json.Unmarshal(it.Value, &rec) == nil:
+		case r.Status == kv.OK && json.Unmarshal(r.Item.Value, &rec) == nil:
 			j.stale = false
 			l.records.dirty = true
-			l.noteOpen(j.ID, it.Version, rec)
-		case r.Status == 404:
+			l.noteOpen(j.ID, r.Item.Version, rec)
+		case r.Status == kv.NotFound:
 			// Our own end of it, recorded by a transaction whose answer was
 			// lost: nobody else deletes an open record under this term.
 			j.stale = false
--- a/internal/core/refused.go
+++ b/internal/core/refused.go
@@ -4,6 +4,7 @@
 	"strings"
 
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -12,18 +13,6 @@
 // What it holds stays readable, but a record that is too large cannot be written
 // again, and in a transaction with others it would hold these up for ever.
 
-// smallValue is the size in bytes to which placement records are kept once a value
-// was refused that the settings allow: how far the limit fell is not known.
-const smallValue = 1 << 10
-
-// placeBytes is how large a placement record may become.
-func (c *Core) placeBytes() int {
-	if c.smallValues {
-		return min(c.maxValue(), smallValue)
-	}
-	return c.maxValue()
-}
-
 // refused takes in that the state service found a transaction malformed. Either
 // it has too many operations, or a value is too large: of two changes, which any
 // service takes, it can only be a value. Then all that was concluded on the number
@@ -32,17 +21,18 @@
 	l.records.limited = true
 	switch {
 	case len(txn.Writes) > 2:
-		l.c.refusedTxn(len(txn.Writes))
-	case !l.c.smallValues && hasLarge(txn, records.PrefixPlace):
-		l.c.smallValues, l.c.fewerOps = true, 0
-		l.c.log.Info("the state service takes smaller values only", "bytes", smallValue)
+		l.c.rejectedWrites(len(txn.Writes))
+	case !l.c.store.SmallValues() && hasLarge(txn, records.PrefixPlace):
+		l.c.store.RejectedValue()
+		l.c.log.Info("the state service takes smaller values only", "bytes", kv.SmallValue)
 	case len(writers) > 1:
 		l.records.oneJob = true
 	default:
 		l.records.oneJob = false
 		for _, j := range writers {
 			if hasLarge(txn, records.PrefixOpen) && !j.oversize {
-				j.oversize, l.c.fewerOps = true, 0
+				j.oversize = true
+				l.c.store.ForgetFewerWrites()
 			}
 			j.refusals++
 			j.writeBackoffUntil = l.c.now + l.c.ttl()<<min(j.refusals, 8)/8
@@ -54,7 +44,7 @@
 // hasLarge tells whether a transaction writes a large record of a kind.
 func hasLarge(txn *wire.Txn, prefix string) bool {
 	for _, w := range txn.Writes {
-		if strings.HasPrefix(w.Put, prefix) && len(w.Value) > smallValue/2 {
+		if strings.HasPrefix(w.Put, prefix) && len(w.Value) > kv.SmallValue/2 {
 			return true
 		}
 	}
@@ -80,7 +70,7 @@
 func (l *leader) mayWriteOpen(j *job) bool {
 	rec := j.rec
 	rec.ReadyAt = max(rec.ReadyAt, l.c.wall)
-	if !j.oversize && len(encode(rec)) <= l.c.maxValue() {
+	if !j.oversize && len(kv.Encode(rec)) <= l.c.store.MaxValue() {
 		return !l.inWriteBackoff(j)
 	}
 	if j.awaitedDone {
--- a/internal/core/refused_test.go
+++ b/internal/core/refused_test.go
@@ -11,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -148,15 +149,15 @@
 			if *refused > tc.most {
 				t.Errorf("%d transactions refused, want at most %d", *refused, tc.most)
 			}
-			if tc.ops == 16 && b.c.limits().TxnOps != 16 {
-				t.Errorf("transactions keep to %d changes, though only the values became smaller", b.c.limits().TxnOps)
+			if tc.ops == 16 && b.c.store.MaxWrites() != 16 {
+				t.Errorf("transactions keep to %d changes, though only the values became smaller", b.c.store.MaxWrites())
 			}
 			if tc.bytes < 16384 && b.c.cfg.Deployment.State.Next == nil {
 				// A controller that starts now finds out by the records.
-				b.c.smallValues = false
+				b.c.store = kv.NewClient(storeTransport{b.c}, &b.c.cfg.Deployment)
 				recordedTasks(b, jobID(0), 300)
-				if b.c.placeBytes() != smallValue {
-					t.Errorf("a next leader writes records of %d bytes", b.c.placeBytes())
+				if b.c.store.MaxPlacementValue() != kv.SmallValue {
+					t.Errorf("a next leader writes records of %d bytes", b.c.store.MaxPlacementValue())
 				}
 			}
 		})
--- a/internal/core/regions.go
+++ b/internal/core/regions.go
@@ -7,6 +7,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
@@ -77,7 +78,7 @@
 	l.regionDemands = map[string]balance.Demand{}
 	l.quota = quota.New(quota.Config{
 		Region: l.c.regions.self, Plan: l.c.regions.plan, Every: l.c.report() / messagesPerReport,
-		MaxWrites: l.c.limits().TxnOps, MaxValue: l.c.maxValue(), Log: l.c.log,
+		MaxWrites: l.c.store.MaxWrites(), MaxValue: l.c.store.MaxValue(), Log: l.c.log,
 	}, quotaStore{l}, quotaHost{l})
 }
 
@@ -166,10 +167,11 @@
 func (s quotaStore) Load(prefix string, done func([]wire.Item)) { s.loadAfter(prefix, "", nil, done) }
 
 func (s quotaStore) loadAfter(prefix, after string, items []wire.Item, done func([]wire.Item)) {
-	s.l.c.readPage(prefix, after, true, func(p *wire.Page) {
+	s.l.c.store.ListUrgent(prefix, after, func(r kv.ListResult) {
+		p := &r.Page
 		switch {
 		case s.l.deposed:
-		case p == nil:
+		case r.Status != kv.OK:
 			s.l.quotaRetry = func() { s.loadAfter(prefix, after, items, done) }
 			s.l.quotaRetryAt = s.l.c.now + s.l.c.ttl()/20
 		case p.More && len(p.Items) > 0:
@@ -181,10 +183,10 @@
 }
 
 // Commit carries out a transaction.
-func (s quotaStore) Commit(txn *wire.Txn, done func(status int, body []byte)) {
-	s.l.c.commit(txn, false, func(r Result) {
+func (s quotaStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
+	s.l.c.store.Commit(txn, func(r kv.TxnResult) {
 		if !s.l.deposed {
-			done(r.Status, r.Body)
+			done(r)
 		}
 	})
 }
--- a/internal/core/rental.go
+++ b/internal/core/rental.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/rental"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -142,7 +143,7 @@
 func (l *leader) rent(r *rent) {
 	r.busy = true
 	asked := l.c.now
-	l.c.call(Call{Dest: DestCloud, Method: "POST", Path: "/machines", Body: encode(r.req), Timeout: cloudTimeout}, func(res Result) {
+	l.c.call(Call{Dest: DestCloud, Method: "POST", Path: "/machines", Body: kv.Encode(r.req), Timeout: cloudTimeout}, func(res Result) {
 		r.busy = false
 		if l.deposed {
 			return
--- a/internal/core/reports.go
+++ b/internal/core/reports.go
@@ -6,6 +6,7 @@
 	"strings"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -51,7 +52,7 @@
 		orders.Commands = l.commands(m)
 	}
 	m.answered = l.c.now
-	return 200, encode(orders)
+	return 200, kv.Encode(orders)
 }
 
 // apply takes in a worker's newest message.
--- a/internal/core/returns.go
+++ b/internal/core/returns.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -25,13 +26,13 @@
 		return
 	}
 	f.returnBusy = true
-	l.c.commit(&wire.Txn{If: []wire.Cond{l.termCond()}}, true, func(r Result) {
+	l.c.store.CommitUrgent(&wire.Txn{If: []wire.Cond{l.termCond()}}, func(r kv.TxnResult) {
 		f.returnBusy = false
 		switch {
 		case l.deposed:
-		case r.Status == 409:
+		case r.Status == kv.Conflict:
 			l.c.stepDown(stepDownTermChanged)
-		case r.Status == 200, l.c.hearsPeer():
+		case r.Status == kv.OK, l.c.hearsPeer():
 			// During a general outage of the state service nobody is elected;
 			// a peer that knew of a higher term would have told us.
 			l.sendReturns()
@@ -57,7 +58,7 @@
 		}
 	}
 	f.returnBusy = true
-	l.c.call(Call{Dest: DestCloud, Method: "POST", Path: "/machines/return", Body: encode(wire.MachineNames{Machines: names}), Timeout: cloudTimeout, Urgent: true}, func(r Result) {
+	l.c.call(Call{Dest: DestCloud, Method: "POST", Path: "/machines/return", Body: kv.Encode(wire.MachineNames{Machines: names}), Timeout: cloudTimeout, Urgent: true}, func(r Result) {
 		f.returnBusy = false
 		if l.deposed {
 			return
--- a/internal/core/routes.go
+++ b/internal/core/routes.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -28,13 +29,13 @@
 			c.onQuery(r.ID, id)
 		}
 	default:
-		c.answerError(r.ID, statusNotFound, "no such path")
+		c.answerError(r.ID, httpstatus.NotFound, "no such path")
 	}
 }
 
 func (c *Core) method(r Request, want string) bool {
 	if r.Method != want {
-		c.answerError(r.ID, statusMethodNotAllowed, "method not allowed")
+		c.answerError(r.ID, httpstatus.MethodNotAllowed, "method not allowed")
 		return false
 	}
 	return true
@@ -48,17 +49,17 @@
 	if !c.method(r, "GET") {
 		return
 	}
-	bad := c.users.storeBadSince
-	if bad != 0 && c.now-bad > c.ttl()/2 && c.peerStoreOK() || bad != 0 && c.now-bad > c.ttl() && c.cutFromPeers() {
-		c.answerError(r.ID, statusUnavailable, errorStoreSilent)
+	unavailable := c.store.UnavailableFor()
+	if unavailable > c.ttl()/2 && c.peerStoreOK() || unavailable > c.ttl() && c.cutFromPeers() {
+		c.answerError(r.ID, httpstatus.ServiceUnavailable, errorStoreSilent)
 		return
 	}
-	c.answer(r.ID, statusOK, nil, 0)
+	c.answer(r.ID, httpstatus.OK, nil, 0)
 }
 
 func (c *Core) onQuery(req uint64, id string) {
 	if !validID(id) {
-		c.answerError(req, statusNotFound, errorNoSuchJob)
+		c.answerError(req, httpstatus.NotFound, errorNoSuchJob)
 		return
 	}
 	c.lookUp(id, func(f lookupResult) {
@@ -66,9 +67,9 @@
 		case f.failed:
 			c.answerRetry(req, errorStoreSilent)
 		case f.open == nil && f.final == nil:
-			c.answerError(req, statusNotFound, errorNoSuchJob)
+			c.answerError(req, httpstatus.NotFound, errorNoSuchJob)
 		default:
-			c.answer(req, statusOK, c.statusOf(id, f), 0)
+			c.answer(req, httpstatus.OK, c.statusOf(id, f), 0)
 		}
 	})
 }
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -10,6 +10,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -288,13 +289,11 @@
 
 // maxValue is the largest value, in bytes, that the state service takes, in a
 // transaction of 64 KiB at most.
-func (c *Core) maxValue() int { return min(int(c.limits().ValueKB*1024), maxTxnBytes) }
-
 // maxRecord is the largest record of a new job, in bytes. What a cancellation
 // and other changes add to it later has to fit as well.
-func (c *Core) maxRecord() int { return c.maxValue() - 200 }
+func (c *Core) maxRecord() int { return c.store.MaxValue() - 200 }
 
-func (c *Core) recordable(rec records.Open) bool { return len(encode(rec)) <= c.maxRecord() }
+func (c *Core) recordable(rec records.Open) bool { return len(kv.Encode(rec)) <= c.maxRecord() }
 
 // Why a job can never run.
 var (
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -12,6 +12,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -85,7 +86,7 @@
 			r.Status, r.Body = 200, b.page(k.Path)
 		case k.Dest == DestStore && strings.HasPrefix(k.Path, "/store/"):
 			if it, ok := b.store[strings.TrimPrefix(k.Path, "/store/")]; ok {
-				r.Status, r.Body = 200, encode(it)
+				r.Status, r.Body = 200, kv.Encode(it)
 			}
 		}
 		b.step(r)
@@ -133,7 +134,7 @@
 		}
 	}
 	if tr.Failed != nil {
-		return 409, encode(tr)
+		return 409, kv.Encode(tr)
 	}
 	// All changes of a transaction have one revision.
 	at := b.revision
@@ -142,7 +143,7 @@
 		b.write(w.Put, w.Delete, w.Value)
 	}
 	tr.Revision = b.revision
-	return 200, encode(tr)
+	return 200, kv.Encode(tr)
 }
 
 // pageItems is the size of a page, smaller than the service's so that tests read
@@ -164,7 +165,7 @@
 		}
 		page.Items = append(page.Items, b.store[key])
 	}
-	return encode(page)
+	return kv.Encode(page)
 }
 
 func (b *harness) write(put, del string, v []byte) {
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -4,9 +4,10 @@
 	"slices"
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
 type submit struct {
@@ -36,11 +37,11 @@
 	if err != nil {
 		// A repeated submission of an accepted job is never refused, but a
 		// body that names no valid job is not one.
-		c.answerError(r.ID, statusBadRequest, err.Error())
+		c.answerError(r.ID, httpstatus.BadRequest, err.Error())
 		return
 	}
 	if f, ok := u.final[job.ID]; ok {
-		c.answer(r.ID, statusOK, f.JobStatus(job.ID), 0)
+		c.answer(r.ID, httpstatus.OK, f.JobStatus(job.ID), 0)
 		return
 	}
 	if u.open[job.ID] != nil {
@@ -69,9 +70,9 @@
 		case f.failed:
 			c.answerRetry(req, errorStoreSilent)
 		case f.open == nil && f.final == nil:
-			c.answerError(req, statusUnprocessable, why.Error())
+			c.answerError(req, httpstatus.UnprocessableEntity, why.Error())
 		default:
-			c.answer(req, statusOK, c.statusOf(id, f), 0)
+			c.answer(req, httpstatus.OK, c.statusOf(id, f), 0)
 		}
 	})
 }
@@ -80,7 +81,7 @@
 // once that is known, see placeNames.
 func (c *Core) newSubmit(req uint64, job *wire.Job) *submit {
 	s := &submit{req: req, rec: records.Open{Job: *job, At: c.wall}, awaits: job.Awaits, until: c.now + submitWait}
-	if len(s.awaits) > c.limits().TxnOps {
+	if len(s.awaits) > c.store.MaxWrites() {
 		s.until = c.now + longSubmitWait
 	}
 	s.rec.Job.Awaits = nil
@@ -115,7 +116,7 @@
 // fits tells whether the transaction has room for what a submission adds, and
 // writes none of its keys yet.
 func (b *submitBatch) fits(p prepared, maxWrites, maxConds int) bool {
-	if b.bytes+p.bytes > maxTxnBytes {
+	if b.bytes+p.bytes > kv.MaxTxnBytes {
 		return false
 	}
 	if len(b.txn.Writes)+len(p.writes) > maxWrites || len(b.txn.If)+len(p.conds) > maxConds {
@@ -173,7 +174,7 @@
 		switch {
 		case !ok:
 			again = append(again, s)
-		case !batch.fits(p, c.limits().TxnOps, c.maxConds()):
+		case !batch.fits(p, c.store.MaxWrites(), c.store.MaxConditions()):
 			rest = append(rest, s)
 		default:
 			batch.add(s, p)
@@ -186,20 +187,24 @@
 func (c *Core) commitSubmits(batch *submitBatch) {
 	u := &c.users
 	u.submitBusy = true
-	c.commit(&batch.txn, c.smallTxn(len(batch.txn.Writes)), func(r Result) {
+	commit := c.store.Commit
+	if c.smallTxn(len(batch.txn.Writes)) {
+		commit = c.store.CommitUrgent
+	}
+	commit(&batch.txn, func(r kv.TxnResult) {
 		u.submitBusy = false
 		switch r.Status {
-		case statusOK:
-			c.submitsRecorded(batch, r.Body)
-		case statusConflict:
-			c.submitsConflicted(batch, r.Body)
-		case statusNoAnswer:
+		case kv.OK:
+			c.submitsRecorded(batch, r.Revision)
+		case kv.Conflict:
+			c.submitsConflicted(batch, r.Conflicts)
+		case kv.Unanswered:
 			// Carried out or not, or still to be: sent again, a record that
 			// was made after all is found. With the next tick: a connection
 			// that is reset gives no answer at once.
 			u.submits = append(batch.submits, u.submits...)
 			return
-		case statusBadRequest:
+		case kv.Rejected:
 			c.submitsMalformed(batch)
 		default:
 			// Refused: the user comes again.
@@ -213,37 +218,33 @@
 
 // submitsRecorded remembers the jobs of a transaction that was carried out, and
 // answers their users.
-func (c *Core) submitsRecorded(batch *submitBatch, body []byte) {
-	var result wire.TxnResult
-	json.Unmarshal(body, &result)
+func (c *Core) submitsRecorded(batch *submitBatch, revision uint64) {
 	for _, id := range sortedKeys(batch.marks) {
-		c.cacheOpen(id, &openJob{version: result.Revision, rec: batch.marks[id]})
+		c.cacheOpen(id, &openJob{version: revision, rec: batch.marks[id]})
 	}
 	for _, s := range batch.submits {
 		id := s.rec.Job.ID
 		if s.withdrawn {
 			f := s.final()
 			c.cacheFinal(id, f)
-			c.answer(s.req, statusCreated, f.JobStatus(id), 0)
+			c.answer(s.req, httpstatus.Created, f.JobStatus(id), 0)
 			continue
 		}
-		c.cacheOpen(id, &openJob{version: result.Revision, rec: s.rec})
-		c.answer(s.req, statusCreated, wire.JobStatus{ID: id, Status: wire.StatusPending}, 0)
+		c.cacheOpen(id, &openJob{version: revision, rec: s.rec})
+		c.answer(s.req, httpstatus.Created, wire.JobStatus{ID: id, Status: wire.StatusPending}, 0)
 	}
 }
 
 // submitsConflicted goes on with the submissions of a transaction of which some
 // conditions did not hold.
-func (c *Core) submitsConflicted(batch *submitBatch, body []byte) {
-	var result wire.TxnResult
-	json.Unmarshal(body, &result)
-	failed := records.Jobs(result.Failed)
+func (c *Core) submitsConflicted(batch *submitBatch, conflicts []string) {
+	failed := records.Jobs(conflicts)
 	for _, s := range batch.submits {
 		switch {
 		case failed[s.rec.Job.ID]:
 			// It was accepted before.
 			c.answerKnown(s.req, s.rec.Job.ID)
-		case s.list != nil && slices.Contains(result.Failed, s.list.ref.key(0)):
+		case s.list != nil && slices.Contains(conflicts, s.list.ref.key(0)):
 			s.list = nil // cleared
 			c.checkAwaited(s)
 		case c.forgetChanged(s.unfinished, failed):
@@ -279,7 +280,7 @@
 		c.answerRetry(batch.submits[0].req, "the state service refuses the record")
 		return
 	}
-	c.refusedTxn(len(batch.txn.Writes))
+	c.rejectedWrites(len(batch.txn.Writes))
 	for _, s := range batch.submits {
 		s.alone = true
 		c.users.submits = append(c.users.submits, s)
@@ -291,4 +292,4 @@
 // held up either, and where they have used up the rate, a submission to the
 // leader would be turned away for it, though the others take them at once. Many
 // submissions at a time keep to the pace.
-func (c *Core) smallTxn(writes int) bool { return 2*writes < c.limits().TxnOps }
+func (c *Core) smallTxn(writes int) bool { return 2*writes < c.store.MaxWrites() }
--- a/internal/core/users.go
+++ b/internal/core/users.go
@@ -4,6 +4,7 @@
 	"sort"
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core/cancellation"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 )
@@ -26,8 +27,6 @@
 	cancels    *cancellation.Waits
 	preloaded  bool
 	preloadAt  time.Duration
-
-	storeBadSince time.Duration
 }
 
 func (c *Core) initUsers() {
@@ -43,21 +42,24 @@
 
 // refuse answers at once, with when to come back, what cannot be taken now.
 func (c *Core) refuse(req uint64, waiting int) bool {
-	bad := c.users.storeBadSince
-	if waiting >= c.maxWaiting() || bad != 0 && c.now-bad > c.storeTimeout()/4 {
+	if waiting >= c.maxWaiting() || c.storeOverdue() {
 		c.answerRetry(req, errorNotNow)
 		return true
 	}
 	return false
 }
 
+// storeOverdue reports whether the store has not answered for so long that a request is better
+// refused than kept waiting.
+func (c *Core) storeOverdue() bool { return c.store.UnavailableFor() > c.store.Timeout()/4 }
+
 func (c *Core) answerKnown(req uint64, id string) {
 	c.lookUp(id, func(f lookupResult) {
 		if f.failed || f.open == nil && f.final == nil {
 			c.answerRetry(req, errorStoreSilent)
 			return
 		}
-		c.answer(req, statusOK, c.statusOf(id, f), 0)
+		c.answer(req, httpstatus.OK, c.statusOf(id, f), 0)
 	})
 }
 
--- a/internal/core/waiting_test.go
+++ b/internal/core/waiting_test.go
@@ -11,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -37,7 +38,7 @@
 		change(&rec)
 	}
 	key := records.OpenKey(j.ID)
-	b.write(key, "", encode(rec))
+	b.write(key, "", kv.Encode(rec))
 	l.noteOpen(j.ID, b.store[key].Version, rec)
 }
 
--- /dev/null
+++ b/internal/kv/kv.go
@@ -0,0 +1,155 @@
+// Package kv is the port to the consensus-backed key-value store in which all state is kept.
+//
+// It owns the store's protocol: paths, status numbers, the encoding of values and the typed
+// results of each call. Client adds what a controller learns about the store: its limits and
+// whether it answers. The package has no clock, socket or goroutine: requests go out by a
+// Transport, and the results come back by callbacks. internal/core, internal/wake and
+// internal/quota use it.
+package kv
+
+import (
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/wire"
+	"github.com/segmentio/encoding/json"
+)
+
+// A Status tells what became of a call.
+type Status int
+
+// The outcomes of calls. After Unanswered and Failed a transaction may have been carried out, or
+// may be carried out later; after the other failures it certainly was not.
+const (
+	// Unanswered: no answer came in time.
+	Unanswered Status = iota
+	// OK: a read found its key, or a transaction was committed.
+	OK
+	// NotFound: the key does not exist, or a lease has expired.
+	NotFound
+	// Conflict: a key of a compare-and-swap does not have the version that was required.
+	Conflict
+	// Rejected: the store found the call malformed, or larger than it takes.
+	Rejected
+	// Compacted: the changes that a watch asked for are no longer kept.
+	Compacted
+	// Throttled: the call was above the permitted rate.
+	Throttled
+	// Unavailable: the store does not serve this caller at present.
+	Unavailable
+	// Failed: any other answer, or one that cannot be decoded.
+	Failed
+)
+
+// StatusOf maps a status number of the store's protocol; 0 stands for no answer.
+func StatusOf(number int) Status {
+	switch number {
+	case httpstatus.NoAnswer:
+		return Unanswered
+	case httpstatus.OK:
+		return OK
+	case httpstatus.NotFound:
+		return NotFound
+	case httpstatus.Conflict:
+		return Conflict
+	case httpstatus.BadRequest:
+		return Rejected
+	case httpstatus.Gone:
+		return Compacted
+	case httpstatus.TooManyRequests:
+		return Throttled
+	case httpstatus.ServiceUnavailable:
+		return Unavailable
+	default:
+		return Failed
+	}
+}
+
+// A Response is the store's answer to a request, as the transport has it.
+type Response struct {
+	Number int // status number of the protocol; 0 if no answer came
+	Body   []byte
+}
+
+// decode returns the status of a response and decodes its body if the call was carried out.
+// An answer that cannot be decoded counts as Failed.
+func (r Response) decode(into any) Status {
+	status := StatusOf(r.Number)
+	if status == OK && json.Unmarshal(r.Body, into) != nil {
+		return Failed
+	}
+	return status
+}
+
+// A GetResult is the result of reading a key. Item is set if the status is OK.
+type GetResult struct {
+	Status Status
+	Item   wire.Item
+}
+
+// ParseGet decodes the answer to the read of a key.
+func ParseGet(r Response) GetResult {
+	var result GetResult
+	result.Status = r.decode(&result.Item)
+	return result
+}
+
+// A ListResult is a page of the keys below a prefix. Page is set if the status is OK.
+type ListResult struct {
+	Status Status
+	Page   wire.Page
+}
+
+// ParseList decodes the answer to a listing.
+func ParseList(r Response) ListResult {
+	var result ListResult
+	result.Status = r.decode(&result.Page)
+	return result
+}
+
+// A TxnResult is the result of a transaction.
+type TxnResult struct {
+	Status    Status
+	Revision  uint64   // of all keys that were written, if the status is OK
+	Conflicts []string // keys whose versions differ, if the status is Conflict
+}
+
+// Committed reports whether the transaction was carried out.
+func (r TxnResult) Committed() bool { return r.Status == OK }
+
+// ParseTxn decodes the answer to a transaction. A conflict that does not name its keys is
+// still one.
+func ParseTxn(r Response) TxnResult {
+	var body wire.TxnResult
+	status := StatusOf(r.Number)
+	decodeErr := json.Unmarshal(r.Body, &body)
+	if status == OK && decodeErr != nil {
+		status = Failed
+	}
+	return TxnResult{Status: status, Revision: body.Revision, Conflicts: body.Failed}
+}
+
+// A GrantResult is the result of asking for a lease. Lease is set if the status is OK.
+type GrantResult struct {
+	Status Status
+	Lease  uint64
+}
+
+// ParseGrant decodes the answer to a request for a lease.
+func ParseGrant(r Response) GrantResult {
+	var body wire.Grant
+	status := r.decode(&body)
+	return GrantResult{Status: status, Lease: body.Lease}
+}
+
+// A WatchResult has the changes below a prefix since a revision. Changes is set if the status
+// is OK.
+type WatchResult struct {
+	Status  Status
+	Changes wire.Changes
+}
+
+// ParseWatch decodes the answer to a watch.
+func ParseWatch(r Response) WatchResult {
+	var result WatchResult
+	result.Status = r.decode(&result.Changes)
+	return result
+}
--- /dev/null
+++ b/internal/kv/kv_test.go
@@ -0,0 +1,164 @@
+package kv
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// TestParseTxn decodes answers to transactions, malformed ones among them.
+func TestParseTxn(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		number int
+		body   string
+		want   TxnResult
+	}{
+		{"committed", httpstatus.OK, `{"logline":7}`, TxnResult{Status: OK, Revision: 7}},
+		{"committed, not decodable", httpstatus.OK, `{"logline":`, TxnResult{Status: Failed}},
+		{"conflict", httpstatus.Conflict, `{"failed":["a","b"],"logline":6}`, TxnResult{Status: Conflict, Revision: 6, Conflicts: []string{"a", "b"}}},
+		{"conflict, not decodable", httpstatus.Conflict, `<`, TxnResult{Status: Conflict}},
+		{"rejected", httpstatus.BadRequest, `{"error":"too large"}`, TxnResult{Status: Rejected}},
+		{"throttled", httpstatus.TooManyRequests, `{}`, TxnResult{Status: Throttled}},
+		{"unavailable", httpstatus.ServiceUnavailable, `{}`, TxnResult{Status: Unavailable}},
+		{"unanswered", httpstatus.NoAnswer, ``, TxnResult{Status: Unanswered}},
+		{"unknown number", 599, `{}`, TxnResult{Status: Failed}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			got := ParseTxn(Response{Number: tc.number, Body: []byte(tc.body)})
+			if got.Status != tc.want.Status || got.Revision != tc.want.Revision || !slices.Equal(got.Conflicts, tc.want.Conflicts) {
+				t.Errorf("got %+v, want %+v", got, tc.want)
+			}
+			if got.Committed() != (tc.want.Status == OK) {
+				t.Errorf("committed: %v", got.Committed())
+			}
+		})
+	}
+}
+
+// fakeTransport answers each request with a number that the test sets.
+type fakeTransport struct {
+	now      time.Duration
+	number   int
+	body     string
+	requests []Request
+}
+
+func (f *fakeTransport) Now() time.Duration { return f.now }
+
+func (f *fakeTransport) Send(request Request, done func(Response)) {
+	f.requests = append(f.requests, request)
+	done(Response{Number: f.number, Body: []byte(f.body)})
+}
+
+func newTestClient() (*Client, *fakeTransport) {
+	transport := &fakeTransport{now: time.Second}
+	deployment := &config.Deployment{
+		State:   config.State{ValueKB: 16, TxnOps: 16},
+		Workers: config.Workers{LeaseS: 10, ReportS: 1.5},
+	}
+	return NewClient(transport, deployment), transport
+}
+
+// TestRequests compares the requests of each call with the store's protocol.
+func TestRequests(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		call func(c *Client)
+		want Request
+	}{
+		{"get", func(c *Client) { c.Get("o/job-1", func(GetResult) {}) },
+			Request{Method: "GET", Path: "/store/o/job-1", Timeout: 2 * time.Second}},
+		{"list", func(c *Client) { c.List("o/", "", func(ListResult) {}) },
+			Request{Method: "GET", Path: "/store?under=o/&limit=500", Timeout: 4 * time.Second}},
+		{"next page, urgent", func(c *Client) { c.ListUrgent("o/", "o/a", func(ListResult) {}) },
+			Request{Method: "GET", Path: "/store?under=o/&limit=500&since=o/a", Timeout: 4 * time.Second, Urgent: true}},
+		{"commit", func(c *Client) { c.Commit(&wire.Txn{}, func(TxnResult) {}) },
+			Request{Method: "POST", Path: "/commit", Body: []byte(`{"if":[],"writes":[]}`), Timeout: 500 * time.Millisecond}},
+		{"commit, urgent", func(c *Client) { c.CommitUrgent(&wire.Txn{Writes: []wire.Write{{Delete: "a"}}}, func(TxnResult) {}) },
+			Request{Method: "POST", Path: "/commit", Body: []byte(`{"if":[],"writes":[{"delete":"a"}]}`), Timeout: 500 * time.Millisecond, Writes: 1, Urgent: true}},
+		{"grant", func(c *Client) { c.Grant(2*time.Second, func(GrantResult) {}) },
+			Request{Method: "POST", Path: "/grants", Body: []byte(`{"ttlMs":2000}`), Timeout: 2 * time.Second, Urgent: true}},
+		{"renew", func(c *Client) { c.Renew(9, time.Second, func(Status) {}) },
+			Request{Method: "POST", Path: "/grants/9/extend", Body: []byte("{}"), Timeout: time.Second, Urgent: true}},
+		{"watch", func(c *Client) { c.Watch("o/", 5, 20*time.Second, func(WatchResult) {}) },
+			Request{Method: "GET", Path: "/changes?under=o/&since=5&holdMs=20000", Timeout: 25 * time.Second, Watch: true}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			client, transport := newTestClient()
+			tc.call(client)
+			got := transport.requests[0]
+			if string(got.Body) != string(tc.want.Body) {
+				t.Errorf("body %s, want %s", got.Body, tc.want.Body)
+			}
+			got.Body, tc.want.Body = nil, nil
+			if got.Method != tc.want.Method || got.Path != tc.want.Path || got.Timeout != tc.want.Timeout ||
+				got.Writes != tc.want.Writes || got.Urgent != tc.want.Urgent || got.Watch != tc.want.Watch {
+				t.Errorf("got %+v, want %+v", got, tc.want)
+			}
+		})
+	}
+}
+
+// TestAvailability follows a store that stops answering, throttles, and answers again.
+func TestAvailability(t *testing.T) {
+	client, transport := newTestClient()
+	for _, step := range []struct {
+		number int
+		want   time.Duration
+	}{
+		{httpstatus.OK, 0},
+		{httpstatus.NoAnswer, 0}, // since now
+		{httpstatus.ServiceUnavailable, time.Second},
+		{httpstatus.TooManyRequests, 2 * time.Second},
+		{httpstatus.Conflict, 0},
+		{httpstatus.TooManyRequests, 0},
+	} {
+		transport.number = step.number
+		client.Commit(&wire.Txn{}, func(TxnResult) {})
+		if got := client.UnavailableFor(); got != step.want {
+			t.Errorf("after %d: unavailable for %v, want %v", step.number, got, step.want)
+		}
+		transport.now += time.Second
+	}
+	transport.number = httpstatus.NoAnswer
+	client.Get("a", func(GetResult) {})
+	if !client.Available() {
+		t.Error("reading a key changed the availability")
+	}
+}
+
+// TestLimits shrinks the limits as the store rejects what they allow.
+func TestLimits(t *testing.T) {
+	client, _ := newTestClient()
+	if client.MaxWrites() != 16 || client.MaxConditions() != 64 || client.MaxValue() != 16384 || client.ShrinkValues() {
+		t.Errorf("announced limits: %d writes, %d conditions, %d bytes", client.MaxWrites(), client.MaxConditions(), client.MaxValue())
+	}
+	if client.RejectedWrites(2) || client.MaxWrites() != 16 {
+		t.Error("two writes were too many")
+	}
+	if !client.RejectedWrites(8) || client.MaxWrites() != 6 {
+		t.Errorf("after 8 writes were rejected: %d", client.MaxWrites())
+	}
+	client.RejectedValue()
+	if client.MaxWrites() != 16 || !client.ShrinkValues() || client.MaxPlacementValue() != SmallValue || client.MaxValue() != 16384 {
+		t.Errorf("after a value was rejected: %d writes, placement records of %d bytes", client.MaxWrites(), client.MaxPlacementValue())
+	}
+}
+
+// TestDecode decodes a value, none and a malformed one.
+func TestDecode(t *testing.T) {
+	if v, err := Decode[int]([]byte("5"), 3); err != nil || v.Value != 5 || v.Version != 3 {
+		t.Errorf("%+v, %v", v, err)
+	}
+	if v, err := Decode[int](nil, 0); err != nil || v.Value != 0 || v.Version != 0 {
+		t.Errorf("no key: %+v, %v", v, err)
+	}
+	if _, err := Decode[int]([]byte("x"), 3); err == nil {
+		t.Error("a malformed value was decoded")
+	}
+}
--- /dev/null
+++ b/internal/kv/request.go
@@ -0,0 +1,69 @@
+package kv
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// A Request is a call to the store.
+type Request struct {
+	Method  string
+	Path    string
+	Body    []byte
+	Timeout time.Duration
+	// Writes is the number of puts and deletes, for the write rate.
+	Writes int
+	// Urgent requests go ahead of others when the rate is used up.
+	Urgent bool
+	// Watch marks a request that stays open.
+	Watch bool
+}
+
+// Methods of the store's protocol.
+const (
+	methodGet  = "GET"
+	methodPost = "POST"
+)
+
+// listLimit is how many keys a page of a listing has at most.
+const listLimit = 500
+
+func getRequest(key string) Request {
+	return Request{Method: methodGet, Path: "/store/" + key}
+}
+
+func listRequest(prefix, after string) Request {
+	path := "/store?under=" + prefix + "&limit=" + strconv.Itoa(listLimit)
+	if after != "" {
+		path += "&since=" + after
+	}
+	return Request{Method: methodGet, Path: path}
+}
+
+func commitRequest(txn *wire.Txn) Request {
+	if txn.If == nil {
+		txn.If = []wire.Cond{}
+	}
+	if txn.Writes == nil {
+		txn.Writes = []wire.Write{}
+	}
+	return Request{Method: methodPost, Path: "/commit", Body: Encode(txn), Writes: len(txn.Writes)}
+}
+
+func grantRequest(ttl time.Duration) Request {
+	body := Encode(wire.GrantRequest{TTLMs: int(ttl / time.Millisecond)})
+	return Request{Method: methodPost, Path: "/grants", Body: body}
+}
+
+func renewRequest(lease uint64) Request {
+	path := "/grants/" + strconv.FormatUint(lease, 10) + "/extend"
+	return Request{Method: methodPost, Path: path, Body: []byte("{}")}
+}
+
+func watchRequest(prefix string, since uint64, hold time.Duration) Request {
+	path := "/changes?under=" + prefix + "&since=" + strconv.FormatUint(since, 10) +
+		"&holdMs=" + strconv.Itoa(int(hold/time.Millisecond))
+	return Request{Method: methodGet, Path: path, Watch: true}
+}
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -4,19 +4,12 @@
 	"slices"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
 	"github.com/brookwalk/brookwalk/internal/quota/ledger"
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
-)
-
-// Status codes of the state service's answers.
-const (
-	storeOK        = 200
-	storeMalformed = 400
-	storeConflict  = 409
 )
 
 // running is the one transaction that is under way. Until it is known whether it took effect
@@ -45,19 +38,17 @@
 func (m *Manager) commit() {
 	r := m.running
 	r.retryAt = 0
-	m.store.Commit(r.change.Txn, func(status int, body []byte) {
+	m.store.Commit(r.change.Txn, func(result kv.TxnResult) {
 		if m.running == r {
-			m.committed(r, status, body)
+			m.committed(r, result)
 		}
 	})
 }
 
 // committed takes in the answer to the transaction under way.
-func (m *Manager) committed(r *running, status int, body []byte) {
-	var result wire.TxnResult
-	readable := json.Unmarshal(body, &result) == nil
+func (m *Manager) committed(r *running, result kv.TxnResult) {
 	switch {
-	case status == storeOK && readable:
+	case result.Committed():
 		m.running = nil
 		r.change.Done(result.Revision)
 		if err := m.ledger.Invariant(); err != nil {
@@ -65,13 +56,13 @@
 		}
 		m.advance()
 		m.sendDue()
-	case status == storeConflict && readable && slices.Contains(result.Failed, m.host.Term().Key):
+	case result.Status == kv.Conflict && slices.Contains(result.Conflicts, m.host.Term().Key):
 		m.host.TermChanged()
-	case status == storeConflict:
+	case result.Status == kv.Conflict:
 		// An earlier copy of it took effect, or the records are not those that were read.
 		m.running = nil
 		m.load()
-	case status == storeMalformed:
+	case result.Status == kv.Rejected:
 		m.shrink(len(r.change.Txn.Writes))
 		m.running = nil
 		m.load()
--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
 	"github.com/brookwalk/brookwalk/internal/quota/ledger"
@@ -371,7 +372,7 @@
 		t.Fatalf("%d calls, want the transfer's", len(a.calls))
 	}
 	call := a.take(0)
-	call.done(0, nil)
+	call.done(kv.TxnResult{Status: kv.Unanswered})
 	if w.regions[0].limit() != 3 {
 		t.Errorf("it may grant %v of 6 GPUs, of which 3 may be on their way", w.regions[0].limit())
 	}
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -1,13 +1,13 @@
 package quota
 
 import (
-	"encoding/json"
 	"flag"
 	"log/slog"
 	"os"
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
 	"github.com/brookwalk/brookwalk/internal/quota/ledger"
@@ -68,7 +68,7 @@
 // stepCall is a call to the state service: a transaction, or a reading if txn is nil.
 type stepCall struct {
 	txn  *wire.Txn
-	done func(status int, body []byte)
+	done func(kv.TxnResult)
 	load func([]wire.Item)
 }
 
@@ -136,8 +136,7 @@
 		return
 	}
 	status, result := l.r.commit(c.txn)
-	body, _ := json.Marshal(result)
-	c.done(status, body)
+	c.done(kv.ParseTxn(kv.Response{Number: status, Body: kv.Encode(result)}))
 }
 
 // The ports of the manager.
@@ -146,7 +145,7 @@
 	l.calls = append(l.calls, stepCall{load: done})
 }
 
-func (l *stepLeader) Commit(txn *wire.Txn, done func(int, []byte)) {
+func (l *stepLeader) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	copied := *txn
 	l.calls = append(l.calls, stepCall{txn: &copied, done: done})
 }
@@ -226,7 +225,7 @@
 			} else {
 				l.r.commit(c.txn)
 			}
-			c.done(0, nil)
+			c.done(kv.TxnResult{Status: kv.Unanswered})
 		},
 		"late transaction": func(t *rapid.T) {
 			if len(w.late) == 0 {
--- a/internal/quota/ports.go
+++ b/internal/quota/ports.go
@@ -14,6 +14,7 @@
 	"log/slog"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 	"github.com/brookwalk/brookwalk/wire"
@@ -24,8 +25,8 @@
 type Store interface {
 	// Load reads all records below a prefix, again and again until it is answered.
 	Load(prefix string, done func([]wire.Item))
-	// Commit carries out a transaction; status 0 if no answer came.
-	Commit(txn *wire.Txn, done func(status int, body []byte))
+	// Commit carries out a transaction.
+	Commit(txn *wire.Txn, done func(kv.TxnResult))
 }
 
 // Host is the leader around a manager.
--- a/internal/quota/world_test.go
+++ b/internal/quota/world_test.go
@@ -2,12 +2,12 @@
 
 import (
 	"container/heap"
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
 	"github.com/brookwalk/brookwalk/internal/quota/ledger"
@@ -396,11 +396,11 @@
 	})
 }
 
-func (p *process) Commit(txn *wire.Txn, done func(int, []byte)) {
+func (p *process) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	r := p.r
 	answer := func(status int, result wire.TxnResult) {
-		body, _ := json.Marshal(result)
-		r.w.after(time.Millisecond+r.w.upTo(20*time.Millisecond), func() { p.here(func() { done(status, body) }) })
+		response := kv.Response{Number: status, Body: kv.Encode(result)}
+		r.w.after(time.Millisecond+r.w.upTo(20*time.Millisecond), func() { p.here(func() { done(kv.ParseTxn(response)) }) })
 	}
 	copied := *txn
 	r.w.after(time.Millisecond+r.w.upTo(20*time.Millisecond), func() {
@@ -409,10 +409,10 @@
 			answer(503, wire.TxnResult{})
 		case lost && r.w.rng.IntN(2) == 0: // carried out, the answer is lost
 			r.commit(&copied)
-			r.w.after(500*time.Millisecond, func() { p.here(func() { done(0, nil) }) })
+			r.w.after(500*time.Millisecond, func() { p.here(func() { done(kv.TxnResult{Status: kv.Unanswered}) }) })
 		case lost: // carried out later
 			r.w.after(2*time.Second+r.w.upTo(10*time.Second), func() { r.commit(&copied) })
-			r.w.after(500*time.Millisecond, func() { p.here(func() { done(0, nil) }) })
+			r.w.after(500*time.Millisecond, func() { p.here(func() { done(kv.TxnResult{Status: kv.Unanswered}) }) })
 		default:
 			status, result := r.commit(&copied)
 			answer(status, result)
