--- a/cmd/brookwalk-hollow/main.go
+++ b/cmd/brookwalk-hollow/main.go
@@ -40,12 +40,12 @@
 }
 
 func main() {
-	k := kong.Parse(&cli, kong.Name("brookwalk-hollow"), kong.Description("Runs real controllers among thousands of hollow workers."))
+	command := kong.Parse(&cli, kong.Name("brookwalk-hollow"), kong.Description("Runs real controllers among thousands of hollow workers."))
 	var level slog.Level
 	level.UnmarshalText([]byte(cli.LogLevel))
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
 	var err error
-	if strings.HasPrefix(k.Command(), "check") {
+	if strings.HasPrefix(command.Command(), "check") {
 		_, err = hollow.Load(cli.Check.File)
 	} else {
 		err = run(log)
@@ -56,74 +56,74 @@
 	}
 }
 
-// errBroken tells that the run broke rules or did not end as it should.
-var errBroken = errors.New("the run broke rules, see the report")
+// errViolations tells that the run broke rules or did not end as it should.
+var errViolations = errors.New("the run broke rules, see the report")
 
 // run runs the experiment that the command line names.
 func run(log *slog.Logger) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	e, err := hollow.Load(cli.Run.File)
+	experiment, err := hollow.Load(cli.Run.File)
 	if err != nil {
 		return err
 	}
 	if cli.Run.Scale <= 0 {
 		return fmt.Errorf("--scale: must be above 0, is %v", cli.Run.Scale)
 	}
-	e.Scale(cli.Run.Scale)
+	experiment.Scale(cli.Run.Scale)
 	if cli.Run.Seconds > 0 {
-		e.Seconds = cli.Run.Seconds
+		experiment.Seconds = cli.Run.Seconds
 	}
-	command, err := build(ctx, cli.Run.Deploy)
+	command, err := buildProgram(ctx, cli.Run.Deploy)
 	if err != nil {
 		return err
 	}
-	dir, remove, err := directory(cli.Run.Dir)
+	dir, remove, err := makeDirectory(cli.Run.Dir)
 	if err != nil {
 		return err
 	}
 	defer remove()
-	opts := hollow.Options{Command: command, Dir: dir, Log: log}
+	options := hollow.Options{Command: command, Dir: dir, Log: log}
 	if cli.Run.Progress > 0 {
-		opts.Progress, opts.ProgressEvery = os.Stdout, time.Duration(cli.Run.Progress*float64(time.Second))
+		options.Progress, options.ProgressEvery = os.Stdout, time.Duration(cli.Run.Progress*float64(time.Second))
 	}
-	rep, err := hollow.Run(ctx, e, opts)
+	report, err := hollow.Run(ctx, experiment, options)
 	if err != nil {
 		return err
 	}
 	if cli.Run.Report != "" {
-		if err := rep.WriteJSON(cli.Run.Report); err != nil {
+		if err := report.WriteJSON(cli.Run.Report); err != nil {
 			return err
 		}
 	}
-	if err := writeHistory(rep); err != nil {
+	if err := writeHistory(report); err != nil {
 		return err
 	}
-	if err := rep.WriteTable(os.Stdout); err != nil {
+	if err := report.WriteTable(os.Stdout); err != nil {
 		return err
 	}
-	if len(rep.Broken) > 0 {
-		return errBroken
+	if len(report.Violations) > 0 {
+		return errViolations
 	}
 	return nil
 }
 
 // writeHistory writes the course of the run to the files that the command line names.
-func writeHistory(rep *hollow.Report) error {
+func writeHistory(report *hollow.Report) error {
 	if cli.Run.Parquet != "" {
-		if err := rep.History.WriteParquet(cli.Run.Parquet); err != nil {
+		if err := report.History.WriteParquet(cli.Run.Parquet); err != nil {
 			return err
 		}
 	}
 	if cli.Run.HTML == "" {
 		return nil
 	}
-	return rep.WritePage(cli.Run.HTML)
+	return report.WritePage(cli.Run.HTML)
 }
 
-// build builds the program as the deploy file says, in the present directory, and
+// buildProgram builds the program as the deploy file says, in the present directory, and
 // returns the command that starts it.
-func build(ctx context.Context, path string) ([]string, error) {
+func buildProgram(ctx context.Context, path string) ([]string, error) {
 	var deploy struct{ Build, Run string }
 	if _, err := toml.DecodeFile(path, &deploy); err != nil {
 		return nil, fmt.Errorf("deploy file: %w", err)
@@ -136,8 +136,8 @@
 	return strings.Fields(deploy.Run), nil
 }
 
-// directory is where settings and logs are kept, and what removes it at the end.
-func directory(name string) (dir string, remove func(), err error) {
+// makeDirectory is where settings and logs are kept, and what removes it at the end.
+func makeDirectory(name string) (dir string, remove func(), err error) {
 	if name != "" {
 		return name, func() {}, os.MkdirAll(name, 0o755)
 	}
--- a/cmd/brookwalk/main.go
+++ b/cmd/brookwalk/main.go
@@ -17,7 +17,7 @@
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 	"github.com/brookwalk/brookwalk/internal/quota/report"
 	"github.com/brookwalk/brookwalk/internal/wake"
-	"github.com/brookwalk/brookwalk/internal/wake/gate"
+	"github.com/brookwalk/brookwalk/internal/wake/activator"
 )
 
 // version is the program's version.
@@ -88,12 +88,12 @@
 		return checkRegions()
 	}
 	if command == "check" {
-		for _, field := range cfg.Ignored {
+		for _, field := range cfg.IgnoredFields {
 			fmt.Printf("%s: unknown field, ignored\n", field)
 		}
 		d := &cfg.Deployment
 		fmt.Printf("at most %d workers can report, %d with one controller away (max_connections %d, size %d)\n",
-			d.WorkersCarried(d.Size), d.WorkersCarried(d.Size-1), d.Limits.MaxConnections, d.Size)
+			d.MaxWorkers(d.Size), d.MaxWorkers(d.Size-1), d.MachineLimits.MaxConnections, d.Size)
 		fmt.Println("settings are good")
 		return nil
 	}
@@ -110,14 +110,14 @@
 
 // showQuota prints what the region owns.
 func showQuota(cfg *config.Settings) error {
-	r, err := report.Read(cfg.External.State, quotaTimeout)
+	ownership, err := report.Read(cfg.External.Store, quotaTimeout)
 	if err != nil {
 		return err
 	}
 	if cli.Quota.Show.JSON {
-		return r.WriteJSON(os.Stdout)
+		return ownership.WriteJSON(os.Stdout)
 	}
-	return r.WriteTable(os.Stdout)
+	return ownership.WriteTable(os.Stdout)
 }
 
 // checkRegions checks a regions file.
@@ -135,18 +135,18 @@
 	if op.RegionsFile == "" {
 		return nil, nil
 	}
-	p, err := plan.Load(op.RegionsFile)
+	regions, err := plan.Load(op.RegionsFile)
 	if err != nil {
 		return nil, err
 	}
-	at := p.Index(op.Region)
-	if at < 0 {
+	index := regions.Index(op.Region)
+	if index < 0 {
 		return nil, fmt.Errorf("region: %s names no region %q", op.RegionsFile, op.Region)
 	}
-	if !slices.Contains(p.Regions[at].Controllers, op.RegionListen) {
+	if !slices.Contains(regions.Regions[index].Controllers, op.RegionListen) {
 		return nil, fmt.Errorf("region_listen: %q is none of %s's controllers in %s", op.RegionListen, op.Region, op.RegionsFile)
 	}
-	return p, nil
+	return regions, nil
 }
 
 // serveModels serves requests to models until the process is told to end.
@@ -155,23 +155,23 @@
 	if err != nil {
 		return err
 	}
-	g, err := gate.Start(gate.Config{Name: cfg.Name, Run: rand.Uint64(), Listen: cli.Wake.Listen, State: cfg.External.State,
-		Registry: registry, Patience: cli.Wake.Patience, Log: log})
+	activator, err := activator.Start(activator.Config{Name: cfg.Name, Incarnation: rand.Uint64(), Listen: cli.Wake.Listen, StoreAddress: cfg.External.Store,
+		Registry: registry, RequestTimeout: cli.Wake.Patience, Log: log})
 	if err != nil {
 		return err
 	}
-	log.Info("serving models", "name", cfg.Name, "listen", g.Addr(), "models", len(registry.Models))
+	log.Info("serving models", "name", cfg.Name, "listen", activator.Addr(), "models", len(registry.Models))
 	end := make(chan os.Signal, 1)
 	signal.Notify(end, os.Interrupt, syscall.SIGTERM)
 	<-end
-	g.Stop()
+	activator.Stop()
 	return nil
 }
 
 func logLevel(op *config.Operator) (slog.Level, error) {
 	name := os.Getenv("LOG_LEVEL")
 	if name == "" {
-		name = op.Log
+		name = op.LogLevel
 	}
 	switch name {
 	case "error":
--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -34,7 +34,7 @@
 // request was executed is then unknown to the caller.
 func (c *Client) Do(method, path string, body []byte, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
-	conn, err := c.take(deadline)
+	conn, err := c.getConn(deadline)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
@@ -46,24 +46,24 @@
 	}
 	for {
 		if len(conn.buf) > 0 {
-			r, n, err := ParseResponse(conn.buf)
+			response, size, err := ParseResponse(conn.buf)
 			if err == nil {
-				if r.Status >= 100 && r.Status < 200 {
-					conn.buf = conn.buf[n:]
+				if response.Status >= 100 && response.Status < 200 {
+					conn.buf = conn.buf[size:]
 					continue
 				}
-				if r.Close || n != len(conn.buf) {
+				if response.Close || size != len(conn.buf) {
 					conn.Close()
 				} else {
 					conn.buf = conn.buf[:0]
 					if cap(conn.buf) > 32<<10 {
 						conn.buf = nil
 					}
-					c.put(conn)
+					c.putConn(conn)
 				}
-				return r, nil
+				return response, nil
 			}
-			if err != ErrPartial {
+			if err != ErrIncomplete {
 				conn.Close()
 				return nil, err
 			}
@@ -71,8 +71,8 @@
 		if cap(conn.buf)-len(conn.buf) < 2048 {
 			conn.buf = append(make([]byte, 0, 2*cap(conn.buf)+4096), conn.buf...)
 		}
-		n, err := conn.Read(conn.buf[len(conn.buf):cap(conn.buf)])
-		conn.buf = conn.buf[:len(conn.buf)+n]
+		size, err := conn.Read(conn.buf[len(conn.buf):cap(conn.buf)])
+		conn.buf = conn.buf[:len(conn.buf)+size]
 		if err != nil {
 			conn.Close()
 			return nil, fmt.Errorf("read response: %w", err)
@@ -80,7 +80,7 @@
 	}
 }
 
-func (c *Client) take(deadline time.Time) (*clientConn, error) {
+func (c *Client) getConn(deadline time.Time) (*clientConn, error) {
 	c.mu.Lock()
 	for n := len(c.idle); n > 0; n = len(c.idle) {
 		conn := c.idle[n-1]
@@ -91,16 +91,16 @@
 	c.mu.Unlock()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	var d net.Dialer
-	d.KeepAlive = -1
-	conn, err := d.DialContext(ctx, "tcp4", c.Addr)
+	var dialer net.Dialer
+	dialer.KeepAlive = -1
+	conn, err := dialer.DialContext(ctx, "tcp4", c.Addr)
 	if err != nil {
 		return nil, err
 	}
 	return &clientConn{Conn: conn}, nil
 }
 
-func (c *Client) put(conn *clientConn) {
+func (c *Client) putConn(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) >= c.MaxIdle {
--- a/httpwire/httpwire.go
+++ b/httpwire/httpwire.go
@@ -14,16 +14,16 @@
 
 // Limits of what is read.
 const (
-	MaxHeader       = 16 << 10
-	MaxRequestBody  = 64 << 10
-	MaxResponseBody = 64 << 20
+	MaxHeaderBytes       = 16 << 10
+	MaxRequestBodyBytes  = 64 << 10
+	MaxResponseBodyBytes = 64 << 20
 )
 
 // Errors of the parser. Partial means that more bytes are needed.
 var (
-	ErrPartial   = errors.New("httpwire: partial message")
-	ErrMalformed = errors.New("httpwire: malformed message")
-	ErrTooLarge  = errors.New("httpwire: message too large")
+	ErrIncomplete = errors.New("httpwire: partial message")
+	ErrMalformed  = errors.New("httpwire: malformed message")
+	ErrTooLarge   = errors.New("httpwire: message too large")
 )
 
 // Request is a parsed request. Body and strings alias nothing that the caller
@@ -44,52 +44,52 @@
 	RetryAfter string
 }
 
-type header struct {
-	start      []byte
-	length     int
-	chunked    bool
-	close      bool
-	keepAlive  bool
-	hasLength  bool
-	retryAfter string
+type messageHeader struct {
+	startLine        []byte
+	contentLength    int
+	chunked          bool
+	closeConnection  bool
+	keepAlive        bool
+	hasContentLength bool
+	retryAfter       string
 }
 
 // ParseRequest reads one request from the start of b and tells how many bytes
 // it took.
-func ParseRequest(b []byte) (*Request, int, error) {
+func ParseRequest(data []byte) (*Request, int, error) {
 	skip := 0
-	for skip+1 < len(b) && b[skip] == '\r' && b[skip+1] == '\n' && skip < 4 {
+	for skip+1 < len(data) && data[skip] == '\r' && data[skip+1] == '\n' && skip < 4 {
 		skip += 2
 	}
-	h, n, err := parseHeader(b[skip:])
+	header, size, err := parseHeader(data[skip:])
 	if err != nil {
 		return nil, 0, err
 	}
-	n += skip
-	parts := strings.Split(string(h.start), " ")
+	size += skip
+	parts := strings.Split(string(header.startLine), " ")
 	if len(parts) != 3 || parts[0] == "" || !strings.HasPrefix(parts[1], "/") || !strings.HasPrefix(parts[2], "HTTP/1.") {
 		return nil, 0, ErrMalformed
 	}
-	r := &Request{Method: parts[0], Path: parts[1], Close: h.close || parts[2] == "HTTP/1.0" && !h.keepAlive}
-	if i := strings.IndexByte(r.Path, '?'); i >= 0 {
-		r.Path, r.Query = r.Path[:i], r.Path[i+1:]
+	request := &Request{Method: parts[0], Path: parts[1], Close: header.closeConnection || parts[2] == "HTTP/1.0" && !header.keepAlive}
+	if i := strings.IndexByte(request.Path, '?'); i >= 0 {
+		request.Path, request.Query = request.Path[:i], request.Path[i+1:]
 	}
-	body, m, err := parseBody(b[n:], h, MaxRequestBody)
+	body, bodySize, err := parseBody(data[size:], header, MaxRequestBodyBytes)
 	if err != nil {
 		return nil, 0, err
 	}
-	r.Body = body
-	return r, n + m, nil
+	request.Body = body
+	return request, size + bodySize, nil
 }
 
 // ParseResponse reads one response from the start of b and tells how many
 // bytes it took. Every response needs a length or chunks, save 204 and 304.
-func ParseResponse(b []byte) (*Response, int, error) {
-	h, n, err := parseHeader(b)
+func ParseResponse(data []byte) (*Response, int, error) {
+	header, size, err := parseHeader(data)
 	if err != nil {
 		return nil, 0, err
 	}
-	line := string(h.start)
+	line := string(header.startLine)
 	if !strings.HasPrefix(line, "HTTP/1.") || len(line) < 12 || line[8] != ' ' {
 		return nil, 0, ErrMalformed
 	}
@@ -97,209 +97,209 @@
 	if err != nil || status < 100 {
 		return nil, 0, ErrMalformed
 	}
-	r := &Response{Status: status, Close: h.close, RetryAfter: h.retryAfter}
+	response := &Response{Status: status, Close: header.closeConnection, RetryAfter: header.retryAfter}
 	if status == 204 || status == 304 || status < 200 {
-		return r, n, nil
+		return response, size, nil
 	}
-	if !h.hasLength && !h.chunked {
+	if !header.hasContentLength && !header.chunked {
 		return nil, 0, ErrMalformed
 	}
-	body, m, err := parseBody(b[n:], h, MaxResponseBody)
+	body, bodySize, err := parseBody(data[size:], header, MaxResponseBodyBytes)
 	if err != nil {
 		return nil, 0, err
 	}
-	r.Body = body
-	return r, n + m, nil
+	response.Body = body
+	return response, size + bodySize, nil
 }
 
-// lineEnd ends a line of a header.
-const lineEnd = "\r\n"
+// crlf ends a line of a header.
+const crlf = "\r\n"
 
 // parseHeader reads a header and the empty line behind it.
-func parseHeader(b []byte) (*header, int, error) {
-	end := bytes.Index(b, []byte(lineEnd+lineEnd))
+func parseHeader(data []byte) (*messageHeader, int, error) {
+	end := bytes.Index(data, []byte(crlf+crlf))
 	switch {
-	case end < 0 && len(b) <= MaxHeader:
-		return nil, 0, ErrPartial
-	case end < 0 || end > MaxHeader:
+	case end < 0 && len(data) <= MaxHeaderBytes:
+		return nil, 0, ErrIncomplete
+	case end < 0 || end > MaxHeaderBytes:
 		return nil, 0, ErrTooLarge
 	}
-	start, rest := cutLine(b[:end])
-	if len(start) == 0 {
+	startLine, rest := cutLine(data[:end])
+	if len(startLine) == 0 {
 		return nil, 0, ErrMalformed
 	}
-	h := &header{start: start}
+	header := &messageHeader{startLine: startLine}
 	for len(rest) > 0 {
 		var line []byte
 		line, rest = cutLine(rest)
-		if err := h.addLine(line); err != nil {
+		if err := header.addLine(line); err != nil {
 			return nil, 0, err
 		}
 	}
-	if h.chunked && h.hasLength {
+	if header.chunked && header.hasContentLength {
 		return nil, 0, ErrMalformed
 	}
-	return h, end + 2*len(lineEnd), nil
+	return header, end + 2*len(crlf), nil
 }
 
 // cutLine splits the first line off.
 func cutLine(b []byte) (line, rest []byte) {
-	line, rest, _ = bytes.Cut(b, []byte(lineEnd))
+	line, rest, _ = bytes.Cut(b, []byte(crlf))
 	return line, rest
 }
 
 // addLine takes a line with a field into the header.
-func (h *header) addLine(line []byte) error {
+func (h *messageHeader) addLine(line []byte) error {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || line[0] == ' ' || line[0] == '\t' || line[colon-1] == ' ' {
 		return ErrMalformed
 	}
-	return h.set(line[:colon], bytes.TrimSpace(line[colon+1:]))
+	return h.setField(line[:colon], bytes.TrimSpace(line[colon+1:]))
 }
 
-// set takes in a field that matters here; others are left alone.
-func (h *header) set(name, value []byte) error {
+// setField takes in a field that matters here; others are left alone.
+func (h *messageHeader) setField(name, value []byte) error {
 	switch {
-	case foldEq(name, "content-length"):
+	case equalFold(name, "content-length"):
 		n, err := strconv.ParseUint(string(value), 10, 31)
-		if err != nil || h.hasLength && int(n) != h.length || len(value) > 0 && value[0] == '+' {
+		if err != nil || h.hasContentLength && int(n) != h.contentLength || len(value) > 0 && value[0] == '+' {
 			return ErrMalformed
 		}
-		h.length, h.hasLength = int(n), true
-	case foldEq(name, "transfer-encoding"):
-		if !foldEq(value, "chunked") {
+		h.contentLength, h.hasContentLength = int(n), true
+	case equalFold(name, "transfer-encoding"):
+		if !equalFold(value, "chunked") {
 			return ErrMalformed
 		}
 		h.chunked = true
-	case foldEq(name, "connection"):
+	case equalFold(name, "connection"):
 		v := strings.ToLower(string(value))
-		h.close = h.close || strings.Contains(v, "close")
+		h.closeConnection = h.closeConnection || strings.Contains(v, "close")
 		h.keepAlive = h.keepAlive || strings.Contains(v, "keep-alive")
-	case foldEq(name, "retry-after"):
+	case equalFold(name, "retry-after"):
 		h.retryAfter = string(value)
 	}
 	return nil
 }
 
-func foldEq(b []byte, lower string) bool {
+func equalFold(b []byte, lower string) bool {
 	return len(b) == len(lower) && strings.EqualFold(string(b), lower)
 }
 
 // parseBody reads the body that a header announces.
-func parseBody(b []byte, h *header, limit int) ([]byte, int, error) {
-	if h.chunked {
-		return parseChunks(b, limit)
+func parseBody(data []byte, header *messageHeader, limit int) ([]byte, int, error) {
+	if header.chunked {
+		return parseChunks(data, limit)
 	}
-	if h.length > limit {
+	if header.contentLength > limit {
 		return nil, 0, ErrTooLarge
 	}
-	if len(b) < h.length {
-		return nil, 0, ErrPartial
+	if len(data) < header.contentLength {
+		return nil, 0, ErrIncomplete
 	}
-	return append([]byte(nil), b[:h.length]...), h.length, nil
+	return append([]byte(nil), data[:header.contentLength]...), header.contentLength, nil
 }
 
 // maxChunkLine bounds the line with a chunk's size.
 const maxChunkLine = 1024
 
 // parseChunks reads a body in chunks, up to the trailers' end.
-func parseChunks(b []byte, limit int) (body []byte, n int, err error) {
+func parseChunks(data []byte, limit int) (body []byte, offset int, err error) {
 	for {
-		size, width, err := parseChunkSize(b[n:])
+		chunkSize, width, err := parseChunkSize(data[offset:])
 		if err != nil {
 			return nil, 0, err
 		}
-		n += width
-		if len(body)+size > limit {
+		offset += width
+		if len(body)+chunkSize > limit {
 			return nil, 0, ErrTooLarge
 		}
-		if size == 0 {
-			width, err := skipTrailers(b[n:])
+		if chunkSize == 0 {
+			width, err := skipTrailers(data[offset:])
 			if err != nil {
 				return nil, 0, err
 			}
-			return body, n + width, nil
+			return body, offset + width, nil
 		}
-		if len(b) < n+size+len(lineEnd) {
-			return nil, 0, ErrPartial
+		if len(data) < offset+chunkSize+len(crlf) {
+			return nil, 0, ErrIncomplete
 		}
-		body = append(body, b[n:n+size]...)
-		n += size
-		if string(b[n:n+len(lineEnd)]) != lineEnd {
+		body = append(body, data[offset:offset+chunkSize]...)
+		offset += chunkSize
+		if string(data[offset:offset+len(crlf)]) != crlf {
 			return nil, 0, ErrMalformed
 		}
-		n += len(lineEnd)
+		offset += len(crlf)
 	}
 }
 
 // parseChunkSize reads the line with a chunk's size, whatever extensions follow it
 // there. It returns how many bytes the line takes as well.
-func parseChunkSize(b []byte) (size, width int, err error) {
-	end := bytes.Index(b, []byte(lineEnd))
+func parseChunkSize(data []byte) (size, width int, err error) {
+	end := bytes.Index(data, []byte(crlf))
 	if end < 0 {
-		if len(b) > maxChunkLine {
+		if len(data) > maxChunkLine {
 			return 0, 0, ErrMalformed
 		}
-		return 0, 0, ErrPartial
+		return 0, 0, ErrIncomplete
 	}
-	digits, _, _ := strings.Cut(string(b[:end]), ";")
+	digits, _, _ := strings.Cut(string(data[:end]), ";")
 	n, err := strconv.ParseUint(strings.TrimSpace(digits), 16, 31)
 	if err != nil {
 		return 0, 0, ErrMalformed
 	}
-	return int(n), end + len(lineEnd), nil
+	return int(n), end + len(crlf), nil
 }
 
 // skipTrailers returns how many bytes the trailers take, if there are any, and the
 // empty line that ends them.
-func skipTrailers(b []byte) (int, error) {
-	n := 0
+func skipTrailers(data []byte) (int, error) {
+	offset := 0
 	for {
-		end := bytes.Index(b[n:], []byte(lineEnd))
+		end := bytes.Index(data[offset:], []byte(crlf))
 		if end < 0 {
-			if len(b)-n > MaxHeader {
+			if len(data)-offset > MaxHeaderBytes {
 				return 0, ErrTooLarge
 			}
-			return 0, ErrPartial
+			return 0, ErrIncomplete
 		}
-		n += end + len(lineEnd)
+		offset += end + len(crlf)
 		if end == 0 {
-			return n, nil
+			return offset, nil
 		}
 	}
 }
 
 // AppendResponse writes a response with a JSON body. A retryAfter of 0 leaves
 // the header out.
-func AppendResponse(b []byte, status int, body []byte, retryAfter int, close bool) []byte {
-	b = append(b, "HTTP/1.1 "...)
-	b = strconv.AppendInt(b, int64(status), 10)
-	b = append(b, ' ')
-	b = append(b, httpstatus.Text(status)...)
-	b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-	b = strconv.AppendInt(b, int64(len(body)), 10)
+func AppendResponse(buf []byte, status int, body []byte, retryAfter int, closeConnection bool) []byte {
+	buf = append(buf, "HTTP/1.1 "...)
+	buf = strconv.AppendInt(buf, int64(status), 10)
+	buf = append(buf, ' ')
+	buf = append(buf, httpstatus.Text(status)...)
+	buf = append(buf, "\r\nContent-Type: application/json\r\nContent-Length: "...)
+	buf = strconv.AppendInt(buf, int64(len(body)), 10)
 	if retryAfter > 0 {
-		b = append(b, "\r\nRetry-After: "...)
-		b = strconv.AppendInt(b, int64(retryAfter), 10)
+		buf = append(buf, "\r\nRetry-After: "...)
+		buf = strconv.AppendInt(buf, int64(retryAfter), 10)
 	}
-	if close {
-		b = append(b, "\r\nConnection: close"...)
+	if closeConnection {
+		buf = append(buf, "\r\nConnection: close"...)
 	}
-	b = append(b, "\r\n\r\n"...)
-	return append(b, body...)
+	buf = append(buf, "\r\n\r\n"...)
+	return append(buf, body...)
 }
 
 // AppendRequest writes a request; path holds the query too.
-func AppendRequest(b []byte, method, path, host string, body []byte) []byte {
-	b = append(b, method...)
-	b = append(b, ' ')
-	b = append(b, path...)
-	b = append(b, " HTTP/1.1\r\nHost: "...)
-	b = append(b, host...)
+func AppendRequest(buf []byte, method, path, host string, body []byte) []byte {
+	buf = append(buf, method...)
+	buf = append(buf, ' ')
+	buf = append(buf, path...)
+	buf = append(buf, " HTTP/1.1\r\nHost: "...)
+	buf = append(buf, host...)
 	if body != nil || method == "POST" {
-		b = append(b, "\r\nContent-Type: application/json\r\nContent-Length: "...)
-		b = strconv.AppendInt(b, int64(len(body)), 10)
+		buf = append(buf, "\r\nContent-Type: application/json\r\nContent-Length: "...)
+		buf = strconv.AppendInt(buf, int64(len(body)), 10)
 	}
-	b = append(b, "\r\n\r\n"...)
-	return append(b, body...)
+	buf = append(buf, "\r\n\r\n"...)
+	return append(buf, body...)
 }
--- a/httpwire/httpwire_test.go
+++ b/httpwire/httpwire_test.go
@@ -24,9 +24,9 @@
 		{name: "post", in: "POST /a HTTP/1.1\r\ncontent-LENGTH: 3\r\nConnection: Close\r\n\r\nabcGET", method: "POST", path: "/a", body: "abc", close: true, rest: "GET"},
 		{name: "chunks", in: "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n!", method: "POST", path: "/a", body: "abc", rest: "!"},
 		{name: "old", in: "GET / HTTP/1.0\r\n\r\n", method: "GET", path: "/", close: true},
-		{name: "partial header", in: "GET / HTTP/1.1\r\nHost", err: ErrPartial},
-		{name: "partial body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", err: ErrPartial},
-		{name: "partial chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", err: ErrPartial},
+		{name: "partial header", in: "GET / HTTP/1.1\r\nHost", err: ErrIncomplete},
+		{name: "partial body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", err: ErrIncomplete},
+		{name: "partial chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", err: ErrIncomplete},
 		{name: "no version", in: "GET /\r\n\r\n", err: ErrMalformed},
 		{name: "no path", in: "GET x HTTP/1.1\r\n\r\n", err: ErrMalformed},
 		{name: "bad length", in: "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", err: ErrMalformed},
@@ -34,7 +34,7 @@
 		{name: "length and chunks", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", err: ErrMalformed},
 		{name: "space before colon", in: "GET / HTTP/1.1\r\nHost : x\r\n\r\n", err: ErrMalformed},
 		{name: "large body", in: "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", err: ErrTooLarge},
-		{name: "large header", in: "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHeader+1), err: ErrTooLarge},
+		{name: "large header", in: "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHeaderBytes+1), err: ErrTooLarge},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r, n, err := ParseRequest([]byte(tc.in))
@@ -64,15 +64,15 @@
 
 // A client's kept connection that the server has closed must fail the call
 // and not be used again.
-func TestClientAfterClose(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+func TestClientDropsClosedConnection(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
+	defer listener.Close()
 	go func() {
 		for {
-			conn, err := ln.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -82,10 +82,10 @@
 			conn.Close()
 		}
 	}()
-	c := &Client{Addr: ln.Addr().String(), MaxIdle: 1}
+	client := &Client{Addr: listener.Addr().String(), MaxIdle: 1}
 	ok := 0
 	for i := 0; i < 4; i++ {
-		if r, err := c.Do("GET", "/", nil, 5*time.Second); err == nil && r.Status == 200 {
+		if r, err := client.Do("GET", "/", nil, 5*time.Second); err == nil && r.Status == 200 {
 			ok++
 		}
 	}
@@ -103,7 +103,7 @@
 		if err != nil {
 			return
 		}
-		if n < 1 || n > len(in) || len(r.Body) > MaxRequestBody {
+		if n < 1 || n > len(in) || len(r.Body) > MaxRequestBodyBytes {
 			t.Fatalf("took %d of %d bytes for a body of %d", n, len(in), len(r.Body))
 		}
 		// No prefix of a whole request may parse as one of another length.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-const good = `
+const validSettings = `
 host_name = "node-0"
 location = "east"
 listen = "127.0.0.1:8080"
@@ -55,12 +55,12 @@
 `
 
 func TestParse(t *testing.T) {
-	s, err := Parse(good)
+	settings, err := Parse(validSettings)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !slices.Equal(s.Ignored, []string{"unknown_field"}) {
-		t.Errorf("ignored %q, want the unknown field", s.Ignored)
+	if !slices.Equal(settings.IgnoredFields, []string{"unknown_field"}) {
+		t.Errorf("ignored %q, want the unknown field", settings.IgnoredFields)
 	}
 	for _, tc := range []struct{ old, new, want string }{
 		{`host_name = "node-0"`, ``, "host_name"},
@@ -71,7 +71,7 @@
 		{`host_name = "node-1"`, `host_name = "node-0"`, "repeated"},
 		{`txn_ops = 16`, ``, "txn_ops"},
 	} {
-		_, err := Parse(strings.Replace(good, tc.old, tc.new, 1))
+		_, err := Parse(strings.Replace(validSettings, tc.old, tc.new, 1))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("with %q: error %v does not name %q", tc.new, err, tc.want)
 		}
@@ -128,17 +128,17 @@
 		{"a skew that is not a number", `skew_ms = 5.0`, `skew_ms = nan`, "deployment.skew_ms: must be 0 or greater, is NaN"},
 		{"a negative share of a core", `cpu = 0.18`, `cpu = -0.18`, "deployment.machine_limits.cpu: must be 0 or greater, is -0.18"},
 	} {
-		if !strings.Contains(good, tc.old) {
+		if !strings.Contains(validSettings, tc.old) {
 			t.Fatalf("%s: %q is not in the settings", tc.name, tc.old)
 		}
-		_, err := Parse(strings.Replace(good, tc.old, tc.new, 1))
+		_, err := Parse(strings.Replace(validSettings, tc.old, tc.new, 1))
 		if err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s: error %v does not say %q", tc.name, err, tc.want)
 		}
 	}
 }
 
-func TestOperator(t *testing.T) {
+func TestLoadOperator(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
 	for _, tc := range []struct{ text, want string }{
 		{"warm_machines = 3\nidle_return_s = 20.0\nlog_level = \"debug\"", ""},
@@ -160,43 +160,43 @@
 	}
 }
 
-// TestNextLimits reads the limits that the state service will have: what is
+// TestNextStoreLimits reads the limits that the state service will have: what is
 // written keeps to the smaller of both, and nonsense is named.
-func TestNextLimits(t *testing.T) {
-	with := func(next string) string { return good + "[deployment.state.next]\n" + next }
+func TestNextStoreLimits(t *testing.T) {
+	with := func(next string) string { return validSettings + "[deployment.state.next]\n" + next }
 	for _, tc := range []struct {
 		next string
-		want State
+		want StoreLimits
 		bad  string
 	}{
-		{"", State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, ""},
-		{"value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 70.0", State{RPS: 250, WriteRPS: 70, ValueKB: 2, TxnOps: 5}, ""},
-		{"value_kb = 32.0\ntxn_ops = 40\nrps = 50.0\nlater = 1", State{RPS: 50, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, ""},
-		{"value_kb = 2", State{RPS: 250, WriteRPS: 100, ValueKB: 2, TxnOps: 16}, ""},
-		{"value_kb = inf", State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, ""},
-		{"value_kb = -1.0", State{}, "deployment.state.next.value_kb: must be greater than 0, is -1"},
-		{"value_kb = 0.0", State{}, "deployment.state.next.value_kb: must be greater than 0, is 0"},
-		{"rps = 0", State{}, "deployment.state.next.rps: must be greater than 0, is 0"},
-		{"write_rps = 0.0", State{}, "deployment.state.next.write_rps: must be greater than 0, is 0"},
-		{"txn_ops = 0", State{}, "deployment.state.next.txn_ops: must be greater than 0, is 0"},
-		{"txn_ops = -5", State{}, "deployment.state.next.txn_ops: must be greater than 0, is -5"},
-		{"rps = -0.5", State{}, "deployment.state.next.rps: must be greater than 0, is -0.5"},
-		{"rps = nan", State{}, "deployment.state.next.rps: must be greater than 0, is NaN"},
-		{"write_rps = nan", State{}, "deployment.state.next.write_rps: must be greater than 0, is NaN"},
-		{"value_kb = -inf", State{}, "deployment.state.next.value_kb: must be greater than 0, is -Inf"},
-		{"txn_ops = 1", State{}, "deployment.state.next.txn_ops: must be at least 2"},
-		{"txn_ops = \"five\"", State{}, "deployment.state.next.txn_ops|destination has type integer"},
-		{"txn_ops = 5.0", State{}, "deployment.state.next.txn_ops|destination has type integer"},
-		{"txn_ops = [5]", State{}, "deployment.state.next.txn_ops|destination has type integer"},
-		{"value_kb = \"2\"", State{}, "deployment.state.next.value_kb|destination has type float"},
-		{"value_kb = true", State{}, "deployment.state.next.value_kb|destination has type float"},
-		{"rps = {a = 1}", State{}, "deployment.state.next.rps|destination has type float"},
-		{"write_rps = 2026-12-02", State{}, "deployment.state.next.write_rps|destination has type float"},
-		{"txn_ops = 5\nrps = \"x\"\nvalue_kb = 0", State{}, "deployment.state.next.rps|destination has type float"},
-		{"next = 1", State{}, "deployment.state.next.next|expected table"},
-		{"[deployment.state.next.next]", State{}, "deployment.state.next.next: unexpected"},
+		{"", StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, ""},
+		{"value_kb = 2.0\ntxn_ops = 5\nwrite_rps = 70.0", StoreLimits{RPS: 250, WriteRPS: 70, ValueKB: 2, TxnOps: 5}, ""},
+		{"value_kb = 32.0\ntxn_ops = 40\nrps = 50.0\nlater = 1", StoreLimits{RPS: 50, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, ""},
+		{"value_kb = 2", StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 2, TxnOps: 16}, ""},
+		{"value_kb = inf", StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16}, ""},
+		{"value_kb = -1.0", StoreLimits{}, "deployment.state.next.value_kb: must be greater than 0, is -1"},
+		{"value_kb = 0.0", StoreLimits{}, "deployment.state.next.value_kb: must be greater than 0, is 0"},
+		{"rps = 0", StoreLimits{}, "deployment.state.next.rps: must be greater than 0, is 0"},
+		{"write_rps = 0.0", StoreLimits{}, "deployment.state.next.write_rps: must be greater than 0, is 0"},
+		{"txn_ops = 0", StoreLimits{}, "deployment.state.next.txn_ops: must be greater than 0, is 0"},
+		{"txn_ops = -5", StoreLimits{}, "deployment.state.next.txn_ops: must be greater than 0, is -5"},
+		{"rps = -0.5", StoreLimits{}, "deployment.state.next.rps: must be greater than 0, is -0.5"},
+		{"rps = nan", StoreLimits{}, "deployment.state.next.rps: must be greater than 0, is NaN"},
+		{"write_rps = nan", StoreLimits{}, "deployment.state.next.write_rps: must be greater than 0, is NaN"},
+		{"value_kb = -inf", StoreLimits{}, "deployment.state.next.value_kb: must be greater than 0, is -Inf"},
+		{"txn_ops = 1", StoreLimits{}, "deployment.state.next.txn_ops: must be at least 2"},
+		{"txn_ops = \"five\"", StoreLimits{}, "deployment.state.next.txn_ops|destination has type integer"},
+		{"txn_ops = 5.0", StoreLimits{}, "deployment.state.next.txn_ops|destination has type integer"},
+		{"txn_ops = [5]", StoreLimits{}, "deployment.state.next.txn_ops|destination has type integer"},
+		{"value_kb = \"2\"", StoreLimits{}, "deployment.state.next.value_kb|destination has type float"},
+		{"value_kb = true", StoreLimits{}, "deployment.state.next.value_kb|destination has type float"},
+		{"rps = {a = 1}", StoreLimits{}, "deployment.state.next.rps|destination has type float"},
+		{"write_rps = 2026-12-02", StoreLimits{}, "deployment.state.next.write_rps|destination has type float"},
+		{"txn_ops = 5\nrps = \"x\"\nvalue_kb = 0", StoreLimits{}, "deployment.state.next.rps|destination has type float"},
+		{"next = 1", StoreLimits{}, "deployment.state.next.next|expected table"},
+		{"[deployment.state.next.next]", StoreLimits{}, "deployment.state.next.next: unexpected"},
 	} {
-		s, err := Parse(with(tc.next))
+		settings, err := Parse(with(tc.next))
 		if tc.bad != "" {
 			for _, part := range strings.Split(tc.bad, "|") {
 				if err == nil || !strings.Contains(err.Error(), part) {
@@ -209,18 +209,18 @@
 			t.Errorf("%q: %v", tc.next, err)
 			continue
 		}
-		if got := s.Deployment.State.Bound(); got != tc.want {
+		if got := settings.Deployment.Store.Strictest(); got != tc.want {
 			t.Errorf("%q: bound by %+v, want %+v", tc.next, got, tc.want)
 		}
 	}
 	for _, next := range []string{"5", "\"low\"", "[1]", "true"} {
-		_, err := Parse(strings.Replace(good, "txn_ops = 16", "txn_ops = 16\nnext = "+next, 1))
+		_, err := Parse(strings.Replace(validSettings, "txn_ops = 16", "txn_ops = 16\nnext = "+next, 1))
 		if err == nil || !strings.Contains(err.Error(), "deployment.state.next") || !strings.Contains(err.Error(), "expected table") {
 			t.Errorf("next = %s: error %v", next, err)
 		}
 	}
-	s, err := Parse(good)
-	if err != nil || s.Deployment.State.Bound() != s.Deployment.State {
-		t.Errorf("without next limits: %+v, %v", s, err)
+	settings, err := Parse(validSettings)
+	if err != nil || settings.Deployment.Store.Strictest() != settings.Deployment.Store {
+		t.Errorf("without next limits: %+v, %v", settings, err)
 	}
 }
--- a/internal/core/answers.go
+++ b/internal/core/answers.go
@@ -2,8 +2,8 @@
 
 import "github.com/brookwalk/brookwalk/httpwire/httpstatus"
 
-// retrySoon is the Retry-After, in seconds, of what may work in a moment.
-const retrySoon = 1
+// retryAfterSoon is the Retry-After, in seconds, of what may work in a moment.
+const retryAfterSoon = 1
 
 // Error texts of several answers.
 const (
@@ -25,5 +25,5 @@
 
 // answerRetry refuses a request for now, and asks the user to come back soon.
 func (c *Core) answerRetry(req uint64, text string) {
-	c.answer(req, httpstatus.ServiceUnavailable, errorBody{text}, retrySoon)
+	c.answer(req, httpstatus.ServiceUnavailable, errorBody{text}, retryAfterSoon)
 }
--- a/internal/core/boots/boots_test.go
+++ b/internal/core/bootlatency/boots_test.go
@@ -1,4 +1,4 @@
-package boots
+package bootlatency
 
 import (
 	"testing"
@@ -7,19 +7,19 @@
 
 var kind = Kind{"small", "east"}
 
-// counted is how many of n late machines are counted on.
-func counted(h *History, now time.Duration, n int) int {
-	c, on := h.CountLate(now), 0
+// expectedOf is how many of n late machines are counted on.
+func expectedOf(h *History, now time.Duration, n int) int {
+	c, on := h.NewLateCounter(now), 0
 	for range n {
-		if c.CountOn(kind) {
+		if c.Expect(kind) {
 			on++
 		}
 	}
 	return on
 }
 
-// TestCountOn counts on late machines by what became of others.
-func TestCountOn(t *testing.T) {
+// TestExpect counts on late machines by what became of others.
+func TestExpect(t *testing.T) {
 	const usual = 20 * time.Second
 	for _, test := range []struct {
 		name string
@@ -36,10 +36,10 @@
 		t.Run(test.name, func(t *testing.T) {
 			h := New()
 			for _, took := range test.took {
-				h.Up(kind, 30*time.Second, took, usual)
+				h.RecordBoot(kind, 30*time.Second, took, usual)
 			}
-			h.Up(Kind{"small", "west"}, 30*time.Second, usual, usual) // speaks for no other zone
-			if got := counted(h, test.at, 10); got != test.want {
+			h.RecordBoot(Kind{"small", "west"}, 30*time.Second, usual, usual) // speaks for no other zone
+			if got := expectedOf(h, test.at, 10); got != test.want {
 				t.Errorf("%d of 10 late machines are counted on, want %d", got, test.want)
 			}
 		})
--- a/internal/core/cancel_leader.go
+++ b/internal/core/cancel_leader.go
@@ -9,122 +9,122 @@
 
 // The leader's part of cancellations: it stops the tasks, and says when none is left.
 
-// noteCancellation takes in what an open record says of a cancellation.
-func (l *leader) noteCancellation(j *job, rec records.Open) {
+// recordCancellation takes in what an open record says of a cancellation.
+func (l *leader) recordCancellation(job *job, record records.Open) {
 	ago := func(at int64, skew float64) time.Duration {
-		return l.c.now - time.Duration(max(0, l.c.wall-at+int64(skew)))*time.Millisecond
+		return l.core.now - time.Duration(max(0, l.core.wallClockMS-at+int64(skew)))*time.Millisecond
 	}
-	if rec.Cancelled && !j.cancellation.Requested() {
-		l.c.log.Info("job cancelled", "job", j.ID, "told", rec.Acknowledged())
-		l.markCancelled(j)
-		if rec.AskedAt != 0 {
-			j.cancellation.Request(ago(rec.AskedAt, 0))
+	if record.Cancelled && !job.cancellation.Requested() {
+		l.core.log.Info("job cancelled", "job", job.ID, "told", record.Acknowledged())
+		l.markCancelled(job)
+		if record.CancelRequestedAt != 0 {
+			job.cancellation.Request(ago(record.CancelRequestedAt, 0))
 		}
-		var before []string
-		l.deps.EachAwaited(j.ID, func(a string) { before = append(before, a) })
-		l.recomputeInherited(before)
-		l.cancelAfter(j.ID)
+		var dependencies []string
+		l.dependencies.EachAwaited(job.ID, func(dependency string) { dependencies = append(dependencies, dependency) })
+		l.recomputeUrgency(dependencies)
+		l.cancelDependents(job.ID)
 	}
-	if rec.Acknowledged() {
+	if record.Acknowledged() {
 		// Not from when this leader learns of it, if that is on record.
-		at := l.c.now
-		if rec.CancelledAt != 0 {
-			at = ago(rec.CancelledAt, l.c.cfg.Deployment.SkewMs)
+		at := l.core.now
+		if record.CancelAcknowledgedAt != 0 {
+			at = ago(record.CancelAcknowledgedAt, l.core.settings.Deployment.SkewMs)
 		}
-		j.cancellation.Acknowledge(at)
+		job.cancellation.Acknowledge(at)
 	}
 }
 
 // markCancelled has a job end without being done.
 func (l *leader) markCancelled(j *job) {
-	j.cancellation.Request(l.c.now)
-	l.cancelled[j.ID] = j
-	l.ending = append(l.ending, j)
+	j.cancellation.Request(l.core.now)
+	l.cancelledJobs[j.ID] = j
+	l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, j)
 	for i := range j.tasks {
 		if j.tasks[i].machine != nil {
 			l.stopTask(j, i, 0, stopCancelled)
 		}
 	}
-	l.records.dirty = true
+	l.writer.dirty = true
 }
 
-// noteCancelled takes in the cancellations that another controller has
+// handlePeerCancellations takes in the cancellations that another controller has
 // recorded, and tells it what has become of the jobs.
-func (l *leader) noteCancelled(from string, list []wire.Cancelled) {
-	e := wire.Ends{TermVersion: l.mandate.TermVersion}
-	for _, x := range list {
-		j := l.jobs[x.ID]
-		if j != nil && !j.cancellation.Requested() {
-			rec := j.rec
-			rec.Cancelled, rec.AskedAt = true, l.c.wall
-			l.noteOpen(x.ID, max(x.Version, j.version), rec)
+func (l *leader) handlePeerCancellations(from string, cancellations []wire.Cancelled) {
+	ends := wire.Ends{TermVersion: l.leadership.TermVersion}
+	for _, cancelled := range cancellations {
+		job := l.jobs[cancelled.ID]
+		if job != nil && !job.cancellation.Requested() {
+			record := job.record
+			record.Cancelled, record.CancelRequestedAt = true, l.core.wallClockMS
+			l.applyOpenRecord(cancelled.ID, max(cancelled.Version, job.openVersion), record)
 		}
-		switch f, over := l.c.users.final[x.ID]; {
-		case over:
-			e.Over = append(e.Over, wire.JobEnd{ID: x.ID, Status: string(f.Status), Tasks: f.Tasks})
-		case !l.ready:
-		case j == nil:
+		switch final, ended := l.core.users.finalRecords[cancelled.ID]; {
+		case ended:
+			ends.Over = append(ends.Over, wire.JobEnd{ID: cancelled.ID, Status: string(final.Status), Tasks: final.Tasks})
+		case !l.recordsLoaded:
+		case job == nil:
 			// Never heard of, or its end not remembered: in either case no task
 			// of it counts, and none can be placed on the record as it is now.
-			e.Gone = append(e.Gone, x.ID)
-		case l.goneLong(j):
-			e.Gone = append(e.Gone, x.ID)
-		case l.heldUp(x.ID):
-			e.Held = append(e.Held, x.ID)
+			ends.Gone = append(ends.Gone, cancelled.ID)
+		case l.mayAnnounceTermination(job):
+			ends.Gone = append(ends.Gone, cancelled.ID)
+		case l.terminationDelayed(cancelled.ID):
+			ends.Held = append(ends.Held, cancelled.ID)
 		}
 	}
-	if len(e.Over)+len(e.Gone)+len(e.Held) > 0 {
-		l.c.send(from, &wire.PeerMessage{Ends: &e})
+	if len(ends.Over)+len(ends.Gone)+len(ends.Held) > 0 {
+		l.core.send(from, &wire.PeerMessage{Ends: &ends})
 	}
 }
 
-// goneLong tells whether a cancelled job has been without a task for longer
+// mayAnnounceTermination tells whether a cancelled job has been without a task for longer
 // than it takes to record its end, or cannot have it recorded.
-func (l *leader) goneLong(j *job) bool {
-	return j.cancellation.GoneFor(l.c.report()/5, l.c.now) || j.cancellation.Gone() && !l.c.store.Available()
+func (l *leader) mayAnnounceTermination(j *job) bool {
+	return j.cancellation.TerminatedFor(l.core.heartbeatInterval()/5, l.core.now) || j.cancellation.Terminated() && !l.core.store.Available()
 }
 
-// heldUp tells whether tasks of a job are on machines out of reach, so that
+// terminationDelayed tells whether tasks of a job are on machines out of reach, so that
 // their end may take a while.
-func (l *leader) heldUp(id string) bool {
+func (l *leader) terminationDelayed(id string) bool {
 	j := l.jobs[id]
 	if j == nil {
 		return false
 	}
 	for i := range j.tasks {
-		if m := j.tasks[i].machine; m != nil && l.c.now-max(m.heard, m.contact) > l.overdueReport() {
+		if m := j.tasks[i].machine; m != nil && l.core.now-max(m.lastHeartbeat, m.lastContact) > l.heartbeatOverdueAfter() {
 			return true
 		}
 	}
 	return false
 }
 
-// tickGone tells the other controllers of cancelled jobs that are without a
+// tickTerminations tells the other controllers of cancelled jobs that are without a
 // task and whose end the leader cannot record.
-func (l *leader) tickGone() {
-	var e wire.Ends
-	for _, id := range sortedKeys(l.cancelled) {
-		j := l.cancelled[id]
-		j.cancellation.NoteTasks(!j.loaded || j.placed > 0 || l.hasLiveDependents(id), l.c.now)
-		if l.goneLong(j) && j.cancellation.Announce() {
-			e.Gone = append(e.Gone, id)
+func (l *leader) tickTerminations() {
+	var ends wire.Ends
+	for _, id := range sortedKeys(l.cancelledJobs) {
+		job := l.cancelledJobs[id]
+		job.cancellation.UpdateTasks(!job.loaded || job.tasksPlaced > 0 || l.hasLiveDependents(id), l.core.now)
+		if l.mayAnnounceTermination(job) && job.cancellation.Announce() {
+			ends.Gone = append(ends.Gone, id)
 		}
 	}
-	l.sendEnds(e)
+	l.sendJobEnds(ends)
 }
 
-func (l *leader) sendEnds(e wire.Ends) {
-	if len(e.Over)+len(e.Gone) == 0 {
+func (l *leader) sendJobEnds(ends wire.Ends) {
+	if len(ends.Over)+len(ends.Gone) == 0 {
 		return
 	}
-	e.TermVersion = l.mandate.TermVersion
-	for _, p := range l.c.cfg.Peers {
-		l.c.send(p.Name, &wire.PeerMessage{Ends: &e})
+	ends.TermVersion = l.leadership.TermVersion
+	for _, peer := range l.core.settings.Peers {
+		l.core.send(peer.Name, &wire.PeerMessage{Ends: &ends})
 	}
 }
 
-// cancelLate tells whether a task of a cancelled job that is not confirmed gone has to go
+// cancellationOverdue tells whether a task of a cancelled job that is not confirmed gone has to go
 // with its machine.
-func (l *leader) cancelLate(j *job) bool {
-	return j.cancellation.Late(l.c.now, l.c.cancelTime(), userPatience)
+func (l *leader) cancellationOverdue(j *job) bool {
+	return j.cancellation.Overdue(l.core.now, l.core.cancelGracePeriod(), userRetryPeriod)
 }
--- a/internal/core/cancellation/cancellation_test.go
+++ b/internal/core/cancellation/cancellation_test.go
@@ -12,7 +12,7 @@
 )
 
 // waitingFor is a set in which two requests wait for a job, a second apart.
-func waitingFor(job string) *Waits {
+func waitingFor(job string) *Registry {
 	w := New(patience, memory)
 	w.Add(job, 7, 1, 10*time.Second)
 	w.Add(job, 5, 2, 11*time.Second)
@@ -44,11 +44,11 @@
 	w := waitingFor("a")
 	expect(t, "dismissed", w.Dismiss("a"), 1, 2)
 	expect(t, "dismissed again", w.Dismiss("a"))
-	if w.Wanted("a") || w.Version("a") != 7 {
-		t.Errorf("wanted %v, version %d", w.Wanted("a"), w.Version("a"))
+	if w.NeedsConfirmation("a") || w.Version("a") != 7 {
+		t.Errorf("wanted %v, version %d", w.NeedsConfirmation("a"), w.Version("a"))
 	}
 	w.Add("a", 8, 3, 12*time.Second)
-	if !w.Wanted("a") {
+	if !w.NeedsConfirmation("a") {
 		t.Error("not wanted by a user who came back")
 	}
 	expect(t, "end", w.End("a"), 3)
@@ -72,7 +72,7 @@
 func TestConfirmation(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
-		meanwhile func(w *Waits) []RequestID
+		meanwhile func(w *Registry) []RequestID
 		answered  []RequestID // of them, meanwhile
 		succeeded bool
 		settled   []RequestID
@@ -80,15 +80,15 @@
 	}{
 		{"succeeds", nil, nil, true, []RequestID{1, 2}, 0},
 		{"fails", nil, nil, false, []RequestID{1, 2}, 1},
-		{"nobody is dismissed meanwhile", func(w *Waits) []RequestID { return w.Dismiss("a") }, nil, true, []RequestID{1, 2}, 0},
-		{"no wait is over meanwhile", func(w *Waits) []RequestID { return w.Expire(time.Hour) }, nil, true, []RequestID{1, 2}, 0},
-		{"the job's end comes first", func(w *Waits) []RequestID { return w.End("a") }, []RequestID{1, 2}, true, nil, 0},
-		{"the job's end comes first, then a question", func(w *Waits) []RequestID {
+		{"nobody is dismissed meanwhile", func(w *Registry) []RequestID { return w.Dismiss("a") }, nil, true, []RequestID{1, 2}, 0},
+		{"no wait is over meanwhile", func(w *Registry) []RequestID { return w.Expire(time.Hour) }, nil, true, []RequestID{1, 2}, 0},
+		{"the job's end comes first", func(w *Registry) []RequestID { return w.End("a") }, []RequestID{1, 2}, true, nil, 0},
+		{"the job's end comes first, then a question", func(w *Registry) []RequestID {
 			ids := w.End("a")
 			w.Add("a", 9, 3, time.Minute)
 			return ids
 		}, []RequestID{1, 2}, true, nil, 1},
-		{"another user asks meanwhile", func(w *Waits) []RequestID {
+		{"another user asks meanwhile", func(w *Registry) []RequestID {
 			w.Add("a", 9, 3, time.Minute)
 			return nil
 		}, nil, true, []RequestID{1, 2, 3}, 0},
@@ -96,7 +96,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			w := waitingFor("a")
 			c := w.Confirm("a")
-			if w.Wanted("a") {
+			if w.NeedsConfirmation("a") {
 				t.Error("wanted while it is being confirmed")
 			}
 			if tc.meanwhile != nil {
--- a/internal/core/cancellation/progress.go
+++ b/internal/core/cancellation/progress.go
@@ -9,7 +9,7 @@
 	requestedAt    time.Duration
 	acknowledged   bool // the user may have been told
 	acknowledgedAt time.Duration
-	goneAt         time.Duration // no task is left since then; 0 while there are some
+	terminatedAt   time.Duration // no task is left since then; 0 while there are some
 	announced      bool          // the other controllers were told that none is left
 }
 
@@ -30,21 +30,23 @@
 // Acknowledged tells whether the user may have been told.
 func (p *Progress) Acknowledged() bool { return p.acknowledged }
 
-// NoteTasks takes in whether tasks are left.
-func (p *Progress) NoteTasks(left bool, now time.Duration) {
+// UpdateTasks takes in whether tasks are left.
+func (p *Progress) UpdateTasks(left bool, now time.Duration) {
 	switch {
 	case left:
-		p.goneAt = 0
-	case p.goneAt == 0:
-		p.goneAt = now
+		p.terminatedAt = 0
+	case p.terminatedAt == 0:
+		p.terminatedAt = now
 	}
 }
 
-// GoneFor tells whether no task has been left for longer than a time.
-func (p *Progress) GoneFor(d, now time.Duration) bool { return p.goneAt != 0 && now-p.goneAt > d }
+// TerminatedFor tells whether no task has been left for longer than a time.
+func (p *Progress) TerminatedFor(d, now time.Duration) bool {
+	return p.terminatedAt != 0 && now-p.terminatedAt > d
+}
 
-// Gone tells whether no task is left.
-func (p *Progress) Gone() bool { return p.goneAt != 0 }
+// Terminated tells whether no task is left.
+func (p *Progress) Terminated() bool { return p.terminatedAt != 0 }
 
 // Announce tells whether the other controllers have yet to be told that no task is left, and
 // notes that they are.
@@ -54,12 +56,12 @@
 	return first
 }
 
-// Late tells whether a task that is not confirmed gone has to go with its machine. Where the
+// Overdue tells whether a task that is not confirmed gone has to go with its machine. Where the
 // user was told already, as controllers of earlier versions do, what is left of the promised
 // time has to suffice for a change of leaders and for the cloud's answer. Else nothing was
 // promised, and a machine that runs other work is given the time to come back while the user
 // still asks, but for what the cloud's answer takes.
-func (p *Progress) Late(now, promised, patience time.Duration) bool {
-	return p.acknowledged && now-p.acknowledgedAt > promised*3/5 ||
-		p.requested && now-p.requestedAt > patience*4/5
+func (p *Progress) Overdue(now, gracePeriod, userRetryPeriod time.Duration) bool {
+	return p.acknowledged && now-p.acknowledgedAt > gracePeriod*3/5 ||
+		p.requested && now-p.requestedAt > userRetryPeriod*4/5
 }
--- a/internal/core/cancel_test.go
+++ b/internal/core/cancellation_test.go
@@ -24,14 +24,14 @@
 		{"a deposed leader", true, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newHarness(t, someTypes)
-			b.c.cfg.Peers = append(b.c.cfg.Peers, config.Peer{Name: "n1", Zone: "b"})
-			b.c.peers["n1"] = &peerState{}
+			b := newHarness(t, testMachineTypes)
+			b.core.settings.Peers = append(b.core.settings.Peers, config.Peer{Name: "n1", Zone: "b"})
+			b.core.peers["n1"] = &peerState{}
 			b.write(election.KeyTerm, "", []byte("5"))
 			termVersion := b.store[election.KeyTerm].Version
 			b.write(election.KeyLeader, "", []byte(`{"name":"n1","term":5}`))
 			b.run(0)
-			if a := b.ask("POST", "/submissions", body()); a.Status != 201 {
+			if a := b.request("POST", "/submissions", body()); a.Status != 201 {
 				t.Fatalf("submission: %d %s", a.Status, a.Body)
 			}
 			id := "job-000412"
@@ -55,7 +55,7 @@
 			if a.Status == 503 && a.RetryAfter == 0 {
 				t.Error("asked to come back without saying when")
 			}
-			told := strings.Contains(string(b.store[records.OpenKey(id)].Value), `"ca":`+strconv.FormatInt(b.c.wall, 10))
+			told := strings.Contains(string(b.store[records.OpenKey(id)].Value), `"ca":`+strconv.FormatInt(b.core.wallClockMS, 10))
 			if told != (tc.status == 200) {
 				t.Errorf("on record as told: %v", told)
 			}
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -9,16 +9,16 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// commands lists what a worker should be told now.
-func (l *leader) commands(m *machine) []wire.Command {
+// commandsFor lists what a worker should be told now.
+func (l *leader) commandsFor(m *machine) []wire.Command {
 	commands := []wire.Command{}
-	for _, p := range m.placed {
-		if t := p.task(); t.session == m.session {
-			commands = l.appendPlaced(commands, p.name, t)
+	for _, ref := range m.placements {
+		if t := ref.task(); t.incarnation == m.incarnation {
+			commands = l.appendPlaced(commands, ref.name, t)
 		}
 	}
-	for _, listed := range m.tasks {
-		if t := m.placedTask(listed.Task); t == nil || t.attempt != listed.Attempt {
+	for _, listed := range m.reportedTasks {
+		if t := m.placementOf(listed.Task); t == nil || t.attempt != listed.Attempt {
 			commands = l.appendUnplaced(commands, m, listed)
 		}
 	}
@@ -26,33 +26,33 @@
 }
 
 // appendPlaced adds the commands for a task that counts on the machine.
-func (l *leader) appendPlaced(commands []wire.Command, name string, t *task) []wire.Command {
-	if t.seen {
-		if t.stop != nil {
-			if stop := l.stopCommand(name, t); stop != nil {
+func (l *leader) appendPlaced(commands []wire.Command, name string, task *task) []wire.Command {
+	if task.observed {
+		if task.stop != nil {
+			if stop := l.stopCommand(name, task); stop != nil {
 				commands = append(commands, *stop)
 			}
 		}
 		return commands
 	}
-	if !t.recorded || !t.ours || t.stop != nil && !t.copied {
+	if !task.persisted || !task.placedThisTerm || task.stop != nil && !task.startRetransmitted {
 		return commands
 	}
-	t.copied = true
-	commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: name, Attempt: t.attempt})
-	if t.stop != nil {
+	task.startRetransmitted = true
+	commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: name, Attempt: task.attempt})
+	if task.stop != nil {
 		// A copy of the start may still be under way. Starting and stopping it here
 		// pins the attempt, so that the copy has no effect when it comes.
-		commands = append(commands, stopNow(name, t.attempt))
+		commands = append(commands, immediateStop(name, task.attempt))
 	}
 	return commands
 }
 
 // appendUnplaced adds the command for a task that the worker lists and that does not
 // count on the machine: a start that was overtaken, or an attempt that is over.
-func (l *leader) appendUnplaced(commands []wire.Command, m *machine, listed wire.Task) []wire.Command {
+func (l *leader) appendUnplaced(commands []wire.Command, m *machine, listed wire.TaskStatus) []wire.Command {
 	if listed.State != wire.TaskExited {
-		return append(commands, stopNow(listed.Task, listed.Attempt))
+		return append(commands, immediateStop(listed.Task, listed.Attempt))
 	}
 	if l.mayForget(m, listed.Task, listed.Attempt) {
 		return append(commands, wire.Command{Verb: wire.VerbForget, Task: listed.Task, Attempt: listed.Attempt})
@@ -60,29 +60,29 @@
 	return commands
 }
 
-// stopNow is the command that ends a task without a save.
-func stopNow(name string, attempt uint64) wire.Command {
+// immediateStop is the command that ends a task without a save.
+func immediateStop(name string, attempt uint64) wire.Command {
 	grace := 0.0
-	return wire.Command{Verb: wire.VerbStop, Task: name, Attempt: attempt, GraceS: &grace}
+	return wire.Command{Verb: wire.VerbStop, Task: name, Attempt: attempt, GracePeriodS: &grace}
 }
 
 // mayForget tells whether an exited task may be removed from the worker's
 // reports: its outcome is recorded, and no copy of its start can still come,
 // which would start it again.
-func (l *leader) mayForget(m *machine, name string, attempt uint64) bool {
-	if m.directStarts[attemptID{name, attempt}] > 0 || m.token < l.mandate.Term {
+func (l *leader) mayForget(machine *machine, name string, attempt uint64) bool {
+	if machine.unconfirmedStarts[attemptID{name, attempt}] > 0 || machine.fencingToken < l.leadership.Term {
 		return false
 	}
-	j := l.jobs[jobOf(name)]
+	j := l.jobs[jobIDOf(name)]
 	if j == nil {
 		return true
 	}
-	for i := range j.chunks {
-		if j.chunks[i].dirty || j.chunks[i].busy || j.chunks[i].stale {
+	for i := range j.placementRecords {
+		if j.placementRecords[i].dirty || j.placementRecords[i].writePending || j.placementRecords[i].versionUnknown {
 			return false
 		}
 	}
-	return !j.endPending
+	return !j.endWritePending
 }
 
 // attemptID names an attempt at a task.
@@ -91,8 +91,8 @@
 	attempt uint64
 }
 
-// jobOf is the job of the task with that name.
-func jobOf(task string) string {
+// jobIDOf is the job of the task with that name.
+func jobIDOf(task string) string {
 	if i := strings.IndexByte(task, '/'); i >= 0 {
 		return task[:i]
 	}
@@ -102,58 +102,58 @@
 // sendStarts sends recorded starts straight to the workers.
 func (l *leader) sendStarts(j *job, starts []records.PlacedTask) {
 	byMachine := map[string]bool{}
-	var order []*machine
-	for _, s := range starts {
-		if m := l.machines[s.Machine]; m != nil && !byMachine[s.Machine] {
-			byMachine[s.Machine] = true
-			order = append(order, m)
+	var machines []*machine
+	for _, start := range starts {
+		if m := l.machines[start.Machine]; m != nil && !byMachine[start.Machine] {
+			byMachine[start.Machine] = true
+			machines = append(machines, m)
 		}
 	}
-	for _, m := range order {
+	for _, m := range machines {
 		l.sendCommands(m)
 	}
 }
 
 // mayCommand tells whether direct commands may be sent to a machine now.
 func (l *leader) mayCommand(m *machine) bool {
-	return l.ready && m.addr != "" && m.directCalls == 0 && l.c.now >= m.directRetry && m.token >= l.mandate.Term && !m.returning
+	return l.recordsLoaded && m.address != "" && m.openDirectCalls == 0 && l.core.now >= m.directRetryAt && m.fencingToken >= l.leadership.Term && !m.returning
 }
 
 // sendCommands sends a worker its commands at once instead of with the answer to
 // its next report.
-func (l *leader) sendCommands(m *machine) {
-	if !l.mayCommand(m) {
+func (l *leader) sendCommands(machine *machine) {
+	if !l.mayCommand(machine) {
 		return
 	}
-	commands := l.commands(m)
+	commands := l.commandsFor(machine)
 	if len(commands) == 0 {
 		return
 	}
-	starts := startedBy(commands)
+	starts := startedAttempts(commands)
 	for _, id := range starts {
-		m.directStarts[id]++
-	}
-	m.directCalls++
-	session := m.session
-	body := kv.Encode(wire.Orders{Token: l.mandate.Term, Session: session, Commands: commands})
-	l.c.call(Call{Dest: DestWorker, Addr: m.addr, Method: "POST", Path: "/do", Body: body, Timeout: l.c.report()}, func(r Result) {
-		m.directCalls--
-		if l.deposed {
+		machine.unconfirmedStarts[id]++
+	}
+	machine.openDirectCalls++
+	session := machine.incarnation
+	body := kv.Encode(wire.CommandList{FencingToken: l.leadership.Term, Incarnation: session, Commands: commands})
+	l.core.call(Call{Destination: DestinationWorker, Addr: machine.address, Method: "POST", Path: "/do", Body: body, Timeout: l.core.heartbeatInterval()}, func(result Result) {
+		machine.openDirectCalls--
+		if l.steppedDown {
 			return
 		}
-		if m.session == session && outcomeKnown(r) {
-			m.startsEnded(starts)
+		if machine.incarnation == session && outcomeKnown(result) {
+			machine.settleDirectStarts(starts)
 		}
-		if r.Status != httpstatus.OK && r.Status != httpstatus.Conflict {
-			m.directRetry = l.c.now + l.c.lease()/2
+		if result.Status != httpstatus.OK && result.Status != httpstatus.Conflict {
+			machine.directRetryAt = l.core.now + l.core.workerLease()/2
 			return
 		}
-		l.onDirectReport(m, r.Body)
+		l.handleDirectStatus(machine, result.Body)
 	})
 }
 
-// startedBy names the attempts that commands start.
-func startedBy(commands []wire.Command) []attemptID {
+// startedAttempts names the attempts that commands start.
+func startedAttempts(commands []wire.Command) []attemptID {
 	var attempts []attemptID
 	for _, c := range commands {
 		if c.Verb == wire.VerbStart {
@@ -165,36 +165,36 @@
 
 // outcomeKnown tells whether direct commands were certainly carried out, or
 // certainly not and never will be.
-func outcomeKnown(r Result) bool {
-	return r.Status == httpstatus.OK || r.Status == httpstatus.Conflict || r.Status == httpstatus.BadRequest || r.NotSent
+func outcomeKnown(result Result) bool {
+	return result.Status == httpstatus.OK || result.Status == httpstatus.Conflict || result.Status == httpstatus.BadRequest || result.NotSent
 }
 
-// startsEnded notes that no copy of direct starts is under way any more.
-func (m *machine) startsEnded(attempts []attemptID) {
+// settleDirectStarts notes that no copy of direct starts is under way any more.
+func (m *machine) settleDirectStarts(attempts []attemptID) {
 	for _, id := range attempts {
-		if m.directStarts[id]--; m.directStarts[id] <= 0 {
-			delete(m.directStarts, id)
+		if m.unconfirmedStarts[id]--; m.unconfirmedStarts[id] <= 0 {
+			delete(m.unconfirmedStarts, id)
 		}
 	}
 }
 
-// onDirectReport takes in the state with which a worker answers a direct command
+// handleDirectStatus takes in the state with which a worker answers a direct command
 // or a probe.
-func (l *leader) onDirectReport(m *machine, body []byte) {
-	rep, ok := decodeReport(body)
-	if !ok || rep.Machine != m.name {
+func (l *leader) handleDirectStatus(machine *machine, body []byte) {
+	heartbeat, ok := decodeHeartbeat(body)
+	if !ok || heartbeat.Machine != machine.name {
 		return
 	}
-	if rep.Token > l.mandate.Term {
-		l.c.stepDown(stepDownWorkerKnows)
+	if heartbeat.FencingToken > l.leadership.Term {
+		l.core.stepDown(stepDownWorkerHigherTerm)
 		return
 	}
-	m.contact = l.c.now
-	l.reached[rep.Zone] = l.c.now
-	if m.session != 0 && rep.Session > m.session {
-		m.lapsed = l.c.now
+	machine.lastContact = l.core.now
+	l.zoneReachedAt[heartbeat.Zone] = l.core.now
+	if machine.incarnation != 0 && heartbeat.Incarnation > machine.incarnation {
+		machine.newerIncarnationAt = l.core.now
 	}
-	if rep.Newer(m.session, m.seq) {
-		l.apply(m, rep)
+	if heartbeat.NewerThan(machine.incarnation, machine.sequence) {
+		l.applyHeartbeat(machine, heartbeat)
 	}
 }
--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -126,35 +126,35 @@
 		frozen any // one of the production version's, empty
 	}{
 		"open": {records.Open{Job: wire.Job{ID: "job-000001", Class: "web", Team: "t", Shape: "array", Priority: "normal",
-			Tasks: 12, CPUs: 2, MemGB: 1, Image: "img", ImageGB: 1, Types: []string{"small", "big"}, Zone: "east",
-			OneZone: true, Spot: true, EstimateS: 20, CheckpointS: 5, SaveS: 3}, At: 1000000001004}, productionOpen{}},
+			Tasks: 12, CPUs: 2, MemGB: 1, Image: "img", ImageGB: 1, MachineTypes: []string{"small", "big"}, Zone: "east",
+			OneZone: true, AllowSpot: true, EstimatedRunS: 20, CheckpointIntervalS: 5, CheckpointDurationS: 3}, SubmittedAt: 1000000001004}, productionOpen{}},
 		"open_every_field": {records.Open{Job: wire.Job{ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
 			Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
-			Types: []string{"big", "small"}, Zone: "east", OneZone: true, Spread: true, Spot: true, EstimateS: 600,
-			CheckpointS: 30, SaveS: 4.5, DeadlineS: &due}, At: 1764640000123}, productionOpen{}},
+			MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
+			CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due}, SubmittedAt: 1764640000123}, productionOpen{}},
 		"open_asked": {records.Open{Job: wire.Job{ID: "job-000002", Class: "web", Team: "t", Shape: "group",
-			Priority: "urgent", Tasks: 3, CPUs: 2, GPUs: 2, MemGB: 16, Image: "img", ImageGB: 2, Spread: true,
-			EstimateS: 300}, At: 1000000001004, Cancelled: true, AskedAt: 1000000060010}, productionOpen{}},
+			Priority: "urgent", Tasks: 3, CPUs: 2, GPUs: 2, MemGB: 16, Image: "img", ImageGB: 2, SpreadZones: true,
+			EstimatedRunS: 300}, SubmittedAt: 1000000001004, Cancelled: true, CancelRequestedAt: 1000000060010}, productionOpen{}},
 		"open_told": {records.Open{Job: wire.Job{ID: "job-000003", Class: "web", Team: "t", Shape: "daemon",
-			Priority: "critical", Tasks: 3, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2, Spread: true},
-			At: 1000000001001, Cancelled: true, AskedAt: 1000000062006, CancelledAt: 1000000062132}, productionOpen{}},
+			Priority: "critical", Tasks: 3, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2, SpreadZones: true},
+			SubmittedAt: 1000000001001, Cancelled: true, CancelRequestedAt: 1000000062006, CancelAcknowledgedAt: 1000000062132}, productionOpen{}},
 		"final_done":      {records.Final{Status: "done", Tasks: 240}, productionFinal{}},
 		"final_cancelled": {records.Final{Status: "withdrawn", Tasks: 3}, productionFinal{}},
-		"place_tasks": {records.Placement{Next: 2, Tasks: []records.PlacedTask{
-			{Task: 0, Attempt: 1, Machine: "n-000018", Zone: "east", Session: 1},
-			{Task: 1, Attempt: 1, Machine: "n-000018", Zone: "east", Session: 1},
-			{Task: 2, Attempt: 1, Machine: "n-000017", Zone: "west", Session: 1}}}, productionPlace{}},
-		"place_done_and_tasks": {records.Placement{Next: 13, Done: firstInts(8), Tasks: []records.PlacedTask{
-			{Task: 8, Attempt: 9, Machine: "n-000027", Zone: "east", Session: 1},
-			{Task: 9, Attempt: 10, Machine: "n-000027", Zone: "east", Session: 1},
-			{Task: 10, Attempt: 11, Machine: "n-000027", Zone: "east", Session: 1},
-			{Task: 11, Attempt: 12, Machine: "n-000027", Zone: "east", Session: 1}}}, productionPlace{}},
-		"place_done": {records.Placement{Next: 243, Done: firstInts(128)}, productionPlace{}},
+		"place_tasks": {records.Placement{NextAttempt: 2, Tasks: []records.PlacedTask{
+			{Task: 0, Attempt: 1, Machine: "n-000018", Zone: "east", Incarnation: 1},
+			{Task: 1, Attempt: 1, Machine: "n-000018", Zone: "east", Incarnation: 1},
+			{Task: 2, Attempt: 1, Machine: "n-000017", Zone: "west", Incarnation: 1}}}, productionPlace{}},
+		"place_done_and_tasks": {records.Placement{NextAttempt: 13, Done: firstInts(8), Tasks: []records.PlacedTask{
+			{Task: 8, Attempt: 9, Machine: "n-000027", Zone: "east", Incarnation: 1},
+			{Task: 9, Attempt: 10, Machine: "n-000027", Zone: "east", Incarnation: 1},
+			{Task: 10, Attempt: 11, Machine: "n-000027", Zone: "east", Incarnation: 1},
+			{Task: 11, Attempt: 12, Machine: "n-000027", Zone: "east", Incarnation: 1}}}, productionPlace{}},
+		"place_done": {records.Placement{NextAttempt: 243, Done: firstInts(128)}, productionPlace{}},
 		"leader":     {election.LeaderValue{Name: "node-2", Term: 3}, productionLeader{}},
 		"term":       {uint64(3), uint64(0)},
 		"types": {wire.MachineTypes{Types: []wire.MachineType{
-			{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 200, FetchGBPS: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones},
-			{Name: "big", CPUs: 32, GPUs: 8, MemGB: 256, CacheGB: 200, FetchGBPS: 4, Price: 10, SpotPrice: 3, BootS: 15,
+			{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 200, PullGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones},
+			{Name: "big", CPUs: 32, GPUs: 8, MemGB: 256, CacheGB: 200, PullGBPerS: 4, Price: 10, SpotPrice: 3, BootS: 15,
 				Zones: zones}}}, productionMachineTypes{}},
 	}
 	files, _ := filepath.Glob("testdata/production/*.json")
@@ -197,9 +197,9 @@
 	due := 1234.5
 	want := records.Open{Job: wire.Job{ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
 		Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
-		Types: []string{"big", "small"}, Zone: "east", OneZone: true, Spread: true, Spot: true, EstimateS: 600,
-		CheckpointS: 30, SaveS: 4.5, DeadlineS: &due, Awaits: []string{"job-000005", "job-000006"}}, At: 1764640000123,
-		Cancelled: true, AskedAt: 1764640000124, CancelledAt: 1764640000125, Needed: true, ReadyAt: 1764640000126}
+		MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
+		CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due, Dependencies: []string{"job-000005", "job-000006"}}, SubmittedAt: 1764640000123,
+		Cancelled: true, CancelRequestedAt: 1764640000124, CancelAcknowledgedAt: 1764640000125, HasDependents: true, ReadyAt: 1764640000126}
 	var got records.Open
 	if err := json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
@@ -234,7 +234,7 @@
 // kindOf names the kind of a key's record by the names that this version knows,
 // and makes an empty value of it.
 func kindOf(key string) (string, any) {
-	place, isPlace := records.ParsePlaceKey(key, 1)
+	place, isPlace := records.ParsePlacementKey(key, 1)
 	switch {
 	case key == election.KeyLeader:
 		return "leader", &election.LeaderValue{}
@@ -246,9 +246,9 @@
 		return "open", &records.Open{}
 	case strings.HasPrefix(key, records.PrefixFinal):
 		return "final", &records.Final{}
-	case strings.HasPrefix(key, records.PrefixPlace) && isPlace && place.Numbered:
+	case strings.HasPrefix(key, records.PrefixPlacement) && isPlace && place.Numbered:
 		return "numbered", &records.Placement{}
-	case strings.HasPrefix(key, records.PrefixPlace) && isPlace && records.RangeKey("job-000001", place.From, place.To)[len("p/job-000001"):] == key[len("p/job-000001"):]:
+	case strings.HasPrefix(key, records.PrefixPlacement) && isPlace && records.RangeKey("job-000001", place.From, place.To)[len("p/job-000001"):] == key[len("p/job-000001"):]:
 		return "range", &records.Placement{}
 	}
 	return "", nil
@@ -288,7 +288,7 @@
 					t.Errorf("%s: %s has lease %d", dir, w.Put, w.Lease)
 				}
 			}
-			for _, cond := range txn.If {
+			for _, cond := range txn.Conditions {
 				if kind, _ := kindOf(cond.Key); kind == "" {
 					t.Errorf("%s: unknown key %q", dir, cond.Key)
 				}
@@ -304,7 +304,7 @@
 // TestOldElection reads the transaction by which an old version came to lead,
 // whose key is bound to a lease, and writes it again.
 func TestOldElection(t *testing.T) {
-	want := wire.Txn{If: []wire.Cond{{Key: election.KeyLeader}, {Key: election.KeyTerm, Version: 101}}, Writes: []wire.Write{
+	want := wire.Txn{Conditions: []wire.Condition{{Key: election.KeyLeader}, {Key: election.KeyTerm, Version: 101}}, Writes: []wire.Write{
 		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)}}}
 	for _, dir := range []string{"production", "chains"} {
 		data, err := os.ReadFile("testdata/" + dir + "/transactions.jsonl")
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -5,7 +5,7 @@
 	"sort"
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/core/rental"
+	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -14,29 +14,29 @@
 // are up and hold their images, so that it can be returned. A replica that
 // moves is away for the time of a stop and a start. One machine at a time, and
 // only while nothing waits for room.
-func (l *leader) consolidate(bins []*rental.Bin, cands []*candidate) {
-	f := &l.fleet
-	if l.c.now < f.moveNext || l.c.now-l.loadedAt < l.c.lease() || anyPending(cands) {
+func (l *leader) consolidate(bins []*provisioning.Bin, cands []*candidate) {
+	fleet := &l.fleet
+	if l.core.now < fleet.nextConsolidationAt || l.core.now-l.recordsLoadedAt < l.core.workerLease() || anyPending(cands) {
 		return
 	}
-	if slices.ContainsFunc(bins, func(b *rental.Bin) bool { return b.ToRent }) {
+	if slices.ContainsFunc(bins, func(b *provisioning.Bin) bool { return b.ToProvision }) {
 		return
 	}
-	sources, targets := l.moveSources(bins), l.moveTargets(bins)
+	sources, targets := l.consolidationSources(bins), l.consolidationTargets(bins)
 	// Whether all find room changes slowly, and finding out costs a look at many
 	// machines for each source.
-	f.moveNext = l.c.now + l.c.report()
-	limit := l.passes.evaluations + l.passBudget()
-	first := slices.IndexFunc(sources, func(m *machine) bool { return m.name == f.moveFrom })
-	f.moveFrom = ""
+	fleet.nextConsolidationAt = l.core.now + l.core.heartbeatInterval()
+	limit := l.passes.evaluations + l.evaluationBudget()
+	first := slices.IndexFunc(sources, func(m *machine) bool { return m.name == fleet.consolidateFrom })
+	fleet.consolidateFrom = ""
 	for _, m := range sources[max(first, 0):] {
 		if l.passes.evaluations > limit {
-			f.moveFrom = m.name // goes on there
+			fleet.consolidateFrom = m.name // goes on there
 			return
 		}
-		if to := l.moveDestinations(m, targets); to != nil {
-			l.moveReplicas(m, to)
-			f.moveNext = l.c.now + l.movePace()
+		if to := l.consolidationPlan(m, targets); to != nil {
+			l.evacuate(m, to)
+			fleet.nextConsolidationAt = l.core.now + l.consolidationInterval()
 			return
 		}
 	}
@@ -47,111 +47,111 @@
 	return slices.ContainsFunc(cands, func(c *candidate) bool { return len(c.pending) > 0 && !c.faulty })
 }
 
-// moveTarget is a machine that replicas may move to.
-type moveTarget struct {
-	*rental.Bin
+// consolidationTarget is a machine that replicas may move to.
+type consolidationTarget struct {
+	*provisioning.Bin
 	machine *machine
 }
 
-// moveTargets lists the machines that replicas may move to, by the images that they
+// consolidationTargets lists the machines that replicas may move to, by the images that they
 // hold. Those without any room are left out.
-func (l *leader) moveTargets(bins []*rental.Bin) map[string][]moveTarget {
-	targets := map[string][]moveTarget{}
+func (l *leader) consolidationTargets(bins []*provisioning.Bin) map[string][]consolidationTarget {
+	targets := map[string][]consolidationTarget{}
 	for _, b := range bins {
 		m := l.machines[b.Machine]
 		if m == nil || b.Free.CPUs <= 0 && b.Free.GPUs <= 0 || !l.usable(m) {
 			continue
 		}
-		for _, i := range m.images {
-			targets[i.name] = append(targets[i.name], moveTarget{b, m})
+		for _, i := range m.cachedImages {
+			targets[i.name] = append(targets[i.name], consolidationTarget{b, m})
 		}
 	}
 	return targets
 }
 
-// moveSources lists the machines that may be emptied: cordoned ones first, once
+// consolidationSources lists the machines that may be emptied: cordoned ones first, once
 // their tasks are replicas alone, then those of the highest price.
-func (l *leader) moveSources(bins []*rental.Bin) []*machine {
+func (l *leader) consolidationSources(bins []*provisioning.Bin) []*machine {
 	var sources []*machine
 	for _, b := range bins {
 		m := l.machines[b.Machine]
-		if m != nil && l.usable(m) && !b.Used && l.c.now-m.createdAt > minCharge && m.movable() {
+		if m != nil && l.usable(m) && !b.Used && l.core.now-m.createdAt > minBilledTime && m.runsReplicasOnly() {
 			sources = append(sources, m)
 		}
 	}
-	for _, m := range l.byName {
-		if m.drain != "" && !m.evict && !m.returning && m.movable() {
+	for _, m := range l.machinesByName {
+		if m.drainReason != "" && !m.evicting && !m.returning && m.runsReplicasOnly() {
 			sources = append(sources, m)
 		}
 	}
 	sort.SliceStable(sources, func(a, b int) bool {
 		x, y := sources[a], sources[b]
-		if cx, cy := x.drain != "", y.drain != ""; cx != cy {
+		if cx, cy := x.drainReason != "", y.drainReason != ""; cx != cy {
 			return cx
 		}
-		if px, py := l.priceOf(x), l.priceOf(y); px != py {
+		if px, py := l.machinePrice(x), l.machinePrice(y); px != py {
 			return px > py
 		}
-		return len(x.placed) < len(y.placed)
+		return len(x.placements) < len(y.placements)
 	})
 	return sources
 }
 
-// moveReplicas has a machine's replicas move to others, given in their order.
-func (l *leader) moveReplicas(m *machine, to []*machine) {
-	for k, p := range m.placed {
-		p.job.moveTo[p.index] = to[k]
+// evacuate has a machine's replicas move to others, given in their order.
+func (l *leader) evacuate(m *machine, to []*machine) {
+	for k, p := range m.placements {
+		p.job.reschedulingTargets[p.index] = to[k]
 	}
 	l.cordon(m, drainConsolidated)
-	m.evict = true
+	m.evicting = true
 }
 
-// machinesOfMove is for how many machines of a fleet one is emptied at a time, so that a
+// machinesPerConsolidation is for how many machines of a fleet one is emptied at a time, so that a
 // larger one shrinks as fast.
-const machinesOfMove = 400
+const machinesPerConsolidation = 400
 
-// movePace is the time between two machines that are emptied. A machine that
+// consolidationInterval is the time between two machines that are emptied. A machine that
 // goes takes its images with it: while a class arrives whose image is fetched
 // too slowly everywhere, they go seldom.
-func (l *leader) movePace() time.Duration {
-	return l.movePaceOfOne() / time.Duration(max(1, len(l.byName)/machinesOfMove))
+func (l *leader) consolidationInterval() time.Duration {
+	return l.baseConsolidationInterval() / time.Duration(max(1, len(l.machinesByName)/machinesPerConsolidation))
 }
 
-// movePaceOfOne is the pace of a fleet that empties one machine at a time.
-func (l *leader) movePaceOfOne() time.Duration {
-	for _, class := range sortedKeys(l.arrivals) {
-		a := l.arrivals[class]
-		if a.last == nil || !a.Coming(l.c.now) {
+// baseConsolidationInterval is the pace of a fleet that empties one machine at a time.
+func (l *leader) baseConsolidationInterval() time.Duration {
+	for _, class := range sortedKeys(l.arrivalsByClass) {
+		a := l.arrivalsByClass[class]
+		if a.lastJob == nil || !a.Active(l.core.now) {
 			continue
 		}
-		if l.fetchedSlowly(a.last) {
-			return l.c.lease()
+		if l.pullTooSlowEverywhere(a.lastJob) {
+			return l.core.workerLease()
 		}
 	}
-	return 2 * l.c.report()
+	return 2 * l.core.heartbeatInterval()
 }
 
-// fetchedSlowly tells whether a job's image comes too late on every type of
+// pullTooSlowEverywhere tells whether a job's image comes too late on every type of
 // machine that the job may use.
-func (l *leader) fetchedSlowly(j *job) bool {
-	wait := l.c.slowFetch(j.Class)
-	for _, t := range l.c.types {
-		if allowed(j.Types, t.Name) && capacity(t).Holds(size(&j.Job)) && j.ImageGB <= wait*t.FetchGBPS {
+func (l *leader) pullTooSlowEverywhere(j *job) bool {
+	wait := l.core.maxPullTime(j.Class)
+	for _, t := range l.core.machineTypes {
+		if emptyOrContains(j.MachineTypes, t.Name) && typeCapacity(t).Holds(taskSize(&j.Job)) && j.ImageGB <= wait*t.PullGBPerS {
 			return false
 		}
 	}
 	return true
 }
 
-// movable tells whether all that a machine does is to run settled replicas.
-func (m *machine) movable() bool {
-	for _, p := range m.placed {
+// runsReplicasOnly tells whether all that a machine does is to run settled replicas.
+func (m *machine) runsReplicasOnly() bool {
+	for _, p := range m.placements {
 		t := &p.job.tasks[p.index]
 		if p.job.Shape != wire.ShapeService || t.state != wire.TaskRunning || t.stop != nil {
 			return false
 		}
 	}
-	return len(m.placed) > 0
+	return len(m.placements) > 0
 }
 
 // jobZone names a job in a zone.
@@ -160,56 +160,56 @@
 	zone string
 }
 
-// moveDestinations finds a machine for each of a machine's replicas, in their
+// consolidationPlan finds a machine for each of a machine's replicas, in their
 // order; nil if not all find one.
-func (l *leader) moveDestinations(m *machine, targets map[string][]moveTarget) []*machine {
-	taken := map[*rental.Bin]topology.Resources{}
+func (l *leader) consolidationPlan(source *machine, targets map[string][]consolidationTarget) []*machine {
+	taken := map[*provisioning.Bin]topology.Resources{}
 	added := map[jobZone]int{}
 	var to []*machine
-	for _, p := range m.placed {
+	for _, p := range source.placements {
 		if p.job.OneZone {
 			return nil
 		}
-		best := l.moveTarget(m, p.job, targets[p.job.Image], taken, added)
+		best := l.tightestTarget(source, p.job, targets[p.job.Image], taken, added)
 		if best.machine == nil {
 			return nil
 		}
-		taken[best.Bin] = taken[best.Bin].Add(size(&p.job.Job))
+		taken[best.Bin] = taken[best.Bin].Add(taskSize(&p.job.Job))
 		added[jobZone{p.job, best.Offer.Zone}]++
 		to = append(to, best.machine)
 	}
 	return to
 }
 
-// unneeded tells whether a bin is a machine that nothing needs and that costs no
+// soonReturned tells whether a bin is a machine that nothing needs and that costs no
 // less than the one to be emptied: it is about to be returned itself. After a
 // job's end replicas once moved from a machine that ran well to one that the
 // job had left empty.
-func (l *leader) unneeded(b moveTarget, from *machine) bool {
+func (l *leader) soonReturned(b consolidationTarget, from *machine) bool {
 	m := b.machine
-	idle := !b.Used && len(m.placed) == 0
-	return idle && from.drain == "" && l.priceOf(m) >= l.priceOf(from)
+	idle := !b.Used && len(m.placements) == 0
+	return idle && from.drainReason == "" && l.machinePrice(m) >= l.machinePrice(from)
 }
 
-// moveTarget finds the tightest target that may take a job's replica from a
+// tightestTarget finds the tightest target that may take a job's replica from a
 // machine, given what the moves before it take and add; one without a machine if there
 // is none.
-func (l *leader) moveTarget(from *machine, j *job, targets []moveTarget, taken map[*rental.Bin]topology.Resources, added map[jobZone]int) moveTarget {
-	zoneRoom := l.zoneRoom(j)
-	var best moveTarget
+func (l *leader) tightestTarget(from *machine, job *job, targets []consolidationTarget, taken map[*provisioning.Bin]topology.Resources, added map[jobZone]int) consolidationTarget {
+	zoneRoom := l.zoneBound(job)
+	var best consolidationTarget
 	var bestFree topology.Resources
 	l.passes.evaluations += len(targets)
-	for _, b := range targets {
-		m, free := b.machine, b.Free
-		if t, ok := taken[b.Bin]; ok {
+	for _, target := range targets {
+		machine, free := target.machine, target.Free
+		if t, ok := taken[target.Bin]; ok {
 			free = free.Sub(t)
 		}
-		if m == from || !free.Holds(size(&j.Job)) || !eligible(&j.Job, m.typ, m.zone, m.spot) || l.faults.Doubtful(m.name) || l.unneeded(b, from) {
+		if machine == from || !free.Holds(taskSize(&job.Job)) || !eligible(&job.Job, machine.typeName, machine.zone, machine.spot) || l.outliers.HasFailures(machine.name) || l.soonReturned(target, from) {
 			continue
 		}
 		if zoneRoom != nil {
-			n := zoneRoom(m.zone) - added[jobZone{j, m.zone}]
-			if m.zone == from.zone {
+			n := zoneRoom(machine.zone) - added[jobZone{job, machine.zone}]
+			if machine.zone == from.zone {
 				n++ // its own place there becomes free
 			}
 			if n < 1 {
@@ -217,7 +217,7 @@
 			}
 		}
 		if best.machine == nil || free.Less(bestFree) {
-			best, bestFree = b, free
+			best, bestFree = target, free
 		}
 	}
 	return best
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -19,47 +19,47 @@
 
 // Core is the state machine of one controller.
 type Core struct {
-	cfg  *config.Settings
-	op   *config.Operator
-	log  *slog.Logger
-	boot uint64
-	now  time.Duration
-	wall int64 // ms, time of day
-	out  Output
-
-	calls    map[uint64]func(Result)
-	nextCall uint64
-	nextList uint64 // attempts to write a long list of awaited jobs
-
-	types     map[string]*wire.MachineType
-	typesAt   time.Duration
-	typesRead int // answers that the types were read from
-	typesBusy bool
-	typesRaw  string
-
-	users users
-	elect *election.Election
+	settings         *config.Settings
+	operatorSettings *config.Operator
+	log              *slog.Logger
+	incarnation      uint64
+	now              time.Duration
+	wallClockMS      int64 // ms, time of day
+	out              Output
+
+	pendingCalls       map[uint64]func(Result)
+	nextCall           uint64
+	nextDependencyList uint64 // attempts to write a long list of awaited jobs
+
+	machineTypes            map[string]*wire.MachineType
+	machineTypesRequestedAt time.Duration
+	machineTypesGeneration  int // answers that the types were read from
+	machineTypesRequested   bool
+	machineTypesStored      string
+
+	users    frontEnd
+	election *election.Election
 
 	store *kv.Client
 
-	peers map[string]*peerState
-	lead  *leader // nil on a follower
-
-	forwards    map[uint64]*forward
-	nextForward uint64
-	extensions  leaseExtensions
-	reporters   map[string]*reporter // workers that report here
-	digestAt    time.Duration
-	countsAt    time.Duration
-	counts      map[string]wire.JobCount // last digest of the leader
-	regions     regions
-	// fetchesQueue is what the leader last told of how machines fetch images.
-	fetchesQueue bool
+	peers  map[string]*peerState
+	leader *leader // nil on a follower
+
+	forwardedHeartbeats map[uint64]*forwardedHeartbeat
+	nextForwardID       uint64
+	extensions          leaseExtensions
+	reporters           map[string]*connectedWorker // workers that report here
+	digestDueAt         time.Duration
+	jobCountsDueAt      time.Duration
+	jobCounts           map[string]wire.JobCount // last digest of the leader
+	regions             regions
+	// pullsAreSequential is what the leader last told of how machines fetch images.
+	pullsAreSequential bool
 }
 
 type peerState struct {
 	heard time.Duration
-	peerExtensions
+	extensionTestimony
 	storeOK     bool
 	hearsLeader bool
 	ever        bool
@@ -68,44 +68,44 @@
 
 // New makes a core. The logger may be nil; boot has to differ from that of any
 // other run of the program.
-func New(cfg *config.Settings, op *config.Operator, boot uint64, log *slog.Logger) *Core {
-	if op == nil {
-		op = &config.Operator{}
+func New(settings *config.Settings, operatorSettings *config.Operator, incarnation uint64, log *slog.Logger) *Core {
+	if operatorSettings == nil {
+		operatorSettings = &config.Operator{}
 	}
 	if log == nil {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
 	c := &Core{
-		cfg: cfg, op: op, log: log, boot: boot,
-		calls:    map[uint64]func(Result){},
-		types:    map[string]*wire.MachineType{},
-		peers:    map[string]*peerState{},
-		forwards: map[uint64]*forward{}, reporters: map[string]*reporter{},
+		settings: settings, operatorSettings: operatorSettings, log: log, incarnation: incarnation,
+		pendingCalls:        map[uint64]func(Result){},
+		machineTypes:        map[string]*wire.MachineType{},
+		peers:               map[string]*peerState{},
+		forwardedHeartbeats: map[uint64]*forwardedHeartbeat{}, reporters: map[string]*connectedWorker{},
 	}
-	for _, p := range cfg.Peers {
+	for _, p := range settings.Peers {
 		c.peers[p.Name] = &peerState{}
 	}
-	c.store = kv.NewClient(storeTransport{c}, &cfg.Deployment)
-	c.elect = election.New(cfg.Name, c.ttl(), electionStore{c.store}, electionHost{c}, log)
-	c.initUsers()
+	c.store = kv.NewClient(storeTransport{c}, &settings.Deployment)
+	c.election = election.New(settings.Name, c.leaderLeaseDuration(), electionStore{c.store}, electionHost{c}, log)
+	c.initFrontEnd()
 	return c
 }
 
 // Step feeds one input at the steady time now and the time of day wall, and
 // returns what it leads to.
 func (c *Core) Step(now time.Duration, wall time.Time, in Input) Output {
-	c.noteStandstill(now)
+	c.logProcessPause(now)
 	if now > c.now {
 		c.now = now
 	}
-	c.wall = wall.UnixMilli()
+	c.wallClockMS = wall.UnixMilli()
 	c.out = Output{}
-	in.handle(c)
-	if c.lead != nil {
+	in.apply(c)
+	if c.leader != nil {
 		// Decisions wait for the next tick, so that no report's answer is late
 		// behind one; what they have changed is recorded at once.
 		_, tick := in.(Tick)
-		c.lead.settle(tick)
+		c.leader.decideAndRecord(tick)
 	}
 	return c.out
 }
@@ -113,45 +113,49 @@
 // Evaluations counts the machines that this core's decisions evaluated while it
 // has led: what they cost, independent of any clock.
 func (c *Core) Evaluations() int {
-	if c.lead == nil {
+	if c.leader == nil {
 		return 0
 	}
-	return c.lead.passes.evaluations
+	return c.leader.passes.evaluations
 }
 
 func (c *Core) onTick() {
-	c.elect.Tick()
-	c.tickTypes()
+	c.election.Tick()
+	c.tickMachineTypes()
 	c.tickPreload()
-	c.tickUsers()
-	c.tickForwards()
-	if c.now >= c.digestAt {
-		c.digestAt = c.now + c.ttl()/4
-		c.sendDigest()
-		c.tickReporters()
+	c.tickFrontEnd()
+	c.expireForwards()
+	if c.now >= c.digestDueAt {
+		c.digestDueAt = c.now + c.leaderLeaseDuration()/4
+		c.sendDigests()
+		c.forgetSilentWorkers()
 	}
-	if c.lead != nil {
-		c.lead.tick()
+	if c.leader != nil {
+		c.leader.tick()
 	}
 }
 
-func (c *Core) call(k Call, f func(Result)) {
+func (c *Core) call(request Call, done func(Result)) {
 	c.nextCall++
-	k.ID = c.nextCall
-	c.calls[k.ID] = f
-	c.out.Calls = append(c.out.Calls, k)
+	request.ID = c.nextCall
+	c.pendingCalls[request.ID] = done
+	c.out.Calls = append(c.out.Calls, request)
 }
 
-func (c *Core) answer(id uint64, status int, v any, retryAfter int) {
+func (c *Core) answer(requestID uint64, status int, value any, retryAfter int) {
 	body := []byte("{}")
-	if v != nil {
-		body = kv.Encode(v)
+	if value != nil {
+		body = kv.Encode(value)
 	}
-	c.out.Answers = append(c.out.Answers, Answer{ID: id, Status: status, Body: body, RetryAfter: retryAfter})
+	c.out.Answers = append(c.out.Answers, Answer{ID: requestID, Status: status, Body: body, RetryAfter: retryAfter})
 }
 
-func (c *Core) lease() time.Duration  { return config.Seconds(c.cfg.Deployment.Workers.LeaseS) }
-func (c *Core) report() time.Duration { return config.Seconds(c.cfg.Deployment.Workers.ReportS) }
+func (c *Core) workerLease() time.Duration {
+	return config.Seconds(c.settings.Deployment.Workers.LeaseS)
+}
+func (c *Core) heartbeatInterval() time.Duration {
+	return config.Seconds(c.settings.Deployment.Workers.ReportS)
+}
 
 // sortedKeys returns a map's keys in order, so that no map order shows.
 func sortedKeys[V any](m map[string]V) []string {
--- a/internal/core/gangroom_test.go
+++ b/internal/core/defragmentation_test.go
@@ -11,14 +11,14 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// gangRoomCase is a fleet with room for a gang that lies scattered.
-type gangRoomCase struct {
+// defragmentationCase is a fleet with room for a gang that lies scattered.
+type defragmentationCase struct {
 	name     string
 	machines []cachedMachine
 	running  []runningJob
 	job      wire.Job
 	waited   time.Duration // three minutes if 0
-	offered  bool          // machines can be rented
+	rentable bool          // machines can be rented
 	limit    float64       // GPUs that the gang's team may use; 100 if 0
 	want     []string      // tasks that move or stop
 	reserved []string      // machines kept for the gang
@@ -26,7 +26,7 @@
 
 // A gang of whole machines never began: replicas lay scattered over all machines
 // that the cloud had (TestOneType in package sim, seed 474).
-func TestRoomForGang(t *testing.T) {
+func TestDefragmentForGang(t *testing.T) {
 	service := func(id string, gpus float64, tasks int) wire.Job {
 		return wire.Job{ID: id, Team: "desk", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: tasks, GPUs: gpus, MemGB: 1, Image: "x", ImageGB: 1}
 	}
@@ -41,10 +41,10 @@
 		return runningJob{Job: service(id, 1, 1), on: []string{on}, ranFor: settled}
 	}
 	fixed := func(id, on string) runningJob { return runningJob{Job: service(id, 1, 1), on: []string{on}} }
-	x := []string{"x"}
-	four := []cachedMachine{{"n-1", "a", x}, {"n-2", "a", x}, {"n-3", "b", x}, {"n-4", "b", x}}
+	imageX := []string{"x"}
+	four := []cachedMachine{{"n-1", "a", imageX}, {"n-2", "a", imageX}, {"n-3", "b", imageX}, {"n-4", "b", imageX}}
 	scattered := []runningJob{one("job-1", "n-1"), one("job-2", "n-2"), one("job-3", "n-3"), one("job-4", "n-4")}
-	for _, tc := range []gangRoomCase{
+	for _, tc := range []defragmentationCase{
 		{
 			name: "replicas of one zone move", machines: four, running: scattered, job: gang,
 			want: []string{"job-1/0", "job-2/0"}, reserved: []string{"n-1", "n-2"},
@@ -55,7 +55,7 @@
 			want:    []string{"job-3/0"}, reserved: []string{"n-3", "n-4"},
 		},
 		{name: "not before it has waited long", machines: four, running: scattered, job: gang, waited: time.Minute},
-		{name: "not while machines can be rented", machines: four, running: scattered, job: gang, offered: true},
+		{name: "not while machines can be rented", machines: four, running: scattered, job: gang, rentable: true},
 		{name: "not at the team's limit", machines: four, running: scattered, job: gang, limit: 7},
 		{
 			name: "not one that has not settled", machines: four, job: gang,
@@ -63,7 +63,7 @@
 		},
 		{
 			name: "not to a machine without the image", job: gang,
-			machines: []cachedMachine{{"n-1", "a", x}, {"n-2", "a", x}, {"n-3", "b", nil}, {"n-4", "b", nil}},
+			machines: []cachedMachine{{"n-1", "a", imageX}, {"n-2", "a", imageX}, {"n-3", "b", nil}, {"n-4", "b", nil}},
 			running:  []runningJob{one("job-1", "n-1"), one("job-2", "n-2"), fixed("job-3", "n-3")},
 		},
 		{
@@ -72,7 +72,7 @@
 		},
 		{
 			name: "nobody where only one task would find room", job: gang,
-			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", x}),
+			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", imageX}),
 			running:  []runningJob{one("job-1", "n-1"), fixed("job-2", "n-2"), fixed("job-3", "n-5")},
 		},
 		{
@@ -82,7 +82,7 @@
 		},
 		{
 			name: "no more than so many for one task", job: with(gang, func(j *wire.Job) { j.Tasks, j.GPUs = 1, 8 }),
-			machines: []cachedMachine{{"n-1", "a", x}, {"n-2", "a", x}, {"n-3", "a", x}, {"n-4", "a", x}, {"n-5", "a", x}, {"n-6", "a", x}},
+			machines: []cachedMachine{{"n-1", "a", imageX}, {"n-2", "a", imageX}, {"n-3", "a", imageX}, {"n-4", "a", imageX}, {"n-5", "a", imageX}, {"n-6", "a", imageX}},
 			running: []runningJob{
 				one("job-1", "n-1"), one("job-2", "n-1"), one("job-3", "n-1"), one("job-4", "n-1"), one("job-5", "n-1"),
 				{Job: service("job-6", 4, 5), on: []string{"n-2", "n-3", "n-4", "n-5", "n-6"}},
@@ -90,19 +90,19 @@
 		},
 		{
 			name: "a machine takes the replicas of one job", job: gang,
-			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", x}),
+			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", imageX}),
 			running:  []runningJob{one("job-1", "n-1"), one("job-2", "n-2"), fixed("job-3", "n-5")},
 		},
 		{
 			name: "as many of it as it has room for", job: gang,
-			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", x}),
+			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", imageX}),
 			running:  []runningJob{{Job: service("job-1", 2, 2), on: []string{"n-1", "n-2"}, ranFor: settled}, fixed("job-3", "n-5")},
 		},
 		{
 			name: "replicas of a spread job do not meet in another zone", job: gang,
-			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", x}),
+			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", imageX}),
 			running: []runningJob{
-				{Job: with(service("job-1", 1, 3), func(j *wire.Job) { j.Spread = true }), on: []string{"n-1", "n-2", "n-5"}, ranFor: settled},
+				{Job: with(service("job-1", 1, 3), func(j *wire.Job) { j.SpreadZones = true }), on: []string{"n-1", "n-2", "n-5"}, ranFor: settled},
 			},
 		},
 		{
@@ -117,27 +117,27 @@
 	}
 }
 
-func (tc *gangRoomCase) run(t *testing.T) {
-	b, l := leading(t, func(s *config.Settings) {
+func (tc *defragmentationCase) run(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "desk", GPUsMax: 100}}
 	})
-	machineType := wire.MachineType{Name: "g", CPUs: 16, GPUs: max(4, tc.job.GPUs), MemGB: 64, BootS: 30, FetchGBPS: 1, CacheGB: 200, Price: 4}
-	if tc.offered {
+	machineType := wire.MachineType{Name: "g", CPUs: 16, GPUs: max(4, tc.job.GPUs), MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4}
+	if tc.rentable {
 		machineType.Zones = []string{"a", "b"}
 	}
-	b.c.types = map[string]*wire.MachineType{"g": &machineType}
-	b.c.now = 1000 * time.Second
-	idleMachines(l, tc.machines, "g", 1)
-	running := bindRunning(l, tc.running)
+	harness.core.machineTypes = map[string]*wire.MachineType{"g": &machineType}
+	harness.core.now = 1000 * time.Second
+	idleMachines(leader, tc.machines, "g", 1)
+	running := bindRunning(leader, tc.running)
 	j := newJob(records.Open{Job: tc.job}, 2)
-	l.layOut(j)
-	j.since = l.c.wall - cmp.Or(tc.waited, 3*time.Minute).Milliseconds()
-	c := &candidate{job: j, pending: j.unplacedTasks(), preemptionRank: j.rank}
-	l.newPlacementPass().placeCandidate(c)
+	leader.initPlacementRecords(j)
+	j.waitingSinceMS = leader.core.wallClockMS - cmp.Or(tc.waited, 3*time.Minute).Milliseconds()
+	c := &candidate{job: j, pending: j.unplacedTasks(), preemptionPriority: j.level}
+	leader.newPlacementPass().placeCandidate(c)
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) {
 		t.Errorf("%q move or stop, want %q", stopped, tc.want)
 	}
-	if reserved := reservedMachines(l, j); !slices.Equal(reserved, tc.reserved) {
+	if reserved := reservedMachines(leader, j); !slices.Equal(reserved, tc.reserved) {
 		t.Errorf("kept %q, want %q", reserved, tc.reserved)
 	}
 }
--- /dev/null
+++ b/internal/core/dependencies.go
@@ -0,0 +1,285 @@
+package core
+
+import (
+	"math"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/depgraph"
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// A job that awaits others holds its place in the dependency graph
+// (package depgraph) and nothing else: it is pending, outside its team's limit
+// and guarantee, and none of its tasks may be placed. It goes on when its open
+// record says so (ReadyAt), which is written on the condition that the open
+// records of the jobs it awaited are gone, after their ends were read or written
+// as done. Every placement is conditional on that record in turn, so no start
+// rests on a leader's memory of an end.
+//
+// A cancellation takes all dependents along, nearest or not. They have no tasks,
+// so their ends are recorded at once; the end of the job itself, and with it the
+// answer to its user, follows when none of them is left. A next leader finds the
+// job cancelled and goes on where the last one stopped.
+
+// addDependencies enters a new job into the graph.
+func (l *leader) addDependencies(job *job) {
+	if job.record.ReadyAt != 0 {
+		// The end of the last one is on record: a leader that counted its waiting
+		// from the submission would take it for one that waits far too long.
+		job.waitingSinceMS = job.record.ReadyAt
+	}
+	if len(job.Dependencies) == 0 || job.record.ReadyAt != 0 {
+		l.recordArrival(job)
+		return
+	}
+	job.waiting = true
+	if ref, ok := parseListRef(job.Dependencies); ok {
+		job.list, job.Dependencies = ref, nil
+		l.readList(job)
+		return
+	}
+	l.addDependencyNames(job, job.Dependencies)
+}
+
+// addDependencyNames takes in which jobs a new job awaits.
+func (l *leader) addDependencyNames(j *job, names []string) {
+	j.Dependencies = names
+	l.dependencies.Add(j.ID, names)
+	l.core.log.Debug("job waits for", "job", j.ID, "awaited", names)
+	if l.recordsLoaded {
+		// A leader that takes over tells how many wait with the records loaded.
+		l.core.log.Info("job waits", "job", j.ID, "for", len(j.Dependencies))
+		l.resolveDependencies(j)
+		l.propagateUrgency(j)
+	}
+}
+
+// resolveDependencies finds out what has become of the jobs that a new job awaits.
+func (l *leader) resolveDependencies(job *job) {
+	if !job.waiting || job.cancellation.Requested() {
+		return
+	}
+	for _, a := range job.Dependencies {
+		switch x := l.jobs[a]; {
+		case x == nil:
+			l.lookUpDependency(a)
+		case x.cancellation.Requested() && !job.cancellation.Requested():
+			// Not all that needs the cancelled one: each of them comes here.
+			l.cancelWith([]string{job.ID}, a)
+			l.cancelDependents(job.ID)
+		}
+	}
+}
+
+// dependencyLookups is what the leader keeps of its look-ups of awaited jobs.
+type dependencyLookups struct {
+	dueAt   map[string]time.Duration // jobs that are being looked up; when next
+	running int
+}
+
+// lookUpDependency looks up an awaited job that is not among the open ones: its end
+// is on record.
+func (l *leader) lookUpDependency(id string) {
+	if _, ok := l.lookups.dueAt[id]; ok || !l.dependencies.Needed(id) {
+		return
+	}
+	if l.lookups.running >= l.core.maxWaitingRequests()/8 {
+		l.lookups.dueAt[id] = l.core.now // users' questions go the same way
+		return
+	}
+	l.lookups.running++
+	l.lookups.dueAt[id] = math.MaxInt64
+	l.core.lookupJob(id, func(result lookupResult) {
+		l.lookups.running--
+		switch {
+		case l.steppedDown:
+		case result.final != nil:
+			delete(l.lookups.dueAt, id)
+			l.dependencyEnded(id, result.final.Status)
+		case result.open != nil:
+			delete(l.lookups.dueAt, id)
+			l.applyOpenRecord(id, result.open.version, result.open.record)
+		default:
+			l.lookups.dueAt[id] = l.core.now + l.core.leaderLeaseDuration()/8
+		}
+	})
+}
+
+// tickDependencies looks again where no answer came.
+func (l *leader) tickDependencies() {
+	for _, id := range sortedKeys(l.lookups.dueAt) {
+		if l.core.now >= l.lookups.dueAt[id] {
+			delete(l.lookups.dueAt, id)
+			l.lookUpDependency(id)
+		}
+	}
+}
+
+// dependencyEnded takes in that a job's end is on record: its dependents go on, or
+// end with it.
+func (l *leader) dependencyEnded(id string, status wire.JobState) {
+	if l.dependencies.Needed(id) {
+		l.core.log.Debug("awaited job over", "job", id, "status", status)
+	}
+	if status != wire.StatusDone {
+		l.cancelDependents(id)
+		return
+	}
+	for _, y := range l.dependencies.Done(id) {
+		if j := l.jobs[y]; j != nil && j.waiting && !j.cancellation.Requested() {
+			j.dependenciesDone = true
+			l.writer.dirty = true
+		}
+	}
+}
+
+// markReady takes in what an open record says of the jobs that were awaited.
+func (l *leader) markReady(j *job) {
+	if !j.waiting || j.record.ReadyAt == 0 {
+		return
+	}
+	l.core.log.Info("job goes on", "job", j.ID)
+	j.waiting, j.dependenciesDone = false, false
+	j.waitingSinceMS = j.record.ReadyAt
+	l.dependencies.Drop(j.ID)
+	l.recordArrival(j)
+	l.passes.requested = true
+}
+
+// cancelDependents cancels all jobs that need a cancelled one. What a job needs that
+// was cancelled before is cancelled already.
+func (l *leader) cancelDependents(id string) {
+	l.cancelWith(l.dependencies.After(id, func(y string) bool {
+		j := l.jobs[y]
+		return j != nil && !j.cancellation.Requested()
+	}), id)
+}
+
+// cancelWith cancels jobs with one that they need.
+func (l *leader) cancelWith(ids []string, with string) {
+	var before []string
+	for _, id := range ids {
+		l.core.log.Info("job cancelled", "job", id, "with", with)
+		l.markCancelled(l.jobs[id])
+		l.dependencies.EachAwaited(id, func(a string) { before = append(before, a) })
+	}
+	l.recomputeUrgency(before)
+}
+
+// hasLiveDependents tells whether any dependent of a job is not over, or may not be.
+func (l *leader) hasLiveDependents(id string) bool {
+	if j := l.jobs[id]; j != nil && l.mayHaveUnknownDependents(j) {
+		return true
+	}
+	return l.dependencies.AnyDependent(id, func(y string) bool {
+		j := l.jobs[y]
+		return j != nil && !j.endRecorded && !j.endWritePending
+	})
+}
+
+// mayHaveUnknownDependents tells whether a job may have dependents that are not known yet,
+// since a list of awaited jobs is still to be read.
+func (l *leader) mayHaveUnknownDependents(j *job) bool {
+	return j.record.HasDependents && len(l.dependencyLists.unread) > 0
+}
+
+// ownDeadline is when a job's user wants it done, as a time of day in seconds.
+func ownDeadline(rec *records.Open) float64 {
+	if rec.Job.DeadlineS == nil {
+		return math.Inf(1)
+	}
+	return float64(rec.SubmittedAt)/1000 + *rec.Job.DeadlineS
+}
+
+// propagateUrgency gives the jobs that others need the highest priority among these, and the
+// time by which they have to be done so that the rest of the chain can be, if
+// either is more urgent than their own: users name both on the last job only. A
+// job is looked at after all of its dependents that change, and so once: taken up
+// by way of each path, a job of a layered graph would be looked at as often as
+// there are paths.
+func (l *leader) propagateUrgency(dependents ...*job) {
+	var changed depgraph.Worklist
+	for _, job := range dependents {
+		changed.Add(job.ID, l.dependencies.Level(job.ID))
+	}
+	for id, ok := changed.Next(); ok; id, ok = changed.Next() {
+		job := l.jobs[id]
+		if job == nil || job.cancellation.Requested() || !job.waiting {
+			continue
+		}
+		due := job.deadline - l.runEstimate(job)
+		l.dependencies.EachAwaited(id, func(a string) {
+			x := l.jobs[a]
+			if x == nil || x.cancellation.Requested() || x.level >= job.level && x.deadline <= due {
+				return
+			}
+			l.setUrgency(x, max(x.level, job.level), min(x.deadline, due))
+			l.queueDependency(&changed, id, a)
+		})
+	}
+}
+
+// recomputeUrgency finds out what jobs are left with when one that needed them is not
+// there any more, or is cancelled.
+func (l *leader) recomputeUrgency(ids []string) {
+	var changed depgraph.Worklist
+	for _, id := range ids {
+		changed.Add(id, l.dependencies.Level(id))
+	}
+	for id, ok := changed.Next(); ok; id, ok = changed.Next() {
+		j := l.jobs[id]
+		if j == nil || j.cancellation.Requested() || j.level == priorityLevel[j.Priority] && j.deadline == ownDeadline(&j.record) {
+			continue
+		}
+		rank, due := l.inheritedUrgency(j)
+		if rank == j.level && due == j.deadline {
+			continue
+		}
+		l.setUrgency(j, rank, due)
+		l.dependencies.EachAwaited(id, func(a string) { l.queueDependency(&changed, id, a) })
+	}
+}
+
+// queueDependency has an awaited job looked at after a job that has changed.
+func (l *leader) queueDependency(changed *depgraph.Worklist, id, awaited string) {
+	if level := l.dependencies.Level(awaited); level < l.dependencies.Level(id) {
+		changed.Add(awaited, level)
+	}
+}
+
+// inheritedUrgency returns the rank of a job and the time by which it has to be done, as its
+// user and its dependents want it.
+func (l *leader) inheritedUrgency(j *job) (rank int, due float64) {
+	rank, due = priorityLevel[j.Priority], ownDeadline(&j.record)
+	l.dependencies.EachDependent(j.ID, func(y string) {
+		if o := l.jobs[y]; o != nil && !o.cancellation.Requested() {
+			rank, due = max(rank, o.level), min(due, o.deadline-l.runEstimate(o))
+		}
+	})
+	return rank, due
+}
+
+// setUrgency changes a job's rank and the time by which it has to be done.
+func (l *leader) setUrgency(j *job, rank int, due float64) {
+	if rank != j.level {
+		l.setPriority(j, rank)
+	}
+	j.deadline = due
+	l.passes.requested = true
+}
+
+// setPriority changes a job's rank, and with it what machines count by rank.
+func (l *leader) setPriority(job *job, rank int) {
+	for i := range job.tasks {
+		if m := job.tasks[i].machine; m != nil {
+			m.adjustUsage(job, -1)
+		}
+	}
+	job.level = rank
+	for i := range job.tasks {
+		if m := job.tasks[i].machine; m != nil {
+			m.adjustUsage(job, 1)
+		}
+	}
+}
--- /dev/null
+++ b/internal/core/dependencies_test.go
@@ -0,0 +1,298 @@
+package core
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"testing"
+
+	stdjson "encoding/json"
+
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// newLeadingHarness makes a harness whose core leads and has loaded its records.
+func newLeadingHarness(t *testing.T, change func(*config.Settings)) (*harness, *leader) {
+	b := newHarness(t, testMachineTypes)
+	change(b.core.settings)
+	b.write(election.KeyTerm, "", []byte("5"))
+	l := b.lead()
+	l.recordsLoaded = true
+	return b, l
+}
+
+// addRecord writes a job's open record and has the leader learn of it.
+func addRecord(harness *harness, leader *leader, spec wire.Job, change func(*records.Open)) {
+	if spec.Class == "" {
+		spec.Class, spec.Team, spec.Shape, spec.Priority, spec.CPUs, spec.MemGB = "c", "vision", wire.ShapeArray, wire.PriorityIdle, 4, 1
+	}
+	if spec.Tasks == 0 {
+		spec.Tasks = 1
+	}
+	rec := records.Open{Job: spec, SubmittedAt: harness.core.wallClockMS}
+	if change != nil {
+		change(&rec)
+	}
+	key := records.OpenKey(spec.ID)
+	harness.write(key, "", kv.Encode(rec))
+	leader.applyOpenRecord(spec.ID, harness.store[key].Version, rec)
+}
+
+// TestInheritance raises a job to the highest priority, and the earliest deadline less
+// the estimates on the way, of any job that needs it, also where it runs
+// already; what its dependents lose, it loses.
+func TestInheritance(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	due := 900.0
+	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
+	machine := leader.machineNamed("n-000001")
+	leader.place(leader.jobs["job-1"], 0, machine)
+	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, func(r *records.Open) { r.Job.EstimatedRunS = 50 })
+	addRecord(harness, leader, wire.Job{ID: "job-3", Dependencies: []string{"job-2"}}, func(r *records.Open) {
+		r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
+	})
+	end := float64(harness.core.wallClockMS)/1000 + due
+	for id, want := range map[string]float64{"job-1": end - 70, "job-2": end - 20, "job-3": end} {
+		if j := leader.jobs[id]; j.level != priorityLevel[wire.PriorityUrgent] || math.Abs(j.deadline-want) > 1e-3 {
+			t.Errorf("%s: rank %d, due %.0f s before the end, want %.0f", id, j.level, end-j.deadline, end-want)
+		}
+	}
+	if machine.usedByLevel[priorityLevel[wire.PriorityUrgent]].CPUs != 4 || machine.usedByLevel[0].CPUs != 0 {
+		t.Errorf("the machine counts %v by priority", machine.usedByLevel)
+	}
+	leader.forget(leader.jobs["job-3"])
+	if j := leader.jobs["job-1"]; j.level != 0 || !math.IsInf(j.deadline, 1) {
+		t.Errorf("without its dependent: rank %d, due %v", j.level, j.deadline)
+	}
+}
+
+// TestWaitingHoldsNothing has a job that awaits another ask for no machine and
+// no part of its team's guarantee, until its record says that it may go on.
+func TestWaitingHoldsNothing(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
+	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, nil) // 4 of 8 CPUs guaranteed
+	addRecord(harness, leader, wire.Job{ID: "job-3"}, nil)
+	leader.markWithinQuota()
+	if !leader.jobs["job-1"].withinQuota || leader.jobs["job-2"].withinQuota || !leader.jobs["job-3"].withinQuota {
+		t.Error("within the guarantee: jobs 1 and 3, not the waiting one before it")
+	}
+	if n := len(leader.jobs["job-2"].pendingTasks()); n != 0 {
+		t.Errorf("%d tasks of a waiting job may be placed", n)
+	}
+	since := leader.jobs["job-2"].waitingSinceMS
+	j := leader.jobs["job-1"]
+	j.tasksDone, j.tasks[0].done, leader.writer.dirty = 1, true, true
+	harness.run(2e9)
+	if len(leader.jobs["job-2"].pendingTasks()) != 1 || !strings.Contains(string(harness.store[records.OpenKey("job-2")].Value), `"ra":`) {
+		t.Errorf("it does not go on: %s", harness.store[records.OpenKey("job-2")].Value)
+	}
+	if leader.jobs["job-2"].waitingSinceMS <= since {
+		t.Error("its waiting counts from its submission")
+	}
+}
+
+// TestDependentsEndFirst cancels a chain and a diamond: at no moment is a job's
+// end on record while one that needs it is open, in however small steps.
+func TestDependentsEndFirst(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.TxnOps = 2 })
+	needs := map[string][]string{"job-2": {"job-1"}, "job-3": {"job-1"}, "job-4": {"job-2", "job-3"}, "job-5": {"job-4"}}
+	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
+	for _, id := range sortedKeys(needs) {
+		addRecord(harness, leader, wire.Job{ID: id, Dependencies: needs[id]}, nil)
+	}
+	over := func(id string) bool { return harness.store[records.FinalKey(id)].Key != "" }
+	harness.afterCommit = func() {
+		for id, before := range needs {
+			for _, a := range before {
+				if over(a) && !over(id) {
+					t.Errorf("%s is over before %s", a, id)
+				}
+			}
+		}
+	}
+	addRecord(harness, leader, wire.Job{ID: "job-1"}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
+	harness.run(2e9)
+	for _, id := range []string{"job-1", "job-2", "job-3", "job-4", "job-5"} {
+		if !over(id) || harness.store[records.OpenKey(id)].Key != "" {
+			t.Errorf("%s is not over", id)
+		}
+	}
+}
+
+// TestDependencyEndIsNotTakenFromPeer does not take a leader's word for a job that others need:
+// while it cannot read, it does not know of the latest of them.
+func TestDependencyEndIsNotTakenFromPeer(t *testing.T) {
+	harness := newHarness(t, testMachineTypes)
+	harness.write(election.KeyTerm, "", []byte("5"))
+	id := "job-000412"
+	if a := harness.request("POST", "/submissions", body()); a.Status != 201 {
+		t.Fatalf("%d %s", a.Status, a.Body)
+	}
+	if a := harness.request("POST", "/submissions", submissionAwaiting(9, `["`+id+`"]`)); a.Status != 201 {
+		t.Fatalf("%d %s", a.Status, a.Body)
+	}
+	harness.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+	harness.core.peers["n1"] = &peerState{}
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 5, Leader: true, HearsLeader: true, StoreOK: true}}})
+	harness.nextReq++
+	harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + id + "/cancel"})
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Gone: []string{id}, TermVersion: harness.store[election.KeyTerm].Version}}})
+	if a := harness.answers[harness.nextReq]; a.Status != 503 || a.RetryAfter == 0 {
+		t.Errorf("answered %d %s, want 503 and when to come back", a.Status, a.Body)
+	}
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Over: []wire.JobEnd{{ID: id, Status: string(wire.StatusCancelled), Tasks: 16}}}}})
+	if a := harness.request("POST", "/submissions/"+id+"/cancel", ""); a.Status != 200 {
+		t.Errorf("answered %d %s once its end is on record", a.Status, a.Body)
+	}
+}
+
+// TestPlacementsAreDeleted ends a job that has more placement records than go into
+// one transaction: none is left.
+func TestPlacementsAreDeleted(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
+		s.Deployment.Store.TxnOps, s.Deployment.Store.ValueKB = 5, 1
+	})
+	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
+	job := leader.jobs["job-1"]
+	for i := range job.placementRecords {
+		harness.write(job.placementRecords[i].key, "", []byte(`{"n":1}`))
+		job.placementRecords[i].version = harness.store[job.placementRecords[i].key].Version
+	}
+	if len(job.placementRecords) < 10 {
+		t.Fatalf("%d records", len(job.placementRecords))
+	}
+	for i := range job.tasks {
+		leader.markDone(job, i)
+	}
+	harness.run(2e9)
+	if harness.store[records.FinalKey("job-1")].Key == "" {
+		t.Error("the job is not over")
+	}
+	for k := range harness.store {
+		if strings.HasPrefix(k, records.PrefixPlacement) {
+			t.Errorf("%s is left", k)
+		}
+	}
+}
+
+// TestLayoutChanges moves a job from numbered records to those that name their
+// range. A copy of an earlier write of the numbered record, carried out late,
+// must fail: it would bring back what the new records have overtaken.
+func TestLayoutChanges(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
+		s.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+		s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1}
+	})
+	harness.core.peers["n1"] = &peerState{}
+	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
+	job := leader.jobs["job-1"]
+	for i := range job.tasks[:60] {
+		m := leader.machineNamed(fmt.Sprintf("n-%06d", i))
+		job.tasks[i] = task{attempt: uint64(i + 1), zone: "a", incarnation: 1, placedThisTerm: true}
+		job.nextAttempt = uint64(i + 2)
+		leader.place(job, i, m)
+		leader.markPlacementChanged(job, i, false)
+	}
+	harness.run(1e9)
+	late := ""
+	for _, c := range harness.commits {
+		if strings.Contains(c, `"put":"p/job-1/0"`) {
+			late = c
+		}
+	}
+	if late == "" || strings.Contains(strings.Join(harness.commits, "\n"), "p/job-1/0-") {
+		t.Fatalf("while a controller has the earlier version, its layout is written: %v", sortedKeys(harness.store))
+	}
+	// The answer to that write was lost, and it may still come: as a first one
+	// would, on the condition that no record exists.
+	delete(harness.store, "p/job-1/0")
+	job.placementRecords[0].version, job.placementRecords[0].dirty, job.placementRecords[0].dueAt = 0, true, 0
+	leader.writer.dirty = true
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersion}}})
+	harness.run(1e9)
+	if status, _ := harness.commit([]byte(late)); status != 409 {
+		t.Errorf("the late copy is answered %d, want 409", status)
+	}
+	named := 0
+	for k, it := range harness.store {
+		if strings.HasPrefix(k, "p/job-1/") {
+			named++
+			if len(it.Value) > 1024 || !strings.Contains(k, "-1") && !strings.Contains(k, "-2") && strings.Count(k, "-") < 2 {
+				t.Errorf("%s: %d bytes", k, len(it.Value))
+			}
+		}
+	}
+	if named < 5 {
+		t.Errorf("%d records", named)
+	}
+	// A next leader finds all of it.
+	successor := newLeader(harness.core, election.Leadership{Term: 6, TermVersion: leader.leadership.TermVersion, Lease: 1})
+	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
+	var found []loadedPlacement
+	for _, k := range sortedKeys(harness.store) {
+		if strings.HasPrefix(k, records.PrefixPlacement) {
+			r, ok := records.ParsePlacementKey(k, harness.core.tasksPerNumberedRecord())
+			p := loadedPlacement{PlacementRange: r, key: k, version: harness.store[k].Version}
+			if !ok || stdjson.Unmarshal(harness.store[k].Value, &p.record) != nil {
+				t.Fatalf("%s is not read", k)
+			}
+			found = append(found, p)
+		}
+	}
+	successor.adoptPlacements(successor.jobs["job-1"], found)
+	if got := successor.jobs["job-1"]; got.tasksPlaced != 60 || got.nextAttempt != 61 || got.numbered {
+		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.tasksPlaced, got.nextAttempt, got.numbered)
+	}
+}
+
+// TestAdoptPrefersRanges reads records of both layouts that disagree: those that
+// name their range stand above the numbered ones.
+func TestAdoptPrefersRanges(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1} })
+	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 30}, nil)
+	job := leader.jobs["job-1"]
+	leader.adoptPlacements(job, []loadedPlacement{
+		{key: "p/job-1/0", version: 5, PlacementRange: records.PlacementRange{From: 0, To: 128, Numbered: true}, record: records.Placement{NextAttempt: 40, Done: []int{3}, Tasks: []records.PlacedTask{
+			{Task: 1, Attempt: 1, Machine: "n-000001", Zone: "a", Incarnation: 1}, {Task: 20, Attempt: 2, Machine: "n-000001", Zone: "a", Incarnation: 1}}}},
+		{key: "p/job-1/0-12", version: 9, PlacementRange: records.PlacementRange{From: 0, To: 12}, record: records.Placement{NextAttempt: 50, Tasks: []records.PlacedTask{
+			{Task: 2, Attempt: 45, Machine: "n-000002", Zone: "b", Incarnation: 3}}}},
+	})
+	if job.tasks[1].machine != nil || job.tasks[2].machine == nil || job.tasks[2].machine.name != "n-000002" || job.tasks[20].machine == nil || !job.tasks[3].done || job.nextAttempt != 50 {
+		t.Errorf("read as %+v", job.tasks[:21])
+	}
+	for i := range job.tasks {
+		if ch := job.placementRecordOf(i); i < ch.from || i >= ch.to || strings.Count(ch.key, "-") != 2 {
+			t.Errorf("task %d is covered by %s", i, ch.key)
+		}
+	}
+	if keys := job.placementKeys(); len(keys) != 2 {
+		t.Errorf("records to delete at the end: %v", keys)
+	}
+}
+
+// TestPreemptionPriority has a job queue by the rank of its dependent at once, and stop other
+// work by it only once the chain has less time left than the job takes.
+func TestPreemptionPriority(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	due := 100.0
+	addRecord(harness, leader, wire.Job{ID: "job-1"}, func(r *records.Open) { r.Job.EstimatedRunS = 30 })
+	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, func(r *records.Open) {
+		r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
+	})
+	j, urgent := leader.jobs["job-1"], priorityLevel[wire.PriorityUrgent]
+	if j.level != urgent || leader.preemptionPriority(j) != 0 {
+		t.Errorf("with 50 s to spare of 30: rank %d, stops by %d", j.level, leader.preemptionPriority(j))
+	}
+	harness.core.wallClockMS += 25_000
+	if leader.preemptionPriority(j) != urgent {
+		t.Errorf("with 25 s to spare of 30 it stops by %d", leader.preemptionPriority(j))
+	}
+	if leader.preemptionPriority(leader.jobs["job-2"]) != urgent {
+		t.Error("a job's own priority counts at all times")
+	}
+}
--- a/internal/core/chains_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -39,9 +39,9 @@
 	return n
 }
 
-// graphs returns the shapes that cost the most: long, wide either way, and
+// costlyGraphs returns the shapes that cost the most: long, wide either way, and
 // layered, where the paths are many more than the jobs.
-func graphs() map[string]*graph {
+func costlyGraphs() map[string]*graph {
 	chain, needed, needing, layers := &graph{}, &graph{}, &graph{}, &graph{}
 	last := chain.add("job-1000")
 	root := needed.add("job-1000")
@@ -68,7 +68,7 @@
 // recordGraph has a leader learn of a graph's jobs, with estimates that differ.
 func recordGraph(b *harness, l *leader, g *graph) {
 	for n, id := range g.order {
-		record(b, l, wire.Job{ID: id, Awaits: g.awaits[id]}, func(r *records.Open) { r.Job.EstimateS = float64(1 + n%3) })
+		addRecord(b, l, wire.Job{ID: id, Dependencies: g.awaits[id]}, func(r *records.Open) { r.Job.EstimatedRunS = float64(1 + n%3) })
 	}
 }
 
@@ -77,52 +77,52 @@
 // paths: of these, layers have more than can ever be followed.
 func TestClaimsCost(t *testing.T) {
 	due := 1e6
-	for name, g := range graphs() {
+	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
-			b, l := leading(t, func(*config.Settings) {})
+			b, l := newLeadingHarness(t, func(*config.Settings) {})
 			recordGraph(b, l, g)
-			before := l.deps.Steps()
+			before := l.dependencies.Steps()
 			if most := 20 * (len(g.order) + g.edges()); before > most {
 				t.Errorf("%d steps for %d jobs that await %d, want at most %d", before, len(g.order), g.edges(), most)
 			}
 			tail := g.order[len(g.order)-1]
-			record(b, l, wire.Job{ID: "job-10000", Awaits: []string{tail}}, func(r *records.Open) {
-				r.Job.Priority, r.Job.DeadlineS, r.Job.EstimateS = wire.PriorityUrgent, &due, 20
+			addRecord(b, l, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) {
+				r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
 			})
-			want := wantClaims(b, l, g, tail, due)
+			want := wantInherited(b, l, g, tail, due)
 			for _, id := range g.order {
 				j := l.jobs[id]
 				w, claimed := want[id]
-				if claimed != (j.rank == priorityRank[wire.PriorityUrgent]) || claimed && math.Abs(j.due-w) > 1e-3 {
-					t.Fatalf("%s: rank %d, due %f, want %v %f", id, j.rank, j.due, claimed, w)
+				if claimed != (j.level == priorityLevel[wire.PriorityUrgent]) || claimed && math.Abs(j.deadline-w) > 1e-3 {
+					t.Fatalf("%s: rank %d, due %f, want %v %f", id, j.level, j.deadline, claimed, w)
 				}
 			}
-			if steps, most := l.deps.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
+			if steps, most := l.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("the claim took %d steps, want at most %d", steps, most)
 			}
-			before = l.deps.Steps()
-			record(b, l, wire.Job{ID: "job-10000", Awaits: []string{tail}}, func(r *records.Open) { r.Cancelled, r.AskedAt = true, b.c.wall })
+			before = l.dependencies.Steps()
+			addRecord(b, l, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
 			for _, id := range g.order {
-				if j := l.jobs[id]; j.rank != 0 || !math.IsInf(j.due, 1) {
-					t.Fatalf("%s without the claim: rank %d, due %f", id, j.rank, j.due)
+				if j := l.jobs[id]; j.level != 0 || !math.IsInf(j.deadline, 1) {
+					t.Fatalf("%s without the claim: rank %d, due %f", id, j.level, j.deadline)
 				}
 			}
-			if steps, most := l.deps.Steps()-before, 5*(len(g.order)+g.edges()); steps > most {
+			if steps, most := l.dependencies.Steps()-before, 5*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("to take it back took %d steps, want at most %d", steps, most)
 			}
 		})
 	}
 }
 
-// wantClaims works out by when the jobs before a job have to be done.
-func wantClaims(b *harness, l *leader, g *graph, tail string, due float64) map[string]float64 {
-	want := map[string]float64{tail: float64(b.c.wall)/1000 + due - 20}
+// wantInherited works out by when the jobs before a job have to be done.
+func wantInherited(b *harness, l *leader, g *graph, tail string, due float64) map[string]float64 {
+	want := map[string]float64{tail: float64(b.core.wallClockMS)/1000 + due - 20}
 	for n := len(g.order) - 1; n >= 0; n-- {
 		id := g.order[n]
 		if w, ok := want[id]; ok {
 			for _, a := range g.awaits[id] {
-				if have, ok := want[a]; !ok || w-l.jobs[id].EstimateS < have {
-					want[a] = w - l.jobs[id].EstimateS
+				if have, ok := want[a]; !ok || w-l.jobs[id].EstimatedRunS < have {
+					want[a] = w - l.jobs[id].EstimatedRunS
 				}
 			}
 		}
@@ -135,21 +135,21 @@
 // few transactions as the ends fill: a chain that took one for each job would
 // take longer than cancel_s where the state service answers slowly.
 func TestCancelCost(t *testing.T) {
-	for name, g := range graphs() {
+	for name, g := range costlyGraphs() {
 		for _, next := range []bool{false, true} {
 			for _, ops := range []int{16, 5, 2} {
 				t.Run(fmt.Sprintf("%s/%d changes/next leader %v", name, ops, next), func(t *testing.T) {
-					b, l := leading(t, func(s *config.Settings) { s.Deployment.State.Next = &config.State{TxnOps: ops} })
+					b, l := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: ops} })
 					recordGraph(b, l, g)
 					root := g.order[0]
-					before := l.deps.Steps()
+					before := l.dependencies.Steps()
 					needs := map[string]bool{root: true}
 					for _, id := range g.order {
 						for _, a := range g.awaits[id] {
 							needs[id] = needs[id] || needs[a]
 						}
 					}
-					b.watch = func() {
+					b.afterCommit = func() {
 						if b.store[records.FinalKey(root)].Key == "" {
 							return
 						}
@@ -164,7 +164,7 @@
 						l = nextLeader(b, l, root)
 						before = 0
 					} else {
-						record(b, l, wire.Job{ID: root}, func(r *records.Open) { r.Cancelled, r.AskedAt = true, b.c.wall })
+						addRecord(b, l, wire.Job{ID: root}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
 					}
 					b.run(5 * time.Second)
 					for _, id := range g.order {
@@ -181,7 +181,7 @@
 					if most := (len(needs)+ops/2-1)/(ops/2) + 1; ends > most {
 						t.Errorf("%d transactions for %d ends, want at most %d", ends, len(needs), most)
 					}
-					if steps, most := l.deps.Steps()-before, 20*(len(g.order)+g.edges()); steps > most {
+					if steps, most := l.dependencies.Steps()-before, 20*(len(g.order)+g.edges()); steps > most {
 						t.Errorf("%d steps for %d jobs that await %d, want at most %d", steps, len(g.order), g.edges(), most)
 					}
 				})
@@ -193,9 +193,9 @@
 // nextLeader has a new leader load the records, of which one tells that its user
 // wants it cancelled.
 func nextLeader(b *harness, old *leader, cancelled string) *leader {
-	old.deposed = true
-	l := newLeader(b.c, election.Mandate{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
-	b.c.lead = l
+	old.steppedDown = true
+	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
+	b.core.leader = l
 	for _, key := range sortedKeys(b.store) {
 		id, open := strings.CutPrefix(key, records.PrefixOpen)
 		if !open {
@@ -204,37 +204,37 @@
 		var rec records.Open
 		stdjson.Unmarshal(b.store[key].Value, &rec)
 		if id == cancelled {
-			rec.Cancelled, rec.AskedAt = true, b.c.wall
+			rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
 			b.write(key, "", kv.Encode(rec))
 		}
-		l.noteOpen(id, b.store[key].Version, rec)
+		l.applyOpenRecord(id, b.store[key].Version, rec)
 	}
-	l.becomeReady()
+	l.recordsComplete()
 	return l
 }
 
 // TestEndsCost has the jobs that one needs end one by one, and the one that many
 // need: each end costs what hangs on it.
 func TestEndsCost(t *testing.T) {
-	for name, g := range graphs() {
+	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
-			b, l := leading(t, func(*config.Settings) {})
+			b, l := newLeadingHarness(t, func(*config.Settings) {})
 			recordGraph(b, l, g)
-			before := l.deps.Steps()
+			before := l.dependencies.Steps()
 			for _, id := range g.order {
-				if j := l.jobs[id]; j.waits && !j.awaitedDone {
+				if j := l.jobs[id]; j.waiting && !j.dependenciesDone {
 					t.Fatalf("%s still waits though all before it are done", id)
 				}
 				j := l.jobs[id]
-				j.waits, j.awaitedDone = false, false // as when its record says that it goes on
-				l.deps.Drop(id)
+				j.waiting, j.dependenciesDone = false, false // as when its record says that it goes on
+				l.dependencies.Drop(id)
 				delete(l.jobs, id)
-				l.awaitedOver(id, wire.StatusDone)
+				l.dependencyEnded(id, wire.StatusDone)
 			}
-			if steps, most := l.deps.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
+			if steps, most := l.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("%d steps, want at most %d", steps, most)
 			}
-			if !l.deps.Empty() {
+			if !l.dependencies.Empty() {
 				t.Error("entries are left behind")
 			}
 		})
@@ -253,7 +253,7 @@
 		"done, then a failure": func(carryOut func() int) int { carryOut(); return 503 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, l := leading(t, func(*config.Settings) {})
+			b, l := newLeadingHarness(t, func(*config.Settings) {})
 			g := &graph{}
 			last := g.add("job-1000")
 			for n := range 40 {
@@ -261,13 +261,13 @@
 			}
 			recordGraph(b, l, g)
 			sent := 0
-			b.answer = func(_ *wire.Txn, carryOut func() int) int {
+			b.intercept = func(_ *wire.Txn, carryOut func() int) int {
 				if sent++; sent%3 != 0 {
 					return answer(carryOut)
 				}
 				return carryOut()
 			}
-			b.watch = func() {
+			b.afterCommit = func() {
 				for id, awaits := range g.awaits {
 					for _, a := range awaits {
 						if b.store[records.FinalKey(a)].Key != "" && b.store[records.FinalKey(id)].Key == "" {
@@ -276,7 +276,7 @@
 					}
 				}
 			}
-			record(b, l, wire.Job{ID: "job-1000"}, func(r *records.Open) { r.Cancelled, r.AskedAt = true, b.c.wall })
+			addRecord(b, l, wire.Job{ID: "job-1000"}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
 			b.run(30 * time.Second)
 			for _, id := range g.order {
 				if b.store[records.FinalKey(id)].Key == "" {
@@ -287,18 +287,18 @@
 	}
 }
 
-// controllers are two of them at one state service: the first leads and the other
+// twoControllers are two of them at one state service: the first leads and the other
 // only serves users.
-func controllers(t *testing.T) (b *harness, l *leader, other *harness) {
-	b, l = leading(t, func(*config.Settings) {})
-	other = newHarness(t, someTypes)
-	other.c.cfg.Name = "n1"
+func twoControllers(t *testing.T) (b *harness, l *leader, other *harness) {
+	b, l = newLeadingHarness(t, func(*config.Settings) {})
+	other = newHarness(t, testMachineTypes)
+	other.core.settings.Name = "n1"
 	other.store, other.revision = b.store, b.revision
 	return b, l, other
 }
 
-// follow lets one controller see what another has written.
-func follow(to, from *harness) { to.revision = max(to.revision, from.revision) }
+// syncRevision lets one controller see what another has written.
+func syncRevision(to, from *harness) { to.revision = max(to.revision, from.revision) }
 
 // TestAcceptanceRaces has an awaited job end, or its user call it off, after
 // another controller has read it and before that one's acceptance is carried out.
@@ -319,7 +319,7 @@
 		{"called off", func(b *harness) {
 			var rec records.Open
 			stdjson.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
-			rec.Cancelled, rec.AskedAt = true, 1
+			rec.Cancelled, rec.CancelRequestedAt = true, 1
 			b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec))
 		}, "withdrawn", "-"},
 		{"written for another reason", func(b *harness) {
@@ -327,13 +327,13 @@
 		}, "pending", jobID(1)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, _, other := controllers(t)
-			if a := b.ask("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
+			b, _, other := twoControllers(t)
+			if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
 				t.Fatalf("%d %s", a.Status, a.Body)
 			}
-			follow(other, b)
+			syncRevision(other, b)
 			happened := false
-			other.answer = func(txn *wire.Txn, carryOut func() int) int {
+			other.intercept = func(txn *wire.Txn, carryOut func() int) int {
 				if !happened && len(txn.Writes) > 0 {
 					happened = true
 					tc.happen(other)
@@ -341,7 +341,7 @@
 				return carryOut()
 			}
 			for _, status := range []int{201, 200} {
-				a := other.ask("POST", "/submissions", named(2, `["`+jobID(1)+`"]`))
+				a := other.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
 				if a.Status != status || !strings.Contains(string(a.Body), `"status":"`+string(tc.status)+`"`) {
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, status, tc.status)
 				}
@@ -349,14 +349,14 @@
 			if !happened {
 				t.Fatal("nothing was written")
 			}
-			follow(b, other)
-			if a := b.ask("POST", "/submissions", named(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
+			syncRevision(b, other)
+			if a := b.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
 				t.Errorf("the repeat elsewhere is answered %d %s", a.Status, a.Body)
 			}
 			it, open := b.store[records.OpenKey(jobID(2))]
 			var rec records.Open
 			stdjson.Unmarshal(it.Value, &rec)
-			if got := strings.Join(rec.Job.Awaits, ","); open != (tc.awaits != "-") || open && got != tc.awaits {
+			if got := strings.Join(rec.Job.Dependencies, ","); open != (tc.awaits != "-") || open && got != tc.awaits {
 				t.Errorf("open %v, awaits %q", open, got)
 			}
 		})
@@ -369,18 +369,18 @@
 func TestEndRacesAcceptance(t *testing.T) {
 	for name, cancelled := range map[string]bool{"done": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
-			b, l, other := controllers(t)
-			record(b, l, wire.Job{ID: jobID(1)}, nil)
-			follow(other, b)
+			b, l, other := twoControllers(t)
+			addRecord(b, l, wire.Job{ID: jobID(1)}, nil)
+			syncRevision(other, b)
 			accepted := false
-			b.answer = func(txn *wire.Txn, carryOut func() int) int {
+			b.intercept = func(txn *wire.Txn, carryOut func() int) int {
 				if !accepted && len(txn.Writes) > 0 {
 					accepted = true
-					follow(other, b)
-					if a := other.ask("POST", "/submissions", named(2, `["`+jobID(1)+`"]`)); a.Status != 201 {
+					syncRevision(other, b)
+					if a := other.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 201 {
 						t.Fatalf("%d %s", a.Status, a.Body)
 					}
-					follow(b, other)
+					syncRevision(b, other)
 				}
 				return carryOut()
 			}
@@ -393,7 +393,7 @@
 			if it := b.store[records.OpenKey(jobID(2))]; it.Key != "" { // as the watch tells
 				var rec records.Open
 				stdjson.Unmarshal(it.Value, &rec)
-				l.noteOpen(jobID(2), it.Version, rec)
+				l.applyOpenRecord(jobID(2), it.Version, rec)
 			}
 			b.run(3 * time.Second)
 			f := string(b.store[records.FinalKey(jobID(1))].Value)
@@ -402,35 +402,35 @@
 				t.Errorf("accepted %v, the first is over: %q", accepted, f)
 			case cancelled && b.store[records.FinalKey(jobID(2))].Key == "":
 				t.Error("the dependent is not over")
-			case !cancelled && (j == nil || j.waits):
+			case !cancelled && (j == nil || j.waiting):
 				t.Error("the dependent does not go on")
 			}
 		})
 	}
 }
 
-// within runs a function as an input of the core, so that what it asks for is sent.
-func within(b *harness, f func()) {
-	b.c.nextCall++
-	b.c.calls[b.c.nextCall] = func(Result) { f() }
-	b.step(Result{ID: b.c.nextCall})
+// runInStep runs a function as an input of the core, so that what it asks for is sent.
+func runInStep(b *harness, f func()) {
+	b.core.nextCall++
+	b.core.pendingCalls[b.core.nextCall] = func(Result) { f() }
+	b.step(Result{ID: b.core.nextCall})
 }
 
 // TestAwaitsLongOver names jobs that were over long ago: of these only the final
 // record is left, and no controller remembers it.
 func TestAwaitsLongOver(t *testing.T) {
-	b, l := leading(t, func(*config.Settings) {})
+	b, l := newLeadingHarness(t, func(*config.Settings) {})
 	b.write(records.FinalKey(jobID(1)), "", []byte(`{"s":"done","n":1}`))
 	b.write(records.FinalKey(jobID(2)), "", []byte(`{"s":"withdrawn","n":1}`))
 	// A record that names them was written before they were over, and the leader
 	// that saw them end is not there any more.
-	within(b, func() {
-		record(b, l, wire.Job{ID: jobID(3), Awaits: []string{jobID(1)}}, nil)
-		record(b, l, wire.Job{ID: jobID(4), Awaits: []string{jobID(1), jobID(2)}}, nil)
-		record(b, l, wire.Job{ID: jobID(5), Awaits: []string{jobID(4), jobID(3)}}, nil)
+	runInStep(b, func() {
+		addRecord(b, l, wire.Job{ID: jobID(3), Dependencies: []string{jobID(1)}}, nil)
+		addRecord(b, l, wire.Job{ID: jobID(4), Dependencies: []string{jobID(1), jobID(2)}}, nil)
+		addRecord(b, l, wire.Job{ID: jobID(5), Dependencies: []string{jobID(4), jobID(3)}}, nil)
 	})
 	b.run(3 * time.Second)
-	if l.jobs[jobID(3)].waits {
+	if l.jobs[jobID(3)].waiting {
 		t.Error("a job whose awaited one is done waits")
 	}
 	for _, n := range []int{4, 5} {
--- a/internal/core/await_lists.go
+++ b/internal/core/dependency_lists.go
@@ -29,12 +29,12 @@
 // but do not cancel it with one that it awaits either. Lists are therefore
 // written only once every controller knows them.
 
-const prefixList = "a/"
+const prefixDependencyList = "a/"
 
-// awaitLists is what the leader keeps of its reading and clearing of lists.
-type awaitLists struct {
-	unread  map[string]time.Duration // jobs whose list is not read; when to retry
-	clearAt time.Duration            // when abandoned lists are cleared next
+// dependencyLists is what the leader keeps of its reading and clearing of lists.
+type dependencyLists struct {
+	unread        map[string]time.Duration // jobs whose list is not read; when to retry
+	nextCleanupAt time.Duration            // when abandoned lists are cleared next
 }
 
 // listRef refers to a list that is spread over records.
@@ -55,10 +55,10 @@
 	return keys
 }
 
-// listRefOf returns the reference that an open record's list of awaited jobs
+// parseListRef returns the reference that an open record's list of awaited jobs
 // consists of, if it is not the list itself.
-func listRefOf(awaits []string) (listRef, bool) {
-	if len(awaits) != 1 || !strings.HasPrefix(awaits[0], prefixList) {
+func parseListRef(awaits []string) (listRef, bool) {
+	if len(awaits) != 1 || !strings.HasPrefix(awaits[0], prefixDependencyList) {
 		return listRef{}, false
 	}
 	slash := strings.LastIndexByte(awaits[0], '/')
@@ -107,18 +107,18 @@
 	version uint64 // of the first record
 }
 
-// firstUnchanged is the condition that the attempt has not been cleared.
-func (w *listWriter) firstUnchanged() wire.Cond {
-	return wire.Cond{Key: w.ref.key(0), Version: w.version}
+// firstRecordUnchanged is the condition that the attempt has not been cleared.
+func (w *listWriter) firstRecordUnchanged() wire.Condition {
+	return wire.Condition{Key: w.ref.key(0), Version: w.version}
 }
 
 // complete tells whether all records are written.
 func (w *listWriter) complete() bool { return w.written == len(w.records) }
 
-// next returns the transaction that writes as many further records as fit into
+// nextTxn returns the transaction that writes as many further records as fit into
 // it, and their number.
-func (w *listWriter) next(maxWrites int) (*wire.Txn, int) {
-	txn := &wire.Txn{If: []wire.Cond{w.firstUnchanged()}}
+func (w *listWriter) nextTxn(maxWrites int) (*wire.Txn, int) {
+	txn := &wire.Txn{Conditions: []wire.Condition{w.firstRecordUnchanged()}}
 	bytes := 0
 	for n := w.written; n < len(w.records) && len(txn.Writes) < maxWrites; n++ {
 		value := kv.Encode(w.records[n])
@@ -133,139 +133,139 @@
 
 // writeList spreads the names that a submission awaits over records, and goes
 // on with the submission once they are all written.
-func (c *Core) writeList(s *submit) {
-	c.nextList++
-	token := strconv.FormatUint(c.boot, 36) + "-" + strconv.FormatUint(c.nextList, 36)
-	records := splitList(s.unfinished, c.wall, c.maxRecord())
-	s.list = &listWriter{
-		ref:     listRef{prefix: prefixList + s.rec.Job.ID + "/" + token + "/", records: len(records)},
+func (c *Core) writeList(submission *pendingSubmission) {
+	c.nextDependencyList++
+	token := strconv.FormatUint(c.incarnation, 36) + "-" + strconv.FormatUint(c.nextDependencyList, 36)
+	records := splitList(submission.unfinishedDependencies, c.wallClockMS, c.maxRecordBytes())
+	submission.listWriter = &listWriter{
+		ref:     listRef{prefix: prefixDependencyList + submission.record.Job.ID + "/" + token + "/", records: len(records)},
 		records: records,
 	}
-	c.writeListRecords(s)
+	c.writeListRecords(submission)
 }
 
 // writeListRecords writes the next records of a submission's list.
-func (c *Core) writeListRecords(s *submit) {
-	if c.now >= s.until {
-		c.answerRetry(s.req, errorNotNow)
+func (c *Core) writeListRecords(submission *pendingSubmission) {
+	if c.now >= submission.expiresAt {
+		c.answerRetry(submission.requestID, errorNotNow)
 		return
 	}
-	w := s.list
-	txn, count := w.next(c.store.MaxWrites())
+	writer := submission.listWriter
+	txn, count := writer.nextTxn(c.store.MaxWrites())
 	c.store.Commit(txn, func(r kv.TxnResult) {
 		switch r.Status {
 		case kv.OK:
-			if w.written == 0 {
-				w.version = r.Revision
+			if writer.written == 0 {
+				writer.version = r.Revision
 			}
-			w.written += count
-			if !w.complete() {
-				c.writeListRecords(s)
+			writer.written += count
+			if !writer.complete() {
+				c.writeListRecords(submission)
 				return
 			}
 		case kv.Unanswered, kv.Conflict:
 			// Carried out or not: begun again under another token.
-			s.list = nil
+			submission.listWriter = nil
 		default:
 			if r.Status == kv.Rejected {
 				c.rejectedWrites(count)
 			}
-			c.answerRetry(s.req, errorStoreSilent)
+			c.answerRetry(submission.requestID, errorStoreSilent)
 			return
 		}
-		c.checkAwaited(s)
+		c.resolveDependencies(submission)
 	})
 }
 
 // readList reads the names that a job awaits from its list records.
 func (l *leader) readList(j *job) {
-	l.lists.unread[j.ID] = noRetry
+	l.dependencyLists.unread[j.ID] = noRetry
 	l.readListPage(j, "", nil)
 }
 
 // noRetry is the time of a retry that is not due while a call is under way.
 const noRetry = time.Duration(math.MaxInt64)
 
-func (l *leader) readListPage(j *job, after string, names []string) {
-	l.c.store.List(j.list.prefix, after, func(r kv.ListResult) {
-		if l.deposed || l.jobs[j.ID] != j {
+func (l *leader) readListPage(job *job, after string, names []string) {
+	l.core.store.List(job.list.prefix, after, func(r kv.ListResult) {
+		if l.steppedDown || l.jobs[job.ID] != job {
 			return
 		}
 		if r.Status != kv.OK {
-			l.retryList(j)
+			l.retryList(job)
 			return
 		}
 		for _, item := range r.Page.Items {
 			after = item.Key
 			var record listRecord
 			if json.Unmarshal(item.Value, &record) != nil {
-				l.c.log.Error("list record is not readable", "key", item.Key)
-				l.retryList(j)
+				l.core.log.Error("list record is not readable", "key", item.Key)
+				l.retryList(job)
 				return
 			}
 			names = append(names, record.Names...)
-			j.listRead++
+			job.listRecordsRead++
 		}
 		switch {
 		case r.Page.More:
-			l.readListPage(j, after, names)
-		case j.listRead < j.list.records:
+			l.readListPage(job, after, names)
+		case job.listRecordsRead < job.list.records:
 			// Accepted with the whole list: read once more.
-			l.c.log.Error("list records are missing", "job", j.ID, "read", j.listRead, "of", j.list.records)
-			l.retryList(j)
+			l.core.log.Error("list records are missing", "job", job.ID, "read", job.listRecordsRead, "of", job.list.records)
+			l.retryList(job)
 		default:
-			delete(l.lists.unread, j.ID)
-			l.noteNames(j, names)
-			l.records.dirty = true
+			delete(l.dependencyLists.unread, job.ID)
+			l.addDependencyNames(job, names)
+			l.writer.dirty = true
 		}
 	})
 }
 
 func (l *leader) retryList(j *job) {
-	j.listRead = 0
-	l.lists.unread[j.ID] = l.c.now + l.c.ttl()/8
+	j.listRecordsRead = 0
+	l.dependencyLists.unread[j.ID] = l.core.now + l.core.leaderLeaseDuration()/8
 }
 
-// tickLists reads lists again whose reading failed, and now and then clears what
+// tickDependencyLists reads lists again whose reading failed, and now and then clears what
 // is left of attempts that were given up.
-func (l *leader) tickLists() {
-	for _, id := range sortedKeys(l.lists.unread) {
-		if l.c.now < l.lists.unread[id] {
+func (l *leader) tickDependencyLists() {
+	for _, id := range sortedKeys(l.dependencyLists.unread) {
+		if l.core.now < l.dependencyLists.unread[id] {
 			continue
 		}
 		if j := l.jobs[id]; j != nil {
 			l.readList(j)
 		} else {
-			delete(l.lists.unread, id)
+			delete(l.dependencyLists.unread, id)
 		}
 	}
-	if l.c.now >= l.lists.clearAt {
-		l.lists.clearAt = l.c.now + l.c.clearListsEvery()
-		l.findAbandoned("", nil)
+	if l.core.now >= l.dependencyLists.nextCleanupAt {
+		l.dependencyLists.nextCleanupAt = l.core.now + l.core.listCleanupInterval()
+		l.findAbandonedLists("", nil)
 	}
 }
 
-// abandonedAfter is the age from which an attempt that has led to no job counts
+// abandonedListAge is the age from which an attempt that has led to no job counts
 // as given up. No harm is done where it has not been: it fails, and its user
 // comes again.
-func (c *Core) abandonedAfter() time.Duration { return 4 * c.lease() }
+func (c *Core) abandonedListAge() time.Duration { return 4 * c.workerLease() }
 
-// clearListsEvery is the time between searches for such attempts. The first one
+// listCleanupInterval is the time between searches for such attempts. The first one
 // comes that long after a leader has begun, when it has nothing more urgent to do.
-func (c *Core) clearListsEvery() time.Duration { return 3 * c.abandonedAfter() }
+func (c *Core) listCleanupInterval() time.Duration { return 3 * c.abandonedListAge() }
 
-// attempt is what the state service holds of an attempt to submit a job with a
+// listAttempt is what the state service holds of an attempt to submit a job with a
 // long list.
-type attempt struct {
-	ref     listRef
-	job     string
-	version uint64 // of the first record; 0 if it is gone
-	at      int64
-	keys    []string
+type listAttempt struct {
+	ref       listRef
+	job       string
+	version   uint64 // of the first record; 0 if it is gone
+	startedAt int64
+	keys      []string
 }
 
-// attemptOf tells which attempt a list record belongs to.
-func attemptOf(key string) (ref listRef, job string, ok bool) {
+// parseListKey tells which attempt a list record belongs to.
+func parseListKey(key string) (ref listRef, job string, ok bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 {
 		return listRef{}, "", false
@@ -273,68 +273,68 @@
 	return listRef{prefix: strings.Join(parts[:3], "/") + "/"}, parts[1], true
 }
 
-// findAbandoned reads all list records and clears those of attempts that have
+// findAbandonedLists reads all list records and clears those of attempts that have
 // led to no job.
-func (l *leader) findAbandoned(after string, found []attempt) {
-	l.c.store.List(prefixList, after, func(r kv.ListResult) {
-		if l.deposed || r.Status != kv.OK {
+func (l *leader) findAbandonedLists(after string, found []listAttempt) {
+	l.core.store.List(prefixDependencyList, after, func(r kv.ListResult) {
+		if l.steppedDown || r.Status != kv.OK {
 			return
 		}
 		for _, item := range r.Page.Items {
 			after = item.Key
-			ref, job, ok := attemptOf(item.Key)
+			ref, job, ok := parseListKey(item.Key)
 			if !ok {
 				continue
 			}
 			if n := len(found); n == 0 || found[n-1].ref != ref {
-				found = append(found, attempt{ref: ref, job: job})
+				found = append(found, listAttempt{ref: ref, job: job})
 			}
-			a := &found[len(found)-1]
-			a.keys = append(a.keys, item.Key)
+			attempt := &found[len(found)-1]
+			attempt.keys = append(attempt.keys, item.Key)
 			var record listRecord
 			if item.Key == ref.key(0) && json.Unmarshal(item.Value, &record) == nil {
-				a.version, a.at = item.Version, record.At
+				attempt.version, attempt.startedAt = item.Version, record.At
 			}
 		}
 		if r.Page.More {
-			l.findAbandoned(after, found)
+			l.findAbandonedLists(after, found)
 			return
 		}
-		l.clearAbandoned(found)
+		l.deleteAbandonedLists(found)
 	})
 }
 
-// clearAbandoned clears attempts one transaction after the other.
-func (l *leader) clearAbandoned(found []attempt) {
+// deleteAbandonedLists clears attempts one transaction after the other.
+func (l *leader) deleteAbandonedLists(found []listAttempt) {
 	for len(found) > 0 {
-		a := &found[0]
-		age := time.Duration(l.c.wall-a.at) * time.Millisecond
-		if l.jobs[a.job] != nil || a.version != 0 && age < l.c.abandonedAfter() || len(a.keys) == 0 {
+		attempt := &found[0]
+		age := time.Duration(l.core.wallClockMS-attempt.startedAt) * time.Millisecond
+		if l.jobs[attempt.job] != nil || attempt.version != 0 && age < l.core.abandonedListAge() || len(attempt.keys) == 0 {
 			found = found[1:]
 			continue
 		}
-		count := min(len(a.keys), l.c.store.MaxWrites())
+		count := min(len(attempt.keys), l.core.store.MaxWrites())
 		// The job may just have been accepted, and the first record just have
 		// been written.
-		txn := &wire.Txn{If: []wire.Cond{
-			l.termCond(),
-			{Key: records.OpenKey(a.job)},
-			{Key: a.ref.key(0), Version: a.version},
+		txn := &wire.Txn{Conditions: []wire.Condition{
+			l.termCondition(),
+			{Key: records.OpenKey(attempt.job)},
+			{Key: attempt.ref.key(0), Version: attempt.version},
 		}}
-		for _, key := range a.keys[:count] {
+		for _, key := range attempt.keys[:count] {
 			txn.Writes = append(txn.Writes, wire.Write{Delete: key})
 		}
-		l.c.store.Commit(txn, func(r kv.TxnResult) {
-			if l.deposed || r.Status != kv.OK && r.Status != kv.Conflict {
+		l.core.store.Commit(txn, func(r kv.TxnResult) {
+			if l.steppedDown || r.Status != kv.OK && r.Status != kv.Conflict {
 				return // looked for again later
 			}
 			if r.Status == kv.Conflict {
-				l.clearAbandoned(found[1:])
+				l.deleteAbandonedLists(found[1:])
 				return
 			}
-			l.c.log.Debug("list records of a submission that was given up are cleared", "job", a.job, "records", count)
-			a.keys, a.version = a.keys[count:], 0
-			l.clearAbandoned(found)
+			l.core.log.Debug("list records of a submission that was given up are cleared", "job", attempt.job, "records", count)
+			attempt.keys, attempt.version = attempt.keys[count:], 0
+			l.deleteAbandonedLists(found)
 		})
 		return
 	}
--- a/internal/core/await_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -15,12 +15,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// longList is how many jobs are named in the tests below: several times what a
+// longListLength is how many jobs are named in the tests below: several times what a
 // record holds under smallLimits.
-const longList = 400
+const longListLength = 400
 
 func smallLimits(s *config.Settings) {
-	s.Deployment.State.ValueKB, s.Deployment.State.TxnOps = 2, 5
+	s.Deployment.Store.ValueKB, s.Deployment.Store.TxnOps = 2, 5
 }
 
 // jsonNames is a list of names as a submission holds it.
@@ -30,7 +30,7 @@
 func openJobs(b *harness, count int) []string {
 	var names []string
 	for n := range count {
-		rec := records.Open{At: b.c.wall, Job: wire.Job{ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
+		rec := records.Open{SubmittedAt: b.core.wallClockMS, Job: wire.Job{ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
 			Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}}
 		b.write(records.OpenKey(rec.Job.ID), "", kv.Encode(rec))
 		names = append(names, rec.Job.ID)
@@ -41,18 +41,18 @@
 // listKeys are the keys of the list records that exist.
 func (b *harness) listKeys() (keys []string) {
 	for _, key := range sortedKeys(b.store) {
-		if strings.HasPrefix(key, prefixList) {
+		if strings.HasPrefix(key, prefixDependencyList) {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-// askPatiently repeats a submission as users do, until it is accepted.
-func (b *harness) askPatiently(text string) Answer {
+// requestWithRetry repeats a submission as users do, until it is accepted.
+func (b *harness) requestWithRetry(text string) Answer {
 	var a Answer
 	for range 20 {
-		if a = b.ask("POST", "/submissions", text); a.Status != 503 {
+		if a = b.request("POST", "/submissions", text); a.Status != 503 {
 			return a
 		}
 		b.run(time.Second)
@@ -60,13 +60,13 @@
 	return a
 }
 
-// acceptLong has a job accepted that awaits longList others.
-func acceptLong(t *testing.T, b *harness) (id string, names []string) {
+// submitLongList has a job accepted that awaits longListLength others.
+func submitLongList(t *testing.T, b *harness) (id string, names []string) {
 	t.Helper()
-	smallLimits(b.c.cfg)
-	names = openJobs(b, longList)
+	smallLimits(b.core.settings)
+	names = openJobs(b, longListLength)
 	id = jobID(9)
-	if a := b.askPatiently(named(9, jsonNames(names))); a.Status != 201 {
+	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	return id, names
@@ -75,15 +75,15 @@
 // TestLongListIsAccepted spreads a list over records within the limits of the
 // state service, marks all jobs that it names as needed, and knows a repeat.
 func TestLongListIsAccepted(t *testing.T) {
-	b := newHarness(t, someTypes)
-	id, names := acceptLong(t, b)
+	b := newHarness(t, testMachineTypes)
+	id, names := submitLongList(t, b)
 	var rec records.Open
 	if err := stdjson.Unmarshal(b.store[records.OpenKey(id)].Value, &rec); err != nil {
 		t.Fatal(err)
 	}
-	ref, ok := listRefOf(rec.Job.Awaits)
+	ref, ok := parseListRef(rec.Job.Dependencies)
 	if !ok {
-		t.Fatalf("recorded as %q", rec.Job.Awaits)
+		t.Fatalf("recorded as %q", rec.Job.Dependencies)
 	}
 	if keys := b.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.keys()))) {
 		t.Errorf("list records %q, the job refers to %q", keys, ref.keys())
@@ -110,7 +110,7 @@
 		}
 	}
 	commits := len(b.commits)
-	if a := b.ask("POST", "/submissions", named(9, jsonNames(names))); a.Status != 200 {
+	if a := b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 200 {
 		t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 	}
 	if len(b.listKeys()) != ref.records || len(b.commits) > commits+2 {
@@ -123,13 +123,13 @@
 func TestLongListMeetsLostAnswers(t *testing.T) {
 	for _, carriedOut := range []bool{true, false} {
 		for lost := range 4 { // three with list records, one with the job
-			b := newHarness(t, someTypes)
-			b.c.cfg.Deployment.State.ValueKB, b.c.cfg.Deployment.State.TxnOps = 1, 2
+			b := newHarness(t, testMachineTypes)
+			b.core.settings.Deployment.Store.ValueKB, b.core.settings.Deployment.Store.TxnOps = 1, 2
 			names := openJobs(b, 300)
 			begun := false
-			b.answer = func(txn *wire.Txn, carryOut func() int) int {
+			b.intercept = func(txn *wire.Txn, carryOut func() int) int {
 				for _, w := range txn.Writes {
-					begun = begun || strings.HasPrefix(w.Put, prefixList)
+					begun = begun || strings.HasPrefix(w.Put, prefixDependencyList)
 				}
 				if begun {
 					lost--
@@ -142,19 +142,19 @@
 				}
 				return 0
 			}
-			if a := b.askPatiently(named(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
+			if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
 				t.Fatalf("answered %d %s", a.Status, a.Body)
 			}
 			var rec records.Open
 			stdjson.Unmarshal(b.store[records.OpenKey(jobID(9))].Value, &rec)
-			ref, ok := listRefOf(rec.Job.Awaits)
+			ref, ok := parseListRef(rec.Job.Dependencies)
 			for _, key := range ref.keys() {
 				if b.store[key].Key == "" {
 					t.Errorf("%s is missing", key)
 				}
 			}
 			if !ok || lost >= 0 {
-				t.Errorf("recorded as %q, %d answers left to lose", rec.Job.Awaits, lost+1)
+				t.Errorf("recorded as %q, %d answers left to lose", rec.Job.Dependencies, lost+1)
 			}
 		}
 	}
@@ -163,60 +163,60 @@
 // TestLongListWaitsForUpgrade asks the user to come back while a controller runs
 // a version that can't read lists spread over records, and writes none.
 func TestLongListWaitsForUpgrade(t *testing.T) {
-	b := newHarness(t, someTypes)
-	smallLimits(b.c.cfg)
+	b := newHarness(t, testMachineTypes)
+	smallLimits(b.core.settings)
 	names := openJobs(b, 150)
-	b.c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	b.c.peers["n1"] = &peerState{}
+	b.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+	b.core.peers["n1"] = &peerState{}
 	b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists - 1}}})
 	b.run(3 * time.Second)
 	var a Answer
 	for range 8 {
-		a = b.ask("POST", "/submissions", named(9, jsonNames(names)))
+		a = b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names)))
 		b.run(time.Second)
 	}
 	if a.Status != 503 || a.RetryAfter == 0 || len(b.listKeys()) > 0 {
 		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(b.listKeys()))
 	}
 	b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists}}})
-	if a := b.askPatiently(named(9, jsonNames(names))); a.Status != 201 {
+	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Errorf("after the upgrade: %d %s", a.Status, a.Body)
 	}
 }
 
-// leadOver makes a core that leads over a harness's records.
-func leadOver(b *harness) *leader {
+// leadWithRecords makes a core that leads over a harness's records.
+func leadWithRecords(b *harness) *leader {
 	b.write(election.KeyTerm, "", []byte("5"))
 	l := b.lead()
-	l.loading.retry = l.recover // with the next tick
+	l.loader.retry = l.recover // with the next tick
 	b.run(time.Second)
 	return l
 }
 
-// end records a job's end as an earlier leader would.
-func (b *harness) end(id string, status wire.JobState) {
+// recordEnd records a job's end as an earlier leader would.
+func (b *harness) recordEnd(id string, status wire.JobState) {
 	b.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
 }
 
 // TestLongListHoldsTheJob has a new leader read a list from its records: the job
 // goes on when the last of them is done, no earlier, and its end deletes the list.
 func TestLongListHoldsTheJob(t *testing.T) {
-	b := newHarness(t, someTypes)
-	id, names := acceptLong(t, b)
+	b := newHarness(t, testMachineTypes)
+	id, names := submitLongList(t, b)
 	for _, name := range names[1:] {
-		b.end(name, wire.StatusDone)
+		b.recordEnd(name, wire.StatusDone)
 	}
-	clear(b.c.users.open)
-	l := leadOver(b)
+	clear(b.core.users.openJobs)
+	l := leadWithRecords(b)
 	b.run(10 * time.Second)
 	j := l.jobs[id]
-	if j == nil || !j.waits || j.rec.ReadyAt != 0 || len(j.pendingTasks()) > 0 {
+	if j == nil || !j.waiting || j.record.ReadyAt != 0 || len(j.pendingTasks()) > 0 {
 		t.Fatalf("with one job not done it does not wait: %+v", j)
 	}
 	first := l.jobs[names[0]]
 	l.markDone(first, 0)
 	b.run(2 * time.Second)
-	if j.waits || len(j.pendingTasks()) == 0 {
+	if j.waiting || len(j.pendingTasks()) == 0 {
 		t.Fatal("with all of them done it does not go on")
 	}
 	for i := range j.tasks {
@@ -232,19 +232,19 @@
 // and after the leader has begun.
 func TestLongListIsCancelled(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		b := newHarness(t, someTypes)
-		id, names := acceptLong(t, b)
+		b := newHarness(t, testMachineTypes)
+		id, names := submitLongList(t, b)
 		last := names[len(names)-1]
 		cancel := func(l *leader) {
 			var rec records.Open
 			stdjson.Unmarshal(b.store[records.OpenKey(last)].Value, &rec)
-			rec.Cancelled, rec.AskedAt = true, b.c.wall
+			rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
 			b.write(records.OpenKey(last), "", kv.Encode(rec))
 			if l != nil {
-				l.noteOpen(last, b.store[records.OpenKey(last)].Version, rec)
+				l.applyOpenRecord(last, b.store[records.OpenKey(last)].Version, rec)
 			}
 		}
-		b.watch = func() {
+		b.afterCommit = func() {
 			if b.store[records.FinalKey(last)].Key != "" && b.store[records.OpenKey(id)].Key != "" {
 				t.Error("its end is told before that of the job that needs it")
 			}
@@ -252,7 +252,7 @@
 		if before {
 			cancel(nil)
 		}
-		l := leadOver(b)
+		l := leadWithRecords(b)
 		if !before {
 			cancel(l)
 		}
@@ -266,16 +266,16 @@
 // TestUnreadListHoldsEnds keeps a cancelled job that others need from ending
 // while a list is not read that may name it.
 func TestUnreadListHoldsEnds(t *testing.T) {
-	b := newHarness(t, someTypes)
-	id, names := acceptLong(t, b)
-	l := leadOver(b)
-	l.lists.unread[id] = noRetry
+	b := newHarness(t, testMachineTypes)
+	id, names := submitLongList(t, b)
+	l := leadWithRecords(b)
+	l.dependencyLists.unread[id] = noRetry
 	var rec records.Open
 	stdjson.Unmarshal(b.store[records.OpenKey(names[0])].Value, &rec)
-	rec.Cancelled, rec.AskedAt = true, b.c.wall
+	rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
 	b.write(records.OpenKey(names[0]), "", kv.Encode(rec))
-	l.deps.Drop(id)
-	l.noteOpen(names[0], b.store[records.OpenKey(names[0])].Version, rec)
+	l.dependencies.Drop(id)
+	l.applyOpenRecord(names[0], b.store[records.OpenKey(names[0])].Version, rec)
 	b.run(5 * time.Second)
 	if b.store[records.FinalKey(names[0])].Key != "" {
 		t.Error("its end is on record while a list that may name it is not read")
@@ -286,24 +286,24 @@
 // not those that may still lead to one, nor the list of an accepted job. What is
 // left of such an attempt has no effect when it is carried out late.
 func TestAbandonedListsAreCleared(t *testing.T) {
-	b := newHarness(t, someTypes)
-	id, _ := acceptLong(t, b)
+	b := newHarness(t, testMachineTypes)
+	id, _ := submitLongList(t, b)
 	accepted := len(b.listKeys())
 	record := func(key string, age time.Duration) {
-		b.write(key, "", kv.Encode(listRecord{At: b.c.wall - age.Milliseconds(), Names: []string{jobID(1000)}}))
+		b.write(key, "", kv.Encode(listRecord{At: b.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
 	}
 	old := time.Duration(0)
 	for _, key := range []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/10", "a/job-7/x-1/2", "a/job-7/x-1/3", "a/job-7/x-1/4", "a/job-7/x-1/5"} {
 		record(key, old)
 	}
 	first := b.store["a/job-7/x-1/0"].Version
-	record("a/job-7/x-2/0", -b.c.clearListsEvery())
+	record("a/job-7/x-2/0", -b.core.listCleanupInterval())
 	record("a/job-8/y-1/3", old) // its first record is gone
-	leadOver(b)
-	b.run(b.c.clearListsEvery() + 5*time.Second)
+	leadWithRecords(b)
+	b.run(b.core.listCleanupInterval() + 5*time.Second)
 	var left []string
 	for _, key := range b.listKeys() {
-		if !strings.HasPrefix(key, prefixList+id+"/") {
+		if !strings.HasPrefix(key, prefixDependencyList+id+"/") {
 			left = append(left, key)
 		}
 	}
@@ -311,13 +311,13 @@
 		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(b.listKeys())-len(left), accepted)
 	}
 	w := listWriter{ref: listRef{prefix: "a/job-7/x-1/", records: 12}, records: make([]listRecord, 12), written: 11, version: first}
-	late, _ := w.next(5)
+	late, _ := w.nextTxn(5)
 	if status, _ := b.commit(kv.Encode(late)); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
 	}
-	s := &submit{rec: records.Open{Job: wire.Job{ID: "job-7"}}, list: &w}
-	p, _ := b.c.prepare(s)
-	if status, _ := b.commit(kv.Encode(wire.Txn{If: p.conds, Writes: p.writes})); status != 409 {
+	s := &pendingSubmission{record: records.Open{Job: wire.Job{ID: "job-7"}}, listWriter: &w}
+	p, _ := b.core.prepareSubmission(s)
+	if status, _ := b.commit(kv.Encode(wire.Txn{Conditions: p.conditions, Writes: p.writes})); status != 409 {
 		t.Errorf("a late acceptance is answered %d, want 409", status)
 	}
 }
@@ -326,17 +326,17 @@
 // job has been accepted since, or the first record of an attempt written. Neither
 // loses a record.
 func TestClearingIsConditional(t *testing.T) {
-	b := newHarness(t, someTypes)
-	l := leadOver(b)
+	b := newHarness(t, testMachineTypes)
+	l := leadWithRecords(b)
 	accepted, begun := "a/job-7/x-1/", "a/job-8/y-1/"
 	for _, prefix := range []string{accepted, begun} {
 		for _, n := range []string{"0", "1"} {
 			b.write(prefix+n, "", kv.Encode(listRecord{Names: []string{jobID(1000)}}))
 		}
 	}
-	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Awaits: []string{accepted + "2"}}}))
-	l.loading.retry = func() {
-		l.clearAbandoned([]attempt{
+	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
+	l.loader.retry = func() {
+		l.deleteAbandonedLists([]listAttempt{
 			{ref: listRef{prefix: accepted}, job: "job-7", version: b.store[accepted+"0"].Version, keys: []string{accepted + "0", accepted + "1"}},
 			{ref: listRef{prefix: begun}, job: "job-8", keys: []string{begun + "1"}},
 		})
@@ -350,13 +350,13 @@
 // TestManyUnknownNames asks about the jobs of a long list, none of which the
 // controller remembers, without taking all room for users' questions.
 func TestManyUnknownNames(t *testing.T) {
-	b := newHarness(t, someTypes)
-	names := openJobs(b, longList)
-	b.c.cfg.Deployment.Limits.MaxConnections = 40
-	clear(b.c.users.open)
+	b := newHarness(t, testMachineTypes)
+	names := openJobs(b, longListLength)
+	b.core.settings.Deployment.MachineLimits.MaxConnections = 40
+	clear(b.core.users.openJobs)
 	longest := 0
-	b.stepped = func() { longest = max(longest, len(b.c.users.order)) }
-	if a := b.askPatiently(named(9, jsonNames(names))); a.Status != 201 {
+	b.afterStep = func() { longest = max(longest, len(b.core.users.lookupOrder)) }
+	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	if longest > 20 {
--- /dev/null
+++ b/internal/core/dependent_plan.go
@@ -0,0 +1,64 @@
+package core
+
+import (
+	"math"
+
+	"github.com/brookwalk/brookwalk/internal/core/topology"
+)
+
+// A job that waits for others is known before it may start. Room for it is rented
+// while the last jobs that it awaits run, so that it need not wait for a boot
+// once they are done.
+
+// packDependents packs the jobs that wait for others and go on before a machine
+// rented now would be up, within their teams' limits.
+func (p *scaleOutPlan) packDependents(usage map[string]topology.Resources) {
+	for _, j := range p.leader.jobsBySubmission {
+		if !p.leader.startsSoon(j) {
+			continue
+		}
+		tasks := j.unplacedTasks()
+		if limit := p.leader.core.operatorSettings.WarmMachines; limit != nil {
+			tasks = tasks[:min(len(tasks), *limit)]
+		}
+		p.packCandidate(&candidate{job: j, pending: tasks}, usage)
+	}
+}
+
+// startsSoon tells whether a job that waits for others is expected to go on
+// before a machine rented for it now would be up.
+func (l *leader) startsSoon(job *job) bool {
+	if !job.waiting || !job.loaded || job.cancellation.Requested() {
+		return false
+	}
+	lead, _, ok := l.leadTime(job)
+	if !ok {
+		return false
+	}
+	return !l.dependencies.AnyAwaited(job.ID, func(id string) bool {
+		awaited := l.jobs[id]
+		return awaited != nil && l.remainingRunTime(awaited) > lead
+	})
+}
+
+// remainingRunTime is how long a job is expected to run on, in seconds; without end
+// while it waits or some of its tasks have no machine.
+func (l *leader) remainingRunTime(job *job) float64 {
+	if job.waiting || !job.loaded || job.tasksPlaced+job.tasksDone < len(job.tasks) {
+		return math.Inf(1)
+	}
+	run := l.runEstimate(job)
+	longest := 0.0
+	for i := range job.tasks {
+		t := &job.tasks[i]
+		if t.done {
+			continue
+		}
+		left := run
+		if t.runningSince != 0 {
+			left -= (l.core.now - t.runningSince).Seconds()
+		}
+		longest = max(longest, left)
+	}
+	return longest
+}
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -29,17 +29,17 @@
 	Term uint64 `json:"term"`
 }
 
-// Reason tells why a controller gives up its leadership.
-type Reason string
+// StepDownReason tells why a controller gives up its leadership.
+type StepDownReason string
 
 // Reasons that the election itself finds.
 const (
-	ReasonHigherTerm Reason = "a higher term exists"
-	ReasonLeaseEnded Reason = "the lease ran out"
+	ReasonHigherTerm   StepDownReason = "a higher term exists"
+	ReasonLeaseExpired StepDownReason = "the lease ran out"
 )
 
-// Mandate is what the winner of an election leads by.
-type Mandate struct {
+// Leadership is what the winner of an election leads by.
+type Leadership struct {
 	Term        uint64
 	TermVersion uint64 // of the term key, on which every write is conditional
 	Lease       uint64 // of the leader key
@@ -62,11 +62,11 @@
 	// Now is the steady time.
 	Now() time.Duration
 	// Leading returns the mandate by which this controller leads; false if it does not.
-	Leading() (Mandate, bool)
+	Leading() (Leadership, bool)
 	// Lead begins to lead.
-	Lead(Mandate)
+	Lead(Leadership)
 	// StepDown ends this controller's leadership, and calls SteppedDown.
-	StepDown(Reason)
+	StepDown(StepDownReason)
 	// ObserveStore is told whether the store answers.
 	ObserveStore(status kv.Status)
 	// HearsPeer tells whether any other controller is heard.
@@ -79,25 +79,25 @@
 
 // Election is what a controller knows of who leads.
 type Election struct {
-	name  string
-	ttl   time.Duration // of the leader's lease
-	store Store
-	host  Host
-	log   *slog.Logger
+	name          string
+	leaseDuration time.Duration // of the leader's lease
+	store         Store
+	host          Host
+	log           *slog.Logger
 
-	busy     bool
-	nextPoll time.Duration
-	term     uint64 // highest term known
-	leader   string // who holds it, if known
-	heard    time.Duration
-	keyAt    time.Duration // when the leader's key was last read
-	asked    bool          // the leader key was read since the start
+	callPending   bool
+	nextPoll      time.Duration
+	term          uint64 // highest term known
+	leader        string // who holds it, if known
+	leaderHeardAt time.Duration
+	keyReadAt     time.Duration // when the leader's key was last read
+	keyReadOnce   bool          // the leader key was read since the start
 }
 
 // New makes the state of a controller that has just started. ttl is the time to live of
 // the leader's lease.
 func New(name string, ttl time.Duration, store Store, host Host, log *slog.Logger) *Election {
-	return &Election{name: name, ttl: ttl, store: store, host: host, log: log}
+	return &Election{name: name, leaseDuration: ttl, store: store, host: host, log: log}
 }
 
 // Term is the highest term known.
@@ -107,29 +107,29 @@
 func (e *Election) Leader() string { return e.leader }
 
 // LeaderHeard is when the leader was last heard.
-func (e *Election) LeaderHeard() time.Duration { return e.heard }
+func (e *Election) LeaderHeard() time.Duration { return e.leaderHeardAt }
 
-// NoteLeaderHeard notes that the leader was heard now.
-func (e *Election) NoteLeaderHeard() { e.heard = e.host.Now() }
+// RecordLeaderHeard notes that the leader was heard now.
+func (e *Election) RecordLeaderHeard() { e.leaderHeardAt = e.host.Now() }
 
-// KeyRead is when the key of another leader was last read; 0 for never.
-func (e *Election) KeyRead() time.Duration { return e.keyAt }
+// LeaderKeyRead is when the key of another leader was last read; 0 for never.
+func (e *Election) LeaderKeyRead() time.Duration { return e.keyReadAt }
 
 // Tick renews this controller's leadership, or looks at who leads.
 func (e *Election) Tick() {
 	now := e.host.Now()
-	if e.busy || now < e.nextPoll {
+	if e.callPending || now < e.nextPoll {
 		return
 	}
-	e.busy = true
-	e.nextPoll = now + e.ttl/4
+	e.callPending = true
+	e.nextPoll = now + e.leaseDuration/4
 	if m, leads := e.host.Leading(); leads {
 		e.renew(m)
 		return
 	}
 	e.store.Get(KeyLeader, func(r kv.GetResult) {
 		e.host.ObserveStore(r.Status)
-		e.busy = false
+		e.callPending = false
 		if e.leads() {
 			return
 		}
@@ -137,7 +137,7 @@
 		case kv.OK:
 			e.onLeaderKey(r.Item)
 		case kv.NotFound:
-			e.asked = true
+			e.keyReadOnce = true
 			e.campaign(0)
 		}
 	})
@@ -157,30 +157,30 @@
 		e.log.Error("leader key is not readable", "value", string(item.Value), "error", err)
 		return
 	}
-	v, version := key.Value, key.Version
-	first := !e.asked
-	e.asked = true
-	if v.Name == e.name {
+	value, version := key.Value, key.Version
+	first := !e.keyReadOnce
+	e.keyReadOnce = true
+	if value.Name == e.name {
 		// Our own key, of an earlier process or of an election whose answer got
 		// lost: nobody else acts under it.
-		if first || v.Term >= e.term {
+		if first || value.Term >= e.term {
 			e.campaign(version)
 		}
 		return
 	}
-	e.Learn(v.Term, v.Name)
-	e.keyAt = e.host.Now()
+	e.ObserveLeader(value.Term, value.Name)
+	e.keyReadAt = e.host.Now()
 	if e.host.LeaderLost() {
 		// It still holds its key, but neither we nor another controller hear
 		// it, so the workers' reports do not reach it and their leases run out.
 		// Its key gives way; its writes and commands do by the term.
-		e.log.Info("take over", "from", v.Name, "term", v.Term)
+		e.log.Info("take over", "from", value.Name, "term", value.Term)
 		e.campaign(version)
 	}
 }
 
-// Learn takes in that a controller leads under a term.
-func (e *Election) Learn(term uint64, name string) {
+// ObserveLeader takes in that a controller leads under a term.
+func (e *Election) ObserveLeader(term uint64, name string) {
 	if term < e.term {
 		return
 	}
@@ -192,7 +192,7 @@
 	}
 	if term > e.term || e.leader != name {
 		e.term, e.leader = term, name
-		e.NoteLeaderHeard()
+		e.RecordLeaderHeard()
 		e.log.Info("leader", "name", name, "term", term)
 	}
 	e.host.LeaderKnown()
@@ -201,14 +201,14 @@
 // campaign tries to win the next term, given the version of the leader key: it
 // reads the term, takes a lease for the key, and writes both.
 func (e *Election) campaign(leaderVersion uint64) {
-	e.busy = true
+	e.callPending = true
 	e.store.Get(KeyTerm, func(r kv.GetResult) {
 		term, ok := e.decodeTerm(r)
 		if !ok {
-			e.busy = false
+			e.callPending = false
 			return
 		}
-		e.takeGrant(func(lease uint64) { e.claimTerm(leaderVersion, term.Value+1, term.Version, lease) })
+		e.grantLease(func(lease uint64) { e.claimTerm(leaderVersion, term.Value+1, term.Version, lease) })
 	})
 }
 
@@ -229,12 +229,12 @@
 	}
 }
 
-// takeGrant asks the state service for a lease, for an election that goes on
+// grantLease asks the state service for a lease, for an election that goes on
 // with it.
-func (e *Election) takeGrant(next func(lease uint64)) {
-	e.store.Grant(e.ttl, func(r kv.GrantResult) {
+func (e *Election) grantLease(next func(lease uint64)) {
+	e.store.Grant(e.leaseDuration, func(r kv.GrantResult) {
 		if r.Status != kv.OK {
-			e.busy = false
+			e.callPending = false
 			return
 		}
 		next(r.Lease)
@@ -245,40 +245,40 @@
 // neither has changed.
 func (e *Election) claimTerm(leaderVersion, term, termVersion, lease uint64) {
 	txn := &wire.Txn{
-		If:     []wire.Cond{{Key: KeyLeader, Version: leaderVersion}, {Key: KeyTerm, Version: termVersion}},
-		Writes: []wire.Write{{Put: KeyLeader, Value: kv.Encode(LeaderValue{e.name, term}), Lease: lease}, {Put: KeyTerm, Value: kv.Encode(term)}},
+		Conditions: []wire.Condition{{Key: KeyLeader, Version: leaderVersion}, {Key: KeyTerm, Version: termVersion}},
+		Writes:     []wire.Write{{Put: KeyLeader, Value: kv.Encode(LeaderValue{e.name, term}), Lease: lease}, {Put: KeyTerm, Value: kv.Encode(term)}},
 	}
 	e.store.Commit(txn, func(r kv.TxnResult) {
-		e.busy = false
+		e.callPending = false
 		if !r.Committed() {
 			return
 		}
-		e.win(Mandate{Term: term, TermVersion: r.Revision, Lease: lease})
+		e.becomeLeader(Leadership{Term: term, TermVersion: r.Revision, Lease: lease})
 	})
 }
 
-// win begins to lead under a term that was won, unless another controller has won a
+// becomeLeader begins to lead under a term that was won, unless another controller has won a
 // later one meanwhile.
-func (e *Election) win(m Mandate) {
+func (e *Election) becomeLeader(m Leadership) {
 	if m.Term <= e.term && e.leader != "" && e.leader != e.name {
 		return
 	}
 	e.term, e.leader = m.Term, e.name
-	e.nextPoll = e.host.Now() + e.ttl/4
+	e.nextPoll = e.host.Now() + e.leaseDuration/4
 	e.log.Info("elected", "term", m.Term)
 	e.host.Lead(m)
 }
 
 // renew extends the lease of this controller's leader key.
-func (e *Election) renew(m Mandate) {
-	e.store.Renew(m.Lease, e.ttl/2, func(status kv.Status) {
+func (e *Election) renew(leadership Leadership) {
+	e.store.Renew(leadership.Lease, e.leaseDuration/2, func(status kv.Status) {
 		e.host.ObserveStore(status)
-		e.busy = false
-		if !e.leadsBy(m) {
+		e.callPending = false
+		if !e.leadsUnder(leadership) {
 			return
 		}
 		if status == kv.NotFound {
-			e.host.StepDown(ReasonLeaseEnded)
+			e.host.StepDown(ReasonLeaseExpired)
 			return
 		}
 		if e.host.HearsPeer() {
@@ -286,26 +286,26 @@
 		}
 		// Nobody is heard: another controller may have taken the key over.
 		e.store.Get(KeyLeader, func(r kv.GetResult) {
-			if !e.leadsBy(m) || r.Status != kv.OK {
+			if !e.leadsUnder(leadership) || r.Status != kv.OK {
 				return
 			}
 			if key, err := kv.Decode[LeaderValue](r.Item.Value, r.Item.Version); err == nil {
-				e.Learn(key.Value.Term, key.Value.Name)
+				e.ObserveLeader(key.Value.Term, key.Value.Name)
 			}
 		})
 	})
 }
 
-// leadsBy tells whether this controller still leads by a mandate.
-func (e *Election) leadsBy(m Mandate) bool {
+// leadsUnder tells whether this controller still leads by a mandate.
+func (e *Election) leadsUnder(m Leadership) bool {
 	now, leads := e.host.Leading()
 	return leads && now == m
 }
 
 // SteppedDown notes that this controller does not lead any more.
 func (e *Election) SteppedDown() {
-	e.NoteLeaderHeard()
+	e.RecordLeaderHeard()
 	e.leader = ""
-	e.busy = false
+	e.callPending = false
 	e.nextPoll = e.host.Now()
 }
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -16,28 +16,28 @@
 // ttl of the leaders' leases in these tests.
 const ttl = 2 * time.Second
 
-// service is a state service whose answers come late, in any order or not at all.
-type service struct {
-	rng      *rand.Rand
-	now      time.Duration
-	revision uint64
-	keys     map[string]wire.Item
-	leases   map[uint64]time.Duration // end
-	pending  []func()
-	lost     float64 // share of answers that do not come
+// store is a state service whose answers come late, in any order or not at all.
+type store struct {
+	rng         *rand.Rand
+	now         time.Duration
+	revision    uint64
+	keys        map[string]wire.Item
+	leases      map[uint64]time.Duration // end
+	pending     []func()
+	lostAnswers float64 // share of answers that do not come
 }
 
-// later gives an answer some time, or none.
-func (s *service) later(done func(kv.Response), number int, v any) {
+// answerLater gives an answer some time, or none.
+func (s *store) answerLater(done func(kv.Response), number int, v any) {
 	response := kv.Response{Number: number, Body: kv.Encode(v)}
-	if s.rng.Float64() < s.lost {
+	if s.rng.Float64() < s.lostAnswers {
 		response = kv.Response{}
 	}
 	s.pending = append(s.pending, func() { done(response) })
 }
 
 // deliver gives the answers that wait, in a random order.
-func (s *service) deliver() {
+func (s *store) deliver() {
 	pending := s.pending
 	s.pending = nil
 	s.rng.Shuffle(len(pending), func(a, b int) { pending[a], pending[b] = pending[b], pending[a] })
@@ -46,8 +46,8 @@
 	}
 }
 
-// pass lets time pass: leases end, and the keys with them.
-func (s *service) pass(d time.Duration) {
+// advance lets time pass: leases end, and the keys with them.
+func (s *store) advance(d time.Duration) {
 	s.now += d
 	for id, end := range s.leases {
 		if s.now <= end {
@@ -62,20 +62,20 @@
 	}
 }
 
-func (s *service) Get(key string, done func(kv.GetResult)) {
+func (s *store) Get(key string, done func(kv.GetResult)) {
 	answer := func(r kv.Response) { done(kv.ParseGet(r)) }
 	if it, ok := s.keys[key]; ok {
-		s.later(answer, http.StatusOK, it)
+		s.answerLater(answer, http.StatusOK, it)
 		return
 	}
-	s.later(answer, http.StatusNotFound, struct{}{})
+	s.answerLater(answer, http.StatusNotFound, struct{}{})
 }
 
-func (s *service) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
+func (s *store) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	answer := func(r kv.Response) { done(kv.ParseTxn(r)) }
-	for _, c := range txn.If {
+	for _, c := range txn.Conditions {
 		if s.keys[c.Key].Version != c.Version {
-			s.later(answer, http.StatusConflict, struct{}{})
+			s.answerLater(answer, http.StatusConflict, struct{}{})
 			return
 		}
 	}
@@ -83,78 +83,78 @@
 	for _, w := range txn.Writes {
 		s.keys[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Version: s.revision, Lease: w.Lease}
 	}
-	s.later(answer, http.StatusOK, wire.TxnResult{Revision: s.revision})
+	s.answerLater(answer, http.StatusOK, wire.TxnResult{Revision: s.revision})
 }
 
-func (s *service) Grant(ttl time.Duration, done func(kv.GrantResult)) {
+func (s *store) Grant(ttl time.Duration, done func(kv.GrantResult)) {
 	s.revision++
 	s.leases[s.revision] = s.now + ttl
-	s.later(func(r kv.Response) { done(kv.ParseGrant(r)) }, http.StatusOK, wire.Grant{Lease: s.revision})
+	s.answerLater(func(r kv.Response) { done(kv.ParseGrant(r)) }, http.StatusOK, wire.Grant{Lease: s.revision})
 }
 
-func (s *service) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
+func (s *store) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
 	answer := func(r kv.Response) { done(kv.StatusOf(r.Number)) }
 	if _, ok := s.leases[lease]; !ok {
-		s.later(answer, http.StatusNotFound, struct{}{})
+		s.answerLater(answer, http.StatusNotFound, struct{}{})
 		return
 	}
 	s.leases[lease] = s.now + ttl
-	s.later(answer, http.StatusOK, struct{}{})
+	s.answerLater(answer, http.StatusOK, struct{}{})
 }
 
 // controller takes part in elections.
 type controller struct {
 	*Election
-	s        *service
-	name     string
-	mandate  *Mandate
-	steps    []Reason
-	lost     bool // others agree that the leader is out of reach
-	hears    bool // hears a peer
-	down     bool
-	restarts int
+	store      *store
+	name       string
+	leadership *Leadership
+	stepDowns  []StepDownReason
+	leaderLost bool // others agree that the leader is out of reach
+	hearsPeer  bool // hears a peer
+	down       bool
+	restarts   int
 }
 
-func newController(s *service, name string) *controller {
-	c := &controller{s: s, name: name, hears: true}
+func newController(s *store, name string) *controller {
+	c := &controller{store: s, name: name, hearsPeer: true}
 	c.Election = New(name, ttl, s, c, slog.New(slog.DiscardHandler))
 	return c
 }
 
-func (c *controller) Now() time.Duration { return c.s.now }
+func (c *controller) Now() time.Duration { return c.store.now }
 
-func (c *controller) Leading() (Mandate, bool) {
-	if c.mandate == nil {
-		return Mandate{}, false
+func (c *controller) Leading() (Leadership, bool) {
+	if c.leadership == nil {
+		return Leadership{}, false
 	}
-	return *c.mandate, true
+	return *c.leadership, true
 }
 
-func (c *controller) Lead(m Mandate) { c.mandate = &m }
+func (c *controller) Lead(m Leadership) { c.leadership = &m }
 
-func (c *controller) StepDown(why Reason) {
-	c.mandate = nil
-	c.steps = append(c.steps, why)
+func (c *controller) StepDown(why StepDownReason) {
+	c.leadership = nil
+	c.stepDowns = append(c.stepDowns, why)
 	c.SteppedDown()
 }
 
 func (c *controller) ObserveStore(kv.Status) {}
 
-func (c *controller) HearsPeer() bool { return c.hears }
+func (c *controller) HearsPeer() bool { return c.hearsPeer }
 
-func (c *controller) LeaderLost() bool { return c.lost }
+func (c *controller) LeaderLost() bool { return c.leaderLost }
 
 func (c *controller) LeaderKnown() {}
 
-func newService(seed uint64) *service {
-	return &service{rng: rand.New(rand.NewPCG(seed, 1)), keys: map[string]wire.Item{}, leases: map[uint64]time.Duration{}}
+func newStore(seed uint64) *store {
+	return &store{rng: rand.New(rand.NewPCG(seed, 1)), keys: map[string]wire.Item{}, leases: map[uint64]time.Duration{}}
 }
 
 // run plays some time in which all controllers tick.
-func run(s *service, d time.Duration, cs ...*controller) {
+func run(s *store, d time.Duration, cs ...*controller) {
 	const step = 100 * time.Millisecond
 	for end := s.now + d; s.now < end; {
-		s.pass(step)
+		s.advance(step)
 		for _, c := range cs {
 			if !c.down {
 				c.Tick()
@@ -168,27 +168,27 @@
 func leaders(cs ...*controller) []*controller {
 	var out []*controller
 	for _, c := range cs {
-		if c.mandate != nil && !c.down {
+		if c.leadership != nil && !c.down {
 			out = append(out, c)
 		}
 	}
 	return out
 }
 
-// TestOneLeads has three controllers begin together, then ends the leader. One leads
+// TestOneLeader has three controllers begin together, then ends the leader. One leads
 // each time, by a higher term, and the others know it.
-func TestOneLeads(t *testing.T) {
+func TestOneLeader(t *testing.T) {
 	for seed := range uint64(50) {
-		s := newService(seed)
+		s := newStore(seed)
 		cs := []*controller{newController(s, "a"), newController(s, "b"), newController(s, "c")}
 		term := uint64(0)
 		for len(cs) > 0 {
 			run(s, 4*ttl, cs...)
 			lead := leaders(cs...)
-			if len(lead) != 1 || lead[0].mandate.Term <= term {
+			if len(lead) != 1 || lead[0].leadership.Term <= term {
 				t.Fatalf("seed %d: %d lead after term %d", seed, len(lead), term)
 			}
-			term = lead[0].mandate.Term
+			term = lead[0].leadership.Term
 			var rest []*controller
 			for _, c := range cs {
 				if c.Leader() != lead[0].name || c.Term() != term {
@@ -207,21 +207,21 @@
 // two controllers may ever be given the same term.
 func TestTermsAreNeverShared(t *testing.T) {
 	for seed := range uint64(100) {
-		s := newService(seed)
-		s.lost = 0.1
+		s := newStore(seed)
+		s.lostAnswers = 0.1
 		cs := []*controller{newController(s, "a"), newController(s, "b"), newController(s, "c")}
 		holder := map[uint64]string{}
 		for range 300 {
 			run(s, ttl/4, cs...)
 			for i, c := range cs {
-				if m := c.mandate; m != nil {
+				if m := c.leadership; m != nil {
 					who := fmt.Sprint(c.name, c.restarts)
 					if h, ok := holder[m.Term]; ok && h != who {
 						t.Fatalf("seed %d: term %d is that of %s and %s", seed, m.Term, h, who)
 					}
 					holder[m.Term] = who
 				}
-				c.lost = s.rng.IntN(10) == 0
+				c.leaderLost = s.rng.IntN(10) == 0
 				switch s.rng.IntN(20) {
 				case 0:
 					c.down = true
@@ -243,44 +243,44 @@
 func TestStepsDown(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		happen func(s *service, c *controller)
-		want   Reason
+		happen func(s *store, c *controller)
+		want   StepDownReason
 	}{
-		{"its lease has ended", func(s *service, c *controller) { s.pass(2 * ttl) }, ReasonLeaseEnded},
-		{"a peer leads by a higher term", func(_ *service, c *controller) { c.Learn(c.mandate.Term+1, "b") }, ReasonHigherTerm},
-		{"hearing nobody it reads that another one leads", func(s *service, c *controller) {
-			c.hears = false
-			value, _ := json.Marshal(LeaderValue{"b", c.mandate.Term + 1})
+		{"its lease has ended", func(s *store, c *controller) { s.advance(2 * ttl) }, ReasonLeaseExpired},
+		{"a peer leads by a higher term", func(_ *store, c *controller) { c.ObserveLeader(c.leadership.Term+1, "b") }, ReasonHigherTerm},
+		{"hearing nobody it reads that another one leads", func(s *store, c *controller) {
+			c.hearsPeer = false
+			value, _ := json.Marshal(LeaderValue{"b", c.leadership.Term + 1})
 			s.keys[KeyLeader] = wire.Item{Key: KeyLeader, Value: value, Version: 99}
 		}, ReasonHigherTerm},
-		{"nothing", func(*service, *controller) {}, ""},
-		{"a peer names a lower term", func(_ *service, c *controller) { c.Learn(c.mandate.Term-1, "b") }, ""},
+		{"nothing", func(*store, *controller) {}, ""},
+		{"a peer names a lower term", func(_ *store, c *controller) { c.ObserveLeader(c.leadership.Term-1, "b") }, ""},
 	} {
-		s := newService(1)
+		s := newStore(1)
 		c := newController(s, "a")
 		run(s, ttl, c)
-		if c.mandate == nil {
+		if c.leadership == nil {
 			t.Fatal("nobody leads")
 		}
 		tc.happen(s, c)
 		run(s, ttl/2, c)
-		if got := fmt.Sprint(c.steps); tc.want == "" && len(c.steps) > 0 || tc.want != "" && (len(c.steps) == 0 || c.steps[0] != tc.want) {
+		if got := fmt.Sprint(c.stepDowns); tc.want == "" && len(c.stepDowns) > 0 || tc.want != "" && (len(c.stepDowns) == 0 || c.stepDowns[0] != tc.want) {
 			t.Errorf("%s: steps down for %s, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestTakesOver has a leader hold its key while nobody hears it. A controller whose peers
+// TestFailover has a leader hold its key while nobody hears it. A controller whose peers
 // agree takes over; one that is alone with that does not.
-func TestTakesOver(t *testing.T) {
+func TestFailover(t *testing.T) {
 	for _, agreed := range []bool{true, false} {
-		s := newService(1)
+		s := newStore(1)
 		a, b := newController(s, "a"), newController(s, "b")
 		run(s, ttl, a)
-		first := a.mandate.Term
-		b.lost = agreed
+		first := a.leadership.Term
+		b.leaderLost = agreed
 		run(s, ttl, a, b)
-		if took := b.mandate != nil && b.mandate.Term > first; took != agreed {
+		if took := b.leadership != nil && b.leadership.Term > first; took != agreed {
 			t.Errorf("peers agree %v: takes over %v", agreed, took)
 		}
 	}
--- a/internal/core/election.go
+++ b/internal/core/election_host.go
@@ -8,9 +8,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// ttl is the time to live of the leader's lease: a crash, the election and the
+// leaderLeaseDuration is the time to live of the leader's lease: a crash, the election and the
 // workers' move to another controller must all fit within one worker lease.
-func (c *Core) ttl() time.Duration { return c.lease() / 5 }
+func (c *Core) leaderLeaseDuration() time.Duration { return c.workerLease() / 5 }
 
 // electionStore is the key-value store as elections use it.
 type electionStore struct{ *kv.Client }
@@ -25,23 +25,23 @@
 func (h electionHost) Now() time.Duration { return h.c.now }
 
 // Leading returns the mandate by which this controller leads.
-func (h electionHost) Leading() (election.Mandate, bool) {
-	if h.c.lead == nil {
-		return election.Mandate{}, false
+func (h electionHost) Leading() (election.Leadership, bool) {
+	if h.c.leader == nil {
+		return election.Leadership{}, false
 	}
-	return h.c.lead.mandate, true
+	return h.c.leader.leadership, true
 }
 
 // Lead begins to lead.
-func (h electionHost) Lead(m election.Mandate) {
-	h.c.lead = newLeader(h.c, m)
-	h.c.lead.recover()
-	h.c.sendDigest()
-	h.c.flushForwards()
+func (h electionHost) Lead(m election.Leadership) {
+	h.c.leader = newLeader(h.c, m)
+	h.c.leader.recover()
+	h.c.sendDigests()
+	h.c.forwardPending()
 }
 
 // StepDown ends this controller's leadership.
-func (h electionHost) StepDown(why election.Reason) { h.c.stepDown(why) }
+func (h electionHost) StepDown(why election.StepDownReason) { h.c.stepDown(why) }
 
 // ObserveStore is told whether the store answers.
 func (h electionHost) ObserveStore(status kv.Status) { h.c.store.Observe(status) }
@@ -53,12 +53,12 @@
 func (h electionHost) LeaderLost() bool { return h.c.leaderLost() }
 
 // LeaderKnown passes on the reports that wait for a leader.
-func (h electionHost) LeaderKnown() { h.c.flushForwards() }
+func (h electionHost) LeaderKnown() { h.c.forwardPending() }
 
 // stepDown ends this controller's leadership.
-func (c *Core) stepDown(why election.Reason) {
-	c.log.Info("step down", "term", c.lead.mandate.Term, "why", why)
-	c.lead.deposed = true
-	c.lead = nil
-	c.elect.SteppedDown()
+func (c *Core) stepDown(why election.StepDownReason) {
+	c.log.Info("step down", "term", c.leader.leadership.Term, "why", why)
+	c.leader.steppedDown = true
+	c.leader = nil
+	c.election.SteppedDown()
 }
