--- a/internal/core/dearmachines_test.go
+++ b/internal/core/expensive_machines_test.go
@@ -8,13 +8,13 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// withDearMachines leads for a guest and a team with a guarantee of GPUs, where work
+// leaderWithExpensiveMachines leads for a guest and a team with a guarantee of GPUs, where work
 // without GPUs costs 0.1 an hour on a small machine, 0.6 on one with GPUs.
-func withDearMachines(t *testing.T) *leader {
-	_, l := withGuests(t)
-	l.c.types = map[string]*wire.MachineType{
-		"small": {Name: "small", CPUs: 10, MemGB: 100, BootS: 30, FetchGBPS: 1, CacheGB: 200, Price: 1, SpotPrice: 0.3, Zones: []string{"a"}},
-		"g4":    {Name: "g4", CPUs: 20, GPUs: 4, MemGB: 200, BootS: 30, FetchGBPS: 1, CacheGB: 200, Price: 12, SpotPrice: 3, Zones: []string{"a"}},
+func leaderWithExpensiveMachines(t *testing.T) *leader {
+	_, l := bestEffortLeader(t)
+	l.core.machineTypes = map[string]*wire.MachineType{
+		"small": {Name: "small", CPUs: 10, MemGB: 100, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 1, SpotPrice: 0.3, Zones: []string{"a"}},
+		"g4":    {Name: "g4", CPUs: 20, GPUs: 4, MemGB: 200, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 12, SpotPrice: 3, Zones: []string{"a"}},
 	}
 	return l
 }
@@ -32,9 +32,9 @@
 		{"no type holds it", 9, nil, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := withDearMachines(t)
-			j := enter(l, "job-1", "guest", "scan", 1, tc.gpus)
-			j.Types = tc.types
+			l := leaderWithExpensiveMachines(t)
+			j := addArray(l, "job-1", "guest", "scan", 1, tc.gpus)
+			j.MachineTypes = tc.types
 			if got := l.cheapTypes(&j.Job); !slices.Equal(got, tc.want) {
 				t.Errorf("cheap types %v, want %v", got, tc.want)
 			}
@@ -43,16 +43,16 @@
 }
 
 // Guests' work that waits has no dear machine rented, that of others has.
-func TestGuestsRentNoDearMachine(t *testing.T) {
+func TestBestEffortTeamsGetNoExpensiveMachine(t *testing.T) {
 	for _, team := range []string{"guest", "vision"} {
-		l := withDearMachines(t)
-		refuse(l, "a")
+		l := leaderWithExpensiveMachines(t)
+		refuseZone(l, "a")
 		for _, spot := range []bool{false, true} {
-			delete(l.fleet.refused, offer("g4", "a", spot))
+			delete(l.fleet.refusedUntil, offer("g4", "a", spot))
 		}
-		enter(l, "job-1", team, "scan", 4, 0)
-		l.plan(l.candidates(), l.usage())
-		if rents := len(l.fleet.rents); (rents > 0) != (team == "vision") {
+		addArray(l, "job-1", team, "scan", 4, 0)
+		l.planScaleOut(l.candidates(), l.refreshUsage())
+		if rents := len(l.fleet.scaleOuts); (rents > 0) != (team == "vision") {
 			t.Errorf("%d rental requests for team %s", rents, team)
 		}
 	}
@@ -60,7 +60,7 @@
 
 // A dear machine is emptied once nothing but guests' work has run on it for as long as a
 // machine may be idle, unless work is expected that needs it.
-func TestDearMachineLeavesGuests(t *testing.T) {
+func TestExpensiveMachineIsDrainedOfBestEffortWork(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		typ   string
@@ -71,38 +71,38 @@
 		{"a dear machine", "g4", 4, nil, true},
 		{"a cheap one", "small", 4, nil, false},
 		{"not long enough", "g4", 2, nil, false},
-		{"needed by work to come", "g4", 4, func(l *leader, m *machine) { l.fleet.keepIdle[m.name] = true }, false},
+		{"needed by work to come", "g4", 4, func(l *leader, m *machine) { l.fleet.keptIdle[m.name] = true }, false},
 		{"another team's task on it", "g4", 4, func(l *leader, m *machine) {
-			l.bindTasks(enter(l, "job-9", "vision", "sweep", 1, 0), []int{0}, []*machine{m})
+			l.bindTasks(addArray(l, "job-9", "vision", "sweep", 1, 0), []int{0}, []*machine{m})
 		}, false},
 		{"work beside it that fits nowhere else", "g4", 4, func(l *leader, m *machine) {
-			l.bindTasks(enter(l, "job-9", "guest", "scan", 1, 1), []int{0}, []*machine{m})
+			l.bindTasks(addArray(l, "job-9", "guest", "scan", 1, 1), []int{0}, []*machine{m})
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := withDearMachines(t)
+			l := leaderWithExpensiveMachines(t)
 			m := idleMachine(l, "n-1", tc.typ, "a")
-			m.createdAt -= minCharge
-			owner := enter(l, "job-1", "vision", "sweep", 1, 0)
-			guest := enter(l, "job-2", "guest", "scan", 3, 0)
+			m.createdAt -= minBilledTime
+			owner := addArray(l, "job-1", "vision", "sweep", 1, 0)
+			guest := addArray(l, "job-2", "guest", "scan", 3, 0)
 			l.bindTasks(owner, []int{0}, []*machine{m})
 			l.bindTasks(guest, []int{0, 1, 2}, []*machine{m, m, m})
 			for i := range guest.tasks {
-				guest.tasks[i].recorded, guest.tasks[i].copied = true, true
+				guest.tasks[i].persisted, guest.tasks[i].startRetransmitted = true, true
 			}
-			l.release(owner, 0)
-			l.c.now += tc.alone * l.c.lease()
-			m.heard = l.c.now
+			l.unplace(owner, 0)
+			l.core.now += tc.alone * l.core.workerLease()
+			m.lastHeartbeat = l.core.now
 			if tc.setUp != nil {
 				tc.setUp(l, m)
 			}
-			l.releaseFromGuests(m)
-			l.drainLeaving(m)
-			if stopped := guest.tasks[0].stop != nil; m.evict != tc.want || stopped != tc.want {
-				t.Errorf("emptied: %v, tasks stopped: %v, want %v", m.evict, stopped, tc.want)
+			l.releaseFromBestEffort(m)
+			l.evictTasks(m)
+			if stopped := guest.tasks[0].stop != nil; m.evicting != tc.want || stopped != tc.want {
+				t.Errorf("emptied: %v, tasks stopped: %v, want %v", m.evicting, stopped, tc.want)
 			}
-			if tc.want && guest.tasks[0].stop != nil && guest.tasks[0].stop.grace != guest.SaveS {
-				t.Errorf("%v s to save", guest.tasks[0].stop.grace)
+			if tc.want && guest.tasks[0].stop != nil && guest.tasks[0].stop.gracePeriodS != guest.CheckpointDurationS {
+				t.Errorf("%v s to save", guest.tasks[0].stop.gracePeriodS)
 			}
 		})
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -4,55 +4,55 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
-	"github.com/brookwalk/brookwalk/internal/core/boots"
-	"github.com/brookwalk/brookwalk/internal/core/rental"
+	"github.com/brookwalk/brookwalk/internal/core/bootlatency"
+	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 )
 
 // fleet is what the leader keeps of its dealings with the cloud.
 type fleet struct {
-	returns     map[string]bool
-	returnBusy  bool
-	returnRetry time.Duration
+	pendingReturns map[string]bool
+	returnInFlight bool
+	returnRetryAt  time.Duration
 
-	listBusy bool
-	listNext time.Duration
-	listSeen map[string]bool
+	listInFlight   bool
+	nextListAt     time.Duration
+	listedMachines map[string]bool
 
-	rents    []*rent
-	rentNext time.Duration
-	rentSeq  int
-	wanted   []rental.Wanted                // what the last plan wants and is not asked for yet
-	refused  map[rental.Offer]time.Duration // until when an offer is not asked for
-	probes   map[rental.Offer]int           // machines counted on of offers refused lately
-	cutAt    map[string]time.Duration       // when a zone was last seen cut off
-	moveFrom string                         // the machine to be tried first, if the last walk was cut short
-	moveNext time.Duration                  // no machine is emptied for others before
-	keepIdle map[string]bool                // idle machines that are kept for work to come
-	keptFor  map[string]string              // what empty machines are kept for
+	scaleOuts           []*scaleOutRequest
+	nextScaleOutAt      time.Duration
+	scaleOutSequence    int
+	shortfalls          []provisioning.Shortfall             // what the last plan wants and is not asked for yet
+	refusedUntil        map[provisioning.Offer]time.Duration // until when an offer is not asked for
+	slowStartLimits     map[provisioning.Offer]int           // machines counted on of offers refused lately
+	partitionedAt       map[string]time.Duration             // when a zone was last seen cut off
+	consolidateFrom     string                               // the machine to be tried first, if the last walk was cut short
+	nextConsolidationAt time.Duration                        // no machine is emptied for others before
+	keptIdle            map[string]bool                      // idle machines that are kept for work to come
+	keptPurpose         map[string]string                    // what empty machines are kept for
 
-	commandNow map[string]bool // machines to send commands to at once
+	urgentCommands map[string]bool // machines to send commands to at once
 }
 
 // newFleet makes the state of a new leader.
 func newFleet() fleet {
-	return fleet{returns: map[string]bool{}, refused: map[rental.Offer]time.Duration{}, probes: map[rental.Offer]int{}, cutAt: map[string]time.Duration{}, keepIdle: map[string]bool{}, commandNow: map[string]bool{}}
+	return fleet{pendingReturns: map[string]bool{}, refusedUntil: map[provisioning.Offer]time.Duration{}, slowStartLimits: map[provisioning.Offer]int{}, partitionedAt: map[string]time.Duration{}, keptIdle: map[string]bool{}, urgentCommands: map[string]bool{}}
 }
 
 // tickFleet does what is due towards the cloud.
 func (l *leader) tickFleet() {
 	l.checkFleetSize()
-	l.returnBatch()
-	l.list()
-	for _, r := range l.fleet.rents {
-		if !r.busy && l.c.now >= r.retry {
-			l.rent(r)
+	l.returnPending()
+	l.startListing()
+	for _, r := range l.fleet.scaleOuts {
+		if !r.inFlight && l.core.now >= r.retryAt {
+			l.sendScaleOut(r)
 		}
 	}
-	l.sendRents()
-	for _, m := range l.byName {
-		l.releaseFromGuests(m)
-		l.drainLeaving(m)
-		l.returnIdle(m)
+	l.sendScaleOuts()
+	for _, m := range l.machinesByName {
+		l.releaseFromBestEffort(m)
+		l.evictTasks(m)
+		l.returnUnneeded(m)
 	}
 }
 
@@ -60,28 +60,30 @@
 // longer may take several times as long: it is no longer counted on, so that
 // another is rented in time, and later it is given up.
 const (
-	bootSlow = 1.5
-	bootLate = boots.Late
-	bootGone = 4
+	slowBootFactor   = 1.5
+	lateBootFactor   = bootlatency.LateFactor
+	failedBootFactor = 4
 )
 
-// bootKind names the machines that a machine is alike with in how it boots.
-func (m *machine) bootKind() boots.Kind { return boots.Kind{Type: m.typ, Zone: m.zone} }
+// provisioningKind names the machines that a machine is alike with in how it boots.
+func (m *machine) provisioningKind() bootlatency.Kind {
+	return bootlatency.Kind{Type: m.typeName, Zone: m.zone}
+}
 
-// noteUp takes in that a machine that this leader rented has come up.
-func (l *leader) noteUp(m *machine) {
+// recordProvisioningLatency takes in that a machine that this leader rented has come up.
+func (l *leader) recordProvisioningLatency(m *machine) {
 	t := l.typeOf(m)
-	if t == nil || m.rentedAt == 0 {
+	if t == nil || m.provisionRequestedAt == 0 {
 		return
 	}
-	l.boots.Up(m.bootKind(), l.c.now, l.c.now-m.rentedAt, config.Seconds(t.BootS))
+	l.provisioningLatencies.RecordBoot(m.provisioningKind(), l.core.now, l.core.now-m.provisionRequestedAt, config.Seconds(t.BootS))
 }
 
-// bootOverdue tells how many times its type's boot time a machine has taken.
-func (l *leader) bootOverdue(m *machine) float64 {
-	t := l.c.types[m.typ]
-	if t == nil || t.BootS <= 0 || m.heard != 0 {
+// bootTimeRatio tells how many times its type's boot time a machine has taken.
+func (l *leader) bootTimeRatio(m *machine) float64 {
+	t := l.core.machineTypes[m.typeName]
+	if t == nil || t.BootS <= 0 || m.lastHeartbeat != 0 {
 		return 0
 	}
-	return (l.c.now - m.createdAt).Seconds() / t.BootS
+	return (l.core.now - m.createdAt).Seconds() / t.BootS
 }
--- a/internal/core/fleetsize_test.go
+++ b/internal/core/fleet_size_test.go
@@ -13,18 +13,18 @@
 // A fleet that outgrows the sockets of the controllers is told of once, and again once it
 // has been smaller.
 func TestFleetOutgrowsSockets(t *testing.T) {
-	_, l := leading(t, func(s *config.Settings) {
-		s.Deployment.Size, s.Deployment.Limits.MaxConnections = 3, 12 // 10 workers each
+	_, l := newLeadingHarness(t, func(s *config.Settings) {
+		s.Deployment.Size, s.Deployment.MachineLimits.MaxConnections = 3, 12 // 10 workers each
 	})
 	var logged bytes.Buffer
-	l.c.log = slog.New(slog.NewTextHandler(&logged, nil))
+	l.core.log = slog.New(slog.NewTextHandler(&logged, nil))
 	var last *machine
 	for i := range 21 {
 		l.checkFleetSize()
 		if logged.Len() > 0 {
 			t.Fatalf("logged with %d machines: %s", i, logged.String())
 		}
-		last = l.machine(fmt.Sprintf("n-%06d", i))
+		last = l.machineNamed(fmt.Sprintf("n-%06d", i))
 	}
 	l.checkFleetSize()
 	l.checkFleetSize()
@@ -33,7 +33,7 @@
 	}
 	l.dropMachine(last)
 	l.checkFleetSize()
-	l.machine(last.name)
+	l.machineNamed(last.name)
 	l.checkFleetSize()
 	if n := strings.Count(logged.String(), "outgrows"); n != 2 {
 		t.Errorf("%d lines after the fleet has been smaller: %s", n, logged.String())
--- a/internal/core/forecast.go
+++ b/internal/core/forecast.go
@@ -12,43 +12,43 @@
 // classArrivals is what the leader keeps of a class's submissions.
 type classArrivals struct {
 	forecast.Arrivals
-	last *job
+	lastJob *job
 }
 
-// noteArrival counts a submission, by the time of its record: a new leader
+// recordArrival counts a submission, by the time of its record: a new leader
 // learns from the open jobs what was lately submitted.
-func (l *leader) noteArrival(j *job) {
-	a := l.arrivals[j.Class]
+func (l *leader) recordArrival(j *job) {
+	a := l.arrivalsByClass[j.Class]
 	if a == nil {
 		a = &classArrivals{}
-		l.arrivals[j.Class] = a
+		l.arrivalsByClass[j.Class] = a
 	}
 	begins := 1
 	if j.Shape != wire.ShapeArray {
 		begins = len(j.tasks)
 	}
-	at := l.c.now - time.Duration(max(0, l.c.wall-j.since))*time.Millisecond
-	a.Note(at, l.c.now, len(j.tasks), begins)
-	a.last = j
+	at := l.core.now - time.Duration(max(0, l.core.wallClockMS-j.waitingSinceMS))*time.Millisecond
+	a.Record(at, l.core.now, len(j.tasks), begins)
+	a.lastJob = j
 }
 
-// foreseen lists what is to be ready for work to come: the waits of classes, and
+// forecastObjectives lists what is to be ready for work to come: the waits of classes, and
 // for other classes the wait of work within a guarantee, if that is what comes.
-func (l *leader) foreseen() []config.Objective {
+func (l *leader) forecastObjectives() []config.Objective {
 	var waits, others []config.Objective
 	named := map[string]bool{}
-	for _, o := range l.c.cfg.Deployment.Objectives {
+	for _, o := range l.core.settings.Deployment.Objectives {
 		if o.Kind == objectiveWait {
 			named[o.Class] = true
 			waits = append(waits, o)
 		}
 	}
-	for _, o := range l.c.cfg.Deployment.Objectives {
+	for _, o := range l.core.settings.Deployment.Objectives {
 		if o.Kind != objectiveGuarantee {
 			continue
 		}
-		for _, class := range sortedKeys(l.arrivals) {
-			if j := l.arrivals[class].last; !named[class] && j != nil && j.within && l.c.guarantees(&j.Job) {
+		for _, class := range sortedKeys(l.arrivalsByClass) {
+			if j := l.arrivalsByClass[class].lastJob; !named[class] && j != nil && j.withinQuota && l.core.anyGuaranteeFor(&j.Job) {
 				o.Class = class
 				others = append(others, o)
 			}
@@ -61,19 +61,19 @@
 // fetches the class's image, if a slow boot makes that longer than the class
 // may wait. The share of the objective sets how sure it has to be that the
 // room suffices; a class that has been seen is never without room.
-func (l *leader) expectedTasks(a *classArrivals, o config.Objective) int {
-	lead, slowLead, ok := l.leadTime(a.last)
-	if !ok || slowLead <= o.WithinS {
+func (l *leader) expectedTasks(arrivals *classArrivals, objective config.Objective) int {
+	lead, slowLead, ok := l.leadTime(arrivals.lastJob)
+	if !ok || slowLead <= objective.WithinS {
 		return 0
 	}
-	n := a.Expected(l.c.now, lead, o.Share)
-	if o.Kind == objectiveGuarantee && a.last.Shape == wire.ShapeArray {
-		n *= int(math.Round(a.JobSize())) // begun with its last task
+	tasks := arrivals.Expected(l.core.now, lead, objective.Share)
+	if objective.Kind == objectiveGuarantee && arrivals.lastJob.Shape == wire.ShapeArray {
+		tasks *= int(math.Round(arrivals.JobSize())) // begun with its last task
 	}
-	if limit := l.c.op.WarmMachines; limit != nil {
-		n = min(n, *limit)
+	if limit := l.core.operatorSettings.WarmMachines; limit != nil {
+		tasks = min(tasks, *limit)
 	}
-	return n
+	return tasks
 }
 
 // leadTime is how long a machine for a job takes to boot and to fetch the job's
@@ -81,16 +81,16 @@
 // no type of machine may run the job.
 func (l *leader) leadTime(j *job) (usual, slow float64, ok bool) {
 	usual, slow = math.Inf(1), math.Inf(1)
-	for _, t := range l.c.types {
-		if !allowed(j.Types, t.Name) || !capacity(t).Holds(size(&j.Job)) {
+	for _, t := range l.core.machineTypes {
+		if !emptyOrContains(j.MachineTypes, t.Name) || !typeCapacity(t).Holds(taskSize(&j.Job)) {
 			continue
 		}
 		fetch := 0.0
-		if t.FetchGBPS > 0 {
-			fetch = j.ImageGB / t.FetchGBPS
+		if t.PullGBPerS > 0 {
+			fetch = j.ImageGB / t.PullGBPerS
 		}
 		usual = min(usual, t.BootS+fetch)
-		slow = min(slow, bootSlow*t.BootS+fetch)
+		slow = min(slow, slowBootFactor*t.BootS+fetch)
 		ok = true
 	}
 	return usual, slow, ok
--- a/internal/core/forecast/forecast.go
+++ b/internal/core/forecast/forecast.go
@@ -11,30 +11,30 @@
 // Window is for how long an arrival counts.
 const Window = 120 * time.Second
 
-// MaxTasks is how many tasks of one job count as arrivals: a huge job is one event,
+// MaxTasksPerJob is how many tasks of one job count as arrivals: a huge job is one event,
 // not the rate of those to come.
-const MaxTasks = 64
+const MaxTasksPerJob = 64
 
-// sizeMemory is over how many jobs their size is averaged.
-const sizeMemory = 8
+// jobSizeSamples is over how many jobs their size is averaged.
+const jobSizeSamples = 8
 
 // Arrivals keeps the times of a class's latest submissions.
 type Arrivals struct {
-	times []time.Duration // of each task, in the order in which they were noted
-	size  float64         // tasks of a job, averaged
+	times   []time.Duration // of each task, in the order in which they were noted
+	jobSize float64         // tasks of a job, averaged
 }
 
-// Note counts a job of some tasks that came at a time. begins is how many of them have
+// Record counts a job of some tasks that came at a time. begins is how many of them have
 // to begin for themselves: one of an array, all of a service or a gang.
-func (a *Arrivals) Note(at, now time.Duration, tasks, begins int) {
-	for range min(begins, MaxTasks) {
+func (a *Arrivals) Record(at, now time.Duration, tasks, starts int) {
+	for range min(starts, MaxTasksPerJob) {
 		a.times = append(a.times, at)
 	}
-	size := float64(min(tasks, MaxTasks))
-	if a.size == 0 {
-		a.size = size
+	size := float64(min(tasks, MaxTasksPerJob))
+	if a.jobSize == 0 {
+		a.jobSize = size
 	}
-	a.size += (size - a.size) / sizeMemory
+	a.jobSize += (size - a.jobSize) / jobSizeSamples
 	for len(a.times) > 0 && now-a.times[0] > Window {
 		a.times = a.times[1:]
 	}
@@ -51,30 +51,30 @@
 	return n
 }
 
-// Coming tells whether the last task arrived within the window before now.
-func (a *Arrivals) Coming(now time.Duration) bool {
+// Active tells whether the last task arrived within the window before now.
+func (a *Arrivals) Active(now time.Duration) bool {
 	return len(a.times) > 0 && now-a.times[len(a.times)-1] <= Window
 }
 
 // JobSize is how many tasks a job of the class has, on average over the last ones.
-func (a *Arrivals) JobSize() float64 { return a.size }
+func (a *Arrivals) JobSize() float64 { return a.jobSize }
 
 // Bounds of how sure a forecast is.
 const (
-	minSureness = 0.5
-	maxSureness = 0.99
+	minProbability = 0.5
+	maxProbability = 0.99
 )
 
 // Expected is how many tasks may come within a time, in seconds: as many as are not
 // exceeded with the given probability, and at least one.
 func (a *Arrivals) Expected(now time.Duration, within, probability float64) int {
 	mean := float64(a.Recent(now)) / Window.Seconds() * within
-	return max(1, quantile(mean, min(max(probability, minSureness), maxSureness)))
+	return max(1, poissonQuantile(mean, min(max(probability, minProbability), maxProbability)))
 }
 
-// quantile is the number that arrivals of a mean do not exceed with a probability, by
+// poissonQuantile is the number that arrivals of a mean do not exceed with a probability, by
 // the normal approximation of the Poisson distribution.
-func quantile(mean, probability float64) int {
+func poissonQuantile(mean, probability float64) int {
 	return int(math.Ceil(mean + math.Sqrt2*math.Erfinv(2*probability-1)*math.Sqrt(mean)))
 }
 
@@ -92,8 +92,8 @@
 	runs       int
 }
 
-// Learn takes in a run that was estimated at some seconds.
-func (r *RunTimes) Learn(run time.Duration, estimateS float64) {
+// Observe takes in a run that was estimated at some seconds.
+func (r *RunTimes) Observe(run time.Duration, estimateS float64) {
 	r.runs++
 	weight := max(1/float64(r.runs+1), minWeight)
 	ratio := min(max(run.Seconds()/estimateS, minRatio), maxRatio)
--- a/internal/core/forecast/forecast_test.go
+++ b/internal/core/forecast/forecast_test.go
@@ -8,7 +8,7 @@
 
 const now = 1000 * time.Second
 
-func TestNote(t *testing.T) {
+func TestRecord(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		tasks, begins int
@@ -17,13 +17,13 @@
 	}{
 		{"an array is one", 10, 1, 0, 1},
 		{"a service's tasks", 10, 10, 0, 10},
-		{"a huge job is bounded", 1000, 1000, 0, MaxTasks},
+		{"a huge job is bounded", 1000, 1000, 0, MaxTasksPerJob},
 		{"an old record is out of the window", 10, 10, Window + time.Second, 0},
 	} {
 		var a Arrivals
-		a.Note(now-tc.age, now, tc.tasks, tc.begins)
-		if got := a.Recent(now); got != tc.want || len(a.times) != tc.want || a.Coming(now) != (tc.want > 0) {
-			t.Errorf("%s: %d arrivals, coming %v; want %d", tc.name, got, a.Coming(now), tc.want)
+		a.Record(now-tc.age, now, tc.tasks, tc.begins)
+		if got := a.Recent(now); got != tc.want || len(a.times) != tc.want || a.Active(now) != (tc.want > 0) {
+			t.Errorf("%s: %d arrivals, coming %v; want %d", tc.name, got, a.Active(now), tc.want)
 		}
 	}
 }
@@ -44,10 +44,10 @@
 	} {
 		var a Arrivals
 		for range tc.old {
-			a.Note(now-Window-time.Second, now, 1, 1)
+			a.Record(now-Window-time.Second, now, 1, 1)
 		}
 		for range tc.recent {
-			a.Note(now-Window, now, 1, 1)
+			a.Record(now-Window, now, 1, 1)
 		}
 		if got := a.Expected(now, 60, tc.probability); got != tc.want {
 			t.Errorf("%s: %d tasks, want %d", tc.name, got, tc.want)
@@ -57,8 +57,8 @@
 
 func TestJobSize(t *testing.T) {
 	var a Arrivals
-	a.Note(now, now, 8, 1)
-	a.Note(now, now, 16, 1)
+	a.Record(now, now, 8, 1)
+	a.Record(now, now, 16, 1)
 	if got := a.JobSize(); got != 9 {
 		t.Errorf("%v tasks, want 9", got)
 	}
@@ -72,13 +72,13 @@
 		t.Errorf("%v s before any run, want 10", got)
 	}
 	for _, want := range []float64{15, 16.666667, 17.5} {
-		r.Learn(20*time.Second, 10)
+		r.Observe(20*time.Second, 10)
 		if got := r.Correct(10); math.Abs(got-want) > 1e-3 {
 			t.Errorf("%v s, want %v", got, want)
 		}
 	}
 	var far RunTimes
-	far.Learn(time.Hour, 10)
+	far.Observe(time.Hour, 10)
 	if got := far.Correct(10); got != 25 {
 		t.Errorf("%v s, want 25", got)
 	}
--- a/internal/core/foreseen_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -13,7 +13,7 @@
 // that names a wait, though the class names none: for whole arrays, since one has
 // begun with its last task. Work beyond the guarantee, or of nothing that is
 // guaranteed, and a guarantee without a wait get none.
-func TestRoomForGuaranteedWork(t *testing.T) {
+func TestCapacityForGuaranteedWork(t *testing.T) {
 	const types = `{"hulls":[{"label":"g8","cpus":96,"accelerators":8,"memGb":768,"fetchGbPerS":1,"rate":12,"lowPrice":4,"bootS":40,"berths":["a"]}]}`
 	wait := []config.Objective{{Kind: "guarantee", WithinS: 20, Share: 0.85}}
 	for _, tc := range []struct {
@@ -29,34 +29,34 @@
 		{"no wait", nil, 1, 6, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := leading(t, func(s *config.Settings) {
+			b, l := newLeadingHarness(t, func(s *config.Settings) {
 				s.Deployment.Objectives = tc.objectives
 				s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 8, GPUsMax: 16}}
 			})
-			if !b.c.setTypes([]byte(types)) {
+			if !b.core.setMachineTypes([]byte(types)) {
 				t.Fatal("the machine types are not read")
 			}
-			record(b, l, wire.Job{ID: "job-1", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
+			addRecord(b, l, wire.Job{ID: "job-1", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 				CPUs: 1, GPUs: tc.gpus, MemGB: 1, Tasks: tc.tasks, ImageGB: 10}, nil)
-			l.fleet.rents, l.fleet.rentNext = nil, 0
-			l.guarantee()
-			l.plan(nil, map[string]topology.Resources{})
-			room := 0.0
-			for _, r := range l.fleet.rents {
-				room += 8 * float64(r.req.Count)
+			l.fleet.scaleOuts, l.fleet.nextScaleOutAt = nil, 0
+			l.markWithinQuota()
+			l.planScaleOut(nil, map[string]topology.Resources{})
+			provisioned := 0.0
+			for _, r := range l.fleet.scaleOuts {
+				provisioned += 8 * float64(r.message.Count)
 			}
-			if (room > 0) != tc.want || tc.want && room < 2*float64(tc.tasks) {
-				t.Errorf("room for %v GPUs is rented, two arrays of %d tasks may come", room, tc.tasks)
+			if (provisioned > 0) != tc.want || tc.want && provisioned < 2*float64(tc.tasks) {
+				t.Errorf("room for %v GPUs is rented, two arrays of %d tasks may come", provisioned, tc.tasks)
 			}
 		})
 	}
 }
 
 // A huge array is one event, not the size of those to come.
-func TestHugeArrayIsNotForeseen(t *testing.T) {
-	b, l := leading(t, func(*config.Settings) {})
-	record(b, l, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxTasks}, nil)
-	if size := l.arrivals["c"].JobSize(); size > forecast.MaxTasks {
+func TestHugeArrayIsNotForecast(t *testing.T) {
+	b, l := newLeadingHarness(t, func(*config.Settings) {})
+	addRecord(b, l, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxTasksPerJob}, nil)
+	if size := l.arrivalsByClass["c"].JobSize(); size > forecast.MaxTasksPerJob {
 		t.Errorf("arrays of %v tasks are foreseen", size)
 	}
 }
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -11,18 +11,18 @@
 
 // forecastTypes are two types of machine; a task of 2 CPUs fits only the second.
 var forecastTypes = map[string]*wire.MachineType{
-	"small": {Name: "small", CPUs: 1, MemGB: 8, BootS: 10, FetchGBPS: 1, Price: 1, SpotPrice: 0.5, Zones: []string{"a", "b"}},
-	"large": {Name: "large", CPUs: 4, MemGB: 32, BootS: 60, FetchGBPS: 0.5, Price: 3, SpotPrice: 1.5, Zones: []string{"a", "b"}},
+	"small": {Name: "small", CPUs: 1, MemGB: 8, BootS: 10, PullGBPerS: 1, Price: 1, SpotPrice: 0.5, Zones: []string{"a", "b"}},
+	"large": {Name: "large", CPUs: 4, MemGB: 32, BootS: 60, PullGBPerS: 0.5, Price: 3, SpotPrice: 1.5, Zones: []string{"a", "b"}},
 }
 
 // newForecastLeader makes a leader that knows forecastTypes, 1000 s after its
 // start.
 func newForecastLeader(t *testing.T) *leader {
 	t.Helper()
-	b := newHarness(t, someTypes)
-	b.c.types = forecastTypes
-	b.c.now = 1000 * time.Second
-	return newLeader(b.c, electedBy(5))
+	b := newHarness(t, testMachineTypes)
+	b.core.machineTypes = forecastTypes
+	b.core.now = 1000 * time.Second
+	return newLeader(b.core, testLeadership(5))
 }
 
 func TestLeadTime(t *testing.T) {
@@ -34,7 +34,7 @@
 	}{
 		{"the fastest type that holds a task", wire.Job{CPUs: 1, MemGB: 1, ImageGB: 4}, 14, 19, true},
 		{"a larger task boots longer", wire.Job{CPUs: 2, MemGB: 1, ImageGB: 4}, 68, 98, true},
-		{"the job's types", wire.Job{CPUs: 1, MemGB: 1, Types: []string{"large"}}, 60, 90, true},
+		{"the job's types", wire.Job{CPUs: 1, MemGB: 1, MachineTypes: []string{"large"}}, 60, 90, true},
 		{"no type holds a task", wire.Job{CPUs: 5, MemGB: 1}, 0, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -69,13 +69,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
-			l.c.op = &config.Operator{WarmMachines: tc.warm}
-			a := &classArrivals{last: &job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
+			l.core.operatorSettings = &config.Operator{WarmMachines: tc.warm}
+			a := &classArrivals{lastJob: &job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
 			for range tc.old {
-				a.Note(l.c.now-forecast.Window-time.Second, l.c.now, 1, 1)
+				a.Record(l.core.now-forecast.Window-time.Second, l.core.now, 1, 1)
 			}
 			for range tc.recent {
-				a.Note(l.c.now-forecast.Window, l.c.now, 1, 1)
+				a.Record(l.core.now-forecast.Window, l.core.now, 1, 1)
 			}
 			if got := l.expectedTasks(a, tc.o); got != tc.want {
 				t.Errorf("%d tasks, want %d", got, tc.want)
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestNoteArrival(t *testing.T) {
+func TestRecordArrival(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		shape wire.Shape
@@ -94,13 +94,13 @@
 	}{
 		{"an array is one", wire.ShapeArray, 10, 0, 1},
 		{"a service's tasks", wire.ShapeService, 10, 0, 10},
-		{"a huge job is bounded", wire.ShapeService, 1000, 0, forecast.MaxTasks},
+		{"a huge job is bounded", wire.ShapeService, 1000, 0, forecast.MaxTasksPerJob},
 		{"an old record is out of the window", wire.ShapeService, 10, 121, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
-			l.noteArrival(&job{Job: wire.Job{Class: "c", Shape: tc.shape}, tasks: make([]task, tc.tasks), since: l.c.wall - tc.ageS*1000})
-			if got := l.arrivals["c"].Recent(l.c.now); got != tc.want {
+			l.recordArrival(&job{Job: wire.Job{Class: "c", Shape: tc.shape}, tasks: make([]task, tc.tasks), waitingSinceMS: l.core.wallClockMS - tc.ageS*1000})
+			if got := l.arrivalsByClass["c"].Recent(l.core.now); got != tc.want {
 				t.Errorf("%d arrivals, want %d", got, tc.want)
 			}
 		})
--- a/internal/core/gangfetch_test.go
+++ b/internal/core/gang_pull_test.go
@@ -8,7 +8,7 @@
 
 // A gang is not spread over a machine that holds its image and one that fetches it for
 // longer than its tasks wait for each other, if it finds machines that all fetch it.
-func TestGangFetchesTogether(t *testing.T) {
+func TestGangPullsTogether(t *testing.T) {
 	for _, test := range []struct {
 		name    string
 		imageGB float64 // fetched at 1 GB/s; gang_wait_s is 50
@@ -20,20 +20,20 @@
 		{"nowhere else to go", 60, 1, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, l := withGuests(t)
-			holder := idleMachine(l, "n-1", "g4", "a")
-			holder.images = []image{{name: "x", gb: test.imageGB}}
+			_, leader := bestEffortLeader(t)
+			holder := idleMachine(leader, "n-1", "g4", "a")
+			holder.cachedImages = []image{{name: "x", gb: test.imageGB}}
 			for _, name := range []string{"n-2", "n-3"}[:test.empty] {
-				idleMachine(l, name, "g4", "a")
+				idleMachine(leader, name, "g4", "a")
 			}
-			j := enter(l, "job-1", "vision", "train", 2, 4)
-			j.Shape, j.OneZone, j.Image, j.ImageGB = wire.ShapeGang, true, "x", test.imageGB
-			p := l.newPlacementPass()
-			c := &candidate{job: j, pending: j.unplacedTasks()}
-			p.fill(c, false)
+			job := addArray(leader, "job-1", "vision", "train", 2, 4)
+			job.Shape, job.OneZone, job.Image, job.ImageGB = wire.ShapeGang, true, "x", test.imageGB
+			pass := leader.newPlacementPass()
+			waiting := &candidate{job: job, pending: job.unplacedTasks()}
+			pass.placeFitting(waiting, false)
 			held := 0
-			for i := range j.tasks {
-				if m := j.tasks[i].machine; m == nil {
+			for i := range job.tasks {
+				if m := job.tasks[i].machine; m == nil {
 					t.Fatalf("task %d is not placed", i)
 				} else if m == holder {
 					held++
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -6,23 +6,29 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leaseBound is after how long without an answer a worker that has seen this
+// leaseExpiryBound is after how long without an answer a worker that has seen this
 // term has certainly dropped its tasks: its lease, the drift of two steady
 // clocks, and a margin for our own late timers.
-func (l *leader) leaseBound() time.Duration { return l.c.lease() + l.c.lease()/20 }
+func (l *leader) leaseExpiryBound() time.Duration {
+	return l.core.workerLease() + l.core.workerLease()/20
+}
 
-// overdueReport is after how long without a report one must have been missed:
+// heartbeatOverdueAfter is after how long without a report one must have been missed:
 // they come a quarter early or late.
-func (l *leader) overdueReport() time.Duration { return l.c.report() + l.c.report()*3/8 }
+func (l *leader) heartbeatOverdueAfter() time.Duration {
+	return l.core.heartbeatInterval() + l.core.heartbeatInterval()*3/8
+}
 
-// workerSwitch is how long a worker takes to leave a controller that does not
+// workerFailoverTime is how long a worker takes to leave a controller that does not
 // answer: the protocol's 4 s for the answer and 1 s before the next one.
-const workerSwitch = 5 * time.Second
+const workerFailoverTime = 5 * time.Second
 
 // deadAfter is after how long a silent machine that does not answer passes for
 // dead, if others of its zone and controller are heard: a worker had the time
 // to change controllers with a margin, and missed a report.
-func (l *leader) deadAfter() time.Duration { return max(workerSwitch*8/5, 2*l.c.report()) }
+func (l *leader) deadAfter() time.Duration {
+	return max(workerFailoverTime*8/5, 2*l.core.heartbeatInterval())
+}
 
 // silenceCount counts the machines of a zone, or those that report by one
 // controller.
@@ -47,102 +53,102 @@
 	mostSilent bool
 }
 
-// shouldReport tells whether a machine is expected to report: it has
+// heartbeatExpected tells whether a machine is expected to report: it has
 // reported, or tasks are recorded on it.
-func (m *machine) shouldReport() bool { return m.heard != 0 || len(m.placed) > 0 }
+func (m *machine) heartbeatExpected() bool { return m.lastHeartbeat != 0 || len(m.placements) > 0 }
 
 // tickMachines looks for machines that fell silent or deaf.
 func (l *leader) tickMachines() {
-	survey := l.surveySilence()
-	l.noteCutZones(survey)
-	for _, m := range l.byName {
-		l.expire(m)
-		if m.returning {
+	survey := l.countSilentMachines()
+	l.recordPartitionedZones(survey)
+	for _, machine := range l.machinesByName {
+		l.expireLease(machine)
+		if machine.returning {
 			continue
 		}
-		if m.heard == 0 || l.c.now-m.heard > l.overdueReport() {
-			if m.shouldReport() || m.listedAs == wire.MachineRunning {
-				l.probe(m)
+		if machine.lastHeartbeat == 0 || l.core.now-machine.lastHeartbeat > l.heartbeatOverdueAfter() {
+			if machine.heartbeatExpected() || machine.listedAs == wire.MachineRunning {
+				l.probe(machine)
 			}
 		}
-		if why := l.unhealthy(m, survey); why != "" {
-			l.returnMachine(m, why)
+		if reason := l.unhealthyReason(machine, survey); reason != "" {
+			l.returnMachine(machine, reason)
 		}
 	}
 }
 
-// surveySilence counts the silent machines.
-func (l *leader) surveySilence() *silenceSurvey {
-	s := &silenceSurvey{byZone: map[string]silenceCount{}, byController: map[string]silenceCount{}}
+// countSilentMachines counts the silent machines.
+func (l *leader) countSilentMachines() *silenceSurvey {
+	survey := &silenceSurvey{byZone: map[string]silenceCount{}, byController: map[string]silenceCount{}}
 	silent, machines := 0, 0
-	for _, m := range l.byName {
-		if !m.shouldReport() {
+	for _, machine := range l.machinesByName {
+		if !machine.heartbeatExpected() {
 			continue
 		}
-		zone, controller := s.byZone[m.zone], s.byController[m.via]
+		zone, controller := survey.byZone[machine.zone], survey.byController[machine.heartbeatController]
 		machines++
 		zone.machines++
 		controller.machines++
-		since := l.c.now - max(m.heard, m.contact, l.loadedAt)
-		if since > l.overdueReport() {
+		silence := l.core.now - max(machine.lastHeartbeat, machine.lastContact, l.recordsLoadedAt)
+		if silence > l.heartbeatOverdueAfter() {
 			zone.overdue++
 			controller.overdue++
 		}
-		if since > 3*l.c.report() {
+		if silence > 3*l.core.heartbeatInterval() {
 			silent++
 			// One that a new leader has not heard yet may hear a deposed one.
-			if since < l.c.maxExtension() && (m.heard == 0 || !l.leaseOver(m)) {
+			if silence < l.core.maxExtensionTime() && (machine.lastHeartbeat == 0 || !l.leaseExpired(machine)) {
 				zone.silent++
 			}
 		}
-		s.byZone[m.zone], s.byController[m.via] = zone, controller
+		survey.byZone[machine.zone], survey.byController[machine.heartbeatController] = zone, controller
 	}
-	s.mostSilent = silent > 2 && silent*2 > machines
-	return s
+	survey.mostSilent = silent > 2 && silent*2 > machines
+	return survey
 }
 
-// noteCutZones notes which zones are cut off. Most of a zone at once is more
+// recordPartitionedZones notes which zones are cut off. Most of a zone at once is more
 // likely cut off, and goes on under a controller there, than dead; so is a zone
 // of a machine or two, if its controllers are out of reach with all of them.
-func (l *leader) noteCutZones(s *silenceSurvey) {
-	for zone, n := range s.byZone {
-		if n.mostSilent() || n.silent > 0 && n.silent == n.machines && l.c.zoneLost(zone) {
-			l.fleet.cutAt[zone] = l.c.now
+func (l *leader) recordPartitionedZones(survey *silenceSurvey) {
+	for zone, count := range survey.byZone {
+		if count.mostSilent() || count.silent > 0 && count.silent == count.machines && l.core.zoneLost(zone) {
+			l.fleet.partitionedAt[zone] = l.core.now
 		}
 	}
 }
 
-// maxExpired is how often a worker may lose its lease while it answers.
-const maxExpired = 3
+// maxLeaseExpiries is how often a worker may lose its lease while it answers.
+const maxLeaseExpiries = 3
 
-// unhealthy tells why a machine is to be returned; empty if it is not.
-func (l *leader) unhealthy(m *machine, s *silenceSurvey) drainReason {
-	silence := l.silence(m)
-	limit := 2 * l.leaseBound()
-	if s.mostSilent {
+// unhealthyReason tells why a machine is to be returned; empty if it is not.
+func (l *leader) unhealthyReason(machine *machine, survey *silenceSurvey) drainReason {
+	silence := l.silentFor(machine)
+	limit := 2 * l.leaseExpiryBound()
+	if survey.mostSilent {
 		limit *= 2
 	}
 	switch {
-	case l.dead(m, s):
+	case l.isDead(machine, survey):
 		return drainDead
-	case m.listedAs == wire.MachineFailed:
-		return drainFailed
-	case m.shouldReport() && silence > limit:
+	case machine.listedAs == wire.MachineFailed:
+		return drainListedFailed
+	case machine.heartbeatExpected() && silence > limit:
 		return drainSilent
-	case m.expired >= maxExpired:
-		return drainLosesLease
-	case m.deafSince != 0 && l.c.now-m.deafSince > l.c.lease():
-		return drainDeaf
+	case machine.leaseExpiries >= maxLeaseExpiries:
+		return drainLeaseExpiries
+	case machine.unreachableSince != 0 && l.core.now-machine.unreachableSince > l.core.workerLease():
+		return drainUnreachable
 	}
 	return ""
 }
 
-// silence is for how long nothing was heard of a machine that could have been.
-func (l *leader) silence(m *machine) time.Duration {
-	return l.c.now - max(m.heard, m.contact, l.loadedAt, l.fleet.cutAt[m.zone])
+// silentFor is for how long nothing was heard of a machine that could have been.
+func (l *leader) silentFor(m *machine) time.Duration {
+	return l.core.now - max(m.lastHeartbeat, m.lastContact, l.recordsLoadedAt, l.fleet.partitionedAt[m.zone])
 }
 
-// dead tells whether a silent machine is dead, hangs or is cut off alone: it
+// isDead tells whether a silent machine is dead, hangs or is cut off alone: it
 // does not answer us either, though others of its zone do and it has had the
 // time to find another controller. Its return frees its tasks sooner than its
 // lease, however many fail at once. A leader that was cut off from the workers
@@ -156,13 +162,13 @@
 // controller which is now out of reach. Those that a new leader has not heard yet are
 // not such a group, though all of them are silent: taken for one, machines that hung
 // when the leader changed were given up no sooner than their leases.
-func (l *leader) dead(m *machine, s *silenceSurvey) bool {
-	if !m.shouldReport() || m.probeFailed <= max(m.heard, l.loadedAt) || l.silence(m) <= l.deadAfter() {
+func (l *leader) isDead(machine *machine, survey *silenceSurvey) bool {
+	if !machine.heartbeatExpected() || machine.lastProbeFailure <= max(machine.lastHeartbeat, l.recordsLoadedAt) || l.silentFor(machine) <= l.deadAfter() {
 		return false
 	}
-	zone, controller := s.byZone[m.zone], s.byController[m.via]
-	if s.mostSilent || zone.mostOverdue() || m.via != "" && controller.mostOverdue() {
+	zone, controller := survey.byZone[machine.zone], survey.byController[machine.heartbeatController]
+	if survey.mostSilent || zone.mostOverdue() || machine.heartbeatController != "" && controller.mostOverdue() {
 		return false
 	}
-	return l.zoneReachable(m, zone.machines)
+	return l.pathVerified(machine, zone.machines)
 }
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -11,10 +11,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestHealth asks controllers that the state service does not answer whether
+// TestHealthz asks controllers that the state service does not answer whether
 // they take users. One that is alone with that does not, be it that the others
 // reach the service or that it hears none of them; in a general outage all do.
-func TestHealth(t *testing.T) {
+func TestHealthz(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		peers  func(b *harness) // what is heard of the others, several times a second
@@ -25,22 +25,22 @@
 		{"the others are not heard", func(*harness) {}, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newHarness(t, someTypes)
-			b.c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-			b.c.peers["n1"] = &peerState{}
+			b := newHarness(t, testMachineTypes)
+			b.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+			b.core.peers["n1"] = &peerState{}
 			heardFrom(b, true)
-			b.down = true
-			for end := b.now + 2*b.c.ttl(); b.now < end; {
+			b.storeDown = true
+			for end := b.now + 2*b.core.leaderLeaseDuration(); b.now < end; {
 				tc.peers(b)
 				b.run(200 * time.Millisecond)
 			}
-			if a := b.ask("GET", "/healthz", ""); a.Status != tc.status {
+			if a := b.request("GET", "/healthz", ""); a.Status != tc.status {
 				t.Errorf("answered %d, want %d", a.Status, tc.status)
 			}
-			b.down = false
+			b.storeDown = false
 			heardFrom(b, true)
-			b.run(b.c.ttl())
-			if a := b.ask("GET", "/healthz", ""); a.Status != 200 {
+			b.run(b.core.leaderLeaseDuration())
+			if a := b.request("GET", "/healthz", ""); a.Status != 200 {
 				t.Errorf("answered %d once the service is back, want 200", a.Status)
 			}
 		})
@@ -70,32 +70,32 @@
 		{name: "silent since before the leader changed", silent: 9 * time.Second, asked: true, reached: true, newTerm: true, want: true},
 		{name: "it has answered meanwhile", silent: 9 * time.Second, asked: true, reached: true, answers: true},
 	} {
-		_, l := leading(t, func(*config.Settings) {})
-		l.c.now += 1000 * time.Second
-		l.loadedAt = l.c.now - tc.silent
+		_, l := newLeadingHarness(t, func(*config.Settings) {})
+		l.core.now += 1000 * time.Second
+		l.recordsLoadedAt = l.core.now - tc.silent
 		m := idleMachine(l, "n-1", "g4", "a")
 		for _, name := range []string{"n-2", "n-3"} {
-			idleMachine(l, name, "g4", "a").via = "n0"
+			idleMachine(l, name, "g4", "a").heartbeatController = "n0"
 		}
-		m.heard, m.via = l.c.now-tc.silent, "n0"
+		m.lastHeartbeat, m.heartbeatController = l.core.now-tc.silent, "n0"
 		if tc.newTerm {
-			m.heard, m.via = 0, ""
+			m.lastHeartbeat, m.heartbeatController = 0, ""
 			j := newJob(records.Open{Job: wire.Job{ID: "job-1", Tasks: 1, GPUs: 1}}, 1)
-			l.layOut(j)
-			l.bind(j, 0, m)
+			l.initPlacementRecords(j)
+			l.place(j, 0, m)
 		} else {
-			l.loadedAt -= 100 * time.Second
+			l.recordsLoadedAt -= 100 * time.Second
 		}
 		if tc.asked {
-			l.probeAnswered(m, l.c.now-time.Second, Result{Status: httpstatus.NoAnswer})
+			l.handleProbeResult(m, l.core.now-time.Second, Result{Status: httpstatus.NoAnswer})
 		}
 		if tc.reached {
-			l.reached["a"] = l.c.now
+			l.zoneReachedAt["a"] = l.core.now
 		}
 		if tc.answers {
-			l.onDirectReport(m, kv.Encode(wire.Report{Machine: "n-1", Type: "g4", Zone: "a", Session: 1, Seq: 9, Token: l.mandate.Term}))
+			l.handleDirectStatus(m, kv.Encode(wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: l.leadership.Term}))
 		}
-		if got := l.dead(m, l.surveySilence()); got != tc.want {
+		if got := l.isDead(m, l.countSilentMachines()); got != tc.want {
 			t.Errorf("%s: dead %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/core/hugearray_test.go
+++ b/internal/core/huge_array_test.go
@@ -12,26 +12,26 @@
 // each of which costs little more than a pass may: the rental plan comes on top.
 func TestHugeArrayInPasses(t *testing.T) {
 	const machines, seats = 4200, 16
-	b, l := leading(t, func(s *config.Settings) { s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}} })
-	b.c.types = fetchTypes
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}} })
+	harness.core.machineTypes = pullTypes
 	for i := range machines {
-		idleMachine(l, fmt.Sprintf("n-%06d", i), "g4", "a")
+		idleMachine(leader, fmt.Sprintf("n-%06d", i), "g4", "a")
 	}
-	j := enter(l, "job-1", "vision", "sweep", 100000, 0)
+	job := addArray(leader, "job-1", "vision", "sweep", 100000, 0)
 	passes := 0
-	for ; j.placed < machines*seats; passes++ {
-		placed, before := j.placed, l.passes.evaluations
-		limit := l.passBudget()
-		l.place()
-		if cost := l.passes.evaluations - before; cost > limit+limit/2 {
-			t.Fatalf("pass %d places %d tasks and costs %d evaluations, of %d", passes, j.placed-placed, cost, limit)
+	for ; job.tasksPlaced < machines*seats; passes++ {
+		placed, before := job.tasksPlaced, leader.passes.evaluations
+		limit := leader.evaluationBudget()
+		leader.runPlacementPass()
+		if cost := leader.passes.evaluations - before; cost > limit+limit/2 {
+			t.Fatalf("pass %d places %d tasks and costs %d evaluations, of %d", passes, job.tasksPlaced-placed, cost, limit)
 		}
-		if j.placed == placed {
+		if job.tasksPlaced == placed {
 			t.Fatalf("pass %d places nothing after %d tasks", passes, placed)
 		}
 	}
 	if passes < 3 {
-		t.Errorf("%d tasks placed in %d passes", j.placed, passes)
+		t.Errorf("%d tasks placed in %d passes", job.tasksPlaced, passes)
 	}
 }
 
@@ -48,14 +48,14 @@
 		{"a service as large as the fleet", wire.ShapeService, 4200, 0, 4200},
 		{"a gang as large as the fleet", wire.ShapeGang, 4200, 60, 4200},
 		{"an array of long tasks", wire.ShapeArray, 100000, 300, 100000},
-		{"an array of tasks of a second", wire.ShapeArray, 25000, 1, leastPlanned},
+		{"an array of tasks of a second", wire.ShapeArray, 25000, 1, minPlannedTasks},
 		{"an array of tasks of ten seconds", wire.ShapeArray, 25000, 12, 2500},
 		{"a small array", wire.ShapeArray, 60, 1, 60},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, l := withGuests(t) // its machines boot in 30 s
-			j := enter(l, "job-1", "vision", "sweep", test.tasks, 0)
-			j.Shape, j.EstimateS = test.shape, test.estimate
+			_, l := bestEffortLeader(t) // its machines boot in 30 s
+			j := addArray(l, "job-1", "vision", "sweep", test.tasks, 0)
+			j.Shape, j.EstimatedRunS = test.shape, test.estimate
 			if got := l.plannedTasks(&candidate{job: j, pending: j.unplacedTasks()}); got != test.want {
 				t.Errorf("%d tasks, want %d", got, test.want)
 			}
--- a/internal/core/imagefetch_test.go
+++ b/internal/core/image_pull_test.go
@@ -10,26 +10,26 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// fetchTypes fetches 1 GB a second.
-var fetchTypes = map[string]*wire.MachineType{
-	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, FetchGBPS: 1, CacheGB: 200, Price: 4},
+// pullTypes fetches 1 GB a second.
+var pullTypes = map[string]*wire.MachineType{
+	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// fetching leads with two empty machines.
-func fetching(t *testing.T) (l *leader, first, second *machine) {
-	b, l := leading(t, func(s *config.Settings) {
+// pullingLeader leads with two empty machines.
+func pullingLeader(t *testing.T) (l *leader, first, second *machine) {
+	b, l := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
 	})
-	b.c.types = fetchTypes
-	b.c.now = 1000 * time.Second
+	b.core.machineTypes = pullTypes
+	b.core.now = 1000 * time.Second
 	return l, idleMachine(l, "n-1", "g4", "a"), idleMachine(l, "n-2", "g4", "a")
 }
 
-// startFetch places a replica whose image is not held.
-func startFetch(l *leader, id, image string, gb float64, m *machine) *job {
+// startPull places a replica whose image is not held.
+func startPull(l *leader, id, image string, gb float64, m *machine) *job {
 	j := newJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: gb}}, 1)
-	l.layOut(j)
+	l.initPlacementRecords(j)
 	if m != nil {
 		l.bindTasks(j, []int{0}, []*machine{m})
 	}
@@ -37,7 +37,7 @@
 }
 
 // How machines fetch is learned from fetches that began behind others.
-func TestFetchEvidence(t *testing.T) {
+func TestPullEvidence(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		took  time.Duration // of an image of 20 GB behind one of 20 GB
@@ -48,17 +48,17 @@
 		{"a little longer than by itself", 28 * time.Second, false},
 		{"a little shorter than both", 32 * time.Second, true},
 	} {
-		l, m, _ := fetching(t)
-		startFetch(l, "job-1", "x", 20, m)
-		startFetch(l, "job-2", "y", 20, m)
-		l.c.now += 20 * time.Second
-		l.noteFetched(m, "x")
-		if l.fetches != (fetchEvidence{}) {
-			t.Errorf("%s: a fetch that was not behind another is evidence %+v", tc.name, l.fetches)
+		leader, machine, _ := pullingLeader(t)
+		startPull(leader, "job-1", "x", 20, machine)
+		startPull(leader, "job-2", "y", 20, machine)
+		leader.core.now += 20 * time.Second
+		leader.recordPulled(machine, "x")
+		if leader.pullStatistics != (pullEvidence{}) {
+			t.Errorf("%s: a fetch that was not behind another is evidence %+v", tc.name, leader.pullStatistics)
 		}
-		l.c.now += tc.took - 20*time.Second
-		l.noteFetched(m, "y")
-		if got := l.fetches.queue(); got != tc.queue {
+		leader.core.now += tc.took - 20*time.Second
+		leader.recordPulled(machine, "y")
+		if got := leader.pullStatistics.isSequential(); got != tc.queue {
 			t.Errorf("%s: fetches wait for each other: %v, want %v", tc.name, got, tc.queue)
 		}
 	}
@@ -66,66 +66,66 @@
 
 // A fetch whose beginning is not known, since an earlier leader placed the task,
 // is no evidence.
-func TestFetchOfUnknownAge(t *testing.T) {
-	l, m, _ := fetching(t)
-	startFetch(l, "job-1", "x", 20, m)
-	startFetch(l, "job-2", "y", 20, m)
-	m.fetching = nil
-	m.reviewFetches()
-	l.c.now += time.Second
-	l.noteFetched(m, "y")
-	if l.fetches != (fetchEvidence{}) {
-		t.Errorf("evidence %+v, want none", l.fetches)
+func TestPullOfUnknownAge(t *testing.T) {
+	l, m, _ := pullingLeader(t)
+	startPull(l, "job-1", "x", 20, m)
+	startPull(l, "job-2", "y", 20, m)
+	m.pulls = nil
+	m.refreshPulls()
+	l.core.now += time.Second
+	l.recordPulled(m, "y")
+	if l.pullStatistics != (pullEvidence{}) {
+		t.Errorf("evidence %+v, want none", l.pullStatistics)
 	}
 }
 
 // A new leader goes by what the one before told, until it has seen fetches itself.
-func TestFetchesAfterTakeover(t *testing.T) {
+func TestPullEvidenceAfterFailover(t *testing.T) {
 	for _, tc := range []struct {
-		e    fetchEvidence
+		e    pullEvidence
 		want bool
 	}{
-		{fetchEvidence{}, false},
-		{fetchEvidence{before: true}, true},
-		{fetchEvidence{before: true, parallel: 1}, false},
-		{fetchEvidence{before: true, parallel: 1, queued: 1}, false},
-		{fetchEvidence{queued: 2, parallel: 1}, true},
+		{pullEvidence{}, false},
+		{pullEvidence{inherited: true}, true},
+		{pullEvidence{inherited: true, parallel: 1}, false},
+		{pullEvidence{inherited: true, parallel: 1, sequential: 1}, false},
+		{pullEvidence{sequential: 2, parallel: 1}, true},
 	} {
-		if got := tc.e.queue(); got != tc.want {
+		if got := tc.e.isSequential(); got != tc.want {
 			t.Errorf("%+v: %v, want %v", tc.e, got, tc.want)
 		}
 	}
-	b := newHarness(t, someTypes)
-	b.c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	b.c.peers["n1"] = &peerState{}
+	b := newHarness(t, testMachineTypes)
+	b.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+	b.core.peers["n1"] = &peerState{}
 	for _, told := range []bool{true, false, true} {
 		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: told}}})
 		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !told}}})
-		if got := newLeader(b.c, election.Mandate{Term: 7, TermVersion: 1, Lease: 1}).fetches.queue(); got != told {
+		if got := newLeader(b.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != told {
 			t.Errorf("the new leader expects %v, the one before told %v", got, told)
 		}
 	}
 }
 
 // A leader tells the others how machines fetch images.
-func TestFetchesAreTold(t *testing.T) {
-	l, _, _ := fetching(t)
-	l.c.lead = l
-	l.c.cfg.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	l.c.peers["n1"] = &peerState{}
+func TestPullEvidenceIsShared(t *testing.T) {
+	leader, _, _ := pullingLeader(t)
+	leader.core.leader = leader
+	leader.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
+	leader.core.peers["n1"] = &peerState{}
 	for _, queued := range []int{0, 1} {
-		l.fetches.queued = queued
-		l.c.out = Output{}
-		l.c.sendDigest()
-		if sent := l.c.out.Sends; len(sent) == 0 || sent[0].Msg.Digest.FetchesQueue != (queued > 0) {
-			t.Errorf("with evidence %+v the digest is %+v", l.fetches, sent)
+		leader.pullStatistics.sequential = queued
+		leader.core.out = Output{}
+		leader.core.sendDigests()
+		if sent := leader.core.out.PeerSends; len(sent) == 0 || sent[0].Message.Digest.FetchesQueue != (queued > 0) {
+			t.Errorf("with evidence %+v the digest is %+v", leader.pullStatistics, sent)
 		}
 	}
 }
 
 // Replicas of different images were packed onto one machine, which fetched them one
 // after the other.
-func TestFetchesAreSpread(t *testing.T) {
+func TestPullsAreSpread(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		queue   bool
@@ -139,17 +139,17 @@
 		{"to the tightest, where nobody waits for a fetch any more", true, "y", true, "n-1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, m, _ := fetching(t)
-			before := startFetch(l, "job-1", "x", 20, m)
+			leader, machine, _ := pullingLeader(t)
+			before := startPull(leader, "job-1", "x", 20, machine)
 			if tc.stopped {
-				before.tasks[0].stop = &stop{}
+				before.tasks[0].stop = &stopRequest{}
 			}
 			if tc.queue {
-				l.fetches.queued = 1
+				leader.pullStatistics.sequential = 1
 			}
-			j := startFetch(l, "job-2", tc.image, 20, nil)
-			c := &candidate{job: j, pending: j.unplacedTasks(), preemptionRank: j.rank}
-			l.newPlacementPass().placeCandidate(c)
+			j := startPull(leader, "job-2", tc.image, 20, nil)
+			c := &candidate{job: j, pending: j.unplacedTasks(), preemptionPriority: j.level}
+			leader.newPlacementPass().placeCandidate(c)
 			if got := j.tasks[0].machine; got == nil || got.name != tc.want {
 				t.Errorf("placed on %v, want %s", got, tc.want)
 			}
@@ -160,15 +160,15 @@
 // A machine that fails what it starts is the last choice, however many images the
 // others fetch.
 func TestFailingMachineComesLast(t *testing.T) {
-	l, m, failing := fetching(t)
-	l.fetches.queued = 1
+	l, m, failing := pullingLeader(t)
+	l.pullStatistics.sequential = 1
 	for _, image := range []string{"a", "b", "c", "d", "e", "f"} {
-		m.beginFetch(image, 20, l.c.now)
+		m.beginPull(image, 20, l.core.now)
 	}
-	l.faults.Failed("job-7", failing.name)
-	j := startFetch(l, "job-2", "y", 20, nil)
-	wait := l.c.slowFetch(j.Class)
-	if a, b := l.machineRank(j, m, wait), l.machineRank(j, failing, wait); a >= b {
+	l.outliers.RecordFailure("job-7", failing.name)
+	j := startPull(l, "job-2", "y", 20, nil)
+	wait := l.core.maxPullTime(j.Class)
+	if a, b := l.machinePenalty(j, m, wait), l.machinePenalty(j, failing, wait); a >= b {
 		t.Errorf("rank %d of a machine that fetches, %d of one that fails", a, b)
 	}
 }
--- a/internal/core/input.go
+++ b/internal/core/input.go
@@ -4,8 +4,8 @@
 
 // Input is what a step takes: a Request, a Result, a PeerInput, a RegionInput or a Tick.
 type Input interface {
-	// handle has the core act on the input.
-	handle(c *Core)
+	// apply has the core act on the input.
+	apply(c *Core)
 }
 
 // Request is an HTTP request of a user, a worker or a health check.
@@ -16,7 +16,7 @@
 	Body   []byte
 }
 
-func (r Request) handle(c *Core) { c.onRequest(r) }
+func (r Request) apply(c *Core) { c.onRequest(r) }
 
 // Result ends a call. Status 0 means that no answer came; NotSent that the
 // call certainly was not executed.
@@ -27,12 +27,12 @@
 	NotSent bool
 }
 
-func (r Result) handle(c *Core) {
-	end, open := c.calls[r.ID]
+func (r Result) apply(c *Core) {
+	end, open := c.pendingCalls[r.ID]
 	if !open {
 		return
 	}
-	delete(c.calls, r.ID)
+	delete(c.pendingCalls, r.ID)
 	end(r)
 }
 
@@ -41,9 +41,9 @@
 	Message *wire.PeerMessage
 }
 
-func (p PeerInput) handle(c *Core) { c.onPeer(p.Message) }
+func (p PeerInput) apply(c *Core) { c.onPeerMessage(p.Message) }
 
 // Tick tells the core that time has passed.
 type Tick struct{}
 
-func (Tick) handle(c *Core) { c.onTick() }
+func (Tick) apply(c *Core) { c.onTick() }
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/cancellation"
+	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/internal/core/rental"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -14,187 +14,187 @@
 // job is an unfinished job.
 type job struct {
 	wire.Job
-	rec     records.Open // as recorded
-	version uint64       // of the open record
-	order   uint64       // version of the first record seen: submission order
-	since   int64        // ms, time of day from which its waiting counts
+	record          records.Open // as recorded
+	openVersion     uint64       // of the open record
+	submissionOrder uint64       // version of the first record seen: submission order
+	waitingSinceMS  int64        // ms, time of day from which its waiting counts
 
 	tasks       []task
-	done        int
-	placed      int
+	tasksDone   int
+	tasksPlaced int
 	nextAttempt uint64
 
-	jobRank
+	jobPriority
 	jobDependencies
 	cancellation cancellation.Progress
 	jobRecords
 	jobRetries
 
-	preempted  int              // how often it made way, as a gang
-	moveTo     map[int]*machine // where moving replicas have their room
-	reservedOn []*machine       // kept for it, see preempt
+	gangPreemptions     int              // how often it made way, as a gang
+	reschedulingTargets map[int]*machine // where moving replicas have their room
+	reservedMachines    []*machine       // kept for it, see preempt
 
-	wait            jobWait // what was logged of why its tasks wait
-	madeRoomInLimit bool    // work of its team was stopped for it, see teamlimit.go
+	waitLog             loggedWait // what was logged of why its tasks wait
+	preemptedWithinTeam bool       // work of its team was stopped for it, see teamlimit.go
 }
 
-// jobRank is what orders a job among those that wait for room.
-type jobRank struct {
-	rank   int     // of the priority, or of a higher one that a dependent has
-	due    float64 // time of day, in s, by which it has to be done; see inherit
-	within bool    // fits into its team's guarantee
+// jobPriority is what orders a job among those that wait for room.
+type jobPriority struct {
+	level       int     // of the priority, or of a higher one that a dependent has
+	deadline    float64 // time of day, in s, by which it has to be done; see inherit
+	withinQuota bool    // fits into its team's guarantee
 }
 
 // jobDependencies is what a job keeps of the jobs that it awaits, beside the
 // graph (package depgraph).
 type jobDependencies struct {
-	waits       bool    // for jobs that are not done
-	awaitedDone bool    // all that it awaited is done, which is to be recorded
-	list        listRef // of the awaited jobs, if it is spread over records
-	listRead    int     // records of it that have been read
+	waiting          bool    // for jobs that are not done
+	dependenciesDone bool    // all that it awaited is done, which is to be recorded
+	list             listRef // of the awaited jobs, if it is spread over records
+	listRecordsRead  int     // records of it that have been read
 }
 
 // jobRecords is the state of a job's records in the state service.
 type jobRecords struct {
 	loaded bool
 
-	openWritePending bool // the open record is being written
-	stale            bool // the open record must be read again
-	oversize         bool // the open record is larger than what the state service takes now
-	fence            bool // the open record is to be written before others, see mayWrite
+	openWritePending   bool // the open record is being written
+	openVersionUnknown bool // the open record must be read again
+	openRecordTooLarge bool // the open record is larger than what the state service takes now
+	rewriteOpenFirst   bool // the open record is to be written before others, see mayWriteNamedRanges
 
-	chunks        []chunk  // placement records, in the order of their tasks
-	superseded    []string // placement records that chunks have taken the place of
-	numbered      bool     // its placement records are numbered, see placements.go
-	placementSent bool     // a placement record was sent under this term
+	placementRecords      []placementRecord // placement records, in the order of their tasks
+	supersededKeys        []string          // placement records that chunks have taken the place of
+	numbered              bool              // its placement records are numbered, see placements.go
+	placementSentThisTerm bool              // a placement record was sent under this term
 
-	endPending bool // the end is being recorded
-	ended      bool // the end is recorded
+	endWritePending bool // the end is being recorded
+	endRecorded     bool // the end is recorded
 
-	refusals          int           // of its records, in a row
+	rejections        int           // of its records, in a row
 	writeBackoffUntil time.Duration // its records are not to be sent before
 }
 
 // jobRetries is what a job keeps of its tasks' failures.
 type jobRetries struct {
-	retryAt  time.Duration
-	failures int // in a row
+	retryAt             time.Duration
+	consecutiveFailures int // in a row
 }
 
 // newJob makes a job of an open record that was read at a version.
 func newJob(rec records.Open, version uint64) *job {
 	return &job{
-		Job: rec.Job, rec: rec, version: version, order: version, since: rec.At,
+		Job: rec.Job, record: rec, openVersion: version, submissionOrder: version, waitingSinceMS: rec.SubmittedAt,
 		tasks: make([]task, rec.Job.Tasks), nextAttempt: 1,
-		jobRank: jobRank{rank: priorityRank[rec.Job.Priority], due: ownDue(&rec)},
-		moveTo:  map[int]*machine{},
+		jobPriority:         jobPriority{level: priorityLevel[rec.Job.Priority], deadline: ownDeadline(&rec)},
+		reschedulingTargets: map[int]*machine{},
 	}
 }
 
 // task is one task. A task with a machine counts in full (its place, its
 // team's limit, its zone) until it is certainly gone, see gone.go.
 type task struct {
-	done     bool
-	attempt  uint64
-	machine  *machine
-	zone     string // of the machine: known even before the machine reports
-	session  uint64 // of the worker, at the start
-	recorded bool   // the placement is in the state service
-	ours     bool   // placed under this term
-	copied   bool   // a copy of the start was sent
-	seen     bool   // a report under this term showed it
-	state    wire.TaskState
-	upAt     time.Duration // first seen running
-	proven   bool          // it started well, see failures.go
-	placedAt time.Duration
-	stop     *stop
+	done               bool
+	attempt            uint64
+	machine            *machine
+	zone               string // of the machine: known even before the machine reports
+	incarnation        uint64 // of the worker, at the start
+	persisted          bool   // the placement is in the state service
+	placedThisTerm     bool   // placed under this term
+	startRetransmitted bool   // a copy of the start was sent
+	observed           bool   // a report under this term showed it
+	state              wire.TaskState
+	runningSince       time.Duration // first seen running
+	startedHealthy     bool          // it started well, see failures.go
+	placedAt           time.Duration
+	stop               *stopRequest
 }
 
-// stop is a request that a task ends.
-type stop struct {
-	grace float64
-	at    time.Duration
-	hard  bool
+// stopRequest is a request that a task ends.
+type stopRequest struct {
+	gracePeriodS float64
+	requestedAt  time.Duration
+	killed       bool
 }
 
-// ranks is the number of priorities.
-const ranks = rental.Ranks
+// priorityLevels is the number of priorities.
+const priorityLevels = provisioning.Ranks
 
-var priorityRank = map[wire.Priority]int{
+var priorityLevel = map[wire.Priority]int{
 	wire.PriorityCritical: 3, wire.PriorityUrgent: 2, wire.PriorityNormal: 1, wire.PriorityIdle: 0,
 }
 
-// bind makes a task count on a machine.
-func (l *leader) bind(j *job, i int, m *machine) {
+// place makes a task count on a machine.
+func (l *leader) place(j *job, i int, m *machine) {
 	t := &j.tasks[i]
 	t.machine = m
-	m.add(taskRef{j, i, taskName(j.ID, i)})
-	m.count(j, 1)
-	if !l.guests[j.Team] {
-		m.owed++
+	m.addTask(taskReference{j, i, taskName(j.ID, i)})
+	m.adjustUsage(j, 1)
+	if !l.bestEffortTeams[j.Team] {
+		m.guaranteedTasks++
 	}
-	l.used.count(j, 1)
-	j.placed++
+	l.teamUsage.add(j, 1)
+	j.tasksPlaced++
 }
 
-// count adds a job's tasks to a machine's sums, or takes them out.
-func (m *machine) count(j *job, n int) {
-	r := times(size(&j.Job), n)
+// adjustUsage adds a job's tasks to a machine's sums, or takes them out.
+func (m *machine) adjustUsage(j *job, n int) {
+	r := scaled(taskSize(&j.Job), n)
 	m.used = m.used.Add(r)
-	m.usedByRank[j.rank] = m.usedByRank[j.rank].Add(r)
-	if j.CheckpointS > 0 {
-		m.checkpointedByRank[j.rank] = m.checkpointedByRank[j.rank].Add(r)
+	m.usedByLevel[j.level] = m.usedByLevel[j.level].Add(r)
+	if j.CheckpointIntervalS > 0 {
+		m.checkpointedByLevel[j.level] = m.checkpointedByLevel[j.level].Add(r)
 	}
 }
 
-// release ends the counting of a task. Only gone.go decides to call it.
-func (l *leader) release(j *job, i int) {
+// unplace ends the counting of a task. Only gone.go decides to call it.
+func (l *leader) unplace(j *job, i int) {
 	t := &j.tasks[i]
 	m := t.machine
-	m.remove(j, i)
-	m.count(j, -1)
-	if !l.guests[j.Team] {
-		m.owed--
-		m.owedUntil = l.c.now
+	m.removeTask(j, i)
+	m.adjustUsage(j, -1)
+	if !l.bestEffortTeams[j.Team] {
+		m.guaranteedTasks--
+		m.guaranteedUntil = l.core.now
 	}
-	l.used.count(j, -1)
-	if len(m.placed) == 0 {
-		m.used, m.usedByRank, m.checkpointedByRank = topology.Resources{}, [ranks]topology.Resources{}, [ranks]topology.Resources{}
-		m.idleSince = l.c.now
+	l.teamUsage.add(j, -1)
+	if len(m.placements) == 0 {
+		m.used, m.usedByLevel, m.checkpointedByLevel = topology.Resources{}, [priorityLevels]topology.Resources{}, [priorityLevels]topology.Resources{}
+		m.idleSince = l.core.now
 	}
-	j.placed--
+	j.tasksPlaced--
 	done := t.done
 	*t = task{done: done}
-	l.markDirty(j, i, true)
+	l.markPlacementChanged(j, i, true)
 	l.passes.requested = true
 }
 
-// markDirty marks a task's record for writing: at once, or, where nothing is lost
+// markPlacementChanged marks a task's record for writing: at once, or, where nothing is lost
 // with it but the knowledge that the task is over, gathered with what follows
 // in two reports' time. The worker remembers an end until it is recorded.
 // Written one by one, the ends of arrays took most of the state service's
 // changes, and their last ones are written in vain, since the job's own end
 // deletes the record.
-func (l *leader) markDirty(j *job, i int, later bool) {
-	ch := j.chunkOf(i)
-	at := l.c.now
-	if later {
-		at += 2 * l.c.report()
+func (l *leader) markPlacementChanged(j *job, i int, deferred bool) {
+	ch := j.placementRecordOf(i)
+	at := l.core.now
+	if deferred {
+		at += 2 * l.core.heartbeatInterval()
 	}
-	if !ch.dirty || at < ch.due {
-		ch.dirty, ch.due = true, at
+	if !ch.dirty || at < ch.dueAt {
+		ch.dirty, ch.dueAt = true, at
 	}
-	if !later || j.finished() || j.over() {
-		l.records.dirty = true
+	if !deferred || j.isFinished() || j.isOver() {
+		l.writer.dirty = true
 	} else {
-		l.writeBy(ch.due)
+		l.scheduleWrite(ch.dueAt)
 	}
 }
 
-// writeBy has the records written at a time, if not before.
-func (l *leader) writeBy(at time.Duration) {
-	if l.records.dueAt == 0 || at < l.records.dueAt {
-		l.records.dueAt = at
+// scheduleWrite has the records written at a time, if not before.
+func (l *leader) scheduleWrite(at time.Duration) {
+	if l.writer.deferredUntil == 0 || at < l.writer.deferredUntil {
+		l.writer.deferredUntil = at
 	}
 }
 
@@ -202,27 +202,27 @@
 func (l *leader) markDone(j *job, i int) {
 	if !j.tasks[i].done {
 		j.tasks[i].done = true
-		j.done++
-		l.markDirty(j, i, true)
+		j.tasksDone++
+		l.markPlacementChanged(j, i, true)
 	}
 }
 
-// over tells whether nothing of the job is left to do.
-func (j *job) over() bool {
-	return j.loaded && j.placed == 0 && (j.cancellation.Requested() || j.done == len(j.tasks))
+// isOver tells whether nothing of the job is left to do.
+func (j *job) isOver() bool {
+	return j.loaded && j.tasksPlaced == 0 && (j.cancellation.Requested() || j.tasksDone == len(j.tasks))
 }
 
-// finished tells whether the job may be recorded as done: every task is done
+// isFinished tells whether the job may be recorded as done: every task is done
 // for certain, though copies may still count on machines.
-func (j *job) finished() bool {
-	return j.loaded && !j.cancellation.Requested() && j.done == len(j.tasks)
+func (j *job) isFinished() bool {
+	return j.loaded && !j.cancellation.Requested() && j.tasksDone == len(j.tasks)
 }
 
-// staleChunk tells whether the version of a placement record is unknown or about
+// hasUnknownPlacementVersion tells whether the version of a placement record is unknown or about
 // to change.
-func (j *job) staleChunk() bool {
-	for i := range j.chunks {
-		if j.chunks[i].stale || j.chunks[i].busy {
+func (j *job) hasUnknownPlacementVersion() bool {
+	for i := range j.placementRecords {
+		if j.placementRecords[i].versionUnknown || j.placementRecords[i].writePending {
 			return true
 		}
 	}
@@ -233,47 +233,47 @@
 // count on machines stay bound until they are certainly gone.
 func (l *leader) forget(j *job) {
 	delete(l.jobs, j.ID)
-	delete(l.cancelled, j.ID)
-	delete(l.lists.unread, j.ID)
-	l.faults.ForgetJob(j.ID)
+	delete(l.cancelledJobs, j.ID)
+	delete(l.dependencyLists.unread, j.ID)
+	l.outliers.ForgetJob(j.ID)
 	var before []string
-	l.deps.EachAwaited(j.ID, func(a string) { before = append(before, a) })
-	l.deps.Drop(j.ID)
+	l.dependencies.EachAwaited(j.ID, func(a string) { before = append(before, a) })
+	l.dependencies.Drop(j.ID)
 	for _, a := range before {
-		if x := l.jobs[a]; x != nil && x.cancellation.Requested() && !l.deps.Needed(a) {
-			l.ending = append(l.ending, x)
-			l.records.dirty = true
+		if x := l.jobs[a]; x != nil && x.cancellation.Requested() && !l.dependencies.Needed(a) {
+			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, x)
+			l.writer.dirty = true
 		}
 	}
 	if !j.cancellation.Requested() { // else they were told when it was cancelled
-		l.recomputeInherited(before)
+		l.recomputeUrgency(before)
 	}
-	at := sort.Search(len(l.order), func(k int) bool { return l.order[k].order >= j.order })
-	for ; at < len(l.order) && l.order[at].order == j.order; at++ {
-		if l.order[at] == j {
+	at := sort.Search(len(l.jobsBySubmission), func(k int) bool { return l.jobsBySubmission[k].submissionOrder >= j.submissionOrder })
+	for ; at < len(l.jobsBySubmission) && l.jobsBySubmission[at].submissionOrder == j.submissionOrder; at++ {
+		if l.jobsBySubmission[at] == j {
 			// Copied, for somebody may go through it.
-			l.order = append(l.order[:at:at], l.order[at+1:]...)
+			l.jobsBySubmission = append(l.jobsBySubmission[:at:at], l.jobsBySubmission[at+1:]...)
 			break
 		}
 	}
 	l.passes.requested = true
 }
 
-// digest lists the unfinished jobs' counts for the other controllers.
-func (l *leader) digest() []wire.JobCount {
-	out := make([]wire.JobCount, 0, len(l.order))
-	for _, j := range l.order {
-		if n := l.countOf(j); n.Done+n.Running > 0 {
+// jobCounts lists the unfinished jobs' counts for the other controllers.
+func (l *leader) jobCounts() []wire.JobCount {
+	out := make([]wire.JobCount, 0, len(l.jobsBySubmission))
+	for _, j := range l.jobsBySubmission {
+		if n := l.jobCount(j); n.Done+n.Running > 0 {
 			out = append(out, n)
 		}
 	}
 	return out
 }
 
-// countOf tells how many tasks of a job are done and running.
-func (l *leader) countOf(j *job) wire.JobCount {
-	n := wire.JobCount{ID: j.ID, Done: j.done}
-	if j.placed == 0 {
+// jobCount tells how many tasks of a job are done and running.
+func (l *leader) jobCount(j *job) wire.JobCount {
+	n := wire.JobCount{ID: j.ID, Done: j.tasksDone}
+	if j.tasksPlaced == 0 {
 		return n
 	}
 	for i := range j.tasks {
@@ -284,10 +284,10 @@
 	return n
 }
 
-// count is countOf for a job by its name; nothing for an unknown one.
-func (l *leader) count(id string) wire.JobCount {
+// jobCountByID is jobCount for a job by its name; nothing for an unknown one.
+func (l *leader) jobCountByID(id string) wire.JobCount {
 	if j := l.jobs[id]; j != nil {
-		return l.countOf(j)
+		return l.jobCount(j)
 	}
 	return wire.JobCount{ID: id}
 }
--- a/internal/core/jobcache.go
+++ b/internal/core/job_cache.go
@@ -6,45 +6,45 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// openJob is what a controller remembers of an open job.
-type openJob struct {
-	version    uint64
-	rec        records.Open
-	unwritable bool // the state service does not take a record of this size any more
+// cachedJob is what a controller remembers of an open job.
+type cachedJob struct {
+	version         uint64
+	record          records.Open
+	tooLargeToWrite bool // the state service does not take a record of this size any more
 }
 
-// maxKnown is how many jobs of a kind are remembered, open or final: a hundred
+// maxCachedJobs is how many jobs of a kind are remembered, open or final: a hundred
 // for each megabyte, about a fiftieth of the memory.
-func (c *Core) maxKnown() int { return int(100 * c.cfg.Deployment.Limits.RAMMB) }
+func (c *Core) maxCachedJobs() int { return int(100 * c.settings.Deployment.MachineLimits.RAMMB) }
 
 // cacheOpen remembers an open job; the ones known for longest make way. Forgetting
 // is safe: a job that is asked for is read again.
-func (c *Core) cacheOpen(id string, k *openJob) {
+func (c *Core) cacheOpen(id string, k *cachedJob) {
 	u := &c.users
-	if u.open[id] == nil {
-		u.openOrder = append(u.openOrder, id)
+	if u.openJobs[id] == nil {
+		u.openJobOrder = append(u.openJobOrder, id)
 	}
-	u.open[id] = k
-	for len(u.openOrder) > c.maxKnown() {
-		if old := u.openOrder[0]; old != id {
-			delete(u.open, old)
+	u.openJobs[id] = k
+	for len(u.openJobOrder) > c.maxCachedJobs() {
+		if old := u.openJobOrder[0]; old != id {
+			delete(u.openJobs, old)
 		}
-		u.openOrder = u.openOrder[1:]
+		u.openJobOrder = u.openJobOrder[1:]
 	}
 }
 
 // cacheFinal keeps a final state in memory; the oldest ones make way.
 func (c *Core) cacheFinal(id string, f records.Final) {
 	u := &c.users
-	delete(u.open, id)
-	if _, ok := u.final[id]; !ok {
-		u.finalOrder = append(u.finalOrder, id)
-		if len(u.finalOrder) > c.maxKnown() {
-			delete(u.final, u.finalOrder[0])
-			u.finalOrder = u.finalOrder[1:]
+	delete(u.openJobs, id)
+	if _, ok := u.finalRecords[id]; !ok {
+		u.finalRecordOrder = append(u.finalRecordOrder, id)
+		if len(u.finalRecordOrder) > c.maxCachedJobs() {
+			delete(u.finalRecords, u.finalRecordOrder[0])
+			u.finalRecordOrder = u.finalRecordOrder[1:]
 		}
 	}
-	u.final[id] = f
+	u.finalRecords[id] = f
 }
 
 // tickPreload reads the open jobs once after the start, in pages: else the polls
@@ -61,14 +61,14 @@
 	c.store.List(records.PrefixOpen, after, func(r kv.ListResult) {
 		u := &c.users
 		if r.Status != kv.OK {
-			u.preloaded, u.preloadAt = false, c.now+c.ttl()
+			u.preloaded, u.preloadAt = false, c.now+c.leaderLeaseDuration()
 			return
 		}
 		for _, it := range r.Page.Items {
 			after = it.Key
 			id := it.Key[len(records.PrefixOpen):]
-			k := &openJob{version: it.Version}
-			if _, over := u.final[id]; !over && u.open[id] == nil && json.Unmarshal(it.Value, &k.rec) == nil {
+			k := &cachedJob{version: it.Version}
+			if _, over := u.finalRecords[id]; !over && u.openJobs[id] == nil && json.Unmarshal(it.Value, &k.record) == nil {
 				c.cacheOpen(id, k)
 			}
 		}
--- a/internal/core/lookup.go
+++ b/internal/core/lookup.go
@@ -9,49 +9,49 @@
 	"github.com/segmentio/encoding/json"
 )
 
-type lookup struct {
-	f     func(lookupResult)
-	until time.Duration
+type lookupWaiter struct {
+	done      func(lookupResult)
+	expiresAt time.Duration
 }
 
 // lookupResult is the outcome of a lookup: unknown, open or final; failed when the
 // state service gave no answer.
 type lookupResult struct {
 	failed bool
-	open   *openJob
+	open   *cachedJob
 	final  *records.Final
 }
 
-// lookUp looks a job up, so that its answer is no older than this call.
-func (c *Core) lookUp(id string, f func(lookupResult)) {
+// lookupJob looks a job up, so that its answer is no older than this call.
+func (c *Core) lookupJob(id string, done func(lookupResult)) {
 	u := &c.users
-	if rec, ok := u.final[id]; ok {
-		f(lookupResult{final: &rec})
+	if rec, ok := u.finalRecords[id]; ok {
+		done(lookupResult{final: &rec})
 		return
 	}
-	if len(u.order) >= c.maxWaiting() || c.storeOverdue() {
-		f(lookupResult{failed: true})
+	if len(u.lookupOrder) >= c.maxWaitingRequests() || c.storeOverdue() {
+		done(lookupResult{failed: true})
 		return
 	}
-	u.wait(id, nil)
-	u.lookups[id] = append(u.lookups[id], &lookup{f: f, until: c.now + lookupWait})
-	c.pumpLookups()
+	u.enqueueLookups(id, nil)
+	u.lookups[id] = append(u.lookups[id], &lookupWaiter{done: done, expiresAt: c.now + lookupTimeout})
+	c.startLookups()
 }
 
-// lookupWait is how long a lookup may take before it fails.
-const lookupWait = 1500 * time.Millisecond
+// lookupTimeout is how long a lookup may take before it fails.
+const lookupTimeout = 1500 * time.Millisecond
 
 // maxLookupCalls is how many calls for lookups may be under way at a time.
 const maxLookupCalls = 4
 
-// pumpLookups confirms known jobs by one compare-only transaction for many of
+// startLookups confirms known jobs by one compare-only transaction for many of
 // them, and reads the others. Questions of a moment are gathered: users poll
 // without end, and a transaction for each would take most of the processor and
 // of the state service's requests.
-func (c *Core) pumpLookups() {
+func (c *Core) startLookups() {
 	u := &c.users
-	confirm := c.now >= u.confirmAt
-	for len(u.order) > 0 && u.lookupBusy < maxLookupCalls {
+	confirm := c.now >= u.nextConfirmationAt
+	for len(u.lookupOrder) > 0 && u.lookupCalls < maxLookupCalls {
 		limit := 0
 		if confirm {
 			limit = c.store.MaxConditions()
@@ -61,21 +61,21 @@
 			return
 		}
 		if unknown != "" {
-			u.lookupBusy++
-			c.read(unknown, u.take(unknown))
+			u.lookupCalls++
+			c.readRecords(unknown, u.dequeueLookups(unknown))
 		}
 		if len(batch) > 0 {
-			c.confirmKnown(batch)
+			c.confirmCached(batch)
 		}
 	}
 }
 
 // nextLookups takes out of the order known jobs, limit at most, and one that is
 // not known, if there is one.
-func (u *users) nextLookups(limit int) (batch []string, unknown string) {
+func (u *frontEnd) nextLookups(limit int) (batch []string, unknown string) {
 	var rest []string
-	for _, id := range u.order {
-		isKnown := u.open[id] != nil
+	for _, id := range u.lookupOrder {
+		isKnown := u.openJobs[id] != nil
 		switch {
 		case isKnown && len(batch) < limit:
 			batch = append(batch, id)
@@ -85,130 +85,130 @@
 			rest = append(rest, id)
 		}
 	}
-	u.order = rest
+	u.lookupOrder = rest
 	return batch, unknown
 }
 
-// confirmKnown asks the state service whether the records of known jobs are as
+// confirmCached asks the state service whether the records of known jobs are as
 // they were, and ends the lookups of those of which they are.
-func (c *Core) confirmKnown(batch []string) {
+func (c *Core) confirmCached(batch []string) {
 	u := &c.users
-	u.confirmAt = c.now + c.report()/10
-	u.lookupBusy++
+	u.nextConfirmationAt = c.now + c.heartbeatInterval()/10
+	u.lookupCalls++
 	txn := &wire.Txn{}
-	waiting := map[string][]*lookup{}
+	waiting := map[string][]*lookupWaiter{}
 	for _, id := range batch {
-		txn.If = append(txn.If, wire.Cond{Key: records.OpenKey(id), Version: u.open[id].version})
-		waiting[id] = u.take(id)
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: records.OpenKey(id), Version: u.openJobs[id].version})
+		waiting[id] = u.dequeueLookups(id)
 	}
 	c.store.Commit(txn, func(r kv.TxnResult) {
-		u.lookupBusy--
+		u.lookupCalls--
 		changed := map[string]bool{}
 		if r.Status == kv.Conflict {
 			changed = records.Jobs(r.Conflicts)
 		}
 		for _, id := range batch {
-			c.endConfirmation(id, waiting[id], r.Status, changed[id])
+			c.finishConfirmation(id, waiting[id], r.Status, changed[id])
 		}
-		c.pumpLookups()
+		c.startLookups()
 	})
 }
 
-// endConfirmation ends the lookups of one known job after the transaction that
+// finishConfirmation ends the lookups of one known job after the transaction that
 // was to confirm it; if its record has changed, it is read.
-func (c *Core) endConfirmation(id string, waiting []*lookup, status kv.Status, changed bool) {
+func (c *Core) finishConfirmation(id string, waiting []*lookupWaiter, status kv.Status, changed bool) {
 	u := &c.users
 	switch {
 	case status == kv.Unanswered:
-		u.wait(id, waiting)
+		u.enqueueLookups(id, waiting)
 	case status != kv.OK && status != kv.Conflict:
-		resolve(waiting, lookupResult{failed: true})
-	case changed || u.open[id] == nil:
-		delete(u.open, id)
-		u.lookupBusy++
-		c.read(id, waiting)
+		resolveLookups(waiting, lookupResult{failed: true})
+	case changed || u.openJobs[id] == nil:
+		delete(u.openJobs, id)
+		u.lookupCalls++
+		c.readRecords(id, waiting)
 	default:
-		resolve(waiting, lookupResult{open: u.open[id]})
+		resolveLookups(waiting, lookupResult{open: u.openJobs[id]})
 	}
 }
 
-// wait has lookups of a job wait (again) for their turn, ahead of later ones.
-func (u *users) wait(id string, ls []*lookup) {
+// enqueueLookups has lookups of a job wait (again) for their turn, ahead of later ones.
+func (u *frontEnd) enqueueLookups(id string, waiters []*lookupWaiter) {
 	if len(u.lookups[id]) == 0 {
-		u.order = append(u.order, id)
+		u.lookupOrder = append(u.lookupOrder, id)
 	}
-	u.lookups[id] = append(ls, u.lookups[id]...)
+	u.lookups[id] = append(waiters, u.lookups[id]...)
 }
 
-func (u *users) take(id string) []*lookup {
+func (u *frontEnd) dequeueLookups(id string) []*lookupWaiter {
 	l := u.lookups[id]
 	delete(u.lookups, id)
 	return l
 }
 
-func resolve(ls []*lookup, f lookupResult) {
-	for _, l := range ls {
-		l.f(f)
+func resolveLookups(waiters []*lookupWaiter, result lookupResult) {
+	for _, l := range waiters {
+		l.done(result)
 	}
 }
 
-// read fetches the open record, then the final one.
-func (c *Core) read(id string, waiting []*lookup) {
+// readRecords fetches the open record, then the final one.
+func (c *Core) readRecords(id string, waiting []*lookupWaiter) {
 	end := func(f lookupResult) {
-		c.users.lookupBusy--
-		resolve(waiting, f)
-		c.pumpLookups()
+		c.users.lookupCalls--
+		resolveLookups(waiting, f)
+		c.startLookups()
 	}
 	c.store.Get(records.OpenKey(id), func(r kv.GetResult) {
 		c.store.Observe(r.Status)
-		k := openFromItem(r)
+		k := decodeOpenJob(r)
 		switch {
 		case k != nil:
-			end(c.newest(id, k))
+			end(c.cacheNewer(id, k))
 		case r.Status != kv.NotFound:
 			end(lookupResult{failed: true})
 		default:
-			c.readFinal(id, end)
+			c.readFinalRecord(id, end)
 		}
 	})
 }
 
-// openFromItem decodes the answer to a read of an open record; nil if it holds
+// decodeOpenJob decodes the answer to a read of an open record; nil if it holds
 // none.
-func openFromItem(r kv.GetResult) *openJob {
+func decodeOpenJob(r kv.GetResult) *cachedJob {
 	if r.Status != kv.OK {
 		return nil
 	}
-	k := &openJob{version: r.Item.Version}
-	if json.Unmarshal(r.Item.Value, &k.rec) != nil {
+	k := &cachedJob{version: r.Item.Version}
+	if json.Unmarshal(r.Item.Value, &k.record) != nil {
 		return nil
 	}
 	return k
 }
 
-// newest takes in an open record that was read. What was learned while the
+// cacheNewer takes in an open record that was read. What was learned while the
 // answer was on its way is newer: a user may have been told of it here
 // meanwhile.
-func (c *Core) newest(id string, read *openJob) lookupResult {
+func (c *Core) cacheNewer(id string, read *cachedJob) lookupResult {
 	u := &c.users
-	if f, over := u.final[id]; over {
+	if f, over := u.finalRecords[id]; over {
 		return lookupResult{final: &f}
 	}
-	if old := u.open[id]; old != nil && old.version >= read.version {
+	if old := u.openJobs[id]; old != nil && old.version >= read.version {
 		return lookupResult{open: old}
 	}
 	c.cacheOpen(id, read)
 	return lookupResult{open: read}
 }
 
-// readFinal fetches the final record of a job that has no open one.
-func (c *Core) readFinal(id string, end func(lookupResult)) {
+// readFinalRecord fetches the final record of a job that has no open one.
+func (c *Core) readFinalRecord(id string, end func(lookupResult)) {
 	c.store.Get(records.FinalKey(id), func(r kv.GetResult) {
 		c.store.Observe(r.Status)
 		var f records.Final
 		switch {
 		case r.Status == kv.NotFound:
-			delete(c.users.open, id)
+			delete(c.users.openJobs, id)
 			end(lookupResult{})
 		case r.Status == kv.OK && json.Unmarshal(r.Item.Value, &f) == nil:
 			c.cacheFinal(id, f)
--- a/internal/core/faults/faults.go
+++ b/internal/core/outlier/faults.go
@@ -1,4 +1,4 @@
-// Package faults tells faulty jobs from faulty machines. A job that was submitted with a
+// Package outlier tells faulty jobs from faulty machines. A job that was submitted with a
 // mistake fails on every machine; a faulty machine fails every job. Each failure speaks
 // against both, so the judgement weighs the two sides: a job that failed on more machines
 // than jobs failed there is the likelier cause, and so is a machine that failed several
@@ -6,51 +6,51 @@
 //
 // The package does no I/O and keeps no time. Its judgements are not recorded: a new
 // leader begins without evidence.
-package faults
+package outlier
 
 import "sort"
 
-// MinMachines is on how many machines a job has to fail before it may pass for faulty.
-const MinMachines = 3
+// MinFailedMachines is on how many machines a job has to fail before it may pass for faulty.
+const MinFailedMachines = 3
 
-// minJobs is how many jobs have to fail on a machine before it may pass for faulty.
-const minJobs = 2
+// minFailedJobs is how many jobs have to fail on a machine before it may pass for faulty.
+const minFailedJobs = 2
 
-// Evidence is what is known of failures that nothing has refuted.
-type Evidence struct {
+// Detector is what is known of failures that nothing has refuted.
+type Detector struct {
 	machinesOf map[string]map[string]bool // by job: where it failed since it last did well
 	jobsOf     map[string]map[string]bool // by machine: what failed there since a task last did well
 }
 
 // New makes evidence of nothing.
-func New() *Evidence {
-	return &Evidence{machinesOf: map[string]map[string]bool{}, jobsOf: map[string]map[string]bool{}}
+func New() *Detector {
+	return &Detector{machinesOf: map[string]map[string]bool{}, jobsOf: map[string]map[string]bool{}}
 }
 
-// Failed notes that a task of a job failed on a machine.
-func (e *Evidence) Failed(job, machine string) {
-	add(e.machinesOf, job, machine)
-	add(e.jobsOf, machine, job)
+// RecordFailure notes that a task of a job failed on a machine.
+func (e *Detector) RecordFailure(job, machine string) {
+	addMember(e.machinesOf, job, machine)
+	addMember(e.jobsOf, machine, job)
 }
 
-// add adds a member to the set of a key.
-func add(sets map[string]map[string]bool, key, member string) {
+// addMember adds a member to the set of a key.
+func addMember(sets map[string]map[string]bool, key, member string) {
 	if sets[key] == nil {
 		sets[key] = map[string]bool{}
 	}
 	sets[key][member] = true
 }
 
-// Succeeded notes that a task of a job did well on a machine: it is done, or has run for
+// RecordSuccess notes that a task of a job did well on a machine: it is done, or has run for
 // longer than a start that fails. The job's failures elsewhere still speak against the
 // machines, those of other jobs on this machine still against the jobs.
-func (e *Evidence) Succeeded(job, machine string) {
+func (e *Detector) RecordSuccess(job, machine string) {
 	delete(e.machinesOf, job)
 	delete(e.jobsOf, machine)
 }
 
 // ForgetJob drops what is known of a job that is over.
-func (e *Evidence) ForgetJob(job string) {
+func (e *Detector) ForgetJob(job string) {
 	for machine := range e.machinesOf[job] {
 		e.removeJob(machine, job)
 	}
@@ -58,7 +58,7 @@
 }
 
 // removeJob takes a job out of what failed on a machine.
-func (e *Evidence) removeJob(machine, job string) {
+func (e *Detector) removeJob(machine, job string) {
 	delete(e.jobsOf[machine], job)
 	if len(e.jobsOf[machine]) == 0 {
 		delete(e.jobsOf, machine)
@@ -67,49 +67,49 @@
 
 // ForgetMachine drops what speaks against a machine that is gone. Its failures go on to
 // speak against the jobs.
-func (e *Evidence) ForgetMachine(machine string) { delete(e.jobsOf, machine) }
+func (e *Detector) ForgetMachine(machine string) { delete(e.jobsOf, machine) }
 
 // FailedOn tells whether a job failed on a machine since it last did well.
-func (e *Evidence) FailedOn(job, machine string) bool { return e.machinesOf[job][machine] }
+func (e *Detector) FailedOn(job, machine string) bool { return e.machinesOf[job][machine] }
 
-// Failures is on how many machines a job failed since it last did well.
-func (e *Evidence) Failures(job string) int { return len(e.machinesOf[job]) }
+// FailedMachineCount is on how many machines a job failed since it last did well.
+func (e *Detector) FailedMachineCount(job string) int { return len(e.machinesOf[job]) }
 
-// Doubtful tells whether anything failed on a machine since a task last did well there.
-func (e *Evidence) Doubtful(machine string) bool { return len(e.jobsOf[machine]) > 0 }
+// HasFailures tells whether anything failed on a machine since a task last did well there.
+func (e *Detector) HasFailures(machine string) bool { return len(e.jobsOf[machine]) > 0 }
 
 // JobFaulty tells whether a job is the likelier cause of its failures: it failed on
 // several machines, on several of which fewer jobs failed than it failed on machines.
-func (e *Evidence) JobFaulty(job string) bool {
+func (e *Detector) JobFaulty(job string) bool {
 	machines := e.machinesOf[job]
-	if len(machines) < MinMachines {
+	if len(machines) < MinFailedMachines {
 		return false
 	}
-	sound := 0
+	soundMachines := 0
 	for machine := range machines { // in any order: they are counted
 		if len(e.jobsOf[machine]) < len(machines) {
-			sound++
+			soundMachines++
 		}
 	}
-	return sound >= MinMachines
+	return soundMachines >= MinFailedMachines
 }
 
 // MachineFaulty tells whether a machine is the likelier cause of the failures on it:
 // several jobs failed there that are not faulty themselves. Whether they are may show only
 // as they are tried elsewhere, so the judgement may be taken back.
-func (e *Evidence) MachineFaulty(machine string) bool {
+func (e *Detector) MachineFaulty(machine string) bool {
 	jobs := 0
 	for job := range e.jobsOf[machine] { // in any order: they are counted
 		if !e.JobFaulty(job) {
 			jobs++
 		}
 	}
-	return jobs >= minJobs
+	return jobs >= minFailedJobs
 }
 
-// DoubtfulMachines lists the machines on which anything failed since a task last did
+// MachinesWithFailures lists the machines on which anything failed since a task last did
 // well there, in order.
-func (e *Evidence) DoubtfulMachines() []string {
+func (e *Detector) MachinesWithFailures() []string {
 	machines := make([]string, 0, len(e.jobsOf))
 	for machine := range e.jobsOf {
 		machines = append(machines, machine)
--- a/internal/core/faults/faults_test.go
+++ b/internal/core/outlier/faults_test.go
@@ -1,24 +1,24 @@
-package faults
+package outlier
 
 import (
 	"fmt"
 	"testing"
 )
 
-// fail enters failures, written as job@machine, and tasks that did well, as job+machine.
-func fail(e *Evidence, events ...string) {
+// recordEvents enters failures, written as job@machine, and tasks that did well, as job+machine.
+func recordEvents(e *Detector, events ...string) {
 	for _, event := range events {
 		job, machine := event[:1], event[2:]
 		if event[1] == '+' {
-			e.Succeeded(job, machine)
+			e.RecordSuccess(job, machine)
 		} else {
-			e.Failed(job, machine)
+			e.RecordFailure(job, machine)
 		}
 	}
 }
 
-// TestJudgement names, for the failures of a moment, who passes for the cause.
-func TestJudgement(t *testing.T) {
+// TestFaultyJobsAndMachines names, for the failures of a moment, who passes for the cause.
+func TestFaultyJobsAndMachines(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		events   []string
@@ -41,14 +41,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			e := New()
-			fail(e, test.events...)
+			recordEvents(e, test.events...)
 			var jobs, machines []string
 			for _, job := range []string{"a", "b", "c", "d"} {
 				if e.JobFaulty(job) {
 					jobs = append(jobs, job)
 				}
 			}
-			for _, machine := range e.DoubtfulMachines() {
+			for _, machine := range e.MachinesWithFailures() {
 				if e.MachineFaulty(machine) {
 					machines = append(machines, machine)
 				}
@@ -63,9 +63,9 @@
 // TestForgetJob leaves nothing of a job that is over.
 func TestForgetJob(t *testing.T) {
 	e := New()
-	fail(e, "a@1", "a@2", "a@3", "b@1")
+	recordEvents(e, "a@1", "a@2", "a@3", "b@1")
 	e.ForgetJob("a")
-	if e.JobFaulty("a") || e.FailedOn("a", "1") || e.Doubtful("2") || !e.Doubtful("1") {
+	if e.JobFaulty("a") || e.FailedOn("a", "1") || e.HasFailures("2") || !e.HasFailures("1") {
 		t.Errorf("after the end of a: %+v", e)
 	}
 }
@@ -73,9 +73,9 @@
 // TestForgetMachine keeps what a machine that is gone says of the job.
 func TestForgetMachine(t *testing.T) {
 	e := New()
-	fail(e, "a@1", "a@2", "a@3")
+	recordEvents(e, "a@1", "a@2", "a@3")
 	e.ForgetMachine("1")
-	if e.Doubtful("1") || !e.JobFaulty("a") || e.Failures("a") != 3 {
+	if e.HasFailures("1") || !e.JobFaulty("a") || e.FailedMachineCount("a") != 3 {
 		t.Errorf("after the end of machine 1: %+v", e)
 	}
 }
--- a/internal/core/output.go
+++ b/internal/core/output.go
@@ -6,14 +6,14 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Dest names who a call goes to.
-type Dest int
+// Destination names who a call goes to.
+type Destination int
 
 // The destinations of calls.
 const (
-	DestStore Dest = iota
-	DestCloud
-	DestWorker
+	DestinationStore Destination = iota
+	DestinationCloud
+	DestinationWorker
 )
 
 // Answer is the response to a Request.
@@ -26,13 +26,13 @@
 
 // Call asks for an HTTP call.
 type Call struct {
-	ID      uint64
-	Dest    Dest
-	Addr    string // of a worker
-	Method  string
-	Path    string
-	Body    []byte
-	Timeout time.Duration
+	ID          uint64
+	Destination Destination
+	Addr        string // of a worker
+	Method      string
+	Path        string
+	Body        []byte
+	Timeout     time.Duration
 	// Writes is the number of puts and deletes, for the write budget.
 	Writes int
 	// Urgent calls go ahead of others when the budget is short.
@@ -43,8 +43,8 @@
 
 // Send hands a message to a peer.
 type Send struct {
-	To  string
-	Msg *wire.PeerMessage
+	To      string
+	Message *wire.PeerMessage
 }
 
 // RegionSend hands a message to any controller of another region.
@@ -55,9 +55,9 @@
 
 // Output is all that a step asks for.
 type Output struct {
-	Answers []Answer
-	Calls   []Call
-	Sends   []Send
+	Answers   []Answer
+	Calls     []Call
+	PeerSends []Send
 
 	RegionSends []RegionSend
 }
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -10,31 +10,31 @@
 
 // Urgency orders the jobs that wait for room.
 type Urgency struct {
-	Faulty     bool    // it fails on every machine
-	Guaranteed bool    // within its team's guarantee
-	Rank       int     // of the priority, higher first
-	Guest      bool    // its team has no guarantee, and it has not waited too long
-	Slack      float64 // how long it can still wait for its deadline, in seconds
-	Work       float64 // that it still has to run, in seconds of a task; 0 where that does not count
-	Submitted  uint64  // place among all jobs
+	Faulty        bool    // it fails on every machine
+	WithinQuota   bool    // within its team's guarantee
+	Priority      int     // of the priority, higher first
+	BestEffort    bool    // its team has no guarantee, and it has not waited too long
+	Slack         float64 // how long it can still wait for its deadline, in seconds
+	RemainingWork float64 // that it still has to run, in seconds of a task; 0 where that does not count
+	Submission    uint64  // place among all jobs
 }
 
 // Compare is negative if a goes before b: faulty jobs last, within a guarantee first, then by
 // priority, those of teams with a guarantee first, by deadline, the least work and submission.
 func (a Urgency) Compare(b Urgency) int {
 	return cmp.Or(
-		first(!a.Faulty, !b.Faulty),
-		first(a.Guaranteed, b.Guaranteed),
-		cmp.Compare(b.Rank, a.Rank),
-		first(!a.Guest, !b.Guest),
+		compareTrueFirst(!a.Faulty, !b.Faulty),
+		compareTrueFirst(a.WithinQuota, b.WithinQuota),
+		cmp.Compare(b.Priority, a.Priority),
+		compareTrueFirst(!a.BestEffort, !b.BestEffort),
 		cmp.Compare(a.Slack, b.Slack),
-		cmp.Compare(a.Work, b.Work),
-		cmp.Compare(a.Submitted, b.Submitted),
+		cmp.Compare(a.RemainingWork, b.RemainingWork),
+		cmp.Compare(a.Submission, b.Submission),
 	)
 }
 
-// first is negative if a holds and b does not.
-func first(a, b bool) int {
+// compareTrueFirst is negative if a holds and b does not.
+func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
--- a/internal/core/placements.go
+++ b/internal/core/placements.go
@@ -22,69 +22,69 @@
 //     tasks of its range it stands above any record of the first layout, which
 //     is left as it is until the job is over.
 
-// chunk is one placement record: a run of a job's tasks.
-type chunk struct {
-	key      string
-	from, to int // tasks, the last one exclusive
-	version  uint64
-	dirty    bool
-	due      time.Duration // when it is to be written, if dirty
-	stale    bool          // the version is unknown and must be read
-	busy     bool
+// placementRecord is one placement record: a run of a job's tasks.
+type placementRecord struct {
+	key            string
+	from, to       int // tasks, the last one exclusive
+	version        uint64
+	dirty          bool
+	dueAt          time.Duration // when it is to be written, if dirty
+	versionUnknown bool          // the version is unknown and must be read
+	writePending   bool
 }
 
-// entryBytes is about what a task takes in a record, at most. numberedBytes is
+// placementEntryBytes is about what a task takes in a record, at most. numberedEntryBytes is
 // what the numbered layout allows for it, and cannot change any more.
 const (
-	entryBytes    = 85
-	numberedBytes = 128
+	placementEntryBytes = 85
+	numberedEntryBytes  = 128
 )
 
-// numberedTasks is how many tasks a numbered record covers. It goes by the
+// tasksPerNumberedRecord is how many tasks a numbered record covers. It goes by the
 // limits that hold now, as in the versions that know no other layout.
-func (c *Core) numberedTasks() int {
-	return max(1, int(c.cfg.Deployment.State.ValueKB*1024)/numberedBytes)
+func (c *Core) tasksPerNumberedRecord() int {
+	return max(1, int(c.settings.Deployment.Store.ValueKB*1024)/numberedEntryBytes)
 }
 
-// ranges tells whether records that name their range are to be written.
-func (l *leader) ranges() bool {
-	return l.c.store.ShrinkValues() && (l.records.limited || l.c.allUnderstand(wire.PeerVersionRanges))
+// writesNamedRanges tells whether records that name their range are to be written.
+func (l *leader) writesNamedRanges() bool {
+	return l.core.store.ShrinkValues() && (l.writer.rejectedOnce || l.core.allPeersSupport(wire.PeerVersionRanges))
 }
 
-// layOut makes a job's chunks, for a job without records.
-func (l *leader) layOut(j *job) {
-	j.chunks = nil
-	if l.ranges() {
-		l.fillRanges(j)
+// initPlacementRecords makes a job's chunks, for a job without records.
+func (l *leader) initPlacementRecords(j *job) {
+	j.placementRecords = nil
+	if l.writesNamedRanges() {
+		l.addRangeRecords(j)
 		return
 	}
 	j.numbered = true
-	l.fillNumbered(j)
+	l.addNumberedRecords(j)
 }
 
-// fillRanges adds chunks that name their range for the tasks that none covers.
-func (l *leader) fillRanges(j *job) {
-	per := max(1, l.c.store.MaxPlacementValue()/entryBytes)
-	var add []chunk
+// addRangeRecords adds chunks that name their range for the tasks that none covers.
+func (l *leader) addRangeRecords(j *job) {
+	per := max(1, l.core.store.MaxPlacementValue()/placementEntryBytes)
+	var add []placementRecord
 	from := 0
 	gap := func(to int) {
 		for ; from < to; from += per {
 			end := min(from+per, to)
-			add = append(add, chunk{key: records.RangeKey(j.ID, from, end), from: from, to: end})
+			add = append(add, placementRecord{key: records.RangeKey(j.ID, from, end), from: from, to: end})
 		}
 	}
-	for _, ch := range j.chunks {
+	for _, ch := range j.placementRecords {
 		gap(ch.from)
 		from = ch.to
 	}
 	gap(len(j.tasks))
-	j.chunks = append(j.chunks, add...)
-	slices.SortFunc(j.chunks, func(a, b chunk) int { return cmp.Compare(a.from, b.from) })
+	j.placementRecords = append(j.placementRecords, add...)
+	slices.SortFunc(j.placementRecords, func(a, b placementRecord) int { return cmp.Compare(a.from, b.from) })
 }
 
-// chunkOf is the chunk that covers a task.
-func (j *job) chunkOf(i int) *chunk {
-	n, _ := slices.BinarySearchFunc(j.chunks, i, func(ch chunk, i int) int {
+// placementRecordOf is the chunk that covers a task.
+func (j *job) placementRecordOf(i int) *placementRecord {
+	n, _ := slices.BinarySearchFunc(j.placementRecords, i, func(ch placementRecord, i int) int {
 		switch {
 		case ch.to <= i:
 			return -1
@@ -93,15 +93,15 @@
 		}
 		return 0
 	})
-	return &j.chunks[n]
+	return &j.placementRecords[n]
 }
 
-// placeKeys lists a job's placement records.
-func (j *job) placeKeys() []string {
-	keys := slices.Clone(j.superseded)
-	for i := range j.chunks {
-		if j.chunks[i].version != 0 {
-			keys = append(keys, j.chunks[i].key)
+// placementKeys lists a job's placement records.
+func (j *job) placementKeys() []string {
+	keys := slices.Clone(j.supersededKeys)
+	for i := range j.placementRecords {
+		if j.placementRecords[i].version != 0 {
+			keys = append(keys, j.placementRecords[i].key)
 		}
 	}
 	return keys
@@ -109,54 +109,54 @@
 
 // recordKeys lists what a job's end deletes beside its open record.
 func (j *job) recordKeys() []string {
-	return append(j.placeKeys(), j.list.keys()...)
+	return append(j.placementKeys(), j.list.keys()...)
 }
 
-// switchToRanges moves a job from numbered records to those that name their range. The
+// switchToNamedRanges moves a job from numbered records to those that name their range. The
 // old ones go on holding for ranges that are not written yet.
-func (l *leader) switchToRanges(j *job) {
-	before := j.chunks
-	j.superseded = j.placeKeys()
-	j.chunks, j.numbered = nil, false
-	l.fillRanges(j)
+func (l *leader) switchToNamedRanges(j *job) {
+	before := j.placementRecords
+	j.supersededKeys = j.placementKeys()
+	j.placementRecords, j.numbered = nil, false
+	l.addRangeRecords(j)
 	for _, b := range before {
-		for i := range j.chunks {
-			if ch := &j.chunks[i]; b.dirty && ch.from < b.to && b.from < ch.to {
+		for i := range j.placementRecords {
+			if ch := &j.placementRecords[i]; b.dirty && ch.from < b.to && b.from < ch.to {
 				ch.dirty = true
 			}
 		}
 	}
 }
 
-// mayWrite tells whether a job's chunks may be written, now that records name
+// mayWriteNamedRanges tells whether a job's chunks may be written, now that records name
 // their range. Before the layout changes, the open record is written once: a copy
 // of an earlier write
 // that is still under way, conditional on that record, has no effect then. It
 // would bring back what the new records have overtaken.
-func (l *leader) mayWrite(j *job) bool {
+func (l *leader) mayWriteNamedRanges(j *job) bool {
 	if !j.numbered {
 		return true
 	}
 	dirty := false
-	for i := range j.chunks {
-		if j.chunks[i].busy || j.chunks[i].stale {
+	for i := range j.placementRecords {
+		if j.placementRecords[i].writePending || j.placementRecords[i].versionUnknown {
 			return false
 		}
-		dirty = dirty || j.chunks[i].dirty
+		dirty = dirty || j.placementRecords[i].dirty
 	}
 	switch {
 	case !dirty:
-	case j.placementSent && !j.cancellation.Requested():
-		j.fence = true
+	case j.placementSentThisTerm && !j.cancellation.Requested():
+		j.rewriteOpenFirst = true
 		return false
 	default:
-		l.switchToRanges(j)
+		l.switchToNamedRanges(j)
 	}
 	return true
 }
 
-func encodeChunk(j *job, ch *chunk) ([]byte, []records.PlacedTask) {
-	rec := records.Placement{Next: j.nextAttempt}
+func encodePlacementRecord(j *job, ch *placementRecord) ([]byte, []records.PlacedTask) {
+	rec := records.Placement{NextAttempt: j.nextAttempt}
 	var starts []records.PlacedTask
 	for i := ch.from; i < ch.to; i++ {
 		t := &j.tasks[i]
@@ -164,9 +164,9 @@
 			rec.Done = append(rec.Done, i)
 		}
 		if t.machine != nil {
-			e := records.PlacedTask{Task: i, Attempt: t.attempt, Machine: t.machine.name, Zone: t.zone, Session: t.session}
+			e := records.PlacedTask{Task: i, Attempt: t.attempt, Machine: t.machine.name, Zone: t.zone, Incarnation: t.incarnation}
 			rec.Tasks = append(rec.Tasks, e)
-			if !t.recorded {
+			if !t.persisted {
 				starts = append(starts, e)
 			}
 		}
@@ -174,74 +174,74 @@
 	return kv.Encode(rec), starts
 }
 
-// loadedPlace is a placement record as a new leader finds it.
-type loadedPlace struct {
-	records.PlaceRange
+// loadedPlacement is a placement record as a new leader finds it.
+type loadedPlacement struct {
+	records.PlacementRange
 	key     string
 	version uint64
-	rec     records.Placement
+	record  records.Placement
 }
 
-// loadPlaces reads the placements of open jobs. What is left of jobs that are
+// loadPlacements reads the placements of open jobs. What is left of jobs that are
 // over is to be deleted.
-func (l *leader) loadPlaces(after string, found map[string][]loadedPlace) {
-	l.page(records.PrefixPlace, after, func(p *wire.Page) {
+func (l *leader) loadPlacements(after string, found map[string][]loadedPlacement) {
+	l.loadPage(records.PrefixPlacement, after, func(p *wire.Page) {
 		for _, it := range p.Items {
 			after = it.Key
-			r, ok := records.ParsePlaceKey(it.Key, l.c.numberedTasks())
+			r, ok := records.ParsePlacementKey(it.Key, l.core.tasksPerNumberedRecord())
 			var rec records.Placement
 			if !ok || json.Unmarshal(it.Value, &rec) != nil {
-				l.c.log.Error("placement record is not readable", "key", it.Key)
+				l.core.log.Error("placement record is not readable", "key", it.Key)
 				continue
 			}
 			if l.jobs[r.Job] == nil {
-				l.records.leftOver = append(l.records.leftOver, it.Key)
+				l.writer.orphanedRecords = append(l.writer.orphanedRecords, it.Key)
 				continue
 			}
-			found[r.Job] = append(found[r.Job], loadedPlace{r, it.Key, it.Version, rec})
+			found[r.Job] = append(found[r.Job], loadedPlacement{r, it.Key, it.Version, rec})
 		}
 		if p.More {
-			l.loadPlaces(after, found)
+			l.loadPlacements(after, found)
 			return
 		}
 		for _, id := range sortedKeys(found) {
-			l.adopt(l.jobs[id], found[id])
+			l.adoptPlacements(l.jobs[id], found[id])
 		}
-		l.becomeReady()
+		l.recordsComplete()
 	})
 }
 
-// adopt takes in a job's placement records.
-func (l *leader) adopt(j *job, found []loadedPlace) {
+// adoptPlacements takes in a job's placement records.
+func (l *leader) adoptPlacements(j *job, found []loadedPlacement) {
 	covered, named := namedRanges(found, len(j.tasks))
-	if named && !l.c.store.AnnouncedToShrink() {
+	if named && !l.core.store.AnnouncedToShrink() {
 		// A leader before this one found out that the service takes less than the
 		// settings say.
-		l.c.store.AssumeSmallValues()
-		l.records.limited = true
+		l.core.store.AssumeSmallValues()
+		l.writer.rejectedOnce = true
 	}
-	j.chunks = nil
+	j.placementRecords = nil
 	for _, f := range found {
 		f.To = min(f.To, len(j.tasks))
 		if f.From >= f.To || named && f.Numbered {
-			j.superseded = append(j.superseded, f.key)
+			j.supersededKeys = append(j.supersededKeys, f.key)
 		} else {
-			j.chunks = append(j.chunks, chunk{key: f.key, from: f.From, to: f.To, version: f.version})
+			j.placementRecords = append(j.placementRecords, placementRecord{key: f.key, from: f.From, to: f.To, version: f.version})
 		}
-		l.adoptTasks(j, f, covered)
+		l.adoptPlacedTasks(j, f, covered)
 	}
-	slices.SortFunc(j.chunks, func(a, b chunk) int { return cmp.Compare(a.from, b.from) })
+	slices.SortFunc(j.placementRecords, func(a, b placementRecord) int { return cmp.Compare(a.from, b.from) })
 	j.numbered = !named
 	if named {
-		l.fillRanges(j)
+		l.addRangeRecords(j)
 	} else {
-		l.fillNumbered(j)
+		l.addNumberedRecords(j)
 	}
 }
 
 // namedRanges tells which tasks are covered by records that name their range, and
 // whether there are any such records.
-func namedRanges(found []loadedPlace, tasks int) (covered []bool, named bool) {
+func namedRanges(found []loadedPlacement, tasks int) (covered []bool, named bool) {
 	covered = make([]bool, tasks)
 	for _, f := range found {
 		if f.Numbered {
@@ -255,67 +255,67 @@
 	return covered, named
 }
 
-// adoptTasks takes in what a placement record says of a job's tasks. What a
+// adoptPlacedTasks takes in what a placement record says of a job's tasks. What a
 // numbered one says of a task that is covered by another record is out of date.
-func (l *leader) adoptTasks(j *job, f loadedPlace, covered []bool) {
-	j.nextAttempt = max(j.nextAttempt, f.rec.Next)
-	for _, i := range f.rec.Done {
+func (l *leader) adoptPlacedTasks(j *job, f loadedPlacement, covered []bool) {
+	j.nextAttempt = max(j.nextAttempt, f.record.NextAttempt)
+	for _, i := range f.record.Done {
 		if i < len(j.tasks) && !j.tasks[i].done {
 			j.tasks[i].done = true
-			j.done++
+			j.tasksDone++
 		}
 	}
-	for _, e := range f.rec.Tasks {
+	for _, e := range f.record.Tasks {
 		if e.Task >= len(j.tasks) || f.Numbered && covered[e.Task] {
 			continue
 		}
-		m := l.machine(e.Machine)
+		m := l.machineNamed(e.Machine)
 		t := &j.tasks[e.Task]
-		t.attempt, t.zone, t.session, t.recorded, t.copied = e.Attempt, e.Zone, e.Session, true, true
+		t.attempt, t.zone, t.incarnation, t.persisted, t.startRetransmitted = e.Attempt, e.Zone, e.Incarnation, true, true
 		m.zone = e.Zone
-		l.bind(j, e.Task, m)
+		l.place(j, e.Task, m)
 	}
 }
 
-// fillNumbered adds numbered chunks for the tasks that none covers.
-func (l *leader) fillNumbered(j *job) {
-	found := map[string]chunk{}
-	for _, ch := range j.chunks {
+// addNumberedRecords adds numbered chunks for the tasks that none covers.
+func (l *leader) addNumberedRecords(j *job) {
+	found := map[string]placementRecord{}
+	for _, ch := range j.placementRecords {
 		found[ch.key] = ch
 	}
-	per := l.c.numberedTasks()
-	j.chunks = nil
+	per := l.core.tasksPerNumberedRecord()
+	j.placementRecords = nil
 	for from := 0; from < len(j.tasks); from += per {
-		ch := chunk{key: records.NumberedKey(j.ID, from/per), from: from, to: min(from+per, len(j.tasks))}
+		ch := placementRecord{key: records.NumberedKey(j.ID, from/per), from: from, to: min(from+per, len(j.tasks))}
 		if known, ok := found[ch.key]; ok {
 			ch = known
 		}
-		j.chunks = append(j.chunks, ch)
+		j.placementRecords = append(j.placementRecords, ch)
 	}
 }
 
-// rereadChunk reads the version of a placement record that is not known.
-func (l *leader) rereadChunk(j *job, key string) {
-	l.c.store.Get(key, func(r kv.GetResult) {
-		if l.deposed {
+// refreshPlacementRecord reads the version of a placement record that is not known.
+func (l *leader) refreshPlacementRecord(j *job, key string) {
+	l.core.store.Get(key, func(r kv.GetResult) {
+		if l.steppedDown {
 			return
 		}
-		n := slices.IndexFunc(j.chunks, func(ch chunk) bool { return ch.key == key })
+		n := slices.IndexFunc(j.placementRecords, func(ch placementRecord) bool { return ch.key == key })
 		if n < 0 {
 			return
 		}
-		ch := &j.chunks[n]
+		ch := &j.placementRecords[n]
 		switch r.Status {
 		case kv.OK:
 			ch.version = r.Item.Version
 		case kv.NotFound:
 			ch.version = 0
 		default:
-			l.rereadChunk(j, key)
+			l.refreshPlacementRecord(j, key)
 			return
 		}
-		ch.stale = false
+		ch.versionUnknown = false
 		ch.dirty = true
-		l.records.dirty = true
+		l.writer.dirty = true
 	})
 }
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -14,28 +14,28 @@
 // preemptTypes is one type of machine; nothing is rented beside the machines there
 // are.
 var preemptTypes = map[string]*wire.MachineType{
-	"g4": {Name: "g4", CPUs: 4, GPUs: 4, MemGB: 64, BootS: 30, FetchGBPS: 1, Price: 4, Zones: nil},
+	"g4": {Name: "g4", CPUs: 4, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, Price: 4, Zones: nil},
 }
 
 // preemptCase is a fleet full of work, and a job that finds no room.
 type preemptCase struct {
-	name     string
-	machines []string // name and zone
-	running  []runningJob
-	job      wire.Job
-	within   bool    // the job is within its team's guarantee
-	limit    float64 // GPUs that the job's team may use; 100 if 0
-	change   func(l *leader, j *job)
-	want     []string // tasks that are stopped
-	reserved []string // machines that are kept
+	name        string
+	machines    []string // name and zone
+	running     []runningJob
+	job         wire.Job
+	withinQuota bool    // the job is within its team's guarantee
+	limit       float64 // GPUs that the job's team may use; 100 if 0
+	change      func(l *leader, j *job)
+	want        []string // tasks that are stopped
+	reserved    []string // machines that are kept
 }
 
 // runningJob is a job whose tasks run on machines, one each.
 type runningJob struct {
 	wire.Job
-	on     []string
-	within bool
-	ranFor time.Duration
+	on          []string
+	withinQuota bool
+	ranFor      time.Duration
 }
 
 func TestPreempt(t *testing.T) {
@@ -48,7 +48,7 @@
 		return j
 	}
 	saving := func(j wire.Job) wire.Job {
-		j.CheckpointS, j.SaveS = 10, 2
+		j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
 		return j
 	}
 	otherTeam := func(j wire.Job) wire.Job {
@@ -80,20 +80,20 @@
 			name:     "within a guarantee, the same priority of another team that saves and is beyond its own",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: saving(otherTeam(idle)), on: []string{"n-1"}}},
-			job:      array("job-9", wire.PriorityIdle, 4), within: true,
+			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 			want: []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
 		{
 			name:     "not what loses its work",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: otherTeam(idle), on: []string{"n-1"}}},
-			job:      array("job-9", wire.PriorityIdle, 4), within: true,
+			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 		},
 		{
 			name:     "not what is within a guarantee itself",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: saving(otherTeam(idle)), on: []string{"n-1"}, within: true}},
-			job:      array("job-9", wire.PriorityIdle, 4), within: true,
+			running:  []runningJob{{Job: saving(otherTeam(idle)), on: []string{"n-1"}, withinQuota: true}},
+			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 		},
 		{
 			name:     "the least loss",
@@ -151,10 +151,10 @@
 			running: []runningJob{
 				{Job: otherTeam(array("job-1", wire.PriorityIdle, 1)), on: []string{"n-1"}},
 				{Job: saving(array("job-2", wire.PriorityIdle, 1)), on: []string{"n-1"}},
-				{Job: saving(otherTeam(array("job-3", wire.PriorityIdle, 1))), on: []string{"n-1"}, within: true},
+				{Job: saving(otherTeam(array("job-3", wire.PriorityIdle, 1))), on: []string{"n-1"}, withinQuota: true},
 				{Job: saving(otherTeam(array("job-4", wire.PriorityIdle, 1))), on: []string{"n-1"}},
 			},
-			job: array("job-9", wire.PriorityIdle, 1), within: true,
+			job: array("job-9", wire.PriorityIdle, 1), withinQuota: true,
 			want: []string{"job-4/0"}, reserved: []string{"n-1"},
 		},
 		{
@@ -199,7 +199,7 @@
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: otherTeam(idle), on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
-			change:   func(l *leader, j *job) { l.c.team("vision").GPUsMax = 3 },
+			change:   func(l *leader, j *job) { l.core.team("vision").GPUsMax = 3 },
 		},
 		{
 			name:     "not on a machine of another zone than the job's",
@@ -230,41 +230,41 @@
 }
 
 func (tc *preemptCase) run(t *testing.T) {
-	b, l := leading(t, func(s *config.Settings) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "other", GPUsMax: 100}}
 	})
-	b.c.types = preemptTypes
-	b.c.now = 1000 * time.Second
+	harness.core.machineTypes = preemptTypes
+	harness.core.now = 1000 * time.Second
 	for _, line := range tc.machines {
 		name, zone := line[:3], line[4:]
-		l.passes.leaves = append(l.passes.leaves, idleMachine(l, name, "g4", zone))
+		leader.passes.machines = append(leader.passes.machines, idleMachine(leader, name, "g4", zone))
 	}
-	running := bindRunning(l, tc.running)
-	j := newJob(records.Open{Job: tc.job}, 2)
+	running := bindRunning(leader, tc.running)
+	job := newJob(records.Open{Job: tc.job}, 2)
 	if tc.change != nil {
-		tc.change(l, j)
+		tc.change(leader, job)
 	}
-	c := &candidate{job: j, guaranteed: tc.within, pending: j.unplacedTasks(), preemptionRank: j.rank}
-	l.preempt(c, l.usage(), false)
+	c := &candidate{job: job, withinQuota: tc.withinQuota, pending: job.unplacedTasks(), preemptionPriority: job.level}
+	leader.preempt(c, leader.refreshUsage(), false)
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) {
 		t.Errorf("stopped %q, want %q", stopped, tc.want)
 	}
-	if reserved := reservedMachines(l, j); !slices.Equal(reserved, tc.reserved) {
+	if reserved := reservedMachines(leader, job); !slices.Equal(reserved, tc.reserved) {
 		t.Errorf("kept %q, want %q", reserved, tc.reserved)
 	}
 }
 
 // bindRunning has jobs run on the machines that they name.
-func bindRunning(l *leader, jobs []runningJob) []*job {
+func bindRunning(leader *leader, jobs []runningJob) []*job {
 	var running []*job
 	for _, r := range jobs {
 		j := newJob(records.Open{Job: r.Job}, 1)
-		j.within = r.within
-		l.layOut(j)
+		j.withinQuota = r.withinQuota
+		leader.initPlacementRecords(j)
 		for i, name := range r.on {
-			m := l.machines[name]
-			j.tasks[i] = task{attempt: 1, zone: m.zone, session: 1, seen: true, recorded: true, copied: true, state: wire.TaskRunning, upAt: l.c.now - r.ranFor}
-			l.bind(j, i, m)
+			m := leader.machines[name]
+			j.tasks[i] = task{attempt: 1, zone: m.zone, incarnation: 1, observed: true, persisted: true, startRetransmitted: true, state: wire.TaskRunning, runningSince: leader.core.now - r.ranFor}
+			leader.place(j, i, m)
 		}
 		running = append(running, j)
 	}
@@ -287,8 +287,8 @@
 // reservedMachines names the machines that are kept for a job.
 func reservedMachines(l *leader, j *job) []string {
 	var reserved []string
-	for _, m := range l.byName {
-		if m.reserved == j {
+	for _, m := range l.machinesByName {
+		if m.reservedFor == j {
 			reserved = append(reserved, m.name)
 		}
 	}
@@ -297,8 +297,8 @@
 
 // idleMachine adds a machine that reports and hears the leader.
 func idleMachine(l *leader, name, typ, zone string) *machine {
-	m := l.machine(name)
-	l.describe(m, "", typ, zone, false)
-	m.heard, m.token, m.session = l.c.now, l.mandate.Term, 1
+	m := l.machineNamed(name)
+	l.setDescription(m, "", typ, zone, false)
+	m.lastHeartbeat, m.fencingToken, m.incarnation = l.core.now, l.leadership.Term, 1
 	return m
 }
--- a/internal/core/preemption/preemption.go
+++ b/internal/core/preemption/preemption.go
@@ -24,8 +24,8 @@
 	Loss float64 // seconds of a task's work, weighed
 }
 
-// Room is room for one more task on a machine, and which tasks have to go for it.
-type Room[T Task] struct {
+// Slot is room for one more task on a machine, and which tasks have to go for it.
+type Slot[T Task] struct {
 	Machine string
 	Zone    string
 	Victims []Victim[T]
@@ -43,18 +43,18 @@
 	Victims func(free topology.Resources) ([]Victim[T], topology.Resources)
 }
 
-// On lists the rooms for up to want tasks of a size on a machine, the cheapest first;
+// SlotsOn lists the rooms for up to want tasks of a size on a machine, the cheapest first;
 // each needs those before it. Free room goes first.
-func On[T Task](m *Machine[T], size topology.Resources, want int) []Room[T] {
-	free := m.Free
+func SlotsOn[T Task](machine *Machine[T], size topology.Resources, want int) []Slot[T] {
+	free := machine.Free
 	var victims []Victim[T]
 	counted := false
-	var rooms []Room[T]
+	var rooms []Slot[T]
 	for len(rooms) < want {
-		room := Room[T]{Machine: m.Name, Zone: m.Zone}
+		room := Slot[T]{Machine: machine.Name, Zone: machine.Zone}
 		if !counted && !free.Holds(size) {
 			counted = true
-			victims, free = m.Victims(free)
+			victims, free = machine.Victims(free)
 			slices.SortStableFunc(victims, func(a, b Victim[T]) int { return cmp.Compare(a.Loss, b.Loss) })
 		}
 		for !free.Holds(size) {
@@ -76,13 +76,13 @@
 	return rooms
 }
 
-// Choose takes up to want rooms of those of all machines, the cheapest first, as far as
+// ChooseSlots takes up to want rooms of those of all machines, the cheapest first, as far as
 // the zones' bounds allow; zoneRoom may be nil. The rooms of one machine build on each
 // other and never get cheaper, so the order by cost keeps theirs. A gang is a victim of
 // the first room only that it goes for.
-func Choose[T Task](rooms []Room[T], want int, zoneRoom func(zone string) int) []Room[T] {
-	slices.SortStableFunc(rooms, func(a, b Room[T]) int { return cmp.Compare(a.Cost, b.Cost) })
-	var chosen []Room[T]
+func ChooseSlots[T Task](rooms []Slot[T], want int, zoneRoom func(zone string) int) []Slot[T] {
+	slices.SortStableFunc(rooms, func(a, b Slot[T]) int { return cmp.Compare(a.Cost, b.Cost) })
+	var chosen []Slot[T]
 	inZone := map[string]int{}
 	stopped := map[string]bool{} // gangs
 	for _, room := range rooms {
@@ -93,15 +93,15 @@
 			continue
 		}
 		inZone[room.Zone]++
-		room.Victims = withoutGangs(room.Victims, stopped)
+		room.Victims = withoutStoppedGangs(room.Victims, stopped)
 		chosen = append(chosen, room)
 	}
 	return chosen
 }
 
-// withoutGangs leaves out the tasks of gangs that stop already, and notes those that stop
+// withoutStoppedGangs leaves out the tasks of gangs that stop already, and notes those that stop
 // now.
-func withoutGangs[T Task](victims []Victim[T], stopped map[string]bool) []Victim[T] {
+func withoutStoppedGangs[T Task](victims []Victim[T], stopped map[string]bool) []Victim[T] {
 	var left []Victim[T]
 	for _, v := range victims {
 		if gang := v.Task.Gang(); gang != "" {
@@ -116,7 +116,7 @@
 }
 
 // TotalCost is the cost of rooms.
-func TotalCost[T Task](rooms []Room[T]) float64 {
+func TotalCost[T Task](rooms []Slot[T]) float64 {
 	sum := 0.0
 	for _, room := range rooms {
 		sum += room.Cost
--- a/internal/core/preemption/preemption_test.go
+++ b/internal/core/preemption/preemption_test.go
@@ -36,8 +36,8 @@
 	return v
 }
 
-// told names rooms and their victims: "machine: victims".
-func told(rooms []Room[task]) string {
+// describe names rooms and their victims: "machine: victims".
+func describe(rooms []Slot[task]) string {
 	var out []string
 	for _, r := range rooms {
 		s := r.Machine + ":"
@@ -67,8 +67,8 @@
 		{"no room", machine("m", "a", 0, 0, victim("x", 1, 5)), 2, 1, "", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rooms := On(tc.m, cpus(tc.size), tc.want)
-			if got := told(rooms); got != tc.told {
+			rooms := SlotsOn(tc.m, cpus(tc.size), tc.want)
+			if got := describe(rooms); got != tc.told {
 				t.Fatalf("rooms %q, want %q", got, tc.told)
 			}
 			if n := len(rooms); n > 0 && rooms[n-1].Cost != tc.cost {
@@ -79,15 +79,15 @@
 }
 
 func TestChoose(t *testing.T) {
-	onA := On(machine("m", "a", 1, 0, victim("x", 1, 4), victim("y", 1, 1)), cpus(1), 3)
-	onB := On(machine("n", "b", 0, 0, victim("z", 1, 2)), cpus(1), 3)
-	gangs := func() []Room[task] {
-		return append(On(machine("m", "a", 0, 0, ofGang(victim("g/0", 1, 3), "g")), cpus(1), 1),
-			On(machine("n", "b", 0, 0, ofGang(victim("g/1", 1, 3), "g"), victim("w", 1, 9)), cpus(1), 2)...)
+	onA := SlotsOn(machine("m", "a", 1, 0, victim("x", 1, 4), victim("y", 1, 1)), cpus(1), 3)
+	onB := SlotsOn(machine("n", "b", 0, 0, victim("z", 1, 2)), cpus(1), 3)
+	gangs := func() []Slot[task] {
+		return append(SlotsOn(machine("m", "a", 0, 0, ofGang(victim("g/0", 1, 3), "g")), cpus(1), 1),
+			SlotsOn(machine("n", "b", 0, 0, ofGang(victim("g/1", 1, 3), "g"), victim("w", 1, 9)), cpus(1), 2)...)
 	}
 	for _, tc := range []struct {
 		name     string
-		rooms    []Room[task]
+		rooms    []Slot[task]
 		want     int
 		zoneRoom func(string) int
 		told     string
@@ -100,8 +100,8 @@
 		{"none", nil, 3, nil, "", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			chosen := Choose(tc.rooms, tc.want, tc.zoneRoom)
-			if got := told(chosen); got != tc.told {
+			chosen := ChooseSlots(tc.rooms, tc.want, tc.zoneRoom)
+			if got := describe(chosen); got != tc.told {
 				t.Errorf("rooms %q, want %q", got, tc.told)
 			}
 			if got := TotalCost(chosen); got != tc.cost {
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -13,89 +13,89 @@
 // machine that hangs holds a socket: of those for direct commands no more than half
 // go to probes, however many are silent.
 func (l *leader) mayProbe(m *machine) bool {
-	most := max(1, l.c.cfg.Deployment.Limits.MaxConnections/16)
-	return m.addr != "" && !m.probeBusy && l.c.now >= m.probeAt && !m.returning && l.probing < most
+	maxProbes := max(1, l.core.settings.Deployment.MachineLimits.MaxConnections/16)
+	return m.address != "" && !m.probeOpen && l.core.now >= m.nextProbeAt && !m.returning && l.openProbes < maxProbes
 }
 
 // probe asks a silent worker for its state and shows it this term: it may
 // still report to a deposed leader that is cut off from us.
-func (l *leader) probe(m *machine) {
-	if !l.mayProbe(m) {
+func (l *leader) probe(machine *machine) {
+	if !l.mayProbe(machine) {
 		return
 	}
-	l.probing++
-	m.probeBusy = true
-	asked := l.c.now
-	m.probeAt = l.c.now + 2*l.c.report()
-	l.c.call(Call{Dest: DestWorker, Addr: m.addr, Method: "GET", Path: "/status", Timeout: l.probeTimeout()}, func(r Result) {
-		l.probing--
-		m.probeBusy = false
-		if !l.deposed {
-			l.probeAnswered(m, asked, r)
+	l.openProbes++
+	machine.probeOpen = true
+	sentAt := l.core.now
+	machine.nextProbeAt = l.core.now + 2*l.core.heartbeatInterval()
+	l.core.call(Call{Destination: DestinationWorker, Addr: machine.address, Method: "GET", Path: "/status", Timeout: l.probeTimeout()}, func(result Result) {
+		l.openProbes--
+		machine.probeOpen = false
+		if !l.steppedDown {
+			l.handleProbeResult(machine, sentAt, result)
 		}
 	})
 }
 
-// probeAnswered takes in the answer to a probe that was sent at a time.
-func (l *leader) probeAnswered(m *machine, asked time.Duration, r Result) {
+// handleProbeResult takes in the answer to a probe that was sent at a time.
+func (l *leader) handleProbeResult(machine *machine, sentAt time.Duration, result Result) {
 	switch {
-	case r.Status == httpstatus.NoAnswer:
-		m.probeFailed = asked
-		l.probeControl(m)
-	case r.Status != httpstatus.OK:
+	case result.Status == httpstatus.NoAnswer:
+		machine.lastProbeFailure = sentAt
+		l.probeReference(machine)
+	case result.Status != httpstatus.OK:
 	default:
-		if report, ok := decodeReport(r.Body); ok && report.Machine == m.name && report.Token < l.mandate.Term {
-			l.showTerm(m, report.Session)
+		if heartbeat, ok := decodeHeartbeat(result.Body); ok && heartbeat.Machine == machine.name && heartbeat.FencingToken < l.leadership.Term {
+			l.announceTerm(machine, heartbeat.Incarnation)
 			return
 		}
-		l.onDirectReport(m, r.Body)
+		l.handleDirectStatus(machine, result.Body)
 	}
 }
 
-// showTerm sends a worker that has not heard this term an empty list of commands.
-func (l *leader) showTerm(m *machine, session uint64) {
-	m.probeBusy = true
-	body := kv.Encode(wire.Orders{Token: l.mandate.Term, Session: session, Commands: []wire.Command{}})
-	l.c.call(Call{Dest: DestWorker, Addr: m.addr, Method: "POST", Path: "/do", Body: body, Timeout: l.c.report()}, func(r Result) {
-		m.probeBusy = false
-		if !l.deposed && (r.Status == httpstatus.OK || r.Status == httpstatus.Conflict) {
-			l.onDirectReport(m, r.Body)
+// announceTerm sends a worker that has not heard this term an empty list of commands.
+func (l *leader) announceTerm(machine *machine, session uint64) {
+	machine.probeOpen = true
+	body := kv.Encode(wire.CommandList{FencingToken: l.leadership.Term, Incarnation: session, Commands: []wire.Command{}})
+	l.core.call(Call{Destination: DestinationWorker, Addr: machine.address, Method: "POST", Path: "/do", Body: body, Timeout: l.core.heartbeatInterval()}, func(result Result) {
+		machine.probeOpen = false
+		if !l.steppedDown && (result.Status == httpstatus.OK || result.Status == httpstatus.Conflict) {
+			l.handleDirectStatus(machine, result.Body)
 		}
 	})
 }
 
-// probeControl asks a machine that is heard for its state when another does not
+// probeReference asks a machine that is heard for its state when another does not
 // answer: only if that one answers is the silent machine at fault, and not the
 // way from here to it. It is one of the same zone, or of any if that zone has no
 // other: the only machine of the leader's own zone was given up no sooner than
 // its lease where all others reported by other controllers, since nothing showed
 // that any way was open.
-func (l *leader) probeControl(silent *machine) {
-	alone := !slices.ContainsFunc(l.byName, func(m *machine) bool {
-		return m != silent && m.zone == silent.zone && m.shouldReport()
+func (l *leader) probeReference(silent *machine) {
+	alone := !slices.ContainsFunc(l.machinesByName, func(machine *machine) bool {
+		return machine != silent && machine.zone == silent.zone && machine.heartbeatExpected()
 	})
-	var best *machine
-	for _, m := range l.byName {
-		if (alone || m.zone == silent.zone) && !m.probeBusy && l.c.now >= m.probeAt && !m.returning && m.addr != "" && (best == nil || m.heard > best.heard) {
-			best = m
+	var reference *machine
+	for _, machine := range l.machinesByName {
+		if (alone || machine.zone == silent.zone) && !machine.probeOpen && l.core.now >= machine.nextProbeAt && !machine.returning && machine.address != "" && (reference == nil || machine.lastHeartbeat > reference.lastHeartbeat) {
+			reference = machine
 		}
 	}
-	if best != nil && l.c.now-best.heard < l.overdueReport() && l.c.now-l.reached[best.zone] > l.probeTimeout()/2 {
-		l.probe(best)
+	if reference != nil && l.core.now-reference.lastHeartbeat < l.heartbeatOverdueAfter() && l.core.now-l.zoneReachedAt[reference.zone] > l.probeTimeout()/2 {
+		l.probe(reference)
 	}
 }
 
-// zoneReachable tells whether the way to a silent machine is open: another of
+// pathVerified tells whether the way to a silent machine is open: another of
 // its zone has answered since it was asked in vain. Where it is the zone's only
 // one, a machine of any zone counts, unless the zone's controllers are gone
 // too.
-func (l *leader) zoneReachable(m *machine, inZone int) bool {
-	if inZone > 1 {
-		return l.reached[m.zone] > m.probeFailed
+func (l *leader) pathVerified(machine *machine, machinesInZone int) bool {
+	if machinesInZone > 1 {
+		return l.zoneReachedAt[machine.zone] > machine.lastProbeFailure
 	}
-	for _, at := range l.reached {
-		if at > m.probeFailed {
-			return !l.c.zoneLost(m.zone)
+	for _, reachedAt := range l.zoneReachedAt {
+		if reachedAt > machine.lastProbeFailure {
+			return !l.core.zoneLost(machine.zone)
 		}
 	}
 	return false
@@ -103,4 +103,4 @@
 
 // probeTimeout is how long a worker that is asked for its state may take: an
 // answer takes milliseconds, or that of a lost packet sent again.
-func (l *leader) probeTimeout() time.Duration { return max(l.c.report()/2, time.Second) }
+func (l *leader) probeTimeout() time.Duration { return max(l.core.heartbeatInterval()/2, time.Second) }
--- a/internal/core/standstill_test.go
+++ b/internal/core/process_pause_test.go
@@ -11,7 +11,7 @@
 )
 
 // A controller that stood still says so once, when it goes on.
-func TestStandstillIsLogged(t *testing.T) {
+func TestProcessPauseIsLogged(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		gap  time.Duration
@@ -22,12 +22,12 @@
 		{"longer than it", 90 * time.Second, "for_s=90 leading=true term=5 own_lease_ended=true"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, _ := leading(t, func(*config.Settings) {})
+			b, _ := newLeadingHarness(t, func(*config.Settings) {})
 			var logged bytes.Buffer
-			b.c.log = slog.New(slog.NewTextHandler(&logged, nil))
-			b.now = b.c.now + tc.gap
+			b.core.log = slog.New(slog.NewTextHandler(&logged, nil))
+			b.now = b.core.now + tc.gap
 			b.step(Tick{})
-			b.now += b.c.report() / 20
+			b.now += b.core.heartbeatInterval() / 20
 			b.step(Tick{})
 			lines := strings.Count(logged.String(), `msg="stood still"`)
 			if tc.want == "" && lines > 0 || tc.want != "" && (lines != 1 || !strings.Contains(logged.String(), tc.want)) {
--- a/internal/core/record_batch.go
+++ b/internal/core/record_batch.go
@@ -10,54 +10,54 @@
 const (
 	// maxBatchBytes is the size from which a batch takes no further record.
 	maxBatchBytes = 44 << 10
-	// endBytes is what the end of a job takes.
-	endBytes = 400
+	// jobEndBytes is what the end of a job takes.
+	jobEndBytes = 400
 	// recordOverhead is what a record takes beside its value.
 	recordOverhead = 300
 )
 
-// endWrites is the number of writes that every end of a job takes: the deletion
+// jobEndWrites is the number of writes that every end of a job takes: the deletion
 // of the open record and the final record.
-const endWrites = 2
+const jobEndWrites = 2
 
 // recordBatch collects the record writes of one transaction and what is to be
 // done with its answer. Every batch is conditional on the term and on the versions
 // of the open records of the jobs it writes for.
 type recordBatch struct {
-	leader     *leader
-	txn        *wire.Txn
-	maxWrites  int
-	ranges     bool // placement records name their range
-	bytes      int  // estimate of the size
-	incomplete bool // records that are due were left out
-
-	awaitedConds int                  // conditions on awaited jobs
-	writers      []*job               // jobs whose records are written
-	ends         []wire.JobEnd        // ends of jobs that were committed
-	deletions    int                  // left-over records that are deleted
-	handlers     []func(batchOutcome) // of the answer, in the order of the writes
+	leader      *leader
+	txn         *wire.Txn
+	maxWrites   int
+	namedRanges bool // placement records name their range
+	bytes       int  // estimate of the size
+	incomplete  bool // records that are due were left out
+
+	dependencyConditions int                  // conditions on awaited jobs
+	writers              []*job               // jobs whose records are written
+	committedEnds        []wire.JobEnd        // ends of jobs that were committed
+	deletions            int                  // left-over records that are deleted
+	handlers             []func(batchOutcome) // of the answer, in the order of the writes
 }
 
 // batchOutcome tells whether a batch was committed.
 type batchOutcome struct {
 	committed bool
-	version   uint64 // of the records written
+	revision  uint64 // of the records written
 }
 
 // newRecordBatch makes an empty batch under the limits that hold now.
 func (l *leader) newRecordBatch() *recordBatch {
 	return &recordBatch{
-		leader:    l,
-		txn:       &wire.Txn{If: []wire.Cond{l.termCond()}},
-		maxWrites: l.c.store.MaxWrites(),
-		ranges:    l.ranges(),
+		leader:      l,
+		txn:         &wire.Txn{Conditions: []wire.Condition{l.termCondition()}},
+		maxWrites:   l.core.store.MaxWrites(),
+		namedRanges: l.writesNamedRanges(),
 	}
 }
 
 // fill adds the records that are due, ends of jobs ahead of placements.
 func (b *recordBatch) fill() {
 	b.addFinishedEnds()
-	b.leader.endCancelled(b.addEnd)
+	b.leader.addCancelledEnds(b.addEnd)
 	b.addOpenRecords()
 	b.addPlacements()
 	b.addDeletions()
@@ -65,7 +65,7 @@
 
 // hasRoom tells whether the batch takes a number of further writes.
 func (b *recordBatch) hasRoom(writes int) bool {
-	if b.leader.records.oneJob && !b.empty() {
+	if b.leader.writer.singleJobTransactions && !b.empty() {
 		return false
 	}
 	return len(b.txn.Writes)+writes <= b.maxWrites && b.bytes < maxBatchBytes
@@ -82,14 +82,14 @@
 
 func (b *recordBatch) empty() bool { return len(b.txn.Writes) == 0 }
 
-// require makes the batch conditional on the version of a record; 0 is none.
-func (b *recordBatch) require(key string, version uint64) {
-	b.txn.If = append(b.txn.If, wire.Cond{Key: key, Version: version})
+// addCondition makes the batch conditional on the version of a record; 0 is none.
+func (b *recordBatch) addCondition(key string, version uint64) {
+	b.txn.Conditions = append(b.txn.Conditions, wire.Condition{Key: key, Version: version})
 }
 
 // addWriter notes that the batch writes for a job whose open record is unchanged.
 func (b *recordBatch) addWriter(j *job) {
-	b.require(records.OpenKey(j.ID), j.version)
+	b.addCondition(records.OpenKey(j.ID), j.openVersion)
 	b.writers = append(b.writers, j)
 }
 
@@ -97,20 +97,20 @@
 	b.txn.Writes = append(b.txn.Writes, wire.Write{Put: key, Value: value})
 }
 
-func (b *recordBatch) remove(key string) {
+func (b *recordBatch) delete(key string) {
 	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: key})
 }
 
-// onAnswer has a function called with the answer to the transaction, after those
+// onOutcome has a function called with the answer to the transaction, after those
 // that were given before.
-func (b *recordBatch) onAnswer(handler func(answer batchOutcome)) {
+func (b *recordBatch) onOutcome(handler func(answer batchOutcome)) {
 	b.handlers = append(b.handlers, handler)
 }
 
 // addFinishedEnds adds the ends of jobs that were not cancelled.
 func (b *recordBatch) addFinishedEnds() {
-	for _, j := range b.leader.order {
-		if !j.cancellation.Requested() && b.leader.mayEnd(j) && !b.addEnd(j) {
+	for _, j := range b.leader.jobsBySubmission {
+		if !j.cancellation.Requested() && b.leader.endIsRecordable(j) && !b.addEnd(j) {
 			return
 		}
 	}
@@ -119,7 +119,7 @@
 // addEnd adds the end of a job. It is false if there is no room for it.
 func (b *recordBatch) addEnd(j *job) bool {
 	keys := j.recordKeys()
-	writes := min(endWrites+len(keys), b.maxWrites) // the rest is deleted afterwards
+	writes := min(jobEndWrites+len(keys), b.maxWrites) // the rest is deleted afterwards
 	if !b.reserve(writes) {
 		return false
 	}
@@ -128,45 +128,45 @@
 		final.Status = wire.StatusCancelled
 	}
 	b.addWriter(j)
-	b.remove(records.OpenKey(j.ID))
+	b.delete(records.OpenKey(j.ID))
 	b.put(records.FinalKey(j.ID), kv.Encode(final))
-	deleted := writes - endWrites
+	deleted := writes - jobEndWrites
 	for _, key := range keys[:deleted] {
-		b.remove(key)
+		b.delete(key)
 	}
-	b.bytes += endBytes
-	j.endPending = true
-	b.onAnswer(func(answer batchOutcome) { b.endAnswered(j, final, keys[deleted:], answer) })
+	b.bytes += jobEndBytes
+	j.endWritePending = true
+	b.onOutcome(func(answer batchOutcome) { b.endOutcome(j, final, keys[deleted:], answer) })
 	return true
 }
 
-// endAnswered takes in the answer to the end of a job. Its records that are left
+// endOutcome takes in the answer to the end of a job. Its records that are left
 // over are deleted by later batches.
-func (b *recordBatch) endAnswered(j *job, final records.Final, leftOver []string, answer batchOutcome) {
+func (b *recordBatch) endOutcome(j *job, final records.Final, leftOver []string, answer batchOutcome) {
 	l := b.leader
-	j.endPending = false
+	j.endWritePending = false
 	if !answer.committed {
 		if j.cancellation.Requested() {
-			l.ending = append(l.ending, j)
+			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, j)
 		}
 		return
 	}
-	l.c.log.Info("job over", "job", j.ID, "status", final.Status)
-	j.ended = true
-	l.records.leftOver = append(l.records.leftOver, leftOver...)
-	l.records.dirty = l.records.dirty || len(l.records.leftOver) > 0
+	l.core.log.Info("job over", "job", j.ID, "status", final.Status)
+	j.endRecorded = true
+	l.writer.orphanedRecords = append(l.writer.orphanedRecords, leftOver...)
+	l.writer.dirty = l.writer.dirty || len(l.writer.orphanedRecords) > 0
 	end := wire.JobEnd{ID: j.ID, Status: string(final.Status), Tasks: final.Tasks}
-	l.c.noteEnd(end)
-	b.ends = append(b.ends, end)
+	l.core.applyEnd(end)
+	b.committedEnds = append(b.committedEnds, end)
 	l.forget(j)
-	l.awaitedOver(j.ID, final.Status)
+	l.dependencyEnded(j.ID, final.Status)
 }
 
 // addOpenRecords adds the open records of jobs that go on, since all that they
 // awaited is done, and of those that are to be written before others.
 func (b *recordBatch) addOpenRecords() {
-	for _, j := range b.leader.order {
-		if !j.writable() || j.cancellation.Requested() || !j.awaitedDone && !j.fence || !b.leader.mayWriteOpen(j) {
+	for _, j := range b.leader.jobsBySubmission {
+		if !j.recordsWritable() || j.cancellation.Requested() || !j.dependenciesDone && !j.rewriteOpenFirst || !b.leader.mayWriteOpenRecord(j) {
 			continue
 		}
 		if !b.reserve(1) {
@@ -178,56 +178,56 @@
 
 // addOpenRecord adds the open record of a job, for which there is room.
 func (b *recordBatch) addOpenRecord(j *job) {
-	rec := j.rec
-	if j.awaitedDone {
-		rec.ReadyAt = b.leader.c.wall
-		b.requireAwaitedOver(j)
+	rec := j.record
+	if j.dependenciesDone {
+		rec.ReadyAt = b.leader.core.wallClockMS
+		b.requireDependenciesOver(j)
 	}
 	body := kv.Encode(rec)
 	b.bytes += len(body) + recordOverhead
 	b.addWriter(j)
 	b.put(records.OpenKey(j.ID), body)
 	j.openWritePending = true
-	b.onAnswer(func(answer batchOutcome) { b.leader.openRecordAnswered(j, rec, answer) })
+	b.onOutcome(func(answer batchOutcome) { b.leader.openRecordOutcome(j, rec, answer) })
 }
 
-// requireAwaitedOver makes the batch conditional on the ends of the jobs that a job
+// requireDependenciesOver makes the batch conditional on the ends of the jobs that a job
 // awaited, which took their open records away, as far as conditions are left.
-func (b *recordBatch) requireAwaitedOver(j *job) {
-	for _, awaited := range j.Awaits {
-		if b.awaitedConds >= 2*b.maxWrites-1 {
+func (b *recordBatch) requireDependenciesOver(j *job) {
+	for _, awaited := range j.Dependencies {
+		if b.dependencyConditions >= 2*b.maxWrites-1 {
 			return
 		}
-		b.awaitedConds++
-		b.require(records.OpenKey(awaited), 0)
+		b.dependencyConditions++
+		b.addCondition(records.OpenKey(awaited), 0)
 	}
 }
 
-// openRecordAnswered takes in the answer to the open record of a job that goes on.
-func (l *leader) openRecordAnswered(j *job, rec records.Open, answer batchOutcome) {
+// openRecordOutcome takes in the answer to the open record of a job that goes on.
+func (l *leader) openRecordOutcome(j *job, rec records.Open, answer batchOutcome) {
 	j.openWritePending = false
 	if !answer.committed {
-		l.records.dirty = true
+		l.writer.dirty = true
 		return
 	}
-	l.c.cacheOpen(j.ID, &openJob{version: answer.version, rec: rec})
-	if j.version < answer.version {
-		j.version, j.rec = answer.version, rec
+	l.core.cacheOpen(j.ID, &cachedJob{version: answer.revision, record: rec})
+	if j.openVersion < answer.revision {
+		j.openVersion, j.record = answer.revision, rec
 	}
-	l.noteReady(j)
-	if j.fence {
-		j.fence, l.records.dirty = false, true
-		l.switchToRanges(j)
+	l.markReady(j)
+	if j.rewriteOpenFirst {
+		j.rewriteOpenFirst, l.writer.dirty = false, true
+		l.switchToNamedRanges(j)
 	}
 }
 
 // addPlacements adds the placement records that have changed.
 func (b *recordBatch) addPlacements() {
-	for _, j := range b.leader.order {
-		if !j.writable() || b.leader.inWriteBackoff(j) {
+	for _, j := range b.leader.jobsBySubmission {
+		if !j.recordsWritable() || b.leader.inWriteBackoff(j) {
 			continue
 		}
-		if b.ranges && !b.leader.mayWrite(j) {
+		if b.namedRanges && !b.leader.mayWriteNamedRanges(j) {
 			b.incomplete = true
 			continue
 		}
@@ -239,13 +239,13 @@
 // there is room.
 func (b *recordBatch) addPlacementsOf(j *job) {
 	first := true
-	for i := range j.chunks {
-		ch := &j.chunks[i]
-		if !ch.dirty || ch.stale || ch.busy {
+	for i := range j.placementRecords {
+		ch := &j.placementRecords[i]
+		if !ch.dirty || ch.versionUnknown || ch.writePending {
 			continue
 		}
-		if b.leader.c.now < ch.due {
-			b.leader.writeBy(ch.due)
+		if b.leader.core.now < ch.dueAt {
+			b.leader.scheduleWrite(ch.dueAt)
 			continue
 		}
 		if !b.reserve(1) {
@@ -260,27 +260,27 @@
 }
 
 // addPlacement adds a placement record, for which there is room.
-func (b *recordBatch) addPlacement(j *job, ch *chunk) {
-	body, starts := encodeChunk(j, ch)
+func (b *recordBatch) addPlacement(j *job, ch *placementRecord) {
+	body, starts := encodePlacementRecord(j, ch)
 	b.bytes += len(body) + recordOverhead
-	b.require(ch.key, ch.version)
+	b.addCondition(ch.key, ch.version)
 	b.put(ch.key, body)
-	ch.dirty, ch.busy, j.placementSent = false, true, true
-	b.onAnswer(func(answer batchOutcome) { b.leader.placementAnswered(j, ch, starts, answer) })
+	ch.dirty, ch.writePending, j.placementSentThisTerm = false, true, true
+	b.onOutcome(func(answer batchOutcome) { b.leader.placementOutcome(j, ch, starts, answer) })
 }
 
-// placementAnswered takes in the answer to a placement record: what it is the
+// placementOutcome takes in the answer to a placement record: what it is the
 // first to place is started now.
-func (l *leader) placementAnswered(j *job, ch *chunk, starts []records.PlacedTask, answer batchOutcome) {
-	ch.busy = false
+func (l *leader) placementOutcome(j *job, ch *placementRecord, starts []records.PlacedTask, answer batchOutcome) {
+	ch.writePending = false
 	if !answer.committed {
-		ch.dirty, ch.due, l.records.dirty = true, 0, true
+		ch.dirty, ch.dueAt, l.writer.dirty = true, 0, true
 		return
 	}
-	ch.version = answer.version
+	ch.version = answer.revision
 	for _, s := range starts {
 		if t := &j.tasks[s.Task]; t.machine != nil && t.attempt == s.Attempt {
-			t.recorded = true
+			t.persisted = true
 		}
 	}
 	l.sendStarts(j, starts)
@@ -289,43 +289,43 @@
 // addDeletions adds deletions of left-over placement records, if all else that is
 // due has found room.
 func (b *recordBatch) addDeletions() {
-	for _, key := range b.leader.records.leftOver {
+	for _, key := range b.leader.writer.orphanedRecords {
 		if b.incomplete || !b.hasRoom(1) {
 			break
 		}
-		b.remove(key)
+		b.delete(key)
 		b.deletions++
 	}
 	if b.deletions > 0 {
-		b.onAnswer(b.deletionsAnswered)
+		b.onOutcome(b.deletionsOutcome)
 	}
 }
 
-// deletionsAnswered forgets the records that were deleted.
-func (b *recordBatch) deletionsAnswered(answer batchOutcome) {
+// deletionsOutcome forgets the records that were deleted.
+func (b *recordBatch) deletionsOutcome(answer batchOutcome) {
 	if answer.committed {
-		b.leader.records.leftOver = b.leader.records.leftOver[b.deletions:]
+		b.leader.writer.orphanedRecords = b.leader.writer.orphanedRecords[b.deletions:]
 	}
 }
 
 // moreDue tells whether records that are due are not in the batch.
 func (b *recordBatch) moreDue() bool {
-	return b.incomplete || len(b.leader.records.leftOver) > b.deletions
+	return b.incomplete || len(b.leader.writer.orphanedRecords) > b.deletions
 }
 
 // onResult takes in the answer of the state service.
 func (b *recordBatch) onResult(r kv.TxnResult) {
 	l := b.leader
-	l.records.busy = false
-	if l.deposed {
+	l.writer.transactionOpen = false
+	if l.steppedDown {
 		return
 	}
 	answer := b.outcome(r)
-	l.records.dirty = l.records.dirty || !answer.committed
+	l.writer.dirty = l.writer.dirty || !answer.committed
 	for _, handle := range b.handlers {
 		handle(answer)
 	}
-	l.sendEnds(wire.Ends{Over: b.ends})
+	l.sendJobEnds(wire.Ends{Over: b.committedEnds})
 	l.passes.requested = true
 }
 
@@ -334,15 +334,15 @@
 	l := b.leader
 	switch r.Status {
 	case kv.OK:
-		l.records.oneJob = false
+		l.writer.singleJobTransactions = false
 		for _, j := range b.writers {
-			j.refusals = 0
+			j.rejections = 0
 		}
-		return batchOutcome{committed: r.Revision != 0, version: r.Revision}
+		return batchOutcome{committed: r.Revision != 0, revision: r.Revision}
 	case kv.Conflict:
-		l.conflict(r.Conflicts)
+		l.resolveConflicts(r.Conflicts)
 	case kv.Rejected:
-		l.refused(b.txn, b.writers)
+		l.onTxnRejected(b.txn, b.writers)
 		l.retryRecordsLater()
 	default:
 		l.retryRecordsLater()
@@ -351,4 +351,4 @@
 }
 
 // retryRecordsLater puts the next transaction off for a moment.
-func (l *leader) retryRecordsLater() { l.records.retryAt = l.c.now + l.c.ttl()/20 }
+func (l *leader) retryRecordsLater() { l.writer.retryAt = l.core.now + l.core.leaderLeaseDuration()/20 }
--- a/internal/core/record_batch_test.go
+++ b/internal/core/record_batch_test.go
@@ -18,13 +18,13 @@
 		switch {
 		case strings.HasPrefix(w.Delete, records.PrefixOpen):
 			kinds = append(kinds, "remove open")
-		case strings.HasPrefix(w.Delete, records.PrefixPlace):
+		case strings.HasPrefix(w.Delete, records.PrefixPlacement):
 			kinds = append(kinds, "remove place")
 		case strings.HasPrefix(w.Put, records.PrefixFinal):
 			kinds = append(kinds, "final")
 		case strings.HasPrefix(w.Put, records.PrefixOpen):
 			kinds = append(kinds, "open")
-		case strings.HasPrefix(w.Put, records.PrefixPlace):
+		case strings.HasPrefix(w.Put, records.PrefixPlacement):
 			kinds = append(kinds, "place")
 		default:
 			kinds = append(kinds, fmt.Sprintf("%+v", w))
@@ -35,15 +35,15 @@
 
 // placedJob adds a job one of whose tasks has a placement to be recorded.
 func placedJob(b *harness, l *leader, id string, tasks int) *job {
-	record(b, l, wire.Job{ID: id, Tasks: tasks}, nil)
+	addRecord(b, l, wire.Job{ID: id, Tasks: tasks}, nil)
 	j := l.jobs[id]
-	placeTasks(l, j, 0, tasks)
+	placeAndRecord(l, j, 0, tasks)
 	return j
 }
 
 // doneJob adds a job whose end is to be recorded.
 func doneJob(b *harness, l *leader, id string) {
-	record(b, l, wire.Job{ID: id}, nil)
+	addRecord(b, l, wire.Job{ID: id}, nil)
 	l.markDone(l.jobs[id], 0)
 }
 
@@ -64,13 +64,13 @@
 			doneJob(b, l, jobID(2))
 		}, append(slices.Clone(end), "place"), false},
 		{"every kind of record", 16, func(b *harness, l *leader) {
-			l.records.leftOver = []string{records.NumberedKey(jobID(9), 0)}
+			l.writer.orphanedRecords = []string{records.NumberedKey(jobID(9), 0)}
 			placedJob(b, l, jobID(1), 1)
-			record(b, l, wire.Job{ID: jobID(2)}, nil)
-			l.jobs[jobID(2)].awaitedDone = true
-			record(b, l, wire.Job{ID: jobID(3)}, nil)
+			addRecord(b, l, wire.Job{ID: jobID(2)}, nil)
+			l.jobs[jobID(2)].dependenciesDone = true
+			addRecord(b, l, wire.Job{ID: jobID(3)}, nil)
 			l.jobs[jobID(3)].cancellation.Request(0)
-			l.ending = []*job{l.jobs[jobID(3)]}
+			l.cancelledWithoutDependents = []*job{l.jobs[jobID(3)]}
 			doneJob(b, l, jobID(4))
 		}, append(slices.Concat(end, end), "open", "place", "remove place"), false},
 		{"as many writes as are allowed", 5, func(b *harness, l *leader) {
@@ -84,7 +84,7 @@
 			}
 		}, slices.Repeat([]string{"place"}, 5), true},
 		{"an end that does not fit holds up deletions", 5, func(b *harness, l *leader) {
-			l.records.leftOver = []string{records.NumberedKey(jobID(9), 0)}
+			l.writer.orphanedRecords = []string{records.NumberedKey(jobID(9), 0)}
 			for n := range 3 {
 				doneJob(b, l, jobID(n))
 			}
@@ -92,23 +92,23 @@
 		{"an end with more records than fit", 5, func(b *harness, l *leader) {
 			doneJob(b, l, jobID(1))
 			for n := range 9 {
-				l.jobs[jobID(1)].superseded = append(l.jobs[jobID(1)].superseded, records.NumberedKey(jobID(1), 1+n))
+				l.jobs[jobID(1)].supersededKeys = append(l.jobs[jobID(1)].supersededKeys, records.NumberedKey(jobID(1), 1+n))
 			}
 		}, append(slices.Clone(end), slices.Repeat([]string{"remove place"}, 3)...), false},
 		{"left-over records after all else only", 5, func(b *harness, l *leader) {
-			l.records.leftOver = []string{records.NumberedKey(jobID(9), 0), records.NumberedKey(jobID(9), 1)}
+			l.writer.orphanedRecords = []string{records.NumberedKey(jobID(9), 0), records.NumberedKey(jobID(9), 1)}
 			for n := range 4 {
 				placedJob(b, l, jobID(n), 1)
 			}
 		}, append(slices.Repeat([]string{"place"}, 4), "remove place"), true},
 		{"one record where one of them is refused", 16, func(b *harness, l *leader) {
-			l.records.oneJob = true
+			l.writer.singleJobTransactions = true
 			placedJob(b, l, jobID(1), 1)
 			placedJob(b, l, jobID(2), 1)
 		}, []string{"place"}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := leading(t, func(s *config.Settings) { s.Deployment.State.TxnOps = tc.maxOps })
+			b, l := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.TxnOps = tc.maxOps })
 			tc.prepare(b, l)
 			batch := l.newRecordBatch()
 			batch.fill()
@@ -127,8 +127,8 @@
 // open record of each job whose records it puts.
 func checkConditions(t *testing.T, l *leader, txn *wire.Txn) {
 	t.Helper()
-	if len(txn.If) == 0 || txn.If[0] != l.termCond() {
-		t.Errorf("not conditional on the term first: %+v", txn.If)
+	if len(txn.Conditions) == 0 || txn.Conditions[0] != l.termCondition() {
+		t.Errorf("not conditional on the term first: %+v", txn.Conditions)
 	}
 	for _, w := range txn.Writes {
 		_, rest, _ := strings.Cut(w.Put, "/")
@@ -136,8 +136,8 @@
 		if w.Put == "" {
 			continue
 		}
-		cond := wire.Cond{Key: records.OpenKey(id), Version: l.jobs[id].version}
-		if !slices.Contains(txn.If, cond) {
+		cond := wire.Condition{Key: records.OpenKey(id), Version: l.jobs[id].openVersion}
+		if !slices.Contains(txn.Conditions, cond) {
 			t.Errorf("%s is put without the condition %+v", w.Put, cond)
 		}
 	}
@@ -146,7 +146,7 @@
 // TestRecordBatchBytes fills a batch with more bytes than a transaction may have.
 func TestRecordBatchBytes(t *testing.T) {
 	const jobs = 16
-	b, l := leading(t, func(*config.Settings) {})
+	b, l := newLeadingHarness(t, func(*config.Settings) {})
 	for n := range jobs {
 		placedJob(b, l, jobID(n), 100)
 	}
--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -17,9 +17,9 @@
 
 // Prefixes of the keys of jobs, all of one length.
 const (
-	PrefixOpen  = "o/"
-	PrefixFinal = "f/"
-	PrefixPlace = "p/"
+	PrefixOpen      = "o/"
+	PrefixFinal     = "f/"
+	PrefixPlacement = "p/"
 )
 
 // KeyTypes holds the machine types last seen.
@@ -42,17 +42,17 @@
 
 // Open is the value of an open job's record.
 type Open struct {
-	Job       wire.Job `json:"j"`
-	At        int64    `json:"at"` // ms, time of day of the submission
-	Cancelled bool     `json:"c,omitempty"`
-	// AskedAt is the time of day, in ms, at which the user asked to cancel: the
+	Job         wire.Job `json:"j"`
+	SubmittedAt int64    `json:"at"` // ms, time of day of the submission
+	Cancelled   bool     `json:"c,omitempty"`
+	// CancelRequestedAt is the time of day, in ms, at which the user asked to cancel: the
 	// tasks are stopped, but nobody is told before they are gone.
-	AskedAt int64 `json:"ak,omitempty"`
-	// CancelledAt is the time of day, in ms, at which the user was about to be
+	CancelRequestedAt int64 `json:"ak,omitempty"`
+	// CancelAcknowledgedAt is the time of day, in ms, at which the user was about to be
 	// told: cancel_s runs from it, whoever leads.
-	CancelledAt int64 `json:"ca,omitempty"`
-	// Needed tells that another job awaits this one.
-	Needed bool `json:"nd,omitempty"`
+	CancelAcknowledgedAt int64 `json:"ca,omitempty"`
+	// HasDependents tells that another job awaits this one.
+	HasDependents bool `json:"nd,omitempty"`
 	// ReadyAt is the time of day, in ms, at which all jobs that it awaited were
 	// done; before that none of its tasks may be placed.
 	ReadyAt int64 `json:"ra,omitempty"`
@@ -60,7 +60,7 @@
 
 // Acknowledged tells whether the user may have been told that the job is cancelled.
 func (r *Open) Acknowledged() bool {
-	return r.Cancelled && (r.CancelledAt != 0 || r.AskedAt == 0)
+	return r.Cancelled && (r.CancelAcknowledgedAt != 0 || r.CancelRequestedAt == 0)
 }
 
 // Reduced is an open record of a cancelled job without what only matters to one that
@@ -68,17 +68,17 @@
 // to take less than the description.
 func (r Open) Reduced() Open {
 	j := r.Job
-	if len(j.Class) > maxClassName {
+	if len(j.Class) > maxReducedClassName {
 		j.Class = ""
 	}
 	r.Job = wire.Job{ID: j.ID, Class: j.Class, Team: j.Team, Shape: j.Shape, Priority: j.Priority, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs,
-		MemGB: j.MemGB, OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, EstimateS: j.EstimateS, CheckpointS: j.CheckpointS,
-		SaveS: j.SaveS, DeadlineS: j.DeadlineS}
+		MemGB: j.MemGB, OneZone: j.OneZone, SpreadZones: j.SpreadZones, AllowSpot: j.AllowSpot, EstimatedRunS: j.EstimatedRunS, CheckpointIntervalS: j.CheckpointIntervalS,
+		CheckpointDurationS: j.CheckpointDurationS, DeadlineS: j.DeadlineS}
 	return r
 }
 
-// maxClassName is how long a class's name may be to stay in a reduced record.
-const maxClassName = 64
+// maxReducedClassName is how long a class's name may be to stay in a reduced record.
+const maxReducedClassName = 64
 
 // Final is the value of an ended job's record, which is never changed.
 type Final struct {
@@ -98,9 +98,9 @@
 // Placement is the value of a placement record: which of a range of a job's tasks may be
 // on which machine.
 type Placement struct {
-	Next  uint64       `json:"n"` // the job's next attempt
-	Done  []int        `json:"d,omitempty"`
-	Tasks []PlacedTask `json:"t,omitempty"`
+	NextAttempt uint64       `json:"n"` // the job's next attempt
+	Done        []int        `json:"d,omitempty"`
+	Tasks       []PlacedTask `json:"t,omitempty"`
 }
 
 // PlacedTask is a task that may be on a machine.
@@ -110,41 +110,41 @@
 	Machine string `json:"m"`
 	// Zone counts for spread and one-zone jobs while a new leader has not
 	// heard the machine yet.
-	Zone    string `json:"z"`
-	Session uint64 `json:"s"`
+	Zone        string `json:"z"`
+	Incarnation uint64 `json:"s"`
 }
 
-// PlaceRange tells which tasks of a job a placement record covers, the last one
+// PlacementRange tells which tasks of a job a placement record covers, the last one
 // exclusive, in the numbered layout or in the one that names the range.
-type PlaceRange struct {
+type PlacementRange struct {
 	Job      string
 	From, To int
 	Numbered bool
 }
 
 // NumberedKey is the key of the nth placement record of a job in the numbered layout.
-func NumberedKey(job string, n int) string { return PrefixPlace + job + "/" + strconv.Itoa(n) }
+func NumberedKey(job string, n int) string { return PrefixPlacement + job + "/" + strconv.Itoa(n) }
 
 // RangeKey is the key of the placement record that names its range of tasks.
 func RangeKey(job string, from, to int) string {
-	return PrefixPlace + job + "/" + strconv.Itoa(from) + "-" + strconv.Itoa(to)
+	return PrefixPlacement + job + "/" + strconv.Itoa(from) + "-" + strconv.Itoa(to)
 }
 
-// ParsePlaceKey tells which tasks a placement record covers; perNumber is how many a
+// ParsePlacementKey tells which tasks a placement record covers; perNumber is how many a
 // numbered one does. It is false for a key that is none of a placement record.
-func ParsePlaceKey(key string, perNumber int) (PlaceRange, bool) {
-	job, part, found := strings.Cut(strings.TrimPrefix(key, PrefixPlace), "/")
+func ParsePlacementKey(key string, perNumber int) (PlacementRange, bool) {
+	job, part, found := strings.Cut(strings.TrimPrefix(key, PrefixPlacement), "/")
 	if !found {
-		return PlaceRange{}, false
+		return PlacementRange{}, false
 	}
 	first, last, ranged := strings.Cut(part, "-")
 	n, err := strconv.Atoi(first)
 	if err != nil || n < 0 {
-		return PlaceRange{}, false
+		return PlacementRange{}, false
 	}
 	if !ranged {
-		return PlaceRange{Job: job, From: n * perNumber, To: (n + 1) * perNumber, Numbered: true}, true
+		return PlacementRange{Job: job, From: n * perNumber, To: (n + 1) * perNumber, Numbered: true}, true
 	}
 	to, err := strconv.Atoi(last)
-	return PlaceRange{Job: job, From: n, To: to}, err == nil && to > n
+	return PlacementRange{Job: job, From: n, To: to}, err == nil && to > n
 }
--- a/internal/core/records/records_test.go
+++ b/internal/core/records/records_test.go
@@ -5,18 +5,18 @@
 func TestParsePlaceKey(t *testing.T) {
 	for _, tc := range []struct {
 		key  string
-		want PlaceRange
+		want PlacementRange
 		ok   bool
 	}{
-		{NumberedKey("job-000001", 2), PlaceRange{"job-000001", 20, 30, true}, true},
-		{RangeKey("job-000001", 5, 9), PlaceRange{"job-000001", 5, 9, false}, true},
-		{"p/job-000001", PlaceRange{}, false},
-		{"p/job-000001/x", PlaceRange{}, false},
-		{"p/job-000001/-1", PlaceRange{}, false},
-		{"p/job-000001/9-5", PlaceRange{}, false},
-		{"p/job-000001/5-x", PlaceRange{}, false},
+		{NumberedKey("job-000001", 2), PlacementRange{"job-000001", 20, 30, true}, true},
+		{RangeKey("job-000001", 5, 9), PlacementRange{"job-000001", 5, 9, false}, true},
+		{"p/job-000001", PlacementRange{}, false},
+		{"p/job-000001/x", PlacementRange{}, false},
+		{"p/job-000001/-1", PlacementRange{}, false},
+		{"p/job-000001/9-5", PlacementRange{}, false},
+		{"p/job-000001/5-x", PlacementRange{}, false},
 	} {
-		got, ok := ParsePlaceKey(tc.key, 10)
+		got, ok := ParsePlacementKey(tc.key, 10)
 		if ok != tc.ok || ok && got != tc.want {
 			t.Errorf("%s: %+v %v, want %+v %v", tc.key, got, ok, tc.want, tc.ok)
 		}
--- a/internal/core/records_write.go
+++ b/internal/core/records_write.go
@@ -14,13 +14,13 @@
 // recordWriter is the state of the leader's transactions, one of which is open at
 // a time.
 type recordWriter struct {
-	busy     bool          // a transaction is open
-	retryAt  time.Duration // no transaction before, since the last one failed
-	dirty    bool          // records may be due
-	dueAt    time.Duration // when records that were put off are due; 0 for none
-	leftOver []string      // records of jobs that are over, to be deleted
-	limited  bool          // the state service refused a transaction as malformed
-	oneJob   bool          // one job a transaction, to find out whose record is refused
+	transactionOpen       bool          // a transaction is open
+	retryAt               time.Duration // no transaction before, since the last one failed
+	dirty                 bool          // records may be due
+	deferredUntil         time.Duration // when records that were put off are due; 0 for none
+	orphanedRecords       []string      // records of jobs that are over, to be deleted
+	rejectedOnce          bool          // the state service refused a transaction as malformed
+	singleJobTransactions bool          // one job a transaction, to find out whose record is refused
 }
 
 // writeRecords commits what has changed: ends of jobs ahead of placements.
@@ -28,60 +28,60 @@
 // and on the versions of the jobs' open records, so that a deposed leader
 // writes nothing and a cancellation and a start cannot both win.
 func (l *leader) writeRecords() {
-	if l.records.busy || !l.records.dirty || l.c.now < l.records.retryAt {
+	if l.writer.transactionOpen || !l.writer.dirty || l.core.now < l.writer.retryAt {
 		return
 	}
 	batch := l.newRecordBatch()
 	batch.fill()
-	l.records.dirty = batch.moreDue()
+	l.writer.dirty = batch.moreDue()
 	if batch.empty() {
 		return
 	}
-	l.records.busy = true
-	l.c.store.CommitUrgent(batch.txn, batch.onResult)
+	l.writer.transactionOpen = true
+	l.core.store.CommitUrgent(batch.txn, batch.onResult)
 }
 
-// writable tells whether a job's records may be written: its end is not, and the
+// recordsWritable tells whether a job's records may be written: its end is not, and the
 // version of its open record is known and not about to change.
-func (j *job) writable() bool {
-	return j.loaded && !j.ended && !j.stale && !j.endPending && !j.openWritePending
+func (j *job) recordsWritable() bool {
+	return j.loaded && !j.endRecorded && !j.openVersionUnknown && !j.endWritePending && !j.openWritePending
 }
 
-// mayEnd tells whether nothing on record keeps a job's end from being recorded.
-func (l *leader) mayEnd(j *job) bool {
-	return !j.ended && !j.stale && !j.endPending && !j.openWritePending && (j.finished() || j.over()) && !j.staleChunk() && !l.inWriteBackoff(j)
+// endIsRecordable tells whether nothing on record keeps a job's end from being recorded.
+func (l *leader) endIsRecordable(j *job) bool {
+	return !j.endRecorded && !j.openVersionUnknown && !j.endWritePending && !j.openWritePending && (j.isFinished() || j.isOver()) && !j.hasUnknownPlacementVersion() && !l.inWriteBackoff(j)
 }
 
-// endCancelled has the ends of cancelled jobs recorded as far as there is room:
+// addCancelledEnds has the ends of cancelled jobs recorded as far as there is room:
 // nobody is told of one before its dependents are over, so these come first. A
 // chain goes into one transaction where it fits: job by job, each after the
 // answer for the one before, a long one would take longer than cancel_s. A job
 // with dependents is looked at again when the last of them is over.
-func (l *leader) endCancelled(end func(*job) bool) {
-	list := l.ending
-	l.ending = nil
+func (l *leader) addCancelledEnds(end func(*job) bool) {
+	list := l.cancelledWithoutDependents
+	l.cancelledWithoutDependents = nil
 	for k, j := range list {
 		switch {
-		case l.jobs[j.ID] != j || j.ended || j.endPending || l.deps.Needed(j.ID):
-		case l.mayHaveUnread(j) || !l.mayEnd(j):
-			l.ending = append(l.ending, j)
-		case !l.endWithAwaited(j, end):
-			l.ending = append(l.ending, list[k:]...)
+		case l.jobs[j.ID] != j || j.endRecorded || j.endWritePending || l.dependencies.Needed(j.ID):
+		case l.mayHaveUnknownDependents(j) || !l.endIsRecordable(j):
+			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, j)
+		case !l.addEndWithDependencies(j, end):
+			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, list[k:]...)
 			return
 		}
 	}
 }
 
-// endWithAwaited has the end of a cancelled job recorded, and those of cancelled
+// addEndWithDependencies has the end of a cancelled job recorded, and those of cancelled
 // jobs that nothing but it needs. It is false if there is no room for the job.
-func (l *leader) endWithAwaited(j *job, end func(*job) bool) bool {
+func (l *leader) addEndWithDependencies(j *job, end func(*job) bool) bool {
 	if !end(j) {
 		return false
 	}
 	for at := []*job{j}; len(at) > 0; at = at[1:] {
-		l.deps.EachAwaited(at[0].ID, func(a string) {
+		l.dependencies.EachAwaited(at[0].ID, func(a string) {
 			x := l.jobs[a]
-			if x != nil && x.cancellation.Requested() && l.mayEnd(x) && !l.hasLiveDependents(a) && end(x) {
+			if x != nil && x.cancellation.Requested() && l.endIsRecordable(x) && !l.hasLiveDependents(a) && end(x) {
 				at = append(at, x)
 			}
 		})
@@ -89,55 +89,55 @@
 	return true
 }
 
-// conflict reads again what a failed condition says has changed: by another
+// resolveConflicts reads again what a failed condition says has changed: by another
 // controller's cancellation, or by a transaction of ours whose answer got
 // lost.
-func (l *leader) conflict(failed []string) {
+func (l *leader) resolveConflicts(failed []string) {
 	for _, key := range failed {
 		switch {
 		case key == election.KeyTerm:
-			l.c.stepDown(stepDownTermChanged)
+			l.core.stepDown(stepDownTermChanged)
 			return
 		case strings.HasPrefix(key, records.PrefixOpen):
-			if j := l.jobs[key[len(records.PrefixOpen):]]; j != nil && !j.stale {
-				j.stale = true
-				l.rereadOpen(j)
+			if j := l.jobs[key[len(records.PrefixOpen):]]; j != nil && !j.openVersionUnknown {
+				j.openVersionUnknown = true
+				l.refreshOpenRecord(j)
 			}
-		case strings.HasPrefix(key, records.PrefixPlace):
-			j := l.jobs[jobOf(key[len(records.PrefixPlace):])]
+		case strings.HasPrefix(key, records.PrefixPlacement):
+			j := l.jobs[jobIDOf(key[len(records.PrefixPlacement):])]
 			if j == nil {
 				continue
 			}
-			if n := slices.IndexFunc(j.chunks, func(ch chunk) bool { return ch.key == key }); n >= 0 && !j.chunks[n].stale {
-				j.chunks[n].stale = true
-				l.rereadChunk(j, key)
+			if n := slices.IndexFunc(j.placementRecords, func(ch placementRecord) bool { return ch.key == key }); n >= 0 && !j.placementRecords[n].versionUnknown {
+				j.placementRecords[n].versionUnknown = true
+				l.refreshPlacementRecord(j, key)
 			}
 		}
 	}
 }
 
-func (l *leader) rereadOpen(j *job) {
-	l.c.store.Get(records.OpenKey(j.ID), func(r kv.GetResult) {
-		if l.deposed {
+func (l *leader) refreshOpenRecord(j *job) {
+	l.core.store.Get(records.OpenKey(j.ID), func(r kv.GetResult) {
+		if l.steppedDown {
 			return
 		}
 		var rec records.Open
 		switch {
 		case r.Status == kv.OK && json.Unmarshal(r.Item.Value, &rec) == nil:
-			j.stale = false
-			l.records.dirty = true
-			l.noteOpen(j.ID, r.Item.Version, rec)
+			j.openVersionUnknown = false
+			l.writer.dirty = true
+			l.applyOpenRecord(j.ID, r.Item.Version, rec)
 		case r.Status == kv.NotFound:
 			// Our own end of it, recorded by a transaction whose answer was
 			// lost: nobody else deletes an open record under this term.
-			j.stale = false
-			j.ended = true
-			l.c.log.Info("job over", "job", j.ID, "status", "recorded earlier")
-			l.records.leftOver = append(l.records.leftOver, j.recordKeys()...)
+			j.openVersionUnknown = false
+			j.endRecorded = true
+			l.core.log.Info("job over", "job", j.ID, "status", "recorded earlier")
+			l.writer.orphanedRecords = append(l.writer.orphanedRecords, j.recordKeys()...)
 			l.forget(j)
-			l.lookAwaited(j.ID)
+			l.lookUpDependency(j.ID)
 		default:
-			l.rereadOpen(j)
+			l.refreshOpenRecord(j)
 		}
 	})
 }
--- a/internal/core/regions.go
+++ b/internal/core/regions.go
@@ -17,24 +17,24 @@
 
 // regions is what a controller keeps of the limits that hold over regions, see package quota.
 type regions struct {
-	plan *plan.Plan // nil if they are turned off
-	self string
-	team map[string]bool // those that the file names
-	runs uint64          // of quota managers so far
+	plan        *plan.Plan // nil if they are turned off
+	self        string
+	sharedTeams map[string]bool // those that the file names
+	managerRuns uint64          // of quota managers so far
 }
 
 // JoinRegions has the teams of a regions file share their limits with other regions. It is
 // called before the first step. The file's ceilings and the guarantees in this region take the
 // place of the settings'; teams that the file does not name keep those.
 func (c *Core) JoinRegions(p *plan.Plan, self string) {
-	c.regions = regions{plan: p, self: self, team: map[string]bool{}}
-	settings := *c.cfg
+	c.regions = regions{plan: p, self: self, sharedTeams: map[string]bool{}}
+	settings := *c.settings
 	settings.Deployment.Teams = append([]config.Team(nil), settings.Deployment.Teams...)
-	c.cfg = &settings
+	c.settings = &settings
 	for i := range p.Teams {
 		team := &p.Teams[i]
 		share := team.Share(self)
-		c.regions.team[team.Name] = true
+		c.regions.sharedTeams[team.Name] = true
 		planned := config.Team{Name: team.Name, CPUs: share.CPUs, CPUsMax: team.CPUsMax, GPUs: share.GPUs, GPUsMax: team.GPUsMax}
 		if t := c.team(planned.Name); t != nil {
 			*t = planned
@@ -49,13 +49,13 @@
 	Message *wire.RegionMessage
 }
 
-// handle takes the message to the leader.
-func (r RegionInput) handle(c *Core) {
-	switch leader := c.elect.Leader(); {
+// apply takes the message to the leader.
+func (r RegionInput) apply(c *Core) {
+	switch leader := c.election.Leader(); {
 	case c.regions.plan == nil:
-	case c.lead != nil:
-		c.lead.onRegionMessage(r.Message)
-	case leader != "" && leader != c.cfg.Name:
+	case c.leader != nil:
+		c.leader.onRegionMessage(r.Message)
+	case leader != "" && leader != c.settings.Name:
 		c.send(leader, &wire.PeerMessage{Region: r.Message})
 	}
 }
@@ -67,18 +67,18 @@
 	}
 }
 
-// messagesPerReport is how many complete messages other regions get in a report's time.
-const messagesPerReport = 2
+// quotaMessagesPerHeartbeat is how many complete messages other regions get in a report's time.
+const quotaMessagesPerHeartbeat = 2
 
 // startQuota begins to share limits with other regions, once it is known what runs.
 func (l *leader) startQuota() {
-	if l.c.regions.plan == nil {
+	if l.core.regions.plan == nil {
 		return
 	}
 	l.regionDemands = map[string]balance.Demand{}
 	l.quota = quota.New(quota.Config{
-		Region: l.c.regions.self, Plan: l.c.regions.plan, Every: l.c.report() / messagesPerReport,
-		MaxWrites: l.c.store.MaxWrites(), MaxValue: l.c.store.MaxValue(), Log: l.c.log,
+		Region: l.core.regions.self, Plan: l.core.regions.plan, MessageInterval: l.core.heartbeatInterval() / quotaMessagesPerHeartbeat,
+		MaxWrites: l.core.store.MaxWrites(), MaxValueBytes: l.core.store.MaxValue(), Log: l.core.log,
 	}, quotaStore{l}, quotaHost{l})
 }
 
@@ -87,8 +87,8 @@
 	if l.quota == nil {
 		return
 	}
-	if f := l.quotaRetry; f != nil && l.c.now >= l.quotaRetryAt {
-		l.quotaRetry = nil
+	if f := l.quotaLoadRetry; f != nil && l.core.now >= l.quotaRetryAt {
+		l.quotaLoadRetry = nil
 		f()
 	}
 	l.quota.Tick()
@@ -100,8 +100,10 @@
 	return teamlimit.Limit{CPUs: cpus, GPUs: gpus}
 }
 
-// shares tells whether a team's limit is shared with other regions.
-func (l *leader) shares(team string) bool { return l.c.regions.team[team] && l.quota != nil }
+// sharesLimit tells whether a team's limit is shared with other regions.
+func (l *leader) sharesLimit(team string) bool {
+	return l.core.regions.sharedTeams[team] && l.quota != nil
+}
 
 // regionDemand collects what a rental plan finds that teams use and lack of their shares.
 type regionDemand struct {
@@ -117,21 +119,21 @@
 	return &regionDemand{l: l, byTeam: map[string]balance.Demand{}}
 }
 
-// noteShort notes that n of a candidate's tasks wait for the share alone.
-func (d *regionDemand) noteShort(c *candidate, n int) {
-	if d == nil || !d.l.shares(c.job.Team) || n < 1 {
+// recordShortage notes that n of a candidate's tasks wait for the share alone.
+func (d *regionDemand) recordShortage(candidate *candidate, tasks int) {
+	if d == nil || !d.l.sharesLimit(candidate.job.Team) || tasks < 1 {
 		return
 	}
-	demand := d.byTeam[c.job.Team]
-	need := amount.OfResources(times(size(&c.job.Job), n))
+	demand := d.byTeam[candidate.job.Team]
+	need := amount.OfResources(scaled(taskSize(&candidate.job.Job), tasks))
 	switch {
-	case c.job.Shape != wire.ShapeGang:
-		demand.Short = demand.Short.Add(need)
-		demand.Rank = max(demand.Rank, c.job.rank)
+	case candidate.job.Shape != wire.ShapeGang:
+		demand.Shortfall = demand.Shortfall.Add(need)
+		demand.Priority = max(demand.Priority, candidate.job.level)
 	case demand.Gang.IsZero():
-		demand.Gang, demand.GangRank = need, c.job.rank
+		demand.Gang, demand.GangPriority = need, candidate.job.level
 	}
-	d.byTeam[c.job.Team] = demand
+	d.byTeam[candidate.job.Team] = demand
 }
 
 // finish takes over what was found: planned is by team what tasks use or have room for.
@@ -140,9 +142,9 @@
 		return
 	}
 	planned = maps.Clone(planned)
-	for _, j := range d.l.order {
-		if n := d.l.reservedFor(j); n > 0 {
-			planned[j.Team] = planned[j.Team].Add(times(size(&j.Job), n))
+	for _, j := range d.l.jobsBySubmission {
+		if n := d.l.reservedTasks(j); n > 0 {
+			planned[j.Team] = planned[j.Team].Add(scaled(taskSize(&j.Job), n))
 		}
 	}
 	for _, team := range sortedKeys(planned) {
@@ -152,7 +154,7 @@
 	}
 	for team, now := range d.byTeam {
 		before := d.l.regionDemands[team]
-		d.growing = d.growing || !before.Short.Covers(now.Short) || !before.Gang.Covers(now.Gang)
+		d.growing = d.growing || !before.Shortfall.Covers(now.Shortfall) || !before.Gang.Covers(now.Gang)
 	}
 	d.l.regionDemands = d.byTeam
 	if d.growing {
@@ -167,13 +169,13 @@
 func (s quotaStore) Load(prefix string, done func([]wire.Item)) { s.loadAfter(prefix, "", nil, done) }
 
 func (s quotaStore) loadAfter(prefix, after string, items []wire.Item, done func([]wire.Item)) {
-	s.l.c.store.ListUrgent(prefix, after, func(r kv.ListResult) {
+	s.l.core.store.ListUrgent(prefix, after, func(r kv.ListResult) {
 		p := &r.Page
 		switch {
-		case s.l.deposed:
+		case s.l.steppedDown:
 		case r.Status != kv.OK:
-			s.l.quotaRetry = func() { s.loadAfter(prefix, after, items, done) }
-			s.l.quotaRetryAt = s.l.c.now + s.l.c.ttl()/20
+			s.l.quotaLoadRetry = func() { s.loadAfter(prefix, after, items, done) }
+			s.l.quotaRetryAt = s.l.core.now + s.l.core.leaderLeaseDuration()/20
 		case p.More && len(p.Items) > 0:
 			s.loadAfter(prefix, p.Items[len(p.Items)-1].Key, append(items, p.Items...), done)
 		default:
@@ -184,8 +186,8 @@
 
 // Commit carries out a transaction.
 func (s quotaStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
-	s.l.c.store.Commit(txn, func(r kv.TxnResult) {
-		if !s.l.deposed {
+	s.l.core.store.Commit(txn, func(r kv.TxnResult) {
+		if !s.l.steppedDown {
 			done(r)
 		}
 	})
@@ -195,19 +197,19 @@
 type quotaHost struct{ l *leader }
 
 // Now is the steady time.
-func (h quotaHost) Now() time.Duration { return h.l.c.now }
+func (h quotaHost) Now() time.Duration { return h.l.core.now }
 
-// NewRun makes a number of this process's boot and a count: it differs from those of other
+// NewIncarnation makes a number of this process's boot and a count: it differs from those of other
 // processes as boots do.
-func (h quotaHost) NewRun() uint64 {
-	c := h.l.c
-	c.regions.runs++
-	run := mix(c.boot ^ mix(c.regions.runs))
+func (h quotaHost) NewIncarnation() uint64 {
+	c := h.l.core
+	c.regions.managerRuns++
+	run := splitMix64(c.incarnation ^ splitMix64(c.regions.managerRuns))
 	return max(run, 1)
 }
 
-// mix spreads the bits of a number: the finalizer of splitmix64.
-func mix(x uint64) uint64 {
+// splitMix64 spreads the bits of a number: the finalizer of splitmix64.
+func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
@@ -215,21 +217,21 @@
 }
 
 // Term is the condition under which this leader writes.
-func (h quotaHost) Term() wire.Cond { return h.l.termCond() }
+func (h quotaHost) Term() wire.Condition { return h.l.termCondition() }
 
 // Send sends a message to another region.
 func (h quotaHost) Send(region string, m *wire.RegionMessage) {
-	h.l.c.out.RegionSends = append(h.l.c.out.RegionSends, RegionSend{To: region, Message: m})
+	h.l.core.out.RegionSends = append(h.l.core.out.RegionSends, RegionSend{To: region, Message: m})
 }
 
 // Demand is what the region does with a team's share. What the last plan found is raised to
 // what is used and reserved at this moment.
 func (h quotaHost) Demand(team string) balance.Demand {
 	d := h.l.regionDemands[team]
-	if !h.l.used.Started() {
-		h.l.addUpUsage()
+	if !h.l.teamUsage.Started() {
+		h.l.recountUsage()
 	}
-	now := h.l.used.Of(team).Add(h.l.reservedNow().Total(team))
+	now := h.l.teamUsage.ForTeam(team).Add(h.l.currentReservations().Total(team))
 	d.Planned = d.Planned.Max(amount.OfResources(now))
 	return d
 }
@@ -241,12 +243,12 @@
 	reserved teamlimit.Reservations // nil after a placement pass
 }
 
-// reservedNow is limitReservations, found once for each time.
-func (l *leader) reservedNow() teamlimit.Reservations {
-	if c := &l.reservedOf; c.reserved == nil || c.at != l.c.now {
-		*c = reservationCache{at: l.c.now, reserved: l.limitReservations()}
+// currentReservations is limitReservations, found once for each time.
+func (l *leader) currentReservations() teamlimit.Reservations {
+	if c := &l.reservations; c.reserved == nil || c.at != l.core.now {
+		*c = reservationCache{at: l.core.now, reserved: l.limitReservations()}
 	}
-	return l.reservedOf.reserved
+	return l.reservations.reserved
 }
 
 // SharesChanged has waiting work tried again.
@@ -254,7 +256,7 @@
 
 // TermChanged ends the leadership.
 func (h quotaHost) TermChanged() {
-	if !h.l.deposed {
-		h.l.c.stepDown(stepDownTermChanged)
+	if !h.l.steppedDown {
+		h.l.core.stepDown(stepDownTermChanged)
 	}
 }
--- a/internal/core/refused_test.go
+++ b/internal/core/rejected_records_test.go
@@ -15,12 +15,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// lower has the state service take no more than so many changes in a transaction
+// lowerLimits has the state service take no more than so many changes in a transaction
 // and bytes in a value from now on, and returns how often it refused one.
-func lower(b *harness, ops, bytes int) *int {
+func lowerLimits(b *harness, ops, bytes int) *int {
 	refused := new(int)
-	b.answer = func(txn *wire.Txn, carryOut func() int) int {
-		if len(txn.Writes) > ops || len(txn.If) > 4*ops || largest(txn) > bytes {
+	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+		if len(txn.Writes) > ops || len(txn.Conditions) > 4*ops || largestValueBytes(txn) > bytes {
 			*refused++
 			return 400
 		}
@@ -29,7 +29,7 @@
 	return refused
 }
 
-func largest(txn *wire.Txn) int {
+func largestValueBytes(txn *wire.Txn) int {
 	n := 0
 	for _, w := range txn.Writes {
 		n = max(n, len(w.Value))
@@ -37,38 +37,38 @@
 	return n
 }
 
-// announced names limits to come in the settings.
-func announced(ops int, kb float64) func(*config.Settings) {
-	return func(s *config.Settings) { s.Deployment.State.Next = &config.State{TxnOps: ops, ValueKB: kb} }
+// withAnnouncedLimits names limits to come in the settings.
+func withAnnouncedLimits(ops int, kb float64) func(*config.Settings) {
+	return func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: ops, ValueKB: kb} }
 }
 
-func silent(*config.Settings) {}
+func withoutAnnouncement(*config.Settings) {}
 
-// placeTasks places tasks of a job on machines of its own and has them recorded.
-func placeTasks(l *leader, j *job, from, to int) {
+// placeAndRecord places tasks of a job on machines of its own and has them recorded.
+func placeAndRecord(l *leader, j *job, from, to int) {
 	for i := from; i < to; i++ {
-		j.tasks[i] = task{attempt: j.nextAttempt, zone: "a", session: 1, ours: true}
+		j.tasks[i] = task{attempt: j.nextAttempt, zone: "a", incarnation: 1, placedThisTerm: true}
 		j.nextAttempt++
-		l.bind(j, i, l.machine(fmt.Sprintf("n-%s-%06d", j.ID, i)))
-		l.markDirty(j, i, false)
+		l.place(j, i, l.machineNamed(fmt.Sprintf("n-%s-%06d", j.ID, i)))
+		l.markPlacementChanged(j, i, false)
 	}
 }
 
 // recordedTasks counts the tasks of a job that a next leader would find placed.
 func recordedTasks(b *harness, id string, tasks int) int {
-	l := newLeader(b.c, election.Mandate{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
+	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
 	var rec records.Open
 	stdjson.Unmarshal(b.store[records.OpenKey(id)].Value, &rec)
-	l.noteOpen(id, b.store[records.OpenKey(id)].Version, rec)
-	var found []loadedPlace
+	l.applyOpenRecord(id, b.store[records.OpenKey(id)].Version, rec)
+	var found []loadedPlacement
 	for _, key := range sortedKeys(b.store) {
-		if r, ok := records.ParsePlaceKey(key, b.c.numberedTasks()); strings.HasPrefix(key, records.PrefixPlace) && ok && r.Job == id {
+		if r, ok := records.ParsePlacementKey(key, b.core.tasksPerNumberedRecord()); strings.HasPrefix(key, records.PrefixPlacement) && ok && r.Job == id {
 			var rec records.Placement
 			stdjson.Unmarshal(b.store[key].Value, &rec)
-			found = append(found, loadedPlace{r, key, b.store[key].Version, rec})
+			found = append(found, loadedPlacement{r, key, b.store[key].Version, rec})
 		}
 	}
-	l.adopt(l.jobs[id], found)
+	l.adoptPlacements(l.jobs[id], found)
 	n := 0
 	for i := range tasks {
 		if l.jobs[id].tasks[i].machine != nil {
@@ -88,46 +88,46 @@
 		ops, bytes int
 		most       int // transactions refused
 	}{
-		{"announced", announced(5, 2), 5, 2048, 1},
-		{"announced, two changes", announced(2, 2), 2, 2048, 1},
-		{"silent, fewer changes", silent, 5, 16384, 6},
-		{"silent, two changes", silent, 2, 16384, 8},
-		{"silent, smaller values", silent, 16, 2048, 12},
-		{"silent, smaller values yet", silent, 16, 1024, 12},
-		{"silent, both", silent, 5, 2048, 16},
-		{"silent, both lowest", silent, 2, 1024, 20},
+		{"announced", withAnnouncedLimits(5, 2), 5, 2048, 1},
+		{"announced, two changes", withAnnouncedLimits(2, 2), 2, 2048, 1},
+		{"silent, fewer changes", withoutAnnouncement, 5, 16384, 6},
+		{"silent, two changes", withoutAnnouncement, 2, 16384, 8},
+		{"silent, smaller values", withoutAnnouncement, 16, 2048, 12},
+		{"silent, smaller values yet", withoutAnnouncement, 16, 1024, 12},
+		{"silent, both", withoutAnnouncement, 5, 2048, 16},
+		{"silent, both lowest", withoutAnnouncement, 2, 1024, 20},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := leading(t, tc.settings)
+			b, l := newLeadingHarness(t, tc.settings)
 			for n := range 6 {
-				record(b, l, wire.Job{ID: jobID(n), Tasks: 300}, nil)
+				addRecord(b, l, wire.Job{ID: jobID(n), Tasks: 300}, nil)
 				j := l.jobs[jobID(n)]
 				// As an earlier version records: numbered, as large as they are now.
-				j.chunks, j.numbered = nil, true
+				j.placementRecords, j.numbered = nil, true
 				for from := 0; from < 300; from += 128 {
-					j.chunks = append(j.chunks, chunk{key: records.NumberedKey(j.ID, from/128), from: from, to: min(from+128, 300)})
+					j.placementRecords = append(j.placementRecords, placementRecord{key: records.NumberedKey(j.ID, from/128), from: from, to: min(from+128, 300)})
 				}
-				for i := range j.chunks {
-					ch := &j.chunks[i]
-					placeTasks(l, j, ch.from, ch.to)
-					body, _ := encodeChunk(j, ch)
+				for i := range j.placementRecords {
+					ch := &j.placementRecords[i]
+					placeAndRecord(l, j, ch.from, ch.to)
+					body, _ := encodePlacementRecord(j, ch)
 					b.write(ch.key, "", body)
 					ch.version, ch.dirty = b.store[ch.key].Version, false
 				}
 				for i := range j.tasks {
-					j.tasks[i].recorded = true
+					j.tasks[i].persisted = true
 				}
 			}
-			record(b, l, wire.Job{ID: jobID(8)}, nil)
-			record(b, l, wire.Job{ID: jobID(9), Awaits: []string{jobID(8)}}, nil)
-			refused := lower(b, tc.ops, tc.bytes)
-			l.records.limited = b.c.cfg.Deployment.State.Next != nil // as once every controller understands
+			addRecord(b, l, wire.Job{ID: jobID(8)}, nil)
+			addRecord(b, l, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
+			refused := lowerLimits(b, tc.ops, tc.bytes)
+			l.writer.rejectedOnce = b.core.settings.Deployment.Store.Next != nil // as once every controller understands
 			for n := range 6 {
 				j := l.jobs[jobID(n)]
 				for i := 0; i < 300; i += 7 {
-					j.tasks[i].attempt, j.tasks[i].recorded = j.nextAttempt, false
+					j.tasks[i].attempt, j.tasks[i].persisted = j.nextAttempt, false
 					j.nextAttempt++
-					l.markDirty(j, i, false)
+					l.markPlacementChanged(j, i, false)
 				}
 			}
 			l.markDone(l.jobs[jobID(8)], 0)
@@ -135,7 +135,7 @@
 			for n := range 6 {
 				j := l.jobs[jobID(n)]
 				for i := range j.tasks {
-					if !j.tasks[i].recorded {
+					if !j.tasks[i].persisted {
 						t.Fatalf("task %d of %s is not recorded", i, j.ID)
 					}
 				}
@@ -149,15 +149,15 @@
 			if *refused > tc.most {
 				t.Errorf("%d transactions refused, want at most %d", *refused, tc.most)
 			}
-			if tc.ops == 16 && b.c.store.MaxWrites() != 16 {
-				t.Errorf("transactions keep to %d changes, though only the values became smaller", b.c.store.MaxWrites())
+			if tc.ops == 16 && b.core.store.MaxWrites() != 16 {
+				t.Errorf("transactions keep to %d changes, though only the values became smaller", b.core.store.MaxWrites())
 			}
-			if tc.bytes < 16384 && b.c.cfg.Deployment.State.Next == nil {
+			if tc.bytes < 16384 && b.core.settings.Deployment.Store.Next == nil {
 				// A controller that starts now finds out by the records.
-				b.c.store = kv.NewClient(storeTransport{b.c}, &b.c.cfg.Deployment)
+				b.core.store = kv.NewClient(storeTransport{b.core}, &b.core.settings.Deployment)
 				recordedTasks(b, jobID(0), 300)
-				if b.c.store.MaxPlacementValue() != kv.SmallValue {
-					t.Errorf("a next leader writes records of %d bytes", b.c.store.MaxPlacementValue())
+				if b.core.store.MaxPlacementValue() != kv.SmallValue {
+					t.Errorf("a next leader writes records of %d bytes", b.core.store.MaxPlacementValue())
 				}
 			}
 		})
@@ -171,7 +171,7 @@
 		types = append(types, fmt.Sprintf("type-%09d", n))
 	}
 	return wire.Job{ID: id, Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
-		Tasks: tasks, CPUs: 4, MemGB: 1, Types: append(types, "small")}
+		Tasks: tasks, CPUs: 4, MemGB: 1, MachineTypes: append(types, "small")}
 }
 
 // TestLongDescriptionCancelled cancels a job whose open record is larger than the
@@ -182,17 +182,17 @@
 		name     string
 		settings func(*config.Settings)
 		most     int
-	}{{"announced", announced(5, 2), 0}, {"silent", silent, 1}} {
+	}{{"announced", withAnnouncedLimits(5, 2), 0}, {"silent", withoutAnnouncement, 1}} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := leading(t, tc.settings)
-			record(b, l, longJob(jobID(1), 40), nil)
-			record(b, l, wire.Job{ID: jobID(2), Awaits: []string{jobID(1)}}, nil)
+			b, l := newLeadingHarness(t, tc.settings)
+			addRecord(b, l, longJob(jobID(1), 40), nil)
+			addRecord(b, l, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
 			j := l.jobs[jobID(1)]
-			placeTasks(l, j, 0, 1)
+			placeAndRecord(l, j, 0, 1)
 			b.run(time.Second)
-			refused := lower(b, 5, 2048)
+			refused := lowerLimits(b, 5, 2048)
 			var rec records.Open // with the request
-			b.watch = func() {
+			b.afterCommit = func() {
 				if it := b.store[records.OpenKey(jobID(1))]; it.Key != "" {
 					rec = records.Open{}
 					stdjson.Unmarshal(it.Value, &rec)
@@ -225,21 +225,21 @@
 		name     string
 		settings func(*config.Settings)
 		most     int
-	}{{"announced", announced(5, 2), 0}, {"silent", silent, 16}} {
+	}{{"announced", withAnnouncedLimits(5, 2), 0}, {"silent", withoutAnnouncement, 16}} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := leading(t, tc.settings)
-			record(b, l, wire.Job{ID: jobID(1)}, nil)
+			b, l := newLeadingHarness(t, tc.settings)
+			addRecord(b, l, wire.Job{ID: jobID(1)}, nil)
 			long := longJob(jobID(2), 40)
-			long.Awaits = []string{jobID(1)}
-			record(b, l, long, nil)
-			record(b, l, longJob(jobID(3), 100), nil)
+			long.Dependencies = []string{jobID(1)}
+			addRecord(b, l, long, nil)
+			addRecord(b, l, longJob(jobID(3), 100), nil)
 			other := l.jobs[jobID(3)]
-			placeTasks(l, other, 0, 100)
+			placeAndRecord(l, other, 0, 100)
 			b.run(time.Second)
-			refused := lower(b, 5, 2048)
-			l.records.limited = b.c.cfg.Deployment.State.Next != nil
-			placeTasks(l, l.jobs[jobID(3)], 90, 100) // again, elsewhere
-			record(b, l, wire.Job{ID: jobID(4)}, nil)
+			refused := lowerLimits(b, 5, 2048)
+			l.writer.rejectedOnce = b.core.settings.Deployment.Store.Next != nil
+			placeAndRecord(l, l.jobs[jobID(3)], 90, 100) // again, elsewhere
+			addRecord(b, l, wire.Job{ID: jobID(4)}, nil)
 			l.markDone(l.jobs[jobID(1)], 0)
 			l.markDone(l.jobs[jobID(4)], 0)
 			b.run(20 * time.Second)
@@ -247,11 +247,11 @@
 				t.Fatal("the ends of other jobs are not recorded")
 			}
 			j := l.jobs[jobID(2)]
-			if j.waits || len(j.pendingTasks()) != 40 {
-				t.Errorf("it does not go on: waits %v, %d tasks may be placed", j.waits, len(j.pendingTasks()))
+			if j.waiting || len(j.pendingTasks()) != 40 {
+				t.Errorf("it does not go on: waits %v, %d tasks may be placed", j.waiting, len(j.pendingTasks()))
 			}
 			for i := range other.tasks {
-				if !other.tasks[i].recorded {
+				if !other.tasks[i].persisted {
 					t.Fatalf("task %d is not recorded", i)
 				}
 			}
@@ -263,7 +263,7 @@
 			}
 			// The next leader finds it out by itself.
 			next := nextLeader(b, l, "")
-			if k := next.jobs[jobID(2)]; k.waits && !k.awaitedDone {
+			if k := next.jobs[jobID(2)]; k.waiting && !k.dependenciesDone {
 				t.Error("it waits again under the next leader")
 			}
 		})
@@ -273,21 +273,21 @@
 // TestLongDescriptionsGoOn has many such jobs go on together. Two of them in one
 // transaction, nobody can tell which one is refused.
 func TestLongDescriptionsGoOn(t *testing.T) {
-	b, l := leading(t, silent)
-	record(b, l, wire.Job{ID: jobID(0)}, nil)
+	b, l := newLeadingHarness(t, withoutAnnouncement)
+	addRecord(b, l, wire.Job{ID: jobID(0)}, nil)
 	for n := range 9 {
 		long := longJob(jobID(1+n), 1)
 		if n%3 == 2 {
-			long.Types = nil
+			long.MachineTypes = nil
 		}
-		long.Awaits = []string{jobID(0)}
-		record(b, l, long, nil)
+		long.Dependencies = []string{jobID(0)}
+		addRecord(b, l, long, nil)
 	}
-	refused := lower(b, 5, 2048)
+	refused := lowerLimits(b, 5, 2048)
 	l.markDone(l.jobs[jobID(0)], 0)
 	b.run(20 * time.Second)
 	for n := range 9 {
-		if l.jobs[jobID(1+n)].waits {
+		if l.jobs[jobID(1+n)].waiting {
 			t.Errorf("%s does not go on", jobID(1+n))
 		}
 	}
@@ -300,9 +300,9 @@
 // reason that this program knows nothing of: it is tried less and less often, and
 // the others' records are written.
 func TestPoisonedRecord(t *testing.T) {
-	b, l := leading(t, silent)
+	b, l := newLeadingHarness(t, withoutAnnouncement)
 	refused := 0
-	b.answer = func(txn *wire.Txn, carryOut func() int) int {
+	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		for _, w := range txn.Writes {
 			if strings.Contains(w.Put+w.Delete, jobID(3)) {
 				refused++
@@ -312,7 +312,7 @@
 		return carryOut()
 	}
 	for n := range 8 {
-		record(b, l, wire.Job{ID: jobID(n)}, nil)
+		addRecord(b, l, wire.Job{ID: jobID(n)}, nil)
 		l.markDone(l.jobs[jobID(n)], 0)
 	}
 	b.run(120 * time.Second)
@@ -338,35 +338,35 @@
 		late     bool // the leader learns of the dependent after the job's end
 		most     int
 	}{
-		{"announced", announced(5, 2), 0, false, 0},
-		{"silent", silent, 0, false, 2},
-		{"among more than a transaction marks", announced(5, 2), 9, false, 0},
-		{"silent, among more than a transaction marks", silent, 9, false, 6},
-		{"the leader learns of the dependent late", announced(5, 2), 0, true, 0},
+		{"announced", withAnnouncedLimits(5, 2), 0, false, 0},
+		{"silent", withoutAnnouncement, 0, false, 2},
+		{"among more than a transaction marks", withAnnouncedLimits(5, 2), 9, false, 0},
+		{"silent, among more than a transaction marks", withoutAnnouncement, 9, false, 6},
+		{"the leader learns of the dependent late", withAnnouncedLimits(5, 2), 0, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := leading(t, tc.settings)
-			record(b, l, longJob(jobID(1), 40), nil)
-			placeTasks(l, l.jobs[jobID(1)], 0, 1)
+			b, l := newLeadingHarness(t, tc.settings)
+			addRecord(b, l, longJob(jobID(1), 40), nil)
+			placeAndRecord(l, l.jobs[jobID(1)], 0, 1)
 			names := []string{`"` + jobID(1) + `"`}
 			for n := range tc.others {
-				record(b, l, wire.Job{ID: jobID(10 + n)}, nil)
+				addRecord(b, l, wire.Job{ID: jobID(10 + n)}, nil)
 				names = append(names, `"`+jobID(10+n)+`"`)
 			}
 			b.run(time.Second)
-			refused := lower(b, 5, 2048)
+			refused := lowerLimits(b, 5, 2048)
 			var request records.Open
-			b.watch = func() {
+			b.afterCommit = func() {
 				if it := b.store[records.OpenKey(jobID(1))]; it.Key != "" {
 					request = records.Open{}
 					stdjson.Unmarshal(it.Value, &request)
 				}
 			}
 			dependent := jobID(2)
-			if a := b.ask("POST", "/submissions", named(2, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
+			if a := b.request("POST", "/submissions", submissionAwaiting(2, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 				t.Fatalf("the dependent is answered %d %s", a.Status, a.Body)
 			}
-			if request.Needed {
+			if request.HasDependents {
 				t.Error("a record that is too large was written")
 			}
 			learn := func() {
@@ -375,7 +375,7 @@
 				if err := stdjson.Unmarshal(item.Value, &rec); err != nil {
 					t.Fatal(err)
 				}
-				l.noteOpen(dependent, item.Version, rec)
+				l.applyOpenRecord(dependent, item.Version, rec)
 			}
 			if !tc.late {
 				learn()
@@ -387,7 +387,7 @@
 				learn()
 				b.run(time.Second)
 			}
-			if !request.Cancelled || !request.Needed {
+			if !request.Cancelled || !request.HasDependents {
 				t.Errorf("the cancellation is recorded as %+v", request)
 			}
 			for _, id := range []string{jobID(1), dependent} {
