--- a/internal/core/relocation_test.go
+++ b/internal/core/rescheduling_test.go
@@ -11,9 +11,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// relocationTypes fetches an image for longer than the class chat may wait.
-var relocationTypes = map[string]*wire.MachineType{
-	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, FetchGBPS: 1, CacheGB: 200, Price: 4},
+// slowPullTypes fetches an image for longer than the class chat may wait.
+var slowPullTypes = map[string]*wire.MachineType{
+	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
 // cachedMachine is a machine and the images that it holds.
@@ -27,14 +27,14 @@
 	for _, cached := range machines {
 		m := idleMachine(l, cached.name, typ, cached.zone)
 		for _, image := range cached.images {
-			l.useImage(m, image, imageGB)
+			l.recordImageUse(m, image, imageGB)
 		}
 	}
 }
 
-// relocationCase is a fleet of replicas, and a job whose image is held only on
+// rescheduleCase is a fleet of replicas, and a job whose image is held only on
 // machines that are full.
-type relocationCase struct {
+type rescheduleCase struct {
 	name     string
 	machines []cachedMachine
 	running  []runningJob
@@ -45,7 +45,7 @@
 	reserved []string // machines kept for the job
 }
 
-func TestRelocate(t *testing.T) {
+func TestReschedule(t *testing.T) {
 	service := func(id, image string, gpus float64, tasks int) wire.Job {
 		return wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: tasks, GPUs: gpus, MemGB: 1, Image: image, ImageGB: 40}
 	}
@@ -55,7 +55,7 @@
 	}
 	settled := 60 * time.Second
 	two := []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"y"}}}
-	for _, tc := range []relocationCase{
+	for _, tc := range []rescheduleCase{
 		{
 			name:     "a replica makes room where the image is",
 			machines: two,
@@ -141,7 +141,7 @@
 			name:     "not in a zone that has its share of a spread job",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "b", []string{"y"}}},
 			running: []runningJob{
-				{Job: with(service("job-1", "y", 4, 2), func(j *wire.Job) { j.Spread = true }), on: []string{"n-1"}, ranFor: settled},
+				{Job: with(service("job-1", "y", 4, 2), func(j *wire.Job) { j.SpreadZones = true }), on: []string{"n-1"}, ranFor: settled},
 				{Job: service("job-2", "y", 1, 1), on: []string{"n-2"}, ranFor: settled},
 			},
 			job: service("job-9", "x", 4, 1),
@@ -160,14 +160,14 @@
 				{Job: service("job-2", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
 				{Job: service("job-3", "w", 2, 1), on: []string{"n-1"}},
 			},
-			job:  with(service("job-9", "x", 1, 2), func(j *wire.Job) { j.Spread = true }),
+			job:  with(service("job-9", "x", 1, 2), func(j *wire.Job) { j.SpreadZones = true }),
 			want: []string{"job-1/0"}, to: []string{"n-2"}, reserved: []string{"n-1"},
 		},
 		{
 			name:     "a spread job's replica does not move to a zone that has its share",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "b", []string{"y"}}},
 			running: []runningJob{
-				{Job: with(service("job-1", "y", 2, 2), func(j *wire.Job) { j.Spread = true }), on: []string{"n-1", "n-2"}, ranFor: settled},
+				{Job: with(service("job-1", "y", 2, 2), func(j *wire.Job) { j.SpreadZones = true }), on: []string{"n-1", "n-2"}, ranFor: settled},
 				{Job: service("job-2", "w", 2, 1), on: []string{"n-1"}},
 			},
 			job: service("job-9", "x", 2, 1),
@@ -212,31 +212,31 @@
 	}
 }
 
-func (tc *relocationCase) run(t *testing.T) {
-	b, l := leading(t, func(s *config.Settings) {
+func (tc *rescheduleCase) run(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
 	})
-	b.c.types = relocationTypes
-	b.c.now = 1000 * time.Second
-	idleMachines(l, tc.machines, "g4", 40)
-	running := bindRunning(l, tc.running)
-	j := newJob(records.Open{Job: tc.job}, 2)
-	l.layOut(j)
-	c := &candidate{job: j, pending: j.unplacedTasks(), preemptionRank: j.rank}
-	l.newPlacementPass().placeCandidate(c)
+	harness.core.machineTypes = slowPullTypes
+	harness.core.now = 1000 * time.Second
+	idleMachines(leader, tc.machines, "g4", 40)
+	running := bindRunning(leader, tc.running)
+	job := newJob(records.Open{Job: tc.job}, 2)
+	leader.initPlacementRecords(job)
+	waiting := &candidate{job: job, pending: job.unplacedTasks(), preemptionPriority: job.level}
+	leader.newPlacementPass().placeCandidate(waiting)
 	var to []string
 	for _, r := range running {
 		for i := range r.tasks {
 			if r.tasks[i].stop != nil {
-				to = append(to, r.moveTo[i].name)
+				to = append(to, r.reschedulingTargets[i].name)
 			}
 		}
 	}
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) || !slices.Equal(to, tc.to) {
 		t.Errorf("%q move to %q, want %q to %q", stopped, to, tc.want, tc.to)
 	}
-	if reserved := reservedMachines(l, j); !slices.Equal(reserved, tc.reserved) {
+	if reserved := reservedMachines(leader, job); !slices.Equal(reserved, tc.reserved) {
 		t.Errorf("kept %q, want %q", reserved, tc.reserved)
 	}
 }
--- a/internal/core/routes.go
+++ b/internal/core/routes.go
@@ -12,28 +12,28 @@
 	case r.Path == "/healthz":
 		c.onHealth(r)
 	case r.Path == "/checkin":
-		if c.method(r, "POST") {
-			c.onReport(r.ID, r.Body)
+		if c.requireMethod(r, "POST") {
+			c.onHeartbeat(r.ID, r.Body)
 		}
 	case r.Path == "/submissions":
-		if c.method(r, "POST") {
-			c.onSubmit(r)
+		if c.requireMethod(r, "POST") {
+			c.onSubmission(r)
 		}
 	case strings.HasPrefix(r.Path, "/submissions/"):
 		id := strings.TrimPrefix(r.Path, "/submissions/")
 		if job, ok := strings.CutSuffix(id, "/cancel"); ok {
-			if c.method(r, "POST") {
+			if c.requireMethod(r, "POST") {
 				c.onCancel(r.ID, job)
 			}
-		} else if c.method(r, "GET") {
-			c.onQuery(r.ID, id)
+		} else if c.requireMethod(r, "GET") {
+			c.onStatusQuery(r.ID, id)
 		}
 	default:
 		c.answerError(r.ID, httpstatus.NotFound, "no such path")
 	}
 }
 
-func (c *Core) method(r Request, want string) bool {
+func (c *Core) requireMethod(r Request, want string) bool {
 	if r.Method != want {
 		c.answerError(r.ID, httpstatus.MethodNotAllowed, "method not allowed")
 		return false
@@ -46,52 +46,52 @@
 // one that hears no other controller either and is more likely cut off than the
 // service is down. A general outage takes nobody out.
 func (c *Core) onHealth(r Request) {
-	if !c.method(r, "GET") {
+	if !c.requireMethod(r, "GET") {
 		return
 	}
 	unavailable := c.store.UnavailableFor()
-	if unavailable > c.ttl()/2 && c.peerStoreOK() || unavailable > c.ttl() && c.cutFromPeers() {
+	if unavailable > c.leaderLeaseDuration()/2 && c.peerReachesStore() || unavailable > c.leaderLeaseDuration() && c.lostAllPeers() {
 		c.answerError(r.ID, httpstatus.ServiceUnavailable, errorStoreSilent)
 		return
 	}
 	c.answer(r.ID, httpstatus.OK, nil, 0)
 }
 
-func (c *Core) onQuery(req uint64, id string) {
-	if !validID(id) {
+func (c *Core) onStatusQuery(req uint64, id string) {
+	if !validJobID(id) {
 		c.answerError(req, httpstatus.NotFound, errorNoSuchJob)
 		return
 	}
-	c.lookUp(id, func(f lookupResult) {
+	c.lookupJob(id, func(f lookupResult) {
 		switch {
 		case f.failed:
 			c.answerRetry(req, errorStoreSilent)
 		case f.open == nil && f.final == nil:
 			c.answerError(req, httpstatus.NotFound, errorNoSuchJob)
 		default:
-			c.answer(req, httpstatus.OK, c.statusOf(id, f), 0)
+			c.answer(req, httpstatus.OK, c.jobStatus(id, f), 0)
 		}
 	})
 }
 
-func (c *Core) statusOf(id string, f lookupResult) wire.JobStatus {
-	if f.final != nil {
-		return f.final.JobStatus(id)
+func (c *Core) jobStatus(id string, result lookupResult) wire.JobStatus {
+	if result.final != nil {
+		return result.final.JobStatus(id)
 	}
-	s := wire.JobStatus{ID: id, Status: wire.StatusPending}
-	if f.open.rec.Acknowledged() {
-		s.Status = wire.StatusCancelled
-		return s
+	status := wire.JobStatus{ID: id, Status: wire.StatusPending}
+	if result.open.record.Acknowledged() {
+		status.Status = wire.StatusCancelled
+		return status
 	}
-	var n wire.JobCount
-	if c.lead != nil {
-		n = c.lead.count(id)
+	var count wire.JobCount
+	if c.leader != nil {
+		count = c.leader.jobCountByID(id)
 	} else {
-		n = c.counts[id]
+		count = c.jobCounts[id]
 	}
-	s.Done, s.Running = n.Done, n.Running
-	if n.Running > 0 {
-		s.Status = wire.StatusRunning
+	status.Done, status.Running = count.Done, count.Running
+	if count.Running > 0 {
+		status.Status = wire.StatusRunning
 	}
-	return s
+	return status
 }
--- a/internal/core/runestimate.go
+++ b/internal/core/run_estimate.go
@@ -8,19 +8,19 @@
 
 // learnRun corrects a class's estimates by a finished task.
 func (l *leader) learnRun(j *job, run time.Duration, known bool) {
-	if !known || j.EstimateS <= 0 || run <= 0 {
+	if !known || j.EstimatedRunS <= 0 || run <= 0 {
 		return
 	}
-	if l.runTimes[j.Class] == nil {
-		l.runTimes[j.Class] = &forecast.RunTimes{}
+	if l.runTimesByClass[j.Class] == nil {
+		l.runTimesByClass[j.Class] = &forecast.RunTimes{}
 	}
-	l.runTimes[j.Class].Learn(run, j.EstimateS)
+	l.runTimesByClass[j.Class].Observe(run, j.EstimatedRunS)
 }
 
 // runEstimate is a job's expected run time in seconds.
 func (l *leader) runEstimate(j *job) float64 {
-	if r := l.runTimes[j.Class]; r != nil {
-		return r.Correct(j.EstimateS)
+	if r := l.runTimesByClass[j.Class]; r != nil {
+		return r.Correct(j.EstimatedRunS)
 	}
-	return j.EstimateS
+	return j.EstimatedRunS
 }
--- a/internal/core/storecalls.go
+++ b/internal/core/storecalls.go
@@ -15,14 +15,14 @@
 // Send makes a call to the store.
 func (t storeTransport) Send(request kv.Request, done func(kv.Response)) {
 	call := Call{
-		Dest:    DestStore,
-		Method:  request.Method,
-		Path:    request.Path,
-		Body:    request.Body,
-		Timeout: request.Timeout,
-		Writes:  request.Writes,
-		Urgent:  request.Urgent,
-		Watch:   request.Watch,
+		Destination: DestinationStore,
+		Method:      request.Method,
+		Path:        request.Path,
+		Body:        request.Body,
+		Timeout:     request.Timeout,
+		Writes:      request.Writes,
+		Urgent:      request.Urgent,
+		Watch:       request.Watch,
 	}
 	t.core.call(call, func(r Result) { done(kv.Response{Number: r.Status, Body: r.Body}) })
 }
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -30,41 +30,41 @@
 	given bool
 }
 
-var errRepeated = errors.New("the field is given twice")
+var errRepeatedField = errors.New("the field is given twice")
 
 // UnmarshalJSON takes the only value of a field. Of two, nobody can tell which
 // one is meant.
 func (f *field[T]) UnmarshalJSON(b []byte) error {
 	if f.given {
-		return errRepeated
+		return errRepeatedField
 	}
 	f.given = true
 	return json.Unmarshal(b, &f.value)
 }
 
-// submission mirrors wire.Job with a missing field told from a zero.
-type submission struct {
-	ID          field[string]    `json:"nameId"`
-	Class       field[string]    `json:"jobclass"`
-	Team        field[string]    `json:"crew"`
-	Shape       field[string]    `json:"shape"`
-	Priority    field[string]    `json:"urgency"`
-	Tasks       field[float64]   `json:"shards"`
-	CPUs        field[float64]   `json:"cpus"`
-	GPUs        field[float64]   `json:"accelerators"`
-	MemGB       field[float64]   `json:"memGb"`
-	Image       field[string]    `json:"bundle"`
-	ImageGB     field[float64]   `json:"pullGb"`
-	Types       field[[]*string] `json:"hulls"`
-	Zone        field[string]    `json:"berth"`
-	OneZone     field[bool]      `json:"together"`
-	Spread      field[bool]      `json:"apart"`
-	Spot        field[bool]      `json:"standby"`
-	EstimateS   field[float64]   `json:"guessS"`
-	CheckpointS field[float64]   `json:"markS"`
-	SaveS       field[float64]   `json:"stowS"`
-	DeadlineS   field[float64]   `json:"dueS"`
-	Awaits      field[[]*string] `json:"awaits"`
+// submissionFields mirrors wire.Job with a missing field told from a zero.
+type submissionFields struct {
+	ID           field[string]    `json:"nameId"`
+	Class        field[string]    `json:"jobclass"`
+	Team         field[string]    `json:"crew"`
+	Shape        field[string]    `json:"shape"`
+	Priority     field[string]    `json:"urgency"`
+	Tasks        field[float64]   `json:"shards"`
+	CPUs         field[float64]   `json:"cpus"`
+	GPUs         field[float64]   `json:"accelerators"`
+	MemGB        field[float64]   `json:"memGb"`
+	Image        field[string]    `json:"bundle"`
+	ImageGB      field[float64]   `json:"pullGb"`
+	Types        field[[]*string] `json:"hulls"`
+	Zone         field[string]    `json:"berth"`
+	OneZone      field[bool]      `json:"together"`
+	Spread       field[bool]      `json:"apart"`
+	Spot         field[bool]      `json:"standby"`
+	EstimateS    field[float64]   `json:"guessS"`
+	CheckpointS  field[float64]   `json:"markS"`
+	SaveS        field[float64]   `json:"stowS"`
+	DeadlineS    field[float64]   `json:"dueS"`
+	Dependencies field[[]*string] `json:"awaits"`
 }
 
 // Why a body holds no submission.
@@ -98,18 +98,18 @@
 		return nil, err
 	}
 	job := &wire.Job{}
-	for _, take := range []func(*wire.Job) error{
-		s.takeNames, s.takeAmounts, s.takeFlags, checkID, s.takeTasks, checkKinds,
-		s.takeTypes, s.takeZone, s.takeDeadline, s.takeAwaits,
+	for _, set := range []func(*wire.Job) error{
+		s.setNames, s.setAmounts, s.setFlags, checkID, s.setTasks, checkKinds,
+		s.setTypes, s.setZone, s.setDeadline, s.setDependencies,
 	} {
-		if err := take(job); err != nil {
+		if err := set(job); err != nil {
 			return nil, err
 		}
 	}
 	return job, nil
 }
 
-func decodeSubmission(body []byte) (*submission, error) {
+func decodeSubmission(body []byte) (*submissionFields, error) {
 	if !utf8.Valid(body) {
 		return nil, errNotUTF8
 	}
@@ -117,7 +117,7 @@
 	if !strings.HasPrefix(trimmed, "{") {
 		return nil, errNotObject
 	}
-	var s submission
+	var s submissionFields
 	// A name in another case is another name, and unknown.
 	rest, err := json.Parse(body, &s, json.DontMatchCaseInsensitiveStructFields)
 	if err != nil || len(rest) > 0 {
@@ -126,8 +126,8 @@
 	return &s, nil
 }
 
-// takeNames sets the texts that every job has.
-func (s *submission) takeNames(job *wire.Job) error {
+// setNames sets the texts that every job has.
+func (s *submissionFields) setNames(job *wire.Job) error {
 	var shape, priority string
 	for _, f := range []struct {
 		name string
@@ -146,9 +146,9 @@
 	return nil
 }
 
-// takeAmounts sets the amounts that every job has. The number of tasks is only
-// checked to be an amount here, see takeTasks.
-func (s *submission) takeAmounts(job *wire.Job) error {
+// setAmounts sets the amounts that every job has. The number of tasks is only
+// checked to be an amount here, see setTasks.
+func (s *submissionFields) setAmounts(job *wire.Job) error {
 	var tasks float64
 	for _, f := range []struct {
 		name string
@@ -156,13 +156,13 @@
 		to   *float64
 	}{
 		{"shards", s.Tasks, &tasks}, {"cpus", s.CPUs, &job.CPUs}, {"accelerators", s.GPUs, &job.GPUs},
-		{"memGb", s.MemGB, &job.MemGB}, {"pullGb", s.ImageGB, &job.ImageGB}, {"guessS", s.EstimateS, &job.EstimateS},
-		{"markS", s.CheckpointS, &job.CheckpointS}, {"stowS", s.SaveS, &job.SaveS},
+		{"memGb", s.MemGB, &job.MemGB}, {"pullGb", s.ImageGB, &job.ImageGB}, {"guessS", s.EstimateS, &job.EstimatedRunS},
+		{"markS", s.CheckpointS, &job.CheckpointIntervalS}, {"stowS", s.SaveS, &job.CheckpointDurationS},
 	} {
 		if f.from.value == nil {
 			return &fieldError{f.name, problemMissing}
 		}
-		if !sane(*f.from.value) {
+		if !amountInRange(*f.from.value) {
 			return &fieldError{f.name, problemOutOfRange}
 		}
 		*f.to = *f.from.value
@@ -170,13 +170,13 @@
 	return nil
 }
 
-func (s *submission) takeFlags(job *wire.Job) error {
+func (s *submissionFields) setFlags(job *wire.Job) error {
 	for _, f := range []struct {
 		name string
 		from field[bool]
 		to   *bool
 	}{
-		{"together", s.OneZone, &job.OneZone}, {"apart", s.Spread, &job.Spread}, {"standby", s.Spot, &job.Spot},
+		{"together", s.OneZone, &job.OneZone}, {"apart", s.Spread, &job.SpreadZones}, {"standby", s.Spot, &job.AllowSpot},
 	} {
 		if f.from.value == nil {
 			return &fieldError{f.name, problemMissing}
@@ -187,14 +187,14 @@
 }
 
 func checkID(job *wire.Job) error {
-	if !validID(job.ID) {
+	if !validJobID(job.ID) {
 		return &fieldError{"nameId", "is not a job id"}
 	}
 	return nil
 }
 
-// takeTasks sets the number of tasks, which takeAmounts has found to be given.
-func (s *submission) takeTasks(job *wire.Job) error {
+// setTasks sets the number of tasks, which setAmounts has found to be given.
+func (s *submissionFields) setTasks(job *wire.Job) error {
 	tasks := *s.Tasks.value
 	if tasks < 1 || tasks > maxTasks || tasks != math.Trunc(tasks) {
 		return &fieldError{"shards", problemOutOfRange}
@@ -210,30 +210,30 @@
 	default:
 		return &fieldError{"shape", problemUnknown}
 	}
-	if _, ok := priorityRank[job.Priority]; !ok {
+	if _, ok := priorityLevel[job.Priority]; !ok {
 		return &fieldError{"urgency", problemUnknown}
 	}
 	return nil
 }
 
-// takeTypes sets the allowed machine types: null allows any, an empty list
-// none, see checkPossible.
-func (s *submission) takeTypes(job *wire.Job) error {
+// setTypes sets the allowed machine types: null allows any, an empty list
+// none, see checkFeasible.
+func (s *submissionFields) setTypes(job *wire.Job) error {
 	if s.Types.value == nil {
 		return nil
 	}
 	names := *s.Types.value
-	job.Types = make([]string, 0, len(names))
+	job.MachineTypes = make([]string, 0, len(names))
 	for _, name := range names {
 		if name == nil || *name == "" {
 			return &fieldError{"hulls", "holds something else than names"}
 		}
-		job.Types = append(job.Types, *name)
+		job.MachineTypes = append(job.MachineTypes, *name)
 	}
 	return nil
 }
 
-func (s *submission) takeZone(job *wire.Job) error {
+func (s *submissionFields) setZone(job *wire.Job) error {
 	if s.Zone.value == nil {
 		return nil
 	}
@@ -244,37 +244,37 @@
 	return nil
 }
 
-func (s *submission) takeDeadline(job *wire.Job) error {
+func (s *submissionFields) setDeadline(job *wire.Job) error {
 	deadline := s.DeadlineS.value
-	if deadline != nil && !sane(*deadline) {
+	if deadline != nil && !amountInRange(*deadline) {
 		return &fieldError{"dueS", problemOutOfRange}
 	}
 	job.DeadlineS = deadline
 	return nil
 }
 
-// takeAwaits sets the awaited jobs, each of them once.
-func (s *submission) takeAwaits(job *wire.Job) error {
-	if s.Awaits.value == nil {
+// setDependencies sets the awaited jobs, each of them once.
+func (s *submissionFields) setDependencies(job *wire.Job) error {
+	if s.Dependencies.value == nil {
 		return nil
 	}
 	named := map[string]bool{}
-	for _, id := range *s.Awaits.value {
-		if id == nil || !validID(*id) {
+	for _, id := range *s.Dependencies.value {
+		if id == nil || !validJobID(*id) {
 			return &fieldError{"awaits", "holds something else than job ids"}
 		}
 		if !named[*id] {
 			named[*id] = true
-			job.Awaits = append(job.Awaits, *id)
+			job.Dependencies = append(job.Dependencies, *id)
 		}
 	}
 	return nil
 }
 
-// sane tells whether an amount is finite, neither negative nor absurd.
-func sane(v float64) bool { return v >= 0 && v <= maxAmount }
+// amountInRange tells whether an amount is finite, neither negative nor absurd.
+func amountInRange(v float64) bool { return v >= 0 && v <= maxAmount }
 
-func validID(id string) bool {
+func validJobID(id string) bool {
 	digits := strings.TrimPrefix(id, "job-")
 	if len(digits) == len(id) || len(digits) < 1 || len(digits) > 40 {
 		return false
@@ -287,68 +287,68 @@
 	return true
 }
 
-// maxValue is the largest value, in bytes, that the state service takes, in a
+// maxValueBytes is the largest value, in bytes, that the state service takes, in a
 // transaction of 64 KiB at most.
-// maxRecord is the largest record of a new job, in bytes. What a cancellation
+// maxRecordBytes is the largest record of a new job, in bytes. What a cancellation
 // and other changes add to it later has to fit as well.
-func (c *Core) maxRecord() int { return c.store.MaxValue() - 200 }
+func (c *Core) maxRecordBytes() int { return c.store.MaxValue() - 200 }
 
-func (c *Core) recordable(rec records.Open) bool { return len(kv.Encode(rec)) <= c.maxRecord() }
+func (c *Core) fitsRecord(rec records.Open) bool { return len(kv.Encode(rec)) <= c.maxRecordBytes() }
 
 // Why a job can never run.
 var (
-	errUnknownTeam   = errors.New("unknown team")
-	errNoTypeAllowed = errors.New("no machine type is allowed")
-	errFitsNoType    = errors.New("a task fits no allowed machine type")
-	errBeyondLimit   = errors.New("more than the team's limit")
-	errOneZoneOnly   = errors.New("tasks that are to be apart have only one zone")
-	errAwaitsItself  = errors.New("it awaits itself")
-	errTooLarge      = errors.New("the description is larger than the state service takes")
+	errUnknownTeam     = errors.New("unknown team")
+	errNoTypeAllowed   = errors.New("no machine type is allowed")
+	errNoTypeFits      = errors.New("a task fits no allowed machine type")
+	errOverLimit       = errors.New("more than the team's limit")
+	errNoSecondZone    = errors.New("tasks that are to be apart have only one zone")
+	errDependsOnItself = errors.New("it awaits itself")
+	errRecordTooLarge  = errors.New("the description is larger than the state service takes")
 )
 
-// checkPossible tells why a job can never run; nil if it may.
-func (c *Core) checkPossible(j *wire.Job) error {
-	if c.team(j.Team) == nil {
+// checkFeasible tells why a job can never run; nil if it may.
+func (c *Core) checkFeasible(job *wire.Job) error {
+	if c.team(job.Team) == nil {
 		return errUnknownTeam
 	}
-	if j.Types != nil && len(j.Types) == 0 {
+	if job.MachineTypes != nil && len(job.MachineTypes) == 0 {
 		return errNoTypeAllowed
 	}
-	zones := c.zonesThatFit(j)
+	zones := c.countFeasibleZones(job)
 	if zones == 0 {
-		return errFitsNoType
+		return errNoTypeFits
 	}
-	if exceedsLimit(j, c.limitOf(j.Team)) {
-		return errBeyondLimit
+	if exceedsLimit(job, c.configuredLimit(job.Team)) {
+		return errOverLimit
 	}
 	// A gang's tasks, two or more, need a second zone if at most half of them
 	// may be in one. Arrays and services may run in parts.
-	if j.Spread && j.Shape == wire.ShapeGang && j.Tasks > 1 && (j.OneZone || zones < 2) {
-		return errOneZoneOnly
+	if job.SpreadZones && job.Shape == wire.ShapeGang && job.Tasks > 1 && (job.OneZone || zones < 2) {
+		return errNoSecondZone
 	}
-	if slices.Contains(j.Awaits, j.ID) {
-		return errAwaitsItself
+	if slices.Contains(job.Dependencies, job.ID) {
+		return errDependsOnItself
 	}
 	// Only the jobs that are not over when it is accepted go on record.
-	plain := *j
-	plain.Awaits = nil
-	if !c.recordable(records.Open{Job: plain}) {
-		return errTooLarge
+	plain := *job
+	plain.Dependencies = nil
+	if !c.fitsRecord(records.Open{Job: plain}) {
+		return errRecordTooLarge
 	}
 	return nil
 }
 
-// zonesThatFit counts the zones, of those that a job allows, which rent a
+// countFeasibleZones counts the zones, of those that a job allows, which rent a
 // machine that one of its tasks fits.
-func (c *Core) zonesThatFit(j *wire.Job) int {
+func (c *Core) countFeasibleZones(job *wire.Job) int {
 	zones := map[string]bool{}
-	for _, t := range c.types {
+	for _, t := range c.machineTypes {
 		capacity := topology.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
-		if !allowed(j.Types, t.Name) || !capacity.Holds(size(j)) {
+		if !emptyOrContains(job.MachineTypes, t.Name) || !capacity.Holds(taskSize(job)) {
 			continue
 		}
 		for _, z := range t.Zones {
-			if j.Zone == "" || j.Zone == z {
+			if job.Zone == "" || job.Zone == z {
 				zones[z] = true
 			}
 		}
@@ -358,10 +358,10 @@
 
 // exceedsLimit tells whether a job needs more than its team may ever use. The
 // tasks of an array may run one after the other.
-func exceedsLimit(j *wire.Job, limit teamlimit.Limit) bool {
+func exceedsLimit(job *wire.Job, limit teamlimit.Limit) bool {
 	tasks := 1
-	if j.Shape != wire.ShapeArray {
-		tasks = j.Tasks
+	if job.Shape != wire.ShapeArray {
+		tasks = job.Tasks
 	}
-	return !limit.Allows(topology.Resources{}, size(j), tasks)
+	return !limit.Allows(topology.Resources{}, taskSize(job), tasks)
 }
--- a/internal/core/awaited_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -13,8 +13,8 @@
 
 func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
 
-// named is a submission body of the job n that awaits others.
-func named(n int, awaits string, change ...string) string {
+// submissionAwaiting is a submission body of the job n that awaits others.
+func submissionAwaiting(n int, awaits string, change ...string) string {
 	b := body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)
 	return strings.TrimSuffix(b, "}") + `,"awaits":` + awaits + "}"
 }
@@ -67,12 +67,12 @@
 	} {
 		for _, known := range []bool{true, false} {
 			t.Run(tc.name+"/known here "+strconv.FormatBool(known), func(t *testing.T) {
-				b := newHarness(t, someTypes)
+				b := newHarness(t, testMachineTypes)
 				for n, change := range [][]string{1: nil, 4: {"shape", `"daemon"`}, 5: nil} {
 					if n == 0 || n == 2 || n == 3 {
 						continue
 					}
-					if a := b.ask("POST", "/submissions", body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)); a.Status != 201 {
+					if a := b.request("POST", "/submissions", body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)); a.Status != 201 {
 						t.Fatalf("job %d: %d %s", n, a.Status, a.Body)
 					}
 				}
@@ -82,13 +82,13 @@
 				if err := json.Unmarshal(b.store[records.OpenKey(asked)].Value, &rec); err != nil {
 					t.Fatal(err)
 				}
-				rec.Cancelled, rec.AskedAt = true, 1
+				rec.Cancelled, rec.CancelRequestedAt = true, 1
 				b.write(records.OpenKey(asked), "", kv.Encode(rec))
-				delete(b.c.users.open, asked)
+				delete(b.core.users.openJobs, asked)
 				if !known {
-					clear(b.c.users.open) // accepted by another controller
+					clear(b.core.users.openJobs) // accepted by another controller
 				}
-				a := b.ask("POST", "/submissions", named(9, tc.awaits))
+				a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits))
 				if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
 				}
@@ -99,14 +99,14 @@
 				}
 				rec = records.Open{}
 				json.Unmarshal(it.Value, &rec)
-				if got := strings.Join(rec.Job.Awaits, ","); got != tc.recorded {
+				if got := strings.Join(rec.Job.Dependencies, ","); got != tc.recorded {
 					t.Errorf("awaits %q on record, want %q", got, tc.recorded)
 				}
 				if tc.recorded != "" && !strings.Contains(string(b.store[records.OpenKey(open)].Value), `"nd":true`) {
 					t.Error("the awaited job is not marked as needed")
 				}
 				if tc.status == 201 {
-					if a := b.ask("POST", "/submissions", named(9, tc.awaits)); a.Status != 200 {
+					if a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits)); a.Status != 200 {
 						t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 					}
 				}
@@ -117,17 +117,17 @@
 
 // TestAwaitsMany names more jobs than a transaction has conditions or changes.
 func TestAwaitsMany(t *testing.T) {
-	b := newHarness(t, someTypes)
-	b.c.cfg.Deployment.State.TxnOps = 5
+	b := newHarness(t, testMachineTypes)
+	b.core.settings.Deployment.Store.TxnOps = 5
 	var names []string
 	for n := range 50 {
-		if a := b.ask("POST", "/submissions", body("nameId", `"`+jobID(n)+`"`)); a.Status != 201 {
+		if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(n)+`"`)); a.Status != 201 {
 			t.Fatalf("job %d: %d %s", n, a.Status, a.Body)
 		}
 		names = append(names, `"`+jobID(n)+`"`)
 	}
-	clear(b.c.users.open)
-	if a := b.ask("POST", "/submissions", named(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
+	clear(b.core.users.openJobs)
+	if a := b.request("POST", "/submissions", submissionAwaiting(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	for n := range 50 {
@@ -140,18 +140,18 @@
 // TestAwaitsRace has an awaited job cancelled between the moment at which it is
 // read and the one at which its dependent is recorded.
 func TestAwaitsRace(t *testing.T) {
-	b := newHarness(t, someTypes)
-	if a := b.ask("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
+	b := newHarness(t, testMachineTypes)
+	if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	var rec records.Open
 	json.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
-	rec.Cancelled, rec.AskedAt = true, 1
+	rec.Cancelled, rec.CancelRequestedAt = true, 1
 	b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec)) // by another controller
-	if b.c.users.open[jobID(1)].rec.Cancelled {
+	if b.core.users.openJobs[jobID(1)].record.Cancelled {
 		t.Fatal("known already")
 	}
-	a := b.ask("POST", "/submissions", named(2, `["`+jobID(1)+`"]`))
+	a := b.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
 	if a.Status != 201 || !strings.Contains(string(a.Body), "withdrawn") {
 		t.Errorf("answered %d %s, want 201 and withdrawn", a.Status, a.Body)
 	}
--- a/internal/core/pace_test.go
+++ b/internal/core/submission_pacing_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// commitsOf feeds a request and returns the transactions that go out with it.
-func commitsOf(b *harness, body string) []Call {
+// submitAndCollectCommits feeds a request and returns the transactions that go out with it.
+func submitAndCollectCommits(b *harness, body string) []Call {
 	b.nextReq++
-	out := b.c.Step(b.now, time.Unix(1e9, 0).Add(b.now), Request{ID: b.nextReq, Method: "POST", Path: "/submissions", Body: []byte(body)})
+	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), Request{ID: b.nextReq, Method: "POST", Path: "/submissions", Body: []byte(body)})
 	var commits []Call
 	for _, k := range out.Calls {
-		if k.Dest == DestStore && k.Path == "/commit" {
+		if k.Destination == DestinationStore && k.Path == "/commit" {
 			commits = append(commits, k)
 		}
 	}
@@ -21,20 +21,20 @@
 // A leader that has used up the rate of changes for its own records turned away
 // the submissions that came to it. A few go ahead of the pace, as its records do;
 // many at a time keep to it.
-func TestFewSubmissionsGoAheadOfThePace(t *testing.T) {
-	b := newHarness(t, someTypes)
+func TestFewSubmissionsBypassPacing(t *testing.T) {
+	b := newHarness(t, testMachineTypes)
 	submission := func(n int) string { return body("nameId", `"`+jobID(n)+`"`) }
-	first := commitsOf(b, submission(1))
+	first := submitAndCollectCommits(b, submission(1))
 	if len(first) != 1 || !first[0].Urgent {
 		t.Fatalf("a submission alone keeps to the pace: %+v", first)
 	}
-	ops := b.c.store.MaxWrites()
+	ops := b.core.store.MaxWrites()
 	for n := range ops {
-		if late := commitsOf(b, submission(2+n)); len(late) != 0 {
+		if late := submitAndCollectCommits(b, submission(2+n)); len(late) != 0 {
 			t.Fatalf("a second transaction goes out beside the first: %+v", late)
 		}
 	}
-	out := b.c.Step(b.now, time.Unix(1e9, 0).Add(b.now), Result{ID: first[0].ID, Status: 200, Body: []byte(`{"logline":2}`)})
+	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), Result{ID: first[0].ID, Status: 200, Body: []byte(`{"logline":2}`)})
 	for _, k := range out.Calls {
 		if k.Path == "/commit" && (k.Urgent || k.Writes != ops) {
 			t.Fatalf("%d submissions at a time: %d changes, urgent %v", ops, k.Writes, k.Urgent)
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -19,25 +19,25 @@
 // harness drives a core as its host would: the cloud answers with its machine
 // types if there are any, the state service from a map.
 type harness struct {
-	t        testing.TB
-	c        *Core
-	now      time.Duration
-	types    string
-	store    map[string]wire.Item
-	revision uint64
-	down     bool // the state service answers 503
-	nextReq  uint64
-	answers  map[uint64]Answer
-	commits  []string // transactions, as they were sent
-	watch    func()   // called after each
-	stepped  func()   // called after each step
-	// answer changes the answer to a transaction, carried out or, where it
+	t           testing.TB
+	core        *Core
+	now         time.Duration
+	types       string
+	store       map[string]wire.Item
+	revision    uint64
+	storeDown   bool // the state service answers 503
+	nextReq     uint64
+	answers     map[uint64]Answer
+	commits     []string // transactions, as they were sent
+	afterCommit func()   // called after each
+	afterStep   func()   // called after each step
+	// intercept changes the answer to a transaction, carried out or, where it
 	// refuses it beforehand, not.
-	answer func(txn *wire.Txn, carryOut func() int) int
+	intercept func(txn *wire.Txn, carryOut func() int) int
 }
 
 // small is in the zones a and b, large in b and c, lone in c.
-const someTypes = `{"hulls":[
+const testMachineTypes = `{"hulls":[
 	{"label":"small","cpus":8,"accelerators":0,"memGb":32,"berths":["a","b"]},
 	{"label":"large","cpus":96,"accelerators":8,"memGb":768,"berths":["b","c"]},
 	{"label":"lone","cpus":8,"accelerators":1,"memGb":32,"berths":["c"]}]}`
@@ -46,13 +46,13 @@
 	cfg := &config.Settings{Name: "n0", Deployment: config.Deployment{
 		Zones: []string{"a", "b", "c"},
 		Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 160, GPUsMax: 16}, {Name: "free"}},
-		Workers: config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 50, GangPeerS: 8,
+		Workers: config.WorkerTimings{ReportS: 1.5, LeaseS: 10, GangWaitS: 50, GangPeerS: 8,
 			CancelS: 35},
-		State:  config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16},
-		Cloud:  config.Cloud{RPS: 8, ListLagS: 10},
-		Limits: config.Limits{CPU: 0.2, RAMMB: 98, MaxConnections: 800},
+		Store:         config.StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16},
+		Cloud:         config.CloudLimits{RPS: 8, ListLagS: 10},
+		MachineLimits: config.MachineLimits{CPU: 0.2, RAMMB: 98, MaxConnections: 800},
 	}}
-	b := &harness{t: t, c: New(cfg, nil, 1, nil), now: time.Second, types: types,
+	b := &harness{t: t, core: New(cfg, nil, 1, nil), now: time.Second, types: types,
 		store: map[string]wire.Item{}, revision: 1, answers: map[uint64]Answer{}}
 	b.run(time.Second)
 	return b
@@ -60,9 +60,9 @@
 
 // step feeds an input, and the result of every call that it leads to.
 func (b *harness) step(in Input) {
-	out := b.c.Step(b.now, time.Unix(1e9, 0).Add(b.now), in)
-	if b.stepped != nil {
-		b.stepped()
+	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), in)
+	if b.afterStep != nil {
+		b.afterStep()
 	}
 	for _, a := range out.Answers {
 		b.answers[a.ID] = a
@@ -70,21 +70,21 @@
 	for _, k := range out.Calls {
 		r := Result{ID: k.ID, Status: 404, Body: []byte(`{}`)}
 		switch {
-		case k.Dest == DestStore && b.down:
+		case k.Destination == DestinationStore && b.storeDown:
 			r.Status = 503
-		case k.Dest == DestCloud && k.Path == "/machine_types" && b.types != "":
+		case k.Destination == DestinationCloud && k.Path == "/machine_types" && b.types != "":
 			r.Status, r.Body = 200, []byte(b.types)
-		case k.Dest == DestStore && k.Path == "/commit":
+		case k.Destination == DestinationStore && k.Path == "/commit":
 			b.commits = append(b.commits, string(k.Body))
-			r.Status, r.Body = b.answered(k.Body)
-			if b.watch != nil {
-				b.watch()
+			r.Status, r.Body = b.commitAnswer(k.Body)
+			if b.afterCommit != nil {
+				b.afterCommit()
 			}
-		case k.Dest == DestStore && strings.HasSuffix(k.Path, "/extend"):
+		case k.Destination == DestinationStore && strings.HasSuffix(k.Path, "/extend"):
 			r.Status = 200
-		case k.Dest == DestStore && strings.HasPrefix(k.Path, "/store?"):
+		case k.Destination == DestinationStore && strings.HasPrefix(k.Path, "/store?"):
 			r.Status, r.Body = 200, b.page(k.Path)
-		case k.Dest == DestStore && strings.HasPrefix(k.Path, "/store/"):
+		case k.Destination == DestinationStore && strings.HasPrefix(k.Path, "/store/"):
 			if it, ok := b.store[strings.TrimPrefix(k.Path, "/store/")]; ok {
 				r.Status, r.Body = 200, kv.Encode(it)
 			}
@@ -96,22 +96,22 @@
 // lead has the core lead under the term that is in the store, which is 5. Its lease
 // holds; nobody else runs.
 func (b *harness) lead() *leader {
-	b.c.elect.Learn(5, b.c.cfg.Name)
-	l := newLeader(b.c, election.Mandate{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
-	b.c.lead = l
+	b.core.election.ObserveLeader(5, b.core.settings.Name)
+	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
+	b.core.leader = l
 	return l
 }
 
-// answered is the answer to a transaction.
-func (b *harness) answered(body []byte) (status int, answer []byte) {
-	if b.answer == nil {
+// commitAnswer is the answer to a transaction.
+func (b *harness) commitAnswer(body []byte) (status int, answer []byte) {
+	if b.intercept == nil {
 		return b.commit(body)
 	}
 	var txn wire.Txn
 	if err := stdjson.Unmarshal(body, &txn); err != nil {
 		b.t.Fatalf("transaction %s: %v", body, err)
 	}
-	status = b.answer(&txn, func() int {
+	status = b.intercept(&txn, func() int {
 		var carriedOut int
 		carriedOut, answer = b.commit(body)
 		return carriedOut
@@ -124,16 +124,16 @@
 	if err := stdjson.Unmarshal(body, &txn); err != nil {
 		b.t.Fatalf("transaction %s: %v", body, err)
 	}
-	if ops := b.c.cfg.Deployment.State.TxnOps; len(txn.Writes) > ops || len(txn.If) > 4*ops {
-		b.t.Fatalf("a transaction of %d changes and %d conditions", len(txn.Writes), len(txn.If))
+	if ops := b.core.settings.Deployment.Store.TxnOps; len(txn.Writes) > ops || len(txn.Conditions) > 4*ops {
+		b.t.Fatalf("a transaction of %d changes and %d conditions", len(txn.Writes), len(txn.Conditions))
 	}
 	tr := wire.TxnResult{Revision: b.revision}
-	for _, c := range txn.If {
+	for _, c := range txn.Conditions {
 		if b.store[c.Key].Version != c.Version {
-			tr.Failed = append(tr.Failed, c.Key)
+			tr.Conflicts = append(tr.Conflicts, c.Key)
 		}
 	}
-	if tr.Failed != nil {
+	if tr.Conflicts != nil {
 		return 409, kv.Encode(tr)
 	}
 	// All changes of a transaction have one revision.
@@ -182,7 +182,7 @@
 	}
 }
 
-func (b *harness) ask(method, path, body string) Answer {
+func (b *harness) request(method, path, body string) Answer {
 	b.nextReq++
 	b.step(Request{ID: b.nextReq, Method: method, Path: path, Body: []byte(body)})
 	for i := 0; i < 5; i++ {
@@ -276,8 +276,8 @@
 	} {
 		for status, values := range map[int][]string{201: tc.accepted, 400: tc.bad, 422: tc.never} {
 			for _, v := range values {
-				b := newHarness(t, someTypes)
-				if a := b.ask("POST", "/submissions", body(tc.field, v)); a.Status != status {
+				b := newHarness(t, testMachineTypes)
+				if a := b.request("POST", "/submissions", body(tc.field, v)); a.Status != status {
 					t.Errorf("%s %.60s: %d %s, want %d", tc.field, v, a.Status, a.Body, status)
 				}
 				// A malformed body stays so; any other waits for the types.
@@ -286,7 +286,7 @@
 				if status == 400 {
 					want = 400
 				}
-				if a := b.ask("POST", "/submissions", body(tc.field, v)); a.Status != want || (want == 503) != (a.RetryAfter > 0) {
+				if a := b.request("POST", "/submissions", body(tc.field, v)); a.Status != want || (want == 503) != (a.RetryAfter > 0) {
 					t.Errorf("%s %.60s without types: %d %s, Retry-After %d, want %d", tc.field, v, a.Status, a.Body, a.RetryAfter, want)
 				}
 			}
@@ -348,7 +348,7 @@
 		{"an array apart and together runs in parts", body("shape", `"array"`, "apart", "true"), 201},
 		{"one task apart and together", body("apart", "true", "shards", "1", "berth", `"b"`), 201},
 	} {
-		if a := newHarness(t, someTypes).ask("POST", "/submissions", tc.body); a.Status != tc.status {
+		if a := newHarness(t, testMachineTypes).request("POST", "/submissions", tc.body); a.Status != tc.status {
 			t.Errorf("%s: %d %s, want %d", tc.what, a.Status, a.Body, tc.status)
 		}
 	}
@@ -367,31 +367,31 @@
 		{"done", `{"s":"done","n":2}`, wire.JobStatus{ID: id, Status: wire.StatusDone, Done: 2}},
 		{"cancelled", `{"s":"withdrawn","n":2}`, wire.JobStatus{ID: id, Status: wire.StatusCancelled}},
 	} {
-		b := newHarness(t, someTypes)
-		if a := b.ask("POST", "/submissions", body()); a.Status != 201 {
+		b := newHarness(t, testMachineTypes)
+		if a := b.request("POST", "/submissions", body()); a.Status != 201 {
 			t.Fatalf("accepted: %d %s", a.Status, a.Body)
 		}
 		if tc.final != "" {
 			b.write(records.FinalKey(id), records.OpenKey(id), []byte(tc.final))
 		}
-		fresh := newHarness(t, someTypes)
+		fresh := newHarness(t, testMachineTypes)
 		fresh.store, fresh.revision = b.store, b.revision
 		for _, at := range []*harness{b, fresh} {
 			// What cannot run any more, or never could, is a repeat as well.
 			for _, again := range []string{body(), body(), body("crew", `"gone"`), body("hulls", `[]`)} {
-				a := at.ask("POST", "/submissions", again)
+				a := at.request("POST", "/submissions", again)
 				var got wire.JobStatus
 				if err := stdjson.Unmarshal(a.Body, &got); err != nil || a.Status != 200 || got != tc.want {
 					t.Errorf("%s: repeated: %d %s, want 200 %+v", tc.name, a.Status, a.Body, tc.want)
 				}
 			}
-			if a := at.ask("POST", "/submissions", body("cpus", missing)); a.Status != 400 {
+			if a := at.request("POST", "/submissions", body("cpus", missing)); a.Status != 400 {
 				t.Errorf("%s: malformed with a known id: %d %s, want 400", tc.name, a.Status, a.Body)
 			}
 			if tc.final == "" {
 				continue
 			}
-			a := at.ask("POST", "/submissions/"+id+"/cancel", "")
+			a := at.request("POST", "/submissions/"+id+"/cancel", "")
 			var got wire.JobStatus
 			if err := stdjson.Unmarshal(a.Body, &got); err != nil || a.Status != 200 || got != tc.want {
 				t.Errorf("%s: cancelled: %d %s, want 200 %+v", tc.name, a.Status, a.Body, tc.want)
@@ -413,8 +413,8 @@
 	f.Add([]byte(`{"cpus":1,"cpus":2}`))
 	f.Add([]byte(`{"x":[[[[`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		b := newHarness(t, someTypes)
-		a := b.ask("POST", "/submissions", string(in))
+		b := newHarness(t, testMachineTypes)
+		a := b.request("POST", "/submissions", string(in))
 		if a.Status != 201 && a.Status != 400 && a.Status != 422 {
 			t.Fatalf("%d %s", a.Status, a.Body)
 		}
@@ -439,14 +439,14 @@
 		if len(it.Value) > 16<<10 {
 			t.Fatalf("a record of %d bytes", len(it.Value))
 		}
-		if j := rec.Job; j.Tasks < 1 || j.Tasks > maxTasks || !sane(j.CPUs) || !sane(j.GPUs) || !sane(j.MemGB) || !sane(j.ImageGB) ||
-			!sane(j.EstimateS) || !sane(j.CheckpointS) || !sane(j.SaveS) || j.DeadlineS != nil && !sane(*j.DeadlineS) {
+		if j := rec.Job; j.Tasks < 1 || j.Tasks > maxTasks || !amountInRange(j.CPUs) || !amountInRange(j.GPUs) || !amountInRange(j.MemGB) || !amountInRange(j.ImageGB) ||
+			!amountInRange(j.EstimatedRunS) || !amountInRange(j.CheckpointIntervalS) || !amountInRange(j.CheckpointDurationS) || j.DeadlineS != nil && !amountInRange(*j.DeadlineS) {
 			t.Fatalf("recorded %s", it.Value)
 		}
 	})
 }
 
-// electedBy is what the winner of a term leads by, over a term key of that version.
-func electedBy(term uint64) election.Mandate {
-	return election.Mandate{Term: term, TermVersion: 1, Lease: 1}
+// testLeadership is what the winner of a term leads by, over a term key of that version.
+func testLeadership(term uint64) election.Leadership {
+	return election.Leadership{Term: term, TermVersion: 1, Lease: 1}
 }
--- a/internal/core/teamlimit_test.go
+++ b/internal/core/team_limit_test.go
@@ -27,7 +27,7 @@
 			name:     "its own of the same priority does not",
 			machines: []string{"n-1 a", "n-2 a"},
 			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
-			job:      array("job-9", "vision", wire.PriorityIdle, 4), limit: 4, within: true,
+			job:      array("job-9", "vision", wire.PriorityIdle, 4), limit: 4, withinQuota: true,
 		},
 		{
 			name:     "another team's does not",
@@ -67,7 +67,7 @@
 			},
 			job: array("job-9", "vision", wire.PriorityNormal, 2), limit: 4,
 			change: func(l *leader, j *job) {
-				l.stopTask(l.machines["n-2"].placed[0].job, 0, 1, stopPreempted)
+				l.stopTask(l.machines["n-2"].placements[0].job, 0, 1, stopPreempted)
 			},
 			want: []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
@@ -141,7 +141,7 @@
 			},
 			job: array("job-9", "vision", wire.PriorityNormal, 4), limit: 4,
 			change: func(l *leader, j *job) {
-				l.stopTask(l.machines["n-2"].placed[0].job, 0, 1, stopPreempted)
+				l.stopTask(l.machines["n-2"].placements[0].job, 0, 1, stopPreempted)
 			},
 			want: []string{"job-1/0", "job-2/0"}, reserved: []string{"n-1"},
 		},
@@ -153,27 +153,27 @@
 // A gang that needs all of its team's limit has the team's lower work stopped. In the same pass
 // other work of a lower priority took what was left of the limit, and the gang never began:
 // found in a region of seed 701 of TestRegions.
-func TestLimitIsKeptInTheSamePass(t *testing.T) {
-	b, l := leading(t, func(s *config.Settings) {
+func TestLimitIsReservedInTheSamePass(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 4}}
 	})
-	b.c.types = preemptTypes
-	b.c.now = 1000 * time.Second
+	harness.core.machineTypes = preemptTypes
+	harness.core.now = 1000 * time.Second
 	for _, name := range []string{"n-1", "n-2", "n-3"} {
-		idleMachine(l, name, "g4", "a")
+		idleMachine(leader, name, "g4", "a")
 	}
-	running := bindRunning(l, []runningJob{{Job: wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, GPUs: 2, MemGB: 1}, on: []string{"n-1"}}})
-	gang := addJob(l, wire.Job{ID: "job-2", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityCritical, Tasks: 2, GPUs: 2, MemGB: 1})
-	lower := addJob(l, wire.Job{ID: "job-3", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, GPUs: 2, MemGB: 1})
-	p := l.newPlacementPass()
+	running := bindRunning(leader, []runningJob{{Job: wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, GPUs: 2, MemGB: 1}, on: []string{"n-1"}}})
+	gang := addJob(leader, wire.Job{ID: "job-2", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityCritical, Tasks: 2, GPUs: 2, MemGB: 1})
+	lower := addJob(leader, wire.Job{ID: "job-3", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, GPUs: 2, MemGB: 1})
+	p := leader.newPlacementPass()
 	for _, j := range []*job{gang, lower} {
-		l.layOut(j)
-		p.placeCandidate(&candidate{job: j, pending: j.unplacedTasks(), preemptionRank: j.rank})
+		leader.initPlacementRecords(j)
+		p.placeCandidate(&candidate{job: j, pending: j.unplacedTasks(), preemptionPriority: j.level})
 	}
 	if stopped := stoppedTasks(running); len(stopped) != 1 {
 		t.Errorf("stopped %q, want job-1/0", stopped)
 	}
-	if lower.placed != 0 {
+	if lower.tasksPlaced != 0 {
 		t.Error("work of a lower priority took what was kept for the gang")
 	}
 }
--- a/internal/core/teamlimit/guarantee.go
+++ b/internal/core/teamlimit/guarantee.go
@@ -5,8 +5,8 @@
 // Guarantee is what a team is guaranteed, in CPUs and GPUs; 0 for nothing.
 type Guarantee struct{ CPUs, GPUs float64 }
 
-// None tells whether a team is guaranteed nothing: its work gets what the other teams leave.
-func (g Guarantee) None() bool { return g.CPUs <= 0 && g.GPUs <= 0 }
+// IsZero tells whether a team is guaranteed nothing: its work gets what the other teams leave.
+func (g Guarantee) IsZero() bool { return g.CPUs <= 0 && g.GPUs <= 0 }
 
 // Claims tell which jobs lie within their team's guarantee along with the team's jobs
 // before them. A resource for which no team has a guarantee is not guaranteed to anybody
@@ -33,7 +33,7 @@
 // guarantee.
 func (c *Claims) Claim(team string, amount topology.Resources) bool {
 	g, known := c.guarantees[team]
-	if !known || g.None() {
+	if !known || g.IsZero() {
 		return false
 	}
 	sum := c.claimed[team].Add(amount)
--- a/internal/core/teamlimit/limit.go
+++ b/internal/core/teamlimit/limit.go
@@ -17,11 +17,11 @@
 // resource without a limit.
 type Limit struct{ CPUs, GPUs float64 }
 
-// Unknown is the limit of a team that does not exist: it allows no task at all.
-var Unknown = Limit{CPUs: -1, GPUs: -1}
+// UnknownTeam is the limit of a team that does not exist: it allows no task at all.
+var UnknownTeam = Limit{CPUs: -1, GPUs: -1}
 
-// Of is the limit that settings name, in which 0 stands for none.
-func Of(cpus, gpus float64) Limit {
+// FromSettings is the limit that settings name, in which 0 stands for none.
+func FromSettings(cpus, gpus float64) Limit {
 	l := Limit{CPUs: cpus, GPUs: gpus}
 	if cpus == 0 {
 		l.CPUs = math.Inf(1)
@@ -38,8 +38,8 @@
 	return used.CPUs+task.CPUs*f <= l.CPUs+tolerance && used.GPUs+task.GPUs*f <= l.GPUs+tolerance
 }
 
-// relievedBy tells whether the end of a task brings a use above the limit closer to it.
-func (l Limit) relievedBy(used, task topology.Resources) bool {
+// isRelievedBy tells whether the end of a task brings a use above the limit closer to it.
+func (l Limit) isRelievedBy(used, task topology.Resources) bool {
 	cpus := used.CPUs > l.CPUs+tolerance && task.CPUs > 0
 	gpus := used.GPUs > l.GPUs+tolerance && task.GPUs > 0
 	return cpus || gpus
@@ -47,18 +47,18 @@
 
 // Reservation is a part of a team's limit that is kept for work of a rank.
 type Reservation struct {
-	Rank   int
-	Amount topology.Resources
+	Priority int
+	Amount   topology.Resources
 }
 
 // Reservations are those of all teams, by team.
 type Reservations map[string][]Reservation
 
-// Above adds up what a team's limit has reserved for work above a rank.
-func (r Reservations) Above(team string, rank int) topology.Resources {
+// AbovePriority adds up what a team's limit has reserved for work above a rank.
+func (r Reservations) AbovePriority(team string, rank int) topology.Resources {
 	var sum topology.Resources
 	for _, x := range r[team] {
-		if x.Rank > rank {
+		if x.Priority > rank {
 			sum = sum.Add(x.Amount)
 		}
 	}
@@ -74,34 +74,34 @@
 	return sum
 }
 
-// Stop is a task that may be stopped, or a whole gang. Key names what stops at once.
-type Stop[K comparable] struct {
-	Key   K
-	Task  topology.Resources // one task
-	Frees topology.Resources // all that becomes free
+// Victim is a task that may be stopped, or a whole gang. Key names what stops at once.
+type Victim[K comparable] struct {
+	Key      K
+	TaskSize topology.Resources // one task
+	Freed    topology.Resources // all that becomes free
 }
 
-// ChooseStops chooses, in their order, which of a team's own tasks have to stop beside
+// ChooseVictims chooses, in their order, which of a team's own tasks have to stop beside
 // those that stop anyway so that the limit allows n tasks more. It returns their indices
 // in own; not ok if all together are not enough.
-func ChooseStops[K comparable](limit Limit, used, task topology.Resources, n int, anyway, own []Stop[K]) (chosen []int, ok bool) {
+func ChooseVictims[K comparable](limit Limit, used, task topology.Resources, count int, anyway, own []Victim[K]) (chosen []int, ok bool) {
 	stopped := map[K]bool{}
 	for _, s := range anyway {
 		if !stopped[s.Key] {
 			stopped[s.Key] = true
-			used = used.Sub(s.Frees)
+			used = used.Sub(s.Freed)
 		}
 	}
-	wanted := topology.Resources{CPUs: task.CPUs * float64(n), GPUs: task.GPUs * float64(n)}
+	wanted := topology.Resources{CPUs: task.CPUs * float64(count), GPUs: task.GPUs * float64(count)}
 	for i, s := range own {
-		if limit.Allows(used, task, n) {
+		if limit.Allows(used, task, count) {
 			return chosen, true
 		}
-		if stopped[s.Key] || !limit.relievedBy(used.Add(wanted), s.Task) {
+		if stopped[s.Key] || !limit.isRelievedBy(used.Add(wanted), s.TaskSize) {
 			continue
 		}
-		used = used.Sub(s.Frees)
+		used = used.Sub(s.Freed)
 		chosen = append(chosen, i)
 	}
-	return chosen, limit.Allows(used, task, n)
+	return chosen, limit.Allows(used, task, count)
 }
--- a/internal/core/teamlimit/limit_test.go
+++ b/internal/core/teamlimit/limit_test.go
@@ -7,13 +7,13 @@
 )
 
 // What was freed within a limit went to the team's other work in the next pass.
-func TestLimitIsKeptForTheJob(t *testing.T) {
+func TestReservationsAbovePriority(t *testing.T) {
 	kept := Reservations{"vision": {
-		{Rank: 3, Amount: topology.Resources{GPUs: 4}},
-		{Rank: 1, Amount: topology.Resources{GPUs: 2}},
+		{Priority: 3, Amount: topology.Resources{GPUs: 4}},
+		{Priority: 1, Amount: topology.Resources{GPUs: 2}},
 	}}
 	for rank, want := range []float64{6, 4, 4, 0} {
-		if got := kept.Above("vision", rank); got.GPUs != want {
+		if got := kept.AbovePriority("vision", rank); got.GPUs != want {
 			t.Errorf("%v GPUs are kept from rank %d, want %v", got.GPUs, rank, want)
 		}
 	}
--- a/internal/core/teamlimit/usage.go
+++ b/internal/core/teamlimit/usage.go
@@ -12,11 +12,11 @@
 // Started tells whether it counts.
 func (u *Usage) Started() bool { return u.byTeam != nil }
 
-// Restart begins to count anew, so that the rounding of sums does not gather.
-func (u *Usage) Restart() { u.byTeam = map[string]topology.Resources{} }
+// Reset begins to count anew, so that the rounding of sums does not gather.
+func (u *Usage) Reset() { u.byTeam = map[string]topology.Resources{} }
 
-// Count adds n tasks of a size to what a team uses; n may be negative.
-func (u *Usage) Count(team string, task topology.Resources, n int) {
+// Add adds n tasks of a size to what a team uses; n may be negative.
+func (u *Usage) Add(team string, task topology.Resources, n int) {
 	if u.byTeam == nil {
 		return
 	}
@@ -27,5 +27,5 @@
 // Snapshot is a copy, by team.
 func (u *Usage) Snapshot() map[string]topology.Resources { return maps.Clone(u.byTeam) }
 
-// Of is what a team uses.
-func (u *Usage) Of(team string) topology.Resources { return u.byTeam[team] }
+// ForTeam is what a team uses.
+func (u *Usage) ForTeam(team string) topology.Resources { return u.byTeam[team] }
--- /dev/null
+++ b/internal/core/termination_test.go
@@ -0,0 +1,35 @@
+package core
+
+import (
+	"testing"
+
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// TestEarlierAttemptListed has a worker list an ended attempt at a task beside
+// the running one, in either order: the running one goes on counting. It once
+// passed for vanished, was started elsewhere, and ran twice.
+func TestEarlierAttemptListed(t *testing.T) {
+	b := newHarness(t, testMachineTypes)
+	l := newLeader(b.core, testLeadership(5))
+	b.core.leader, l.recordsLoaded = l, true
+	job := wire.Job{ID: "job-000001", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}
+	l.applyOpenRecord(job.ID, 7, records.Open{Job: job, SubmittedAt: b.core.wallClockMS})
+	j, m := l.jobs[job.ID], l.machineNamed("n-000001")
+	j.tasks[0] = task{attempt: 2, zone: "a", incarnation: 1, persisted: true, placedThisTerm: true, startRetransmitted: true}
+	l.place(j, 0, m)
+	j.placementRecords[0].dirty = true // the end of the earlier attempt is not recorded yet
+	ended := wire.TaskStatus{Task: "job-000001/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped}
+	runs := wire.TaskStatus{Task: "job-000001/0", Attempt: 2, State: wire.TaskRunning}
+	for i, rows := range [][]wire.TaskStatus{{ended, runs}, {runs, ended}, {ended, runs}} {
+		r := wire.Heartbeat{Machine: "n-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 5, Tasks: rows}
+		if status, body := l.handleHeartbeat(kv.Encode(r), "n0"); status != 200 {
+			t.Fatalf("report %d: %d %s", i, status, body)
+		}
+		if x := &j.tasks[0]; x.machine != m || x.state != wire.TaskRunning {
+			t.Fatalf("after report %d the running task is taken for %q on %v", i, x.state, x.machine)
+		}
+	}
+}
--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -13,8 +13,8 @@
 // Resources are amounts of a machine's resources.
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
-// eps is the error of sums that is put up with.
-const eps = 1e-6
+// tolerance is the error of sums that is put up with.
+const tolerance = 1e-6
 
 // Add returns r+o.
 func (r Resources) Add(o Resources) Resources {
@@ -28,7 +28,7 @@
 
 // Holds tells whether o fits into r.
 func (r Resources) Holds(o Resources) bool {
-	return o.CPUs <= r.CPUs+eps && o.GPUs <= r.GPUs+eps && o.MemGB <= r.MemGB+eps
+	return o.CPUs <= r.CPUs+tolerance && o.GPUs <= r.GPUs+tolerance && o.MemGB <= r.MemGB+tolerance
 }
 
 // Less orders amounts by the scarcest resource first.
@@ -43,24 +43,24 @@
 }
 
 // Fit returns how many tasks of size t fit into r, at most limit.
-func (r Resources) Fit(t Resources, limit int) int {
-	n := limit
+func (r Resources) Fit(task Resources, limit int) int {
+	count := limit
 	one := func(have, want float64) {
 		if want > 0 {
 			// Compared before it is an integer: of a tiny size more fit than
 			// an integer holds.
-			if k := (have + eps) / want; k < float64(n) {
-				n = int(k)
+			if k := (have + tolerance) / want; k < float64(count) {
+				count = int(k)
 			}
 		}
 	}
-	one(r.CPUs, t.CPUs)
-	one(r.GPUs, t.GPUs)
-	one(r.MemGB, t.MemGB)
-	if n < 0 {
+	one(r.CPUs, task.CPUs)
+	one(r.GPUs, task.GPUs)
+	one(r.MemGB, task.MemGB)
+	if count < 0 {
 		return 0
 	}
-	return n
+	return count
 }
 
 // Level is a level of the tree, from the machines up.
@@ -79,13 +79,13 @@
 	Zone  string
 	Price float64
 	Free  Resources
-	Key   int // the caller's own mark
+	Index int // the caller's own mark
 }
 
 // Tree holds the machines that may take tasks.
 type Tree struct {
 	machines    []*Machine // by name
-	byRoom      []*Machine // the least free room first, see compareRoom
+	byFree      []*Machine // the least free room first, see compareFree
 	evaluations int
 }
 
@@ -93,8 +93,8 @@
 func New(machines []*Machine) *Tree {
 	t := &Tree{machines: slices.Clone(machines)}
 	slices.SortFunc(t.machines, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
-	t.byRoom = slices.Clone(t.machines)
-	slices.SortFunc(t.byRoom, compareRoom)
+	t.byFree = slices.Clone(t.machines)
+	slices.SortFunc(t.byFree, compareFree)
 	return t
 }
 
@@ -110,15 +110,15 @@
 
 // setFree changes a machine's free room and its place in the order.
 func (t *Tree) setFree(m *Machine, free Resources) {
-	from, _ := slices.BinarySearchFunc(t.byRoom, m, compareRoom)
+	from, _ := slices.BinarySearchFunc(t.byFree, m, compareFree)
 	m.Free = free
-	rest := slices.Delete(t.byRoom, from, from+1)
-	to, _ := slices.BinarySearchFunc(rest, m, compareRoom)
-	t.byRoom = slices.Insert(rest, to, m)
+	rest := slices.Delete(t.byFree, from, from+1)
+	to, _ := slices.BinarySearchFunc(rest, m, compareFree)
+	t.byFree = slices.Insert(rest, to, m)
 }
 
-// compareRoom orders machines by free room, then price and name.
-func compareRoom(a, b *Machine) int {
+// compareFree orders machines by free room, then price and name.
+func compareFree(a, b *Machine) int {
 	switch {
 	case a.Free != b.Free:
 		if a.Free.Less(b.Free) {
@@ -133,17 +133,17 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// withRoom lists the machines that may have room for a task, the tightest first: those
+// mayFit lists the machines that may have room for a task, the tightest first: those
 // with too few free GPUs are left out.
-func (t *Tree) withRoom(task Resources) []*Machine {
+func (t *Tree) mayFit(task Resources) []*Machine {
 	least := Resources{GPUs: task.GPUs}
-	first := sort.Search(len(t.byRoom), func(i int) bool { return Resources{GPUs: t.byRoom[i].Free.GPUs}.Holds(least) })
-	return t.byRoom[first:]
+	first := sort.Search(len(t.byFree), func(i int) bool { return Resources{GPUs: t.byFree[i].Free.GPUs}.Holds(least) })
+	return t.byFree[first:]
 }
 
-// Any tells whether a machine has room for a task.
-func (t *Tree) Any(task Resources, allowed func(*Machine) bool) bool {
-	for _, m := range t.withRoom(task) {
+// AnyFits tells whether a machine has room for a task.
+func (t *Tree) AnyFits(task Resources, allowed func(*Machine) bool) bool {
+	for _, m := range t.mayFit(task) {
 		t.evaluations++
 		if m.Free.Holds(task) && allowed(m) {
 			return true
@@ -160,18 +160,18 @@
 	Count int
 	// Allowed tells whether a machine may take the tasks; nil allows all.
 	Allowed func(*Machine) bool
-	// MostOn bounds how many tasks that are placed each for itself a machine takes; nil
+	// MachineBound bounds how many tasks that are placed each for itself a machine takes; nil
 	// sets no bound.
-	MostOn func(*Machine) int
-	// ZoneRoom bounds the tasks in a zone; nil sets no bound.
-	ZoneRoom func(zone string) int
+	MachineBound func(*Machine) int
+	// ZoneBound bounds the tasks in a zone; nil sets no bound.
+	ZoneBound func(zone string) int
 	// Required is the level at or below which the whole request must be placed;
 	// LevelRoot requires nothing. The preferred level is always the zone.
 	Required Level
-	// Rank orders machines that hold all tasks, lower first; nil ranks all alike.
-	Rank func(*Machine) int
-	// LeastRank is the lowest rank that any machine may have.
-	LeastRank int
+	// Penalty orders machines that hold all tasks, lower first; nil ranks all alike.
+	Penalty func(*Machine) int
+	// LowestPenalty is the lowest rank that any machine may have.
+	LowestPenalty int
 }
 
 // domain is a part of the tree that may hold a whole request.
@@ -180,90 +180,90 @@
 	name     string
 	free     Resources
 	fit      int
-	rank     int
+	penalty  int
 	price    float64
 	machines []*leaf
 }
 
 // leaf is a machine that may take tasks of a request.
 type leaf struct {
-	m    *Machine
-	fit  int
-	rank int
+	machine *Machine
+	fit     int
+	penalty int
 }
 
 // Place chooses a machine for every task, lowers their room and returns the
 // machines in task order; nil if the request must wait.
-func (t *Tree) Place(r Request) []*Machine {
-	if r.Count < 1 {
+func (t *Tree) Place(request Request) []*Machine {
+	if request.Count < 1 {
 		return nil
 	}
-	zones, machine := t.domains(r)
+	zones, machine := t.domains(request)
 	if machine != nil {
-		return t.assign(r, machine.machines, "")
+		return t.assign(request, machine.machines, "")
 	}
-	if r.Required == LevelMachine {
+	if request.Required == LevelMachine {
 		return nil
 	}
-	if zone := tightestZone(zones, r.Count); zone != nil {
-		return t.assign(r, zone.machines, "")
+	if zone := tightestZone(zones, request.Count); zone != nil {
+		return t.assign(request, zone.machines, "")
 	}
-	if r.Required < LevelRoot {
+	if request.Required < LevelRoot {
 		return nil
 	}
-	return t.placeOverZones(r, zones)
+	return t.placeOverZones(request, zones)
 }
 
 // domains counts what of a request fits into each zone, the zones by name, and
 // finds the tightest machine that holds all of it, if there is one.
-func (t *Tree) domains(r Request) (zones []*domain, machine *domain) {
+func (t *Tree) domains(request Request) (zones []*domain, machine *domain) {
 	byName := map[string]*domain{}
 	t.evaluations += len(t.machines)
-	for _, m := range t.machines {
-		l := r.leaf(m)
+	for _, node := range t.machines {
+		l := request.leaf(node)
 		if l == nil {
 			continue
 		}
-		z := byName[m.Zone]
-		if z == nil {
-			z = &domain{level: LevelZone, name: m.Zone}
-			byName[m.Zone] = z
-			zones = append(zones, z)
+		zone := byName[node.Zone]
+		if zone == nil {
+			zone = &domain{level: LevelZone, name: node.Zone}
+			byName[node.Zone] = zone
+			zones = append(zones, zone)
 		}
-		z.machines = append(z.machines, l)
-		z.free = z.free.Add(m.Free)
-		z.fit += l.fit
-		if l.fit >= r.Count {
-			d := &domain{level: LevelMachine, name: m.Name, free: m.Free, fit: l.fit, rank: l.rank, price: m.Price, machines: []*leaf{l}}
+		zone.machines = append(zone.machines, l)
+		zone.free = zone.free.Add(node.Free)
+		zone.fit += l.fit
+		if l.fit >= request.Count {
+			d := &domain{level: LevelMachine, name: node.Name, free: node.Free, fit: l.fit, penalty: l.penalty, price: node.Price, machines: []*leaf{l}}
 			if machine == nil || tighter(d, machine) {
 				machine = d
 			}
 		}
 	}
 	sort.Slice(zones, func(i, j int) bool { return zones[i].name < zones[j].name })
-	if r.ZoneRoom != nil {
-		for _, z := range zones {
-			z.fit = min(z.fit, r.ZoneRoom(z.name))
+	if request.ZoneBound != nil {
+		for _, zone := range zones {
+			zone.fit = min(zone.fit, request.ZoneBound(zone.name))
 		}
 	}
 	return zones, machine
 }
 
 // leaf counts how many of a request's tasks a machine may take; nil if none.
-func (r *Request) leaf(m *Machine) *leaf {
-	if !m.Free.Holds(r.Task) || r.Allowed != nil && !r.Allowed(m) {
+func (r *Request) leaf(machine *Machine) *leaf {
+	if !machine.Free.Holds(r.Task) || r.Allowed != nil && !r.Allowed(machine) {
 		return nil
 	}
-	fit := m.Free.Fit(r.Task, r.Count)
-	if r.ZoneRoom != nil {
-		fit = min(fit, r.ZoneRoom(m.Zone))
+	fit := machine.Free.Fit(r.Task, r.Count)
+	if r.ZoneBound != nil {
+		fit = min(fit, r.ZoneBound(machine.Zone))
 	}
 	if fit < 1 {
 		return nil
 	}
-	l := &leaf{m: m, fit: fit}
-	if r.Rank != nil {
-		l.rank = r.Rank(m)
+	l := &leaf{machine: machine, fit: fit}
+	if r.Penalty != nil {
+		l.penalty = r.Penalty(machine)
 	}
 	return l
 }
@@ -281,14 +281,14 @@
 
 // placeOverZones places a request that no zone holds: the zone that fits most
 // comes first, the other machines follow by their distance from it.
-func (t *Tree) placeOverZones(r Request, zones []*domain) []*Machine {
+func (t *Tree) placeOverZones(request Request, zones []*domain) []*Machine {
 	fit := 0
 	var leaves []*leaf
 	for _, z := range zones {
 		fit += z.fit
 		leaves = append(leaves, z.machines...)
 	}
-	if fit < r.Count {
+	if fit < request.Count {
 		return nil
 	}
 	most := zones[0]
@@ -297,7 +297,7 @@
 			most = z
 		}
 	}
-	return t.assign(r, leaves, most.name)
+	return t.assign(request, leaves, most.name)
 }
 
 // tighter orders domains of which each holds a request: smaller levels first,
@@ -306,8 +306,8 @@
 	if a.level != b.level {
 		return a.level < b.level
 	}
-	if a.rank != b.rank && a.level == LevelMachine {
-		return a.rank < b.rank
+	if a.penalty != b.penalty && a.level == LevelMachine {
+		return a.penalty < b.penalty
 	}
 	if a.free != b.free {
 		return a.free.Less(b.free)
@@ -321,12 +321,12 @@
 // assign spreads the tasks over leaves: machines of the zone near come before
 // the others, then those of the lowest rank, then the one that holds most of
 // the tasks that are left, then the tightest.
-func (t *Tree) assign(r Request, leaves []*leaf, near string) []*Machine {
-	out := make([]*Machine, 0, r.Count)
+func (t *Tree) assign(request Request, leaves []*leaf, near string) []*Machine {
+	out := make([]*Machine, 0, request.Count)
 	used := map[*leaf]bool{}
 	inZone := map[string]int{}
-	for len(out) < r.Count {
-		left := r.Count - len(out)
+	for len(out) < request.Count {
+		left := request.Count - len(out)
 		var best *leaf
 		var bestFit int
 		for _, l := range leaves {
@@ -334,8 +334,8 @@
 				continue
 			}
 			fit := min(l.fit, left)
-			if r.ZoneRoom != nil {
-				fit = min(fit, r.ZoneRoom(l.m.Zone)-inZone[l.m.Zone])
+			if request.ZoneBound != nil {
+				fit = min(fit, request.ZoneBound(l.machine.Zone)-inZone[l.machine.Zone])
 			}
 			if fit < 1 {
 				continue
@@ -346,15 +346,15 @@
 		}
 		if best == nil {
 			for _, m := range out {
-				t.Give(m, r.Task)
+				t.Give(m, request.Task)
 			}
 			return nil
 		}
 		used[best] = true
-		inZone[best.m.Zone] += bestFit
+		inZone[best.machine.Zone] += bestFit
 		for range bestFit {
-			t.Take(best.m, r.Task)
-			out = append(out, best.m)
+			t.Take(best.machine, request.Task)
+			out = append(out, best.machine)
 		}
 	}
 	return out
@@ -362,69 +362,69 @@
 
 // closer orders leaves for assign; fa and fb are how many tasks they would take.
 func closer(a *leaf, fa int, b *leaf, fb int, near string) bool {
-	if na, nb := a.m.Zone == near, b.m.Zone == near; na != nb {
+	if na, nb := a.machine.Zone == near, b.machine.Zone == near; na != nb {
 		return na
 	}
-	if a.rank != b.rank {
-		return a.rank < b.rank
+	if a.penalty != b.penalty {
+		return a.penalty < b.penalty
 	}
 	if fa != fb {
 		return fa > fb
 	}
-	return compareRoom(a.m, b.m) < 0
+	return compareFree(a.machine, b.machine) < 0
 }
 
 // PlaceEach chooses machines for tasks that start one by one, lowers their room and
 // returns the machines in task order; of tasks that find none there is no entry. It
 // chooses as Place would for one task after the other. Count and Required of the
-// request do not matter; ZoneRoom bounds the tasks of the whole call, and the rank of
+// request do not matter; ZoneBound bounds the tasks of the whole call, and the rank of
 // a machine has to stay, or fall, when it takes a task.
-func (t *Tree) PlaceEach(r Request, tasks int) []*Machine {
+func (t *Tree) PlaceEach(request Request, tasks int) []*Machine {
 	out := make([]*Machine, 0, tasks)
 	inZone := map[string]int{}
 	// fill takes tasks for a machine; having less room than before it stays the tightest.
-	fill := func(m *Machine) {
+	fill := func(machine *Machine) {
 		most := tasks
-		if r.MostOn != nil {
-			most = r.MostOn(m)
+		if request.MachineBound != nil {
+			most = request.MachineBound(machine)
 		}
 		last := len(out) + most
-		for len(out) < min(tasks, last) && m.Free.Holds(r.Task) && (r.ZoneRoom == nil || inZone[m.Zone] < r.ZoneRoom(m.Zone)) {
-			t.Take(m, r.Task)
-			inZone[m.Zone]++
-			out = append(out, m)
+		for len(out) < min(tasks, last) && machine.Free.Holds(request.Task) && (request.ZoneBound == nil || inZone[machine.Zone] < request.ZoneBound(machine.Zone)) {
+			t.Take(machine, request.Task)
+			inZone[machine.Zone]++
+			out = append(out, machine)
 		}
 	}
 	// Each machine is looked at once. Looked for again after each that was filled, the
 	// next one of a fleet of thousands cost a look at all of them.
-	var later []rankedMachine
-	for _, m := range slices.Clone(t.withRoom(r.Task)) {
+	var later []scoredMachine
+	for _, machine := range slices.Clone(t.mayFit(request.Task)) {
 		if len(out) == tasks {
 			return out
 		}
 		t.evaluations++
-		if !m.Free.Holds(r.Task) || r.Allowed != nil && !r.Allowed(m) {
+		if !machine.Free.Holds(request.Task) || request.Allowed != nil && !request.Allowed(machine) {
 			continue
 		}
 		rank := 0
-		if r.Rank != nil {
-			rank = r.Rank(m)
+		if request.Penalty != nil {
+			rank = request.Penalty(machine)
 		}
-		if rank <= r.LeastRank {
-			fill(m)
+		if rank <= request.LowestPenalty {
+			fill(machine)
 			continue
 		}
-		later = append(later, rankedMachine{m, rank})
+		later = append(later, scoredMachine{machine, rank})
 	}
-	slices.SortStableFunc(later, func(a, b rankedMachine) int { return cmp.Compare(a.rank, b.rank) })
+	slices.SortStableFunc(later, func(a, b scoredMachine) int { return cmp.Compare(a.penalty, b.penalty) })
 	for _, l := range later {
 		fill(l.machine)
 	}
 	return out
 }
 
-// rankedMachine is a machine that may take a request's tasks, and its rank.
-type rankedMachine struct {
+// scoredMachine is a machine that may take a request's tasks, and its rank.
+type scoredMachine struct {
 	machine *Machine
-	rank    int
+	penalty int
 }
--- a/internal/core/topology/topology_test.go
+++ b/internal/core/topology/topology_test.go
@@ -8,7 +8,7 @@
 )
 
 // tree: machines as zone/name/free GPUs.
-func tree(specs ...string) (*Tree, []*Machine) {
+func newTree(specs ...string) (*Tree, []*Machine) {
 	var ms []*Machine
 	for _, s := range specs {
 		f := strings.Split(s, "/")
@@ -39,12 +39,12 @@
 		{"required waits though enough lies scattered", []string{"a/x/2", "b/y/2"}, Request{Task: one, Count: 3, Required: LevelZone}, ""},
 		{"preferred takes the zone that fits most, then the nearest", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{Task: one, Count: 4, Required: LevelRoot}, "y y w x"},
 		{"nothing fits", []string{"a/x/1"}, Request{Task: Resources{GPUs: 2}, Count: 1, Required: LevelRoot}, ""},
-		{"a zone's bound", []string{"a/x/8", "b/y/8", "c/z/8"}, Request{Task: one, Count: 4, Required: LevelRoot, ZoneRoom: func(string) int { return 2 }}, "x x y y"},
+		{"a zone's bound", []string{"a/x/8", "b/y/8", "c/z/8"}, Request{Task: one, Count: 4, Required: LevelRoot, ZoneBound: func(string) int { return 2 }}, "x x y y"},
 		{"the image decides between machines that hold all", []string{"a/x/2", "a/y/4"}, Request{Task: one, Count: 1, Required: LevelRoot,
-			Rank: func(m *Machine) int { return strings.Index("yx", m.Name) }}, "y"},
+			Penalty: func(m *Machine) int { return strings.Index("yx", m.Name) }}, "y"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tr, ms := tree(tc.tree...)
+			tr, ms := newTree(tc.tree...)
 			before := map[string]Resources{}
 			for _, m := range ms {
 				before[m.Name] = m.Free
@@ -89,26 +89,26 @@
 func TestPlaceEachAsPlace(t *testing.T) {
 	for seed := range uint64(200) {
 		build := func() (*Tree, []*Machine) {
-			r := rand.New(rand.NewPCG(seed, 1))
+			random := rand.New(rand.NewPCG(seed, 1))
 			var ms []*Machine
-			for i := range 1 + r.IntN(30) {
-				ms = append(ms, &Machine{Name: fmt.Sprintf("m%02d", i), Zone: string(rune('a' + r.IntN(3))), Price: float64(r.IntN(2)),
-					Free: Resources{CPUs: float64(r.IntN(12)) / 2, GPUs: float64(r.IntN(5)), MemGB: float64(r.IntN(9))}, Key: r.IntN(3)})
+			for i := range 1 + random.IntN(30) {
+				ms = append(ms, &Machine{Name: fmt.Sprintf("m%02d", i), Zone: string(rune('a' + random.IntN(3))), Price: float64(random.IntN(2)),
+					Free: Resources{CPUs: float64(random.IntN(12)) / 2, GPUs: float64(random.IntN(5)), MemGB: float64(random.IntN(9))}, Index: random.IntN(3)})
 			}
 			return New(ms), ms
 		}
-		r := rand.New(rand.NewPCG(seed, 2))
+		random := rand.New(rand.NewPCG(seed, 2))
 		one, _ := build()
 		each, _ := build()
 		for range 5 {
-			task := Resources{CPUs: float64(1+r.IntN(3)) / 2, GPUs: float64(r.IntN(2)), MemGB: 1}
-			bound, forbidden, tasks := r.IntN(6), r.IntN(4), 1+r.IntN(20)
+			task := Resources{CPUs: float64(1+random.IntN(3)) / 2, GPUs: float64(random.IntN(2)), MemGB: 1}
+			bound, forbidden, tasks := random.IntN(6), random.IntN(4), 1+random.IntN(20)
 			inZone := map[string]int{}
-			req := Request{Task: task, Count: 1, Required: LevelRoot, Rank: func(m *Machine) int { return m.Key },
-				Allowed: func(m *Machine) bool { return m.Key != forbidden }}
+			req := Request{Task: task, Count: 1, Required: LevelRoot, Penalty: func(m *Machine) int { return m.Index },
+				Allowed: func(m *Machine) bool { return m.Index != forbidden }}
 			var want []*Machine
 			for range tasks {
-				req.ZoneRoom = func(zone string) int { return bound - inZone[zone] }
+				req.ZoneBound = func(zone string) int { return bound - inZone[zone] }
 				got := one.Place(req)
 				if got == nil {
 					break
@@ -116,7 +116,7 @@
 				inZone[got[0].Zone]++
 				want = append(want, got[0])
 			}
-			req.ZoneRoom = func(string) int { return bound }
+			req.ZoneBound = func(string) int { return bound }
 			if got := each.PlaceEach(req, tasks); names(got) != names(want) {
 				t.Fatalf("seed %d: %d tasks of %v on %q, one by one on %q", seed, tasks, task, names(got), names(want))
 			}
--- a/internal/core/waitreason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -14,18 +14,18 @@
 // What operators read of why a job waits: each reason once it has waited for long,
 // not more often than every so often.
 func TestWaitReasons(t *testing.T) {
-	l := newForecastLeader(t)
+	leader := newForecastLeader(t)
 	var out bytes.Buffer
-	l.c.log = slog.New(slog.NewTextHandler(&out, nil))
-	j := planCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 3).job
-	start := l.c.now
-	j.since = l.c.wall
+	leader.core.log = slog.New(slog.NewTextHandler(&out, nil))
+	job := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 3).job
+	start := leader.core.now
+	job.waitingSinceMS = leader.core.wallClockMS
 	for _, step := range []struct {
 		at   time.Duration
 		why  waitReason
 		told bool
 	}{
-		{0, waitMachines, false},
+		{0, waitForMachines, false},
 		{10 * time.Second, waitNoOffer, false},
 		{31 * time.Second, waitNoOffer, true},
 		{32 * time.Second, waitNoOffer, false},
@@ -34,8 +34,8 @@
 		{200 * time.Second, waitLimit, false},
 	} {
 		out.Reset()
-		l.c.now, l.c.wall = start+step.at, j.since+step.at.Milliseconds()
-		l.noteWait(j, step.why)
+		leader.core.now, leader.core.wallClockMS = start+step.at, job.waitingSinceMS+step.at.Milliseconds()
+		leader.logWait(job, step.why)
 		if told := strings.Contains(out.String(), string(step.why)); told != step.told {
 			t.Errorf("after %v: told %v, want %v (%s)", step.at, told, step.told, out.String())
 		}
@@ -49,18 +49,18 @@
 		setUp func(l *leader, c *candidate)
 		want  waitReason
 	}{
-		{"a machine is rented", func(*leader, *candidate) {}, waitMachines},
-		{"a machine boots", func(l *leader, _ *candidate) { planMachine(l, "n-1", "large", "a") }, waitMachines},
-		{"the limit", func(l *leader, _ *candidate) { l.c.team("vision").CPUsMax = 1 }, waitLimit},
-		{"no capacity", func(l *leader, _ *candidate) { refuse(l, "a"); refuse(l, "b") }, waitNoOffer},
-		{"room is made", func(_ *leader, c *candidate) { c.reserved = 1 }, waitStops},
+		{"a machine is rented", func(*leader, *candidate) {}, waitForMachines},
+		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, waitForMachines},
+		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, waitLimit},
+		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, waitNoOffer},
+		{"room is made", func(_ *leader, c *candidate) { c.reserved = 1 }, waitForPreemption},
 	} {
 		l := newForecastLeader(t)
-		c := planCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
+		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
 		tc.setUp(l, c)
-		p := newRentalPlan(l)
+		p := newScaleOutPlan(l)
 		p.packPending([]*candidate{c}, map[string]topology.Resources{})
-		if got := c.job.wait.noted; got != tc.want {
+		if got := c.job.waitLog.lastReason; got != tc.want {
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
 		}
 	}
@@ -68,15 +68,15 @@
 
 // A rented machine and one that is kept are logged with what they are for.
 func TestPlanNamesPurposes(t *testing.T) {
-	l := newForecastLeader(t)
+	leader := newForecastLeader(t)
 	var out bytes.Buffer
-	l.c.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))
-	idle := planMachine(l, "n-1", "small", "b")
-	idle.heard, idle.token = l.c.now, l.mandate.Term
-	c := planCandidate(wire.Job{ID: "job-000007", CPUs: 1, MemGB: 1}, 1)
-	other := planCandidate(wire.Job{ID: "job-000008", CPUs: 4, MemGB: 1}, 1)
+	leader.core.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))
+	idle := bootingMachine(leader, "n-1", "small", "b")
+	idle.lastHeartbeat, idle.fencingToken = leader.core.now, leader.leadership.Term
+	c := pendingCandidate(wire.Job{ID: "job-000007", CPUs: 1, MemGB: 1}, 1)
+	other := pendingCandidate(wire.Job{ID: "job-000008", CPUs: 4, MemGB: 1}, 1)
 	for range 2 {
-		l.plan([]*candidate{c, other}, map[string]topology.Resources{})
+		leader.planScaleOut([]*candidate{c, other}, map[string]topology.Resources{})
 	}
 	for _, want := range []string{`msg="empty machine kept" machine=n-1 for=job-000007`, `msg=rent type=large zone=a spot=false count=1 for=job-000008`} {
 		if n := strings.Count(out.String(), want); n != 1 {
--- /dev/null
+++ b/internal/core/zone_loss_test.go
@@ -0,0 +1,79 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// zoneLossLeader makes a leader of a fleet that has just lost a zone: a third of the tasks of
+// every job has no machine. The machines left are full; a third of the jobs and an array
+// are of the lowest priority and make way.
+func zoneLossLeader(t testing.TB, machines int) *leader {
+	leader := busyFleet(t, machines)
+	for i, j := range leader.jobsBySubmission {
+		leader.initPlacementRecords(j)
+		j.SpreadZones = i%2 == 0
+		if i%3 == 2 {
+			leader.setPriority(j, 0)
+		}
+	}
+	// The tasks of a job change places, so that each job has some in every zone.
+	for _, j := range leader.jobsBySubmission {
+		for k := range j.tasks {
+			leader.unplace(j, k)
+		}
+	}
+	for i, j := range leader.jobsBySubmission {
+		for k := range j.tasks {
+			m := leader.machinesByName[(i+k*131)%machines]
+			leader.place(j, k, m)
+			j.tasks[k].state, j.tasks[k].observed, j.tasks[k].zone = wire.TaskRunning, true, m.zone
+		}
+	}
+	for _, m := range leader.machinesByName {
+		if m.zone != "b" {
+			continue
+		}
+		for _, p := range m.placements {
+			leader.unplace(p.job, p.index)
+		}
+		leader.dropMachine(m)
+	}
+	leader.fleet.partitionedAt["b"] = leader.core.now
+	fillMachines(leader)
+	return leader
+}
+
+// fillMachines has tasks of the lowest priority take the room that is left on all machines.
+func fillMachines(l *leader) {
+	j := addJob(l, wire.Job{ID: "job-888888", Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, CPUs: 1, MemGB: 1, Tasks: 3 * len(l.machinesByName), CheckpointIntervalS: 30, CheckpointDurationS: 3})
+	l.initPlacementRecords(j)
+	for i := range j.tasks {
+		l.place(j, i, l.machinesByName[i/3])
+		j.tasks[i].state, j.tasks[i].observed, j.tasks[i].persisted, j.tasks[i].startRetransmitted = wire.TaskRunning, true, true, true
+	}
+}
+
+// BenchmarkZoneLoss is the longest of the passes after the loss of a zone.
+func BenchmarkZoneLoss(b *testing.B) {
+	for _, machines := range []int{300, 1000, 4200} {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) {
+			var longest time.Duration
+			for b.Loop() {
+				b.StopTimer()
+				l := zoneLossLeader(b, machines)
+				b.StartTimer()
+				for range 20 {
+					start := time.Now()
+					l.runPlacementPass()
+					longest = max(longest, time.Since(start))
+					l.core.now += l.core.heartbeatInterval() / 5
+				}
+			}
+			b.ReportMetric(float64(longest.Microseconds())/1000, "ms/longest")
+		})
+	}
+}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -37,8 +37,8 @@
 	l.points = append(l.points, Point{chart, series, at.Seconds(), value})
 }
 
-// Limit gives a chart a line that its values are to stay under.
-func (l *Log) Limit(chart string, value float64) {
+// SetLimit gives a chart a line that its values are to stay under.
+func (l *Log) SetLimit(chart string, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.limits == nil {
@@ -47,8 +47,8 @@
 	l.limits[chart] = value
 }
 
-// Mark notes that something happened.
-func (l *Log) Mark(at time.Duration, text string) {
+// AddMark notes that something happened.
+func (l *Log) AddMark(at time.Duration, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.marks = append(l.marks, Mark{at.Seconds(), text})
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -11,13 +11,13 @@
 
 func sampleLog() *Log {
 	l := &Log{}
-	l.Limit("GPUs", 8)
+	l.SetLimit("GPUs", 8)
 	for i := range 5 {
 		at := time.Duration(i) * time.Second
 		l.Add("GPUs", "used", at, float64(i))
 		l.Add("Starts", "a second", at, 2)
 	}
-	l.Mark(2*time.Second, "leader killed <north>")
+	l.AddMark(2*time.Second, "leader killed <north>")
 	return l
 }
 
--- a/internal/history/page.go
+++ b/internal/history/page.go
@@ -19,8 +19,8 @@
 	plotHeight = 3 * vg.Inch
 )
 
-// legendRoom is how much wider than its values a plot is, so that the legend covers none.
-const legendRoom = 1.3
+// legendSpace is how much wider than its values a plot is, so that the legend covers none.
+const legendSpace = 1.3
 
 // pageTemplate is the page; the plots are drawn into it.
 var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
@@ -33,8 +33,8 @@
 </body></html>
 `))
 
-// drawnChart is a chart as it stands on the page.
-type drawnChart struct {
+// chartDrawing is a chart as it stands on the page.
+type chartDrawing struct {
 	Name    string
 	Drawing template.HTML
 }
@@ -46,7 +46,7 @@
 	defer l.mu.Unlock()
 	page := struct {
 		Title, Summary string
-		Charts         []drawnChart
+		Charts         []chartDrawing
 		Marks          []Mark
 	}{Title: title, Summary: summary, Marks: l.marks}
 	for _, chart := range l.charts() {
@@ -54,7 +54,7 @@
 		if err != nil {
 			return fmt.Errorf("history: %s: %w", chart, err)
 		}
-		page.Charts = append(page.Charts, drawnChart{chart, drawing})
+		page.Charts = append(page.Charts, chartDrawing{chart, drawing})
 	}
 	var out bytes.Buffer
 	if err := pageTemplate.Execute(&out, page); err != nil {
@@ -78,25 +78,25 @@
 
 // draw draws a chart as SVG.
 func (l *Log) draw(chart string) (template.HTML, error) {
-	p := plot.New()
-	p.X.Label.Text = "seconds"
-	p.Y.Min = 0
-	p.Legend.Top = true
+	chartPlot := plot.New()
+	chartPlot.X.Label.Text = "seconds"
+	chartPlot.Y.Min = 0
+	chartPlot.Legend.Top = true
 	series := map[string]plotter.XYs{}
 	var names []string
 	end := 0.0
-	for _, x := range l.points {
-		if x.Chart != chart {
+	for _, point := range l.points {
+		if point.Chart != chart {
 			continue
 		}
-		if series[x.Series] == nil {
-			names = append(names, x.Series)
+		if series[point.Series] == nil {
+			names = append(names, point.Series)
 		}
-		series[x.Series] = append(series[x.Series], plotter.XY{X: x.Seconds, Y: x.Value})
-		end = max(end, x.Seconds)
+		series[point.Series] = append(series[point.Series], plotter.XY{X: point.Seconds, Y: point.Value})
+		end = max(end, point.Seconds)
 	}
 	slices.Sort(names)
-	p.X.Max = end * legendRoom
+	chartPlot.X.Max = end * legendSpace
 	top := l.limits[chart]
 	for i, name := range names {
 		line, err := plotter.NewLine(series[name])
@@ -105,28 +105,28 @@
 		}
 		line.Color = plotutil.Color(i)
 		line.StepStyle = plotter.PostStep
-		p.Add(line)
-		p.Legend.Add(name, line)
+		chartPlot.Add(line)
+		chartPlot.Legend.Add(name, line)
 		for _, xy := range series[name] {
 			top = max(top, xy.Y)
 		}
 	}
 	if limit, ok := l.limits[chart]; ok && limit > 0 {
-		if err := addLine(p, plotter.XYs{{X: 0, Y: limit}, {X: end, Y: limit}}); err != nil {
+		if err := addDashedLine(chartPlot, plotter.XYs{{X: 0, Y: limit}, {X: end, Y: limit}}); err != nil {
 			return "", err
 		}
 	}
 	for _, m := range l.marks {
-		if err := addLine(p, plotter.XYs{{X: m.Seconds, Y: 0}, {X: m.Seconds, Y: top}}); err != nil {
+		if err := addDashedLine(chartPlot, plotter.XYs{{X: m.Seconds, Y: 0}, {X: m.Seconds, Y: top}}); err != nil {
 			return "", err
 		}
 	}
-	w, err := p.WriterTo(plotWidth, plotHeight, "svg")
+	writer, err := chartPlot.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return "", err
 	}
 	var out bytes.Buffer
-	if _, err := w.WriteTo(&out); err != nil {
+	if _, err := writer.WriteTo(&out); err != nil {
 		return "", err
 	}
 	svg := out.Bytes()
@@ -136,8 +136,8 @@
 	return template.HTML(svg), nil
 }
 
-// addLine adds a dashed line.
-func addLine(p *plot.Plot, points plotter.XYs) error {
+// addDashedLine adds a dashed line.
+func addDashedLine(p *plot.Plot, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
 		return err
--- a/internal/hollow/controller.go
+++ b/internal/hollow/controller_process.go
@@ -1,7 +1,6 @@
 package hollow
 
 import (
-	"github.com/brookwalk/brookwalk/internal/httpserve"
 	"io"
 	"log/slog"
 	"os"
@@ -12,12 +11,14 @@
 	"sync"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/httpserve"
+
 	"github.com/brookwalk/brookwalk/httpwire"
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// controller is one controller: a process of the program under test.
-type controller struct {
+// controllerProcess is one controller: a process of the program under test.
+type controllerProcess struct {
 	name    string
 	listen  string
 	command []string
@@ -26,21 +27,21 @@
 	output   io.Writer // what it writes to standard error
 	log      *slog.Logger
 
-	// do calls a function with the world locked.
-	do      func(func())
-	users   *httpserve.Traffic
-	workers *httpserve.Traffic
-	meter   meter
-
-	mu      sync.Mutex
-	process *os.Process // nil while there is none
-	starts  int
-	ended   int // ends that nobody asked for
-	clients map[string]*httpwire.Client
+	// withWorld calls a function with the world locked.
+	withWorld     func(func())
+	userTraffic   *httpserve.Traffic
+	workerTraffic *httpserve.Traffic
+	usage         processMeter
+
+	mu             sync.Mutex
+	process        *os.Process // nil while there is none
+	starts         int
+	unexpectedEnds int // ends that nobody asked for
+	clients        map[string]*httpwire.Client
 }
 
 // Start starts the process.
-func (c *controller) Start() {
+func (c *controllerProcess) Start() {
 	cmd := exec.Command(c.command[0], c.command[1:]...)
 	cmd.Stderr = c.output
 	cmd.Env = c.environment()
@@ -54,7 +55,7 @@
 	c.clients = map[string]*httpwire.Client{}
 	c.mu.Unlock()
 	c.log.Info("controller started", "name", c.name, "pid", cmd.Process.Pid)
-	go c.wait(cmd)
+	go c.awaitExit(cmd)
 }
 
 // The program's variables.
@@ -65,7 +66,7 @@
 
 // environment is this process's own, with the program's variables as the experiment
 // says.
-func (c *controller) environment() []string {
+func (c *controllerProcess) environment() []string {
 	env := slices.DeleteFunc(os.Environ(), func(v string) bool {
 		return strings.HasPrefix(v, logLevelVariable+"=") || strings.HasPrefix(v, operatorVariable+"=")
 	})
@@ -76,20 +77,20 @@
 	return env
 }
 
-// wait notes the end of a process.
-func (c *controller) wait(cmd *exec.Cmd) {
+// awaitExit notes the end of a process.
+func (c *controllerProcess) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.process == cmd.Process {
 		c.process = nil
-		c.ended++
+		c.unexpectedEnds++
 		c.log.Error("controller ended by itself", "name", c.name, "err", err)
 	}
 }
 
 // Kill ends the process without notice.
-func (c *controller) Kill() {
+func (c *controllerProcess) Kill() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.process != nil {
@@ -99,7 +100,7 @@
 }
 
 // pid is the process's id; 0 if there is none.
-func (c *controller) pid() int {
+func (c *controllerProcess) pid() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.process == nil {
@@ -111,8 +112,8 @@
 // statusMisdirected redirects a worker to another controller.
 const statusMisdirected = 421
 
-// userFrom is the sender of users' requests.
-const userFrom = "user"
+// userSender is the sender of users' requests.
+const userSender = "user"
 
 // Connections that a worker, and all users together, keep open to a controller.
 const (
@@ -121,70 +122,70 @@
 )
 
 // client finds the client that a sender's requests take.
-func (c *controller) client(from string) *httpwire.Client {
+func (c *controllerProcess) client(from string) *httpwire.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.process == nil {
 		return nil
 	}
-	h := c.clients[from]
-	if h == nil {
-		h = &httpwire.Client{Addr: c.listen, MaxIdle: workerConnections}
-		if from == userFrom {
-			h.MaxIdle = userConnections
+	client := c.clients[from]
+	if client == nil {
+		client = &httpwire.Client{Addr: c.listen, MaxIdle: workerConnections}
+		if from == userSender {
+			client.MaxIdle = userConnections
 		}
-		c.clients[from] = h
+		c.clients[from] = client
 	}
-	return h
+	return client
 }
 
-// forget closes the connections of a worker that is gone.
-func (c *controller) forget(worker string) {
+// closeClient closes the connections of a worker that is gone.
+func (c *controllerProcess) closeClient(worker string) {
 	c.mu.Lock()
-	h := c.clients[worker]
+	client := c.clients[worker]
 	delete(c.clients, worker)
 	c.mu.Unlock()
-	if h != nil {
-		h.CloseIdle()
+	if client != nil {
+		client.CloseIdle()
 	}
 }
 
 // Ask sends a request of a user or a worker.
-func (c *controller) Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
+func (c *controllerProcess) Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	go func() {
-		a := c.ask(from, method, path, body, timeout)
-		c.do(func() { done(a) })
+		a := c.request(from, method, path, body, timeout)
+		c.withWorld(func() { done(a) })
 	}()
 }
 
-// ask sends a request and waits for the answer; its status is 0 if none came.
-func (c *controller) ask(from, method, path string, body []byte, timeout time.Duration) core.Answer {
-	h := c.client(from)
-	if h == nil {
+// request sends a request and waits for the answer; its status is 0 if none came.
+func (c *controllerProcess) request(from, method, path string, body []byte, timeout time.Duration) core.Answer {
+	client := c.client(from)
+	if client == nil {
 		return core.Answer{} // refused at once, as by a machine without the process
 	}
-	r, err := h.Do(method, path, body, timeout)
+	response, err := client.Do(method, path, body, timeout)
 	if err != nil {
-		h.CloseIdle()
+		client.CloseIdle()
 		return core.Answer{}
 	}
-	if r.Status == statusMisdirected {
-		h.CloseIdle() // the worker goes to another controller
+	if response.Status == statusMisdirected {
+		client.CloseIdle() // the worker goes to another controller
 	}
-	t := c.workers
-	if from == userFrom {
-		t = c.users
+	traffic := c.workerTraffic
+	if from == userSender {
+		traffic = c.userTraffic
 	}
-	retry, _ := strconv.Atoi(r.RetryAfter)
-	t.Add(len(httpwire.AppendRequest(nil, method, path, c.listen, body)), len(httpwire.AppendResponse(nil, r.Status, r.Body, retry, r.Close)))
-	return core.Answer{Status: r.Status, Body: r.Body, RetryAfter: retry}
+	retry, _ := strconv.Atoi(response.RetryAfter)
+	traffic.Add(len(httpwire.AppendRequest(nil, method, path, c.listen, body)), len(httpwire.AppendResponse(nil, response.Status, response.Body, retry, response.Close)))
+	return core.Answer{Status: response.Status, Body: response.Body, RetryAfter: retry}
 }
 
-// sample reads the process's use of the machine.
-func (c *controller) sample() {
+// sampleUsage reads the process's use of the machine.
+func (c *controllerProcess) sampleUsage() {
 	if pid := c.pid(); pid != 0 {
-		if u, err := readUsage(pid); err == nil {
-			c.meter.add(pid, u, time.Now())
+		if used, err := readUsage(pid); err == nil {
+			c.usage.addSample(pid, used, time.Now())
 		}
 	}
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,8 +15,8 @@
 
 const smallExperiment = "../../experiments/small.toml"
 
-// TestFiles checks every experiment that comes with the project.
-func TestFiles(t *testing.T) {
+// TestExperimentFiles checks every experiment that comes with the project.
+func TestExperimentFiles(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatal("no experiments", err)
@@ -28,9 +28,9 @@
 	}
 }
 
-// TestParseNamesFields changes a good experiment in one place. The error has to name
+// TestParseNamesField changes a good experiment in one place. The error has to name
 // the field.
-func TestParseNamesFields(t *testing.T) {
+func TestParseNamesField(t *testing.T) {
 	data, err := os.ReadFile(smallExperiment)
 	if err != nil {
 		t.Fatal(err)
@@ -76,18 +76,18 @@
 // enough was seen.
 func runSmall(t *testing.T, ctx context.Context, enough func(*observer) bool, failures ...Failure) (*Report, string) {
 	t.Helper()
-	e, err := Load(smallExperiment)
+	experiment, err := Load(smallExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Scale(0.65)
-	e.Seconds, e.Failures = 100, failures
+	experiment.Scale(0.65)
+	experiment.Seconds, experiment.Failures = 100, failures
 	dir := t.TempDir()
-	rep, err := Run(ctx, e, Options{Command: []string{buildProgram(t), "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler), enough: enough})
+	rep, err := Run(ctx, experiment, Options{Command: []string{buildProgram(t), "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler), stopWhen: enough})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range rep.Broken {
+	for _, b := range rep.Violations {
 		t.Error(b)
 	}
 	return rep, dir
@@ -99,25 +99,25 @@
 func TestRunSurvivesFailures(t *testing.T) {
 	atZone := 0
 	enough := func(o *observer) bool {
-		if len(o.perSecond) == 8 {
+		if len(o.startsPerSecond) == 8 {
 			atZone = o.starts
 		}
-		return len(o.perSecond) > 9 && len(o.nextStarts) > 0 && o.killedTerm == 0 && o.starts > atZone
+		return len(o.startsPerSecond) > 9 && len(o.failoverTimes) > 0 && o.killedTerm == 0 && o.starts > atZone
 	}
 	rep, dir := runSmall(t, t.Context(), enough, Failure{AtS: 3, Kind: FailWorkers, Share: 0.2},
 		Failure{AtS: 3, Kind: FailLeader}, Failure{AtS: 7, Kind: FailZone, Zone: "west", ForS: 1})
-	if len(rep.NextStartS) == 0 {
+	if len(rep.FailoverStartS) == 0 {
 		t.Error("no task started after the leader's end")
 	}
 	if rep.Tasks == 0 || rep.Urgent.Count == 0 {
 		t.Errorf("%d tasks on machines, %d urgent ones started", rep.Tasks, rep.Urgent.Count)
 	}
 	leaders := 0
-	for _, r := range rep.Roles {
+	for _, r := range rep.Processes {
 		if r.Role == "leader" {
 			leaders++
 		}
-		if r.EndedByItself > 0 {
+		if r.UnexpectedEnds > 0 {
 			log, _ := os.ReadFile(filepath.Join(dir, r.Name+".log"))
 			t.Errorf("%s ended by itself:\n%s", r.Name, log)
 		}
@@ -127,9 +127,9 @@
 	}
 }
 
-// TestRunEndsItsProcesses interrupts a run. It has to report what it saw, and none of
+// TestRunKillsItsProcesses interrupts a run. It has to report what it saw, and none of
 // its controllers may be left.
-func TestRunEndsItsProcesses(t *testing.T) {
+func TestRunKillsItsProcesses(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	time.AfterFunc(2*time.Second, stop)
@@ -137,16 +137,16 @@
 	if !rep.Interrupted {
 		t.Error("the report does not tell of the interruption")
 	}
-	for deadline := time.Now().Add(time.Minute); running(t, dir); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(time.Minute); processesRunning(t, dir); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("controllers are left")
 		}
 	}
 }
 
-// running tells whether a process has a settings file of a directory among its
+// processesRunning tells whether a process has a settings file of a directory among its
 // arguments.
-func running(t *testing.T, dir string) bool {
+func processesRunning(t *testing.T, dir string) bool {
 	t.Helper()
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
--- a/internal/hollow/usage.go
+++ b/internal/hollow/process_usage.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// usage is what a process has used so far, and holds now.
-type usage struct {
-	cpu      time.Duration // user and system time
-	peakKB   int64         // most resident memory so far
-	readB    int64         // bytes of its read calls, sockets included
-	writtenB int64
-	sockets  int
+// processUsage is what a process has used so far, and holds now.
+type processUsage struct {
+	cpu          time.Duration // user and system time
+	peakKB       int64         // most resident memory so far
+	readBytes    int64         // bytes of its read calls, sockets included
+	writtenBytes int64
+	sockets      int
 }
 
 // clockTick is the unit of processor times in /proc; it is the same on all of
@@ -22,31 +22,31 @@
 const clockTick = 10 * time.Millisecond
 
 // readUsage reads what a process has used from /proc.
-func readUsage(pid int) (usage, error) {
+func readUsage(pid int) (processUsage, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
-	var u usage
+	var used processUsage
 	stat, err := os.ReadFile(dir + "/stat")
 	if err != nil {
-		return u, err
+		return used, err
 	}
 	// The name, in brackets, may hold spaces; the times are the 14th and 15th
 	// fields, the 12th and 13th behind it.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 13 {
-		return u, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
+		return used, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
 	}
 	for _, f := range fields[11:13] {
 		n, err := strconv.ParseInt(f, 10, 64)
 		if err != nil {
-			return u, err
+			return used, err
 		}
-		u.cpu += time.Duration(n) * clockTick
+		used.cpu += time.Duration(n) * clockTick
 	}
-	u.peakKB = readField(dir+"/status", "VmHWM:")
-	u.readB = readField(dir+"/io", "rchar:")
-	u.writtenB = readField(dir+"/io", "wchar:")
-	u.sockets = countSockets(dir + "/fd")
-	return u, nil
+	used.peakKB = readField(dir+"/status", "VmHWM:")
+	used.readBytes = readField(dir+"/io", "rchar:")
+	used.writtenBytes = readField(dir+"/io", "wchar:")
+	used.sockets = countSockets(dir + "/fd")
+	return used, nil
 }
 
 // readField reads a number behind a name; 0 if there is none.
@@ -72,32 +72,32 @@
 	return n
 }
 
-// meter adds up the usage of the processes that a role has had, one after the
+// processMeter adds up the usage of the processes that a role has had, one after the
 // other.
-type meter struct {
-	pid       int
-	last      usage
-	lastAt    time.Time
-	total     usage   // of all processes; the peak and the sockets are maxima
-	seconds   float64 // covered by samples
-	peakCores float64 // between two samples
+type processMeter struct {
+	pid        int
+	lastSample processUsage
+	lastAt     time.Time
+	total      processUsage // of all processes; the peak and the sockets are maxima
+	seconds    float64      // covered by samples
+	peakCores  float64      // between two samples
 	// steady is the same over the last part of the run, see begin.
 	steadyCPU     time.Duration
 	steadySeconds float64
 	steady        bool
 }
 
-// add takes a sample in.
-func (m *meter) add(pid int, u usage, at time.Time) {
-	base, from := m.last, m.lastAt
+// addSample takes a sample in.
+func (m *processMeter) addSample(pid int, u processUsage, at time.Time) {
+	base, from := m.lastSample, m.lastAt
 	if pid != m.pid {
-		base, from = usage{}, at
+		base, from = processUsage{}, at
 		m.pid = pid
 	}
 	used := u.cpu - base.cpu
 	m.total.cpu += used
-	m.total.readB += u.readB - base.readB
-	m.total.writtenB += u.writtenB - base.writtenB
+	m.total.readBytes += u.readBytes - base.readBytes
+	m.total.writtenBytes += u.writtenBytes - base.writtenBytes
 	m.total.peakKB = max(m.total.peakKB, u.peakKB)
 	m.total.sockets = max(m.total.sockets, u.sockets)
 	if d := at.Sub(from).Seconds(); d > 0 {
@@ -108,16 +108,18 @@
 			m.steadySeconds += d
 		}
 	}
-	m.last, m.lastAt = u, at
+	m.lastSample, m.lastAt = u, at
 }
 
 // cores is the mean number of cores used.
-func (m *meter) cores() float64 { return perSecond(m.total.cpu.Seconds(), m.seconds) }
+func (m *processMeter) cores() float64 { return perSecond(m.total.cpu.Seconds(), m.seconds) }
 
 // steadyCores is the mean over the last part of the run.
-func (m *meter) steadyCores() float64 { return perSecond(m.steadyCPU.Seconds(), m.steadySeconds) }
+func (m *processMeter) steadyCores() float64 {
+	return perSecond(m.steadyCPU.Seconds(), m.steadySeconds)
+}
 
-// perSecond divides by a time; 0 if there is none.
+// startsPerSecond divides by a time; 0 if there is none.
 func perSecond(v, seconds float64) float64 {
 	if seconds <= 0 {
 		return 0
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -27,118 +27,118 @@
 
 // regionRun is a run of several regions.
 type regionRun struct {
-	e       *Experiment
-	opts    Options
-	tally   *tally
-	runners []*runner
-	plan    *plan.Plan
-	links   map[string]*cutLink // by "from>to"
+	experiment *Experiment
+	options    Options
+	usage      *usageMeter
+	runners    []*runner
+	plan       *plan.Plan
+	links      map[string]*regionLink // by "from>to"
 
 	addresses *loopback.Claim // for the controllers of all regions
 }
 
-// regionPart is what a runner needs to know to play one region of several.
-type regionPart struct {
-	run     *regionRun
-	name    string
-	listen  []string // addresses for other regions, one for each controller
-	planned string   // path of its regions file
+// regionMember is what a runner needs to know to play one region of several.
+type regionMember struct {
+	run      *regionRun
+	name     string
+	listen   []string // addresses for other regions, one for each controller
+	planPath string   // path of its regions file
 }
 
 // runRegions runs an experiment with several regions and reports on each and on the teams'
 // use over all of them.
-func runRegions(ctx context.Context, e *Experiment, opts Options) (*Report, error) {
+func runRegions(ctx context.Context, experiment *Experiment, options Options) (*Report, error) {
 	claim, err := loopback.NewClaim()
 	if err != nil {
 		return nil, err
 	}
 	defer claim.Close() // after the processes have ended
-	g := &regionRun{e: e, opts: opts, tally: newTally(e), links: map[string]*cutLink{}, addresses: claim}
-	defer g.stop()
-	if err := g.prepare(); err != nil {
+	run := &regionRun{experiment: experiment, options: options, usage: newUsageMeter(experiment), links: map[string]*regionLink{}, addresses: claim}
+	defer run.close()
+	if err := run.prepare(); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	g.planFailures()
-	reports := make([]*Report, len(g.runners))
+	run.scheduleFailures()
+	reports := make([]*Report, len(run.runners))
 	var playing sync.WaitGroup
-	for i, r := range g.runners {
-		playing.Go(func() { reports[i] = r.play(ctx) })
+	for i, runner := range run.runners {
+		playing.Go(func() { reports[i] = runner.run(ctx) })
 	}
-	stopHistory := g.keepHistory()
+	stopHistory := run.recordHistory()
 	playing.Wait()
 	stopHistory()
-	return g.report(reports), nil
+	return run.combineReports(reports), nil
 }
 
 // prepare makes the regions' runners and the links between them.
 func (g *regionRun) prepare() error {
-	addresses := make([][]string, len(g.e.Regions))
+	addresses := make([][]string, len(g.experiment.Regions))
 	for i := range addresses {
 		var err error
-		if addresses[i], err = controllerAddresses(g.addresses, g.e.Controllers); err != nil {
+		if addresses[i], err = controllerAddresses(g.addresses, g.experiment.Controllers); err != nil {
 			return err
 		}
 	}
-	g.plan = g.planOf(addresses)
-	for i, region := range g.e.Regions {
-		part := &regionPart{run: g, name: region.Name, listen: addresses[i]}
-		dir := filepath.Join(g.opts.Dir, region.Name)
+	g.plan = g.newPlan(addresses)
+	for i, region := range g.experiment.Regions {
+		part := &regionMember{run: g, name: region.Name, listen: addresses[i]}
+		dir := filepath.Join(g.options.Dir, region.Name)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
 		var err error
-		if part.planned, err = g.writePlan(i, dir); err != nil {
+		if part.planPath, err = g.writePlan(i, dir); err != nil {
 			return err
 		}
-		opts := g.opts
-		opts.Dir, opts.Log = dir, opts.Log.With("region", region.Name)
-		opts.Progress = nil
-		r := newRunner(g.experimentOf(i), opts, g.addresses)
-		r.region = part
-		g.runners = append(g.runners, r)
-		if err := r.prepare(); err != nil {
+		options := g.options
+		options.Dir, options.Log = dir, options.Log.With("region", region.Name)
+		options.Progress = nil
+		runner := newRunner(g.regionExperiment(i), options, g.addresses)
+		runner.region = part
+		g.runners = append(g.runners, runner)
+		if err := runner.prepare(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// experimentOf is what one region plays.
-func (g *regionRun) experimentOf(i int) *Experiment {
-	e := *g.e
-	e.Name, e.Seed, e.Failures = g.e.Regions[i].Name, g.e.Seed+uint64(i), nil
-	e.Jobs = slices.Clone(g.e.Jobs)
+// regionExperiment is what one region plays.
+func (g *regionRun) regionExperiment(i int) *Experiment {
+	e := *g.experiment
+	e.Name, e.Seed, e.Failures = g.experiment.Regions[i].Name, g.experiment.Seed+uint64(i), nil
+	e.Jobs = slices.Clone(g.experiment.Jobs)
 	for k := range e.Jobs {
-		e.Jobs[k].Initial = int(float64(e.Jobs[k].Initial) * g.e.Regions[i].Load)
-		e.Jobs[k].PerSecond *= g.e.Regions[i].Load
+		e.Jobs[k].InitialTasks = int(float64(e.Jobs[k].InitialTasks) * g.experiment.Regions[i].Load)
+		e.Jobs[k].TasksPerSecond *= g.experiment.Regions[i].Load
 	}
 	return &e
 }
 
-// planOf divides the teams' limits among the regions, in whole CPUs and GPUs.
-func (g *regionRun) planOf(addresses [][]string) *plan.Plan {
-	p := &plan.Plan{}
-	for i, r := range g.e.Regions {
-		p.Regions = append(p.Regions, plan.Region{Name: r.Name, Controllers: addresses[i]})
+// newPlan divides the teams' limits among the regions, in whole CPUs and GPUs.
+func (g *regionRun) newPlan(addresses [][]string) *plan.Plan {
+	quotaPlan := &plan.Plan{}
+	for i, region := range g.experiment.Regions {
+		quotaPlan.Regions = append(quotaPlan.Regions, plan.Region{Name: region.Name, Controllers: addresses[i]})
 	}
-	for i := range g.e.Teams.Count {
-		limit := g.e.teamLimit()
-		t := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
+	for i := range g.experiment.Teams.Count {
+		limit := g.experiment.teamLimit()
+		team := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
 		cpus, gpus := limit.CPUsMax, limit.GPUsMax
-		for k, r := range g.e.Regions {
-			s := plan.Share{Region: r.Name, CPUsOwned: float64(int(limit.CPUsMax * r.Owned)), GPUsOwned: float64(int(limit.GPUsMax * r.Owned))}
-			if k == len(g.e.Regions)-1 {
-				s.CPUsOwned, s.GPUsOwned = cpus, gpus // what is left
+		for k, region := range g.experiment.Regions {
+			share := plan.Share{Region: region.Name, CPUsOwned: float64(int(limit.CPUsMax * region.Owned)), GPUsOwned: float64(int(limit.GPUsMax * region.Owned))}
+			if k == len(g.experiment.Regions)-1 {
+				share.CPUsOwned, share.GPUsOwned = cpus, gpus // what is left
 			}
-			cpus, gpus = cpus-s.CPUsOwned, gpus-s.GPUsOwned
-			s.CPUs, s.GPUs = float64(int(min(s.CPUsOwned, limit.CPUs*r.Owned))), float64(int(min(s.GPUsOwned, limit.GPUs*r.Owned)))
-			t.Shares = append(t.Shares, s)
+			cpus, gpus = cpus-share.CPUsOwned, gpus-share.GPUsOwned
+			share.CPUs, share.GPUs = float64(int(min(share.CPUsOwned, limit.CPUs*region.Owned))), float64(int(min(share.GPUsOwned, limit.GPUs*region.Owned)))
+			team.Shares = append(team.Shares, share)
 		}
-		p.Teams = append(p.Teams, t)
+		quotaPlan.Teams = append(quotaPlan.Teams, team)
 	}
-	return p
+	return quotaPlan
 }
 
 // writePlan writes a region's file. Other regions' controllers stand in it with the addresses
@@ -146,21 +146,21 @@
 func (g *regionRun) writePlan(i int, dir string) (string, error) {
 	own := *g.plan
 	own.Regions = slices.Clone(g.plan.Regions)
-	for k := range own.Regions {
-		if k == i {
+	for other := range own.Regions {
+		if other == i {
 			continue
 		}
-		link := &cutLink{}
-		g.links[own.Regions[i].Name+">"+own.Regions[k].Name] = link
+		link := &regionLink{}
+		g.links[own.Regions[i].Name+">"+own.Regions[other].Name] = link
 		var through []string
-		for _, addr := range g.plan.Regions[k].Controllers {
+		for _, addr := range g.plan.Regions[other].Controllers {
 			at, err := link.listen(addr)
 			if err != nil {
 				return "", err
 			}
 			through = append(through, at)
 		}
-		own.Regions[k].Controllers = through
+		own.Regions[other].Controllers = through
 	}
 	path := filepath.Join(dir, "regions.toml")
 	f, err := os.Create(path)
@@ -170,69 +170,69 @@
 	return path, errors.Join(toml.NewEncoder(f).Encode(own), f.Close())
 }
 
-// planFailures brings about the failures, in the region that each names.
-func (g *regionRun) planFailures() {
-	for _, f := range g.e.Failures {
-		for i, r := range g.runners {
+// scheduleFailures brings about the failures, in the region that each names.
+func (g *regionRun) scheduleFailures() {
+	for _, failure := range g.experiment.Failures {
+		for i, runner := range g.runners {
 			switch {
-			case f.Region != "" && g.e.Regions[i].Name != f.Region:
-			case f.Kind == FailCut:
-				r.live.After(seconds(f.AtS), func() { g.cut(f) })
+			case failure.Region != "" && g.experiment.Regions[i].Name != failure.Region:
+			case failure.Kind == FailRegionLink:
+				runner.live.After(seconds(failure.AtS), func() { g.partition(failure) })
 			default:
-				r.live.After(seconds(f.AtS), func() { r.fail(f) })
+				runner.live.After(seconds(failure.AtS), func() { runner.injectFailure(failure) })
 			}
 		}
 	}
 }
 
-// cut has nothing pass from a region to another, or to all others, for a while.
-func (g *regionRun) cut(f Failure) {
-	g.opts.Log.Info("failure", "kind", f.Kind, "region", f.Region, "to", f.To, "both", f.Both, "for_s", f.ForS)
-	for _, r := range g.e.Regions {
-		if r.Name == f.Region || f.To != "" && f.To != r.Name {
+// partition has nothing pass from a region to another, or to all others, for a while.
+func (g *regionRun) partition(failure Failure) {
+	g.options.Log.Info("failure", "kind", failure.Kind, "region", failure.Region, "to", failure.To, "both", failure.BothWays, "for_s", failure.ForS)
+	for _, region := range g.experiment.Regions {
+		if region.Name == failure.Region || failure.To != "" && failure.To != region.Name {
 			continue
 		}
-		g.links[f.Region+">"+r.Name].cut(seconds(f.ForS))
-		if f.Both {
-			g.links[r.Name+">"+f.Region].cut(seconds(f.ForS))
+		g.links[failure.Region+">"+region.Name].partition(seconds(failure.ForS))
+		if failure.BothWays {
+			g.links[region.Name+">"+failure.Region].partition(seconds(failure.ForS))
 		}
 	}
 }
 
-// stop ends all processes and closes the links.
-func (g *regionRun) stop() {
-	for _, r := range g.runners {
-		r.stop()
+// close ends all processes and closes the links.
+func (g *regionRun) close() {
+	for _, runner := range g.runners {
+		runner.close()
 	}
-	for _, l := range g.links {
-		l.close()
+	for _, link := range g.links {
+		link.close()
 	}
 }
 
-// report gathers the regions' reports and the teams' use.
-func (g *regionRun) report(reports []*Report) *Report {
-	rep := &Report{Experiment: g.e.Name, Regions: reports, Teams: g.tally.report(), History: g.tally.history}
+// combineReports gathers the regions' reports and the teams' use.
+func (g *regionRun) combineReports(reports []*Report) *Report {
+	rep := &Report{Experiment: g.experiment.Name, Regions: reports, Teams: g.usage.report(), History: g.usage.history}
 	for _, r := range reports {
 		rep.Seconds = max(rep.Seconds, r.Seconds)
 		rep.Interrupted = rep.Interrupted || r.Interrupted
-		for _, b := range r.Broken {
-			rep.Broken = append(rep.Broken, r.Experiment+": "+b)
+		for _, b := range r.Violations {
+			rep.Violations = append(rep.Violations, r.Experiment+": "+b)
 		}
 	}
-	rep.Broken = append(rep.Broken, g.tally.faults()...)
+	rep.Violations = append(rep.Violations, g.usage.limitViolations()...)
 	return rep
 }
 
-// historyEvery is the time between two points of a history.
-const historyEvery = 250 * time.Millisecond
+// historyInterval is the time between two points of a history.
+const historyInterval = 250 * time.Millisecond
 
-// keepHistory notes what teams use and regions own, until the function that it returns is called.
-func (g *regionRun) keepHistory() (stop func()) {
+// recordHistory notes what teams use and regions own, until the function that it returns is called.
+func (g *regionRun) recordHistory() (stop func()) {
 	done, ended := make(chan struct{}), make(chan struct{})
 	began, told := time.Now(), time.Now()
 	go func() {
 		defer close(ended)
-		tick := time.NewTicker(historyEvery)
+		tick := time.NewTicker(historyInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -240,10 +240,10 @@
 				return
 			case <-tick.C:
 			}
-			g.tally.sample(time.Since(began), g.runners)
-			if g.opts.Progress != nil && time.Since(told) >= g.opts.ProgressEvery {
+			g.usage.sample(time.Since(began), g.runners)
+			if g.options.Progress != nil && time.Since(told) >= g.options.ProgressEvery {
 				told = time.Now()
-				g.tally.progress(g.opts.Progress, time.Since(began), g.e.Seconds)
+				g.usage.writeProgress(g.options.Progress, time.Since(began), g.experiment.Seconds)
 			}
 		}
 	}()
@@ -254,9 +254,9 @@
 }
 
 // WriteTeams writes what teams used over all regions.
-func (rep *Report) writeTeams(w io.Writer) {
+func (rep *Report) writeTeamTable(w io.Writer) {
 	fmt.Fprintln(w, "team over all regions\tGPUs most used\tceiling\tCPUs most used\tceiling")
 	for _, t := range rep.Teams {
-		fmt.Fprintf(w, "%s\t%g\t%g\t%g\t%g\n", t.Name, t.MostGPUs, t.CeilingGPUs, t.MostCPUs, t.CeilingCPUs)
+		fmt.Fprintf(w, "%s\t%g\t%g\t%g\t%g\n", t.Name, t.PeakGPUs, t.GPULimit, t.PeakCPUs, t.CPULimit)
 	}
 }
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -17,19 +17,19 @@
 // another loses all its controllers. No team may use more than its ceiling at any moment, every
 // region has to start work, and shares have to move.
 func TestRegionsByProcesses(t *testing.T) {
-	e, err := Load("../../experiments/regions.toml")
+	experiment, err := Load("../../experiments/regions.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	e.Seconds = 14
-	e.Failures = []Failure{
+	experiment.Seconds = 14
+	experiment.Failures = []Failure{
 		{AtS: 4, Kind: FailLeader, Region: "north"},
-		{AtS: 5, Kind: FailCut, Region: "west", Both: true, ForS: 2},
+		{AtS: 5, Kind: FailRegionLink, Region: "west", BothWays: true, ForS: 2},
 		{AtS: 7, Kind: FailAll, Region: "south"},
 	}
 	program, dir := buildProgram(t), t.TempDir()
 	var shown *report.Report
-	rep, err := Run(context.Background(), e, Options{Command: []string{program, "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler),
+	rep, err := Run(context.Background(), experiment, Options{Command: []string{program, "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler),
 		Progress: progressFunc(func() {
 			if shown != nil {
 				return
@@ -42,22 +42,22 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range rep.Broken {
+	for _, b := range rep.Violations {
 		t.Error(b)
 	}
 	for _, r := range rep.Regions {
 		if r.StartsSent == 0 {
 			t.Errorf("%s started nothing", r.Experiment)
 		}
-		for _, p := range r.Roles {
-			if p.EndedByItself > 0 {
+		for _, p := range r.Processes {
+			if p.UnexpectedEnds > 0 {
 				t.Errorf("%s of %s ended by itself", p.Name, r.Experiment)
 			}
 		}
 	}
 	most := 0.0
 	for _, team := range rep.Teams {
-		most = max(most, team.MostGPUs/team.CeilingGPUs)
+		most = max(most, team.PeakGPUs/team.GPULimit)
 	}
 	if most < 0.5 {
 		t.Errorf("no team used half of its ceiling: %+v", rep.Teams)
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"github.com/brookwalk/brookwalk/internal/httpserve"
 	"io"
 	"maps"
 	"os"
@@ -12,6 +11,8 @@
 	"text/tabwriter"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/httpserve"
+
 	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/brookwalk/brookwalk/internal/history"
 	"github.com/brookwalk/brookwalk/internal/sim"
@@ -24,37 +25,37 @@
 	Seconds     float64 `json:"seconds"`
 	Interrupted bool    `json:"interrupted"`
 
-	Workers     int `json:"workers"` // up at the end
-	Tasks       int `json:"tasks"`   // on machines at the end
-	Jobs        int `json:"jobs"`    // accepted and not over at the end
-	Accepted    int `json:"jobs_accepted"`
-	StartsSent  int `json:"start_commands"`
-	LeaseLosses int `json:"tasks_lost_with_a_lease"`
+	Workers      int `json:"workers"` // up at the end
+	Tasks        int `json:"tasks"`   // on machines at the end
+	Jobs         int `json:"jobs"`    // accepted and not over at the end
+	Accepted     int `json:"jobs_accepted"`
+	StartsSent   int `json:"start_commands"`
+	ExpiredTasks int `json:"tasks_lost_with_a_lease"`
 
-	Roles    []Role             `json:"roles"`
-	Channels map[string]Channel `json:"channels"`
+	Processes []ProcessReport    `json:"roles"`
+	Channels  map[string]Channel `json:"channels"`
 
-	StateKeys    int     `json:"state_keys"`
-	StateChanges float64 `json:"state_changes_a_second"`
-	StateRefused int     `json:"state_refused_for_rates"`
-	StartsPeak   float64 `json:"starts_a_second_peak"` // mean of the best 5 s
-	StartsMean   float64 `json:"starts_a_second"`
-	Urgent       Wait    `json:"urgent_wait"`
+	StoreKeys        int       `json:"state_keys"`
+	StoreChangesPerS float64   `json:"state_changes_a_second"`
+	StoreThrottled   int       `json:"state_refused_for_rates"`
+	StartsPeak       float64   `json:"starts_a_second_peak"` // mean of the best 5 s
+	StartsMean       float64   `json:"starts_a_second"`
+	Urgent           WaitStats `json:"urgent_wait"`
 
-	Waits            map[string]Wait `json:"waits"`
-	NextStartS       []float64       `json:"next_start_after_leader_s"`
-	NoStartAfterKill int             `json:"leaders_without_a_next_start"`
-	Broken           []string        `json:"rules_broken"`
+	Waits                 map[string]WaitStats `json:"waits"`
+	FailoverStartS        []float64            `json:"next_start_after_leader_s"`
+	FailoversWithoutStart int                  `json:"leaders_without_a_next_start"`
+	Violations            []string             `json:"rules_broken"`
 
 	// Of a run of several regions: each region's report, and the teams' use over all of them.
-	Regions []*Report `json:"regions,omitempty"`
-	Teams   []TeamUse `json:"teams,omitempty"`
+	Regions []*Report   `json:"regions,omitempty"`
+	Teams   []TeamUsage `json:"teams,omitempty"`
 	// History is the course of the run.
 	History *history.Log `json:"-"`
 }
 
-// Role is what one process has used.
-type Role struct {
+// ProcessReport is what one process has used.
+type ProcessReport struct {
 	Name             string  `json:"name"`
 	Role             string  `json:"role"` // leader, follower (at the end) or stand-ins
 	Cores            float64 `json:"cores"`
@@ -65,7 +66,7 @@
 	WrittenBytesPerS float64 `json:"written_bytes_per_s"`
 	Sockets          int     `json:"sockets"`
 	Starts           int     `json:"starts"`
-	EndedByItself    int     `json:"ended_by_itself"`
+	UnexpectedEnds   int     `json:"ended_by_itself"`
 }
 
 // Channel is what passed between the controllers and one kind of stand-in.
@@ -75,9 +76,9 @@
 	OutBytesPerS float64 `json:"response_bytes_per_s"`
 }
 
-// Wait is how long tasks waited from the first attempt to submit their job to their
+// WaitStats is how long tasks waited from the first attempt to submit their job to their
 // first start.
-type Wait struct {
+type WaitStats struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_s"`
 	P90   float64 `json:"p90_s"`
@@ -85,58 +86,58 @@
 	Max   float64 `json:"max_s"`
 }
 
-func waitOf(h *hdrhistogram.Histogram) Wait {
+func waitStats(h *hdrhistogram.Histogram) WaitStats {
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / 1000 }
-	return Wait{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: float64(h.Max()) / 1000}
+	return WaitStats{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), Max: float64(h.Max()) / 1000}
 }
 
 // report gathers the report of a run that took a time.
 func (r *runner) report(ran time.Duration) *Report {
-	var c sim.Counts
+	var counts sim.Counts
 	leader := -1
 	r.live.Do(func() {
-		c = r.live.Counts()
+		counts = r.live.Counts()
 		if i, ok := r.live.Leader(); ok {
 			leader = i
 		}
 	})
-	o := r.observer
-	rep := &Report{Experiment: r.e.Name, Seconds: ran.Seconds(), Workers: c.Workers, Tasks: c.Tasks, Jobs: c.Jobs, Accepted: c.Accepted,
-		StartsSent: c.Starts, LeaseLosses: c.LeaseLosses, NextStartS: []float64{}, StateKeys: c.Keys, StateChanges: perSecond(float64(c.Changes), ran.Seconds()), StateRefused: c.StateRefused,
-		StartsPeak: o.peakStarts(), StartsMean: perSecond(float64(o.starts), ran.Seconds()), Urgent: waitOf(o.urgent),
-		History: r.history, Waits: map[string]Wait{}, NoStartAfterKill: o.interrupted, Broken: append([]string{}, c.Broken...)}
-	if o.killedTerm != 0 {
-		rep.NoStartAfterKill++
+	observer := r.observer
+	rep := &Report{Experiment: r.experiment.Name, Seconds: ran.Seconds(), Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.Jobs, Accepted: counts.Accepted,
+		StartsSent: counts.Starts, ExpiredTasks: counts.ExpiredTasks, FailoverStartS: []float64{}, StoreKeys: counts.StoreKeys, StoreChangesPerS: perSecond(float64(counts.StoreChanges), ran.Seconds()), StoreThrottled: counts.StoreThrottled,
+		StartsPeak: observer.peakStarts(), StartsMean: perSecond(float64(observer.starts), ran.Seconds()), Urgent: waitStats(observer.urgentWaits),
+		History: r.history, Waits: map[string]WaitStats{}, FailoversWithoutStart: observer.failoversWithoutStart, Violations: append([]string{}, counts.Violations...)}
+	if observer.killedTerm != 0 {
+		rep.FailoversWithoutStart++
 	}
-	for class, h := range o.waits {
-		rep.Waits[class] = waitOf(h)
+	for class, h := range observer.waits {
+		rep.Waits[class] = waitStats(h)
 	}
-	for _, d := range o.nextStarts {
-		rep.NextStartS = append(rep.NextStartS, d.Seconds())
+	for _, d := range observer.failoverTimes {
+		rep.FailoverStartS = append(rep.FailoverStartS, d.Seconds())
 	}
-	for i, k := range r.controllers {
+	for i, controller := range r.controllers {
 		role := "follower"
 		if i == leader {
 			role = "leader"
 		}
-		rep.Roles = append(rep.Roles, roleOf(k.name, role, &k.meter, k.starts, k.ended))
+		rep.Processes = append(rep.Processes, newProcessReport(controller.name, role, &controller.usage, controller.starts, controller.unexpectedEnds))
 	}
-	rep.Roles = append(rep.Roles, roleOf("stand-ins", "stand-ins", &r.own, 1, 0))
+	rep.Processes = append(rep.Processes, newProcessReport("stand-ins", "stand-ins", &r.standInUsage, 1, 0))
 	rep.Channels = map[string]Channel{
-		"workers' reports": channelOf(&r.workers, ran), "direct commands": channelOf(&r.commands, ran), "users": channelOf(&r.users, ran),
-		"state service": channelOf(&r.state, ran), "cloud": channelOf(&r.cloud, ran),
+		"workers' reports": newChannel(&r.workerTraffic, ran), "direct commands": newChannel(&r.commandTraffic, ran), "users": newChannel(&r.userTraffic, ran),
+		"state service": newChannel(&r.storeTraffic, ran), "cloud": newChannel(&r.cloudTraffic, ran),
 	}
 	rep.Channels["between controllers"] = r.peerChannel(ran)
 	return rep
 }
 
-func roleOf(name, role string, m *meter, starts, ended int) Role {
-	return Role{Name: name, Role: role, Cores: m.cores(), CoresSteady: m.steadyCores(), CoresPeak: m.peakCores,
-		PeakMemoryMB: float64(m.total.peakKB) / 1024, ReadBytesPerS: perSecond(float64(m.total.readB), m.seconds),
-		WrittenBytesPerS: perSecond(float64(m.total.writtenB), m.seconds), Sockets: m.total.sockets, Starts: starts, EndedByItself: ended}
+func newProcessReport(name, role string, m *processMeter, starts, ended int) ProcessReport {
+	return ProcessReport{Name: name, Role: role, Cores: m.cores(), CoresSteady: m.steadyCores(), CoresPeak: m.peakCores,
+		PeakMemoryMB: float64(m.total.peakKB) / 1024, ReadBytesPerS: perSecond(float64(m.total.readBytes), m.seconds),
+		WrittenBytesPerS: perSecond(float64(m.total.writtenBytes), m.seconds), Sockets: m.total.sockets, Starts: starts, UnexpectedEnds: ended}
 }
 
-func channelOf(t *httpserve.Traffic, ran time.Duration) Channel {
+func newChannel(t *httpserve.Traffic, ran time.Duration) Channel {
 	s := ran.Seconds()
 	return Channel{perSecond(float64(t.Requests.Load()), s), perSecond(float64(t.RequestBytes.Load()), s), perSecond(float64(t.ResponseBytes.Load()), s)}
 }
@@ -145,13 +146,13 @@
 // the stand-ins sent them. Messages are not counted there.
 func (r *runner) peerChannel(ran time.Duration) Channel {
 	read := int64(0)
-	for _, c := range r.controllers {
-		read += c.meter.total.readB
+	for _, controller := range r.controllers {
+		read += controller.usage.total.readBytes
 	}
-	for _, t := range []*httpserve.Traffic{&r.workers, &r.users} {
+	for _, t := range []*httpserve.Traffic{&r.workerTraffic, &r.userTraffic} {
 		read -= t.RequestBytes.Load()
 	}
-	for _, t := range []*httpserve.Traffic{&r.commands, &r.state, &r.cloud} {
+	for _, t := range []*httpserve.Traffic{&r.commandTraffic, &r.storeTraffic, &r.cloudTraffic} {
 		read -= t.ResponseBytes.Load()
 	}
 	return Channel{InBytesPerS: perSecond(float64(max(0, read)), ran.Seconds())}
@@ -168,7 +169,7 @@
 
 // WriteTable writes a short table.
 func (rep *Report) WriteTable(out io.Writer) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(rep.Regions) > 0 {
 		for _, r := range rep.Regions {
 			if err := r.WriteTable(out); err != nil {
@@ -176,36 +177,36 @@
 			}
 			fmt.Fprintln(out)
 		}
-		rep.writeTeams(w)
-		rep.writeBroken(w)
-		return w.Flush()
+		rep.writeTeamTable(table)
+		rep.writeViolations(table)
+		return table.Flush()
 	}
-	fmt.Fprintf(w, "%s: %.0f s, %d workers, %d tasks on machines, %d jobs (%d accepted)\n", rep.Experiment, rep.Seconds, rep.Workers, rep.Tasks, rep.Jobs, rep.Accepted)
-	fmt.Fprintln(w, "process\trole\tcores\tsteady\tpeak\tmemory MB\tread KB/s\twritten KB/s\tsockets")
-	for _, r := range rep.Roles {
-		fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.2f\t%.0f\t%.0f\t%.0f\t%d\n", r.Name, r.Role, r.Cores, r.CoresSteady, r.CoresPeak,
+	fmt.Fprintf(table, "%s: %.0f s, %d workers, %d tasks on machines, %d jobs (%d accepted)\n", rep.Experiment, rep.Seconds, rep.Workers, rep.Tasks, rep.Jobs, rep.Accepted)
+	fmt.Fprintln(table, "process\trole\tcores\tsteady\tpeak\tmemory MB\tread KB/s\twritten KB/s\tsockets")
+	for _, r := range rep.Processes {
+		fmt.Fprintf(table, "%s\t%s\t%.3f\t%.3f\t%.2f\t%.0f\t%.0f\t%.0f\t%d\n", r.Name, r.Role, r.Cores, r.CoresSteady, r.CoresPeak,
 			r.PeakMemoryMB, r.ReadBytesPerS/1024, r.WrittenBytesPerS/1024, r.Sockets)
 	}
-	fmt.Fprintln(w, "channel\tmessages/s\trequests KB/s\tanswers KB/s")
+	fmt.Fprintln(table, "channel\tmessages/s\trequests KB/s\tanswers KB/s")
 	for _, name := range slices.Sorted(maps.Keys(rep.Channels)) {
 		c := rep.Channels[name]
-		fmt.Fprintf(w, "%s\t%.1f\t%.1f\t%.1f\n", name, c.MessagesPerS, c.InBytesPerS/1024, c.OutBytesPerS/1024)
+		fmt.Fprintf(table, "%s\t%.1f\t%.1f\t%.1f\n", name, c.MessagesPerS, c.InBytesPerS/1024, c.OutBytesPerS/1024)
 	}
-	fmt.Fprintln(w, "wait\ttasks\tp50 s\tp90 s\tp99 s\tmax s")
+	fmt.Fprintln(table, "wait\ttasks\tp50 s\tp90 s\tp99 s\tmax s")
 	for _, class := range slices.Sorted(maps.Keys(rep.Waits)) {
-		rep.Waits[class].row(w, class)
+		rep.Waits[class].writeRow(table, class)
 	}
-	rep.Urgent.row(w, "urgent and critical")
-	fmt.Fprintf(w, "state service: %d keys, %.0f changes a second, %d requests refused for its rates\n", rep.StateKeys, rep.StateChanges, rep.StateRefused)
-	fmt.Fprintf(w, "starts a second: %.0f on average, %.0f at the peak; next start after a leader's end: %.2f s\n", rep.StartsMean, rep.StartsPeak, rep.NextStartS)
-	rep.writeBroken(w)
-	return w.Flush()
+	rep.Urgent.writeRow(table, "urgent and critical")
+	fmt.Fprintf(table, "state service: %d keys, %.0f changes a second, %d requests refused for its rates\n", rep.StoreKeys, rep.StoreChangesPerS, rep.StoreThrottled)
+	fmt.Fprintf(table, "starts a second: %.0f on average, %.0f at the peak; next start after a leader's end: %.2f s\n", rep.StartsMean, rep.StartsPeak, rep.FailoverStartS)
+	rep.writeViolations(table)
+	return table.Flush()
 }
 
-// writeBroken writes which rules were broken.
-func (rep *Report) writeBroken(w io.Writer) {
-	fmt.Fprintf(w, "rules broken: %d\n", len(rep.Broken))
-	for _, b := range rep.Broken[:min(len(rep.Broken), 10)] {
+// writeViolations writes which rules were broken.
+func (rep *Report) writeViolations(w io.Writer) {
+	fmt.Fprintf(w, "rules broken: %d\n", len(rep.Violations))
+	for _, b := range rep.Violations[:min(len(rep.Violations), 10)] {
 		fmt.Fprintln(w, " ", b)
 	}
 }
@@ -219,6 +220,6 @@
 	return rep.History.WritePage(path, "Run of "+rep.Experiment, table.String())
 }
 
-func (v Wait) row(w io.Writer, name string) {
+func (v WaitStats) writeRow(w io.Writer, name string) {
 	fmt.Fprintf(w, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\n", name, v.Count, v.P50, v.P90, v.P99, v.Max)
 }
--- a/internal/httpserve/server.go
+++ b/internal/httpserve/server.go
@@ -38,7 +38,7 @@
 // Server serves one address.
 type Server struct {
 	listener net.Listener
-	handle   Handler
+	handler  Handler
 	traffic  *Traffic
 
 	mu    sync.Mutex
@@ -46,18 +46,18 @@
 }
 
 // Listen begins to serve an address; port 0 takes a free port. The traffic is counted in t.
-func Listen(addr string, t *Traffic, h Handler) (*Server, error) {
-	l, err := net.Listen("tcp4", addr)
+func Listen(addr string, traffic *Traffic, handler Handler) (*Server, error) {
+	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
 		return nil, err
 	}
-	s := newServer(l, t, h)
+	s := newServer(listener, traffic, handler)
 	go s.accept()
 	return s, nil
 }
 
-func newServer(l net.Listener, t *Traffic, h Handler) *Server {
-	return &Server{listener: l, handle: h, traffic: t, conns: map[net.Conn]bool{}}
+func newServer(listener net.Listener, traffic *Traffic, handler Handler) *Server {
+	return &Server{listener: listener, handler: handler, traffic: traffic, conns: map[net.Conn]bool{}}
 }
 
 // Addr is the address that is served.
@@ -77,8 +77,8 @@
 	s.conns = nil
 }
 
-// opened notes a connection; false if all are closed.
-func (s *Server) opened(c net.Conn) bool {
+// trackConn notes a connection; false if all are closed.
+func (s *Server) trackConn(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
@@ -88,7 +88,7 @@
 	return true
 }
 
-func (s *Server) ended(c net.Conn) {
+func (s *Server) untrackConn(c net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
@@ -96,89 +96,89 @@
 
 func (s *Server) accept() {
 	for {
-		c, err := s.listener.Accept()
+		conn, err := s.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			time.Sleep(acceptRetry) // no file descriptor is free just now
+			time.Sleep(acceptRetryDelay) // no file descriptor is free just now
 		default:
-			go s.serve(c)
+			go s.serve(conn)
 		}
 	}
 }
 
-// acceptRetry is how long after a connection that could not be taken the next one is.
-const acceptRetry = 20 * time.Millisecond
+// acceptRetryDelay is how long after a connection that could not be taken the next one is.
+const acceptRetryDelay = 20 * time.Millisecond
 
-// maxHold is longer than any request waits for its answer: a watch takes the
+// answerTimeout is longer than any request waits for its answer: a watch takes the
 // longest.
-const maxHold = 70 * time.Second
+const answerTimeout = 70 * time.Second
 
-// readSize is how much room a read has at the least.
-const readSize = 4 << 10
+// minReadBytes is how much room a read has at the least.
+const minReadBytes = 4 << 10
 
 // serve answers the requests of one connection, one after the other.
-func (s *Server) serve(c net.Conn) {
-	defer c.Close()
-	if !s.opened(c) {
+func (s *Server) serve(conn net.Conn) {
+	defer conn.Close()
+	if !s.trackConn(conn) {
 		return
 	}
-	defer s.ended(c)
-	var in []byte
+	defer s.untrackConn(conn)
+	var input []byte
 	for {
-		r, n, err := httpwire.ParseRequest(in)
+		request, size, err := httpwire.ParseRequest(input)
 		switch {
-		case errors.Is(err, httpwire.ErrPartial):
-			if in, err = readMore(c, in); err != nil {
+		case errors.Is(err, httpwire.ErrIncomplete):
+			if input, err = readMore(conn, input); err != nil {
 				return
 			}
 			continue
 		case err != nil:
 			return
 		}
-		in = append(in[:0], in[n:]...)
-		out, ok := s.answer(r)
+		input = append(input[:0], input[size:]...)
+		output, ok := s.respond(request)
 		if !ok {
 			return
 		}
-		s.traffic.Add(n, len(out))
-		if _, err := c.Write(out); err != nil || r.Close {
+		s.traffic.Add(size, len(output))
+		if _, err := conn.Write(output); err != nil || request.Close {
 			return
 		}
 	}
 }
 
 // readMore reads what has arrived behind what is there.
-func readMore(c net.Conn, in []byte) ([]byte, error) {
-	if cap(in)-len(in) < readSize {
-		in = append(make([]byte, 0, 2*cap(in)+readSize), in...)
+func readMore(conn net.Conn, input []byte) ([]byte, error) {
+	if cap(input)-len(input) < minReadBytes {
+		input = append(make([]byte, 0, 2*cap(input)+minReadBytes), input...)
 	}
-	n, err := c.Read(in[len(in):cap(in)])
-	return in[:len(in)+n], err
+	n, err := conn.Read(input[len(input):cap(input)])
+	return input[:len(input)+n], err
 }
 
-// answer is the response to a request; false if none comes.
-func (s *Server) answer(r *httpwire.Request) ([]byte, bool) {
+// respond is the response to a request; false if none comes.
+func (s *Server) respond(request *httpwire.Request) ([]byte, bool) {
 	done := make(chan Response, 1)
-	s.handle(r, func(a Response) {
+	s.handler(request, func(response Response) {
 		select {
-		case done <- a:
+		case done <- response:
 		default:
 		}
 	})
-	wait := time.NewTimer(maxHold)
-	defer wait.Stop()
+	timer := time.NewTimer(answerTimeout)
+	defer timer.Stop()
 	select {
-	case a := <-done:
-		return httpwire.AppendResponse(nil, a.Status, a.Body, a.RetryAfter, false), true
-	case <-wait.C:
+	case response := <-done:
+		return httpwire.AppendResponse(nil, response.Status, response.Body, response.RetryAfter, false), true
+	case <-timer.C:
 		return nil, false
 	}
 }
 
-// Target is a request's path with its query.
-func Target(r *httpwire.Request) string {
+// RequestTarget is a request's path with its query.
+func RequestTarget(r *httpwire.Request) string {
 	if r.Query == "" {
 		return r.Path
 	}
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -22,7 +22,7 @@
 	Limits
 
 	transport        Transport
-	workers          *config.Workers
+	workers          *config.WorkerTimings
 	unavailableSince time.Duration // 0 while the store answers
 }
 
@@ -30,7 +30,7 @@
 // client's timeouts are ratios to the workers' lease and to the interval of their heartbeats.
 func NewClient(transport Transport, deployment *config.Deployment) *Client {
 	return &Client{
-		Limits:    Limits{announced: &deployment.State},
+		Limits:    Limits{announced: &deployment.Store},
 		transport: transport,
 		workers:   &deployment.Workers,
 	}
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -124,7 +124,7 @@
 	if status == OK && decodeErr != nil {
 		status = Failed
 	}
-	return TxnResult{Status: status, Revision: body.Revision, Conflicts: body.Failed}
+	return TxnResult{Status: status, Revision: body.Revision, Conflicts: body.Conflicts}
 }
 
 // A GrantResult is the result of asking for a lease. Lease is set if the status is OK.
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -58,8 +58,8 @@
 func newTestClient() (*Client, *fakeTransport) {
 	transport := &fakeTransport{now: time.Second}
 	deployment := &config.Deployment{
-		State:   config.State{ValueKB: 16, TxnOps: 16},
-		Workers: config.Workers{LeaseS: 10, ReportS: 1.5},
+		Store:   config.StoreLimits{ValueKB: 16, TxnOps: 16},
+		Workers: config.WorkerTimings{LeaseS: 10, ReportS: 1.5},
 	}
 	return NewClient(transport, deployment), transport
 }
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -20,14 +20,14 @@
 // Limits are what the store takes. They begin with what the settings announce, for now and
 // later, and shrink as the store rejects what they allow.
 type Limits struct {
-	announced   *config.State
+	announced   *config.StoreLimits
 	fewerWrites int // writes in a transaction, if fewer than announced; 0 if not known
 	smallValues bool
 }
 
 // bound returns the announced limits with what was learned since.
-func (l *Limits) bound() config.State {
-	bound := l.announced.Bound()
+func (l *Limits) bound() config.StoreLimits {
+	bound := l.announced.Strictest()
 	if l.fewerWrites > 0 {
 		bound.TxnOps = min(bound.TxnOps, l.fewerWrites)
 	}
--- a/internal/kv/request.go
+++ b/internal/kv/request.go
@@ -43,8 +43,8 @@
 }
 
 func commitRequest(txn *wire.Txn) Request {
-	if txn.If == nil {
-		txn.If = []wire.Cond{}
+	if txn.Conditions == nil {
+		txn.Conditions = []wire.Condition{}
 	}
 	if txn.Writes == nil {
 		txn.Writes = []wire.Write{}
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -35,8 +35,8 @@
 	ip   string
 	lock net.Listener
 
-	mu   sync.Mutex
-	used int // ports handed out
+	mu        sync.Mutex
+	portsUsed int // ports handed out
 }
 
 // NewClaim claims an IP address. The caller closes the claim once the processes that
@@ -58,9 +58,9 @@
 func (c *Claim) Address() (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for c.used < maxPorts {
-		c.used++
-		a := address(c.ip, lockPort+c.used)
+	for c.portsUsed < maxPorts {
+		c.portsUsed++
+		a := address(c.ip, lockPort+c.portsUsed)
 		probe, err := net.Listen("tcp4", a)
 		if err != nil {
 			continue
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,63 +26,63 @@
 
 // Node is one running controller.
 type Node struct {
-	cfg   *config.Settings
-	log   *slog.Logger
-	start time.Time
+	cfg     *config.Settings
+	log     *slog.Logger
+	started time.Time
 
-	store   *store.Client
-	cloud   *cloud.Client
-	worker  *worker.Client
-	links   map[string]*peer.Link[wire.PeerMessage]
-	regions *regionLinks // nil if limits are not shared with other regions
+	store     *store.Client
+	cloud     *cloud.Client
+	worker    *worker.Client
+	peerLinks map[string]*peer.Link[wire.PeerMessage]
+	regions   *regionLinks // nil if limits are not shared with other regions
 
-	// queue holds the requests of users: they come after reports, which are
+	// userRequests holds the requests of users: they come after reports, which are
 	// handled as they arrive, and decisions, which go by the ticker.
-	queue chan userRequest
+	userRequests chan userRequest
 
-	mu       sync.Mutex
-	core     *core.Core
-	requests map[uint64]*conn
-	conns    map[*conn]bool
-	nextReq  uint64
+	mu              sync.Mutex
+	core            *core.Core
+	pendingRequests map[uint64]*connection
+	connections     map[*connection]bool
+	lastRequestID   uint64
 
 	// The longest step since the last time that they were looked at, and its input.
-	slowStep    time.Duration
-	slowInput   string
-	stepsToldAt time.Time
+	longestStep      time.Duration
+	longestStepInput string
+	stepsLoggedAt    time.Time
 }
 
-// conn is one incoming connection. All fields are guarded by Node.mu.
-type conn struct {
-	ev     evio.Conn
-	peer   *peer.Decoder[wire.PeerMessage]
-	region *peer.Decoder[wire.RegionMessage]
-	worker bool // it has brought a report
-	last   time.Time
-	in     []byte
-	since  time.Time // first byte of a request that is not complete
-	busy   bool      // a request waits for its answer
-	ending bool      // close after the answer
-	out    []byte
-	close  bool
-	closed bool
+// connection is one incoming connection. All fields are guarded by Node.mu.
+type connection struct {
+	socket           evio.Conn
+	peerDecoder      *peer.Decoder[wire.PeerMessage]
+	regionDecoder    *peer.Decoder[wire.RegionMessage]
+	isWorker         bool // it has brought a report
+	lastActive       time.Time
+	input            []byte
+	requestStarted   time.Time // first byte of a request that is not complete
+	awaitingAnswer   bool      // a request waits for its answer
+	closeAfterAnswer bool      // close after the answer
+	output           []byte
+	closing          bool
+	closed           bool
 }
 
 // New makes a node.
 func New(cfg *config.Settings, op *config.Operator, log *slog.Logger) *Node {
 	return &Node{
-		cfg: cfg, log: log, start: time.Now(),
+		cfg: cfg, log: log, started: time.Now(),
 		store: store.New(cfg), cloud: cloud.New(cfg), worker: worker.New(cfg),
-		links: map[string]*peer.Link[wire.PeerMessage]{},
-		queue: make(chan userRequest, max(1, cfg.Deployment.Limits.MaxConnections/userQueue)),
-		core:  core.New(cfg, op, rand.Uint64(), log), requests: map[uint64]*conn{}, conns: map[*conn]bool{},
+		peerLinks:    map[string]*peer.Link[wire.PeerMessage]{},
+		userRequests: make(chan userRequest, max(1, cfg.Deployment.MachineLimits.MaxConnections/connectionsPerQueuedRequest)),
+		core:         core.New(cfg, op, rand.Uint64(), log), pendingRequests: map[uint64]*connection{}, connections: map[*connection]bool{},
 	}
 }
 
 // The order of the addresses that a node listens on.
 const (
-	peerAddress   = 1
-	regionAddress = 2
+	peerAddressIndex   = 1
+	regionAddressIndex = 2
 )
 
 // Run serves until the process ends or a listener fails.
@@ -90,58 +90,58 @@
 	// The runtime collects harder as its limit comes near; the rest of the
 	// machine's memory is for code, stacks and what the system holds.
 	// What is live is a small part of that, so collections can be rare.
-	debug.SetMemoryLimit(int64(0.55 * n.cfg.Deployment.Limits.RAMMB * (1 << 20)))
+	debug.SetMemoryLimit(int64(0.55 * n.cfg.Deployment.MachineLimits.RAMMB * (1 << 20)))
 	debug.SetGCPercent(400)
 	// One processor for the event loop, which blocks in a system call that
 	// the runtime does not see, and one for everything else.
 	runtime.GOMAXPROCS(2)
-	for _, p := range n.cfg.Peers {
-		n.links[p.Name] = peer.NewLink[wire.PeerMessage](p.Addr, config.Seconds(n.cfg.Deployment.Workers.ReportS), n.cfg.Deployment.Limits.MaxConnections, n.log)
+	for _, other := range n.cfg.Peers {
+		n.peerLinks[other.Name] = peer.NewLink[wire.PeerMessage](other.Addr, config.Seconds(n.cfg.Deployment.Workers.ReportS), n.cfg.Deployment.MachineLimits.MaxConnections, n.log)
 	}
-	ev := evio.Events{NumLoops: 1}
-	ev.Serving = func(evio.Server) evio.Action {
+	events := evio.Events{NumLoops: 1}
+	events.Serving = func(evio.Server) evio.Action {
 		n.log.Info("serving", "name", n.cfg.Name, "listen", n.cfg.Listen, "peers", n.cfg.PeerListen,
-			"workers_carried", n.cfg.Deployment.WorkersCarried(n.cfg.Deployment.Size))
-		go n.tick()
-		go n.serveUsers()
+			"workers_carried", n.cfg.Deployment.MaxWorkers(n.cfg.Deployment.Size))
+		go n.runTicker()
+		go n.serveUserRequests()
 		return evio.None
 	}
-	ev.Opened = n.opened
-	ev.Closed = n.closed
-	ev.Data = n.data
+	events.Opened = n.onOpened
+	events.Closed = n.onClosed
+	events.Data = n.onData
 	addresses := []string{"tcp://" + n.cfg.Listen, "tcp://" + n.cfg.PeerListen}
 	if n.regions != nil {
 		addresses = append(addresses, "tcp://"+n.regions.listen)
 	}
-	if err := evio.Serve(ev, addresses...); err != nil {
+	if err := evio.Serve(events, addresses...); err != nil {
 		return fmt.Errorf("serve: %w", err)
 	}
 	return nil
 }
 
-// userQueue is the part of the sockets for whose users a request may wait.
-const userQueue = 4
+// connectionsPerQueuedRequest is the part of the sockets for whose users a request may wait.
+const connectionsPerQueuedRequest = 4
 
 // userRequest is a user's request that waits for its turn.
 type userRequest struct {
-	req  core.Request
-	conn *conn
-	at   time.Time
+	request  core.Request
+	conn     *connection
+	queuedAt time.Time
 }
 
-// serveUsers hands the users' requests to the core one at a time, so that
+// serveUserRequests hands the users' requests to the core one at a time, so that
 // reports and ticks come in between.
-func (n *Node) serveUsers() {
-	patience := config.Seconds(n.cfg.Deployment.Workers.ReportS)
-	for u := range n.queue {
+func (n *Node) serveUserRequests() {
+	timeout := config.Seconds(n.cfg.Deployment.Workers.ReportS)
+	for queued := range n.userRequests {
 		n.mu.Lock()
-		if time.Since(u.at) > patience {
-			n.refuse(u.conn, u.req.ID)
-			if !u.conn.closed {
-				u.conn.ev.Wake()
+		if time.Since(queued.queuedAt) > timeout {
+			n.shedRequest(queued.conn, queued.request.ID)
+			if !queued.conn.closed {
+				queued.conn.socket.Wake()
 			}
 		} else {
-			n.step(u.req, nil)
+			n.step(queued.request, nil)
 		}
 		n.mu.Unlock()
 	}
@@ -152,144 +152,144 @@
 const (
 	statusBadRequest  = 400
 	statusUnavailable = 503
-	busyRetry         = 1
+	busyRetryAfterS   = 1
 )
 
-// refuse answers a request that cannot be taken now, with when to come back.
-func (n *Node) refuse(c *conn, id uint64) {
-	delete(n.requests, id)
-	c.busy = false
-	if !c.closed {
-		c.out = httpwire.AppendResponse(c.out, statusUnavailable, []byte(`{"error":"busy"}`), busyRetry, c.ending)
+// shedRequest answers a request that cannot be taken now, with when to come back.
+func (n *Node) shedRequest(conn *connection, id uint64) {
+	delete(n.pendingRequests, id)
+	conn.awaitingAnswer = false
+	if !conn.closed {
+		conn.output = httpwire.AppendResponse(conn.output, statusUnavailable, []byte(`{"error":"busy"}`), busyRetryAfterS, conn.closeAfterAnswer)
 	}
 }
 
-func (n *Node) tick() {
-	period := config.Seconds(n.cfg.Deployment.Workers.ReportS / tickPart)
-	sweep := time.Now()
+func (n *Node) runTicker() {
+	period := config.Seconds(n.cfg.Deployment.Workers.ReportS / ticksPerHeartbeat)
+	idleClosed := time.Now()
 	for range time.Tick(period) {
 		n.mu.Lock()
 		n.step(core.Tick{}, nil)
-		if now := time.Now(); now.Sub(sweep) > time.Second {
-			sweep = now
-			n.sweep(now)
+		if now := time.Now(); now.Sub(idleClosed) > time.Second {
+			idleClosed = now
+			n.closeIdleConnections(now)
 		}
 		n.mu.Unlock()
 	}
 }
 
-// sweep cuts off senders that do not finish their request, and workers that
+// closeIdleConnections cuts off senders that do not finish their request, and workers that
 // have given up: one that was silent for a lease has left this connection. When
 // a zone is cut off nobody closes the workers' ends of theirs, and what is left
 // of them would take the sockets of those that come back.
-func (n *Node) sweep(now time.Time) {
-	limit := config.Seconds(n.cfg.Deployment.Workers.LeaseS)
-	for c := range n.conns {
-		if c.busy || c.peer != nil || c.region != nil {
+func (n *Node) closeIdleConnections(now time.Time) {
+	timeout := config.Seconds(n.cfg.Deployment.Workers.LeaseS)
+	for conn := range n.connections {
+		if conn.awaitingAnswer || conn.peerDecoder != nil || conn.regionDecoder != nil {
 			continue
 		}
-		if !c.since.IsZero() && now.Sub(c.since) > limit || c.worker && now.Sub(c.last) > limit {
-			n.drop(c)
+		if !conn.requestStarted.IsZero() && now.Sub(conn.requestStarted) > timeout || conn.isWorker && now.Sub(conn.lastActive) > timeout {
+			n.closeConnection(conn)
 		}
 	}
 }
 
-// drop closes a connection from outside its own events.
-func (n *Node) drop(c *conn) {
-	c.close = true
-	c.ev.Wake()
+// closeConnection closes a connection from outside its own events.
+func (n *Node) closeConnection(conn *connection) {
+	conn.closing = true
+	conn.socket.Wake()
 }
 
-func (n *Node) opened(ec evio.Conn) (out []byte, opts evio.Options, action evio.Action) {
+func (n *Node) onOpened(ec evio.Conn) (out []byte, opts evio.Options, action evio.Action) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := &conn{ev: ec, last: time.Now()}
-	ec.SetContext(c)
-	if ec.AddrIndex() == peerAddress {
-		c.peer = peer.NewDecoder[wire.PeerMessage]()
-	} else if ec.AddrIndex() == regionAddress {
-		if !n.regions.open() {
+	conn := &connection{socket: ec, lastActive: time.Now()}
+	ec.SetContext(conn)
+	if ec.AddrIndex() == peerAddressIndex {
+		conn.peerDecoder = peer.NewDecoder[wire.PeerMessage]()
+	} else if ec.AddrIndex() == regionAddressIndex {
+		if !n.regions.admit() {
 			return nil, opts, evio.Close
 		}
-		c.region = peer.NewDecoder[wire.RegionMessage]()
-	} else if len(n.conns) >= n.cfg.Deployment.Limits.Incoming() && !n.makeRoom() {
-		n.log.Debug("connection refused", "open", len(n.conns))
+		conn.regionDecoder = peer.NewDecoder[wire.RegionMessage]()
+	} else if len(n.connections) >= n.cfg.Deployment.MachineLimits.MaxIncoming() && !n.evictIdleUser() {
+		n.log.Debug("connection refused", "open", len(n.connections))
 		return nil, opts, evio.Close
 	}
-	n.conns[c] = true
+	n.connections[conn] = true
 	return nil, opts, evio.None
 }
 
-// makeRoom closes the user's connection that has been idle for longest, so that
+// evictIdleUser closes the user's connection that has been idle for longest, so that
 // no worker is turned away for users.
-func (n *Node) makeRoom() bool {
-	var oldest *conn
-	for c := range n.conns {
-		if c.worker || c.peer != nil || c.region != nil || c.busy || c.close {
+func (n *Node) evictIdleUser() bool {
+	var oldest *connection
+	for conn := range n.connections {
+		if conn.isWorker || conn.peerDecoder != nil || conn.regionDecoder != nil || conn.awaitingAnswer || conn.closing {
 			continue
 		}
-		if oldest == nil || c.last.Before(oldest.last) {
-			oldest = c
+		if oldest == nil || conn.lastActive.Before(oldest.lastActive) {
+			oldest = conn
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	n.drop(oldest)
+	n.closeConnection(oldest)
 	return true
 }
 
-func (n *Node) closed(ec evio.Conn, _ error) evio.Action {
+func (n *Node) onClosed(ec evio.Conn, _ error) evio.Action {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if c, ok := ec.Context().(*conn); ok {
-		if c.region != nil && !c.closed {
+	if conn, ok := ec.Context().(*connection); ok {
+		if conn.regionDecoder != nil && !conn.closed {
 			n.regions.connections--
 		}
-		c.closed = true
-		delete(n.conns, c)
+		conn.closed = true
+		delete(n.connections, conn)
 	}
 	return evio.None
 }
 
-// data takes what has arrived on a connection.
-func (n *Node) data(ec evio.Conn, in []byte) ([]byte, evio.Action) {
+// onData takes what has arrived on a connection.
+func (n *Node) onData(ec evio.Conn, input []byte) ([]byte, evio.Action) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c, ok := ec.Context().(*conn)
+	conn, ok := ec.Context().(*connection)
 	if !ok {
 		return nil, evio.Close
 	}
-	if c.peer != nil {
-		return nil, n.peerData(c, in)
+	if conn.peerDecoder != nil {
+		return nil, n.onPeerData(conn, input)
 	}
-	if c.region != nil {
-		return nil, n.regionData(c, in)
+	if conn.regionDecoder != nil {
+		return nil, n.onRegionData(conn, input)
 	}
-	if len(in) > 0 {
-		c.last = time.Now()
+	if len(input) > 0 {
+		conn.lastActive = time.Now()
 	}
-	c.in = append(c.in, in...)
-	for !c.busy && !c.ending && len(c.in) > 0 {
-		r, more := c.nextRequest()
+	conn.input = append(conn.input, input...)
+	for !conn.awaitingAnswer && !conn.closeAfterAnswer && len(conn.input) > 0 {
+		request, more := conn.nextRequest()
 		if !more {
 			break
 		}
-		n.takeRequest(c, r)
+		n.dispatchRequest(conn, request)
 	}
-	out := c.out
-	c.out = nil
-	if c.close || c.ending && !c.busy {
-		return out, evio.Close
+	output := conn.output
+	conn.output = nil
+	if conn.closing || conn.closeAfterAnswer && !conn.awaitingAnswer {
+		return output, evio.Close
 	}
-	return out, evio.None
+	return output, evio.None
 }
 
-// peerData takes what another controller sends.
-func (n *Node) peerData(c *conn, in []byte) evio.Action {
-	messages, err := c.peer.Feed(in)
+// onPeerData takes what another controller sends.
+func (n *Node) onPeerData(conn *connection, input []byte) evio.Action {
+	messages, err := conn.peerDecoder.Feed(input)
 	for _, m := range messages {
-		n.step(core.PeerInput{Message: m}, c)
+		n.step(core.PeerInput{Message: m}, conn)
 	}
 	if err != nil {
 		n.log.Debug("peer stream broken", "err", err)
@@ -300,106 +300,106 @@
 
 // nextRequest takes a request out of what has arrived; false if it is not whole
 // yet, or malformed, in which case the connection ends with an answer that says so.
-func (c *conn) nextRequest() (*httpwire.Request, bool) {
-	r, size, err := httpwire.ParseRequest(c.in)
-	if errors.Is(err, httpwire.ErrPartial) {
-		if c.since.IsZero() {
-			c.since = time.Now()
+func (c *connection) nextRequest() (*httpwire.Request, bool) {
+	r, size, err := httpwire.ParseRequest(c.input)
+	if errors.Is(err, httpwire.ErrIncomplete) {
+		if c.requestStarted.IsZero() {
+			c.requestStarted = time.Now()
 		}
 		return nil, false
 	}
-	c.since = time.Time{}
+	c.requestStarted = time.Time{}
 	if err != nil {
-		c.out = httpwire.AppendResponse(c.out, statusBadRequest, []byte(`{"error":"malformed request"}`), 0, true)
-		c.in, c.ending = nil, true
+		c.output = httpwire.AppendResponse(c.output, statusBadRequest, []byte(`{"error":"malformed request"}`), 0, true)
+		c.input, c.closeAfterAnswer = nil, true
 		return nil, false
 	}
-	if c.in = c.in[size:]; len(c.in) == 0 {
-		c.in = nil
+	if c.input = c.input[size:]; len(c.input) == 0 {
+		c.input = nil
 	}
 	return r, true
 }
 
-// takeRequest hands a worker's request to the core, and has a user's wait for its
+// dispatchRequest hands a worker's request to the core, and has a user's wait for its
 // turn.
-func (n *Node) takeRequest(c *conn, r *httpwire.Request) {
-	c.busy, c.ending = true, r.Close
-	n.nextReq++
-	n.requests[n.nextReq] = c
-	req := core.Request{ID: n.nextReq, Method: r.Method, Path: r.Path, Body: r.Body}
-	if !strings.HasPrefix(r.Path, "/submissions") {
-		c.worker = c.worker || r.Path == "/checkin"
-		n.step(req, c)
+func (n *Node) dispatchRequest(conn *connection, parsed *httpwire.Request) {
+	conn.awaitingAnswer, conn.closeAfterAnswer = true, parsed.Close
+	n.lastRequestID++
+	n.pendingRequests[n.lastRequestID] = conn
+	request := core.Request{ID: n.lastRequestID, Method: parsed.Method, Path: parsed.Path, Body: parsed.Body}
+	if !strings.HasPrefix(parsed.Path, "/submissions") {
+		conn.isWorker = conn.isWorker || parsed.Path == "/checkin"
+		n.step(request, conn)
 		return
 	}
 	select {
-	case n.queue <- userRequest{req, c, time.Now()}:
+	case n.userRequests <- userRequest{request, conn, time.Now()}:
 	default:
-		n.refuse(c, req.ID)
+		n.shedRequest(conn, request.ID)
 	}
 }
 
 // step feeds the core and carries out what it asks for. The caller holds the
 // lock; current is the connection whose data is being handled.
-func (n *Node) step(in core.Input, current *conn) {
+func (n *Node) step(input core.Input, current *connection) {
 	now := time.Now()
-	out := n.core.Step(now.Sub(n.start), now, in)
-	n.noteStep(in, now, time.Since(now))
-	for _, a := range out.Answers {
-		c := n.requests[a.ID]
-		delete(n.requests, a.ID)
-		if c == nil || c.closed {
+	output := n.core.Step(now.Sub(n.started), now, input)
+	n.logSlowStep(input, now, time.Since(now))
+	for _, answer := range output.Answers {
+		conn := n.pendingRequests[answer.ID]
+		delete(n.pendingRequests, answer.ID)
+		if conn == nil || conn.closed {
 			continue
 		}
-		c.busy = false
-		c.out = httpwire.AppendResponse(c.out, a.Status, a.Body, a.RetryAfter, c.ending)
-		if c != current {
-			c.ev.Wake()
+		conn.awaitingAnswer = false
+		conn.output = httpwire.AppendResponse(conn.output, answer.Status, answer.Body, answer.RetryAfter, conn.closeAfterAnswer)
+		if conn != current {
+			conn.socket.Wake()
 		}
 	}
-	for _, s := range out.Sends {
-		if l := n.links[s.To]; l != nil {
-			l.Send(s.Msg)
+	for _, send := range output.PeerSends {
+		if link := n.peerLinks[send.To]; link != nil {
+			link.Send(send.Message)
 		}
 	}
-	for _, s := range out.RegionSends {
-		n.regions.send(s)
+	for _, send := range output.RegionSends {
+		n.regions.send(send)
 	}
-	for _, k := range out.Calls {
-		go n.carryOut(k)
+	for _, call := range output.Calls {
+		go n.execute(call)
 	}
 }
 
-// tickPart is the part of a report's time between two ticks.
-const tickPart = 20
+// ticksPerHeartbeat is the part of a report's time between two ticks.
+const ticksPerHeartbeat = 20
 
-// noteStep logs a step that took longer than the time between two ticks, since reports
+// logSlowStep logs a step that took longer than the time between two ticks, since reports
 // wait meanwhile: the longest one in a report's time.
-func (n *Node) noteStep(in core.Input, now time.Time, took time.Duration) {
-	report := config.Seconds(n.cfg.Deployment.Workers.ReportS)
-	if took > n.slowStep {
-		n.slowStep, n.slowInput = took, fmt.Sprintf("%T", in)
+func (n *Node) logSlowStep(input core.Input, now time.Time, took time.Duration) {
+	heartbeat := config.Seconds(n.cfg.Deployment.Workers.ReportS)
+	if took > n.longestStep {
+		n.longestStep, n.longestStepInput = took, fmt.Sprintf("%T", input)
 	}
-	if now.Sub(n.stepsToldAt) < report {
+	if now.Sub(n.stepsLoggedAt) < heartbeat {
 		return
 	}
-	if n.slowStep > report/tickPart {
-		n.log.Info("slow step", "input", n.slowInput, "took_ms", n.slowStep.Milliseconds())
+	if n.longestStep > heartbeat/ticksPerHeartbeat {
+		n.log.Info("slow step", "input", n.longestStepInput, "took_ms", n.longestStep.Milliseconds())
 	}
-	n.slowStep, n.stepsToldAt = 0, now
+	n.longestStep, n.stepsLoggedAt = 0, now
 }
 
-func (n *Node) carryOut(k core.Call) {
-	var r core.Result
-	switch k.Dest {
-	case core.DestStore:
-		r = n.store.Do(k)
-	case core.DestCloud:
-		r = n.cloud.Do(k)
-	case core.DestWorker:
-		r = n.worker.Do(k)
+func (n *Node) execute(call core.Call) {
+	var result core.Result
+	switch call.Destination {
+	case core.DestinationStore:
+		result = n.store.Do(call)
+	case core.DestinationCloud:
+		result = n.cloud.Do(call)
+	case core.DestinationWorker:
+		result = n.worker.Do(call)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.step(r, nil)
+	n.step(result, nil)
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -19,19 +19,19 @@
 	t.Helper()
 	addresses := loopbacktest.Addresses(t, 4)
 	return &config.Settings{Name: "node-0", Listen: addresses[0], PeerListen: addresses[1],
-		External: config.External{Cloud: addresses[2], State: addresses[3]},
+		External: config.External{Cloud: addresses[2], Store: addresses[3]},
 		Deployment: config.Deployment{
-			Workers: config.Workers{ReportS: 1.5, LeaseS: 10, GangWaitS: 30, GangPeerS: 5, CancelS: 30},
-			State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
-			Cloud:   config.Cloud{RPS: 8, ListLagS: 5},
-			Limits:  config.Limits{CPU: 1, RAMMB: 200, MaxConnections: 100},
+			Workers:       config.WorkerTimings{ReportS: 1.5, LeaseS: 10, GangWaitS: 30, GangPeerS: 5, CancelS: 30},
+			Store:         config.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
+			Cloud:         config.CloudLimits{RPS: 8, ListLagS: 5},
+			MachineLimits: config.MachineLimits{CPU: 1, RAMMB: 200, MaxConnections: 100},
 		}}
 }
 
-// TestServe runs a controller on loopback with no services to reach: it must
+// TestServesOnLoopback runs a controller on loopback with no services to reach: it must
 // answer what it can, refuse at once what it cannot, and cut off what is not
 // HTTP.
-func TestServe(t *testing.T) {
+func TestServesOnLoopback(t *testing.T) {
 	cfg := testSettings(t)
 	n := New(cfg, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	failed := make(chan error, 1)
@@ -109,46 +109,46 @@
 func (f *fakeConn) SetContext(c any) { f.ctx = c }
 func (f *fakeConn) AddrIndex() int   { return 0 }
 
-// TestSockets fills a controller's sockets: an idle user makes way for whoever
+// TestConnectionLimit fills a controller's sockets: an idle user makes way for whoever
 // comes, the one that is idle for longest first, a worker never does.
-func TestSockets(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	cfg := &config.Settings{Name: "node-0", Deployment: config.Deployment{
-		Workers: config.Workers{ReportS: 1.5, LeaseS: 10, CancelS: 30},
-		State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
-		Cloud:   config.Cloud{RPS: 8},
-		Limits:  config.Limits{CPU: 1, RAMMB: 200, MaxConnections: 12},
+		Workers:       config.WorkerTimings{ReportS: 1.5, LeaseS: 10, CancelS: 30},
+		Store:         config.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
+		Cloud:         config.CloudLimits{RPS: 8},
+		MachineLimits: config.MachineLimits{CPU: 1, RAMMB: 200, MaxConnections: 12},
 	}}
-	n := New(cfg, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	node := New(cfg, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	open := func() (*fakeConn, bool) {
-		f := &fakeConn{}
-		_, _, action := n.opened(f)
-		return f, action != evio.Close
+		fake := &fakeConn{}
+		_, _, action := node.onOpened(fake)
+		return fake, action != evio.Close
 	}
 	var users []*fakeConn
-	for i := 0; i < n.cfg.Deployment.Limits.Incoming()-1; i++ {
-		f, ok := open()
+	for i := 0; i < node.cfg.Deployment.MachineLimits.MaxIncoming()-1; i++ {
+		fake, ok := open()
 		if !ok {
-			t.Fatalf("user %d of %d was turned away", i, n.cfg.Deployment.Limits.Incoming())
+			t.Fatalf("user %d of %d was turned away", i, node.cfg.Deployment.MachineLimits.MaxIncoming())
 		}
-		f.ctx.(*conn).last = time.Unix(int64(1000+i), 0)
-		users = append(users, f)
+		fake.ctx.(*connection).lastActive = time.Unix(int64(1000+i), 0)
+		users = append(users, fake)
 	}
 	worker, _ := open()
-	n.data(worker, []byte("POST /checkin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"))
-	worker.ctx.(*conn).busy = false
-	worker.ctx.(*conn).last = time.Unix(1, 0)
+	node.onData(worker, []byte("POST /checkin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"))
+	worker.ctx.(*connection).awaitingAnswer = false
+	worker.ctx.(*connection).lastActive = time.Unix(1, 0)
 	for i, u := range users {
 		if _, ok := open(); !ok || u.woken != 1 {
 			t.Fatalf("newcomer %d: taken %v, the oldest user closed %v", i, ok, u.woken == 1)
 		}
-		if _, action := n.data(u, nil); action != evio.Close {
+		if _, action := node.onData(u, nil); action != evio.Close {
 			t.Fatalf("user %d stays open", i)
 		}
-		n.closed(u, nil)
+		node.onClosed(u, nil)
 		// The newcomers are busy workers from now on.
-		for c := range n.conns {
-			if c.last.Unix() > 1e6 {
-				c.worker = true
+		for c := range node.connections {
+			if c.lastActive.Unix() > 1e6 {
+				c.isWorker = true
 			}
 		}
 	}
@@ -158,30 +158,30 @@
 	if _, ok := open(); ok {
 		t.Error("a connection beyond the sockets was taken")
 	}
-	n.sweep(time.Now())
+	node.closeIdleConnections(time.Now())
 	if worker.woken != 1 {
 		t.Error("a connection that its worker has given up stays open")
 	}
 }
 
-// TestRanks fills the users' queue: a further submission has to be refused at
+// TestFullUserQueue fills the users' queue: a further submission has to be refused at
 // once, with when to come back, while a report is still taken.
-func TestRanks(t *testing.T) {
+func TestFullUserQueue(t *testing.T) {
 	cfg := &config.Settings{Name: "node-0", Deployment: config.Deployment{
-		Workers: config.Workers{ReportS: 1.5, LeaseS: 10, CancelS: 30},
-		State:   config.State{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
-		Cloud:   config.Cloud{RPS: 8},
-		Limits:  config.Limits{CPU: 1, RAMMB: 200, MaxConnections: 2 * userQueue},
+		Workers:       config.WorkerTimings{ReportS: 1.5, LeaseS: 10, CancelS: 30},
+		Store:         config.StoreLimits{RPS: 200, WriteRPS: 80, ValueKB: 16, TxnOps: 16},
+		Cloud:         config.CloudLimits{RPS: 8},
+		MachineLimits: config.MachineLimits{CPU: 1, RAMMB: 200, MaxConnections: 2 * connectionsPerQueuedRequest},
 	}}
-	n := New(cfg, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	node := New(cfg, nil, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	send := func(msg string) string {
-		f := &fakeConn{}
-		n.opened(f)
-		out, _ := n.data(f, []byte(msg))
+		fake := &fakeConn{}
+		node.onOpened(fake)
+		out, _ := node.onData(fake, []byte(msg))
 		return string(out)
 	}
 	const submit = "POST /submissions HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"
-	for i := 0; i < cap(n.queue); i++ {
+	for i := 0; i < cap(node.userRequests); i++ {
 		if out := send(submit); out != "" {
 			t.Fatalf("submission %d was answered before its turn: %q", i, out)
 		}
@@ -194,11 +194,11 @@
 		t.Errorf("a health check behind users got %q", out)
 	}
 	// A report goes to the core, which holds it until there is a leader.
-	if out := send("POST /checkin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"); out != "" || len(n.queue) != cap(n.queue) {
+	if out := send("POST /checkin HTTP/1.1\r\nContent-Length: 2\r\n\r\n{}"); out != "" || len(node.userRequests) != cap(node.userRequests) {
 		t.Errorf("a report behind users got %q", out)
 	}
-	u := <-n.queue
-	if _, ok := n.requests[u.req.ID]; !ok || u.req.Path != "/submissions" {
-		t.Errorf("the queue holds %+v", u.req)
+	queued := <-node.userRequests
+	if _, ok := node.pendingRequests[queued.request.ID]; !ok || queued.request.Path != "/submissions" {
+		t.Errorf("the queue holds %+v", queued.request)
 	}
 }
--- a/internal/node/regions.go
+++ b/internal/node/regions.go
@@ -11,21 +11,21 @@
 
 // Bounds of what other regions may take here.
 const (
-	regionQueue          = 16 // messages that wait for one controller of another region
+	regionQueueLength    = 16 // messages that wait for one controller of another region
 	maxRegionConnections = 64 // from other regions; each of their controllers needs one
 )
 
 // regionLinks carry messages to and from other regions. Connections are guarded by Node.mu.
 type regionLinks struct {
-	listen      string
-	to          map[string]*regionLink
-	connections int
-	refused     bool // a stream that was not understood was logged
+	listen          string
+	byRegion        map[string]*controllerLinks
+	connections     int
+	rejectionLogged bool // a stream that was not understood was logged
 }
 
-// regionLink are the links to the controllers of one region, taken in turn: any of them takes
+// controllerLinks are the links to the controllers of one region, taken in turn: any of them takes
 // a message to its leader, and a message that meets one that is away is followed by another.
-type regionLink struct {
+type controllerLinks struct {
 	links []*peer.Link[wire.RegionMessage]
 	next  int
 }
@@ -33,21 +33,21 @@
 // JoinRegions turns on limits that are shared with other regions. It is called before Run.
 func (n *Node) JoinRegions(p *plan.Plan, op *config.Operator) {
 	n.core.JoinRegions(p, op.Region)
-	n.regions = &regionLinks{listen: op.RegionListen, to: map[string]*regionLink{}}
+	n.regions = &regionLinks{listen: op.RegionListen, byRegion: map[string]*controllerLinks{}}
 	for _, r := range p.Regions {
 		if r.Name == op.Region || r.Lost {
 			continue
 		}
-		link := &regionLink{}
+		link := &controllerLinks{}
 		for _, addr := range r.Controllers {
-			link.links = append(link.links, peer.NewLink[wire.RegionMessage](addr, config.Seconds(n.cfg.Deployment.Workers.ReportS), regionQueue, n.log))
+			link.links = append(link.links, peer.NewLink[wire.RegionMessage](addr, config.Seconds(n.cfg.Deployment.Workers.ReportS), regionQueueLength, n.log))
 		}
-		n.regions.to[r.Name] = link
+		n.regions.byRegion[r.Name] = link
 	}
 }
 
-// open tells whether one more connection is taken, and counts it.
-func (r *regionLinks) open() bool {
+// admit tells whether one more connection is taken, and counts it.
+func (r *regionLinks) admit() bool {
 	if r.connections >= maxRegionConnections {
 		return false
 	}
@@ -57,7 +57,7 @@
 
 // send hands a message to the next controller of its region.
 func (r *regionLinks) send(s core.RegionSend) {
-	link := r.to[s.To]
+	link := r.byRegion[s.To]
 	if link == nil {
 		return
 	}
@@ -65,19 +65,19 @@
 	link.next = (link.next + 1) % len(link.links)
 }
 
-// regionData takes what a controller of another region sends. A stream that is not one of
+// onRegionData takes what a controller of another region sends. A stream that is not one of
 // ours ends; the first is logged.
-func (n *Node) regionData(c *conn, in []byte) evio.Action {
-	messages, err := c.region.Feed(in)
+func (n *Node) onRegionData(conn *connection, input []byte) evio.Action {
+	messages, err := conn.regionDecoder.Feed(input)
 	for _, m := range messages {
-		n.step(core.RegionInput{Message: m}, c)
+		n.step(core.RegionInput{Message: m}, conn)
 	}
 	if err == nil {
 		return evio.None
 	}
-	if !n.regions.refused {
-		n.regions.refused = true
-		n.log.Warn("region stream refused", "from", c.ev.RemoteAddr().String(), "err", err)
+	if !n.regions.rejectionLogged {
+		n.regions.rejectionLogged = true
+		n.log.Warn("region stream refused", "from", conn.socket.RemoteAddr().String(), "err", err)
 	}
 	return evio.Close
 }
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -35,19 +35,19 @@
 	return strings.Count(b.buf.String(), text)
 }
 
-// TestRegionStream has a stranger and another region's controller connect to the address for
+// TestRegionStreams has a stranger and another region's controller connect to the address for
 // other regions: the stranger's stream ends with one log line however often it comes, the other
 // one is kept open.
-func TestRegionStream(t *testing.T) {
+func TestRegionStreams(t *testing.T) {
 	cfg := testSettings(t)
 	addresses := loopbacktest.Addresses(t, 2)
 	listen := addresses[0]
 	p := &plan.Plan{Regions: []plan.Region{{Name: "north", Controllers: []string{listen}}, {Name: "south", Controllers: []string{addresses[1]}}}}
 	log := &lockedBuffer{}
-	n := New(cfg, nil, slog.New(slog.NewTextHandler(log, nil)))
-	n.JoinRegions(p, &config.Operator{Region: "north", RegionListen: listen})
+	node := New(cfg, nil, slog.New(slog.NewTextHandler(log, nil)))
+	node.JoinRegions(p, &config.Operator{Region: "north", RegionListen: listen})
 	failed := make(chan error, 1)
-	go func() { failed <- n.Run() }()
+	go func() { failed <- node.Run() }()
 	dial := func() net.Conn {
 		for {
 			select {
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// maxFrame bounds a message: a report of at most 64 KiB, or a part of a digest.
-const maxFrame = 1 << 20
+// maxFrameBytes bounds a message: a report of at most 64 KiB, or a part of a digest.
+const maxFrameBytes = 1 << 20
 
 // Link sends messages to one peer. Messages are dropped while the peer cannot
 // be reached: every sender repeats what still matters.
@@ -44,24 +44,24 @@
 
 func (l *Link[M]) run() {
 	for {
-		m := <-l.queue
+		first := <-l.queue
 		conn, err := net.DialTimeout("tcp4", l.addr, l.timeout)
 		if err != nil {
 			l.log.Debug("peer not reached", "addr", l.addr, "err", err)
-			l.drain()
+			l.dropQueued()
 			time.Sleep(l.timeout / 8)
 			continue
 		}
-		err = l.pump(conn, m)
+		err = l.writeMessages(conn, first)
 		conn.Close()
 		l.log.Debug("peer link ended", "addr", l.addr, "err", err)
-		l.drain()
+		l.dropQueued()
 	}
 }
 
-// drain drops what was meant for a peer that is out of reach: stale messages
+// dropQueued drops what was meant for a peer that is out of reach: stale messages
 // would only delay the fresh ones.
-func (l *Link[M]) drain() {
+func (l *Link[M]) dropQueued() {
 	for {
 		select {
 		case <-l.queue:
@@ -71,13 +71,13 @@
 	}
 }
 
-func (l *Link[M]) pump(conn net.Conn, first *M) error {
+func (l *Link[M]) writeMessages(conn net.Conn, first *M) error {
 	var buf bytes.Buffer
-	enc := gob.NewEncoder(&buf)
+	encoder := gob.NewEncoder(&buf)
 	var out []byte
-	add := func(m *M) error {
+	appendFrame := func(m *M) error {
 		buf.Reset()
-		if err := enc.Encode(m); err != nil {
+		if err := encoder.Encode(m); err != nil {
 			return fmt.Errorf("encode: %w", err)
 		}
 		out = binary.BigEndian.AppendUint32(out, uint32(buf.Len()))
@@ -86,14 +86,14 @@
 	}
 	for m := first; ; m = <-l.queue {
 		out = out[:0]
-		if err := add(m); err != nil {
+		if err := appendFrame(m); err != nil {
 			return err
 		}
 	more:
 		for len(out) < 32<<10 {
 			select {
 			case m := <-l.queue:
-				if err := add(m); err != nil {
+				if err := appendFrame(m); err != nil {
 					return err
 				}
 			default:
@@ -109,43 +109,43 @@
 
 // Decoder takes in the bytes of one incoming connection.
 type Decoder[M any] struct {
-	in  []byte
-	buf bytes.Buffer
-	dec *gob.Decoder
+	pending    []byte
+	frame      bytes.Buffer
+	gobDecoder *gob.Decoder
 }
 
 // NewDecoder makes a decoder for a new connection.
 func NewDecoder[M any]() *Decoder[M] {
 	d := &Decoder[M]{}
-	d.dec = gob.NewDecoder(&d.buf)
+	d.gobDecoder = gob.NewDecoder(&d.frame)
 	return d
 }
 
-// ErrFrame marks a stream that is not one of ours.
-var ErrFrame = errors.New("peer: bad frame")
+// ErrBadFrame marks a stream that is not one of ours.
+var ErrBadFrame = errors.New("peer: bad frame")
 
 // Feed adds bytes and returns the messages that are complete.
-func (d *Decoder[M]) Feed(b []byte) ([]*M, error) {
-	d.in = append(d.in, b...)
-	var out []*M
-	for len(d.in) >= 4 {
-		n := int(binary.BigEndian.Uint32(d.in))
-		if n == 0 || n > maxFrame {
-			return out, ErrFrame
+func (d *Decoder[M]) Feed(data []byte) ([]*M, error) {
+	d.pending = append(d.pending, data...)
+	var messages []*M
+	for len(d.pending) >= 4 {
+		size := int(binary.BigEndian.Uint32(d.pending))
+		if size == 0 || size > maxFrameBytes {
+			return messages, ErrBadFrame
 		}
-		if len(d.in) < 4+n {
+		if len(d.pending) < 4+size {
 			break
 		}
-		d.buf.Write(d.in[4 : 4+n])
-		d.in = d.in[4+n:]
-		m := new(M)
-		if err := d.dec.Decode(m); err != nil {
-			return out, fmt.Errorf("%w: %w", ErrFrame, err)
+		d.frame.Write(d.pending[4 : 4+size])
+		d.pending = d.pending[4+size:]
+		message := new(M)
+		if err := d.gobDecoder.Decode(message); err != nil {
+			return messages, fmt.Errorf("%w: %w", ErrBadFrame, err)
 		}
-		out = append(out, m)
+		messages = append(messages, message)
 	}
-	if len(d.in) == 0 {
-		d.in = nil
+	if len(d.pending) == 0 {
+		d.pending = nil
 	}
-	return out, nil
+	return messages, nil
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -11,25 +11,25 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestLink sends messages over a real connection and feeds them in pieces.
-func TestLink(t *testing.T) {
-	ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// TestLinkDelivers sends messages over a real connection and feeds them in pieces.
+func TestLinkDelivers(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	l := NewLink[wire.PeerMessage](ln.Addr().String(), 5*time.Second, 64, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	defer listener.Close()
+	link := NewLink[wire.PeerMessage](listener.Addr().String(), 5*time.Second, 64, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	body := bytes.Repeat([]byte("x"), 5000)
 	for i := uint64(1); i <= 20; i++ {
-		l.Send(&wire.PeerMessage{From: "a", Forward: &wire.Forward{ID: i, Body: body}})
-		l.Send(&wire.PeerMessage{From: "a", Digest: &wire.Digest{Term: i, Jobs: []wire.JobCount{{ID: "job-000001", Done: 1}}}})
+		link.Send(&wire.PeerMessage{From: "a", Forward: &wire.Forward{ID: i, Body: body}})
+		link.Send(&wire.PeerMessage{From: "a", Digest: &wire.Digest{Term: i, Jobs: []wire.JobCount{{ID: "job-000001", Done: 1}}}})
 	}
-	conn, err := ln.Accept()
+	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	d := NewDecoder[wire.PeerMessage]()
+	decoder := NewDecoder[wire.PeerMessage]()
 	var got []*wire.PeerMessage
 	buf := make([]byte, 777)
 	for len(got) < 40 {
@@ -37,7 +37,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ms, err := d.Feed(buf[:n])
+		ms, err := decoder.Feed(buf[:n])
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -59,10 +59,10 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, in []byte) {
-		d := NewDecoder[wire.PeerMessage]()
+		decoder := NewDecoder[wire.PeerMessage]()
 		for len(in) > 0 {
 			n := min(len(in), 3)
-			if _, err := d.Feed(in[:n]); err != nil {
+			if _, err := decoder.Feed(in[:n]); err != nil {
 				return
 			}
 			in = in[n:]
--- a/internal/quota/amount/amount_test.go
+++ b/internal/quota/amount/amount_test.go
@@ -26,7 +26,7 @@
 	if cpus, gpus := a.Units(); !math.IsInf(cpus, 1) || gpus != 1.5 {
 		t.Errorf("%v and %v", cpus, gpus)
 	}
-	if got := a.Whole(); got.GPUs != 1000 {
+	if got := a.WholeUnits(); got.GPUs != 1000 {
 		t.Errorf("whole %v", got)
 	}
 	if !a.Covers(Of(1e9, 1)) || a.Covers(Of(0, 2)) {
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -12,22 +12,22 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// running is the one transaction that is under way. Until it is known whether it took effect
+// pendingChange is the one transaction that is under way. Until it is known whether it took effect
 // it is sent again and again, and nothing else is begun.
-type running struct {
+type pendingChange struct {
 	change  *ledger.Change
-	giving  []ledger.Part // what it takes from this region's shares
+	debits  []ledger.Part // what it takes from this region's shares
 	retryAt time.Duration // when it is sent again; 0 while an answer is awaited
 }
 
-// advance begins the next transaction on the ledger, if there is one to begin.
-func (m *Manager) advance() {
-	if m.ledger == nil || m.running != nil {
+// startNext begins the next transaction on the ledger, if there is one to begin.
+func (m *Manager) startNext() {
+	if m.ledger == nil || m.pending != nil {
 		return
 	}
-	for _, next := range []func() *running{m.confirmRun, m.putFence, m.create, m.meet, m.take, m.give, m.acknowledge} {
-		if r := next(); r != nil {
-			m.running = r
+	for _, next := range []func() *pendingChange{m.confirmIncarnation, m.recordFence, m.createShares, m.handshake, m.credit, m.debit, m.acknowledge} {
+		if change := next(); change != nil {
+			m.pending = change
 			m.commit()
 			return
 		}
@@ -36,233 +36,233 @@
 
 // commit sends the transaction under way.
 func (m *Manager) commit() {
-	r := m.running
-	r.retryAt = 0
-	m.store.Commit(r.change.Txn, func(result kv.TxnResult) {
-		if m.running == r {
-			m.committed(r, result)
+	pending := m.pending
+	pending.retryAt = 0
+	m.store.Commit(pending.change.Txn, func(result kv.TxnResult) {
+		if m.pending == pending {
+			m.onCommitted(pending, result)
 		}
 	})
 }
 
-// committed takes in the answer to the transaction under way.
-func (m *Manager) committed(r *running, result kv.TxnResult) {
+// onCommitted takes in the answer to the transaction under way.
+func (m *Manager) onCommitted(pending *pendingChange, result kv.TxnResult) {
 	switch {
 	case result.Committed():
-		m.running = nil
-		r.change.Done(result.Revision)
-		if err := m.ledger.Invariant(); err != nil {
-			m.fence = err.Error()
+		m.pending = nil
+		pending.change.OnCommitted(result.Revision)
+		if err := m.ledger.CheckInvariants(); err != nil {
+			m.fenceReason = err.Error()
 		}
-		m.advance()
+		m.startNext()
 		m.sendDue()
 	case result.Status == kv.Conflict && slices.Contains(result.Conflicts, m.host.Term().Key):
 		m.host.TermChanged()
 	case result.Status == kv.Conflict:
 		// An earlier copy of it took effect, or the records are not those that were read.
-		m.running = nil
+		m.pending = nil
 		m.load()
 	case result.Status == kv.Rejected:
-		m.shrink(len(r.change.Txn.Writes))
-		m.running = nil
+		m.reduceLimits(len(pending.change.Txn.Writes))
+		m.pending = nil
 		m.load()
 	default:
-		r.retryAt = m.host.Now() + m.Every/retryPart
+		pending.retryAt = m.host.Now() + m.MessageInterval/retryDivisor
 	}
 }
 
 // Bounds below which transactions are not made smaller.
 const (
-	leastWrites = 2 // a link and a share
-	leastValue  = 2 * partSize * maxOut
+	minWrites     = 2 // a link and a share
+	minValueBytes = 2 * maxPartBytes * maxUnacknowledged
 )
 
-// shrink makes later transactions smaller: the service's limits are lower than they were said
+// reduceLimits makes later transactions smaller: the service's limits are lower than they were said
 // to be, or have fallen.
-func (m *Manager) shrink(writes int) {
-	m.MaxWrites = max(leastWrites, writes/2)
-	m.MaxValue = max(leastValue, m.MaxValue/2)
-	m.Log.Info("the state service takes smaller quota transactions", "writes", m.MaxWrites, "value_bytes", m.MaxValue)
+func (m *Manager) reduceLimits(writes int) {
+	m.MaxWrites = max(minWrites, writes/2)
+	m.MaxValueBytes = max(minValueBytes, m.MaxValueBytes/2)
+	m.Log.Info("the state service takes smaller quota transactions", "writes", m.MaxWrites, "value_bytes", m.MaxValueBytes)
 }
 
-// retry sends the transaction under way again, once it has had no answer.
-func (m *Manager) retry() {
-	if m.running != nil && m.running.retryAt != 0 && m.host.Now() >= m.running.retryAt {
+// retryPending sends the transaction under way again, once it has had no answer.
+func (m *Manager) retryPending() {
+	if m.pending != nil && m.pending.retryAt != 0 && m.host.Now() >= m.pending.retryAt {
 		m.commit()
 	}
 }
 
-// confirmRun confirms that this leader still leads since another region's run was first heard.
+// confirmIncarnation confirms that this leader still leads since another region's run was first heard.
 // From then on nothing of that region's earlier runs is taken.
-func (m *Manager) confirmRun() *running {
-	for _, p := range m.peers {
-		if p.candidate == 0 {
+func (m *Manager) confirmIncarnation() *pendingChange {
+	for _, remote := range m.remotes {
+		if remote.candidateIncarnation == 0 {
 			continue
 		}
-		run := p.candidate
-		txn := &wire.Txn{If: []wire.Cond{m.host.Term()}, Writes: []wire.Write{}}
-		return &running{change: &ledger.Change{Txn: txn, Done: func(uint64) {
-			p.confirmed, p.confirmedAt, p.sequence = run, m.sequence, 0
-			p.claims, p.transfers, p.offers, p.hasOffers = nil, nil, nil, false
-			if p.candidate == run {
-				p.candidate = 0
+		incarnation := remote.candidateIncarnation
+		txn := &wire.Txn{Conditions: []wire.Condition{m.host.Term()}, Writes: []wire.Write{}}
+		return &pendingChange{change: &ledger.Change{Txn: txn, OnCommitted: func(uint64) {
+			remote.confirmedIncarnation, remote.confirmedAtSequence, remote.sequence = incarnation, m.sequence, 0
+			remote.claims, remote.transfers, remote.offers, remote.hasOffers = nil, nil, nil, false
+			if remote.candidateIncarnation == incarnation {
+				remote.candidateIncarnation = 0
 			}
-			p.urgent = true
+			remote.urgent = true
 		}}}
 	}
 	return nil
 }
 
-// putFence puts on record that the region may grant nothing.
-func (m *Manager) putFence() *running {
-	if m.fence == "" || !m.complete() || m.ledger.Fenced() != "" {
+// recordFence puts on record that the region may grant nothing.
+func (m *Manager) recordFence() *pendingChange {
+	if m.fenceReason == "" || !m.complete() || m.ledger.FenceReason() != "" {
 		return nil
 	}
-	return &running{change: m.ledger.Fence(m.host.Term(), m.fence).Then(func(uint64) {
-		m.Log.Error("region is fenced and grants nothing", "region", m.Region, "why", m.fence)
+	return &pendingChange{change: m.ledger.Fence(m.host.Term(), m.fenceReason).Then(func(uint64) {
+		m.Log.Error("region is fenced and grants nothing", "region", m.Region, "why", m.fenceReason)
 	})}
 }
 
-// create puts first shares on record: those of a region that no other one knows, and those of
+// createShares puts first shares on record: those of a region that no other one knows, and those of
 // teams that are new to the file. Every other region has to have the same file and to be heard.
-func (m *Manager) create() *running {
-	if m.fenced() || m.complete() && !m.trusted() {
+func (m *Manager) createShares() *pendingChange {
+	if m.fenced() || m.complete() && !m.verified() {
 		return nil
 	}
-	for _, p := range m.peers {
-		if !p.vouched || p.plan != m.plan || !m.complete() && p.knownEpoch != 0 || m.complete() && !p.hasOffers {
+	for _, remote := range m.remotes {
+		if !remote.hasConfirmed || remote.planFingerprint != m.planFingerprint || !m.complete() && remote.knownEpoch != 0 || m.complete() && !remote.hasOffers {
 			return nil
 		}
 	}
 	var missing []string
 	for i := range m.Plan.Teams {
 		name := m.Plan.Teams[i].Name
-		if _, ok := m.ledger.Share(name); !ok && m.sameFirstShares(name) {
+		if _, ok := m.ledger.Share(name); !ok && m.initialSharesAgree(name) {
 			missing = append(missing, name)
 		}
 	}
 	if len(missing) > 0 {
-		return &running{change: m.ledger.AddShares(m.host.Term(), missing[:min(len(missing), m.MaxWrites)], m.firstShare)}
+		return &pendingChange{change: m.ledger.AddShares(m.host.Term(), missing[:min(len(missing), m.MaxWrites)], m.initialShare)}
 	}
 	if !m.complete() {
 		m.Log.Info("quota ledger created", "region", m.Region, "teams", len(m.ledger.Teams()))
-		return &running{change: m.ledger.Complete(m.host.Term(), m.host.NewRun())}
+		return &pendingChange{change: m.ledger.Complete(m.host.Term(), m.host.NewIncarnation())}
 	}
 	return nil
 }
 
-// firstShare is what the file gives the region of a team.
-func (m *Manager) firstShare(team string) ledger.Share {
-	i := slices.IndexFunc(m.Plan.Teams, func(t plan.Team) bool { return t.Name == team })
-	part := m.Plan.Teams[i].Part(m.Region)
-	return ledger.Share{Ceiling: part.Ceiling, Floor: part.Floor, Owned: part.Owned, Plan: m.plan}
+// initialShare is what the file gives the region of a team.
+func (m *Manager) initialShare(team string) ledger.Share {
+	index := slices.IndexFunc(m.Plan.Teams, func(t plan.Team) bool { return t.Name == team })
+	part := m.Plan.Teams[index].InitialShare(m.Region)
+	return ledger.Share{Limit: part.Ceiling, Guarantee: part.Floor, Owned: part.Owned, PlanFingerprint: m.planFingerprint}
 }
 
-// sameFirstShares tells whether no other region has shares of a team from another file.
-func (m *Manager) sameFirstShares(team string) bool {
-	for _, p := range m.peers {
-		if o, ok := p.offers[team]; ok && o.Plan != m.plan {
+// initialSharesAgree tells whether no other region has shares of a team from another file.
+func (m *Manager) initialSharesAgree(team string) bool {
+	for _, remote := range m.remotes {
+		if offer, ok := remote.offers[team]; ok && offer.Plan != m.planFingerprint {
 			return false
 		}
 	}
 	return true
 }
 
-// meet puts on record which ledger another region has.
-func (m *Manager) meet() *running {
+// handshake puts on record which ledger another region has.
+func (m *Manager) handshake() *pendingChange {
 	if !m.complete() || m.fenced() {
 		return nil
 	}
-	for _, p := range m.peers {
-		if p.confirmed != 0 && p.epoch != 0 && m.ledger.Link(p.name).PeerEpoch == 0 {
-			change := m.ledger.Meet(m.host.Term(), p.name, p.epoch)
-			return &running{change: change.Then(func(uint64) { p.urgent = true })}
+	for _, remote := range m.remotes {
+		if remote.confirmedIncarnation != 0 && remote.epoch != 0 && m.ledger.Link(remote.name).RemoteEpoch == 0 {
+			change := m.ledger.Handshake(m.host.Term(), remote.name, remote.epoch)
+			return &pendingChange{change: change.Then(func(uint64) { remote.urgent = true })}
 		}
 	}
 	return nil
 }
 
-// take adds the next transfer from another region.
-func (m *Manager) take() *running {
-	if !m.trusted() {
+// credit adds the next transfer from another region.
+func (m *Manager) credit() *pendingChange {
+	if !m.verified() {
 		return nil
 	}
-	for _, p := range m.peers {
-		t := p.nextTransfer(m.ledger.Link(p.name).Received)
-		if t == nil {
+	for _, remote := range m.remotes {
+		next := remote.nextTransfer(m.ledger.Link(remote.name).Received)
+		if next == nil {
 			continue
 		}
-		transfer := ledger.Transfer{Number: t.Number}
-		for _, s := range t.Parts {
-			transfer.Parts = append(transfer.Parts, ledger.Part{Team: s.Team, Amount: amount.Amount{CPUs: s.CPUs, GPUs: s.GPUs}})
+		transfer := ledger.Transfer{Number: next.Number}
+		for _, share := range next.Parts {
+			transfer.Parts = append(transfer.Parts, ledger.Part{Team: share.Team, Amount: amount.Amount{CPUs: share.CPUs, GPUs: share.GPUs}})
 		}
-		change := m.ledger.Take(m.host.Term(), p.name, p.received, transfer)
-		return &running{change: change.Then(func(uint64) { m.taken(p, transfer) })}
+		change := m.ledger.Credit(m.host.Term(), remote.name, remote.received, transfer)
+		return &pendingChange{change: change.Then(func(uint64) { m.onCredited(remote, transfer) })}
 	}
 	return nil
 }
 
-// taken tells of shares that have come.
-func (m *Manager) taken(p *peer, t ledger.Transfer) {
-	until := m.host.Now() + freshTimes*m.Every
-	for _, part := range t.Parts {
-		m.fresh[part.Team] = append(m.fresh[part.Team], freshShare{part.Amount, until})
-		m.Log.Debug("share received", "team", part.Team, "amount", part.Amount, "from", p.name, "transfer", t.Number)
+// onCredited tells of shares that have come.
+func (m *Manager) onCredited(remote *remoteRegion, transfer ledger.Transfer) {
+	keptUntil := m.host.Now() + recentCreditFactor*m.MessageInterval
+	for _, part := range transfer.Parts {
+		m.recentCredits[part.Team] = append(m.recentCredits[part.Team], recentCredit{part.Amount, keptUntil})
+		m.Log.Debug("share received", "team", part.Team, "amount", part.Amount, "from", remote.name, "transfer", transfer.Number)
 	}
-	p.urgent, p.wroteAt = true, m.host.Now()
+	remote.urgent, remote.lastLinkWrite = true, m.host.Now()
 	m.host.SharesChanged()
 }
 
-// give hands shares to a region that has asked for them.
-func (m *Manager) give() *running {
-	if !m.trusted() {
+// debit hands shares to a region that has asked for them.
+func (m *Manager) debit() *pendingChange {
+	if !m.verified() {
 		return nil
 	}
-	for _, p := range m.peers {
-		link := m.ledger.Link(p.name)
-		if len(p.claims) == 0 || len(link.Out) >= maxOut || !m.inReach(p) || p.gaveAt != 0 && m.host.Now()-p.gaveAt < m.Every/givePart {
+	for _, remote := range m.remotes {
+		link := m.ledger.Link(remote.name)
+		if len(remote.claims) == 0 || len(link.Unacknowledged) >= maxUnacknowledged || !m.reachable(remote) || remote.lastDebit != 0 && m.host.Now()-remote.lastDebit < m.MessageInterval/debitDivisor {
 			continue
 		}
-		parts := m.partsFor(p, &link)
-		p.claims = nil // answered; what is still wanted comes with the next message
+		parts := m.partsFor(remote, &link)
+		remote.claims = nil // answered; what is still wanted comes with the next message
 		if len(parts) == 0 {
 			continue
 		}
-		change, err := m.ledger.Give(m.host.Term(), p.name, p.received, parts)
+		change, err := m.ledger.Debit(m.host.Term(), remote.name, remote.received, parts)
 		if err != nil {
 			m.Log.Error("share not given", "err", err)
 			continue
 		}
-		return &running{giving: parts, change: change.Then(func(uint64) {
+		return &pendingChange{debits: parts, change: change.Then(func(uint64) {
 			for _, part := range parts {
-				m.Log.Debug("share given", "team", part.Team, "amount", part.Amount, "to", p.name, "transfer", link.Sent+1)
+				m.Log.Debug("share given", "team", part.Team, "amount", part.Amount, "to", remote.name, "transfer", link.Sent+1)
 			}
-			p.urgent = true
-			p.gaveAt, p.wroteAt = m.host.Now(), m.host.Now()
+			remote.urgent = true
+			remote.lastDebit, remote.lastLinkWrite = m.host.Now(), m.host.Now()
 		})}
 	}
 	return nil
 }
 
 // partsFor decides what a region gets for its claims.
-func (m *Manager) partsFor(p *peer, link *ledger.Link) []ledger.Part {
+func (m *Manager) partsFor(remote *remoteRegion, link *ledger.Link) []ledger.Part {
 	var parts []ledger.Part
-	most := min(maxParts, m.MaxWrites-1, m.MaxValue/partSize/maxOut)
+	most := min(maxTransferParts, m.MaxWrites-1, m.MaxValueBytes/maxPartBytes/maxUnacknowledged)
 	seen := map[string]bool{}
-	for _, c := range p.claims {
-		if _, ok := m.ledger.Share(c.Team); !ok || seen[c.Team] || len(parts) >= most {
+	for _, request := range remote.claims {
+		if _, ok := m.ledger.Share(request.Team); !ok || seen[request.Team] || len(parts) >= most {
 			continue
 		}
-		seen[c.Team] = true
-		claim := balance.Claim{Need: amount.Amount{CPUs: c.NeedCPUs, GPUs: c.NeedGPUs}.Positive(),
-			Reserve: amount.Amount{CPUs: c.ReserveCPUs, GPUs: c.ReserveGPUs}.Positive(), Rank: c.Rank, Gang: c.Gang, Region: p.index}
+		seen[request.Team] = true
+		claim := balance.Claim{Need: amount.Amount{CPUs: request.NeedCPUs, GPUs: request.NeedGPUs}.NonNegative(),
+			Reserve: amount.Amount{CPUs: request.ReserveCPUs, GPUs: request.ReserveGPUs}.NonNegative(), Priority: request.Rank, Gang: request.Gang, Region: remote.index}
 		// What is on its way already was claimed before it could arrive.
-		under := link.OnTheWay(c.Team, p.claimsAt)
-		claim.Reserve = claim.Reserve.Sub(under.Sub(claim.Need).Positive()).Positive()
-		claim.Need = claim.Need.Sub(under).Positive()
-		h := m.holding(c.Team)
-		if given := h.Grant(m.self, claim, m.offersOf(c.Team)); !given.IsZero() {
-			parts = append(parts, ledger.Part{Team: c.Team, Amount: given})
+		inTransit := link.InTransit(request.Team, remote.claimsReceived)
+		claim.Reserve = claim.Reserve.Sub(inTransit.Sub(claim.Need).NonNegative()).NonNegative()
+		claim.Need = claim.Need.Sub(inTransit).NonNegative()
+		holding := m.holding(request.Team)
+		if granted := holding.Grant(m.regionIndex, claim, m.offersOf(request.Team)); !granted.IsZero() {
+			parts = append(parts, ledger.Part{Team: request.Team, Amount: granted})
 		}
 	}
 	return parts
@@ -270,16 +270,16 @@
 
 // acknowledge forgets transfers that have arrived. The next transfer of the link does so as
 // well, so that this is seldom worth a write of its own.
-func (m *Manager) acknowledge() *running {
-	if !m.trusted() {
+func (m *Manager) acknowledge() *pendingChange {
+	if !m.verified() {
 		return nil
 	}
-	for _, p := range m.peers {
-		if len(m.ledger.Link(p.name).Out) < maxOut && m.host.Now()-p.wroteAt < ackTimes*m.Every {
+	for _, remote := range m.remotes {
+		if len(m.ledger.Link(remote.name).Unacknowledged) < maxUnacknowledged && m.host.Now()-remote.lastLinkWrite < acknowledgeFactor*m.MessageInterval {
 			continue
 		}
-		if c := m.ledger.Acknowledge(m.host.Term(), p.name, p.received); c != nil {
-			return &running{change: c}
+		if change := m.ledger.Acknowledge(m.host.Term(), remote.name, remote.received); change != nil {
+			return &pendingChange{change: change}
 		}
 	}
 	return nil
