--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -18,15 +18,15 @@
 	return gpus
 }
 
-// claimAndGive has region b ask a for shares and a subtract them. The messages that carry the
+// claimAndDebit has region b ask a for shares and a subtract them. The messages that carry the
 // transfer are kept back and returned.
-func (w *interleaving) claimAndGive(t *testing.T, a, b int) []stepMessage {
+func (w *interleaving) claimAndDebit(t *testing.T, a, b int) []stepMessage {
 	t.Helper()
-	w.regions[b].want = balance.Demand{Short: amount.Of(0, 9), Rank: 1}
+	w.regions[b].demand = balance.Demand{Shortfall: amount.Of(0, 9), Priority: 1}
 	before := w.regions[a].limit()
 	var held []stepMessage
 	for range 200 {
-		w.now += testEvery / urgentPart
+		w.now += testInterval / urgentDivisor
 		for _, r := range w.regions {
 			r.leader().m.Tick()
 			for len(r.leader().calls) > 0 {
@@ -49,7 +49,7 @@
 	if len(held) < 2 || w.regions[a].limit() >= before {
 		t.Fatal("nothing was given")
 	}
-	w.regions[b].want = balance.Demand{}
+	w.regions[b].demand = balance.Demand{}
 	return held
 }
 
@@ -72,13 +72,13 @@
 	}
 }
 
-// TestTransferOfAnEarlierRun has a transfer arrive after its region's ledger was replaced by a
+// TestTransferOfEarlierIncarnation has a transfer arrive after its region's ledger was replaced by a
 // copy from before it, and confirmed by the others: the shares are in that ledger again.
-func TestTransferOfAnEarlierRun(t *testing.T) {
+func TestTransferOfEarlierIncarnation(t *testing.T) {
 	w := newInterleaving(2)
-	w.regions[0].keepCopy()
-	held := w.claimAndGive(t, 0, 1)
-	w.regions[0].restoreCopy()
+	w.regions[0].takeBackup()
+	held := w.claimAndDebit(t, 0, 1)
+	w.regions[0].restoreLedger()
 	w.settle()
 	if w.regions[0].limit() != 6 {
 		t.Fatalf("the copy is not trusted: it may grant %v", w.regions[0].limit())
@@ -93,12 +93,12 @@
 // TestTransferDuringConfirmation has it arrive while the new run is being confirmed.
 func TestTransferDuringConfirmation(t *testing.T) {
 	w := newInterleaving(2)
-	w.regions[0].keepCopy()
-	held := w.claimAndGive(t, 0, 1)
-	w.regions[0].restoreCopy()
+	w.regions[0].takeBackup()
+	held := w.claimAndDebit(t, 0, 1)
+	w.regions[0].restoreLedger()
 	b := w.regions[1].leader()
 	for range 200 {
-		w.now += testEvery / urgentPart
+		w.now += testInterval / urgentDivisor
 		for _, r := range w.regions {
 			r.leader().m.Tick()
 		}
@@ -110,11 +110,11 @@
 		for _, x := range messages {
 			w.regions[x.to].leader().m.Receive(x.msg)
 		}
-		if b.m.running != nil {
+		if b.m.pending != nil {
 			break
 		}
 	}
-	if b.m.running == nil {
+	if b.m.pending == nil {
 		t.Fatal("no run was confirmed")
 	}
 	for _, x := range held {
@@ -126,25 +126,25 @@
 	}
 }
 
-// TestWordOfADeposedLeader has a leader that was replaced without knowing it answer a region
+// TestConfirmationByReplacedLeader has a leader that was replaced without knowing it answer a region
 // whose ledger is an older copy: it has not seen the transfer that shows it.
-func TestWordOfADeposedLeader(t *testing.T) {
+func TestConfirmationByReplacedLeader(t *testing.T) {
 	w := newInterleaving(2)
-	w.regions[0].keepCopy()
-	deposed := w.regions[1].leader()
+	w.regions[0].takeBackup()
+	replaced := w.regions[1].leader()
 	w.regions[1].elect()
 	w.settle()
-	held := w.claimAndGive(t, 0, 1)
+	held := w.claimAndDebit(t, 0, 1)
 	w.deliver(held)
 	if w.regions[1].owned() <= 6 {
 		t.Fatal("the transfer was not added")
 	}
-	w.regions[0].restoreCopy()
+	w.regions[0].restoreLedger()
 	for range 60 {
-		w.now += testEvery / urgentPart
+		w.now += testInterval / urgentDivisor
 		a := w.regions[0].leader()
-		for _, l := range []*stepLeader{a, deposed} {
-			if l.over {
+		for _, l := range []*stepLeader{a, replaced} {
+			if l.ended {
 				continue
 			}
 			l.m.Tick()
@@ -158,8 +158,8 @@
 			switch {
 			case x.to == 0:
 				a.m.Receive(x.msg)
-			case !deposed.over:
-				deposed.m.Receive(x.msg)
+			case !replaced.ended:
+				replaced.m.Receive(x.msg)
 			}
 		}
 	}
@@ -168,16 +168,16 @@
 	}
 }
 
-// TestWordFromBeforeTheReading has a message that confirmed the ledger arrive again after the
+// TestConfirmationFromBeforeReload has a message that confirmed the ledger arrive again after the
 // ledger was read anew, by then an older copy.
-func TestWordFromBeforeTheReading(t *testing.T) {
+func TestConfirmationFromBeforeReload(t *testing.T) {
 	w := newInterleaving(2)
-	w.regions[0].keepCopy()
-	var word []stepMessage
-	w.now += 2 * testEvery
+	w.regions[0].takeBackup()
+	var confirmations []stepMessage
+	w.now += 2 * testInterval
 	w.regions[1].leader().m.Tick()
-	word, w.messages = w.messages, nil
-	held := w.claimAndGive(t, 0, 1)
+	confirmations, w.messages = w.messages, nil
+	held := w.claimAndDebit(t, 0, 1)
 	w.deliver(held)
 	w.regions[0].replaceRecords()
 	a := w.regions[0].leader()
@@ -185,34 +185,34 @@
 	for len(a.calls) > 0 {
 		a.answer(0)
 	}
-	for _, x := range word {
+	for _, x := range confirmations {
 		a.m.Receive(x.msg)
 	}
-	if a.m.trusted() {
+	if a.m.verified() {
 		t.Error("a message from before the reading confirmed it")
 	}
 }
 
-// TestUnconfirmedLedgerMovesNothing has a region whose ledger one other region has not confirmed
+// TestUnverifiedLedgerMovesNothing has a region whose ledger one other region has not confirmed
 // be asked for shares, and be sent some.
-func TestUnconfirmedLedgerMovesNothing(t *testing.T) {
+func TestUnverifiedLedgerMovesNothing(t *testing.T) {
 	w := newInterleaving(3)
-	held := w.claimAndGive(t, 0, 1) // is on its way to region 1
+	held := w.claimAndDebit(t, 0, 1) // is on its way to region 1
 	w.regions[0].elect()
 	w.regions[1].elect()
-	w.away = 2
+	w.excluded = 2
 	owned := []float64{w.regions[0].owned(), w.regions[1].owned()}
 	w.settle()
 	a, b := w.regions[0].leader(), w.regions[1].leader()
-	b.m.peer("region-0").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 1000, Rank: 1}}
-	b.m.peer("region-0").transfers = held[0].msg.Transfers
+	b.m.remote("region-0").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 1000, Rank: 1}}
+	b.m.remote("region-0").transfers = held[0].msg.Transfers
 	for _, l := range []*stepLeader{a, b} {
-		l.m.advance()
+		l.m.startNext()
 		for len(l.calls) > 0 {
 			l.answer(0)
 		}
 	}
-	if a.m.trusted() || b.m.trusted() {
+	if a.m.verified() || b.m.verified() {
 		t.Fatal("a ledger is trusted that region-2 has not confirmed")
 	}
 	if w.regions[0].owned() != owned[0] || w.regions[1].owned() != owned[1] {
@@ -220,27 +220,27 @@
 	}
 }
 
-// TestEmptiedLedgerIsNotMadeAnew empties a region's state service: the others know of its
+// TestEmptiedLedgerIsNotRecreated empties a region's state service: the others know of its
 // ledger, and it makes no other one.
-func TestEmptiedLedgerIsNotMadeAnew(t *testing.T) {
+func TestEmptiedLedgerIsNotRecreated(t *testing.T) {
 	w := newInterleaving(2)
-	w.regions[0].old = map[string]wire.Item{}
-	w.regions[0].restoreCopy()
+	w.regions[0].backup = map[string]wire.Item{}
+	w.regions[0].restoreLedger()
 	w.settle()
 	if w.regions[0].leader().m.complete() || w.regions[0].limit() != 0 {
 		t.Errorf("a new ledger was made, it may grant %v", w.regions[0].limit())
 	}
 }
 
-// TestOtherFile starts regions with files that divide the ceilings in different ways: no ledger
+// TestDifferentRegionsFiles starts regions with files that divide the ceilings in different ways: no ledger
 // is made, and a team that is new to one file gets no shares.
-func TestOtherFile(t *testing.T) {
-	w := &interleaving{plan: testPlan(2, 1, 12), away: -1}
+func TestDifferentRegionsFiles(t *testing.T) {
+	w := &interleaving{plan: testPlan(2, 1, 12), excluded: -1}
 	for i := range 2 {
 		w.regions = append(w.regions, &stepRegion{w: w, index: i, testStore: newTestStore()})
 		w.regions[i].elect()
 	}
-	w.regions[1].leader().m.plan++
+	w.regions[1].leader().m.planFingerprint++
 	w.settle()
 	if w.regions[0].leader().m.complete() {
 		t.Error("a ledger was made from a file that the other region does not have")
@@ -250,26 +250,26 @@
 	a.m.Plan = testPlan(2, 2, 12)
 	b := w.regions[1].leader()
 	b.m.Plan = a.m.Plan
-	a.m.plan, b.m.plan = 77, 77
-	other := a.m.peer("region-1")
+	a.m.planFingerprint, b.m.planFingerprint = 77, 77
+	other := a.m.remote("region-1")
 	other.offers = map[string]wire.RegionOffer{"team-1": {Team: "team-1", Plan: 76}}
-	other.plan, other.hasOffers = 77, true
-	if a.m.create() != nil {
+	other.planFingerprint, other.hasOffers = 77, true
+	if a.m.createShares() != nil {
 		t.Error("shares were made of a team of which the other region has some from another file")
 	}
 	other.offers = nil
-	if a.m.create() == nil {
+	if a.m.createShares() == nil {
 		t.Error("no shares were made of a team that is new to all")
 	}
 }
 
-// TestFencedGrantsNothing looks at a region whose ledger went back: not even the guaranteed part
+// TestFencedRegionGrantsNothing looks at a region whose ledger went back: not even the guaranteed part
 // is granted until an operator says so.
-func TestFencedGrantsNothing(t *testing.T) {
+func TestFencedRegionGrantsNothing(t *testing.T) {
 	w := newInterleaving(2)
-	w.regions[0].keepCopy()
-	w.deliver(w.claimAndGive(t, 0, 1))
-	w.regions[0].restoreCopy()
+	w.regions[0].takeBackup()
+	w.deliver(w.claimAndDebit(t, 0, 1))
+	w.regions[0].restoreLedger()
 	w.settle()
 	if !w.regions[0].leader().m.fenced() || w.regions[0].limit() != 0 {
 		t.Errorf("fenced %v, may grant %v", w.regions[0].leader().m.fenced(), w.regions[0].limit())
@@ -281,15 +281,15 @@
 	}
 }
 
-// TestCopyThatForgotWhatCame restores the ledger of a region from before it added a transfer.
-func TestCopyThatForgotWhatCame(t *testing.T) {
+// TestBackupFromBeforeCredit restores the ledger of a region from before it added a transfer.
+func TestBackupFromBeforeCredit(t *testing.T) {
 	w := newInterleaving(2)
-	w.regions[1].keepCopy()
-	w.deliver(w.claimAndGive(t, 0, 1))
+	w.regions[1].takeBackup()
+	w.deliver(w.claimAndDebit(t, 0, 1))
 	w.settle()
-	w.now += 10 * testEvery
+	w.now += 10 * testInterval
 	w.settle() // the transfer is acknowledged and forgotten by its source
-	w.regions[1].restoreCopy()
+	w.regions[1].restoreLedger()
 	w.settle()
 	if !w.regions[1].leader().m.fenced() {
 		t.Error("the older copy was not noticed")
@@ -301,9 +301,9 @@
 func TestReplacedLedger(t *testing.T) {
 	w := newInterleaving(2)
 	a := w.regions[0].leader()
-	p := a.m.peer("region-1")
-	msg := &wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: p.confirmed, Sequence: p.sequence + 1, EchoRun: a.m.run,
-		EchoSequence: a.m.sequence, ConfirmedRun: a.m.run, Plan: a.m.plan, Epoch: p.epoch + 1, KnownEpoch: a.m.ledger.Epoch(),
+	p := a.m.remote("region-1")
+	msg := &wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: p.confirmedIncarnation, Sequence: p.sequence + 1, EchoRun: a.m.incarnation,
+		EchoSequence: a.m.sequence, ConfirmedRun: a.m.incarnation, Plan: a.m.planFingerprint, Epoch: p.epoch + 1, KnownEpoch: a.m.ledger.Epoch(),
 		Claims: []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000}}}
 	a.m.Receive(msg)
 	for len(a.calls) > 0 {
@@ -314,20 +314,20 @@
 	}
 }
 
-// TestOlderClaim has claims arrive out of order, and again while what was given for them is on
+// TestStaleClaim has claims arrive out of order, and again while what was given for them is on
 // its way: the newest counts, once.
-func TestOlderClaim(t *testing.T) {
+func TestStaleClaim(t *testing.T) {
 	w := newInterleaving(2)
 	a := w.regions[0].leader()
-	p := a.m.peer("region-1")
+	p := a.m.remote("region-1")
 	say := func(sequence uint64, need int64) {
-		a.m.Receive(&wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: p.confirmed, Sequence: p.sequence + sequence, EchoRun: a.m.run,
-			EchoSequence: a.m.sequence, ConfirmedRun: a.m.run, Plan: a.m.plan, Epoch: p.epoch, KnownEpoch: a.m.ledger.Epoch(),
+		a.m.Receive(&wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: p.confirmedIncarnation, Sequence: p.sequence + sequence, EchoRun: a.m.incarnation,
+			EchoSequence: a.m.sequence, ConfirmedRun: a.m.incarnation, Plan: a.m.planFingerprint, Epoch: p.epoch, KnownEpoch: a.m.ledger.Epoch(),
 			Claims: []wire.RegionClaim{{Team: stepTeam, NeedGPUs: need}}})
 		for len(a.calls) > 0 {
 			a.answer(0)
 		}
-		w.now += testEvery
+		w.now += testInterval
 	}
 	say(2, 1000)
 	if got := w.regions[0].owned(); got != 5 {
@@ -344,30 +344,30 @@
 	}
 }
 
-// TestRefusedMessages hands over messages that are not for this version or region.
-func TestRefusedMessages(t *testing.T) {
+// TestRejectedMessages hands over messages that are not for this version or region.
+func TestRejectedMessages(t *testing.T) {
 	w := newInterleaving(2)
 	a := w.regions[0].leader()
-	p := *a.m.peer("region-1")
+	p := *a.m.remote("region-1")
 	for _, msg := range []*wire.RegionMessage{
-		{Version: wire.RegionVersion + 1, From: "region-1", To: "region-0", EchoRun: a.m.run, Run: 1},
-		{Version: 1, From: "nowhere", To: "region-0", EchoRun: a.m.run},
-		{Version: 1, From: "region-1", To: "region-7", EchoRun: a.m.run, Run: 1},
+		{Version: wire.RegionVersion + 1, From: "region-1", To: "region-0", EchoRun: a.m.incarnation, Run: 1},
+		{Version: 1, From: "nowhere", To: "region-0", EchoRun: a.m.incarnation},
+		{Version: 1, From: "region-1", To: "region-7", EchoRun: a.m.incarnation, Run: 1},
 	} {
 		a.m.Receive(msg)
 	}
-	if now := a.m.peer("region-1"); now.echoRun != p.echoRun || now.heard != p.heard || len(a.m.refused) != 3 {
-		t.Errorf("a message was taken: %v", a.m.refused)
+	if now := a.m.remote("region-1"); now.echoIncarnation != p.echoIncarnation || now.lastHeard != p.lastHeard || len(a.m.loggedRejections) != 3 {
+		t.Errorf("a message was taken: %v", a.m.loggedRejections)
 	}
 }
 
-// TestGiveWithoutAnswer has the transaction of a transfer get no answer and take effect later:
+// TestDebitWithoutAnswer has the transaction of a transfer get no answer and take effect later:
 // meanwhile its amounts count as gone.
-func TestGiveWithoutAnswer(t *testing.T) {
+func TestDebitWithoutAnswer(t *testing.T) {
 	w := newInterleaving(2)
 	a := w.regions[0].leader()
-	a.m.peer("region-1").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000, Rank: 1}}
-	a.m.advance()
+	a.m.remote("region-1").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000, Rank: 1}}
+	a.m.startNext()
 	if len(a.calls) != 1 {
 		t.Fatalf("%d calls, want the transfer's", len(a.calls))
 	}
@@ -393,25 +393,25 @@
 		for len(a.calls) > 0 {
 			a.answer(0)
 		}
-		a.m.Receive(&wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: 99, Sequence: 1, EchoRun: a.m.run,
-			EchoSequence: a.m.sequence, ConfirmedRun: a.m.run, Plan: a.m.plan, Epoch: 7, KnownEpoch: known})
-		if a.m.trusted() || a.m.fenced() != fenced {
-			t.Errorf("known epoch %d: trusted %v, fenced %v", known, a.m.trusted(), a.m.fenced())
+		a.m.Receive(&wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: 99, Sequence: 1, EchoRun: a.m.incarnation,
+			EchoSequence: a.m.sequence, ConfirmedRun: a.m.incarnation, Plan: a.m.planFingerprint, Epoch: 7, KnownEpoch: known})
+		if a.m.verified() || a.m.fenced() != fenced {
+			t.Errorf("known epoch %d: trusted %v, fenced %v", known, a.m.verified(), a.m.fenced())
 		}
 	}
 }
 
-// TestLimitsOfTheServiceFall has the state service take fewer writes at a time than it was said
+// TestStoreLimitsDecrease has the state service take fewer writes at a time than it was said
 // to: transfers become smaller and go on.
-func TestLimitsOfTheServiceFall(t *testing.T) {
-	w := &interleaving{plan: testPlan(2, 8, 12), away: -1}
+func TestStoreLimitsDecrease(t *testing.T) {
+	w := &interleaving{plan: testPlan(2, 8, 12), excluded: -1}
 	for i := range 2 {
 		w.regions = append(w.regions, &stepRegion{w: w, index: i, testStore: newTestStore()})
 		w.regions[i].elect()
 	}
 	w.settle()
-	w.regions[0].most = 3
-	w.regions[1].want = balance.Demand{Short: amount.Of(0, 9), Rank: 1} // of every team
+	w.regions[0].maxWrites = 3
+	w.regions[1].demand = balance.Demand{Shortfall: amount.Of(0, 9), Priority: 1} // of every team
 	w.regions[1].leader().m.DemandChanged()
 	for range 10 {
 		w.settle()
@@ -423,21 +423,21 @@
 	}
 }
 
-// TestNothingIsSaidBeforeTheLedgerIsRead has a leader begin while its state service is slow: the
+// TestNoMessagesBeforeLedgerIsLoaded has a leader begin while its state service is slow: the
 // other region would take a message without an epoch for the word that the ledger is gone.
-func TestNothingIsSaidBeforeTheLedgerIsRead(t *testing.T) {
+func TestNoMessagesBeforeLedgerIsLoaded(t *testing.T) {
 	w := newInterleaving(2)
 	w.regions[0].elect()
 	w.messages = nil
 	for range 10 {
-		w.now += testEvery
+		w.now += testInterval
 		w.regions[0].leader().m.Tick()
 	}
 	if len(w.messages) > 0 {
 		t.Errorf("%d messages before the ledger was read", len(w.messages))
 	}
 	w.settle()
-	if w.regions[1].leader().m.peer("region-0").replaced {
+	if w.regions[1].leader().m.remote("region-0").replacementLogged {
 		t.Error("the ledger counts as lost")
 	}
 }
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -29,10 +29,10 @@
 	plan     *plan.Plan
 	regions  []*stepRegion
 	messages []stepMessage
-	late     []stepTxn // transactions that nobody waits for any more
+	lateTxns []stepTxn // transactions that nobody waits for any more
 	runs     uint64
 	restored bool // a ledger was replaced: the shares need not add up
-	away     int  // region that settle leaves out, -1 for none
+	excluded int  // region that settle leaves out, -1 for none
 }
 
 type stepMessage struct {
@@ -51,7 +51,7 @@
 	index int
 	testStore
 	used    int
-	want    balance.Demand
+	demand  balance.Demand
 	leaders []*stepLeader // the last one leads
 }
 
@@ -59,10 +59,10 @@
 type stepLeader struct {
 	r     *stepRegion
 	m     *Manager
-	term  wire.Cond
+	term  wire.Condition
 	used  int
 	calls []stepCall
-	over  bool
+	ended bool
 }
 
 // stepCall is a call to the state service: a transaction, or a reading if txn is nil.
@@ -75,7 +75,7 @@
 const stepTeam = "team-0"
 
 func newInterleaving(regions int) *interleaving {
-	w := &interleaving{plan: testPlan(regions, 1, 12), away: -1}
+	w := &interleaving{plan: testPlan(regions, 1, 12), excluded: -1}
 	for i := range regions {
 		r := &stepRegion{w: w, index: i, testStore: newTestStore()}
 		w.regions = append(w.regions, r)
@@ -88,9 +88,9 @@
 // settle has everything arrive in order until all regions trust their ledgers.
 func (w *interleaving) settle() {
 	for range 60 {
-		w.now += testEvery / urgentPart
+		w.now += testInterval / urgentDivisor
 		for _, r := range w.regions {
-			if r.index == w.away {
+			if r.index == w.excluded {
 				continue
 			}
 			l := r.leader()
@@ -102,7 +102,7 @@
 		messages := w.messages
 		w.messages = nil
 		for _, x := range messages {
-			if away := w.plan.Regions[max(0, w.away)].Name; w.away < 0 || x.to != w.away && x.msg.From != away {
+			if away := w.plan.Regions[max(0, w.excluded)].Name; w.excluded < 0 || x.to != w.excluded && x.msg.From != away {
 				w.regions[x.to].leader().m.Receive(x.msg)
 			}
 		}
@@ -113,12 +113,12 @@
 
 // elect begins a term; the leader before goes on, unaware of it.
 func (r *stepRegion) elect() {
-	l := &stepLeader{r: r, term: r.raiseTerm(), used: r.used}
+	l := &stepLeader{r: r, term: r.beginTerm(), used: r.used}
 	r.leaders = append(r.leaders, l)
 	if len(r.leaders) > 3 {
 		r.leaders = r.leaders[1:]
 	}
-	l.m = New(Config{Region: r.w.plan.Regions[r.index].Name, Plan: r.w.plan, Every: testEvery, MaxWrites: maxOps, MaxValue: 4096, Log: slog.New(slog.DiscardHandler)}, l, l)
+	l.m = New(Config{Region: r.w.plan.Regions[r.index].Name, Plan: r.w.plan, MessageInterval: testInterval, MaxWrites: testMaxWrites, MaxValueBytes: 4096, Log: slog.New(slog.DiscardHandler)}, l, l)
 }
 
 // take removes a call and returns it.
@@ -150,14 +150,14 @@
 	l.calls = append(l.calls, stepCall{txn: &copied, done: done})
 }
 
-func (l *stepLeader) Now() time.Duration { return l.r.w.now }
-func (l *stepLeader) NewRun() uint64     { l.r.w.runs++; return l.r.w.runs }
-func (l *stepLeader) Term() wire.Cond    { return l.term }
-func (l *stepLeader) SharesChanged()     {}
-func (l *stepLeader) TermChanged()       { l.over = true }
+func (l *stepLeader) Now() time.Duration     { return l.r.w.now }
+func (l *stepLeader) NewIncarnation() uint64 { l.r.w.runs++; return l.r.w.runs }
+func (l *stepLeader) Term() wire.Condition   { return l.term }
+func (l *stepLeader) SharesChanged()         {}
+func (l *stepLeader) TermChanged()           { l.ended = true }
 
 func (l *stepLeader) Demand(string) balance.Demand {
-	d := l.r.want
+	d := l.r.demand
 	d.Planned = amount.Of(0, float64(l.used))
 	return d
 }
@@ -188,7 +188,7 @@
 	return map[string]func(*rapid.T){
 		"tick": func(t *rapid.T) {
 			w.now += time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond
-			if l := w.anyLeader(t); !l.over {
+			if l := w.anyLeader(t); !l.ended {
 				l.m.Tick()
 			}
 		},
@@ -205,48 +205,48 @@
 			if rapid.IntRange(0, 9).Draw(t, "to a leader before") == 0 {
 				l = w.regions[x.to].leaders[0]
 			}
-			if !l.over {
+			if !l.ended {
 				l.m.Receive(x.msg)
 			}
 		},
 		"answer": func(t *rapid.T) {
-			if l := w.anyLeader(t); len(l.calls) > 0 && !l.over {
+			if l := w.anyLeader(t); len(l.calls) > 0 && !l.ended {
 				l.answer(0)
 			}
 		},
 		"answer is lost": func(t *rapid.T) {
 			l := w.anyLeader(t)
-			if len(l.calls) == 0 || l.calls[0].txn == nil || l.over {
+			if len(l.calls) == 0 || l.calls[0].txn == nil || l.ended {
 				t.Skip()
 			}
 			c := l.take(0)
 			if rapid.Bool().Draw(t, "late") {
-				w.late = append(w.late, stepTxn{l.r.index, c.txn})
+				w.lateTxns = append(w.lateTxns, stepTxn{l.r.index, c.txn})
 			} else {
 				l.r.commit(c.txn)
 			}
 			c.done(kv.TxnResult{Status: kv.Unanswered})
 		},
 		"late transaction": func(t *rapid.T) {
-			if len(w.late) == 0 {
+			if len(w.lateTxns) == 0 {
 				t.Skip()
 			}
-			i := rapid.IntRange(0, len(w.late)-1).Draw(t, "transaction")
-			x := w.late[i]
-			w.late = append(append([]stepTxn{}, w.late[:i]...), w.late[i+1:]...)
+			i := rapid.IntRange(0, len(w.lateTxns)-1).Draw(t, "transaction")
+			x := w.lateTxns[i]
+			w.lateTxns = append(append([]stepTxn{}, w.lateTxns[:i]...), w.lateTxns[i+1:]...)
 			w.regions[x.region].commit(x.txn)
 		},
 		"want": func(t *rapid.T) {
 			r := w.anyRegion(t)
-			r.want = balance.Demand{Short: amount.Of(0, float64(rapid.IntRange(0, 12).Draw(t, "short"))), Rank: rapid.IntRange(0, 1).Draw(t, "rank")}
+			r.demand = balance.Demand{Shortfall: amount.Of(0, float64(rapid.IntRange(0, 12).Draw(t, "short"))), Priority: rapid.IntRange(0, 1).Draw(t, "rank")}
 			r.leader().m.DemandChanged()
 		},
 		"start": func(t *rapid.T) {
 			l := w.anyLeader(t)
-			if n := rapid.IntRange(1, 4).Draw(t, "tasks"); !l.over && l.m.Limit(stepTeam).Covers(amount.Of(0, float64(l.used+n))) {
+			if n := rapid.IntRange(1, 4).Draw(t, "tasks"); !l.ended && l.m.Limit(stepTeam).Covers(amount.Of(0, float64(l.used+n))) {
 				// Its placement is recorded under its term before anything starts.
 				l.used += n
-				if status, _ := l.r.commit(&wire.Txn{If: []wire.Cond{l.term}}); status == 200 {
+				if status, _ := l.r.commit(&wire.Txn{Conditions: []wire.Condition{l.term}}); status == 200 {
 					l.r.used += n
 				}
 			}
@@ -260,10 +260,10 @@
 		"elect": func(t *rapid.T) { w.anyRegion(t).elect() },
 		"keep a copy": func(t *rapid.T) {
 			r := w.anyRegion(t)
-			if r.old != nil {
+			if r.backup != nil {
 				t.Skip()
 			}
-			r.keepCopy()
+			r.takeBackup()
 		},
 		"": w.check,
 	}
@@ -273,29 +273,29 @@
 // after all its controllers have ended.
 func (w *interleaving) restore(t *rapid.T) {
 	r := w.anyRegion(t)
-	if r.old == nil || rapid.IntRange(0, 2).Draw(t, "restore") > 0 {
+	if r.backup == nil || rapid.IntRange(0, 2).Draw(t, "restore") > 0 {
 		t.Skip()
 	}
-	r.restoreCopy()
+	r.restoreLedger()
 	var late []stepTxn
-	for _, x := range w.late {
+	for _, x := range w.lateTxns {
 		if x.region != r.index { // the service that would have carried it out is gone
 			late = append(late, x)
 		}
 	}
-	w.late = late
+	w.lateTxns = late
 }
 
 // replaceRecords puts the copy in place of the ledger, under the leader that there is.
 func (r *stepRegion) replaceRecords() {
 	r.w.restored = true
-	r.putCopy()
+	r.applyBackup()
 }
 
-// restoreCopy puts the copy in place of the ledger after all controllers have ended.
-func (r *stepRegion) restoreCopy() {
+// restoreLedger puts the copy in place of the ledger after all controllers have ended.
+func (r *stepRegion) restoreLedger() {
 	r.replaceRecords()
-	r.leaders, r.old = nil, nil
+	r.leaders, r.backup = nil, nil
 	r.elect()
 }
 
@@ -318,7 +318,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Invariant(); err != nil {
+		if err := l.CheckInvariants(); err != nil {
 			t.Fatal(err)
 		}
 		ledgers[i] = l
@@ -328,7 +328,7 @@
 	for i, from := range ledgers {
 		for k, to := range ledgers {
 			received := to.Link(w.plan.Regions[i].Name).Received
-			for _, x := range from.Link(w.plan.Regions[k].Name).Out {
+			for _, x := range from.Link(w.plan.Regions[k].Name).Unacknowledged {
 				if x.Number > received {
 					sum = sum.Add(x.Parts[0].Amount)
 				}
--- a/internal/quota/ledger/ledger.go
+++ b/internal/quota/ledger/ledger.go
@@ -10,7 +10,7 @@
 
 // Ledger is a region's records as its leader knows them.
 type Ledger struct {
-	head   versioned[head]
+	header versioned[header]
 	shares map[string]versioned[Share]
 	links  map[string]versioned[Link]
 }
@@ -20,9 +20,9 @@
 	l := &Ledger{shares: map[string]versioned[Share]{}, links: map[string]versioned[Link]{}}
 	for _, it := range items {
 		var ok bool
-		switch kind, name := keyKind(it.Key); kind {
-		case headKey:
-			l.head, ok = decode[head](it.Value, it.Version)
+		switch kind, name := parseKey(it.Key); kind {
+		case headerKey:
+			l.header, ok = decode[header](it.Value, it.Version)
 		case sharePrefix:
 			l.shares[name], ok = decode[Share](it.Value, it.Version)
 		case linkPrefix:
@@ -36,10 +36,10 @@
 }
 
 // Epoch is the ledger's own; 0 as long as it is not complete.
-func (l *Ledger) Epoch() uint64 { return l.head.value.Epoch }
+func (l *Ledger) Epoch() uint64 { return l.header.value.Epoch }
 
-// Fenced tells why the region may grant nothing; empty if it may.
-func (l *Ledger) Fenced() string { return l.head.value.Fenced }
+// FenceReason tells why the region may grant nothing; empty if it may.
+func (l *Ledger) FenceReason() string { return l.header.value.FenceReason }
 
 // Share is what the region has of a team.
 func (l *Ledger) Share(team string) (Share, bool) {
@@ -65,22 +65,22 @@
 	return names
 }
 
-// Invariant tells what in the ledger cannot be; nil if it is sound.
-func (l *Ledger) Invariant() error {
+// CheckInvariants tells what in the ledger cannot be; nil if it is sound.
+func (l *Ledger) CheckInvariants() error {
 	for _, team := range l.Teams() {
-		s := l.shares[team].value
+		share := l.shares[team].value
 		switch {
-		case s.Owned.Negative():
-			return fmt.Errorf("ledger: %s: owned %v is below 0", team, s.Owned)
-		case !s.Owned.Covers(s.Floor):
-			return fmt.Errorf("ledger: %s: owned %v is less than the guaranteed %v", team, s.Owned, s.Floor)
-		case !s.Ceiling.Covers(s.Owned):
-			return fmt.Errorf("ledger: %s: owned %v is more than the ceiling %v", team, s.Owned, s.Ceiling)
+		case share.Owned.IsNegative():
+			return fmt.Errorf("ledger: %s: owned %v is below 0", team, share.Owned)
+		case !share.Owned.Covers(share.Guarantee):
+			return fmt.Errorf("ledger: %s: owned %v is less than the guaranteed %v", team, share.Owned, share.Guarantee)
+		case !share.Limit.Covers(share.Owned):
+			return fmt.Errorf("ledger: %s: owned %v is more than the ceiling %v", team, share.Owned, share.Limit)
 		}
 	}
 	for _, region := range l.Regions() {
 		link := l.links[region].value
-		for i, t := range link.Out {
+		for i, t := range link.Unacknowledged {
 			if t.Number != link.Acknowledged()+1+uint64(i) {
 				return fmt.Errorf("ledger: %s: transfer %d out of order", region, t.Number)
 			}
@@ -93,24 +93,24 @@
 // of times: it is conditional on the version of each record that it writes, so it takes effect
 // once. Done is called with the revision once it is known to have taken effect.
 type Change struct {
-	Txn  *wire.Txn
-	Done func(revision uint64)
+	Txn         *wire.Txn
+	OnCommitted func(revision uint64)
 }
 
 // change begins a transaction under the leader's term.
-func (l *Ledger) change(term wire.Cond) *Change {
-	return &Change{Txn: &wire.Txn{If: []wire.Cond{term}}}
+func (l *Ledger) change(term wire.Condition) *Change {
+	return &Change{Txn: &wire.Txn{Conditions: []wire.Condition{term}}}
 }
 
 func (c *Change) put(key string, version uint64, value any) {
-	c.Txn.If = append(c.Txn.If, wire.Cond{Key: key, Version: version})
+	c.Txn.Conditions = append(c.Txn.Conditions, wire.Condition{Key: key, Version: version})
 	c.Txn.Writes = append(c.Txn.Writes, wire.Write{Put: key, Value: encode(value)})
 }
 
 // Then adds what is done once the transaction has taken effect, after what there is.
 func (c *Change) Then(f func(revision uint64)) *Change {
-	before := c.Done
-	c.Done = func(revision uint64) {
+	before := c.OnCommitted
+	c.OnCommitted = func(revision uint64) {
 		if before != nil {
 			before(revision)
 		}
@@ -130,90 +130,90 @@
 }
 
 // AddShares puts the first shares of teams on record that have none.
-func (l *Ledger) AddShares(term wire.Cond, teams []string, share func(team string) Share) *Change {
-	c := l.change(term)
+func (l *Ledger) AddShares(term wire.Condition, teams []string, share func(team string) Share) *Change {
+	change := l.change(term)
 	for _, team := range teams {
-		l.putShare(c, team, share(team))
+		l.putShare(change, team, share(team))
 	}
-	return c
+	return change
 }
 
 // Complete makes the ledger one of that epoch, once all first shares are on record.
-func (l *Ledger) Complete(term wire.Cond, epoch uint64) *Change {
-	return l.putHead(term, head{Epoch: epoch})
+func (l *Ledger) Complete(term wire.Condition, epoch uint64) *Change {
+	return l.putHeader(term, header{Epoch: epoch})
 }
 
 // Fence has the region grant nothing from now on.
-func (l *Ledger) Fence(term wire.Cond, why string) *Change {
-	return l.putHead(term, head{Epoch: l.head.value.Epoch, Fenced: why})
+func (l *Ledger) Fence(term wire.Condition, why string) *Change {
+	return l.putHeader(term, header{Epoch: l.header.value.Epoch, FenceReason: why})
 }
 
-func (l *Ledger) putHead(term wire.Cond, h head) *Change {
-	c := l.change(term)
-	c.put(headKey, l.head.version, h)
-	c.Then(func(revision uint64) { l.head = versioned[head]{h, revision} })
-	return c
+func (l *Ledger) putHeader(term wire.Condition, next header) *Change {
+	change := l.change(term)
+	change.put(headerKey, l.header.version, next)
+	change.Then(func(revision uint64) { l.header = versioned[header]{next, revision} })
+	return change
 }
 
-// Meet records the epoch of a region's ledger.
-func (l *Ledger) Meet(term wire.Cond, region string, epoch uint64) *Change {
+// Handshake records the epoch of a region's ledger.
+func (l *Ledger) Handshake(term wire.Condition, region string, epoch uint64) *Change {
 	link := l.links[region].value
-	link.PeerEpoch = epoch
-	c := l.change(term)
-	l.putLink(c, region, link)
-	return c
+	link.RemoteEpoch = epoch
+	change := l.change(term)
+	l.putLink(change, region, link)
+	return change
 }
 
-// Give takes shares from what the region owns and puts them on their way to another one. The
+// Debit takes shares from what the region owns and puts them on their way to another one. The
 // caller sees to it that no task uses them. It fails if that would leave less than the floor.
-func (l *Ledger) Give(term wire.Cond, region string, received uint64, parts []Part) (*Change, error) {
-	c := l.change(term)
+func (l *Ledger) Debit(term wire.Condition, region string, received uint64, parts []Part) (*Change, error) {
+	change := l.change(term)
 	link := l.links[region].value
-	link.Out = slices.Clone(link.Out)
+	link.Unacknowledged = slices.Clone(link.Unacknowledged)
 	link.acknowledge(received)
 	link.Sent++
-	link.Out = append(link.Out, Transfer{Number: link.Sent, Parts: parts})
-	l.putLink(c, region, link)
-	for _, p := range parts {
-		s, ok := l.Share(p.Team)
-		if !ok || p.Amount.Negative() || !s.Owned.Sub(p.Amount).Covers(s.Floor) {
-			return nil, fmt.Errorf("ledger: cannot give %v of %s, which owns %v", p.Amount, p.Team, s.Owned)
+	link.Unacknowledged = append(link.Unacknowledged, Transfer{Number: link.Sent, Parts: parts})
+	l.putLink(change, region, link)
+	for _, part := range parts {
+		share, ok := l.Share(part.Team)
+		if !ok || part.Amount.IsNegative() || !share.Owned.Sub(part.Amount).Covers(share.Guarantee) {
+			return nil, fmt.Errorf("ledger: cannot give %v of %s, which owns %v", part.Amount, part.Team, share.Owned)
 		}
-		s.Owned = s.Owned.Sub(p.Amount)
-		l.putShare(c, p.Team, s)
+		share.Owned = share.Owned.Sub(part.Amount)
+		l.putShare(change, part.Team, share)
 	}
-	return c, nil
+	return change, nil
 }
 
-// Take adds a transfer from another region to what the region owns. It returns nil for one
+// Credit adds a transfer from another region to what the region owns. It returns nil for one
 // that has been added already or that does not come next.
-func (l *Ledger) Take(term wire.Cond, region string, received uint64, t Transfer) *Change {
+func (l *Ledger) Credit(term wire.Condition, region string, received uint64, transfer Transfer) *Change {
 	link := l.links[region].value
-	if t.Number != link.Received+1 {
+	if transfer.Number != link.Received+1 {
 		return nil
 	}
-	c := l.change(term)
-	link.Out = slices.Clone(link.Out)
+	change := l.change(term)
+	link.Unacknowledged = slices.Clone(link.Unacknowledged)
 	link.acknowledge(received)
-	link.Received = t.Number
-	l.putLink(c, region, link)
-	for _, p := range t.Parts {
-		s := l.shares[p.Team].value
-		s.Owned = s.Owned.Add(p.Amount)
-		l.putShare(c, p.Team, s)
+	link.Received = transfer.Number
+	l.putLink(change, region, link)
+	for _, part := range transfer.Parts {
+		share := l.shares[part.Team].value
+		share.Owned = share.Owned.Add(part.Amount)
+		l.putShare(change, part.Team, share)
 	}
-	return c
+	return change
 }
 
 // Acknowledge forgets the transfers that a region has added; nil if there are none.
-func (l *Ledger) Acknowledge(term wire.Cond, region string, received uint64) *Change {
+func (l *Ledger) Acknowledge(term wire.Condition, region string, received uint64) *Change {
 	link := l.links[region].value
-	if len(link.Out) == 0 || link.Out[0].Number > received {
+	if len(link.Unacknowledged) == 0 || link.Unacknowledged[0].Number > received {
 		return nil
 	}
-	link.Out = slices.Clone(link.Out)
+	link.Unacknowledged = slices.Clone(link.Unacknowledged)
 	link.acknowledge(received)
-	c := l.change(term)
-	l.putLink(c, region, link)
-	return c
+	change := l.change(term)
+	l.putLink(change, region, link)
+	return change
 }
--- a/internal/quota/ledger/records.go
+++ b/internal/quota/ledger/records.go
@@ -19,7 +19,7 @@
 const Prefix = "quota/"
 
 const (
-	headKey     = Prefix + "head"
+	headerKey   = Prefix + "head"
 	sharePrefix = Prefix + "s/"
 	linkPrefix  = Prefix + "r/"
 )
@@ -29,18 +29,18 @@
 
 // The JSON names of the records below are on record and never change.
 
-// head is the record that makes a ledger one: it is written last.
-type head struct {
-	Epoch  uint64 `json:"e"` // of this ledger; another one has another
-	Fenced string `json:"f,omitempty"`
+// header is the record that makes a ledger one: it is written last.
+type header struct {
+	Epoch       uint64 `json:"e"` // of this ledger; another one has another
+	FenceReason string `json:"f,omitempty"`
 }
 
 // Share is what the region has of a team's ceiling.
 type Share struct {
-	Ceiling amount.Amount `json:"c"` // over all regions
-	Floor   amount.Amount `json:"g"` // guaranteed here: it never leaves
-	Owned   amount.Amount `json:"o"`
-	Plan    uint64        `json:"p"` // fingerprint of the file that the first share came from
+	Limit           amount.Amount `json:"c"` // over all regions
+	Guarantee       amount.Amount `json:"g"` // guaranteed here: it never leaves
+	Owned           amount.Amount `json:"o"`
+	PlanFingerprint uint64        `json:"p"` // fingerprint of the file that the first share came from
 }
 
 // Part is one team's amount in a transfer.
@@ -58,25 +58,25 @@
 
 // Link is what the region knows for certain of its transfers with another region.
 type Link struct {
-	PeerEpoch uint64     `json:"e"`           // of the other region's ledger; 0 until it is known
-	Sent      uint64     `json:"s"`           // number of the last transfer to it
-	Out       []Transfer `json:"o,omitempty"` // those that it has not acknowledged, in order
-	Received  uint64     `json:"r"`           // number of the last transfer from it that was added here
+	RemoteEpoch    uint64     `json:"e"`           // of the other region's ledger; 0 until it is known
+	Sent           uint64     `json:"s"`           // number of the last transfer to it
+	Unacknowledged []Transfer `json:"o,omitempty"` // those that it has not acknowledged, in order
+	Received       uint64     `json:"r"`           // number of the last transfer from it that was added here
 }
 
 // Acknowledged is the number of the last transfer that the other region is known to have added.
-func (l *Link) Acknowledged() uint64 { return l.Sent - uint64(len(l.Out)) }
+func (l *Link) Acknowledged() uint64 { return l.Sent - uint64(len(l.Unacknowledged)) }
 
-// OnTheWay adds up what the transfers after a number carry of a team.
-func (l *Link) OnTheWay(team string, after uint64) amount.Amount {
+// InTransit adds up what the transfers after a number carry of a team.
+func (l *Link) InTransit(team string, after uint64) amount.Amount {
 	var sum amount.Amount
-	for _, t := range l.Out {
-		if t.Number <= after {
+	for _, transfer := range l.Unacknowledged {
+		if transfer.Number <= after {
 			continue
 		}
-		for _, p := range t.Parts {
-			if p.Team == team {
-				sum = sum.Add(p.Amount)
+		for _, part := range transfer.Parts {
+			if part.Team == team {
+				sum = sum.Add(part.Amount)
 			}
 		}
 	}
@@ -85,8 +85,8 @@
 
 // acknowledge drops the transfers up to a number.
 func (l *Link) acknowledge(received uint64) {
-	for len(l.Out) > 0 && l.Out[0].Number <= received {
-		l.Out = l.Out[1:]
+	for len(l.Unacknowledged) > 0 && l.Unacknowledged[0].Number <= received {
+		l.Unacknowledged = l.Unacknowledged[1:]
 	}
 }
 
@@ -110,8 +110,8 @@
 	return v, json.Unmarshal(value, &v.value) == nil
 }
 
-// keyKind tells what a key's record is, and of which team or region.
-func keyKind(key string) (kind, name string) {
+// parseKey tells what a key's record is, and of which team or region.
+func parseKey(key string) (kind, name string) {
 	if team, ok := strings.CutPrefix(key, sharePrefix); ok {
 		return sharePrefix, team
 	}
--- a/internal/quota/plan/plan.go
+++ b/internal/quota/plan/plan.go
@@ -49,137 +49,137 @@
 	GPUsOwned float64 `toml:"gpus_owned"`
 }
 
-// Part is a team's share in one region as the file has it.
-type Part struct{ Ceiling, Floor, Owned amount.Amount }
+// InitialShare is a team's share in one region as the file has it.
+type InitialShare struct{ Ceiling, Floor, Owned amount.Amount }
 
 // Load reads and checks a file. The error names every wrong field.
 func Load(path string) (*Plan, error) {
 	var p Plan
 	md, err := toml.DecodeFile(path, &p)
-	return checked(&p, md, err, path)
+	return validate(&p, md, err, path)
 }
 
 // Parse reads and checks a file's text.
 func Parse(text string) (*Plan, error) {
 	var p Plan
 	md, err := toml.Decode(text, &p)
-	return checked(&p, md, err, "regions")
+	return validate(&p, md, err, "regions")
 }
 
-func checked(p *Plan, md toml.MetaData, err error, name string) (*Plan, error) {
+func validate(plan *Plan, md toml.MetaData, err error, name string) (*Plan, error) {
 	if err != nil {
 		return nil, fmt.Errorf("regions file: %w", err)
 	}
-	var f faults
+	var problems problems
 	for _, key := range md.Undecoded() {
-		f.add("%s: unknown field", key)
+		problems.add("%s: unknown field", key)
 	}
-	p.checkRegions(&f)
-	p.checkTeams(&f)
-	if len(f) > 0 {
-		return nil, fmt.Errorf("%s: %w", name, errors.New(strings.Join(f, "; ")))
+	plan.validateRegions(&problems)
+	plan.validateTeams(&problems)
+	if len(problems) > 0 {
+		return nil, fmt.Errorf("%s: %w", name, errors.New(strings.Join(problems, "; ")))
 	}
-	return p, nil
+	return plan, nil
 }
 
-// faults collects what is wrong with a file.
-type faults []string
+// problems collects what is wrong with a file.
+type problems []string
 
-func (f *faults) add(format string, a ...any) { *f = append(*f, fmt.Sprintf(format, a...)) }
+func (f *problems) add(format string, a ...any) { *f = append(*f, fmt.Sprintf(format, a...)) }
 
 // maxAmount bounds CPUs and GPUs, so that sums of thousandths never overflow.
 const maxAmount = 1e9
 
-// amount asks for a number from 0 to maxAmount.
-func (f *faults) amount(field string, v float64) {
+// requireAmount asks for a number from 0 to maxAmount.
+func (f *problems) requireAmount(field string, v float64) {
 	if !(v >= 0 && v <= maxAmount) {
 		f.add("%s: must be from 0 to %g, is %v", field, float64(maxAmount), v)
 	}
 }
 
-func (p *Plan) checkRegions(f *faults) {
+func (p *Plan) validateRegions(problems *problems) {
 	if len(p.Regions) < 2 {
-		f.add("regions: at least two are needed")
+		problems.add("regions: at least two are needed")
 	}
 	seen := map[string]bool{}
 	addresses := map[string]bool{}
-	for i, r := range p.Regions {
+	for i, region := range p.Regions {
 		field := fmt.Sprintf("regions[%d]", i)
-		if r.Name == "" || strings.ContainsAny(r.Name, " /") {
-			f.add("%s.name: %q is empty or has a space or slash", field, r.Name)
+		if region.Name == "" || strings.ContainsAny(region.Name, " /") {
+			problems.add("%s.name: %q is empty or has a space or slash", field, region.Name)
 		}
-		if seen[r.Name] {
-			f.add("%s.name: %q stands twice", field, r.Name)
+		if seen[region.Name] {
+			problems.add("%s.name: %q stands twice", field, region.Name)
 		}
-		seen[r.Name] = true
-		if len(r.Controllers) == 0 && !r.Lost {
-			f.add("%s.controllers: missing", field)
+		seen[region.Name] = true
+		if len(region.Controllers) == 0 && !region.Lost {
+			problems.add("%s.controllers: missing", field)
 		}
-		for _, a := range r.Controllers {
-			if host, _, err := net.SplitHostPort(a); err != nil || net.ParseIP(host) == nil {
-				f.add("%s.controllers: %q is not an IP address with a port", field, a)
+		for _, address := range region.Controllers {
+			if host, _, err := net.SplitHostPort(address); err != nil || net.ParseIP(host) == nil {
+				problems.add("%s.controllers: %q is not an IP address with a port", field, address)
 			}
-			if addresses[a] {
-				f.add("%s.controllers: %q stands twice", field, a)
+			if addresses[address] {
+				problems.add("%s.controllers: %q stands twice", field, address)
 			}
-			addresses[a] = true
+			addresses[address] = true
 		}
 	}
 }
 
-func (p *Plan) checkTeams(f *faults) {
+func (p *Plan) validateTeams(problems *problems) {
 	seen := map[string]bool{}
 	for i := range p.Teams {
-		t := &p.Teams[i]
+		team := &p.Teams[i]
 		field := fmt.Sprintf("teams[%d]", i)
-		if t.Name == "" || strings.ContainsAny(t.Name, " /") {
-			f.add("%s.name: %q is empty or has a space or slash", field, t.Name)
+		if team.Name == "" || strings.ContainsAny(team.Name, " /") {
+			problems.add("%s.name: %q is empty or has a space or slash", field, team.Name)
 		}
-		if seen[t.Name] {
-			f.add("%s.name: %q stands twice", field, t.Name)
+		if seen[team.Name] {
+			problems.add("%s.name: %q stands twice", field, team.Name)
 		}
-		seen[t.Name] = true
-		f.amount(field+".cpus_max", t.CPUsMax)
-		f.amount(field+".gpus_max", t.GPUsMax)
-		p.checkShares(f, field, t)
+		seen[team.Name] = true
+		problems.requireAmount(field+".cpus_max", team.CPUsMax)
+		problems.requireAmount(field+".gpus_max", team.GPUsMax)
+		p.validateShares(problems, field, team)
 	}
 }
 
-// checkShares holds a team's shares against its ceiling: they have to add up.
-func (p *Plan) checkShares(f *faults, field string, t *Team) {
+// validateShares holds a team's shares against its ceiling: they have to add up.
+func (p *Plan) validateShares(problems *problems, field string, team *Team) {
 	var sum amount.Amount
 	seen := map[string]bool{}
-	for k, s := range t.Shares {
-		at := fmt.Sprintf("%s.shares[%d]", field, k)
-		if p.Index(s.Region) < 0 {
-			f.add("%s.region: no region %q", at, s.Region)
+	for k, share := range team.Shares {
+		shareField := fmt.Sprintf("%s.shares[%d]", field, k)
+		if p.Index(share.Region) < 0 {
+			problems.add("%s.region: no region %q", shareField, share.Region)
 		}
-		if seen[s.Region] {
-			f.add("%s.region: %q stands twice", at, s.Region)
+		if seen[share.Region] {
+			problems.add("%s.region: %q stands twice", shareField, share.Region)
 		}
-		seen[s.Region] = true
-		for _, v := range []struct {
+		seen[share.Region] = true
+		for _, resource := range []struct {
 			name         string
 			value, limit float64
 			owned, floor float64
-		}{{"cpus", s.CPUs, t.CPUsMax, s.CPUsOwned, s.CPUs}, {"gpus", s.GPUs, t.GPUsMax, s.GPUsOwned, s.GPUs}} {
-			f.amount(at+"."+v.name, v.value)
-			f.amount(at+"."+v.name+"_owned", v.owned)
+		}{{"cpus", share.CPUs, team.CPUsMax, share.CPUsOwned, share.CPUs}, {"gpus", share.GPUs, team.GPUsMax, share.GPUsOwned, share.GPUs}} {
+			problems.requireAmount(shareField+"."+resource.name, resource.value)
+			problems.requireAmount(shareField+"."+resource.name+"_owned", resource.owned)
 			switch {
-			case v.limit == 0 && v.owned != 0:
-				f.add("%s.%s_owned: the team has no %s_max to own a part of", at, v.name, v.name)
-			case v.limit != 0 && v.floor > v.owned:
-				f.add("%s.%s: %v guaranteed is more than the %v owned", at, v.name, v.floor, v.owned)
+			case resource.limit == 0 && resource.owned != 0:
+				problems.add("%s.%s_owned: the team has no %s_max to own a part of", shareField, resource.name, resource.name)
+			case resource.limit != 0 && resource.floor > resource.owned:
+				problems.add("%s.%s: %v guaranteed is more than the %v owned", shareField, resource.name, resource.floor, resource.owned)
 			}
 		}
-		sum = sum.Add(amount.Of(s.CPUsOwned, s.GPUsOwned))
+		sum = sum.Add(amount.Of(share.CPUsOwned, share.GPUsOwned))
 	}
-	ceiling := amount.Of(t.CPUsMax, t.GPUsMax)
+	ceiling := amount.Of(team.CPUsMax, team.GPUsMax)
 	if sum.CPUs != ceiling.CPUs {
-		f.add("%s.shares: cpus_owned add up to %v, cpus_max is %v", field, float64(sum.CPUs)/1000, t.CPUsMax)
+		problems.add("%s.shares: cpus_owned add up to %v, cpus_max is %v", field, float64(sum.CPUs)/1000, team.CPUsMax)
 	}
 	if sum.GPUs != ceiling.GPUs {
-		f.add("%s.shares: gpus_owned add up to %v, gpus_max is %v", field, float64(sum.GPUs)/1000, t.GPUsMax)
+		problems.add("%s.shares: gpus_owned add up to %v, gpus_max is %v", field, float64(sum.GPUs)/1000, team.GPUsMax)
 	}
 }
 
@@ -193,8 +193,8 @@
 	return -1
 }
 
-// Peers lists the other regions that are not lost.
-func (p *Plan) Peers(self string) []string {
+// OtherRegions lists the other regions that are not lost.
+func (p *Plan) OtherRegions(self string) []string {
 	var out []string
 	for _, r := range p.Regions {
 		if r.Name != self && !r.Lost {
@@ -214,10 +214,10 @@
 	return Share{Region: region}
 }
 
-// Part is what a region has of a team at first.
-func (t *Team) Part(region string) Part {
+// InitialShare is what a region has of a team at first.
+func (t *Team) InitialShare(region string) InitialShare {
 	s := t.Share(region)
-	part := Part{Ceiling: amount.Of(t.CPUsMax, t.GPUsMax), Floor: amount.Of(s.CPUs, s.GPUs), Owned: amount.Of(s.CPUsOwned, s.GPUsOwned)}
+	part := InitialShare{Ceiling: amount.Of(t.CPUsMax, t.GPUsMax), Floor: amount.Of(s.CPUs, s.GPUs), Owned: amount.Of(s.CPUsOwned, s.GPUsOwned)}
 	if t.CPUsMax == 0 {
 		part.Ceiling.CPUs, part.Floor.CPUs, part.Owned.CPUs = amount.Unlimited, amount.Unlimited, amount.Unlimited
 	}
@@ -230,16 +230,16 @@
 // Fingerprint is the same for files that divide the same ceilings in the same way among the
 // same regions. Addresses and lost regions do not count.
 func (p *Plan) Fingerprint() uint64 {
-	h := fnv.New64a()
-	for _, r := range p.Regions {
-		fmt.Fprintf(h, "region %s\n", r.Name)
+	hash := fnv.New64a()
+	for _, region := range p.Regions {
+		fmt.Fprintf(hash, "region %s\n", region.Name)
 	}
 	for i := range p.Teams {
-		t := &p.Teams[i]
-		fmt.Fprintf(h, "team %s %x %x\n", t.Name, math.Float64bits(t.CPUsMax), math.Float64bits(t.GPUsMax))
-		for _, r := range p.Regions {
-			fmt.Fprintf(h, "%+v\n", t.Part(r.Name))
+		team := &p.Teams[i]
+		fmt.Fprintf(hash, "team %s %x %x\n", team.Name, math.Float64bits(team.CPUsMax), math.Float64bits(team.GPUsMax))
+		for _, region := range p.Regions {
+			fmt.Fprintf(hash, "%+v\n", team.InitialShare(region.Name))
 		}
 	}
-	return h.Sum64()
+	return hash.Sum64()
 }
--- a/internal/quota/plan/plan_test.go
+++ b/internal/quota/plan/plan_test.go
@@ -8,7 +8,7 @@
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 )
 
-const good = `
+const validPlan = `
 [[regions]]
 name = "north"
 controllers = ["127.0.0.1:9301"]
@@ -30,7 +30,7 @@
 
 // TestParseNamesFields changes a good file in one place: the error names the field.
 func TestParseNamesFields(t *testing.T) {
-	if _, err := Parse(good); err != nil {
+	if _, err := Parse(validPlan); err != nil {
 		t.Fatal(err)
 	}
 	for _, tc := range []struct{ old, with, want string }{
@@ -48,7 +48,7 @@
 		{`region = "south"`, `region = "north"`, `teams[0].shares[1].region: "north" stands twice`},
 		{`gpus = 2.5`, `gups = 2.5`, `teams.shares.gups: unknown field`},
 	} {
-		text := strings.Replace(good, tc.old, tc.with, 1)
+		text := strings.Replace(validPlan, tc.old, tc.with, 1)
 		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), tc.want) {
 			t.Errorf("%s in place of %s: error %v, want one with %s", tc.with, tc.old, err, tc.want)
 		}
@@ -57,11 +57,11 @@
 
 // TestParts reads what each region has, and a resource without a limit.
 func TestParts(t *testing.T) {
-	p, err := Parse(good)
+	p, err := Parse(validPlan)
 	if err != nil {
 		t.Fatal(err)
 	}
-	north, south, other := p.Teams[0].Part("north"), p.Teams[0].Part("south"), p.Teams[0].Part("west")
+	north, south, other := p.Teams[0].InitialShare("north"), p.Teams[0].InitialShare("south"), p.Teams[0].InitialShare("west")
 	if north.Floor.GPUs != amount.Of(0, 2.5).GPUs || north.Owned.GPUs != amount.Of(0, 8).GPUs || north.Owned.CPUs != amount.Unlimited {
 		t.Errorf("north has %+v", north)
 	}
@@ -73,7 +73,7 @@
 // TestFingerprint tells files apart that divide ceilings in different ways, and no others.
 func TestFingerprint(t *testing.T) {
 	of := func(old, with string) uint64 {
-		p, err := Parse(strings.Replace(good, old, with, 1))
+		p, err := Parse(strings.Replace(validPlan, old, with, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/quota/ports.go
+++ b/internal/quota/ports.go
@@ -33,10 +33,10 @@
 type Host interface {
 	// Now is the steady time.
 	Now() time.Duration
-	// NewRun is a number that no other run of any leader has, and is not 0.
-	NewRun() uint64
+	// NewIncarnation is a number that no other run of any leader has, and is not 0.
+	NewIncarnation() uint64
 	// Term is the condition under which this leader writes.
-	Term() wire.Cond
+	Term() wire.Condition
 	// Send sends a message to any controller of a region. It may be lost.
 	Send(region string, m *wire.RegionMessage)
 	// Demand is what the region does with a team's share at this moment. Planned has all
@@ -52,29 +52,29 @@
 type Config struct {
 	Region string // its own
 	Plan   *plan.Plan
-	// Every is the time between two complete messages to a region; the other times are
+	// MessageInterval is the time between two complete messages to a region; the other times are
 	// ratios to it.
-	Every time.Duration
-	// MaxWrites and MaxValue are what the state service takes: writes in a transaction,
+	MessageInterval time.Duration
+	// MaxWrites and MaxValueBytes are what the state service takes: writes in a transaction,
 	// bytes of a value.
-	MaxWrites, MaxValue int
-	Log                 *slog.Logger
+	MaxWrites, MaxValueBytes int
+	Log                      *slog.Logger
 }
 
 // Ratios of a manager's times to Config.Every.
 const (
-	urgentPart  = 6 // the least time between two messages to a region
-	givePart    = 2 // the least time between two transfers to a region
-	ackTimes    = 4 // until transfers that have arrived are forgotten, if nothing else is written
-	retryPart   = 8 // until a transaction without an answer is sent again
-	freshTimes  = 2 // how long shares that came are not given away
-	silentTimes = 4 // from when on a region that is not heard counts as out of reach
-	maxBackoff  = 4 // the longest time between messages to one that is out of reach
+	urgentDivisor      = 6 // the least time between two messages to a region
+	debitDivisor       = 2 // the least time between two transfers to a region
+	acknowledgeFactor  = 4 // until transfers that have arrived are forgotten, if nothing else is written
+	retryDivisor       = 8 // until a transaction without an answer is sent again
+	recentCreditFactor = 2 // how long shares that came are not given away
+	unreachableFactor  = 4 // from when on a region that is not heard counts as out of reach
+	maxBackoffFactor   = 4 // the longest time between messages to one that is out of reach
 )
 
 // Bounds of a link's record.
 const (
-	maxOut   = 4   // transfers to a region that are not acknowledged
-	maxParts = 8   // teams in a transfer
-	partSize = 100 // bytes of a part on record, at most, without the team's name
+	maxUnacknowledged = 4   // transfers to a region that are not acknowledged
+	maxTransferParts  = 8   // teams in a transfer
+	maxPartBytes      = 100 // bytes of a part on record, at most, without the team's name
 )
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -38,80 +38,80 @@
 	return p
 }
 
-// failAtRandom has things fail until a time, one after the other.
-func (w *world) failAtRandom(until time.Duration) {
+// injectFailures has things fail until a time, one after the other.
+func (w *simulation) injectFailures(until time.Duration) {
 	if w.now >= until {
 		return
 	}
-	r := w.regions[w.rng.IntN(len(w.regions))]
+	region := w.regions[w.rng.IntN(len(w.regions))]
 	switch w.rng.IntN(8) {
 	case 0, 1:
-		r.crash(w.upTo(3 * time.Second))
+		region.crash(w.randomDuration(3 * time.Second))
 	case 2:
-		r.stall(time.Second + w.upTo(10*time.Second))
+		region.pause(time.Second + w.randomDuration(10*time.Second))
 	case 3, 4:
 		other := w.regions[w.rng.IntN(len(w.regions))]
-		w.cuts[r.name+">"+other.name] = w.now + w.upTo(20*time.Second)
+		w.cuts[region.name+">"+other.name] = w.now + w.randomDuration(20*time.Second)
 		if w.rng.IntN(2) == 0 {
-			w.cuts[other.name+">"+r.name] = w.now + w.upTo(20*time.Second)
+			w.cuts[other.name+">"+region.name] = w.now + w.randomDuration(20*time.Second)
 		}
 	case 5:
-		r.outage = w.now + w.upTo(6*time.Second)
+		region.outage = w.now + w.randomDuration(6*time.Second)
 	case 6: // two leaders end at the same moment
-		r.crash(w.upTo(time.Second))
-		w.regions[w.rng.IntN(len(w.regions))].crash(w.upTo(time.Second))
+		region.crash(w.randomDuration(time.Second))
+		w.regions[w.rng.IntN(len(w.regions))].crash(w.randomDuration(time.Second))
 	case 7: // three groups at once
 		for _, a := range w.regions {
 			for _, b := range w.regions {
 				if w.rng.IntN(3) > 0 {
-					w.cuts[a.name+">"+b.name] = w.now + w.upTo(15*time.Second)
+					w.cuts[a.name+">"+b.name] = w.now + w.randomDuration(15*time.Second)
 				}
 			}
 		}
 	}
-	w.after(200*time.Millisecond+w.upTo(4*time.Second), func() { w.failAtRandom(until) })
+	w.after(200*time.Millisecond+w.randomDuration(4*time.Second), func() { w.injectFailures(until) })
 }
 
-// burst has work come to every region in the same millisecond, again and again.
-func (w *world) burst(until time.Duration) {
+// submitBursts has work come to every region in the same millisecond, again and again.
+func (w *simulation) submitBursts(until time.Duration) {
 	if w.now >= until {
 		return
 	}
 	for _, t := range w.plan.Teams {
 		for _, r := range w.regions {
-			d := r.want[t.Name]
-			d.Short = d.Short.Add(amount.Of(0, float64(w.rng.IntN(int(t.GPUsMax)/2)))).Min(amount.Of(0, t.GPUsMax))
+			d := r.demands[t.Name]
+			d.Shortfall = d.Shortfall.Add(amount.Of(0, float64(w.rng.IntN(int(t.GPUsMax)/2)))).Min(amount.Of(0, t.GPUsMax))
 			if d.Gang.IsZero() && w.rng.IntN(6) == 0 {
-				d.Gang, d.GangRank = amount.Of(0, t.GPUsMax/2), w.rng.IntN(4)
+				d.Gang, d.GangPriority = amount.Of(0, t.GPUsMax/2), w.rng.IntN(4)
 			}
-			d.Rank = w.rng.IntN(4)
-			r.want[t.Name] = d
+			d.Priority = w.rng.IntN(4)
+			r.demands[t.Name] = d
 			if l := r.leader; l != nil {
-				l.here(func() { l.m.DemandChanged(); l.grantAll() })
+				l.whenRunning(func() { l.m.DemandChanged(); l.grantAll() })
 			}
 		}
 	}
-	w.after(w.upTo(5*time.Second), func() { w.burst(until) })
+	w.after(w.randomDuration(5*time.Second), func() { w.submitBursts(until) })
 }
 
-// randomDay plays a day of collisions and failures.
-func randomDay(seed uint64, optimistic bool) *world {
-	w := newWorld(seed, testPlan(2+int(seed%4), 3, 48))
+// runRandomDay plays a day of collisions and failures.
+func runRandomDay(seed uint64, optimistic bool) *simulation {
+	w := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
 	w.optimistic = optimistic
-	w.loss, w.repeat, w.heldBack, w.lostAnswers = 0.05, 0.1, 0.02, 0.1
-	w.after(3*time.Second, func() { w.burst(100 * time.Second) })
-	w.after(5*time.Second, func() { w.failAtRandom(90 * time.Second) })
+	w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
+	w.after(3*time.Second, func() { w.submitBursts(100 * time.Second) })
+	w.after(5*time.Second, func() { w.injectFailures(90 * time.Second) })
 	w.run(110 * time.Second)
 	return w
 }
 
-// TestCeilingHolds collides decisions of regions with failures of every kind: the ceiling is
+// TestLimitHolds collides decisions of regions with failures of every kind: the ceiling is
 // never exceeded, and the shares on record add up at every change.
-func TestCeilingHolds(t *testing.T) {
+func TestLimitHolds(t *testing.T) {
 	grants := 0
 	for seed := range uint64(soak(40)) {
-		w := randomDay(seed, false)
-		for _, f := range w.faults {
+		w := runRandomDay(seed, false)
+		for _, f := range w.violations {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 		grants += w.grants
@@ -128,12 +128,12 @@
 	days, most := 0, 0.0
 	n := soak(40)
 	for seed := range uint64(n) {
-		w := randomDay(seed, true)
-		if len(w.faults) > 0 {
+		w := runRandomDay(seed, true)
+		if len(w.violations) > 0 {
 			days++
 		}
 		for _, team := range w.plan.Teams {
-			_, gpus := w.most[team.Name].Units()
+			_, gpus := w.peakUse[team.Name].Units()
 			most = max(most, gpus/team.GPUsMax)
 		}
 	}
@@ -143,23 +143,23 @@
 	}
 }
 
-// TestSharesComeBack has the failures end: whoever wants all that nobody uses gets it.
-func TestSharesComeBack(t *testing.T) {
+// TestSharesRecover has the failures end: whoever wants all that nobody uses gets it.
+func TestSharesRecover(t *testing.T) {
 	for seed := range uint64(soak(20)) {
-		w := newWorld(seed, testPlan(2+int(seed%4), 3, 48))
-		w.loss, w.repeat, w.heldBack, w.lostAnswers = 0.05, 0.1, 0.02, 0.1
-		w.after(3*time.Second, func() { w.burst(60 * time.Second) })
-		w.after(5*time.Second, func() { w.failAtRandom(60 * time.Second) })
+		w := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
+		w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
+		w.after(3*time.Second, func() { w.submitBursts(60 * time.Second) })
+		w.after(5*time.Second, func() { w.injectFailures(60 * time.Second) })
 		w.run(100 * time.Second)
-		w.loss, w.repeat, w.heldBack, w.lostAnswers = 0, 0, 0, 0
+		w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0, 0, 0, 0
 		w.noNewWork = true
 		w.run(150 * time.Second) // what ran has ended
 		last := w.regions[len(w.regions)-1]
 		for _, r := range w.regions {
-			clear(r.want)
+			clear(r.demands)
 		}
 		for _, team := range w.plan.Teams {
-			last.want[team.Name] = balance.Demand{Short: amount.Of(0, team.GPUsMax), Rank: 1}
+			last.demands[team.Name] = balance.Demand{Shortfall: amount.Of(0, team.GPUsMax), Priority: 1}
 		}
 		last.leader.m.DemandChanged()
 		w.run(160 * time.Second)
@@ -167,38 +167,38 @@
 			want := amount.Of(0, team.GPUsMax)
 			for _, r := range w.regions[:len(w.regions)-1] {
 				s, _ := r.leader.m.ledger.Share(team.Name)
-				want = want.Sub(s.Floor)
+				want = want.Sub(s.Guarantee)
 			}
 			if got := last.leader.m.Limit(team.Name); got.GPUs < want.GPUs {
 				t.Errorf("seed %d: %s gets %v in %s, want %v", seed, team.Name, got, last.name, want)
 			}
 		}
-		for _, f := range w.faults {
+		for _, f := range w.violations {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 	}
 }
 
-// TestRestoredStateService replaces a region's state service by an older copy, or by an empty
+// TestRestoredStore replaces a region's state service by an older copy, or by an empty
 // one, in the middle of transfers: what runs goes on, and the ceiling holds.
-func TestRestoredStateService(t *testing.T) {
+func TestRestoredStore(t *testing.T) {
 	fenced := 0
 	for seed := range uint64(soak(60)) {
-		w := newWorld(seed, testPlan(2+int(seed%3), 2, 48))
-		w.loss, w.repeat, w.heldBack, w.lostAnswers = 0.05, 0.1, 0.02, 0.1
-		w.after(3*time.Second, func() { w.burst(100 * time.Second) })
+		w := newSimulation(seed, testPlan(2+int(seed%3), 2, 48))
+		w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
+		w.after(3*time.Second, func() { w.submitBursts(100 * time.Second) })
 		r := w.regions[w.rng.IntN(len(w.regions))]
-		w.after(6*time.Second+w.upTo(25*time.Second), func() {
-			if r.keepCopy(); seed%2 == 0 {
-				r.old = nil // nothing is left at all
+		w.after(6*time.Second+w.randomDuration(25*time.Second), func() {
+			if r.takeBackup(); seed%2 == 0 {
+				r.backup = nil // nothing is left at all
 			}
 		})
-		w.after(32*time.Second+w.upTo(10*time.Second), r.restoreCopy)
+		w.after(32*time.Second+w.randomDuration(10*time.Second), r.restoreBackup)
 		if seed%3 == 0 {
-			w.after(20*time.Second, func() { w.failAtRandom(80 * time.Second) })
+			w.after(20*time.Second, func() { w.injectFailures(80 * time.Second) })
 		}
 		w.run(110 * time.Second)
-		for _, f := range w.faults {
+		for _, f := range w.violations {
 			t.Errorf("seed %d: %s", seed, f)
 		}
 		if r.leader != nil && (r.leader.m.fenced() || !r.leader.m.complete()) {
@@ -211,10 +211,10 @@
 	}
 }
 
-// restoreCopy has all controllers of the region end, as its page asks, and puts the copy in
+// restoreBackup has all controllers of the region end, as its page asks, and puts the copy in
 // place of the ledger.
-func (r *region) restoreCopy() {
-	r.w.restore = true
+func (r *simRegion) restoreBackup() {
+	r.w.restored = true
 	r.crash(500 * time.Millisecond)
-	r.w.after(100*time.Millisecond, r.putCopy)
+	r.w.after(100*time.Millisecond, r.applyBackup)
 }
--- a/internal/quota/receive.go
+++ b/internal/quota/receive.go
@@ -8,122 +8,122 @@
 
 // Receive takes in a message of another region.
 func (m *Manager) Receive(msg *wire.RegionMessage) {
-	p := m.peer(msg.From)
+	remote := m.remote(msg.From)
 	switch {
 	case msg.Version > wire.RegionVersion:
-		m.refuse(msg.From, "of a newer version")
+		m.reject(msg.From, "of a newer version")
 		return
-	case p == nil:
-		m.refuse(msg.From, "of a region that the file does not name, or names as lost")
+	case remote == nil:
+		m.reject(msg.From, "of a region that the file does not name, or names as lost")
 		return
 	case msg.To != m.Region:
-		m.refuse(msg.From, "for another region")
+		m.reject(msg.From, "for another region")
 		return
 	}
-	if msg.EchoRun != m.run {
-		m.noteStranger(p, msg)
+	if msg.EchoRun != m.incarnation {
+		m.onUnknownIncarnation(remote, msg)
 		return
 	}
-	p.heard, p.interval = m.host.Now(), m.Every
-	p.plan, p.epoch, p.knownEpoch = msg.Plan, msg.Epoch, msg.KnownEpoch
-	m.check(p, msg)
-	if m.isNewest(p, msg) && m.sameLedger(p) {
-		m.takeContent(p, msg)
+	remote.lastHeard, remote.interval = m.host.Now(), m.MessageInterval
+	remote.planFingerprint, remote.epoch, remote.knownEpoch = msg.Plan, msg.Epoch, msg.KnownEpoch
+	m.verifyLedger(remote, msg)
+	if m.advanceSequence(remote, msg) && m.hasSameLedger(remote) {
+		m.applyContent(remote, msg)
 	}
-	m.advance()
+	m.startNext()
 	m.sendDue()
 }
 
-// refuse logs once for each sender why its messages are not taken.
-func (m *Manager) refuse(from, why string) {
-	if !m.refused[from+why] {
-		m.refused[from+why] = true
-		m.Log.Warn("region message refused", "from", from, "why", why)
+// reject logs once for each sender why its messages are not taken.
+func (m *Manager) reject(from, reason string) {
+	if !m.loggedRejections[from+reason] {
+		m.loggedRejections[from+reason] = true
+		m.Log.Warn("region message refused", "from", from, "why", reason)
 	}
 }
 
-// noteStranger notes a message that does not answer this run, so that its sender gets one that
+// onUnknownIncarnation notes a message that does not answer this run, so that its sender gets one that
 // it can answer.
-func (m *Manager) noteStranger(p *peer, msg *wire.RegionMessage) {
-	if msg.Run == p.echoRun && msg.Sequence <= p.echoSequence {
+func (m *Manager) onUnknownIncarnation(remote *remoteRegion, msg *wire.RegionMessage) {
+	if msg.Run == remote.echoIncarnation && msg.Sequence <= remote.echoSequence {
 		return
 	}
-	p.echoRun, p.echoSequence = msg.Run, msg.Sequence
-	p.urgent = true
+	remote.echoIncarnation, remote.echoSequence = msg.Run, msg.Sequence
+	remote.urgent = true
 	m.sendDue()
 }
 
-// isNewest tells whether a message is the newest of the run of its sender that is confirmed.
+// advanceSequence tells whether a message is the newest of the run of its sender that is confirmed.
 // Another run becomes a candidate once it answers what was sent after that one was confirmed:
 // late messages of earlier runs never do. They would bring back what has been overtaken, such
 // as a transfer from before the sender's ledger was replaced by an older copy.
-func (m *Manager) isNewest(p *peer, msg *wire.RegionMessage) bool {
-	if msg.Run != p.confirmed {
-		if p.confirmed == 0 || msg.EchoSequence > p.confirmedAt {
-			p.candidate, p.echoRun, p.echoSequence = msg.Run, msg.Run, msg.Sequence
+func (m *Manager) advanceSequence(remote *remoteRegion, msg *wire.RegionMessage) bool {
+	if msg.Run != remote.confirmedIncarnation {
+		if remote.confirmedIncarnation == 0 || msg.EchoSequence > remote.confirmedAtSequence {
+			remote.candidateIncarnation, remote.echoIncarnation, remote.echoSequence = msg.Run, msg.Run, msg.Sequence
 		}
 		return false
 	}
-	if msg.Sequence <= p.sequence {
+	if msg.Sequence <= remote.sequence {
 		return false
 	}
-	p.sequence, p.echoRun, p.echoSequence = msg.Sequence, msg.Run, msg.Sequence
+	remote.sequence, remote.echoIncarnation, remote.echoSequence = msg.Sequence, msg.Run, msg.Sequence
 	return true
 }
 
-// check holds this ledger against what another region knows of it. The numbers of transfers
+// verifyLedger holds this ledger against what another region knows of it. The numbers of transfers
 // that it has seen show whether this ledger is an older copy, or another one.
-func (m *Manager) check(p *peer, msg *wire.RegionMessage) {
+func (m *Manager) verifyLedger(remote *remoteRegion, msg *wire.RegionMessage) {
 	if m.ledger == nil {
 		return
 	}
-	p.vouched = p.vouched || msg.ConfirmedRun == m.run
-	link := m.ledger.Link(p.name)
+	remote.hasConfirmed = remote.hasConfirmed || msg.ConfirmedRun == m.incarnation
+	link := m.ledger.Link(remote.name)
 	switch {
 	case !m.complete():
 		if msg.KnownEpoch != 0 {
-			m.refuse(p.name, "this region's ledger is gone: "+p.name+" knows one, and nothing is granted until an operator says so")
+			m.reject(remote.name, "this region's ledger is gone: "+remote.name+" knows one, and nothing is granted until an operator says so")
 		}
 		return
 	case msg.KnownEpoch != 0 && msg.KnownEpoch != m.ledger.Epoch():
-		m.fence = p.name + " knows another ledger of this region"
+		m.fenceReason = remote.name + " knows another ledger of this region"
 	case msg.Received > link.Sent:
-		m.fence = p.name + " has transfers that this ledger does not know: it is an older copy"
+		m.fenceReason = remote.name + " has transfers that this ledger does not know: it is an older copy"
 	case msg.Acknowledged > link.Received:
-		m.fence = p.name + " was told of transfers that this ledger does not have: it is an older copy"
+		m.fenceReason = remote.name + " was told of transfers that this ledger does not have: it is an older copy"
 	}
-	p.attested = p.attested || m.fence == "" && p.vouched && msg.KnownEpoch == m.ledger.Epoch()
+	remote.hasVerified = remote.hasVerified || m.fenceReason == "" && remote.hasConfirmed && msg.KnownEpoch == m.ledger.Epoch()
 }
 
-// sameLedger tells whether a region still has the ledger that transfers were agreed with.
-func (m *Manager) sameLedger(p *peer) bool {
+// hasSameLedger tells whether a region still has the ledger that transfers were agreed with.
+func (m *Manager) hasSameLedger(remote *remoteRegion) bool {
 	if !m.complete() {
 		return false
 	}
-	known := m.ledger.Link(p.name).PeerEpoch
-	if known != 0 && p.epoch != known && !p.replaced {
-		p.replaced = true
-		m.Log.Error("region has lost its ledger, no shares move to or from it", "region", p.name)
+	known := m.ledger.Link(remote.name).RemoteEpoch
+	if known != 0 && remote.epoch != known && !remote.replacementLogged {
+		remote.replacementLogged = true
+		m.Log.Error("region has lost its ledger, no shares move to or from it", "region", remote.name)
 	}
-	return known != 0 && p.epoch == known
+	return known != 0 && remote.epoch == known
 }
 
-// takeContent takes in what a region gives, asks for and offers.
-func (m *Manager) takeContent(p *peer, msg *wire.RegionMessage) {
-	p.received = max(p.received, msg.Received)
-	p.transfers = msg.Transfers
-	p.claims, p.claimsAt = msg.Claims, msg.Received
+// applyContent takes in what a region gives, asks for and offers.
+func (m *Manager) applyContent(remote *remoteRegion, msg *wire.RegionMessage) {
+	remote.received = max(remote.received, msg.Received)
+	remote.transfers = msg.Transfers
+	remote.claims, remote.claimsReceived = msg.Claims, msg.Received
 	if msg.HasOffers {
-		p.hasOffers = true
-		p.offers = make(map[string]wire.RegionOffer, len(msg.Offers))
-		for _, o := range msg.Offers {
-			p.offers[o.Team] = o
+		remote.hasOffers = true
+		remote.offers = make(map[string]wire.RegionOffer, len(msg.Offers))
+		for _, offer := range msg.Offers {
+			remote.offers[offer.Team] = offer
 		}
 	}
 }
 
 // nextTransfer is the one that a region has sent and that comes next; nil for none.
-func (p *peer) nextTransfer(received uint64) *wire.RegionTransfer {
+func (p *remoteRegion) nextTransfer(received uint64) *wire.RegionTransfer {
 	i := slices.IndexFunc(p.transfers, func(t wire.RegionTransfer) bool { return t.Number == received+1 })
 	if i < 0 {
 		return nil
--- a/internal/quota/report/report.go
+++ b/internal/quota/report/report.go
@@ -36,7 +36,7 @@
 // Team is a team's share in the region.
 type Team struct {
 	Name       string `json:"team"`
-	Ceiling    Amount `json:"ceiling"`
+	Limit      Amount `json:"ceiling"`
 	Guaranteed Amount `json:"guaranteed"`
 	Owned      Amount `json:"owned"`
 	// Used is what placements on record use; tasks that are not certainly gone count.
@@ -45,11 +45,11 @@
 
 // Link is the state of the transfers with another region.
 type Link struct {
-	Region    string     `json:"region"`
-	PeerEpoch uint64     `json:"epoch"` // 0 if its ledger is not known
-	Sent      uint64     `json:"transfers_sent"`
-	Received  uint64     `json:"transfers_received"`
-	UnderWay  []Transfer `json:"under_way"`
+	Region      string     `json:"region"`
+	RemoteEpoch uint64     `json:"epoch"` // 0 if its ledger is not known
+	Sent        uint64     `json:"transfers_sent"`
+	Received    uint64     `json:"transfers_received"`
+	InTransit   []Transfer `json:"under_way"`
 }
 
 // Transfer is a transfer that the other region has not confirmed.
@@ -59,7 +59,7 @@
 	Amount Amount `json:"amount"`
 }
 
-func units(a amount.Amount) Amount {
+func fromAmount(a amount.Amount) Amount {
 	cpus, gpus := a.Units()
 	return Amount{finite(cpus), finite(gpus)}
 }
@@ -80,43 +80,43 @@
 // Read reads the ledger from the state service at an address. The error names what could not
 // be read.
 func Read(state string, timeout time.Duration) (*Report, error) {
-	c := &httpwire.Client{Addr: state, MaxIdle: 1}
-	defer c.CloseIdle()
-	items, err := list(c, ledger.Prefix, timeout)
+	client := &httpwire.Client{Addr: state, MaxIdle: 1}
+	defer client.CloseIdle()
+	items, err := listRecords(client, ledger.Prefix, timeout)
 	if err != nil {
 		return nil, err
 	}
-	l, err := ledger.Load(items)
+	loaded, err := ledger.Load(items)
 	if err != nil {
 		return nil, err
 	}
-	if l.Epoch() == 0 {
+	if loaded.Epoch() == 0 {
 		return nil, ErrNoLedger
 	}
-	used, err := readUsed(c, timeout)
+	used, err := readUsed(client, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return build(l, used), nil
+	return build(loaded, used), nil
 }
 
-// list reads all records below a prefix.
-func list(c *httpwire.Client, prefix string, timeout time.Duration) ([]wire.Item, error) {
+// listRecords reads all records below a prefix.
+func listRecords(client *httpwire.Client, prefix string, timeout time.Duration) ([]wire.Item, error) {
 	var items []wire.Item
 	for after := ""; ; {
 		path := "/store?limit=500&under=" + prefix
 		if after != "" {
 			path += "&since=" + after
 		}
-		r, err := c.Do("GET", path, nil, timeout)
+		response, err := client.Do("GET", path, nil, timeout)
 		if err != nil {
 			return nil, fmt.Errorf("read %s: %w", prefix, err)
 		}
 		var page wire.Page
-		if r.Status != 200 {
-			return nil, fmt.Errorf("read %s: status %d", prefix, r.Status)
+		if response.Status != 200 {
+			return nil, fmt.Errorf("read %s: status %d", prefix, response.Status)
 		}
-		if err := json.Unmarshal(r.Body, &page); err != nil {
+		if err := json.Unmarshal(response.Body, &page); err != nil {
 			return nil, fmt.Errorf("read %s: %w", prefix, err)
 		}
 		items = append(items, page.Items...)
@@ -128,58 +128,58 @@
 }
 
 // readUsed adds up what placements on record use, by team.
-func readUsed(c *httpwire.Client, timeout time.Duration) (map[string]topology.Resources, error) {
-	open, err := list(c, records.PrefixOpen, timeout)
+func readUsed(client *httpwire.Client, timeout time.Duration) (map[string]topology.Resources, error) {
+	open, err := listRecords(client, records.PrefixOpen, timeout)
 	if err != nil {
 		return nil, err
 	}
 	jobs := map[string]wire.Job{}
 	for _, it := range open {
-		var rec records.Open
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
+		var record records.Open
+		if err := json.Unmarshal(it.Value, &record); err != nil {
 			return nil, fmt.Errorf("record %s: %w", it.Key, err)
 		}
-		jobs[it.Key[len(records.PrefixOpen):]] = rec.Job
+		jobs[it.Key[len(records.PrefixOpen):]] = record.Job
 	}
-	places, err := list(c, records.PrefixPlace, timeout)
+	placements, err := listRecords(client, records.PrefixPlacement, timeout)
 	if err != nil {
 		return nil, err
 	}
 	used := map[string]topology.Resources{}
-	for _, it := range places {
-		var rec records.Placement
-		if err := json.Unmarshal(it.Value, &rec); err != nil {
+	for _, it := range placements {
+		var record records.Placement
+		if err := json.Unmarshal(it.Value, &record); err != nil {
 			return nil, fmt.Errorf("record %s: %w", it.Key, err)
 		}
-		if r, ok := records.ParsePlaceKey(it.Key, 1); ok {
-			j := jobs[r.Job]
-			n := float64(len(rec.Tasks))
-			used[j.Team] = used[j.Team].Add(topology.Resources{CPUs: j.CPUs * n, GPUs: j.GPUs * n})
+		if placement, ok := records.ParsePlacementKey(it.Key, 1); ok {
+			job := jobs[placement.Job]
+			n := float64(len(record.Tasks))
+			used[job.Team] = used[job.Team].Add(topology.Resources{CPUs: job.CPUs * n, GPUs: job.GPUs * n})
 		}
 	}
 	return used, nil
 }
 
 // build puts a report together.
-func build(l *ledger.Ledger, used map[string]topology.Resources) *Report {
-	r := &Report{Epoch: l.Epoch(), Fenced: l.Fenced()}
-	for _, name := range l.Teams() {
-		s, _ := l.Share(name)
-		r.Teams = append(r.Teams, Team{Name: name, Ceiling: units(s.Ceiling), Guaranteed: units(s.Floor), Owned: units(s.Owned),
-			Used: units(amount.OfResources(used[name]))})
-	}
-	for _, region := range l.Regions() {
-		link := l.Link(region)
-		out := Link{Region: region, PeerEpoch: link.PeerEpoch, Sent: link.Sent, Received: link.Received, UnderWay: []Transfer{}}
-		for _, t := range link.Out {
+func build(loaded *ledger.Ledger, used map[string]topology.Resources) *Report {
+	report := &Report{Epoch: loaded.Epoch(), Fenced: loaded.FenceReason()}
+	for _, name := range loaded.Teams() {
+		share, _ := loaded.Share(name)
+		report.Teams = append(report.Teams, Team{Name: name, Limit: fromAmount(share.Limit), Guaranteed: fromAmount(share.Guarantee), Owned: fromAmount(share.Owned),
+			Used: fromAmount(amount.OfResources(used[name]))})
+	}
+	for _, region := range loaded.Regions() {
+		link := loaded.Link(region)
+		out := Link{Region: region, RemoteEpoch: link.RemoteEpoch, Sent: link.Sent, Received: link.Received, InTransit: []Transfer{}}
+		for _, t := range link.Unacknowledged {
 			for _, p := range t.Parts {
-				out.UnderWay = append(out.UnderWay, Transfer{Number: t.Number, Team: p.Team, Amount: units(p.Amount)})
+				out.InTransit = append(out.InTransit, Transfer{Number: t.Number, Team: p.Team, Amount: fromAmount(p.Amount)})
 			}
 		}
-		r.Links = append(r.Links, out)
+		report.Links = append(report.Links, out)
 	}
-	sort.Slice(r.Links, func(a, b int) bool { return r.Links[a].Region < r.Links[b].Region })
-	return r
+	sort.Slice(report.Links, func(a, b int) bool { return report.Links[a].Region < report.Links[b].Region })
+	return report
 }
 
 // WriteJSON writes the report as one JSON object.
@@ -190,9 +190,9 @@
 }
 
 // String writes an amount as CPUs and GPUs; "-" for no limit.
-func (a Amount) String() string { return text(a.CPUs) + " / " + text(a.GPUs) }
+func (a Amount) String() string { return formatQuantity(a.CPUs) + " / " + formatQuantity(a.GPUs) }
 
-func text(v *float64) string {
+func formatQuantity(v *float64) string {
 	if v == nil {
 		return "-"
 	}
@@ -201,20 +201,20 @@
 
 // WriteTable writes the report for people. Amounts are CPUs / GPUs.
 func (r *Report) WriteTable(w io.Writer) error {
-	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if r.Fenced != "" {
-		fmt.Fprintf(t, "FENCED: %s\n", r.Fenced)
+		fmt.Fprintf(table, "FENCED: %s\n", r.Fenced)
 	}
-	fmt.Fprintln(t, "team\tceiling\tguaranteed here\towned here\tused here")
+	fmt.Fprintln(table, "team\tceiling\tguaranteed here\towned here\tused here")
 	for _, x := range r.Teams {
-		fmt.Fprintf(t, "%s\t%v\t%v\t%v\t%v\n", x.Name, x.Ceiling, x.Guaranteed, x.Owned, x.Used)
+		fmt.Fprintf(table, "%s\t%v\t%v\t%v\t%v\n", x.Name, x.Limit, x.Guaranteed, x.Owned, x.Used)
 	}
-	fmt.Fprintln(t, "\nregion\ttransfers sent\treceived\tunder way")
+	fmt.Fprintln(table, "\nregion\ttransfers sent\treceived\tunder way")
 	for _, x := range r.Links {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\n", x.Region, x.Sent, x.Received, len(x.UnderWay))
-		for _, u := range x.UnderWay {
-			fmt.Fprintf(t, "  %d\t%s\t%v\t\n", u.Number, u.Team, u.Amount)
+		fmt.Fprintf(table, "%s\t%d\t%d\t%d\n", x.Region, x.Sent, x.Received, len(x.InTransit))
+		for _, u := range x.InTransit {
+			fmt.Fprintf(table, "  %d\t%s\t%v\t\n", u.Number, u.Team, u.Amount)
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
--- a/internal/quota/report/report_test.go
+++ b/internal/quota/report/report_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	var traffic httpserve.Traffic
 	s, err := httpserve.Listen("127.0.0.1:0", &traffic, func(q *httpwire.Request, reply func(httpserve.Response)) {
-		target := httpserve.Target(q)
+		target := httpserve.RequestTarget(q)
 		arg := func(name string) string {
 			_, rest, _ := strings.Cut(target, name+"=")
 			value, _, _ := strings.Cut(rest, "&")
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	var back Report
-	if err := json.Unmarshal([]byte(object.String()), &back); err != nil || len(back.Teams) != 2 || back.Teams[1].Ceiling.CPUs != nil || *back.Teams[1].Owned.GPUs != 8 {
+	if err := json.Unmarshal([]byte(object.String()), &back); err != nil || len(back.Teams) != 2 || back.Teams[1].Limit.CPUs != nil || *back.Teams[1].Owned.GPUs != 8 {
 		t.Errorf("JSON reads back as %+v, %v", back, err)
 	}
 }
--- a/internal/quota/send.go
+++ b/internal/quota/send.go
@@ -15,37 +15,37 @@
 		return // nothing can be said before it is read
 	}
 	now := m.host.Now()
-	var positions []position // found once for all messages of a moment
-	for i, p := range m.peers {
-		full := now >= p.fullAt
-		if !full && !(p.urgent && now >= p.sentAt+m.Every/urgentPart) {
+	var states []teamState // found once for all messages of a moment
+	for i, remote := range m.remotes {
+		complete := now >= remote.nextComplete
+		if !complete && !(remote.urgent && now >= remote.lastSent+m.MessageInterval/urgentDivisor) {
 			continue
 		}
-		if full {
-			if p.heard != 0 && now-p.heard > silentTimes*m.Every || p.heard == 0 && p.sentAt != 0 {
-				p.interval = min(2*p.interval, maxBackoff*m.Every)
+		if complete {
+			if remote.lastHeard != 0 && now-remote.lastHeard > unreachableFactor*m.MessageInterval || remote.lastHeard == 0 && remote.lastSent != 0 {
+				remote.interval = min(2*remote.interval, maxBackoffFactor*m.MessageInterval)
 			}
-			p.fullAt = now + p.interval + m.jitter(p)
+			remote.nextComplete = now + remote.interval + m.jitter(remote)
 		}
-		if positions == nil && m.trusted() {
-			positions = m.positions()
+		if states == nil && m.verified() {
+			states = m.teamStates()
 		}
-		p.urgent, p.sentAt = false, now
-		m.host.Send(p.name, m.message(i, full, positions))
+		remote.urgent, remote.lastSent = false, now
+		m.host.Send(remote.name, m.message(i, complete, states))
 	}
 }
 
 // jitter is a part of the interval that differs between regions and messages, so that they do
 // not all send at once.
-func (m *Manager) jitter(p *peer) time.Duration {
+func (m *Manager) jitter(remote *remoteRegion) time.Duration {
 	const multiplier = 0x9e3779b97f4a7c15 // spreads consecutive numbers over all values
-	spread := (m.run ^ (m.sequence+1)*multiplier ^ uint64(p.index)*multiplier) >> 56
-	return p.interval / 8 * time.Duration(spread) / 256
+	spread := (m.incarnation ^ (m.sequence+1)*multiplier ^ uint64(remote.index)*multiplier) >> 56
+	return remote.interval / 8 * time.Duration(spread) / 256
 }
 
-// position is what the region has of a team, what others offer of it, and what it asks of each
+// teamState is what the region has of a team, what others offer of it, and what it asks of each
 // of them.
-type position struct {
+type teamState struct {
 	team    string
 	share   ledger.Share
 	holding balance.Holding
@@ -53,80 +53,80 @@
 	claims  []balance.Claim // by peer
 }
 
-// positions finds that of each team.
-func (m *Manager) positions() []position {
+// teamStates finds that of each team.
+func (m *Manager) teamStates() []teamState {
 	teams := m.ledger.Teams()
-	out := make([]position, len(teams))
+	out := make([]teamState, len(teams))
 	for i, team := range teams {
-		x := &out[i]
-		x.team, x.holding, x.offers = team, m.holding(team), m.offersOf(team)
-		x.share, _ = m.ledger.Share(team)
-		x.claims = x.holding.Claims(m.self, x.offers)
+		state := &out[i]
+		state.team, state.holding, state.offers = team, m.holding(team), m.offersOf(team)
+		state.share, _ = m.ledger.Share(team)
+		state.claims = state.holding.Claims(m.regionIndex, state.offers)
 	}
 	return out
 }
 
 // message states all that is to be said to a region, the one at that place among the peers.
-func (m *Manager) message(at int, full bool, positions []position) *wire.RegionMessage {
-	p := m.peers[at]
+func (m *Manager) message(index int, complete bool, states []teamState) *wire.RegionMessage {
+	remote := m.remotes[index]
 	m.sequence++
 	msg := &wire.RegionMessage{
-		Version: wire.RegionVersion, From: m.Region, To: p.name, Run: m.run, Sequence: m.sequence,
-		EchoRun: p.echoRun, EchoSequence: p.echoSequence, ConfirmedRun: p.confirmed, Plan: m.plan,
+		Version: wire.RegionVersion, From: m.Region, To: remote.name, Run: m.incarnation, Sequence: m.sequence,
+		EchoRun: remote.echoIncarnation, EchoSequence: remote.echoSequence, ConfirmedRun: remote.confirmedIncarnation, Plan: m.planFingerprint,
 	}
-	link := m.ledger.Link(p.name)
-	msg.Epoch, msg.KnownEpoch = m.ledger.Epoch(), link.PeerEpoch
+	link := m.ledger.Link(remote.name)
+	msg.Epoch, msg.KnownEpoch = m.ledger.Epoch(), link.RemoteEpoch
 	msg.Sent, msg.Acknowledged, msg.Received = link.Sent, link.Acknowledged(), link.Received
-	if !m.trusted() {
+	if !m.verified() {
 		return msg
 	}
-	for _, t := range link.Out {
-		if t.Number <= p.received {
+	for _, unacknowledged := range link.Unacknowledged {
+		if unacknowledged.Number <= remote.received {
 			continue
 		}
-		transfer := wire.RegionTransfer{Number: t.Number}
-		for _, part := range t.Parts {
+		transfer := wire.RegionTransfer{Number: unacknowledged.Number}
+		for _, part := range unacknowledged.Parts {
 			transfer.Parts = append(transfer.Parts, wire.RegionShare{Team: part.Team, CPUs: part.Amount.CPUs, GPUs: part.Amount.GPUs})
 		}
 		msg.Transfers = append(msg.Transfers, transfer)
 	}
-	addClaims(msg, positions, at)
-	if full {
-		m.addOffers(msg, positions)
+	addClaims(msg, states, index)
+	if complete {
+		m.addOffers(msg, states)
 	}
 	return msg
 }
 
 // addClaims says what is wanted of the region at a place among the peers.
-func addClaims(msg *wire.RegionMessage, positions []position, at int) {
-	for i := range positions {
-		c := positions[i].claims[at]
-		if c.Need.IsZero() && c.Reserve.IsZero() {
+func addClaims(msg *wire.RegionMessage, states []teamState, index int) {
+	for i := range states {
+		claim := states[i].claims[index]
+		if claim.Need.IsZero() && claim.Reserve.IsZero() {
 			continue
 		}
-		msg.Claims = append(msg.Claims, wire.RegionClaim{Team: positions[i].team, NeedCPUs: c.Need.CPUs, NeedGPUs: c.Need.GPUs,
-			ReserveCPUs: c.Reserve.CPUs, ReserveGPUs: c.Reserve.GPUs, Rank: c.Rank, Gang: c.Gang})
+		msg.Claims = append(msg.Claims, wire.RegionClaim{Team: states[i].team, NeedCPUs: claim.Need.CPUs, NeedGPUs: claim.Need.GPUs,
+			ReserveCPUs: claim.Reserve.CPUs, ReserveGPUs: claim.Reserve.GPUs, Rank: claim.Priority, Gang: claim.Gang})
 	}
 }
 
 // addOffers says what could be spared.
-func (m *Manager) addOffers(msg *wire.RegionMessage, positions []position) {
+func (m *Manager) addOffers(msg *wire.RegionMessage, states []teamState) {
 	msg.HasOffers = true
-	for i := range positions {
-		x := &positions[i]
-		spare := x.holding.Spare()
-		msg.Offers = append(msg.Offers, wire.RegionOffer{Team: x.team, CPUs: spare.CPUs, GPUs: spare.GPUs, Plan: x.share.Plan,
-			Contested: x.holding.Contested(m.self, x.offers), GangRank: x.holding.Demand.GangRank})
+	for i := range states {
+		state := &states[i]
+		spare := state.holding.Spare()
+		msg.Offers = append(msg.Offers, wire.RegionOffer{Team: state.team, CPUs: spare.CPUs, GPUs: spare.GPUs, Plan: state.share.PlanFingerprint,
+			Contested: state.holding.Contested(m.regionIndex, state.offers), GangRank: state.holding.Demand.GangPriority})
 	}
 }
 
 // DemandChanged tells that more is wanted than before: the other regions hear of it soon.
 func (m *Manager) DemandChanged() {
-	if !m.trusted() {
+	if !m.verified() {
 		return
 	}
-	for _, p := range m.peers {
-		p.urgent = true
+	for _, remote := range m.remotes {
+		remote.urgent = true
 	}
 	m.sendDue()
 }
--- a/internal/quota/teststore_test.go
+++ b/internal/quota/store_test.go
@@ -11,38 +11,38 @@
 // testStore is a region's state service: keys with versions, and transactions that are carried
 // out if their conditions hold.
 type testStore struct {
-	keys map[string]wire.Item
-	rev  uint64
-	most int                  // writes in a transaction that it takes, 0 for any number
-	old  map[string]wire.Item // an older copy of the ledger's records; nil for none
+	keys      map[string]wire.Item
+	revision  uint64
+	maxWrites int                  // writes in a transaction that it takes, 0 for any number
+	backup    map[string]wire.Item // an older copy of the ledger's records; nil for none
 }
 
-func newTestStore() testStore { return testStore{keys: map[string]wire.Item{}, rev: 10} }
+func newTestStore() testStore { return testStore{keys: map[string]wire.Item{}, revision: 10} }
 
-// raiseTerm begins a term and returns the condition that it holds.
-func (s *testStore) raiseTerm() wire.Cond {
-	s.rev++
-	s.keys["term"] = wire.Item{Key: "term", Version: s.rev}
-	return wire.Cond{Key: "term", Version: s.rev}
+// beginTerm begins a term and returns the condition that it holds.
+func (s *testStore) beginTerm() wire.Condition {
+	s.revision++
+	s.keys["term"] = wire.Item{Key: "term", Version: s.revision}
+	return wire.Condition{Key: "term", Version: s.revision}
 }
 
 // commit carries a transaction out if its conditions hold.
 func (s *testStore) commit(txn *wire.Txn) (int, wire.TxnResult) {
-	if s.most > 0 && len(txn.Writes) > s.most {
+	if s.maxWrites > 0 && len(txn.Writes) > s.maxWrites {
 		return 400, wire.TxnResult{}
 	}
-	for _, c := range txn.If {
+	for _, c := range txn.Conditions {
 		if s.keys[c.Key].Version != c.Version {
-			return 409, wire.TxnResult{Failed: []string{c.Key}, Revision: s.rev}
+			return 409, wire.TxnResult{Conflicts: []string{c.Key}, Revision: s.revision}
 		}
 	}
 	if len(txn.Writes) > 0 {
-		s.rev++
+		s.revision++
 	}
 	for _, x := range txn.Writes {
-		s.keys[x.Put] = wire.Item{Key: x.Put, Value: x.Value, Version: s.rev}
+		s.keys[x.Put] = wire.Item{Key: x.Put, Value: x.Value, Version: s.revision}
 	}
-	return 200, wire.TxnResult{Revision: s.rev}
+	return 200, wire.TxnResult{Revision: s.revision}
 }
 
 // records lists the ledger's records.
@@ -57,20 +57,20 @@
 	return items
 }
 
-// keepCopy takes a copy of the ledger's records.
-func (s *testStore) keepCopy() {
-	s.old = map[string]wire.Item{}
+// takeBackup takes a copy of the ledger's records.
+func (s *testStore) takeBackup() {
+	s.backup = map[string]wire.Item{}
 	for _, it := range s.records() {
-		s.old[it.Key] = it
+		s.backup[it.Key] = it
 	}
 }
 
-// putCopy puts the copy in place of the ledger's records.
-func (s *testStore) putCopy() {
+// applyBackup puts the copy in place of the ledger's records.
+func (s *testStore) applyBackup() {
 	for _, it := range s.records() {
 		delete(s.keys, it.Key)
 	}
-	for k, it := range s.old {
+	for k, it := range s.backup {
 		s.keys[k] = it
 	}
 }
--- /dev/null
+++ b/internal/sim/checker_test.go
@@ -0,0 +1,100 @@
+package sim
+
+import (
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// taskZones is where the tasks of one job are, by their number: "zone", or
+// "zone spot".
+type taskZones []string
+
+// TestCheckerPlacement has the last task of a job start beside the others. The
+// checker has to find what is wrong with its place or with what its team uses, and
+// nothing else.
+func TestCheckerPlacement(t *testing.T) {
+	const typ = "small"
+	for _, tc := range []struct {
+		name  string
+		job   wire.Job
+		on    taskZones
+		fault string // the rule that is broken; none if empty
+	}{
+		{name: "anywhere", job: wire.Job{Tasks: 3}, on: taskZones{"east", "north", "north"}},
+		{name: "an allowed type", job: wire.Job{Tasks: 1, MachineTypes: []string{typ}}, on: taskZones{"east"}},
+		{name: "another type", job: wire.Job{Tasks: 1, MachineTypes: []string{"large"}}, on: taskZones{"east"}, fault: "wrong_place"},
+		{name: "the job's zone", job: wire.Job{Tasks: 1, Zone: "east"}, on: taskZones{"east"}},
+		{name: "another zone", job: wire.Job{Tasks: 1, Zone: "east"}, on: taskZones{"west"}, fault: "wrong_place"},
+		{name: "a spot machine", job: wire.Job{Tasks: 1, AllowSpot: true}, on: taskZones{"east spot"}},
+		{name: "a spot machine that the job does not take", job: wire.Job{Tasks: 1}, on: taskZones{"east spot"}, fault: "wrong_place"},
+		{name: "half of the tasks in a zone, rounded up", job: wire.Job{Tasks: 3, SpreadZones: true}, on: taskZones{"east", "east"}},
+		{name: "more than half", job: wire.Job{Tasks: 3, SpreadZones: true}, on: taskZones{"east", "east", "east"}, fault: "wrong_place"},
+		{name: "all in one zone", job: wire.Job{Tasks: 2, OneZone: true}, on: taskZones{"east", "east"}},
+		{name: "in two zones", job: wire.Job{Tasks: 2, OneZone: true}, on: taskZones{"east", "west"}, fault: "wrong_place"},
+		{name: "as many GPUs as the team may use", job: wire.Job{Tasks: 2, GPUs: 2}, on: taskZones{"east", "east"}},
+		{name: "more GPUs", job: wire.Job{Tasks: 3, GPUs: 2}, on: taskZones{"east", "east", "east"}, fault: "quota"},
+		{name: "as many CPUs as the team may use", job: wire.Job{Tasks: 2, CPUs: 4}, on: taskZones{"east", "east"}},
+		{name: "more CPUs", job: wire.Job{Tasks: 2, CPUs: 5}, on: taskZones{"east", "east"}, fault: "quota"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			cfg := defaultSettings()
+			cfg.Deployment.Teams = []config.Team{{Name: "t", GPUsMax: 4, CPUsMax: 8}}
+			world := newWorld(cfg, 1, slog.New(slog.DiscardHandler))
+			tc.job.ID, tc.job.Team = "job-000001", "t"
+			job := &groundTruth{Job: tc.job, doneTasks: map[int]bool{}}
+			world.jobs[job.ID] = job
+			for i, where := range tc.on {
+				zone, spot := strings.CutSuffix(where, " spot")
+				m := &machine{world: world, name: fmt.Sprintf("n-%06d", i), machineType: typ, zone: zone, spot: spot, tasks: map[string]*task{}}
+				world.cloud.machines[m.name] = m
+				x := &task{name: fmt.Sprintf("%s/%d", job.ID, i), job: job, index: i, state: wire.TaskRunning}
+				m.tasks[x.name] = x
+				world.addPlacement(m, x)
+				if i == len(tc.on)-1 {
+					world.checker.checkStart(m, x)
+				}
+			}
+			expectViolation(t, world, tc.fault)
+		})
+	}
+}
+
+// TestCheckerGangRoom asks for how many tasks of a gang there is room, given
+// the room in each zone and the tasks that it has there.
+func TestCheckerGangRoom(t *testing.T) {
+	for _, tc := range []struct {
+		name          string
+		job           wire.Job
+		inZone, zones map[string]int
+		want          int
+	}{
+		{"all zones", wire.Job{Tasks: 4}, map[string]int{"east": 2, "west": 3}, nil, 5},
+		{"one zone", wire.Job{Tasks: 4, OneZone: true}, map[string]int{"east": 2, "west": 3}, nil, 3},
+		{"half of the tasks in a zone", wire.Job{Tasks: 4, SpreadZones: true}, map[string]int{"east": 1, "west": 3}, nil, 3},
+		{"less those that are there", wire.Job{Tasks: 4, SpreadZones: true}, map[string]int{"east": 1, "west": 3}, map[string]int{"west": 1}, 2},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := gangRoom(&groundTruth{Job: tc.job}, tc.inZone, tc.zones); got != tc.want {
+				t.Errorf("room for %d tasks, want %d", got, tc.want)
+			}
+		})
+	}
+}
+
+// expectViolation fails unless the checker has found one fault, of a rule; none if the
+// rule is empty.
+func expectViolation(t *testing.T, world *World, rule string) {
+	t.Helper()
+	found := world.checker.violations
+	switch {
+	case rule == "" && len(found) > 0:
+		t.Errorf("found %q", found)
+	case rule != "" && (len(found) != 1 || !strings.HasPrefix(found[0], rule+" at ")):
+		t.Errorf("found %q, want one fault of %s", found, rule)
+	}
+}
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -15,68 +15,68 @@
 
 // cloudService stands in for the cloud that rents machines.
 type cloudService struct {
-	w           *World
-	types       []wire.MachineType
-	capacity    map[string]int // by type, zone, kind
-	machines    map[string]*machine
-	sortedNames []string // of machines, see names
-	byAddr      map[string]*machine
-	granted     map[string][]string
-	next        int
-	outage      time.Duration
-	reqs        *budget.Bucket
-	noBoot      bootTrouble // machines that never come up
-	lateBoot    bootTrouble // machines that come up late
-
-	workerAddr  func(machine string) string // if not nil, gives a worker\'s address
-	machineGone func(machine string)        // if not nil, is told of machines that are gone
+	world         *World
+	types         []wire.MachineType
+	capacity      map[string]int // by type, zone, kind
+	machines      map[string]*machine
+	sortedCache   []string // of machines, see names
+	byAddress     map[string]*machine
+	rentals       map[string][]string
+	rentedTotal   int
+	outageUntil   time.Duration
+	requestBudget *budget.Bucket
+	failedBoots   bootFault // machines that never come up
+	delayedBoots  bootFault // machines that come up late
+
+	workerAddress  func(machine string) string // if not nil, gives a worker\'s address
+	machineRemoved func(machine string)        // if not nil, is told of machines that are gone
 }
 
-// bootTrouble befalls machines that are rented while it lasts.
-type bootTrouble struct {
-	late
-	typ, zone string  // only machines of these; all if empty
-	factor    float64 // how many times as long a late machine takes
+// bootFault befalls machines that are rented while it lasts.
+type bootFault struct {
+	randomFault
+	machineType, zone string  // only machines of these; all if empty
+	factor            float64 // how many times as long a late machine takes
 }
 
-// befalls tells by chance whether the trouble befalls a machine that is rented now.
-func (b bootTrouble) befalls(m *machine) bool {
-	if b.typ != "" && b.typ != m.typ || b.zone != "" && b.zone != m.zone {
+// affects tells by chance whether the trouble befalls a machine that is rented now.
+func (b bootFault) affects(m *machine) bool {
+	if b.machineType != "" && b.machineType != m.machineType || b.zone != "" && b.zone != m.zone {
 		return false
 	}
-	return b.strikes(m.w)
+	return b.occurs(m.world)
 }
 
-func newCloud(w *World) *cloudService {
-	return &cloudService{w: w, capacity: map[string]int{}, machines: map[string]*machine{}, byAddr: map[string]*machine{}, granted: map[string][]string{},
-		reqs: budget.New(w.cfg.Deployment.Cloud.RPS, 2*w.cfg.Deployment.Cloud.RPS)}
+func newCloud(world *World) *cloudService {
+	return &cloudService{world: world, capacity: map[string]int{}, machines: map[string]*machine{}, byAddress: map[string]*machine{}, rentals: map[string][]string{},
+		requestBudget: budget.New(world.settings.Deployment.Cloud.RPS, 2*world.settings.Deployment.Cloud.RPS)}
 }
 
-func offer(typ, zone string, spot bool) string { return fmt.Sprint(typ, "/", zone, "/", spot) }
+func offerKey(typ, zone string, spot bool) string { return fmt.Sprint(typ, "/", zone, "/", spot) }
 
-// rented is how many machines of a type, or of all if it is empty, are rented now.
-func (c *cloudService) rented(typ string) int {
+// rentedMachines is how many machines of a type, or of all if it is empty, are rented now.
+func (c *cloudService) rentedMachines(typ string) int {
 	n := 0
 	for _, m := range c.machines {
-		if !m.gone && (typ == "" || typ == m.typ) {
+		if !m.removed && (typ == "" || typ == m.machineType) {
 			n++
 		}
 	}
 	return n
 }
 
-// names lists all machines that were ever rented, by name. The list is shared:
+// machineNames lists all machines that were ever rented, by name. The list is shared:
 // callers leave it as it is.
-func (c *cloudService) names() []string {
-	if len(c.sortedNames) == len(c.machines) {
-		return c.sortedNames
+func (c *cloudService) machineNames() []string {
+	if len(c.sortedCache) == len(c.machines) {
+		return c.sortedCache
 	}
 	names := make([]string, 0, len(c.machines))
 	for n := range c.machines {
 		names = append(names, n)
 	}
 	sort.Strings(names)
-	c.sortedNames = names
+	c.sortedCache = names
 	return names
 }
 
@@ -91,13 +91,13 @@
 func (c *cloudService) handle(method, path string, body []byte, reply func(int, []byte)) {
 	send := func(status int, v any) {
 		b, _ := json.Marshal(v)
-		c.w.after(100*time.Millisecond, func() { reply(status, b) })
+		c.world.after(100*time.Millisecond, func() { reply(status, b) })
 	}
-	if c.w.now < c.outage {
+	if c.world.now < c.outageUntil {
 		send(503, map[string]string{"error": "trouble"})
 		return
 	}
-	if _, ok := c.reqs.TakeAt(c.w.clock(), 1, false, 0); !ok {
+	if _, ok := c.requestBudget.ReserveAt(c.world.wallClock(), 1, false, 0); !ok {
 		send(429, struct{}{})
 		return
 	}
@@ -105,72 +105,72 @@
 	case path == "/machine_types":
 		send(200, wire.MachineTypes{Types: c.types})
 	case path == "/machines/return":
-		c.takeBack(body)
+		c.returnMachines(body)
 		send(200, struct{}{})
 	case method == "POST":
-		var r wire.RentRequest
-		json.Unmarshal(body, &r)
-		if r.Count > maxRentedAtOnce {
-			c.w.check.broken("limits", "a rental of %d machines", r.Count)
+		var request wire.ProvisionRequest
+		json.Unmarshal(body, &request)
+		if request.Count > maxRentedAtOnce {
+			c.world.checker.addViolation("limits", "a rental of %d machines", request.Count)
 		}
-		c.rent(&r, send)
+		c.rentMachines(&request, send)
 	case strings.HasPrefix(path, "/machines"):
-		u, _ := url.Parse(path)
-		send(200, c.list(u.Query()))
+		target, _ := url.Parse(path)
+		send(200, c.listMachines(target.Query()))
 	default:
 		send(400, struct{}{})
 	}
 }
 
-// takeBack takes returned machines away.
-func (c *cloudService) takeBack(body []byte) {
+// returnMachines takes returned machines away.
+func (c *cloudService) returnMachines(body []byte) {
 	var r wire.MachineNames
 	json.Unmarshal(body, &r)
 	if len(r.Machines) > maxReturnedAtOnce {
-		c.w.check.broken("limits", "a return of %d machines", len(r.Machines))
+		c.world.checker.addViolation("limits", "a return of %d machines", len(r.Machines))
 	}
 	for _, name := range r.Machines {
-		c.remove(name)
+		c.removeMachine(name)
 	}
 }
 
-// list is a page of the machines as they were a while ago.
-func (c *cloudService) list(q url.Values) wire.MachineList {
-	then := c.w.now - seconds(c.w.cfg.Deployment.Cloud.ListLagS)
-	limit, _ := strconv.Atoi(q.Get("limit"))
+// listMachines is a page of the machines as they were a while ago.
+func (c *cloudService) listMachines(query url.Values) wire.MachineList {
+	then := c.world.now - seconds(c.world.settings.Deployment.Cloud.ListLagS)
+	limit, _ := strconv.Atoi(query.Get("limit"))
 	if limit < 1 || limit > maxListed {
-		c.w.check.broken("limits", "a list of %d machines", limit)
+		c.world.checker.addViolation("limits", "a list of %d machines", limit)
 	}
 	list := wire.MachineList{Machines: []wire.Machine{}}
-	for _, name := range c.names() {
-		if name <= q.Get("since") {
+	for _, name := range c.machineNames() {
+		if name <= query.Get("since") {
 			continue
 		}
 		if len(list.Machines) >= limit {
 			list.More = true
 			break
 		}
-		m := c.machines[name]
-		if m.rentedAt > then || m.gone && m.goneAt <= then {
+		machine := c.machines[name]
+		if machine.rentedAt > then || machine.removed && machine.removedAt <= then {
 			continue
 		}
 		status := wire.MachineBooting
-		if m.upAt <= then {
+		if machine.upAt <= then {
 			status = wire.MachineRunning
 		}
-		list.Machines = append(list.Machines, wire.Machine{Name: name, Addr: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
-			Status: status, AgeS: (then - m.rentedAt).Seconds()})
+		list.Machines = append(list.Machines, wire.Machine{Name: name, Addr: machine.address, Type: machine.machineType, Zone: machine.zone, Spot: machine.spot,
+			Status: status, AgeS: (then - machine.rentedAt).Seconds()})
 	}
 	return list
 }
 
-func (c *cloudService) rent(r *wire.RentRequest, send func(int, any)) {
-	if names, ok := c.granted[r.Request]; ok {
+func (c *cloudService) rentMachines(request *wire.ProvisionRequest, send func(int, any)) {
+	if names, ok := c.rentals[request.ID]; ok {
 		send(200, wire.MachineNames{Machines: names})
 		return
 	}
-	k := offer(r.Type, r.Zone, r.Spot)
-	n := min(r.Count, c.capacity[k])
+	k := offerKey(request.Type, request.Zone, request.Spot)
+	n := min(request.Count, c.capacity[k])
 	if n == 0 {
 		send(503, map[string]string{"error": "no capacity"})
 		return
@@ -178,41 +178,41 @@
 	c.capacity[k] -= n
 	var names []string
 	for ; n > 0; n-- {
-		m := c.add(r.Type, r.Zone, r.Spot)
+		m := c.addMachine(request.Type, request.Zone, request.Spot)
 		m.boot()
 		names = append(names, m.name)
 	}
-	c.granted[r.Request] = names
+	c.rentals[request.ID] = names
 	send(200, wire.MachineNames{Machines: names})
 }
 
-// add adds a machine that is not up yet.
-func (c *cloudService) add(typ, zone string, spot bool) *machine {
-	c.next++
-	m := newMachine(c.w, fmt.Sprintf("n-%06d", c.next), typ, zone, spot)
+// addMachine adds a machine that is not up yet.
+func (c *cloudService) addMachine(typ, zone string, spot bool) *machine {
+	c.rentedTotal++
+	m := newMachine(c.world, fmt.Sprintf("n-%06d", c.rentedTotal), typ, zone, spot)
 	c.machines[m.name] = m
-	c.byAddr[m.addr] = m
+	c.byAddress[m.address] = m
 	return m
 }
 
-// remove takes a machine away, with all that is on it.
-func (c *cloudService) remove(name string) {
-	m := c.machines[name]
-	if m == nil || m.gone {
+// removeMachine takes a machine away, with all that is on it.
+func (c *cloudService) removeMachine(name string) {
+	machine := c.machines[name]
+	if machine == nil || machine.removed {
 		return
 	}
-	m.gone, m.goneAt = true, c.w.now
-	c.capacity[offer(m.typ, m.zone, m.spot)]++
-	for _, t := range m.sorted() {
-		m.off(t)
+	machine.removed, machine.removedAt = true, c.world.now
+	c.capacity[offerKey(machine.machineType, machine.zone, machine.spot)]++
+	for _, t := range machine.sortedTasks() {
+		machine.terminate(t)
 	}
-	m.clear()
-	if c.machineGone != nil {
-		c.machineGone(name)
+	machine.clearTasks()
+	if c.machineRemoved != nil {
+		c.machineRemoved(name)
 	}
 }
 
-func (c *cloudService) typ(name string) *wire.MachineType {
+func (c *cloudService) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
 			return &c.types[i]
--- a/internal/sim/chains_test.go
+++ b/internal/sim/dependency_graph_test.go
@@ -6,36 +6,36 @@
 	"testing"
 )
 
-// chainSetup is a fleet that runs what the graphs below need at a time.
-const chainSetup = `
+// graphSetup is a fleet that runs what the graphs below need at a time.
+const graphSetup = `
 seed %d
 workers report=1.5 lease=10 cancel=35
 team t
 type small cpus=8 mem=32 boot=10 cap=6
 `
 
-// submitAll writes the submissions of a graph: one after the other, each as soon
+// writeSubmissions writes the submissions of a graph: one after the other, each as soon
 // as those that it awaits are accepted.
-func submitAll(b *strings.Builder, at float64, first int, awaits [][]int, rest string) {
+func writeSubmissions(text *strings.Builder, at float64, first int, awaits [][]int, rest string) {
 	for n, list := range awaits {
-		fmt.Fprintf(b, "at %.2f submit job-%06d tasks=1 image_gb=0 run=%d", at, first+n, 2+n%3)
+		fmt.Fprintf(text, "at %.2f submit job-%06d tasks=1 image_gb=0 run=%d", at, first+n, 2+n%3)
 		if n == 0 {
-			fmt.Fprintf(b, " %s", rest)
+			fmt.Fprintf(text, " %s", rest)
 		}
 		for k, a := range list {
-			fmt.Fprintf(b, "%s%06d", []string{" awaits=job-", ",job-"}[min(k, 1)], first+a)
+			fmt.Fprintf(text, "%s%06d", []string{" awaits=job-", ",job-"}[min(k, 1)], first+a)
 		}
-		b.WriteByte('\n')
+		text.WriteByte('\n')
 	}
 }
 
-// longList is more names than an open record holds where values are small.
-const longList = 180
+// longDependencyList is more names than an open record holds where values are small.
+const longDependencyList = 180
 
-// shapes are graphs of jobs by number: what each awaits.
-func shapes(n int) map[string][][]int {
+// dependencyGraphs are graphs of jobs by number: what each awaits.
+func dependencyGraphs(n int) map[string][][]int {
 	chain, needed, layers := make([][]int, n), make([][]int, n), make([][]int, n)
-	needing := make([][]int, longList+1)
+	needing := make([][]int, longDependencyList+1)
 	for k := 1; k < n; k++ {
 		chain[k] = []int{k - 1}
 		needed[k] = []int{0}
@@ -44,8 +44,8 @@
 			layers[k] = append(layers[k], i)
 		}
 	}
-	for k := range longList {
-		needing[longList] = append(needing[longList], k)
+	for k := range longDependencyList {
+		needing[longDependencyList] = append(needing[longDependencyList], k)
 	}
 	return map[string][][]int{"a chain": chain, "one that all need": needed, "layers": layers, "one that needs all": needing}
 }
@@ -64,15 +64,15 @@
 		"unannounced":       "at 40 limits value_kb=4 txn_ops=4 write_rps=30\nat 61 crash leader for=3\n",
 		"all of it at once": "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\nat 58 slow for=40 by=0.25\nat 60.5 crash leader for=3\n",
 	}
-	for shape, awaits := range shapes(240) {
+	for shape, awaits := range dependencyGraphs(240) {
 		for trouble, lines := range troubles {
 			t.Run(shape+"/"+trouble, func(t *testing.T) {
 				t.Parallel()
-				var b strings.Builder
-				fmt.Fprintf(&b, chainSetup, 1)
-				b.WriteString(lines)
-				submitAll(&b, 1, 1, awaits, "run=400")
-				b.WriteString("at 60 cancel job-000001\nuntil 108\n")
+				var text strings.Builder
+				fmt.Fprintf(&text, graphSetup, 1)
+				text.WriteString(lines)
+				writeSubmissions(&text, 1, 1, awaits, "run=400")
+				text.WriteString("at 60 cancel job-000001\nuntil 108\n")
 				needs := map[int]bool{0: true}
 				for n, list := range awaits {
 					for _, a := range list {
@@ -82,9 +82,9 @@
 					if needs[n] {
 						status = "withdrawn"
 					}
-					fmt.Fprintf(&b, "expect job-%06d %s\n", n+1, status)
+					fmt.Fprintf(&text, "expect job-%06d %s\n", n+1, status)
 				}
-				playGraph(t, b.String())
+				playGraph(t, text.String())
 			})
 		}
 	}
@@ -100,29 +100,29 @@
 		"unannounced":     "at 40 limits value_kb=4 txn_ops=4 write_rps=30\n",
 		"late, cut, late": "at 30 late_writes share=0.3 for=30\nat 70 cut leader state for=12\nat 90 late_reports share=0.5 for=20\n",
 	}
-	for shape, awaits := range shapes(31) {
+	for shape, awaits := range dependencyGraphs(31) {
 		for trouble, lines := range troubles {
 			t.Run(shape+"/"+trouble, func(t *testing.T) {
 				t.Parallel()
-				var b strings.Builder
-				fmt.Fprintf(&b, chainSetup, 1)
-				b.WriteString(lines)
-				submitAll(&b, 1, 1, awaits, "")
-				fmt.Fprintf(&b, "at 2 submit job-000900 priority=urgent tasks=2 run=3 due=300 awaits=job-%06d\n", len(awaits))
-				b.WriteString("until 420\n")
+				var text strings.Builder
+				fmt.Fprintf(&text, graphSetup, 1)
+				text.WriteString(lines)
+				writeSubmissions(&text, 1, 1, awaits, "")
+				fmt.Fprintf(&text, "at 2 submit job-000900 priority=urgent tasks=2 run=3 due=300 awaits=job-%06d\n", len(awaits))
+				text.WriteString("until 420\n")
 				for n := range awaits {
-					fmt.Fprintf(&b, "expect job-%06d done\n", n+1)
+					fmt.Fprintf(&text, "expect job-%06d done\n", n+1)
 				}
-				b.WriteString("expect job-000900 done\n")
-				playGraph(t, b.String())
+				text.WriteString("expect job-000900 done\n")
+				playGraph(t, text.String())
 			})
 		}
 	}
 }
 
-// maxRefused is how many transactions beyond limits that fell without notice may
+// maxRejected is how many transactions beyond limits that fell without notice may
 // be sent: a few by each controller until it has found out.
-const maxRefused = 40
+const maxRejected = 40
 
 // playGraph plays a scenario and counts what the state service turned away.
 func playGraph(t *testing.T, text string) {
@@ -131,13 +131,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, faults := s.Run(testLog())
+	world, faults := s.Run(testLog())
 	for k, fault := range faults {
 		if k < 6 {
 			t.Error(fault)
 		}
 	}
-	if w.store.refused > maxRefused {
-		t.Errorf("%d transactions beyond the limits, want at most %d", w.store.refused, maxRefused)
+	if world.store.rejected > maxRejected {
+		t.Errorf("%d transactions beyond the limits, want at most %d", world.store.rejected, maxRejected)
 	}
 }
--- a/internal/sim/fingerprint_test.go
+++ b/internal/sim/fingerprint_test.go
@@ -43,20 +43,20 @@
 func (f fingerprint) String() string { return hex.EncodeToString(f.Sum(nil)[:12]) }
 
 // recordCores has all that the world's cores ask for hashed.
-func (f fingerprint) recordCores(w *World) {
-	w.mutate = func(n *node, out *core.Output) {
+func (f fingerprint) recordCores(world *World) {
+	world.mutate = func(controller *controller, out *core.Output) {
 		for _, a := range out.Answers {
-			f.add(w.now, n.name, a.ID, a.Status, string(a.Body), a.RetryAfter)
+			f.add(world.now, controller.name, a.ID, a.Status, string(a.Body), a.RetryAfter)
 		}
 		for _, c := range out.Calls {
-			f.add(w.now, n.name, c.ID, int(c.Dest), c.Addr, c.Method, c.Path, string(c.Body), c.Timeout, c.Writes, c.Urgent, c.Watch)
+			f.add(world.now, controller.name, c.ID, int(c.Destination), c.Addr, c.Method, c.Path, string(c.Body), c.Timeout, c.Writes, c.Urgent, c.Watch)
 		}
-		for _, s := range out.Sends {
-			f.add(w.now, n.name, s.To)
-			f.addJSON(s.Msg)
+		for _, s := range out.PeerSends {
+			f.add(world.now, controller.name, s.To)
+			f.addJSON(s.Message)
 		}
 		for _, s := range out.RegionSends {
-			f.add(w.now, n.name, s.To)
+			f.add(world.now, controller.name, s.To)
 			f.addJSON(s.Message)
 		}
 	}
@@ -67,12 +67,12 @@
 	name string
 	play func(t *testing.T, seed uint64) string
 }{
-	{"soak", scenarioFingerprint(soak)},
-	{"meetings", scenarioFingerprint(meetings)},
-	{"operations", scenarioFingerprint(operations)},
-	{"pairs", scenarioFingerprint(func(seed uint64) string { _, text := pairs(seed * 13); return text })},
-	{"pipelines", scenarioFingerprint(pipelines)},
-	{"one type", scenarioFingerprint(oneType)},
+	{"soak", scenarioFingerprint(soakDay)},
+	{"meetings", scenarioFingerprint(overlappingFaultsDay)},
+	{"operations", scenarioFingerprint(operationsDay)},
+	{"pairs", scenarioFingerprint(func(seed uint64) string { _, text := faultPairDay(seed * 13); return text })},
+	{"pipelines", scenarioFingerprint(pipelinesDay)},
+	{"one type", scenarioFingerprint(oneTypeDay)},
 	{"grown", scenarioFingerprint(grownDay)},
 	{"fleet", scenarioFingerprint(fleetDay)},
 	{"regions", regionsFingerprint},
@@ -83,15 +83,15 @@
 func grownDay(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 5))
 	controllers := fmt.Sprint("controllers ", 3+2*r.IntN(2))
-	return grown([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, troubles(r, 30, 200)...)...)
+	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(r, 30, 200)...)...)
 }
 
 // fleetDay is a day of TestSoakFleet at its smallest size.
 func fleetDay(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 6))
 	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*r.IntN(2))}
-	lines = append(lines, troubles(r, 30, 130)...)
-	return wave(0.15, 200, append(lines, waves(r, 40, 130)...)...)
+	lines = append(lines, randomFleetFaults(r, 30, 130)...)
+	return startupWaveScenario(0.15, 200, append(lines, massMachineFaults(r, 40, 130)...)...)
 }
 
 func scenarioFingerprint(write func(seed uint64) string) func(*testing.T, uint64) string {
@@ -101,24 +101,24 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w, f := s.world(slog.New(slog.DiscardHandler)), newFingerprint()
-		f.recordCores(w)
-		s.finish(w)
+		world, f := s.newWorld(slog.New(slog.DiscardHandler)), newFingerprint()
+		f.recordCores(world)
+		s.finish(world)
 		return f.String()
 	}
 }
 
 func regionsFingerprint(t *testing.T, seed uint64) string {
 	t.Helper()
-	g := newRegionWorlds(t, seed, regionPlan(3+int(seed%3), 2, 24, 2), slog.New(slog.DiscardHandler))
+	regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24, 2), slog.New(slog.DiscardHandler))
 	f := newFingerprint()
-	for _, w := range g.worlds {
-		f.recordCores(w)
+	for _, world := range regions.worlds {
+		f.recordCores(world)
 	}
-	g.held = 0.05
-	g.at(6*time.Second, func() { g.burst(50 * time.Second) })
-	g.at(10*time.Second, func() { g.failAtRandom(50 * time.Second) })
-	g.run(80 * time.Second)
+	regions.delayedShare = 0.05
+	regions.schedule(6*time.Second, func() { regions.submitBursts(50 * time.Second) })
+	regions.schedule(10*time.Second, func() { regions.injectRandomFaults(50 * time.Second) })
+	regions.run(80 * time.Second)
 	return f.String()
 }
 
--- a/internal/sim/hugearray_test.go
+++ b/internal/sim/huge_array_test.go
@@ -28,11 +28,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, faults := s.Run(testLog())
+	world, faults := s.Run(testLog())
 	for _, fault := range faults {
 		t.Error(fault)
 	}
-	if w.cloud.next < 1000 {
-		t.Errorf("%d machines were rented", w.cloud.next)
+	if world.cloud.rentedTotal < 1000 {
+		t.Errorf("%d machines were rented", world.cloud.rentedTotal)
 	}
 }
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -27,19 +27,19 @@
 	Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer))
 }
 
-// Start is the begin of a task's run.
-type Start struct {
-	Class    string
-	Priority wire.Priority
-	Waited   time.Duration // since the first attempt to submit the job
-	Token    uint64        // highest token that the worker has seen
-	At       time.Duration // since the run began
-	First    bool          // the task has not run before
+// TaskStart is the begin of a task's run.
+type TaskStart struct {
+	Class        string
+	Priority     wire.Priority
+	Waited       time.Duration // since the first attempt to submit the job
+	FencingToken uint64        // highest token that the worker has seen
+	At           time.Duration // since the run began
+	First        bool          // the task has not run before
 }
 
 // Observer is told what happens in a live world, with the world locked.
 type Observer interface {
-	Started(Start)
+	Started(TaskStart)
 }
 
 // Stock is how many machines of an offer the cloud has.
@@ -59,22 +59,22 @@
 	Seed     uint64
 	Observer Observer // may be nil
 	Log      *slog.Logger
-	// WorkerAddr gives the address that a machine's worker listens on.
-	WorkerAddr func(machine string) string
-	// UseChanged is told, with the world locked, by how many CPUs and GPUs the use of a team
+	// WorkerAddress gives the address that a machine's worker listens on.
+	WorkerAddress func(machine string) string
+	// UsageChanged is told, with the world locked, by how many CPUs and GPUs the use of a team
 	// changes; it may be nil.
-	UseChanged func(team string, cpus, gpus float64)
-	// MachineGone is told of a machine that is gone for good; it may be nil.
-	MachineGone func(machine string)
+	UsageChanged func(team string, cpus, gpus float64)
+	// MachineRemoved is told of a machine that is gone for good; it may be nil.
+	MachineRemoved func(machine string)
 }
 
 // Live plays a world by the real clock, around controllers that are processes of
 // their own. The rules are judged as in virtual time; whether a job is left waiting
 // or unanswered is not, since that takes a walk over all machines for every job.
 type Live struct {
-	mu    sync.Mutex
-	world *World
-	start time.Time
+	mu        sync.Mutex
+	world     *World
+	startedAt time.Time
 }
 
 // never is a time that no run reaches.
@@ -82,32 +82,34 @@
 
 // NewLive makes a live world. Its time begins with Run.
 func NewLive(c LiveConfig) *Live {
-	w := newWorld(c.Settings, c.Seed, c.Log)
-	w.queue = nil // the controllers are processes
-	w.calm = never
-	w.watch = c.Observer
-	w.useChanged = c.UseChanged
-	w.cloud.types = c.Types
-	w.cloud.workerAddr, w.cloud.machineGone = c.WorkerAddr, c.MachineGone
-	w.after(0, w.store.expire)
-	w.after(time.Second, w.check.sweep)
+	world := newWorld(c.Settings, c.Seed, c.Log)
+	world.queue = nil // the controllers are processes
+	world.faultsEnd = never
+	world.observer = c.Observer
+	world.usageChanged = c.UsageChanged
+	world.cloud.types = c.Types
+	world.cloud.workerAddress, world.cloud.machineRemoved = c.WorkerAddress, c.MachineRemoved
+	world.after(0, world.store.expireLeases)
+	world.after(time.Second, world.checker.sweep)
 	for _, s := range c.Stock {
-		w.cloud.capacity[offer(s.Type, s.Zone, s.Spot)] = s.Count - s.Up
+		world.cloud.capacity[offerKey(s.Type, s.Zone, s.Spot)] = s.Count - s.Up
 		for range s.Up {
-			w.cloud.add(s.Type, s.Zone, s.Spot).comeUp(time.Duration(w.rng.Int64N(int64(seconds(c.Settings.Deployment.Workers.ReportS)))))
+			world.cloud.addMachine(s.Type, s.Zone, s.Spot).startWorkerAfter(time.Duration(world.rng.Int64N(int64(seconds(c.Settings.Deployment.Workers.ReportS)))))
 		}
 	}
-	return &Live{world: w}
+	return &Live{world: world}
 }
 
 // Attach sets the process of a controller. Run starts it.
-func (l *Live) Attach(controller int, p Process) { l.world.nodes[controller].process = p }
+func (l *Live) Attach(controller int, p Process) { l.world.controllers[controller].process = p }
 
 // Name is the name of a controller.
-func (l *Live) Name(controller int) string { return l.world.nodes[controller].name }
+func (l *Live) Name(controller int) string { return l.world.controllers[controller].name }
 
 // Zone is the zone of a controller.
-func (l *Live) Zone(controller int) string { return l.world.zoneOf(l.world.nodes[controller].name) }
+func (l *Live) Zone(controller int) string {
+	return l.world.zoneOf(l.world.controllers[controller].name)
+}
 
 // Do calls f with the world locked and its time brought up to the clock.
 func (l *Live) Do(f func()) {
@@ -119,26 +121,26 @@
 
 // catchUp carries out what has become due.
 func (l *Live) catchUp() {
-	if !l.start.IsZero() {
-		l.world.run(time.Since(l.start))
+	if !l.startedAt.IsZero() {
+		l.world.run(time.Since(l.startedAt))
 	}
 }
 
-// liveStep is how often a live world looks for what has become due.
-const liveStep = 2 * time.Millisecond
+// livePollInterval is how often a live world looks for what has become due.
+const livePollInterval = 2 * time.Millisecond
 
 // Run starts the controllers and plays the world until the context ends or the
 // time is over.
 func (l *Live) Run(ctx context.Context, until time.Duration) {
 	l.mu.Lock()
-	l.start = time.Now()
-	for _, n := range l.world.nodes {
-		n.boot()
+	l.startedAt = time.Now()
+	for _, controller := range l.world.controllers {
+		controller.start()
 	}
 	l.mu.Unlock()
-	tick := time.NewTicker(liveStep)
+	tick := time.NewTicker(livePollInterval)
 	defer tick.Stop()
-	for time.Since(l.start) < until {
+	for time.Since(l.startedAt) < until {
 		select {
 		case <-ctx.Done():
 			return
@@ -164,7 +166,7 @@
 // Submit has a user submit a job and ask for it until it is over. It is called with
 // the world locked, as are the methods below.
 func (l *Live) Submit(j LiveJob) {
-	l.world.users.submit(&jobTruth{Job: j.Job, runS: j.RunS, done: map[int]bool{}, progress: map[int]float64{}}, whenever)
+	l.world.users.submit(&groundTruth{Job: j.Job, runS: j.RunS, doneTasks: map[int]bool{}, savedProgress: map[int]float64{}}, submitAtOnce)
 }
 
 // Cancel has a job's user cancel it.
@@ -173,8 +175,8 @@
 // Leader is the index of the controller that holds the leader's key; false if none
 // does.
 func (l *Live) Leader() (int, bool) {
-	if n := l.world.leader(); n != nil {
-		return n.index, true
+	if controller := l.world.leader(); controller != nil {
+		return controller.index, true
 	}
 	return 0, false
 }
@@ -183,29 +185,29 @@
 func (l *Live) Term() uint64 {
 	var term uint64
 	for _, m := range l.world.cloud.machines {
-		term = max(term, m.token)
+		term = max(term, m.fencingToken)
 	}
 	return term
 }
 
 // KillController ends a controller without notice; it is started again after a
 // while.
-func (l *Live) KillController(i int, back time.Duration) { l.world.nodes[i].crash(back) }
+func (l *Live) KillController(i int, back time.Duration) { l.world.controllers[i].crash(back) }
 
 // RemoveWorkers has a share of the machines that are up stop at once, of one zone or,
 // if it is empty, of all. It returns how many.
 func (l *Live) RemoveWorkers(share float64, zone string) int {
-	w := l.world
+	world := l.world
 	var up []*machine
-	for _, name := range w.cloud.names() {
-		if m := w.cloud.machines[name]; !m.gone && m.upAt <= w.now && (zone == "" || m.zone == zone) {
+	for _, name := range world.cloud.machineNames() {
+		if m := world.cloud.machines[name]; !m.removed && m.upAt <= world.now && (zone == "" || m.zone == zone) {
 			up = append(up, m)
 		}
 	}
-	w.rng.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
+	world.rng.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
 	up = up[:int(share*float64(len(up)))]
 	for _, m := range up {
-		w.cloud.remove(m.name)
+		world.cloud.removeMachine(m.name)
 	}
 	return len(up)
 }
@@ -213,32 +215,32 @@
 // RemoveZone has all machines and controllers of a zone stop; the controllers are
 // started again after a while, and the cloud has no machines there until then.
 func (l *Live) RemoveZone(zone string, back time.Duration) int {
-	w := l.world
-	for _, n := range w.nodes {
-		if w.zoneOf(n.name) == zone {
+	world := l.world
+	for _, n := range world.controllers {
+		if world.zoneOf(n.name) == zone {
 			n.crash(back)
 		}
 	}
 	gone := l.RemoveWorkers(1, zone)
 	kept := map[string]int{}
-	for k, n := range w.cloud.capacity {
+	for k, n := range world.cloud.capacity {
 		if strings.Contains(k, "/"+zone+"/") {
-			kept[k], w.cloud.capacity[k] = n, 0
+			kept[k], world.cloud.capacity[k] = n, 0
 		}
 	}
-	w.after(back, func() {
+	world.after(back, func() {
 		for k, n := range kept {
-			w.cloud.capacity[k] += n
+			world.cloud.capacity[k] += n
 		}
 	})
 	return gone
 }
 
-// StopStateService has the state service refuse every request for a while.
-func (l *Live) StopStateService(d time.Duration) { l.world.store.beginOutage(d) }
+// StopStore has the state service refuse every request for a while.
+func (l *Live) StopStore(d time.Duration) { l.world.store.beginOutage(d) }
 
-// ServeState answers a controller's request to the state service, now or later.
-func (l *Live) ServeState(method, path string, body []byte, reply func(int, []byte)) {
+// ServeStore answers a controller's request to the state service, now or later.
+func (l *Live) ServeStore(method, path string, body []byte, reply func(int, []byte)) {
 	l.world.store.handle("", method, path, body, reply)
 }
 
@@ -251,7 +253,7 @@
 // answer.
 func (l *Live) ServeWorker(machine, method, path string, body []byte, reply func(int, []byte)) {
 	if m := l.world.cloud.machines[machine]; m != nil {
-		m.direct(method, path, body, reply)
+		m.handleDirect(method, path, body, reply)
 	}
 }
 
@@ -262,37 +264,37 @@
 
 // Counts is what a live world holds, for reports.
 type Counts struct {
-	Workers      int // up
-	Tasks        int // on machines
-	Jobs         int // accepted and not over
-	Accepted     int // jobs in all
-	Starts       int // start commands that workers have carried out
-	LeaseLosses  int // tasks that a worker dropped for want of an answer
-	Keys         int // of the state service
-	Changes      int // puts and deletes that the state service has carried out
-	StateRefused int // requests that the state service turned away for its rates
-	Broken       []string
+	Workers        int // up
+	Tasks          int // on machines
+	Jobs           int // accepted and not over
+	Accepted       int // jobs in all
+	Starts         int // start commands that workers have carried out
+	ExpiredTasks   int // tasks that a worker dropped for want of an answer
+	StoreKeys      int // of the state service
+	StoreChanges   int // puts and deletes that the state service has carried out
+	StoreThrottled int // requests that the state service turned away for its rates
+	Violations     []string
 }
 
 // Counts counts what the world holds.
 func (l *Live) Counts() Counts {
-	w := l.world
-	c := Counts{Starts: w.started, LeaseLosses: w.expired, Keys: len(w.store.keys), Changes: w.store.changes, StateRefused: w.store.busy, Broken: w.check.faults}
-	for _, m := range w.cloud.machines {
-		if !m.gone && m.upAt <= w.now {
-			c.Workers++
+	world := l.world
+	counts := Counts{Starts: world.taskStarts, ExpiredTasks: world.expiredTasks, StoreKeys: len(world.store.keys), StoreChanges: world.store.changeCount, StoreThrottled: world.store.throttled, Violations: world.checker.violations}
+	for _, m := range world.cloud.machines {
+		if !m.removed && m.upAt <= world.now {
+			counts.Workers++
 		}
 	}
-	for _, tasks := range w.on {
-		c.Tasks += len(tasks.machines)
+	for _, tasks := range world.placementsByJob {
+		counts.Tasks += len(tasks.machines)
 	}
-	for _, j := range w.users.jobs {
+	for _, j := range world.users.jobs {
 		if j.accepted {
-			c.Accepted++
-			if j.final == "" {
-				c.Jobs++
+			counts.Accepted++
+			if j.finalStatus == "" {
+				counts.Jobs++
 			}
 		}
 	}
-	return c
+	return counts
 }
--- a/internal/sim/modelserver.go
+++ b/internal/sim/model_server.go
@@ -22,21 +22,21 @@
 
 // servedModel is what a server knows of a model.
 type servedModel struct {
-	fence    uint64 // the highest epoch heard
-	ticket   uint64
-	ticketAt time.Duration
-	copy     *modelCopy
-	answered map[string][]byte // by the clients' keys; nil for one that is under way; ends with the copy
+	fencingEpoch   uint64 // the highest epoch heard
+	ticket         uint64
+	ticketIssuedAt time.Duration
+	copy           *modelCopy
+	answered       map[string][]byte // by the clients' keys; nil for one that is under way; ends with the copy
 }
 
 // modelCopy is a copy of a model.
 type modelCopy struct {
 	number          int           // of all that the server has started
 	readyAt, failAt time.Duration // failAt is 0 for a load that succeeds
-	lease           time.Duration // when it ends without word of a driver
+	leaseEnd        time.Duration // when it ends without word of a driver
 	closed          bool
-	busy            int
-	lastAsked       time.Duration
+	activeRequests  int
+	lastRequestAt   time.Duration
 }
 
 // NewModelServer makes a server without copies.
@@ -54,8 +54,8 @@
 // Crash ends all copies; the server forgets everything.
 func (s *ModelServer) Crash() { s.models = map[string]*servedModel{} }
 
-// Live tells whether a copy of a model is loading or loaded.
-func (s *ModelServer) Live(model string, now time.Duration) bool {
+// HasCopy tells whether a copy of a model is loading or loaded.
+func (s *ModelServer) HasCopy(model string, now time.Duration) bool {
 	return s.model(model, now).copy != nil
 }
 
@@ -70,77 +70,77 @@
 
 // model finds what is known of a model; a copy whose time is over has ended.
 func (s *ModelServer) model(name string, now time.Duration) *servedModel {
-	m := s.models[name]
-	if m == nil {
-		m = &servedModel{}
-		s.models[name] = m
+	model := s.models[name]
+	if model == nil {
+		model = &servedModel{}
+		s.models[name] = model
 	}
-	if m.copy != nil && now > m.copy.lease {
-		m.end()
+	if model.copy != nil && now > model.copy.leaseEnd {
+		model.endCopy()
 	}
-	return m
+	return model
 }
 
-func (m *servedModel) end() { m.copy, m.answered = nil, nil }
+func (m *servedModel) endCopy() { m.copy, m.answered = nil, nil }
 
 // Command carries out a driver's command.
-func (s *ModelServer) Command(c wake.Command, now time.Duration) wake.CopyReport {
-	m := s.model(c.Model, now)
-	if c.Epoch < m.fence {
-		return wake.CopyReport{State: wake.CopyFenced}
+func (s *ModelServer) Command(c wake.Command, now time.Duration) wake.ReplicaStatus {
+	model := s.model(c.Model, now)
+	if c.Epoch < model.fencingEpoch {
+		return wake.ReplicaStatus{State: wake.ReplicaFenced}
 	}
-	m.fence = c.Epoch
-	if m.copy != nil {
-		m.copy.lease = now + s.CopyLease
+	model.fencingEpoch = c.Epoch
+	if model.copy != nil {
+		model.copy.leaseEnd = now + s.CopyLease
 	}
 	switch c.Verb {
 	case wake.VerbStart:
-		s.start(m, c.Ticket, now)
+		s.start(model, c.StartToken, now)
 	case wake.VerbClose:
-		if m.copy != nil {
-			m.copy.closed = true
+		if model.copy != nil {
+			model.copy.closed = true
 		}
 	case wake.VerbStop:
-		if m.copy != nil && m.copy.closed && m.copy.busy == 0 {
-			m.end()
+		if model.copy != nil && model.copy.closed && model.copy.activeRequests == 0 {
+			model.endCopy()
 		}
 	}
-	return s.report(m, now)
+	return s.report(model, now)
 }
 
 // start begins to load a copy, if the ticket allows it and there is none.
-func (s *ModelServer) start(m *servedModel, ticket uint64, now time.Duration) {
-	valid := ticket != 0 && ticket == m.ticket && now-m.ticketAt <= s.CopyLease
-	if !valid || m.copy != nil {
+func (s *ModelServer) start(model *servedModel, ticket uint64, now time.Duration) {
+	valid := ticket != 0 && ticket == model.ticket && now-model.ticketIssuedAt <= s.CopyLease
+	if !valid || model.copy != nil {
 		return
 	}
-	m.ticket = 0
+	model.ticket = 0
 	takes, fails := s.Load()
 	s.Starts++
-	m.copy = &modelCopy{number: s.Starts, readyAt: now + takes, lease: now + s.CopyLease, lastAsked: now + takes}
+	model.copy = &modelCopy{number: s.Starts, readyAt: now + takes, leaseEnd: now + s.CopyLease, lastRequestAt: now + takes}
 	if fails {
-		m.copy.failAt = now + takes
+		model.copy.failAt = now + takes
 	}
-	m.answered = map[string][]byte{}
+	model.answered = map[string][]byte{}
 }
 
 // report tells the state of a model's copy, and gives a ticket where there is none.
-func (s *ModelServer) report(m *servedModel, now time.Duration) wake.CopyReport {
-	c := m.copy
+func (s *ModelServer) report(model *servedModel, now time.Duration) wake.ReplicaStatus {
+	c := model.copy
 	switch {
 	case c == nil:
 		s.nextTicket++
-		m.ticket, m.ticketAt = s.nextTicket, now
-		return wake.CopyReport{State: wake.CopyNone, Ticket: m.ticket}
+		model.ticket, model.ticketIssuedAt = s.nextTicket, now
+		return wake.ReplicaStatus{State: wake.ReplicaAbsent, StartToken: model.ticket}
 	case c.failAt != 0 && now >= c.failAt:
-		m.end()
-		return wake.CopyReport{State: wake.CopyFailed}
+		model.endCopy()
+		return wake.ReplicaStatus{State: wake.ReplicaFailed}
 	case c.closed:
-		return wake.CopyReport{State: wake.CopyClosed, Busy: c.busy}
+		return wake.ReplicaStatus{State: wake.ReplicaClosed, InFlight: c.activeRequests}
 	case now < c.readyAt:
-		return wake.CopyReport{State: wake.CopyLoading}
+		return wake.ReplicaStatus{State: wake.ReplicaLoading}
 	}
-	return wake.CopyReport{State: wake.CopyReady, Busy: c.busy, IdleS: (now - c.lastAsked).Seconds()}
+	return wake.ReplicaStatus{State: wake.ReplicaReady, InFlight: c.activeRequests, IdleSeconds: (now - c.lastRequestAt).Seconds()}
 }
 
 // AskResult is what a server makes of a request.
@@ -149,9 +149,9 @@
 // What becomes of a request: no copy takes it; it begins; it is under way already, or has
 // been answered, under the same key.
 const (
-	AskNotTaken AskResult = iota
-	AskBegun
-	AskUnderWay
+	AskRejected AskResult = iota
+	AskStarted
+	AskInProgress
 	AskAnswered
 )
 
@@ -160,31 +160,31 @@
 	m := s.model(model, now)
 	c := m.copy
 	if c == nil || now < c.readyAt || c.failAt != 0 {
-		return AskNotTaken, nil
+		return AskRejected, nil
 	}
 	if answer, known := m.answered[key]; known {
 		if answer == nil {
-			return AskUnderWay, nil
+			return AskInProgress, nil
 		}
 		return AskAnswered, answer
 	}
 	if c.closed {
-		return AskNotTaken, nil
+		return AskRejected, nil
 	}
-	c.busy++
-	c.lastAsked = now
+	c.activeRequests++
+	c.lastRequestAt = now
 	m.answered[key] = nil
-	return AskBegun, nil
+	return AskStarted, nil
 }
 
 // Finish ends a request that a copy has begun, with its answer; false if the copy has ended.
 func (s *ModelServer) Finish(model, key string, answer []byte, now time.Duration) bool {
 	m := s.model(model, now)
-	if m.copy == nil || m.copy.busy == 0 {
+	if m.copy == nil || m.copy.activeRequests == 0 {
 		return false
 	}
-	m.copy.busy--
-	m.copy.lastAsked = now
+	m.copy.activeRequests--
+	m.copy.lastRequestAt = now
 	m.answered[key] = answer
 	return true
 }
--- a/internal/sim/placements.go
+++ b/internal/sim/placements.go
@@ -21,62 +21,62 @@
 	byZone   map[string]int
 }
 
-// putOn notes that a task has come onto a machine.
-func (w *World) putOn(m *machine, t *task) {
-	t.on = true
-	on := w.on[t.job]
+// addPlacement notes that a task has come onto a machine.
+func (w *World) addPlacement(m *machine, t *task) {
+	t.placed = true
+	on := w.placementsByJob[t.job]
 	if on == nil {
 		on = &jobPlacements{machines: map[*task]*machine{}, byIndex: map[int][]placement{}, byZone: map[string]int{}}
-		w.on[t.job] = on
-		if w.teams[t.job.Team] == nil {
-			w.teams[t.job.Team] = map[*jobTruth]bool{}
+		w.placementsByJob[t.job] = on
+		if w.jobsByTeam[t.job.Team] == nil {
+			w.jobsByTeam[t.job.Team] = map[*groundTruth]bool{}
 		}
-		w.teams[t.job.Team][t.job] = true
+		w.jobsByTeam[t.job.Team][t.job] = true
 	}
 	on.machines[t] = m
 	on.byIndex[t.index] = append(on.byIndex[t.index], placement{t, m})
 	on.byZone[m.zone]++
-	w.noteUse(t.job, 1)
+	w.reportUsage(t.job, 1)
 }
 
-// takeOff notes that a task is on no machine any more.
-func (w *World) takeOff(t *task) {
-	t.on = false
-	on := w.on[t.job]
-	if on == nil || on.machines[t] == nil {
+// removePlacement notes that a task is on no machine any more.
+func (w *World) removePlacement(task *task) {
+	task.placed = false
+	on := w.placementsByJob[task.job]
+	if on == nil || on.machines[task] == nil {
 		return
 	}
-	on.byZone[on.machines[t].zone]--
-	delete(on.machines, t)
-	w.noteUse(t.job, -1)
-	on.byIndex[t.index] = slices.DeleteFunc(on.byIndex[t.index], func(p placement) bool { return p.task == t })
-	if len(on.byIndex[t.index]) == 0 {
-		delete(on.byIndex, t.index)
+	on.byZone[on.machines[task].zone]--
+	delete(on.machines, task)
+	w.reportUsage(task.job, -1)
+	on.byIndex[task.index] = slices.DeleteFunc(on.byIndex[task.index], func(p placement) bool { return p.task == task })
+	if len(on.byIndex[task.index]) == 0 {
+		delete(on.byIndex, task.index)
 	}
 	if len(on.machines) == 0 {
-		delete(w.on, t.job)
-		delete(w.teams[t.job.Team], t.job)
+		delete(w.placementsByJob, task.job)
+		delete(w.jobsByTeam[task.job.Team], task.job)
 	}
 }
 
-// noteUse tells of tasks of a job that came onto machines or left them.
-func (w *World) noteUse(j *jobTruth, tasks int) {
-	if w.useChanged != nil {
-		w.useChanged(j.Team, float64(tasks)*j.CPUs, float64(tasks)*j.GPUs)
+// reportUsage tells of tasks of a job that came onto machines or left them.
+func (w *World) reportUsage(truth *groundTruth, tasks int) {
+	if w.usageChanged != nil {
+		w.usageChanged(truth.Team, float64(tasks)*truth.CPUs, float64(tasks)*truth.GPUs)
 	}
 }
 
-// onMachines is how many tasks of a job are on machines.
-func (w *World) onMachines(j *jobTruth) int {
-	if on := w.on[j]; on != nil {
+// placedTaskCount is how many tasks of a job are on machines.
+func (w *World) placedTaskCount(truth *groundTruth) int {
+	if on := w.placementsByJob[truth]; on != nil {
 		return len(on.machines)
 	}
 	return 0
 }
 
-// placements lists the tasks of a job that are on machines, by machine and name.
-func (w *World) placements(j *jobTruth) []placement {
-	on := w.on[j]
+// sortedPlacements lists the tasks of a job that are on machines, by machine and name.
+func (w *World) sortedPlacements(truth *groundTruth) []placement {
+	on := w.placementsByJob[truth]
 	if on == nil {
 		return nil
 	}
@@ -91,26 +91,26 @@
 	return out
 }
 
-// teamUse adds up what the tasks of a team use that are on machines.
-func (w *World) teamUse(team string) (gpus, cpus float64) {
-	for j := range w.teams[team] {
-		n := float64(w.onMachines(j))
-		gpus += n * j.GPUs
-		cpus += n * j.CPUs
+// teamUsage adds up what the tasks of a team use that are on machines.
+func (w *World) teamUsage(team string) (gpus, cpus float64) {
+	for truth := range w.jobsByTeam[team] {
+		n := float64(w.placedTaskCount(truth))
+		gpus += n * truth.GPUs
+		cpus += n * truth.CPUs
 	}
 	return gpus, cpus
 }
 
-// observeBegin tells the observer of a task that begins to run. Only the first
+// observeStart tells the observer of a task that begins to run. Only the first
 // run of each task counts.
-func (w *World) observeBegin(m *machine, t *task) {
-	if w.watch == nil {
+func (w *World) observeStart(machine *machine, task *task) {
+	if w.observer == nil {
 		return
 	}
-	if t.job.begun == nil {
-		t.job.begun = map[int]bool{}
+	if task.job.startedTasks == nil {
+		task.job.startedTasks = map[int]bool{}
 	}
-	first := !t.job.begun[t.index]
-	t.job.begun[t.index] = true
-	w.watch.Started(Start{At: w.now, Class: t.job.Class, Priority: t.job.Priority, Waited: w.now - t.job.submitted, Token: m.token, First: first})
+	first := !task.job.startedTasks[task.index]
+	task.job.startedTasks[task.index] = true
+	w.observer.Started(TaskStart{At: w.now, Class: task.job.Class, Priority: task.job.Priority, Waited: w.now - task.job.submittedAt, FencingToken: machine.fencingToken, First: first})
 }
--- a/internal/sim/scenario_expect.go
+++ b/internal/sim/scenario_expect.go
@@ -6,9 +6,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-func (w *World) running(id string) int {
+func (w *World) runningTasks(id string) int {
 	n := 0
-	for _, p := range w.placements(w.jobs[id]) {
+	for _, p := range w.sortedPlacements(w.jobs[id]) {
 		if p.task.state == wire.TaskRunning {
 			n++
 		}
@@ -16,52 +16,52 @@
 	return n
 }
 
-// expected judges a line of expectations at the end. It returns what is wrong.
-func (w *World) expected(l line) string {
-	what := l.arg(0)
+// checkExpectation judges a line of expectations at the end. It returns what is wrong.
+func (w *World) checkExpectation(line scenarioLine) string {
+	what := line.arg(0)
 	switch what {
 	case "machines":
-		return atMost(w.cloud.rented(l.opt["type"]), l.num("most", 1e9), "machines")
+		return checkAtMost(w.cloud.rentedMachines(line.options["type"]), line.number("most", 1e9), "machines")
 	case "rented":
-		return atMost(w.cloud.next, l.num("most", 1e9), "machines rented in all")
+		return checkAtMost(w.cloud.rentedTotal, line.number("most", 1e9), "machines rented in all")
 	case "expired":
-		return atMost(w.expired, l.num("most", 0), "tasks that lost their worker's lease")
+		return checkAtMost(w.expiredTasks, line.number("most", 0), "tasks that lost their worker's lease")
 	case "starts":
-		return atMost(w.started, l.num("most", 1e9), "starts")
+		return checkAtMost(w.taskStarts, line.number("most", 1e9), "starts")
 	}
 	j := w.users.jobs[what]
 	if j == nil {
 		return "no such job " + what
 	}
-	return w.expectedJob(j, l)
+	return w.checkJobExpectation(j, line)
 }
 
-// atMost tells what is wrong with a number that is beyond a bound.
-func atMost(n int, most float64, what string) string {
+// checkAtMost tells what is wrong with a number that is beyond a bound.
+func checkAtMost(n int, most float64, what string) string {
 	if float64(n) <= most {
 		return ""
 	}
 	return fmt.Sprintf("%d %s, at most %.0f expected", n, what, most)
 }
 
-// expectedJob judges a line that expects something of a job.
-func (w *World) expectedJob(j *userJob, l line) string {
-	switch want := l.arg(1); want {
+// checkJobExpectation judges a line that expects something of a job.
+func (w *World) checkJobExpectation(job *userJob, line scenarioLine) string {
+	switch want := line.arg(1); want {
 	case "running":
-		if n, want := w.running(j.id), int(l.num("tasks", 1)); n != want {
-			return fmt.Sprintf("%s: %d tasks run, %d expected", j.id, n, want)
+		if n, want := w.runningTasks(job.id), int(line.number("tasks", 1)); n != want {
+			return fmt.Sprintf("%s: %d tasks run, %d expected", job.id, n, want)
 		}
 	case "refused":
-		if want := int(l.num("status", 422)); j.refused != want {
-			return fmt.Sprintf("%s: refused with %d, %d expected", j.id, j.refused, want)
+		if want := int(line.number("status", 422)); job.rejectionStatus != want {
+			return fmt.Sprintf("%s: refused with %d, %d expected", job.id, job.rejectionStatus, want)
 		}
 	case "over":
-		if j.final == "" {
-			return fmt.Sprintf("%s: told %q, not over", j.id, j.last.Status)
+		if job.finalStatus == "" {
+			return fmt.Sprintf("%s: told %q, not over", job.id, job.lastStatus.Status)
 		}
 	default:
-		if j.last.Status != wire.JobState(want) {
-			return fmt.Sprintf("%s: told %q, %q expected", j.id, j.last.Status, want)
+		if job.lastStatus.Status != wire.JobState(want) {
+			return fmt.Sprintf("%s: told %q, %q expected", job.id, job.lastStatus.Status, want)
 		}
 	}
 	return ""
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -16,9 +16,9 @@
 	"golang.org/x/tools/txtar"
 )
 
-// leastSeeds is how many days of a scenario are played at the least: some that
+// minSeeds is how many days of a scenario are played at the least: some that
 // were played with one held by the luck of its seed.
-const leastSeeds = 5
+const minSeeds = 5
 
 // TestScenarios plays every scenario file: a comment on what it guards, and
 // one section a variant.
@@ -40,7 +40,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				for first := s.seed; s.seed < first+uint64(max(s.seeds, leastSeeds)); s.seed++ {
+				for first := s.seed; s.seed < first+uint64(max(s.seedCount, minSeeds)); s.seed++ {
 					_, faults := s.Run(testLog())
 					for _, fault := range faults {
 						t.Errorf("seed %d: %s", s.seed, fault)
@@ -67,111 +67,111 @@
 wait web within=2
 `
 
-// soak writes a scenario of random jobs and troubles.
-func soak(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 7))
-	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d\n%suntil 330\n", seed, soakSetup)
-	team := func() string { return []string{"t", "u"}[r.IntN(2)] }
+// soakDay writes a scenario of random jobs and troubles.
+func soakDay(seed uint64) string {
+	rng := rand.New(rand.NewPCG(seed, 7))
+	var text strings.Builder
+	fmt.Fprintf(&text, "seed %d\n%suntil 330\n", seed, soakSetup)
+	team := func() string { return []string{"t", "u"}[rng.IntN(2)] }
 	for i := 1; i <= 24; i++ {
-		at := r.IntN(200)
+		at := rng.IntN(200)
 		id := fmt.Sprintf("job-%06d", i)
-		img := r.IntN(4)
-		switch r.IntN(4) {
+		img := rng.IntN(4)
+		switch rng.IntN(4) {
 		case 0:
-			fmt.Fprintf(&b, "at %d submit %s shape=service class=web team=%s priority=critical tasks=%d cpus=1 image=i%d image_gb=2 apart\n", at, id, team(), 1+r.IntN(5), img)
+			fmt.Fprintf(&text, "at %d submit %s shape=service class=web team=%s priority=critical tasks=%d cpus=1 image=i%d image_gb=2 apart\n", at, id, team(), 1+rng.IntN(5), img)
 		case 1:
-			fmt.Fprintf(&b, "at %d submit %s team=%s priority=idle tasks=%d cpus=4 gpus=1 mem=16 run=%d checkpoint=5 save=3 image=i%d spot\n", at, id, team(), 1+r.IntN(12), 10+r.IntN(40), img)
+			fmt.Fprintf(&text, "at %d submit %s team=%s priority=idle tasks=%d cpus=4 gpus=1 mem=16 run=%d checkpoint=5 save=3 image=i%d spot\n", at, id, team(), 1+rng.IntN(12), 10+rng.IntN(40), img)
 		case 2:
-			fmt.Fprintf(&b, "at %d submit %s shape=gang team=%s priority=urgent tasks=%d cpus=6 gpus=2 mem=16 run=%d checkpoint=5 save=2 image=i%d together\n", at, id, team(), 1+r.IntN(3), 10+r.IntN(40), img)
+			fmt.Fprintf(&text, "at %d submit %s shape=gang team=%s priority=urgent tasks=%d cpus=6 gpus=2 mem=16 run=%d checkpoint=5 save=2 image=i%d together\n", at, id, team(), 1+rng.IntN(3), 10+rng.IntN(40), img)
 		case 3:
-			fmt.Fprintf(&b, "at %d submit %s team=%s tasks=%d cpus=2 run=%d image=i%d together\n", at, id, team(), 1+r.IntN(6), 5+r.IntN(30), img)
+			fmt.Fprintf(&text, "at %d submit %s team=%s tasks=%d cpus=2 run=%d image=i%d together\n", at, id, team(), 1+rng.IntN(6), 5+rng.IntN(30), img)
 		}
-		if r.IntN(4) == 0 {
-			fmt.Fprintf(&b, "at %d cancel %s\n", at+5+r.IntN(60), id)
+		if rng.IntN(4) == 0 {
+			fmt.Fprintf(&text, "at %d cancel %s\n", at+5+rng.IntN(60), id)
 		}
 	}
-	who := func() string { return []string{"leader", "follower", "all", "leader"}[r.IntN(4)] }
+	who := func() string { return []string{"leader", "follower", "all", "leader"}[rng.IntN(4)] }
 	side := func() string {
-		return []string{"state", "workers", "nodes", "cloud", "zone:east", "zone:north", "busy"}[r.IntN(7)]
+		return []string{"state", "workers", "nodes", "cloud", "zone:east", "zone:north", "busy"}[rng.IntN(7)]
 	}
-	mode := func() string { return []string{"hold", "", "oneway", "hold oneway"}[r.IntN(4)] }
+	mode := func() string { return []string{"hold", "", "oneway", "hold oneway"}[rng.IntN(4)] }
 	for i := 0; i < 8; i++ {
-		at := 20 + r.IntN(200)
-		d := 1 + r.IntN(40)
-		switch r.IntN(10) {
+		at := 20 + rng.IntN(200)
+		d := 1 + rng.IntN(40)
+		switch rng.IntN(10) {
 		case 0, 1:
-			fmt.Fprintf(&b, "at %d crash %s for=%g\n", at, who(), []float64{0.2, 3, 10}[r.IntN(3)])
+			fmt.Fprintf(&text, "at %d crash %s for=%g\n", at, who(), []float64{0.2, 3, 10}[rng.IntN(3)])
 		case 2, 3:
-			fmt.Fprintf(&b, "at %d cut %s %s for=%d %s\n", at, []string{"leader", "follower"}[r.IntN(2)], side(), d, mode())
+			fmt.Fprintf(&text, "at %d cut %s %s for=%d %s\n", at, []string{"leader", "follower"}[rng.IntN(2)], side(), d, mode())
 		case 4:
-			fmt.Fprintf(&b, "at %d outage %s for=%d\n", at, []string{"state", "cloud"}[r.IntN(2)], d)
+			fmt.Fprintf(&text, "at %d outage %s for=%d\n", at, []string{"state", "cloud"}[rng.IntN(2)], d)
 		case 5:
-			fmt.Fprintf(&b, "at %d refuse leader for=%d\n", at, d)
+			fmt.Fprintf(&text, "at %d refuse leader for=%d\n", at, d)
 		case 6:
-			fmt.Fprintf(&b, "at %d copies for=%d delay=%d\n", at, d, 1+r.IntN(30))
+			fmt.Fprintf(&text, "at %d copies for=%d delay=%d\n", at, d, 1+rng.IntN(30))
 		case 7:
-			fmt.Fprintf(&b, "at %d hang busy for=%d\n", at, d)
+			fmt.Fprintf(&text, "at %d hang busy for=%d\n", at, d)
 		case 8:
-			fmt.Fprintf(&b, "at %d take busy for=%d\n", at, d)
+			fmt.Fprintf(&text, "at %d take busy for=%d\n", at, d)
 		case 9:
-			fmt.Fprintf(&b, "at %d cut zone:east zone:west for=%d %s\n", at, d, mode())
+			fmt.Fprintf(&text, "at %d cut zone:east zone:west for=%d %s\n", at, d, mode())
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
-// meetings writes a scenario in which troubles of all kinds overlap, with three
+// overlappingFaultsDay writes a scenario in which troubles of all kinds overlap, with three
 // or five controllers, jobs of all shapes and cancellations among them.
-func meetings(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 11))
-	var b strings.Builder
-	fmt.Fprintf(&b, "seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[r.IntN(2)], soakSetup)
+func overlappingFaultsDay(seed uint64) string {
+	rng := rand.New(rand.NewPCG(seed, 11))
+	var text strings.Builder
+	fmt.Fprintf(&text, "seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[rng.IntN(2)], soakSetup)
 	for i := 1; i <= 36; i++ {
-		at := r.IntN(200)
+		at := rng.IntN(200)
 		id := fmt.Sprintf("job-%06d", i)
-		team := []string{"t", "u"}[r.IntN(2)]
-		img := fmt.Sprintf("image=i%d image_gb=%d", r.IntN(4), []int{0, 2, 10}[r.IntN(3)])
-		switch r.IntN(6) {
+		team := []string{"t", "u"}[rng.IntN(2)]
+		img := fmt.Sprintf("image=i%d image_gb=%d", rng.IntN(4), []int{0, 2, 10}[rng.IntN(3)])
+		switch rng.IntN(6) {
 		case 0:
-			fmt.Fprintf(&b, "at %d submit %s shape=service class=web team=%s priority=critical tasks=%d cpus=1 %s apart\n", at, id, team, 1+r.IntN(5), img)
+			fmt.Fprintf(&text, "at %d submit %s shape=service class=web team=%s priority=critical tasks=%d cpus=1 %s apart\n", at, id, team, 1+rng.IntN(5), img)
 		case 1:
-			fmt.Fprintf(&b, "at %d submit %s team=%s priority=idle tasks=%d cpus=4 gpus=1 mem=16 run=%d checkpoint=5 save=3 %s spot\n", at, id, team, 1+r.IntN(12), 10+r.IntN(40), img)
+			fmt.Fprintf(&text, "at %d submit %s team=%s priority=idle tasks=%d cpus=4 gpus=1 mem=16 run=%d checkpoint=5 save=3 %s spot\n", at, id, team, 1+rng.IntN(12), 10+rng.IntN(40), img)
 		case 2:
-			fmt.Fprintf(&b, "at %d submit %s shape=gang team=%s priority=urgent tasks=%d cpus=6 gpus=2 mem=16 run=%d checkpoint=5 save=2 %s together\n", at, id, team, 1+r.IntN(3), 10+r.IntN(60), img)
+			fmt.Fprintf(&text, "at %d submit %s shape=gang team=%s priority=urgent tasks=%d cpus=6 gpus=2 mem=16 run=%d checkpoint=5 save=2 %s together\n", at, id, team, 1+rng.IntN(3), 10+rng.IntN(60), img)
 		case 3:
-			fmt.Fprintf(&b, "at %d submit %s team=%s tasks=%d cpus=2 run=%d %s together\n", at, id, team, 1+r.IntN(6), 5+r.IntN(90), img)
+			fmt.Fprintf(&text, "at %d submit %s team=%s tasks=%d cpus=2 run=%d %s together\n", at, id, team, 1+rng.IntN(6), 5+rng.IntN(90), img)
 		case 4: // two or three tasks whose ends lie far apart for want of room
-			fmt.Fprintf(&b, "at %d submit %s team=%s tasks=%d cpus=8 run=%d %s zone=%s\n", at, id, team, 2+r.IntN(2), 20+r.IntN(60), img, []string{"east", "west"}[r.IntN(2)])
+			fmt.Fprintf(&text, "at %d submit %s team=%s tasks=%d cpus=8 run=%d %s zone=%s\n", at, id, team, 2+rng.IntN(2), 20+rng.IntN(60), img, []string{"east", "west"}[rng.IntN(2)])
 		case 5:
-			fmt.Fprintf(&b, "at %d submit %s shape=gang team=%s tasks=%d cpus=3 run=%d %s apart\n", at, id, team, 2+r.IntN(4), 10+r.IntN(60), img)
+			fmt.Fprintf(&text, "at %d submit %s shape=gang team=%s tasks=%d cpus=3 run=%d %s apart\n", at, id, team, 2+rng.IntN(4), 10+rng.IntN(60), img)
 		}
-		if r.IntN(5) == 0 {
-			fmt.Fprintf(&b, "at %d cancel %s\n", at+5+r.IntN(60), id)
+		if rng.IntN(5) == 0 {
+			fmt.Fprintf(&text, "at %d cancel %s\n", at+5+rng.IntN(60), id)
 		}
 	}
-	overlaps(&b, r)
-	b.WriteString("until 480\n")
-	return b.String()
+	writeOverlappingFaults(&text, rng)
+	text.WriteString("until 480\n")
+	return text.String()
 }
 
-// overlaps writes troubles of all kinds that overlap.
-func overlaps(b *strings.Builder, r *rand.Rand) {
-	pick := func(of ...string) string { return of[r.IntN(len(of))] }
+// writeOverlappingFaults writes troubles of all kinds that overlap.
+func writeOverlappingFaults(text *strings.Builder, rng *rand.Rand) {
+	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
 	for range 10 {
-		at := 20 + 200*r.Float64()
-		d := 1 + r.IntN(45)
+		at := 20 + 200*rng.Float64()
+		d := 1 + rng.IntN(45)
 		who := pick("leader", "leader", "follower", "node-0", "node-1", "node-2")
 		machines := pick("busy", "some share=0.3", "some count=2", "zone:east", "zone:north")
 		mode := pick("hold", "", "oneway", "hold oneway")
-		act := func(format string, a ...any) { fmt.Fprintf(b, "at %.2f %s\n", at, fmt.Sprintf(format, a...)) }
-		switch r.IntN(18) {
+		act := func(format string, a ...any) { fmt.Fprintf(text, "at %.2f %s\n", at, fmt.Sprintf(format, a...)) }
+		switch rng.IntN(18) {
 		case 0, 1:
-			act("crash %s for=%g", pick("all", who), []float64{0.2, 3, 10}[r.IntN(3)])
+			act("crash %s for=%g", pick("all", who), []float64{0.2, 3, 10}[rng.IntN(3)])
 		case 2:
 			for range 10 { // leaders change again and again
-				at += 5 + 6*r.Float64()
-				act("crash leader for=%g", []float64{0.3, 4, 12}[r.IntN(3)])
+				at += 5 + 6*rng.Float64()
+				act("crash leader for=%g", []float64{0.3, 4, 12}[rng.IntN(3)])
 			}
 		case 3, 4:
 			act("cut %s %s for=%d %s", who, pick("state", "workers", "nodes", "cloud", "zone:east", "busy"), d, mode)
@@ -181,29 +181,29 @@
 			act("outage %s for=%d", pick("state", "state", "cloud"), d)
 		case 7:
 			act("refuse leader for=%d", d)
-			if r.IntN(2) == 0 {
-				act("cancel_now count=%d", 1+r.IntN(4))
+			if rng.IntN(2) == 0 {
+				act("cancel_now count=%d", 1+rng.IntN(4))
 				at++
 				act("outage state for=%d", d)
 			}
 		case 8:
 			act("%s busy for=%d", pick("take", "hang", "kill"), d)
 		case 9:
-			act("late_writes share=%g for=%d", []float64{0.1, 0.3, 0.6}[r.IntN(3)], d)
+			act("late_writes share=%g for=%d", []float64{0.1, 0.3, 0.6}[rng.IntN(3)], d)
 		case 10, 11:
-			act("late_reports share=%g for=%d", []float64{0.1, 0.5, 1}[r.IntN(3)], d)
+			act("late_reports share=%g for=%d", []float64{0.1, 0.5, 1}[rng.IntN(3)], d)
 		case 12:
 			act("deaf %s for=%d", machines, d)
 		case 13:
 			act("mute %s for=%d", machines, d)
 		case 14:
 			act("isolate %s for=%d", who, d)
-			at += float64(d) * r.Float64()
-			act("cancel_now count=%d", 1+r.IntN(4))
+			at += float64(d) * rng.Float64()
+			act("cancel_now count=%d", 1+rng.IntN(4))
 		case 15:
-			act("cancel_now count=%d hang=%d", 1+r.IntN(6), []int{0, 5, 9, 20}[r.IntN(4)])
+			act("cancel_now count=%d hang=%d", 1+rng.IntN(6), []int{0, 5, 9, 20}[rng.IntN(4)])
 		case 16:
-			act("cancel_at_end share=%g for=%d", []float64{0.3, 1}[r.IntN(2)], 2*d)
+			act("cancel_at_end share=%g for=%d", []float64{0.3, 1}[rng.IntN(2)], 2*d)
 		case 17:
 			act("odd_requests for=%d", 2*d)
 		}
@@ -223,60 +223,60 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playDay(t, soak(seed))
+			playDay(t, soakDay(seed))
 		})
 	}
 }
 
-// TestMeetings plays random days on which troubles meet.
-func TestMeetings(t *testing.T) {
+// TestOverlappingFaults plays random days on which troubles meet.
+func TestOverlappingFaults(t *testing.T) {
 	for seed := uint64(1); seed <= uint64(soakDays(25)); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playDay(t, meetings(seed))
+			playDay(t, overlappingFaultsDay(seed))
 		})
 	}
 }
 
-// operations writes a day of meetings on which, besides, machines come up late or never,
+// operationsDay writes a day of meetings on which, besides, machines come up late or never,
 // controllers stand still, users ask many times as often, a team without a guarantee has
 // work and jobs are submitted with a mistake.
-func operations(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 13))
-	var b strings.Builder
-	b.WriteString("team g\n")
-	b.WriteString(meetings(seed))
+func operationsDay(seed uint64) string {
+	rng := rand.New(rand.NewPCG(seed, 13))
+	var text strings.Builder
+	text.WriteString("team g\n")
+	text.WriteString(overlappingFaultsDay(seed))
 	for i := 101; i <= 112; i++ {
-		at, id := r.IntN(200), fmt.Sprintf("job-%06d", i)
-		switch r.IntN(3) {
+		at, id := rng.IntN(200), fmt.Sprintf("job-%06d", i)
+		switch rng.IntN(3) {
 		case 0:
-			fmt.Fprintf(&b, "at %d submit %s team=g priority=idle tasks=%d cpus=2 run=%d checkpoint=5 save=2 image=g\n", at, id, 1+r.IntN(30), 5+r.IntN(30))
+			fmt.Fprintf(&text, "at %d submit %s team=g priority=idle tasks=%d cpus=2 run=%d checkpoint=5 save=2 image=g\n", at, id, 1+rng.IntN(30), 5+rng.IntN(30))
 		case 1:
-			fmt.Fprintf(&b, "at %d submit %s team=g priority=idle tasks=1 cpus=1 run=%d image=h\n", at, id, 2+r.IntN(10))
+			fmt.Fprintf(&text, "at %d submit %s team=g priority=idle tasks=1 cpus=1 run=%d image=h\n", at, id, 2+rng.IntN(10))
 		case 2:
-			shape := []string{"array", "service", "gang"}[r.IntN(3)]
-			fmt.Fprintf(&b, "at %d submit %s shape=%s team=t priority=%s tasks=%d cpus=2 image=f fail\nat %d cancel %s\n", at, id, shape,
-				[]string{"critical", "urgent", "idle"}[r.IntN(3)], 1+r.IntN(8), at+20+r.IntN(150), id)
+			shape := []string{"array", "service", "gang"}[rng.IntN(3)]
+			fmt.Fprintf(&text, "at %d submit %s shape=%s team=t priority=%s tasks=%d cpus=2 image=f fail\nat %d cancel %s\n", at, id, shape,
+				[]string{"critical", "urgent", "idle"}[rng.IntN(3)], 1+rng.IntN(8), at+20+rng.IntN(150), id)
 		}
 	}
 	for range 6 {
-		at, d := 10+r.IntN(200), 5+r.IntN(90)
-		switch r.IntN(4) {
+		at, d := 10+rng.IntN(200), 5+rng.IntN(90)
+		switch rng.IntN(4) {
 		case 0:
-			who := []string{"leader", "follower", "all", "leader"}[r.IntN(4)]
+			who := []string{"leader", "follower", "all", "leader"}[rng.IntN(4)]
 			if who == "all" {
 				d = min(d, 25) // users try to submit for a minute
 			}
-			fmt.Fprintf(&b, "at %d pause %s for=%d\n", at, who, d)
+			fmt.Fprintf(&text, "at %d pause %s for=%d\n", at, who, d)
 		case 1:
-			fmt.Fprintf(&b, "at %d lateboot share=%g factor=%d for=%d\n", at, []float64{0.3, 1}[r.IntN(2)], 2+r.IntN(4), d)
+			fmt.Fprintf(&text, "at %d lateboot share=%g factor=%d for=%d\n", at, []float64{0.3, 1}[rng.IntN(2)], 2+rng.IntN(4), d)
 		case 2:
-			fmt.Fprintf(&b, "at %d noboot share=%g for=%d\n", at, []float64{0.2, 0.6}[r.IntN(2)], d)
+			fmt.Fprintf(&text, "at %d noboot share=%g for=%d\n", at, []float64{0.2, 0.6}[rng.IntN(2)], d)
 		case 3:
-			fmt.Fprintf(&b, "at %d poll_storm factor=%d for=%d\n", at, 4+r.IntN(12), d)
+			fmt.Fprintf(&text, "at %d poll_storm factor=%d for=%d\n", at, 4+rng.IntN(12), d)
 		}
 	}
-	return b.String()
+	return text.String()
 }
 
 // TestOperations plays random days of the troubles that operators met.
@@ -284,7 +284,7 @@
 	for seed := uint64(1); seed <= uint64(soakDays(25)); seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playDay(t, operations(seed))
+			playDay(t, operationsDay(seed))
 		})
 	}
 }
@@ -296,8 +296,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, faults := s.Run(nil)
-	for _, f := range append(faults, w.unfinished()...) {
+	world, faults := s.Run(nil)
+	for _, f := range append(faults, world.unfinishedWork()...) {
 		t.Error(f)
 	}
 	if t.Failed() {
@@ -305,26 +305,26 @@
 	}
 }
 
-// unfinished tells what a random day has left undone.
-func (w *World) unfinished() (faults []string) {
+// unfinishedWork tells what a random day has left undone.
+func (w *World) unfinishedWork() (faults []string) {
 	add := func(format string, a ...any) { faults = append(faults, fmt.Sprintf(format, a...)) }
-	for _, id := range w.users.names() {
+	for _, id := range w.users.sortedIDs() {
 		j := w.users.jobs[id]
 		service := w.jobs[id].Shape == wire.ShapeService
 		switch {
-		case !j.accepted && j.refused == 0 && !j.hopeless:
+		case !j.accepted && j.rejectionStatus == 0 && !j.excused:
 			add("%s was never answered", id)
-		case j.accepted && j.final == "" && !service:
-			add("%s is still %s", id, j.last.Status)
-		case j.accepted && j.final == "" && w.running(id) != w.jobs[id].Tasks:
-			add("%s: %d of %d replicas run", id, w.running(id), w.jobs[id].Tasks)
+		case j.accepted && j.finalStatus == "" && !service:
+			add("%s is still %s", id, j.lastStatus.Status)
+		case j.accepted && j.finalStatus == "" && w.runningTasks(id) != w.jobs[id].Tasks:
+			add("%s: %d of %d replicas run", id, w.runningTasks(id), w.jobs[id].Tasks)
 		}
-		if len(w.jobs[id].Awaits) > 0 && j.refused != 0 {
-			add("%s was refused with %d", id, j.refused)
+		if len(w.jobs[id].Dependencies) > 0 && j.rejectionStatus != 0 {
+			add("%s was refused with %d", id, j.rejectionStatus)
 		}
 	}
-	for id, job := range w.users.unsent {
-		if !w.users.lost(job) {
+	for id, job := range w.users.unsubmitted {
+		if !w.users.neverSubmitted(job) {
 			add("%s still waits to be submitted", id)
 		}
 	}
@@ -342,19 +342,19 @@
 at 50 cancel job-000003
 `
 	// A start goes to a second machine too, once that one is up.
-	double := func(n *node, out *core.Output) {
-		for _, k := range out.Calls {
-			if k.Path != "/do" || !strings.Contains(string(k.Body), `"run"`) {
+	double := func(controller *controller, out *core.Output) {
+		for _, call := range out.Calls {
+			if call.Path != "/do" || !strings.Contains(string(call.Body), `"run"`) {
 				continue
 			}
 			var cmds []wire.Command
-			for _, t := range strings.Split(string(k.Body), `"shard":"`)[1:] {
+			for _, t := range strings.Split(string(call.Body), `"shard":"`)[1:] {
 				cmds = append(cmds, wire.Command{Verb: wire.VerbStart, Task: t[:strings.IndexByte(t, '"')], Attempt: 99})
 			}
-			from := n.w.cloud.byAddr[k.Addr]
-			n.w.after(20*time.Second, func() {
-				for _, name := range n.w.cloud.names() {
-					if m := n.w.cloud.machines[name]; m != from && !m.gone && m.upAt < n.w.now {
+			from := controller.world.cloud.byAddress[call.Addr]
+			controller.world.after(20*time.Second, func() {
+				for _, name := range controller.world.cloud.machineNames() {
+					if m := controller.world.cloud.machines[name]; m != from && !m.removed && m.upAt < controller.world.now {
 						m.execute(cmds)
 						return
 					}
@@ -362,11 +362,11 @@
 			})
 		}
 	}
-	answers := func(path string, status int, from, to string) func(*node, *core.Output) {
-		return func(n *node, out *core.Output) {
+	answers := func(path string, status int, from, to string) func(*controller, *core.Output) {
+		return func(controller *controller, out *core.Output) {
 			for i := range out.Answers {
 				a := &out.Answers[i]
-				if n.w.now > 10*time.Second && strings.Contains(string(a.Body), path) {
+				if controller.world.now > 10*time.Second && strings.Contains(string(a.Body), path) {
 					a.Status = status
 					a.Body = []byte(strings.ReplaceAll(string(a.Body), from, to))
 				}
@@ -375,7 +375,7 @@
 	}
 	// Users are told before the tasks are gone, and no task is stopped. Without
 	// the first nobody is told, and nothing is promised.
-	noStops := func(n *node, out *core.Output) {
+	noStops := func(controller *controller, out *core.Output) {
 		for i := range out.Calls {
 			out.Calls[i].Body = []byte(strings.ReplaceAll(string(out.Calls[i].Body), `"kill"`, `"none"`))
 			if out.Calls[i].Path == "/machines/return" {
@@ -393,40 +393,40 @@
 	// A job is accepted and recorded where no leader looks for it. (Starts that
 	// never arrive do not do: the machines pass for deaf and are returned, so
 	// there is no lasting room.)
-	mislaid := func(n *node, out *core.Output) {
+	mislaid := func(controller *controller, out *core.Output) {
 		for i := range out.Calls {
 			out.Calls[i].Body = []byte(strings.ReplaceAll(string(out.Calls[i].Body), `"o/job-000004"`, `"x/job-000004"`))
 		}
 	}
 	// A task is started on all machines that have room for it.
-	start := func(task string, from, to time.Duration) func(*node, *core.Output) {
-		return func(n *node, _ *core.Output) {
-			if n.w.now < from || n.w.now > to {
+	start := func(task string, from, to time.Duration) func(*controller, *core.Output) {
+		return func(controller *controller, _ *core.Output) {
+			if controller.world.now < from || controller.world.now > to {
 				return
 			}
-			for _, name := range n.w.cloud.names() {
-				if m := n.w.cloud.machines[name]; !m.gone && m.upAt < n.w.now {
+			for _, name := range controller.world.cloud.machineNames() {
+				if m := controller.world.cloud.machines[name]; !m.removed && m.upAt < controller.world.now {
 					m.execute([]wire.Command{{Verb: wire.VerbStart, Task: task, Attempt: 77}})
 				}
 			}
 		}
 	}
-	since := func(from time.Duration, f func(*node, *core.Output)) func(*node, *core.Output) {
-		return func(n *node, out *core.Output) {
-			if n.w.now >= from {
-				f(n, out)
+	since := func(from time.Duration, f func(*controller, *core.Output)) func(*controller, *core.Output) {
+		return func(controller *controller, out *core.Output) {
+			if controller.world.now >= from {
+				f(controller, out)
 			}
 		}
 	}
 	// Transactions carry changes that nobody needs.
-	bulky := func(_ *node, out *core.Output) {
+	bulky := func(_ *controller, out *core.Output) {
 		for i := range out.Calls {
 			var t wire.Txn
-			if k := &out.Calls[i]; k.Path == "/commit" && json.Unmarshal(k.Body, &t) == nil {
+			if call := &out.Calls[i]; call.Path == "/commit" && json.Unmarshal(call.Body, &t) == nil {
 				for len(t.Writes) < 6 {
 					t.Writes = append(t.Writes, wire.Write{Delete: fmt.Sprintf("none/%d", len(t.Writes))})
 				}
-				k.Body, _ = json.Marshal(t)
+				call.Body, _ = json.Marshal(t)
 			}
 		}
 	}
@@ -438,16 +438,16 @@
 	// A job after job-000001, which ends by itself.
 	const next = "at 2 submit job-000004 team=t cpus=0.5 run=300 image_gb=0 awaits=job-000001\n"
 	// A task of a cancelled job is started once more.
-	restart := func(n *node, _ *core.Output) {
-		for _, name := range n.w.cloud.names() {
-			m := n.w.cloud.machines[name]
-			if m.typ == "big" && n.w.now > 53*time.Second && n.w.now < 54*time.Second {
+	restart := func(controller *controller, _ *core.Output) {
+		for _, name := range controller.world.cloud.machineNames() {
+			m := controller.world.cloud.machines[name]
+			if m.machineType == "big" && controller.world.now > 53*time.Second && controller.world.now < 54*time.Second {
 				m.execute([]wire.Command{{Verb: wire.VerbStart, Task: "job-000003/0", Attempt: 77}})
 			}
 		}
 	}
-	refusal := func(from, to int) func(*node, *core.Output) {
-		return func(_ *node, out *core.Output) {
+	refusal := func(from, to int) func(*controller, *core.Output) {
+		return func(_ *controller, out *core.Output) {
 			for i := range out.Answers {
 				if out.Answers[i].Status == from {
 					out.Answers[i].Status = to
@@ -457,7 +457,7 @@
 	}
 	for _, tc := range []struct {
 		rule   string
-		mutate func(*node, *core.Output)
+		mutate func(*controller, *core.Output)
 		extra  string
 	}{
 		{"ran_twice", double, ""},
@@ -487,9 +487,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := s.world(slog.New(slog.DiscardHandler))
-			w.mutate = tc.mutate
-			faults := strings.Join(s.finish(w), "\n")
+			world := s.newWorld(slog.New(slog.DiscardHandler))
+			world.mutate = tc.mutate
+			faults := strings.Join(s.finish(world), "\n")
 			if !strings.Contains(faults, tc.rule) {
 				t.Errorf("%s was not reported; reported: %s", tc.rule, faults)
 			}
--- a/internal/sim/upgrade_test.go
+++ b/internal/sim/upgrade_test.go
@@ -83,20 +83,20 @@
 
 // child is a process that runs a core of another version.
 type child struct {
-	t      *testing.T
-	cmd    *exec.Cmd
-	stderr bytes.Buffer
-	in     *bufio.Writer
-	enc    *gob.Encoder
-	dec    *gob.Decoder
+	test    *testing.T
+	cmd     *exec.Cmd
+	stderr  bytes.Buffer
+	input   *bufio.Writer
+	encoder *gob.Encoder
+	decoder *gob.Decoder
 }
 
-func startChild(t *testing.T, program string, n *node, boot uint64) *child {
+func startChild(t *testing.T, program string, controller *controller, boot uint64) *child {
 	var settings bytes.Buffer
-	if err := toml.NewEncoder(&settings).Encode(n.settings()); err != nil {
+	if err := toml.NewEncoder(&settings).Encode(controller.settings()); err != nil {
 		t.Fatal(err)
 	}
-	c := &child{t: t, cmd: exec.Command(program)}
+	c := &child{test: t, cmd: exec.Command(program)}
 	c.cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
 	c.cmd.Stderr = &c.stderr
 	in, err := c.cmd.StdinPipe()
@@ -110,16 +110,16 @@
 	if err := c.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	c.in = bufio.NewWriter(in)
-	c.enc, c.dec = gob.NewEncoder(c.in), gob.NewDecoder(bufio.NewReader(out))
-	if err := c.enc.Encode(childStart{settings.String(), boot}); err != nil {
+	c.input = bufio.NewWriter(in)
+	c.encoder, c.decoder = gob.NewEncoder(c.input), gob.NewDecoder(bufio.NewReader(out))
+	if err := c.encoder.Encode(childStart{settings.String(), boot}); err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
-// end ends the process.
-func (c *child) end() {
+// kill ends the process.
+func (c *child) kill() {
 	c.cmd.Process.Kill()
 	c.cmd.Wait()
 }
@@ -135,35 +135,35 @@
 	case core.PeerInput:
 		x.Message = in.Message
 	default:
-		c.t.Fatalf("the old version takes no %T", in)
+		c.test.Fatalf("the old version takes no %T", in)
 	}
 	var got childOutput
-	err := c.enc.Encode(&x)
+	err := c.encoder.Encode(&x)
 	if err == nil {
-		err = c.in.Flush()
+		err = c.input.Flush()
 	}
 	if err == nil {
-		err = c.dec.Decode(&got)
+		err = c.decoder.Decode(&got)
 	}
 	if err != nil {
-		c.end()
-		c.t.Fatalf("a controller of the old version ended: %v\n%s", err, c.stderr.String())
+		c.kill()
+		c.test.Fatalf("a controller of the old version ended: %v\n%s", err, c.stderr.String())
 	}
 	var out core.Output
 	for _, a := range got.Answers {
 		out.Answers = append(out.Answers, core.Answer{ID: a.ID, Status: a.Status, Body: a.Body, RetryAfter: a.RetryAfter})
 	}
-	dests := map[string]core.Dest{"store": core.DestStore, "cloud": core.DestCloud, "worker": core.DestWorker}
+	dests := map[string]core.Destination{"store": core.DestinationStore, "cloud": core.DestinationCloud, "worker": core.DestinationWorker}
 	for _, k := range got.Calls {
 		dest, ok := dests[k.Dest]
 		if !ok {
-			c.t.Fatalf("unknown destination %q", k.Dest)
+			c.test.Fatalf("unknown destination %q", k.Dest)
 		}
-		out.Calls = append(out.Calls, core.Call{ID: k.ID, Dest: dest, Addr: k.Addr, Method: k.Method, Path: k.Path,
+		out.Calls = append(out.Calls, core.Call{ID: k.ID, Destination: dest, Addr: k.Addr, Method: k.Method, Path: k.Path,
 			Body: k.Body, Timeout: k.Timeout, Writes: k.Writes, Urgent: k.Urgent, Watch: k.Watch})
 	}
 	for _, m := range got.Sends {
-		out.Sends = append(out.Sends, core.Send{To: m.To, Msg: m.Msg})
+		out.PeerSends = append(out.PeerSends, core.Send{To: m.To, Message: m.Msg})
 	}
 	return out
 }
@@ -174,15 +174,15 @@
 // stay the last without these, so that upgrades from it are played too.
 const chainsVersion = "b39e01dd13644fcdc220b403f4ac32c4cd433bbc"
 
-// version is one that is replaced by this one.
-type version struct {
-	name, commit string
-	chains       bool // it knows jobs that await others
-	program      string
+// oldVersion is one that is replaced by this one.
+type oldVersion struct {
+	name, commit    string
+	hasDependencies bool // it knows jobs that await others
+	program         string
 }
 
 // oldVersions builds the drivers of the versions that are replaced.
-func oldVersions(t *testing.T) []version {
+func oldVersions(t *testing.T) []oldVersion {
 	t.Helper()
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -192,7 +192,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	versions := []version{{name: "production", commit: production}, {name: "chains", commit: chainsVersion, chains: true}}
+	versions := []oldVersion{{name: "production", commit: production}, {name: "chains", commit: chainsVersion, hasDependencies: true}}
 	dir := t.TempDir()
 	for i := range versions {
 		v := &versions[i]
@@ -220,7 +220,7 @@
 // buildDriver builds testdata/upgrade/driver.go.txt in dir with the core of a
 // commit from the history of the repository at root.
 func buildDriver(root, commit, dir string) (string, error) {
-	if _, err := runIn(root, "git", "cat-file", "-e", commit+"^{commit}"); err != nil {
+	if _, err := runCommand(root, "git", "cat-file", "-e", commit+"^{commit}"); err != nil {
 		return "", fmt.Errorf("commit %s is not in the repository's history, from which the old version is built: "+
 			"the full history is needed, in a shallow clone run `git fetch --unshallow` (%w)", commit, err)
 	}
@@ -229,10 +229,10 @@
 		return "", err
 	}
 	archive := filepath.Join(dir, "src.tar")
-	if _, err := runIn(root, "git", "archive", "--format=tar", "--output="+archive, commit); err != nil {
+	if _, err := runCommand(root, "git", "archive", "--format=tar", "--output="+archive, commit); err != nil {
 		return "", err
 	}
-	if _, err := runIn(src, "tar", "-xf", archive); err != nil {
+	if _, err := runCommand(src, "tar", "-xf", archive); err != nil {
 		return "", err
 	}
 	source, err := os.ReadFile("testdata/upgrade/driver.go.txt")
@@ -247,12 +247,12 @@
 		return "", err
 	}
 	program := filepath.Join(dir, "driver")
-	_, err = runIn(src, "go", "build", "-trimpath", "-buildvcs=false", "-o", program, "./cmd/driver")
+	_, err = runCommand(src, "go", "build", "-trimpath", "-buildvcs=false", "-o", program, "./cmd/driver")
 	return program, err
 }
 
-// runIn runs a command in a directory and tells of its output if it fails.
-func runIn(dir, name string, args ...string) ([]byte, error) {
+// runCommand runs a command in a directory and tells of its output if it fails.
+func runCommand(dir, name string, args ...string) ([]byte, error) {
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
 	cmd.Env = append(os.Environ(), "GOPROXY=off", "GOWORK=off")
@@ -279,10 +279,10 @@
 	}
 }
 
-// upgrade is a day on which every controller begins with an old version.
-type upgrade struct {
-	t        *testing.T
-	w        *World
+// upgradeRun is a day on which every controller begins with an old version.
+type upgradeRun struct {
+	test     *testing.T
+	world    *World
 	program  string
 	upgraded map[string]bool
 	children map[string]*child
@@ -290,50 +290,50 @@
 
 	// visits counts how often the requests about a worker or a job came to
 	// another version than the one before.
-	visits map[string]*visits
+	visits map[string]*versionVisits
 }
 
-// visits tells which version a worker's or a user's last request came to.
-type visits struct {
-	new   bool
+// versionVisits tells which version a worker's or a user's last request came to.
+type versionVisits struct {
+	isNew bool
 	turns int
 }
 
-// recorder notes whose requests a core takes.
-type recorder struct {
+// requestRecorder notes whose requests a core takes.
+type requestRecorder struct {
 	stepper
-	u   *upgrade
-	new bool
+	run   *upgradeRun
+	isNew bool
 }
 
-func (r *recorder) Step(now time.Duration, wall time.Time, in core.Input) core.Output {
-	if q, ok := in.(core.Request); ok {
-		r.u.visit(q, r.new)
+func (r *requestRecorder) Step(now time.Duration, wall time.Time, in core.Input) core.Output {
+	if request, ok := in.(core.Request); ok {
+		r.run.recordVisit(request, r.isNew)
 	}
 	return r.stepper.Step(now, wall, in)
 }
 
-// visit notes that a request about a worker or a job came to a version.
-func (u *upgrade) visit(q core.Request, newVersion bool) {
-	who := strings.TrimPrefix(q.Path, "/submissions/")
-	if q.Path == "/checkin" {
-		var r wire.Report
-		if json.Unmarshal(q.Body, &r) != nil {
+// recordVisit notes that a request about a worker or a job came to a version.
+func (u *upgradeRun) recordVisit(request core.Request, newVersion bool) {
+	who := strings.TrimPrefix(request.Path, "/submissions/")
+	if request.Path == "/checkin" {
+		var report wire.Heartbeat
+		if json.Unmarshal(request.Body, &report) != nil {
 			return
 		}
-		who = r.Machine
+		who = report.Machine
 	}
 	switch v := u.visits[who]; {
 	case v == nil:
-		u.visits[who] = &visits{new: newVersion}
-	case v.new != newVersion:
-		v.new = newVersion
+		u.visits[who] = &versionVisits{isNew: newVersion}
+	case v.isNew != newVersion:
+		v.isNew = newVersion
 		v.turns++
 	}
 }
 
 // mostTurns is the largest number of turns of any worker or, with "job-", user.
-func (u *upgrade) mostTurns(prefix string) int {
+func (u *upgradeRun) mostTurns(prefix string) int {
 	most := 0
 	for who, v := range u.visits {
 		if strings.HasPrefix(who, prefix) {
@@ -343,73 +343,73 @@
 	return most
 }
 
-// runsNew tells whether a node runs this version.
-func (n *node) runsNew() bool {
-	r, ok := n.core.(*recorder)
-	return ok && r.new
+// runsThisVersion tells whether a node runs this version.
+func (c *controller) runsThisVersion() bool {
+	r, ok := c.core.(*requestRecorder)
+	return ok && r.isNew
 }
 
 // newCore makes the core of a node that boots: a new process each time.
-func (u *upgrade) newCore(n *node, boot uint64) stepper {
-	u.endChild(n.name)
-	if u.upgraded[n.name] {
-		return &recorder{core.New(n.settings(), nil, boot, u.w.log.With("node", n.name)), u, true}
+func (u *upgradeRun) newCore(controller *controller, boot uint64) stepper {
+	u.killChild(controller.name)
+	if u.upgraded[controller.name] {
+		return &requestRecorder{core.New(controller.settings(), nil, boot, u.world.log.With("node", controller.name)), u, true}
 	}
-	c := startChild(u.t, u.program, n, boot)
-	u.children[n.name] = c
-	return &recorder{c, u, false}
+	c := startChild(u.test, u.program, controller, boot)
+	u.children[controller.name] = c
+	return &requestRecorder{c, u, false}
 }
 
-func (u *upgrade) endChild(name string) {
+func (u *upgradeRun) killChild(name string) {
 	if c := u.children[name]; c != nil {
-		c.end()
+		c.kill()
 		delete(u.children, name)
 	}
 }
 
-// act kills a controller and has it come back with this version: "follower"
+// upgradeControllers kills a controller and has it come back with this version: "follower"
 // is the first old one that does not lead, "next" that one or else the leader.
-func (u *upgrade) act(l line) {
-	var nodes []*node
-	switch who := l.arg(0); who {
+func (u *upgradeRun) upgradeControllers(line scenarioLine) {
+	var nodes []*controller
+	switch who := line.arg(0); who {
 	case "follower", "next":
-		lead := u.w.leader()
-		for _, n := range u.w.nodes {
-			if !u.upgraded[n.name] && n != lead {
-				nodes = []*node{n}
+		lead := u.world.leader()
+		for _, candidate := range u.world.controllers {
+			if !u.upgraded[candidate.name] && candidate != lead {
+				nodes = []*controller{candidate}
 				break
 			}
 		}
 		if nodes == nil && who == "next" && lead != nil && !u.upgraded[lead.name] {
-			nodes = []*node{lead}
+			nodes = []*controller{lead}
 		}
 	default:
-		nodes = u.w.nodesOf(who)
+		nodes = u.world.controllersNamed(who)
 	}
-	for _, n := range nodes {
-		u.w.trace("upgrade %s", n.name)
-		u.upgraded[n.name] = true
-		n.crash(seconds(l.num("for", 3)))
+	for _, candidate := range nodes {
+		u.world.debugf("upgrade %s", candidate.name)
+		u.upgraded[candidate.name] = true
+		candidate.crash(seconds(line.number("for", 3)))
 	}
 }
 
-// watch notes who leads.
-func (u *upgrade) watch() {
-	if n := u.w.leader(); n != nil {
-		who := "old " + n.name
-		if n.runsNew() {
-			who = "new " + n.name
+// recordLeaders notes who leads.
+func (u *upgradeRun) recordLeaders() {
+	if controller := u.world.leader(); controller != nil {
+		who := "old " + controller.name
+		if controller.runsThisVersion() {
+			who = "new " + controller.name
 		}
-		if k := len(u.leaders); n.alive && (k == 0 || u.leaders[k-1] != who) {
+		if k := len(u.leaders); controller.alive && (k == 0 || u.leaders[k-1] != who) {
 			u.leaders = append(u.leaders, who)
 		}
 	}
-	u.w.after(200*time.Millisecond, u.watch)
+	u.world.after(200*time.Millisecond, u.recordLeaders)
 }
 
 // ledBy tells whether versions, or controllers with them ("old:node-0"), led in
 // this order, others between them or not.
-func (u *upgrade) ledBy(versions []string) bool {
+func (u *upgradeRun) ledBy(versions []string) bool {
 	for _, l := range u.leaders {
 		if len(versions) > 0 && strings.HasPrefix(l, strings.Replace(versions[0], ":", " ", 1)) {
 			versions = versions[1:]
@@ -418,17 +418,17 @@
 	return len(versions) == 0
 }
 
-// judge tells what a line expects of the upgrade and did not find.
-func (u *upgrade) judge(l line) string {
-	switch l.arg(0) {
+// checkExpectation tells what a line expects of the upgrade and did not find.
+func (u *upgradeRun) checkExpectation(line scenarioLine) string {
+	switch line.arg(0) {
 	case "leaders":
-		if !u.ledBy(l.args[1:]) {
-			return fmt.Sprintf("line %d: leaders were %v", l.no, u.leaders)
+		if !u.ledBy(line.args[1:]) {
+			return fmt.Sprintf("line %d: leaders were %v", line.lineNumber, u.leaders)
 		}
 	case "turns":
 		for what, prefix := range map[string]string{"worker": "n-", "user": "job-"} {
-			if got, least := u.mostTurns(prefix), int(l.num(what, 0)); got < least {
-				return fmt.Sprintf("line %d: no %s changed versions more than %d times", l.no, what, got)
+			if got, least := u.mostTurns(prefix), int(line.number(what, 0)); got < least {
+				return fmt.Sprintf("line %d: no %s changed versions more than %d times", line.lineNumber, what, got)
 			}
 		}
 	}
@@ -440,86 +440,86 @@
 //	at T upgrade WHO for=    the controller is killed and comes back with this version; 3 s unless said
 //	expect leaders old|new...    versions that led, in this order
 //	expect turns worker= user=    so often one of them, at least, came to the other version than before
-func playUpgrade(t *testing.T, program string, s *Scenario, mutate func(*node, *core.Output)) (w *World, faults []string) {
-	var acts, upgrades, expect, order []line
-	for _, l := range s.acts {
+func playUpgrade(t *testing.T, program string, scenario *Scenario, mutate func(*controller, *core.Output)) (world *World, faults []string) {
+	var acts, upgrades, expect, order []scenarioLine
+	for _, l := range scenario.actions {
 		if l.word == "upgrade" {
 			upgrades = append(upgrades, l)
 		} else {
 			acts = append(acts, l)
 		}
 	}
-	for _, l := range s.expect {
+	for _, l := range scenario.expectations {
 		if l.arg(0) == "leaders" || l.arg(0) == "turns" {
 			order = append(order, l)
 		} else {
 			expect = append(expect, l)
 		}
 	}
-	day := *s
-	day.acts, day.expect = acts, expect
+	day := *scenario
+	day.actions, day.expectations = acts, expect
 	log := testLog()
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
-	w = day.world(log)
-	u := &upgrade{t: t, w: w, program: program, upgraded: map[string]bool{}, children: map[string]*child{}, visits: map[string]*visits{}}
-	w.newCore, w.mutate = u.newCore, mutate
+	world = day.newWorld(log)
+	run := &upgradeRun{test: t, world: world, program: program, upgraded: map[string]bool{}, children: map[string]*child{}, visits: map[string]*versionVisits{}}
+	world.newCore, world.mutate = run.newCore, mutate
 	defer func() {
-		for name := range u.children {
-			u.endChild(name)
+		for name := range run.children {
+			run.killChild(name)
 		}
 	}()
 	for _, l := range upgrades {
-		w.after(l.at, func() { u.act(l) })
-		w.calm = max(w.calm, l.at+seconds(l.num("for", 3)))
+		world.after(l.at, func() { run.upgradeControllers(l) })
+		world.faultsEnd = max(world.faultsEnd, l.at+seconds(l.number("for", 3)))
 	}
-	w.after(0, u.watch)
-	faults = day.finish(w)
+	world.after(0, run.recordLeaders)
+	faults = day.finish(world)
 	for _, l := range order {
-		if why := u.judge(l); why != "" {
+		if why := run.checkExpectation(l); why != "" {
 			faults = append(faults, why)
 		}
 	}
-	for _, n := range w.nodes {
-		if !n.runsNew() || !n.alive {
-			faults = append(faults, n.name+" does not run this version at the end")
+	for _, controller := range world.controllers {
+		if !controller.runsThisVersion() || !controller.alive {
+			faults = append(faults, controller.name+" does not run this version at the end")
 		}
 	}
-	return w, faults
+	return world, faults
 }
 
-// valueKB are the limits of values with which days are played: records of 128,
+// valueLimitsKB are the limits of values with which days are played: records of 128,
 // 32 and 16 tasks.
-var valueKB = []float64{16, 4, 2}
+var valueLimitsKB = []float64{16, 4, 2}
 
 // TestUpgrade plays days on which an old version, built from the repository's
 // history, is replaced by this one while jobs run: the version in production,
 // and the one after it that knows jobs that await others.
 func TestUpgrade(t *testing.T) {
-	for _, v := range oldVersions(t) {
-		t.Run(v.name, func(t *testing.T) {
+	for _, version := range oldVersions(t) {
+		t.Run(version.name, func(t *testing.T) {
 			t.Parallel()
-			playUpgradeFile(t, v, "testdata/upgrade/upgrade.txtar")
-			playUpgradeDays(t, v, "troubles meet", 9, meetings)
+			playUpgradeFile(t, version, "testdata/upgrade/upgrade.txtar")
+			playUpgradeDays(t, version, "troubles meet", 9, overlappingFaultsDay)
 			t.Run("placements an old leader does not find", func(t *testing.T) {
 				t.Parallel()
-				testUpgradeCatches(t, v.program)
+				testMisplacedRecordsDetected(t, version.program)
 			})
 			t.Run("attempts that have ended beside the present ones", func(t *testing.T) {
 				t.Parallel()
-				testOldLeaderFindsPresent(t, v.program)
+				testOldLeaderFindsCurrentAttempts(t, version.program)
 			})
-			if v.chains {
-				playUpgradeFile(t, v, "testdata/upgrade/chains.txtar")
-				playUpgradeDays(t, v, "chains meet troubles", 12, pipelines)
+			if version.hasDependencies {
+				playUpgradeFile(t, version, "testdata/upgrade/chains.txtar")
+				playUpgradeDays(t, version, "chains meet troubles", 12, pipelinesDay)
 			}
 		})
 	}
 }
 
 // playUpgradeFile plays the scenarios of a file.
-func playUpgradeFile(t *testing.T, v version, file string) {
+func playUpgradeFile(t *testing.T, version oldVersion, file string) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
@@ -527,15 +527,15 @@
 	for _, f := range txtar.Parse(data).Files {
 		t.Run(f.Name, func(t *testing.T) {
 			t.Parallel()
-			s, err := ParseScenario(string(f.Data))
+			scenario, err := ParseScenario(string(f.Data))
 			if err != nil {
 				t.Fatal(err)
 			}
-			for first := s.seed; s.seed < first+uint64(s.seeds); s.seed++ {
-				s.cfg.Deployment.State.ValueKB = valueKB[(s.seed-first)%3]
-				_, faults := playUpgrade(t, v.program, s, nil)
+			for first := scenario.seed; scenario.seed < first+uint64(scenario.seedCount); scenario.seed++ {
+				scenario.settings.Deployment.Store.ValueKB = valueLimitsKB[(scenario.seed-first)%3]
+				_, faults := playUpgrade(t, version.program, scenario, nil)
 				for _, fault := range faults {
-					t.Errorf("seed %d: %s", s.seed, fault)
+					t.Errorf("seed %d: %s", scenario.seed, fault)
 				}
 			}
 		})
@@ -543,18 +543,18 @@
 }
 
 // playUpgradeDays plays random days in the middle of an upgrade.
-func playUpgradeDays(t *testing.T, v version, name string, days int, day func(seed uint64) string) {
+func playUpgradeDays(t *testing.T, version oldVersion, name string, days int, day func(seed uint64) string) {
 	for seed := uint64(1); seed <= uint64(soakDays(days)); seed++ {
 		t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 			t.Parallel()
-			text := day(seed) + upgrades(seed)
+			text := day(seed) + randomUpgrades(seed)
 			s, err := ParseScenario(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.cfg.Deployment.State.ValueKB = valueKB[seed%3]
-			w, faults := playUpgrade(t, v.program, s, nil)
-			for _, fault := range append(faults, w.unfinished()...) {
+			s.settings.Deployment.Store.ValueKB = valueLimitsKB[seed%3]
+			world, faults := playUpgrade(t, version.program, s, nil)
+			for _, fault := range append(faults, world.unfinishedWork()...) {
 				t.Error(fault)
 			}
 			if t.Failed() {
@@ -564,11 +564,11 @@
 	}
 }
 
-// testUpgradeCatches has this version record a job's placements where the one in
+// testMisplacedRecordsDetected has this version record a job's placements where the one in
 // production does not look for them: once that one leads, tasks run twice. Of
 // one machine that runs some of them it hears by the records alone.
-func testUpgradeCatches(t *testing.T, program string) {
-	s, err := ParseScenario(`
+func testMisplacedRecordsDetected(t *testing.T, program string) {
+	scenario, err := ParseScenario(`
 team t
 type small cpus=8 mem=32 boot=10
 at 30 upgrade node-1
@@ -588,13 +588,13 @@
 	// Whether tasks run twice hangs on which machine has room when: of a few days
 	// at least one shows it, and none without the fault.
 	var reported []string
-	for ; s.seed <= 5; s.seed++ {
-		_, faults := playUpgrade(t, program, s, nil)
+	for ; scenario.seed <= 5; scenario.seed++ {
+		_, faults := playUpgrade(t, program, scenario, nil)
 		for _, f := range faults {
-			t.Errorf("seed %d, without the fault: %s", s.seed, f)
+			t.Errorf("seed %d, without the fault: %s", scenario.seed, f)
 		}
-		_, faults = playUpgrade(t, program, s, func(n *node, out *core.Output) {
-			if !n.runsNew() {
+		_, faults = playUpgrade(t, program, scenario, func(controller *controller, out *core.Output) {
+			if !controller.runsThisVersion() {
 				return
 			}
 			for i := range out.Calls {
@@ -608,13 +608,13 @@
 	}
 }
 
-// testOldLeaderFindsPresent has workers that report to a new controller list ended
+// testOldLeaderFindsCurrentAttempts has workers that report to a new controller list ended
 // attempts beside the present ones while the version in production leads, which
 // takes the first one listed for the present one: the new controller puts that one
 // first, else tasks that run are taken for vanished and start again.
-func testOldLeaderFindsPresent(t *testing.T, program string) {
+func testOldLeaderFindsCurrentAttempts(t *testing.T, program string) {
 	for seed := uint64(1); seed <= 5; seed++ {
-		s, err := ParseScenario(`
+		scenario, err := ParseScenario(`
 team t
 type small cpus=8 mem=32 boot=10 zones=north
 at 1 submit job-000001 tasks=32 run=90 image_gb=0
@@ -629,11 +629,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.seed = seed
+		scenario.seed = seed
 		listed := 0
-		_, faults := playUpgrade(t, program, s, func(n *node, _ *core.Output) {
-			if listed == 0 && n.w.now > 50*time.Second {
-				listed = n.w.listEarlier()
+		_, faults := playUpgrade(t, program, scenario, func(controller *controller, _ *core.Output) {
+			if listed == 0 && controller.world.now > 50*time.Second {
+				listed = controller.world.listEarlierAttempts()
 			}
 		})
 		if listed != 32 {
@@ -645,16 +645,16 @@
 	}
 }
 
-// listEarlier has the workers list an ended earlier attempt at every task that
+// listEarlierAttempts has the workers list an ended earlier attempt at every task that
 // runs, until they are told to forget it.
-func (w *World) listEarlier() (listed int) {
-	for _, name := range w.cloud.names() {
+func (w *World) listEarlierAttempts() (listed int) {
+	for _, name := range w.cloud.machineNames() {
 		m := w.cloud.machines[name]
-		for _, t := range m.sorted() {
+		for _, t := range m.sortedTasks() {
 			if t.state == wire.TaskRunning {
 				earlier := *t
-				earlier.attempt, earlier.state, earlier.cause, earlier.on = 0, wire.TaskExited, wire.CauseStopped, false
-				m.tasks[endedKey(t.name, 0)] = &earlier
+				earlier.attempt, earlier.state, earlier.cause, earlier.placed = 0, wire.TaskExited, wire.CauseStopped, false
+				m.tasks[exitedKey(t.name, 0)] = &earlier
 				listed++
 			}
 		}
@@ -662,24 +662,24 @@
 	return listed
 }
 
-// upgrades writes the upgrade of a random day.
-func upgrades(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 13))
-	var b strings.Builder
-	at := 30 + 60*r.Float64()
+// randomUpgrades writes the upgrade of a random day.
+func randomUpgrades(seed uint64) string {
+	rng := rand.New(rand.NewPCG(seed, 13))
+	var text strings.Builder
+	at := 30 + 60*rng.Float64()
 	for i := range 5 {
 		who := "next"
-		if i == 0 && r.IntN(2) == 0 {
+		if i == 0 && rng.IntN(2) == 0 {
 			who = "leader"
 		}
-		fmt.Fprintf(&b, "at %.2f upgrade %s for=%g\n", at, who, []float64{0.5, 3, 8}[r.IntN(3)])
-		if r.IntN(3) > 0 { // else two at a time
-			at += 30 * r.Float64()
+		fmt.Fprintf(&text, "at %.2f upgrade %s for=%g\n", at, who, []float64{0.5, 3, 8}[rng.IntN(3)])
+		if rng.IntN(3) > 0 { // else two at a time
+			at += 30 * rng.Float64()
 		}
 	}
 	// Chance may have left one old, that led or was named twice.
 	for i := range 5 {
-		fmt.Fprintf(&b, "at %d upgrade next\n", 230+5*i)
+		fmt.Fprintf(&text, "at %d upgrade next\n", 230+5*i)
 	}
-	return b.String()
+	return text.String()
 }
