--- a/internal/sim/wakecost_test.go
+++ b/internal/sim/wake_cost_test.go
@@ -12,17 +12,17 @@
 
 // wakeCost is what one wake takes.
 type wakeCost struct {
-	stateRequests int           // of all controllers, from the first request to the last answer
-	first, last   time.Duration // answers, after the first request
-	starts        int
-	loaded        time.Duration // the load itself
+	stateRequests           int           // of all controllers, from the first request to the last answer
+	firstAnswer, lastAnswer time.Duration // answers, after the first request
+	copiesStarted           int
+	loadTime                time.Duration // the load itself
 }
 
 // measureWake wakes a model once for some requests, spread evenly over the controllers.
 func measureWake(seed uint64, controllers, requests int) wakeCost {
-	w := newWakeWorld(seed, controllers, wakeRegistry)
+	world := newWakeWorld(seed, controllers, wakeRegistry)
 	var loaded time.Duration
-	for _, s := range w.servers {
+	for _, s := range world.servers {
 		draw := s.Load
 		s.Load = func() (time.Duration, bool) {
 			d, fails := draw()
@@ -30,33 +30,33 @@
 			return d, fails
 		}
 	}
-	w.run(5 * time.Second)
-	before := w.storeCalls
+	world.run(5 * time.Second)
+	before := world.storeCalls
 	for i := range requests {
-		w.ask(w.controllers[i%controllers], "c", fmt.Sprint("k", i), 60*time.Second)
+		world.sendRequest(world.activators[i%controllers], "c", fmt.Sprint("k", i), 60*time.Second)
 	}
-	cost := wakeCost{first: never}
+	cost := wakeCost{firstAnswer: never}
 	var judge func()
 	judge = func() {
 		answered := 0
-		for _, q := range w.asked {
-			if q.answers == 0 {
+		for _, request := range world.requests {
+			if request.answers == 0 {
 				continue
 			}
 			answered++
-			if q.status == wake.StatusServed { // beyond max_waiting they are refused at once
-				cost.first, cost.last = min(cost.first, q.after), max(cost.last, q.after)
+			if request.status == wake.StatusServed { // beyond max_waiting they are refused at once
+				cost.firstAnswer, cost.lastAnswer = min(cost.firstAnswer, request.latency), max(cost.lastAnswer, request.latency)
 			}
 		}
 		if answered < requests {
-			w.after(100*time.Millisecond, judge)
+			world.after(100*time.Millisecond, judge)
 			return
 		}
-		cost.stateRequests = w.storeCalls - before
+		cost.stateRequests = world.storeCalls - before
 	}
 	judge()
-	w.run(40 * time.Second)
-	cost.starts, cost.loaded = w.starts(), loaded
+	world.run(40 * time.Second)
+	cost.copiesStarted, cost.loadTime = world.copiesStarted(), loaded
 	return cost
 }
 
@@ -69,17 +69,17 @@
 			var overheads []float64
 			for seed := range uint64(5) {
 				many = measureWake(seed+1, controllers, requests)
-				if many.starts != 1 {
-					t.Errorf("%d controllers, %d requests: %d starts", controllers, requests, many.starts)
+				if many.copiesStarted != 1 {
+					t.Errorf("%d controllers, %d requests: %d starts", controllers, requests, many.copiesStarted)
 				}
-				overheads = append(overheads, float64(many.first)/float64(many.loaded))
+				overheads = append(overheads, float64(many.firstAnswer)/float64(many.loadTime))
 			}
 			slices.Sort(overheads)
 			if requests == 10 {
 				few = many
 			}
 			t.Logf("%d controllers, %d requests: %d requests to the state service, first answer after %.2f load times at the median, the last after %v",
-				controllers, requests, many.stateRequests, overheads[2], many.last)
+				controllers, requests, many.stateRequests, overheads[2], many.lastAnswer)
 			if overheads[2] > 1.2 {
 				t.Errorf("%d controllers, %d requests: the first answer came after %.2f load times", controllers, requests, overheads[2])
 			}
@@ -92,20 +92,20 @@
 
 // The driver ends while the copy loads: another one drives it within two leases, so the answers come
 // no later than that after the load.
-func TestTakeoverTime(t *testing.T) {
+func TestDriverFailoverTime(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(40) {
-		w := newWakeWorld(seed+1, 3, wakeRegistry)
-		w.run(5 * time.Second)
-		w.ask(w.controllers[0], "c", "x", 60*time.Second)
+		world := newWakeWorld(seed+1, 3, wakeRegistry)
+		world.run(5 * time.Second)
+		world.sendRequest(world.activators[0], "c", "x", 60*time.Second)
 		id := uint64(0)
-		w.after(100*time.Millisecond, func() { id = w.ask(w.controllers[1], "c", "y", 60*time.Second) })
-		w.after(time.Duration(200+200*seed)*time.Millisecond, func() { w.controllers[0].crash(50 * time.Second) })
-		w.finish(t, 60*time.Second)
-		if q := w.asked[id]; q.status == wake.StatusServed {
-			worst = max(worst, q.after)
+		world.after(100*time.Millisecond, func() { id = world.sendRequest(world.activators[1], "c", "y", 60*time.Second) })
+		world.after(time.Duration(200+200*seed)*time.Millisecond, func() { world.activators[0].crash(50 * time.Second) })
+		world.finish(t, 60*time.Second)
+		if request := world.requests[id]; request.status == wake.StatusServed {
+			worst = max(worst, request.latency)
 		} else {
-			t.Errorf("seed %d: answered %d", seed, q.status)
+			t.Errorf("seed %d: answered %d", seed, request.status)
 		}
 	}
 	// The load takes 9.6 s at the most, the driver ends 8.2 s after the request at the latest.
@@ -118,16 +118,16 @@
 
 // Without agreement each controller that is asked wakes a copy of its own: the checker sees it.
 func TestBaselineWakesTwice(t *testing.T) {
-	w := newWakeWorld(1, 3, wakeRegistry)
-	w.run(3 * time.Second)
+	world := newWakeWorld(1, 3, wakeRegistry)
+	world.run(3 * time.Second)
 	for i, server := range []string{"gpu-0", "gpu-1"} {
-		n := w.controllers[i]
-		n.Command(server, wake.Command{Verb: wake.VerbLook, Model: "a", Epoch: 1}, func(r wake.CopyReport) {
-			n.Command(server, wake.Command{Verb: wake.VerbStart, Model: "a", Epoch: 1, Ticket: r.Ticket}, func(wake.CopyReport) {})
+		activator := world.activators[i]
+		activator.Command(server, wake.Command{Verb: wake.VerbProbe, Model: "a", Epoch: 1}, func(r wake.ReplicaStatus) {
+			activator.Command(server, wake.Command{Verb: wake.VerbStart, Model: "a", Epoch: 1, StartToken: r.StartToken}, func(wake.ReplicaStatus) {})
 		})
 	}
-	w.run(5 * time.Second)
-	if len(w.faults) == 0 {
+	world.run(5 * time.Second)
+	if len(world.violations) == 0 {
 		t.Error("two copies at a time were not noticed")
 	}
 }
@@ -135,15 +135,15 @@
 // A waiting request takes little memory.
 func TestWaitingMemory(t *testing.T) {
 	const requests = 5000
-	w := newWakeWorld(1, 1, wakeRegistry)
-	w.store.beginOutage(time.Hour) // nothing wakes
-	w.run(time.Second)
-	c := wake.New("node-9", 1, w.reg, w.controllers[0], w.controllers[0], w.controllers[0], w.log)
+	world := newWakeWorld(1, 1, wakeRegistry)
+	world.store.beginOutage(time.Hour) // nothing wakes
+	world.run(time.Second)
+	c := wake.New("node-9", 1, world.registry, world.activators[0], world.activators[0], world.activators[0], world.log)
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	for i := range requests {
-		c.Handle(&wake.Request{ID: uint64(1e6 + i), Model: "a", Key: "k", Until: time.Hour})
+		c.Handle(&wake.Request{ID: uint64(1e6 + i), Model: "a", IdempotencyKey: "k", Deadline: time.Hour})
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -41,38 +41,38 @@
 // are those of the other days.
 type wakeWorld struct {
 	*World
-	reg         *wake.Registry
-	servers     map[string]*ModelServer
-	serverBoots map[string]int
-	controllers []*wakeNode
-	asked       map[uint64]*wakeRequest
-	nextRequest uint64
-	ran         map[string]int // executions by the clients' keys and copies
-	faults      []string
-	storeCalls  int
+	registry           *wake.Registry
+	servers            map[string]*ModelServer
+	serverIncarnations map[string]int
+	activators         []*activator
+	requests           map[uint64]*wakeRequest
+	lastRequestID      uint64
+	executions         map[string]int // executions by the clients' keys and copies
+	violations         []string
+	storeCalls         int
 	// record, if set, is told of all that a controller does.
 	record func(values ...any)
 }
 
 // wakeRequest is what a client knows of its request.
 type wakeRequest struct {
-	model, key string
-	at, until  time.Duration
-	answers    int
-	status     wake.Status
-	after      time.Duration
+	model, key        string
+	askedAt, deadline time.Duration
+	answers           int
+	status            wake.Status
+	latency           time.Duration
 }
 
-// wakeNode is a controller's process.
-type wakeNode struct {
-	w       *wakeWorld
-	name    string
-	c       *wake.Controller
-	life    int
-	alive   bool
-	paused  time.Duration
-	held    []func()
-	pending map[uint64]bool // requests whose clients wait here
+// activator is a controller's process.
+type activator struct {
+	world           *wakeWorld
+	name            string
+	controller      *wake.Controller
+	incarnation     int
+	alive           bool
+	pausedUntil     time.Duration
+	heldCalls       []func()
+	pendingRequests map[uint64]bool // requests whose clients wait here
 }
 
 func newWakeWorld(seed uint64, controllers int, registry string) *wakeWorld {
@@ -80,74 +80,74 @@
 	if err != nil {
 		panic(err)
 	}
-	cfg := defaults()
+	cfg := defaultSettings()
 	cfg.Deployment.Size = 0
-	cfg.Deployment.State.RPS, cfg.Deployment.State.WriteRPS = 2000, 2000
-	w := &wakeWorld{World: newWorld(cfg, seed, slog.New(slog.DiscardHandler)), reg: reg, servers: map[string]*ModelServer{},
-		serverBoots: map[string]int{}, asked: map[uint64]*wakeRequest{}, ran: map[string]int{}}
+	cfg.Deployment.Store.RPS, cfg.Deployment.Store.WriteRPS = 2000, 2000
+	world := &wakeWorld{World: newWorld(cfg, seed, slog.New(slog.DiscardHandler)), registry: reg, servers: map[string]*ModelServer{},
+		serverIncarnations: map[string]int{}, requests: map[uint64]*wakeRequest{}, executions: map[string]int{}}
 	for _, name := range []string{"gpu-0", "gpu-1"} {
-		w.servers[name] = NewModelServer(seconds(reg.CopyLeaseS), RandomLoad(w.rng, 8*time.Second, 0))
+		world.servers[name] = NewModelServer(seconds(reg.ReplicaLeaseSeconds), RandomLoad(world.rng, 8*time.Second, 0))
 	}
 	for i := range controllers {
-		n := &wakeNode{w: w, name: "node-" + strconv.Itoa(i)}
-		w.controllers = append(w.controllers, n)
-		n.boot()
+		activator := &activator{world: world, name: "node-" + strconv.Itoa(i)}
+		world.activators = append(world.activators, activator)
+		activator.start()
 	}
-	w.watchCopies()
-	return w
+	world.checkCopies()
+	return world
 }
 
-func (n *wakeNode) boot() {
-	n.alive, n.paused, n.held, n.pending = true, 0, nil, map[uint64]bool{}
-	n.life++
-	n.c = wake.New(n.name, uint64(n.life), n.w.reg, n, n, n, n.w.log)
-	n.tick(n.life)
+func (a *activator) start() {
+	a.alive, a.pausedUntil, a.heldCalls, a.pendingRequests = true, 0, nil, map[uint64]bool{}
+	a.incarnation++
+	a.controller = wake.New(a.name, uint64(a.incarnation), a.world.registry, a, a, a, a.world.log)
+	a.tick(a.incarnation)
 }
 
-func (n *wakeNode) crash(back time.Duration) {
-	if !n.alive {
+func (a *activator) crash(back time.Duration) {
+	if !a.alive {
 		return
 	}
-	n.alive = false
-	n.life++
-	for id := range n.pending { // their clients see the connection end, and ask again elsewhere
-		delete(n.w.asked, id)
+	a.alive = false
+	a.incarnation++
+	for id := range a.pendingRequests { // their clients see the connection end, and ask again elsewhere
+		delete(a.world.requests, id)
 	}
-	n.w.after(back, n.boot)
+	a.world.after(back, a.start)
 }
 
-func (n *wakeNode) tick(life int) {
-	if n.life != life || !n.alive {
+func (a *activator) tick(life int) {
+	if a.incarnation != life || !a.alive {
 		return
 	}
-	if n.w.now >= n.paused {
-		n.c.Tick()
+	if a.world.now >= a.pausedUntil {
+		a.controller.Tick()
 	}
-	n.w.after(100*time.Millisecond, func() { n.tick(life) })
+	a.world.after(100*time.Millisecond, func() { a.tick(life) })
 }
 
 // pause has the process stand still; what comes meanwhile is there when it goes on.
-func (n *wakeNode) pause(d time.Duration) {
-	n.paused = n.w.now + d
-	life := n.life
-	n.w.after(d, func() {
-		if n.life != life {
+func (a *activator) pause(d time.Duration) {
+	a.pausedUntil = a.world.now + d
+	life := a.incarnation
+	a.world.after(d, func() {
+		if a.incarnation != life {
 			return
 		}
-		held := n.held
-		n.held = nil
+		held := a.heldCalls
+		a.heldCalls = nil
 		for _, f := range held {
 			f()
 		}
 	})
 }
 
-// here runs f in the process, once it is not standing still.
-func (n *wakeNode) here(life int, f func()) {
+// runUnlessPaused runs f in the process, once it is not standing still.
+func (a *activator) runUnlessPaused(life int, f func()) {
 	switch {
-	case n.life != life || !n.alive:
-	case n.w.now < n.paused:
-		n.held = append(n.held, func() { n.here(life, f) })
+	case a.incarnation != life || !a.alive:
+	case a.world.now < a.pausedUntil:
+		a.heldCalls = append(a.heldCalls, func() { a.runUnlessPaused(life, f) })
 	default:
 		f()
 	}
@@ -157,11 +157,11 @@
 const callTimeout = 2 * time.Second
 
 // call carries a request to a service and its answer back; done gets false after a timeout.
-func (n *wakeNode) call(to string, timeout time.Duration, serve func(reply func(f func())), lost func()) {
-	life, over := n.life, false
+func (a *activator) call(to string, timeout time.Duration, serve func(reply func(f func())), lost func()) {
+	life, over := a.incarnation, false
 	end := func(f func()) func() {
 		return func() {
-			n.here(life, func() {
+			a.runUnlessPaused(life, func() {
 				if !over {
 					over = true
 					f()
@@ -169,145 +169,145 @@
 			})
 		}
 	}
-	n.w.after(timeout, end(lost))
-	n.w.deliver(n.name, to, func() {
-		serve(func(f func()) { n.w.deliver(to, n.name, end(f)) })
+	a.world.after(timeout, end(lost))
+	a.world.deliver(a.name, to, func() {
+		serve(func(f func()) { a.world.deliver(to, a.name, end(f)) })
 	})
 }
 
-// did tells what the controller does.
-func (n *wakeNode) did(values ...any) {
-	if n.w.record != nil {
-		n.w.record(append([]any{n.w.now, n.name}, values...)...)
+// recordAction tells what the controller does.
+func (a *activator) recordAction(values ...any) {
+	if a.world.record != nil {
+		a.world.record(append([]any{a.world.now, a.name}, values...)...)
 	}
 }
 
-func (n *wakeNode) storeCall(method, path string, body []byte, timeout time.Duration, done wake.Answer) {
-	n.w.storeCalls++
-	n.did(method, path, string(body), timeout)
-	n.call("state", timeout, func(reply func(func())) {
-		n.w.store.handle(n.name, method, path, body, func(status int, answer []byte) { reply(func() { done(status, answer) }) })
+func (a *activator) storeCall(method, path string, body []byte, timeout time.Duration, done wake.Answer) {
+	a.world.storeCalls++
+	a.recordAction(method, path, string(body), timeout)
+	a.call("state", timeout, func(reply func(func())) {
+		a.world.store.handle(a.name, method, path, body, func(status int, answer []byte) { reply(func() { done(status, answer) }) })
 	}, func() { done(0, nil) })
 }
 
-func (n *wakeNode) List(prefix string, done wake.Answer) {
-	n.storeCall("GET", "/store?under="+prefix, nil, callTimeout, done)
+func (a *activator) List(prefix string, done wake.Answer) {
+	a.storeCall("GET", "/store?under="+prefix, nil, callTimeout, done)
 }
 
-func (n *wakeNode) Commit(txn *wire.Txn, done wake.Answer) {
+func (a *activator) Commit(txn *wire.Txn, done wake.Answer) {
 	body, _ := json.Marshal(txn)
-	n.storeCall("POST", "/commit", body, callTimeout, done)
+	a.storeCall("POST", "/commit", body, callTimeout, done)
 }
 
-func (n *wakeNode) Grant(ttl time.Duration, done wake.Answer) {
+func (a *activator) Grant(ttl time.Duration, done wake.Answer) {
 	body, _ := json.Marshal(wire.GrantRequest{TTLMs: int(ttl / time.Millisecond)})
-	n.storeCall("POST", "/grants", body, callTimeout, done)
+	a.storeCall("POST", "/grants", body, callTimeout, done)
 }
 
-func (n *wakeNode) Extend(lease uint64, done wake.Answer) {
-	n.storeCall("POST", fmt.Sprintf("/grants/%d/extend", lease), nil, callTimeout, done)
+func (a *activator) Extend(lease uint64, done wake.Answer) {
+	a.storeCall("POST", fmt.Sprintf("/grants/%d/extend", lease), nil, callTimeout, done)
 }
 
-func (n *wakeNode) Watch(prefix string, since uint64, done wake.Answer) {
-	n.storeCall("GET", fmt.Sprintf("/changes?under=%s&since=%d&holdMs=20000", prefix, since), nil, 22*time.Second, done)
+func (a *activator) Watch(prefix string, since uint64, done wake.Answer) {
+	a.storeCall("GET", fmt.Sprintf("/changes?under=%s&since=%d&holdMs=20000", prefix, since), nil, 22*time.Second, done)
 }
 
-func (n *wakeNode) Command(server string, c wake.Command, done func(wake.CopyReport)) {
-	n.did("command", server, c)
-	n.call(server, callTimeout, func(reply func(func())) {
-		report := n.w.servers[server].Command(c, n.w.now)
+func (a *activator) Command(server string, c wake.Command, done func(wake.ReplicaStatus)) {
+	a.recordAction("command", server, c)
+	a.call(server, callTimeout, func(reply func(func())) {
+		report := a.world.servers[server].Command(c, a.world.now)
 		reply(func() { done(report) })
-	}, func() { done(wake.CopyReport{}) })
+	}, func() { done(wake.ReplicaStatus{}) })
 }
 
-func (n *wakeNode) Ask(server string, r *wake.Request, done func(wake.Outcome, []byte)) {
-	n.did("ask", server, *r)
-	n.call(server, callTimeout, func(reply func(func())) { n.w.serve(server, r, reply, done) }, func() { done(wake.Unknown, nil) })
+func (a *activator) Forward(server string, r *wake.Request, done func(wake.Outcome, []byte)) {
+	a.recordAction("ask", server, *r)
+	a.call(server, callTimeout, func(reply func(func())) { a.world.serve(server, r, reply, done) }, func() { done(wake.OutcomeUnknown, nil) })
 }
 
 // serve has a model server answer a request.
-func (w *wakeWorld) serve(server string, r *wake.Request, reply func(func()), done func(wake.Outcome, []byte)) {
-	s, boot := w.servers[server], w.serverBoots[server]
-	result, answer := s.Ask(r.Model, r.Key, w.now)
+func (w *wakeWorld) serve(server string, request *wake.Request, reply func(func()), done func(wake.Outcome, []byte)) {
+	s, boot := w.servers[server], w.serverIncarnations[server]
+	result, answer := s.Ask(request.Model, request.IdempotencyKey, w.now)
 	switch result {
-	case AskNotTaken:
-		reply(func() { done(wake.NotTaken, nil) })
+	case AskRejected:
+		reply(func() { done(wake.OutcomeRejected, nil) })
 		return
 	case AskAnswered:
-		reply(func() { done(wake.Served, answer) })
+		reply(func() { done(wake.OutcomeServed, answer) })
 		return
-	case AskUnderWay:
-		w.after(50*time.Millisecond, func() { w.serve(server, r, reply, done) })
+	case AskInProgress:
+		w.after(50*time.Millisecond, func() { w.serve(server, request, reply, done) })
 		return
 	}
-	w.ran[fmt.Sprint(r.Key, " on copy ", s.CopyNumber(r.Model, w.now), " of ", server)]++
+	w.executions[fmt.Sprint(request.IdempotencyKey, " on copy ", s.CopyNumber(request.Model, w.now), " of ", server)]++
 	w.after(time.Duration(50+w.rng.IntN(400))*time.Millisecond, func() {
-		if w.serverBoots[server] == boot && s.Finish(r.Model, r.Key, []byte(r.Key), w.now) {
-			reply(func() { done(wake.Served, []byte(r.Key)) })
+		if w.serverIncarnations[server] == boot && s.Finish(request.Model, request.IdempotencyKey, []byte(request.IdempotencyKey), w.now) {
+			reply(func() { done(wake.OutcomeServed, []byte(request.IdempotencyKey)) })
 		}
 	})
 }
 
-func (n *wakeNode) Now() time.Duration { return n.w.now }
+func (a *activator) Now() time.Duration { return a.world.now }
 
-func (n *wakeNode) Reply(id uint64, r wake.Reply) {
-	n.did("reply", id, r)
-	delete(n.pending, id)
-	q := n.w.asked[id]
-	if q == nil {
+func (a *activator) Reply(id uint64, r wake.Reply) {
+	a.recordAction("reply", id, r)
+	delete(a.pendingRequests, id)
+	request := a.world.requests[id]
+	if request == nil {
 		return // its client has gone with an earlier process
 	}
-	q.answers++
-	q.status, q.after = r.Status, n.w.now-q.at
-	if q.answers > 1 {
-		n.w.fault("request %d (%s) got %d answers", id, q.key, q.answers)
+	request.answers++
+	request.status, request.latency = r.Status, a.world.now-request.askedAt
+	if request.answers > 1 {
+		a.world.addViolation("request %d (%s) got %d answers", id, request.key, request.answers)
 	}
-	if r.Status == wake.StatusServed && string(r.Body) != q.key {
-		n.w.fault("request %d (%s) got the answer to %s", id, q.key, r.Body)
+	if r.Status == wake.StatusServed && string(r.Body) != request.key {
+		a.world.addViolation("request %d (%s) got the answer to %s", id, request.key, r.Body)
 	}
-	if r.Status == wake.StatusUnavailable && r.RetryS < 1 {
-		n.w.fault("request %d was refused without saying when to come back", id)
+	if r.Status == wake.StatusUnavailable && r.RetryAfterSeconds < 1 {
+		a.world.addViolation("request %d was refused without saying when to come back", id)
 	}
 }
 
-func (w *wakeWorld) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf("%.3f s: %s", w.now.Seconds(), fmt.Sprintf(format, args...)))
+func (w *wakeWorld) addViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf("%.3f s: %s", w.now.Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// ask has a client ask for a model at a controller.
-func (w *wakeWorld) ask(n *wakeNode, model, key string, patience time.Duration) uint64 {
-	w.nextRequest++
-	id := w.nextRequest
-	q := &wakeRequest{model: model, key: key, at: w.now, until: w.now + patience}
-	if !n.alive {
+// sendRequest has a client ask for a model at a controller.
+func (w *wakeWorld) sendRequest(activator *activator, model, key string, patience time.Duration) uint64 {
+	w.lastRequestID++
+	id := w.lastRequestID
+	request := &wakeRequest{model: model, key: key, askedAt: w.now, deadline: w.now + patience}
+	if !activator.alive {
 		return 0 // refused by the network
 	}
-	w.asked[id] = q
-	n.pending[id] = true
-	n.here(n.life, func() {
-		n.c.Handle(&wake.Request{ID: id, Model: model, Key: key, Until: q.until})
+	w.requests[id] = request
+	activator.pendingRequests[id] = true
+	activator.runUnlessPaused(activator.incarnation, func() {
+		activator.controller.Handle(&wake.Request{ID: id, Model: model, IdempotencyKey: key, Deadline: request.deadline})
 	})
 	return id
 }
 
-// watchCopies judges from outside, every 20 ms, that no model has two copies.
-func (w *wakeWorld) watchCopies() {
-	for _, m := range w.reg.Models {
+// checkCopies judges from outside, every 20 ms, that no model has two copies.
+func (w *wakeWorld) checkCopies() {
+	for _, m := range w.registry.Models {
 		live := []string{}
 		for _, s := range m.Servers {
-			if w.servers[s].Live(m.Name, w.now) {
+			if w.servers[s].HasCopy(m.Name, w.now) {
 				live = append(live, s)
 			}
 		}
 		if len(live) > 1 {
-			w.fault("model %s has copies on %s", m.Name, strings.Join(live, " and "))
+			w.addViolation("model %s has copies on %s", m.Name, strings.Join(live, " and "))
 		}
 	}
-	w.after(20*time.Millisecond, w.watchCopies)
+	w.after(20*time.Millisecond, w.checkCopies)
 }
 
-// starts is how many copies were started on all servers.
-func (w *wakeWorld) starts() int {
+// copiesStarted is how many copies were started on all servers.
+func (w *wakeWorld) copiesStarted() int {
 	sum := 0
 	for _, s := range w.servers {
 		sum += s.Starts
@@ -319,26 +319,26 @@
 func (w *wakeWorld) finish(t *testing.T, until time.Duration) {
 	t.Helper()
 	w.run(until)
-	for id, q := range w.asked {
-		if q.answers != 1 && q.until+10*time.Second < until {
-			w.fault("request %d (%s for %s, asked at %.1f s) got %d answers", id, q.key, q.model, q.at.Seconds(), q.answers)
+	for id, request := range w.requests {
+		if request.answers != 1 && request.deadline+10*time.Second < until {
+			w.addViolation("request %d (%s for %s, asked at %.1f s) got %d answers", id, request.key, request.model, request.askedAt.Seconds(), request.answers)
 		}
 	}
-	for key, n := range w.ran {
+	for key, n := range w.executions {
 		if n > 1 {
-			w.fault("%s ran %d times", key, n)
+			w.addViolation("%s ran %d times", key, n)
 		}
 	}
-	for _, f := range append(w.faults, w.check.faults...) {
+	for _, f := range append(w.violations, w.checker.violations...) {
 		t.Error(f)
 	}
 }
 
-// served counts the requests that were served.
-func (w *wakeWorld) served() int {
+// servedRequests counts the requests that were served.
+func (w *wakeWorld) servedRequests() int {
 	n := 0
-	for _, q := range w.asked {
-		if q.status == wake.StatusServed {
+	for _, request := range w.requests {
+		if request.status == wake.StatusServed {
 			n++
 		}
 	}
@@ -349,32 +349,32 @@
 func TestWakeOnce(t *testing.T) {
 	for _, controllers := range []int{1, 3, 5, 17} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
-			w := newWakeWorld(uint64(controllers), controllers, wakeRegistry)
-			w.run(3 * time.Second)
+			world := newWakeWorld(uint64(controllers), controllers, wakeRegistry)
+			world.run(3 * time.Second)
 			for i := range 2000 {
-				w.ask(w.controllers[i%controllers], "a", fmt.Sprint("k", i), 60*time.Second)
+				world.sendRequest(world.activators[i%controllers], "a", fmt.Sprint("k", i), 60*time.Second)
 			}
-			w.finish(t, 20*time.Second)
-			if w.starts() != 1 || w.served() != 2000 {
-				t.Errorf("%d copies started, %d of 2000 requests served", w.starts(), w.served())
+			world.finish(t, 20*time.Second)
+			if world.copiesStarted() != 1 || world.servedRequests() != 2000 {
+				t.Errorf("%d copies started, %d of 2000 requests served", world.copiesStarted(), world.servedRequests())
 			}
 		})
 	}
 }
 
 // A model sleeps when it is idle and wakes anew, also for a request that comes in that moment.
-func TestWakeAgainAfterSleep(t *testing.T) {
+func TestWakeAfterSleep(t *testing.T) {
 	for offset := range 40 {
-		w := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
-		w.run(3 * time.Second)
-		w.ask(w.controllers[0], "b", "first", 30*time.Second)
+		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
+		world.run(3 * time.Second)
+		world.sendRequest(world.activators[0], "b", "first", 30*time.Second)
 		// It is idle some 15 s after its answer, which comes some 8 s after the request.
-		w.after(seconds(21.5)+time.Duration(offset)*100*time.Millisecond, func() { w.ask(w.controllers[1], "b", "second", 40*time.Second) })
-		w.finish(t, 90*time.Second)
-		if n := w.starts(); n > 2 || w.served() != 2 {
-			t.Errorf("offset %d: %d copies started, %d of 2 requests served", offset, n, w.served())
+		world.after(seconds(21.5)+time.Duration(offset)*100*time.Millisecond, func() { world.sendRequest(world.activators[1], "b", "second", 40*time.Second) })
+		world.finish(t, 90*time.Second)
+		if n := world.copiesStarted(); n > 2 || world.servedRequests() != 2 {
+			t.Errorf("offset %d: %d copies started, %d of 2 requests served", offset, n, world.servedRequests())
 		}
-		if w.servers["gpu-1"].Live("b", w.now) {
+		if world.servers["gpu-1"].HasCopy("b", world.now) {
 			t.Errorf("offset %d: the copy does not sleep at the end", offset)
 		}
 	}
@@ -382,35 +382,35 @@
 
 // The driver ends at every moment of a wake: the copy that it started is used, and no other
 // one is started.
-func TestDriverEndsDuringWake(t *testing.T) {
+func TestDriverCrashDuringWake(t *testing.T) {
 	for offset := range 140 {
-		w := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
-		w.run(3 * time.Second)
-		w.ask(w.controllers[0], "c", "x", 20*time.Second)
-		w.after(5*time.Millisecond, func() { w.ask(w.controllers[1], "c", "y", 60*time.Second) })
+		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
+		world.run(3 * time.Second)
+		world.sendRequest(world.activators[0], "c", "x", 20*time.Second)
+		world.after(5*time.Millisecond, func() { world.sendRequest(world.activators[1], "c", "y", 60*time.Second) })
 		at := time.Duration(offset) * 4 * time.Millisecond
 		if offset >= 70 {
 			at = time.Duration(offset-70) * 150 * time.Millisecond
 		}
-		w.after(at, func() { w.controllers[0].crash(30 * time.Second) })
-		w.finish(t, 100*time.Second)
-		if n := w.starts(); n != 1 || w.served() < 1 {
-			t.Errorf("the driver ends after %v: %d copies started, %d requests served", at, n, w.served())
+		world.after(at, func() { world.activators[0].crash(30 * time.Second) })
+		world.finish(t, 100*time.Second)
+		if n := world.copiesStarted(); n != 1 || world.servedRequests() < 1 {
+			t.Errorf("the driver ends after %v: %d copies started, %d requests served", at, n, world.servedRequests())
 		}
 	}
 }
 
 // A driver that stands still and goes on after a takeover does no harm.
-func TestDriverStandsStill(t *testing.T) {
+func TestDriverPause(t *testing.T) {
 	for offset := range 40 {
-		w := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
-		w.run(3 * time.Second)
-		w.ask(w.controllers[0], "c", "x", 60*time.Second)
-		w.after(time.Duration(offset)*25*time.Millisecond, func() { w.controllers[0].pause(25 * time.Second) })
-		w.after(time.Second, func() { w.ask(w.controllers[2], "c", "y", 60*time.Second) })
-		w.finish(t, 100*time.Second)
-		if n := w.starts(); n != 1 || w.served() != 2 {
-			t.Errorf("offset %d: %d copies started, %d of 2 requests served", offset, n, w.served())
+		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
+		world.run(3 * time.Second)
+		world.sendRequest(world.activators[0], "c", "x", 60*time.Second)
+		world.after(time.Duration(offset)*25*time.Millisecond, func() { world.activators[0].pause(25 * time.Second) })
+		world.after(time.Second, func() { world.sendRequest(world.activators[2], "c", "y", 60*time.Second) })
+		world.finish(t, 100*time.Second)
+		if n := world.copiesStarted(); n != 1 || world.servedRequests() != 2 {
+			t.Errorf("offset %d: %d copies started, %d of 2 requests served", offset, n, world.servedRequests())
 		}
 	}
 }
@@ -418,90 +418,90 @@
 // Two sides of a partition both reach the model server, one of them not the state service.
 func TestWakeAcrossPartition(t *testing.T) {
 	for seed := range uint64(30) {
-		w := newWakeWorld(seed+1, 3, wakeRegistry)
-		w.run(3 * time.Second)
-		w.ask(w.controllers[0], "c", "x", 60*time.Second)
-		w.after(time.Duration(seed)*20*time.Millisecond, func() {
-			w.cuts = append(w.cuts, &cut{"node-0", "state", w.now + 40*time.Second, seed%2 == 0}, &cut{"state", "node-0", w.now + 40*time.Second, seed%2 == 0})
+		world := newWakeWorld(seed+1, 3, wakeRegistry)
+		world.run(3 * time.Second)
+		world.sendRequest(world.activators[0], "c", "x", 60*time.Second)
+		world.after(time.Duration(seed)*20*time.Millisecond, func() {
+			world.partitions = append(world.partitions, &partition{"node-0", "state", world.now + 40*time.Second, seed%2 == 0}, &partition{"state", "node-0", world.now + 40*time.Second, seed%2 == 0})
 		})
-		w.after(100*time.Millisecond, func() { w.ask(w.controllers[1], "c", "y", 60*time.Second) })
-		w.finish(t, 100*time.Second)
-		if n := w.starts(); n != 1 || w.served() != 2 {
-			t.Errorf("seed %d: %d copies started, %d of 2 requests served", seed, n, w.served())
+		world.after(100*time.Millisecond, func() { world.sendRequest(world.activators[1], "c", "y", 60*time.Second) })
+		world.finish(t, 100*time.Second)
+		if n := world.copiesStarted(); n != 1 || world.servedRequests() != 2 {
+			t.Errorf("seed %d: %d copies started, %d of 2 requests served", seed, n, world.servedRequests())
 		}
 	}
 }
 
 // The model server of a copy is out of reach: the model wakes on the next one, once the first
 // copy has certainly ended.
-func TestServerOutOfReach(t *testing.T) {
-	w := newWakeWorld(1, 3, wakeRegistry)
-	w.run(3 * time.Second)
-	w.ask(w.controllers[0], "a", "x", 60*time.Second)
-	w.after(5*time.Second, func() {
-		w.cuts = append(w.cuts, &cut{"nodes", "gpu-0", w.now + 60*time.Second, true}, &cut{"gpu-0", "nodes", w.now + 60*time.Second, true})
+func TestServerUnreachable(t *testing.T) {
+	world := newWakeWorld(1, 3, wakeRegistry)
+	world.run(3 * time.Second)
+	world.sendRequest(world.activators[0], "a", "x", 60*time.Second)
+	world.after(5*time.Second, func() {
+		world.partitions = append(world.partitions, &partition{"nodes", "gpu-0", world.now + 60*time.Second, true}, &partition{"gpu-0", "nodes", world.now + 60*time.Second, true})
 	})
-	w.after(20*time.Second, func() { w.ask(w.controllers[1], "a", "y", 60*time.Second) })
-	w.finish(t, 140*time.Second)
-	if w.starts() != 2 || w.served() != 2 {
-		t.Errorf("%d copies started, %d of 2 requests served", w.starts(), w.served())
+	world.after(20*time.Second, func() { world.sendRequest(world.activators[1], "a", "y", 60*time.Second) })
+	world.finish(t, 140*time.Second)
+	if world.copiesStarted() != 2 || world.servedRequests() != 2 {
+		t.Errorf("%d copies started, %d of 2 requests served", world.copiesStarted(), world.servedRequests())
 	}
 }
 
 // A copy that never comes up is tried again less and less often, and every request is
 // answered by its time.
-func TestWakeThatNeverComesUp(t *testing.T) {
-	w := newWakeWorld(1, 3, wakeRegistry)
-	for _, s := range w.servers {
+func TestWakeWithFailingLoads(t *testing.T) {
+	world := newWakeWorld(1, 3, wakeRegistry)
+	for _, s := range world.servers {
 		s.Load = RandomLoad(rand.New(rand.NewPCG(1, 1)), 2*time.Second, 1)
 	}
-	w.run(3 * time.Second)
+	world.run(3 * time.Second)
 	for i := range 30 {
-		w.after(time.Duration(i)*10*time.Second, func() { w.ask(w.controllers[i%3], "c", fmt.Sprint("k", i), 20*time.Second) })
+		world.after(time.Duration(i)*10*time.Second, func() { world.sendRequest(world.activators[i%3], "c", fmt.Sprint("k", i), 20*time.Second) })
 	}
-	w.finish(t, 360*time.Second)
-	if n := w.starts(); n < 3 || n > 8 {
+	world.finish(t, 360*time.Second)
+	if n := world.copiesStarted(); n < 3 || n > 8 {
 		t.Errorf("%d starts in 300 s", n)
 	}
 }
 
 // Two models may wake at a time; the third waits for its turn.
-func TestWakesAtOnce(t *testing.T) {
-	w := newWakeWorld(1, 3, strings.Replace(wakeRegistry, "max_waking = 2", "max_waking = 1", 1))
-	w.run(3 * time.Second)
+func TestConcurrentWakes(t *testing.T) {
+	world := newWakeWorld(1, 3, strings.Replace(wakeRegistry, "max_waking = 2", "max_waking = 1", 1))
+	world.run(3 * time.Second)
 	for i, model := range []string{"a", "b", "c"} {
-		w.ask(w.controllers[i], model, model, 100*time.Second)
+		world.sendRequest(world.activators[i], model, model, 100*time.Second)
 	}
 	most := 0
 	var watch func()
 	watch = func() {
 		loading := 0
-		for _, s := range w.servers {
+		for _, s := range world.servers {
 			for _, m := range s.models {
-				if m.copy != nil && w.now < m.copy.readyAt {
+				if m.copy != nil && world.now < m.copy.readyAt {
 					loading++
 				}
 			}
 		}
 		most = max(most, loading)
-		w.after(50*time.Millisecond, watch)
+		world.after(50*time.Millisecond, watch)
 	}
 	watch()
-	w.finish(t, 120*time.Second)
-	if most != 1 || w.served() != 3 {
-		t.Errorf("%d copies loaded at once, %d of 3 requests served", most, w.served())
+	world.finish(t, 120*time.Second)
+	if most != 1 || world.servedRequests() != 3 {
+		t.Errorf("%d copies loaded at once, %d of 3 requests served", most, world.servedRequests())
 	}
 }
 
 // A repeated request whose answer was lost gets the answer that the copy gave.
 func TestRepeatedRequest(t *testing.T) {
-	w := newWakeWorld(1, 3, wakeRegistry)
-	w.run(3 * time.Second)
-	w.ask(w.controllers[0], "a", "x", 60*time.Second)
-	w.after(14*time.Second, func() { w.ask(w.controllers[1], "a", "x", 60*time.Second) })
-	w.finish(t, 60*time.Second)
-	if len(w.ran) != 1 || w.served() != 2 {
-		t.Errorf("ran %v, %d of 2 answers", w.ran, w.served())
+	world := newWakeWorld(1, 3, wakeRegistry)
+	world.run(3 * time.Second)
+	world.sendRequest(world.activators[0], "a", "x", 60*time.Second)
+	world.after(14*time.Second, func() { world.sendRequest(world.activators[1], "a", "x", 60*time.Second) })
+	world.finish(t, 60*time.Second)
+	if len(world.executions) != 1 || world.servedRequests() != 2 {
+		t.Errorf("ran %v, %d of 2 answers", world.executions, world.servedRequests())
 	}
 }
 
@@ -524,63 +524,63 @@
 // playWakeDay plays a random day; record, if set, is told of all that controllers do.
 func playWakeDay(t *testing.T, seed uint64, record func(values ...any)) {
 	t.Helper()
-	r := rand.New(rand.NewPCG(seed, 23))
-	w := newWakeWorld(seed, []int{1, 3, 5, 5}[r.IntN(4)], wakeRegistry)
-	w.record = record
-	for _, name := range slices.Sorted(maps.Keys(w.servers)) { // so that each draws its own share of failing loads
-		w.servers[name].Load = RandomLoad(w.rng, 8*time.Second, []float64{0, 0, 0.3}[r.IntN(3)])
-	}
-	w.run(3 * time.Second)
-	anyNode := func() *wakeNode { return w.controllers[r.IntN(len(w.controllers))] }
+	rng := rand.New(rand.NewPCG(seed, 23))
+	world := newWakeWorld(seed, []int{1, 3, 5, 5}[rng.IntN(4)], wakeRegistry)
+	world.record = record
+	for _, name := range slices.Sorted(maps.Keys(world.servers)) { // so that each draws its own share of failing loads
+		world.servers[name].Load = RandomLoad(world.rng, 8*time.Second, []float64{0, 0, 0.3}[rng.IntN(3)])
+	}
+	world.run(3 * time.Second)
+	anyNode := func() *activator { return world.activators[rng.IntN(len(world.activators))] }
 	for i := range 150 {
-		at, model, patience := seconds(200*r.Float64()), []string{"a", "b", "c"}[r.IntN(3)], seconds(2+60*r.Float64())
-		n := anyNode()
-		w.after(at, func() { w.ask(n, model, fmt.Sprint("k", i), patience) })
+		at, model, patience := seconds(200*rng.Float64()), []string{"a", "b", "c"}[rng.IntN(3)], seconds(2+60*rng.Float64())
+		activator := anyNode()
+		world.after(at, func() { world.sendRequest(activator, model, fmt.Sprint("k", i), patience) })
 	}
 	for range 8 {
-		at, d := seconds(180*r.Float64()), seconds(1+30*r.Float64())
-		n, hold := anyNode(), r.IntN(2) == 0
-		server := []string{"gpu-0", "gpu-1"}[r.IntN(2)]
+		at, duration := seconds(180*rng.Float64()), seconds(1+30*rng.Float64())
+		activator, hold := anyNode(), rng.IntN(2) == 0
+		server := []string{"gpu-0", "gpu-1"}[rng.IntN(2)]
 		var f func()
-		switch r.IntN(8) {
+		switch rng.IntN(8) {
 		case 0, 1:
-			f = func() { n.crash(d / 5) }
+			f = func() { activator.crash(duration / 5) }
 		case 2:
-			f = func() { n.pause(d) }
+			f = func() { activator.pause(duration) }
 		case 3:
-			f = func() { w.store.beginOutage(d) }
+			f = func() { world.store.beginOutage(duration) }
 		case 4:
-			f = func() { w.store.late = late{0.5, w.now + d} }
+			f = func() { world.store.delayedCommits = randomFault{0.5, world.now + duration} }
 		case 5:
 			f = func() {
-				w.cuts = append(w.cuts, &cut{n.name, "state", w.now + d, hold}, &cut{"state", n.name, w.now + d, hold})
+				world.partitions = append(world.partitions, &partition{activator.name, "state", world.now + duration, hold}, &partition{"state", activator.name, world.now + duration, hold})
 			}
 		case 6:
 			f = func() {
-				w.cuts = append(w.cuts, &cut{n.name, server, w.now + d, hold}, &cut{server, n.name, w.now + d, hold})
+				world.partitions = append(world.partitions, &partition{activator.name, server, world.now + duration, hold}, &partition{server, activator.name, world.now + duration, hold})
 			}
 		case 7:
 			f = func() {
-				w.serverBoots[server]++
-				w.servers[server].Crash()
+				world.serverIncarnations[server]++
+				world.servers[server].Crash()
 			}
 		}
-		w.after(at, f)
+		world.after(at, f)
 	}
 	// Once all is over and loads succeed again, every model wakes, after the longest wait
 	// between two wakes at the latest: sixteen load times of up to 10 s.
-	w.after(320*time.Second, func() {
-		for _, s := range w.servers {
-			s.Load = RandomLoad(w.rng, 8*time.Second, 0)
+	world.after(320*time.Second, func() {
+		for _, s := range world.servers {
+			s.Load = RandomLoad(world.rng, 8*time.Second, 0)
 		}
 		for _, model := range []string{"a", "b", "c"} {
-			w.ask(w.controllers[0], model, "last "+model, 180*time.Second)
+			world.sendRequest(world.activators[0], model, "last "+model, 180*time.Second)
 		}
 	})
-	w.finish(t, 530*time.Second)
-	for _, q := range w.asked {
-		if strings.HasPrefix(q.key, "last") && q.status != wake.StatusServed {
-			t.Errorf("%s: answered %d after all is over", q.key, q.status)
+	world.finish(t, 530*time.Second)
+	for _, request := range world.requests {
+		if strings.HasPrefix(request.key, "last") && request.status != wake.StatusServed {
+			t.Errorf("%s: answered %d after all is over", request.key, request.status)
 		}
 	}
 }
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -13,97 +13,97 @@
 
 // machine stands in for a machine and its worker.
 type machine struct {
-	w              *World
-	name, addr     string
-	typ, zone      string
-	spot           bool
-	rentedAt, upAt time.Duration
-	gone           bool
-	goneAt         time.Duration
-	session, seq   uint64
-	token          uint64
-	answered       time.Duration // when the last answered report was sent
-	tasks          map[string]*task
-	rows           []*task // tasks in order, see sorted; nil if they have changed
-	images         map[string]bool
-	node           int
-	busy           bool
-	nextReport     time.Duration
-	lastReport     time.Duration
-	changed        bool
-	warning        time.Duration
-	faulty         bool
-	copyUntil      time.Duration
-	copyDelay      time.Duration
-	hangUntil      time.Duration
-	muteUntil      time.Duration // until then it opens no connection to a controller
-	hangInbox      []func()
+	world                 *World
+	name, address         string
+	machineType, zone     string
+	spot                  bool
+	rentedAt, upAt        time.Duration
+	removed               bool
+	removedAt             time.Duration
+	incarnation, sequence uint64
+	fencingToken          uint64
+	acknowledgedAt        time.Duration // when the last answered report was sent
+	tasks                 map[string]*task
+	sortedCache           []*task // tasks in order, see sorted; nil if they have changed
+	cachedImages          map[string]bool
+	controllerIndex       int
+	awaitsAnswer          bool
+	nextHeartbeat         time.Duration
+	lastHeartbeat         time.Duration
+	statusChanged         bool
+	preemptionAt          time.Duration
+	faulty                bool
+	duplicateUntil        time.Duration
+	duplicateDelay        time.Duration
+	hangUntil             time.Duration
+	outboundBlockedUntil  time.Duration // until then it opens no connection to a controller
+	heldCommands          []func()
 }
 
 type task struct {
-	name     string
-	job      *jobTruth
-	index    int
-	attempt  uint64
-	state    wire.TaskState
-	cause    wire.ExitCause
-	saved    bool
-	on       bool
-	ordered  time.Duration // the command to start it was carried out
-	ready    time.Duration // image there
-	waitFrom time.Duration
-	runFrom  time.Duration
-	base     float64 // progress at the start of this run
-	saveEnd  time.Duration
-	lostAt   time.Duration // a gang's other task is gone
+	name          string
+	job           *groundTruth
+	index         int
+	attempt       uint64
+	state         wire.TaskState
+	cause         wire.ExitCause
+	checkpointed  bool
+	placed        bool
+	commandedAt   time.Duration // the command to start it was carried out
+	imageReadyAt  time.Duration // image there
+	waitingSince  time.Duration
+	runningSince  time.Duration
+	baseProgress  float64 // progress at the start of this run
+	checkpointEnd time.Duration
+	peerLostAt    time.Duration // a gang's other task is gone
 }
 
-func newMachine(w *World, name, typ, zone string, spot bool) *machine {
-	m := &machine{w: w, name: name, typ: typ, zone: zone, spot: spot, rentedAt: w.now, session: 1,
-		tasks: map[string]*task{}, images: map[string]bool{}}
-	if w.cloud.workerAddr != nil {
-		m.addr = w.cloud.workerAddr(name)
+func newMachine(world *World, name, typ, zone string, spot bool) *machine {
+	m := &machine{world: world, name: name, machineType: typ, zone: zone, spot: spot, rentedAt: world.now, incarnation: 1,
+		tasks: map[string]*task{}, cachedImages: map[string]bool{}}
+	if world.cloud.workerAddress != nil {
+		m.address = world.cloud.workerAddress(name)
 		return m
 	}
 	num, _ := strconv.Atoi(strings.TrimPrefix(name, "n-"))
-	m.addr = "10.1." + strconv.Itoa(num/250) + "." + strconv.Itoa(num%250+1) + ":9000"
+	m.address = "10.1." + strconv.Itoa(num/250) + "." + strconv.Itoa(num%250+1) + ":9000"
 	return m
 }
 
 // boot has a machine that has been rented come up, unless new ones never do.
 func (m *machine) boot() {
-	w := m.w
-	t := w.cloud.typ(m.typ)
-	delay := seconds(t.BootS * (0.6 + 0.9*w.rng.Float64()))
-	if w.cloud.noBoot.befalls(m) {
+	world := m.world
+	t := world.cloud.machineType(m.machineType)
+	delay := seconds(t.BootS * (0.6 + 0.9*world.rng.Float64()))
+	if world.cloud.failedBoots.affects(m) {
 		m.upAt = never
 		return
 	}
-	if w.cloud.lateBoot.befalls(m) {
-		delay = time.Duration(float64(delay) * w.cloud.lateBoot.factor)
+	if world.cloud.delayedBoots.affects(m) {
+		delay = time.Duration(float64(delay) * world.cloud.delayedBoots.factor)
 	}
-	m.comeUp(delay)
+	m.startWorkerAfter(delay)
 }
 
-// comeUp has the machine's worker begin to report after a while.
-func (m *machine) comeUp(after time.Duration) {
-	w := m.w
-	m.upAt = w.now + after
-	w.after(after, func() {
-		if m.gone {
+// startWorkerAfter has the machine's worker begin to report after a while.
+func (m *machine) startWorkerAfter(after time.Duration) {
+	world := m.world
+	m.upAt = world.now + after
+	world.after(after, func() {
+		if m.removed {
 			return
 		}
-		m.answered = w.now
-		m.node = w.rng.IntN(len(w.nodes))
+		m.acknowledgedAt = world.now
+		m.controllerIndex = world.rng.IntN(len(world.controllers))
 		m.tick()
 	})
 }
 
-// sorted lists the machine's tasks by name and attempt. The list is shared: callers
+// sortedTasks lists the machine's tasks by name and attempt. The list is shared: callers
 // leave it as it is.
-func (m *machine) sorted() []*task {
-	if m.rows != nil && len(m.rows) == len(m.tasks) {
-		return m.rows
+func (m *machine) sortedTasks() []*task {
+	if m.sortedCache != nil && len(m.sortedCache) == len(m.tasks) {
+		return m.sortedCache
 	}
 	out := make([]*task, 0, len(m.tasks))
 	for _, t := range m.tasks {
@@ -112,150 +112,150 @@
 	sort.Slice(out, func(i, j int) bool {
 		return out[i].name < out[j].name || out[i].name == out[j].name && out[i].attempt < out[j].attempt
 	})
-	m.rows = out
+	m.sortedCache = out
 	return out
 }
 
-// clear forgets all tasks.
-func (m *machine) clear() { m.tasks, m.rows = map[string]*task{}, nil }
+// clearTasks forgets all tasks.
+func (m *machine) clearTasks() { m.tasks, m.sortedCache = map[string]*task{}, nil }
 
-// endedKey is where an ended attempt is kept when another one has its place.
-func endedKey(name string, attempt uint64) string {
+// exitedKey is where an ended attempt is kept when another one has its place.
+func exitedKey(name string, attempt uint64) string {
 	return name + "#" + strconv.FormatUint(attempt, 10)
 }
 
 func (m *machine) tick() {
-	if m.gone {
+	if m.removed {
 		return
 	}
-	m.w.after(100*time.Millisecond, m.tick)
+	m.world.after(100*time.Millisecond, m.tick)
 	// The lease runs out on a hanging machine too.
-	if m.w.now-m.answered > seconds(m.w.cfg.Deployment.Workers.LeaseS) {
-		for _, t := range m.sorted() {
-			if t.on {
-				m.w.expired++
+	if m.world.now-m.acknowledgedAt > seconds(m.world.settings.Deployment.Workers.LeaseS) {
+		for _, t := range m.sortedTasks() {
+			if t.placed {
+				m.world.expiredTasks++
 			}
-			m.off(t)
+			m.terminate(t)
 		}
-		m.clear()
-		m.session++
-		m.answered = m.w.now
-		m.changed = true
+		m.clearTasks()
+		m.incarnation++
+		m.acknowledgedAt = m.world.now
+		m.statusChanged = true
 	}
-	if m.w.now < m.hangUntil {
+	if m.world.now < m.hangUntil {
 		return
 	}
-	inbox := m.hangInbox
-	m.hangInbox = nil
+	inbox := m.heldCommands
+	m.heldCommands = nil
 	for _, f := range inbox {
 		f()
 	}
-	for _, t := range m.sorted() {
+	for _, t := range m.sortedTasks() {
 		m.advance(t)
 	}
-	if m.busy {
+	if m.awaitsAnswer {
 		return
 	}
-	if m.w.now >= m.nextReport || m.changed && m.w.now >= m.lastReport+500*time.Millisecond {
-		m.report()
+	if m.world.now >= m.nextHeartbeat || m.statusChanged && m.world.now >= m.lastHeartbeat+500*time.Millisecond {
+		m.sendHeartbeat()
 	}
 }
 
 // advance moves one task on.
-func (m *machine) advance(t *task) {
-	now, d := m.w.now, m.w.cfg.Deployment.Workers
-	switch t.state {
-	case wire.TaskFetching:
-		if now >= t.ready {
-			m.fetched(t)
+func (m *machine) advance(task *task) {
+	now, timings := m.world.now, m.world.settings.Deployment.Workers
+	switch task.state {
+	case wire.TaskPulling:
+		if now >= task.imageReadyAt {
+			m.imagePulled(task)
 		}
 	case wire.TaskWaiting:
-		if now-t.waitFrom > seconds(d.GangWaitS) {
-			m.end(t, wire.CauseIncomplete)
+		if now-task.waitingSince > seconds(timings.GangWaitS) {
+			m.exit(task, wire.CauseGangIncomplete)
 		}
 	case wire.TaskRunning:
-		if t.lostAt == 0 {
-			m.progress(t)
-		} else if now-t.lostAt > seconds(d.GangPeerS) {
-			m.end(t, wire.CausePeers)
+		if task.peerLostAt == 0 {
+			m.advanceRunning(task)
+		} else if now-task.peerLostAt > seconds(timings.GangPeerS) {
+			m.exit(task, wire.CauseGangMemberLost)
 		}
-	case wire.TaskSaving:
-		if now >= t.saveEnd {
-			t.save(t.progressNow(t.saveEnd - seconds(t.job.SaveS)))
-			t.saved = true
-			m.end(t, wire.CauseStopped)
+	case wire.TaskCheckpointing:
+		if now >= task.checkpointEnd {
+			task.saveProgress(task.progressAt(task.checkpointEnd - seconds(task.job.CheckpointDurationS)))
+			task.checkpointed = true
+			m.exit(task, wire.CauseStopped)
 		}
 	}
 }
 
-// fetched has a task begin, or wait for its gang, now that its image is there.
-func (m *machine) fetched(t *task) {
-	w := m.w
-	m.images[t.job.Image] = true
-	w.putOn(m, t)
-	m.changed = true
-	w.check.start(m, t)
+// imagePulled has a task begin, or wait for its gang, now that its image is there.
+func (m *machine) imagePulled(task *task) {
+	world := m.world
+	m.cachedImages[task.job.Image] = true
+	world.addPlacement(m, task)
+	m.statusChanged = true
+	world.checker.checkStart(m, task)
 	switch {
-	case t.job.done[t.index]:
-		m.end(t, wire.CauseDone)
-	case m.faulty || t.job.fail:
-		m.end(t, wire.CauseError)
-	case t.job.Shape == wire.ShapeGang:
-		t.state, t.waitFrom = wire.TaskWaiting, w.now
-		w.gather(t)
+	case task.job.doneTasks[task.index]:
+		m.exit(task, wire.CauseDone)
+	case m.faulty || task.job.fails:
+		m.exit(task, wire.CauseError)
+	case task.job.Shape == wire.ShapeGang:
+		task.state, task.waitingSince = wire.TaskWaiting, world.now
+		world.startGang(task)
 	default:
-		t.run(w.now)
-		w.observeBegin(m, t)
+		task.beginRunning(world.now)
+		world.observeStart(m, task)
 	}
 }
 
-// progress saves checkpoints of a task that runs, and ends it when it is done.
-func (m *machine) progress(t *task) {
-	if t.job.Shape == wire.ShapeService {
+// advanceRunning saves checkpoints of a task that runs, and ends it when it is done.
+func (m *machine) advanceRunning(task *task) {
+	if task.job.Shape == wire.ShapeService {
 		return
 	}
-	ran := t.progressNow(m.w.now)
-	if t.job.CheckpointS > 0 {
-		t.save(float64(int(ran/t.job.CheckpointS)) * t.job.CheckpointS)
+	ran := task.progressAt(m.world.now)
+	if task.job.CheckpointIntervalS > 0 {
+		task.saveProgress(float64(int(ran/task.job.CheckpointIntervalS)) * task.job.CheckpointIntervalS)
 	}
-	if ran < t.job.runS {
+	if ran < task.job.runS {
 		return
 	}
-	if t.job.Shape == wire.ShapeGang {
-		for i := range t.job.Tasks {
-			t.job.done[i] = true
+	if task.job.Shape == wire.ShapeGang {
+		for i := range task.job.Tasks {
+			task.job.doneTasks[i] = true
 		}
 	}
-	t.job.done[t.index] = true
-	m.end(t, wire.CauseDone)
-	m.w.ended(t.job)
+	task.job.doneTasks[task.index] = true
+	m.exit(task, wire.CauseDone)
+	m.world.cancelFinishedJob(task.job)
 }
 
-// save keeps progress outside the machine, if it is more than is saved already.
-func (t *task) save(progress float64) {
-	t.job.progress[t.key()] = max(t.job.progress[t.key()], progress)
+// saveProgress keeps progress outside the machine, if it is more than is saved already.
+func (t *task) saveProgress(progress float64) {
+	t.job.savedProgress[t.progressKey()] = max(t.job.savedProgress[t.progressKey()], progress)
 }
 
-func (t *task) key() int {
+func (t *task) progressKey() int {
 	if t.job.Shape == wire.ShapeGang {
 		return 0
 	}
 	return t.index
 }
 
-func (t *task) progressNow(now time.Duration) float64 {
-	return t.base + max(0, (now-t.runFrom).Seconds())
+func (t *task) progressAt(now time.Duration) float64 {
+	return t.baseProgress + max(0, (now-t.runningSince).Seconds())
 }
 
-// run begins a task's run, from what is saved.
-func (t *task) run(now time.Duration) {
-	t.state, t.runFrom, t.base = wire.TaskRunning, now, t.job.progress[t.key()]
+// beginRunning begins a task's run, from what is saved.
+func (t *task) beginRunning(now time.Duration) {
+	t.state, t.runningSince, t.baseProgress = wire.TaskRunning, now, t.job.savedProgress[t.progressKey()]
 }
 
-// gather starts a gang once its last task waits.
-func (w *World) gather(t *task) {
+// startGang starts a gang once its last task waits.
+func (w *World) startGang(t *task) {
 	var all []placement
-	for _, p := range w.placements(t.job) {
+	for _, p := range w.sortedPlacements(t.job) {
 		if p.task.attempt == t.attempt && p.task.state == wire.TaskWaiting {
 			all = append(all, p)
 		}
@@ -264,227 +264,227 @@
 		return
 	}
 	for _, p := range all {
-		p.task.run(w.now)
-		w.observeBegin(p.machine, p.task)
+		p.task.beginRunning(w.now)
+		w.observeStart(p.machine, p.task)
 	}
 }
 
-// off takes a task off the machine without a word, as a death does.
-func (m *machine) off(t *task) {
-	if t.state == wire.TaskExited {
+// terminate takes a task off the machine without a word, as a death does.
+func (m *machine) terminate(task *task) {
+	if task.state == wire.TaskExited {
 		return
 	}
-	ran := t.state == wire.TaskRunning
-	m.w.takeOff(t)
-	t.state = wire.TaskExited
-	if t.job.Shape == wire.ShapeGang && ran && !t.job.done[t.index] {
-		for _, p := range m.w.placements(t.job) {
-			if o := p.task; o.attempt == t.attempt && o.state == wire.TaskRunning && o.lostAt == 0 {
-				o.lostAt = m.w.now
+	ran := task.state == wire.TaskRunning
+	m.world.removePlacement(task)
+	task.state = wire.TaskExited
+	if task.job.Shape == wire.ShapeGang && ran && !task.job.doneTasks[task.index] {
+		for _, p := range m.world.sortedPlacements(task.job) {
+			if other := p.task; other.attempt == task.attempt && other.state == wire.TaskRunning && other.peerLostAt == 0 {
+				other.peerLostAt = m.world.now
 			}
 		}
 	}
 }
 
-func (m *machine) end(t *task, cause wire.ExitCause) {
-	m.off(t)
+func (m *machine) exit(t *task, cause wire.ExitCause) {
+	m.terminate(t)
 	t.cause = cause
-	m.changed = true
+	m.statusChanged = true
 }
 
-func (m *machine) message() *wire.Report {
-	m.seq++
-	r := &wire.Report{Machine: m.name, Addr: m.addr, Type: m.typ, Zone: m.zone, Spot: m.spot,
-		Session: m.session, Seq: m.seq, Token: m.token, Tasks: []wire.Task{}}
-	if m.warning != 0 {
-		s := (m.warning - m.w.now).Seconds()
-		r.WarningS = &s
-	}
-	rows := slices.Clone(m.sorted())
+func (m *machine) heartbeat() *wire.Heartbeat {
+	m.sequence++
+	report := &wire.Heartbeat{Machine: m.name, Addr: m.address, Type: m.machineType, Zone: m.zone, Spot: m.spot,
+		Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: []wire.TaskStatus{}}
+	if m.preemptionAt != 0 {
+		s := (m.preemptionAt - m.world.now).Seconds()
+		report.PreemptionNoticeS = &s
+	}
+	rows := slices.Clone(m.sortedTasks())
 	// The protocol gives no order.
-	m.w.rng.Shuffle(len(rows), func(a, b int) { rows[a], rows[b] = rows[b], rows[a] })
+	m.world.rng.Shuffle(len(rows), func(a, b int) { rows[a], rows[b] = rows[b], rows[a] })
 	for _, t := range rows {
-		r.Tasks = append(r.Tasks, wire.Task{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		report.Tasks = append(report.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
 	}
-	return r
+	return report
 }
 
-func (m *machine) report() {
-	w := m.w
-	m.busy, m.changed = true, false
-	m.lastReport = w.now
-	sent, session := w.now, m.session
-	body, _ := json.Marshal(m.message())
-	w.check.reportSize(m, len(body))
-	if w.now < m.copyUntil && w.now >= m.muteUntil {
-		n := w.nodes[w.rng.IntN(len(w.nodes))]
-		w.after(m.copyDelay, func() {
-			n.request(m.name, "POST", "/checkin", body, 4*time.Second, func(int, []byte) {})
+func (m *machine) sendHeartbeat() {
+	world := m.world
+	m.awaitsAnswer, m.statusChanged = true, false
+	m.lastHeartbeat = world.now
+	sent, session := world.now, m.incarnation
+	body, _ := json.Marshal(m.heartbeat())
+	world.checker.checkHeartbeatSize(m, len(body))
+	if world.now < m.duplicateUntil && world.now >= m.outboundBlockedUntil {
+		controller := world.controllers[world.rng.IntN(len(world.controllers))]
+		world.after(m.duplicateDelay, func() {
+			controller.request(m.name, "POST", "/checkin", body, 4*time.Second, func(int, []byte) {})
 		})
 	}
-	if w.now >= m.muteUntil && w.lateReports.strikes(w) {
-		lease := seconds(w.cfg.Deployment.Workers.LeaseS)
-		w.after(2*time.Second+time.Duration(w.rng.Int64N(int64(lease+lease/2))), func() {
-			n := w.nodes[w.rng.IntN(len(w.nodes))]
-			n.request(m.name, "POST", "/checkin", body, 4*time.Second, func(int, []byte) {})
+	if world.now >= m.outboundBlockedUntil && world.duplicateHeartbeats.occurs(world) {
+		lease := seconds(world.settings.Deployment.Workers.LeaseS)
+		world.after(2*time.Second+time.Duration(world.rng.Int64N(int64(lease+lease/2))), func() {
+			controller := world.controllers[world.rng.IntN(len(world.controllers))]
+			controller.request(m.name, "POST", "/checkin", body, 4*time.Second, func(int, []byte) {})
 		})
 	}
 	answer := func(status int, answer []byte) {
-		if m.gone {
+		if m.removed {
 			return
 		}
-		m.busy = false
-		period := seconds(w.cfg.Deployment.Workers.ReportS)
-		m.nextReport = w.now + time.Duration(float64(period)*(0.75+0.5*w.rng.Float64()))
-		if status == 421 && w.now >= m.hangUntil {
+		m.awaitsAnswer = false
+		period := seconds(world.settings.Deployment.Workers.ReportS)
+		m.nextHeartbeat = world.now + time.Duration(float64(period)*(0.75+0.5*world.rng.Float64()))
+		if status == 421 && world.now >= m.hangUntil {
 			var r wire.Redirect
 			json.Unmarshal(answer, &r)
-			for i, n := range w.nodes {
-				if n.name == r.ReportTo && i != m.node {
-					m.node = i
-					m.nextReport = w.now + time.Duration(w.rng.Int64N(int64(time.Second/2)))
+			for i, controller := range world.controllers {
+				if controller.name == r.Controller && i != m.controllerIndex {
+					m.controllerIndex = i
+					m.nextHeartbeat = world.now + time.Duration(world.rng.Int64N(int64(time.Second/2)))
 					return
 				}
 			}
 		}
-		if status != 200 || w.now < m.hangUntil {
-			m.node = (m.node + 1) % len(w.nodes)
-			m.nextReport = w.now + time.Second
+		if status != 200 || world.now < m.hangUntil {
+			m.controllerIndex = (m.controllerIndex + 1) % len(world.controllers)
+			m.nextHeartbeat = world.now + time.Second
 			return
 		}
-		var o wire.Orders
-		if json.Unmarshal(answer, &o) != nil || o.Token < m.token || session != m.session {
+		var o wire.CommandList
+		if json.Unmarshal(answer, &o) != nil || o.FencingToken < m.fencingToken || session != m.incarnation {
 			return
 		}
-		m.see(o.Token)
-		m.answered = max(m.answered, sent)
+		m.observeToken(o.FencingToken)
+		m.acknowledgedAt = max(m.acknowledgedAt, sent)
 		m.execute(o.Commands)
 	}
-	if w.now < m.muteUntil {
+	if world.now < m.outboundBlockedUntil {
 		// The connection doesn't open. What a controller opens to the
 		// worker goes on, so this is no cut.
-		w.after(4*time.Second, func() { answer(0, nil) })
+		world.after(4*time.Second, func() { answer(0, nil) })
 		return
 	}
-	w.nodes[m.node].request(m.name, "POST", "/checkin", body, 4*time.Second, answer)
+	world.controllers[m.controllerIndex].request(m.name, "POST", "/checkin", body, 4*time.Second, answer)
 }
 
-func (m *machine) see(token uint64) {
-	if token > m.token {
-		m.token = token
-		m.changed = true
+func (m *machine) observeToken(token uint64) {
+	if token > m.fencingToken {
+		m.fencingToken = token
+		m.statusChanged = true
 	}
 }
 
-// direct handles a command to the worker's own address.
-func (m *machine) direct(method, path string, body []byte, reply func(int, []byte)) {
-	if m.gone || m.w.now < m.upAt {
+// handleDirect handles a command to the worker's own address.
+func (m *machine) handleDirect(method, path string, body []byte, reply func(int, []byte)) {
+	if m.removed || m.world.now < m.upAt {
 		return
 	}
-	if m.w.now < m.hangUntil {
-		m.hangInbox = append(m.hangInbox, func() { m.direct(method, path, body, reply) })
+	if m.world.now < m.hangUntil {
+		m.heldCommands = append(m.heldCommands, func() { m.handleDirect(method, path, body, reply) })
 		return
 	}
 	status := 200
 	if path == "/do" {
-		var o wire.Orders
+		var o wire.CommandList
 		json.Unmarshal(body, &o)
-		if o.Token < m.token || o.Session != m.session {
+		if o.FencingToken < m.fencingToken || o.Incarnation != m.incarnation {
 			status = 409
 		} else {
-			m.see(o.Token)
+			m.observeToken(o.FencingToken)
 			m.execute(o.Commands)
 		}
 	}
-	b, _ := json.Marshal(m.message())
+	b, _ := json.Marshal(m.heartbeat())
 	reply(status, b)
 }
 
 // execute carries commands out in order.
 func (m *machine) execute(cmds []wire.Command) {
-	for _, c := range cmds {
-		if m.tasks[endedKey(c.Task, c.Attempt)] != nil { // an earlier attempt, over
-			if c.Verb == wire.VerbForget {
-				m.forget(endedKey(c.Task, c.Attempt))
+	for _, command := range cmds {
+		if m.tasks[exitedKey(command.Task, command.Attempt)] != nil { // an earlier attempt, over
+			if command.Verb == wire.VerbForget {
+				m.forgetTask(exitedKey(command.Task, command.Attempt))
 			}
 			continue
 		}
-		t := m.tasks[c.Task]
-		here := t != nil && t.attempt == c.Attempt
+		t := m.tasks[command.Task]
+		here := t != nil && t.attempt == command.Attempt
 		switch {
-		case c.Verb == wire.VerbStart && !here:
-			m.start(c)
-		case c.Verb == wire.VerbStop && here && t.state != wire.TaskExited:
-			m.stop(t, c.GraceS)
-		case c.Verb == wire.VerbForget && here && t.state == wire.TaskExited:
-			m.forget(c.Task)
+		case command.Verb == wire.VerbStart && !here:
+			m.startTask(command)
+		case command.Verb == wire.VerbStop && here && t.state != wire.TaskExited:
+			m.stopTask(t, command.GracePeriodS)
+		case command.Verb == wire.VerbForget && here && t.state == wire.TaskExited:
+			m.forgetTask(command.Task)
 		}
 	}
 }
 
-// forget removes a task from the reports.
-func (m *machine) forget(key string) {
+// forgetTask removes a task from the reports.
+func (m *machine) forgetTask(key string) {
 	delete(m.tasks, key)
-	m.rows = nil
-	m.changed = true
+	m.sortedCache = nil
+	m.statusChanged = true
 }
 
-// stop ends a task, after a save if it can save and is given the time.
-func (m *machine) stop(t *task, graceS *float64) {
-	m.changed = true
+// stopTask ends a task, after a save if it can save and is given the time.
+func (m *machine) stopTask(task *task, graceS *float64) {
+	m.statusChanged = true
 	grace := 0.0
 	if graceS != nil {
 		grace = *graceS
 	}
 	switch {
-	case t.state == wire.TaskSaving:
+	case task.state == wire.TaskCheckpointing:
 		if graceS != nil && grace == 0 {
-			m.end(t, wire.CauseStopped)
+			m.exit(task, wire.CauseStopped)
 		}
-	case t.state == wire.TaskRunning && t.job.CheckpointS > 0 && graceS != nil && grace >= t.job.SaveS && t.lostAt == 0:
-		t.state = wire.TaskSaving
-		t.saveEnd = m.w.now + seconds(t.job.SaveS)
+	case task.state == wire.TaskRunning && task.job.CheckpointIntervalS > 0 && graceS != nil && grace >= task.job.CheckpointDurationS && task.peerLostAt == 0:
+		task.state = wire.TaskCheckpointing
+		task.checkpointEnd = m.world.now + seconds(task.job.CheckpointDurationS)
 	default:
-		m.end(t, wire.CauseStopped)
+		m.exit(task, wire.CauseStopped)
 	}
 }
 
-func (m *machine) start(c wire.Command) {
-	w := m.w
-	w.started++
-	m.changed = true
-	i := strings.IndexByte(c.Task, '/')
-	t := &task{name: c.Task, attempt: c.Attempt, state: wire.TaskExited, ordered: w.now}
+func (m *machine) startTask(command wire.Command) {
+	world := m.world
+	world.taskStarts++
+	m.statusChanged = true
+	i := strings.IndexByte(command.Task, '/')
+	t := &task{name: command.Task, attempt: command.Attempt, state: wire.TaskExited, commandedAt: world.now}
 	if i > 0 {
-		t.job = w.jobs[c.Task[:i]]
-		t.index, _ = strconv.Atoi(c.Task[i+1:])
+		t.job = world.jobs[command.Task[:i]]
+		t.index, _ = strconv.Atoi(command.Task[i+1:])
 	}
-	if old := m.tasks[c.Task]; old != nil {
+	if old := m.tasks[command.Task]; old != nil {
 		if old.state != wire.TaskExited {
 			return // another attempt is here; the stand-in refuses silently
 		}
-		m.tasks[endedKey(c.Task, old.attempt)] = old // listed until it is to be forgotten
+		m.tasks[exitedKey(command.Task, old.attempt)] = old // listed until it is to be forgotten
 	}
-	m.tasks[c.Task], m.rows = t, nil
+	m.tasks[command.Task], m.sortedCache = t, nil
 	if t.job == nil || t.index >= t.job.Tasks {
-		t.job = &jobTruth{Job: wire.Job{ID: c.Task}, done: map[int]bool{}, progress: map[int]float64{}}
-		t.cause = wire.CauseUnknown
+		t.job = &groundTruth{Job: wire.Job{ID: command.Task}, doneTasks: map[int]bool{}, savedProgress: map[int]float64{}}
+		t.cause = wire.CauseUnknownTask
 		return
 	}
-	typ := w.cloud.typ(m.typ)
+	typ := world.cloud.machineType(m.machineType)
 	cpus, gpus, mem := typ.CPUs, typ.GPUs, typ.MemGB
-	for _, o := range m.tasks {
-		if o.state != wire.TaskExited {
-			cpus, gpus, mem = cpus-o.job.CPUs, gpus-o.job.GPUs, mem-o.job.MemGB
+	for _, other := range m.tasks {
+		if other.state != wire.TaskExited {
+			cpus, gpus, mem = cpus-other.job.CPUs, gpus-other.job.GPUs, mem-other.job.MemGB
 		}
 	}
 	if cpus+1e-6 < t.job.CPUs || gpus+1e-6 < t.job.GPUs || mem+1e-6 < t.job.MemGB {
-		t.cause = wire.CauseNoRoom
+		t.cause = wire.CauseInsufficientResources
 		return
 	}
-	t.state = wire.TaskFetching
-	t.ready = w.now
-	if !m.images[t.job.Image] {
-		t.ready += seconds(t.job.ImageGB / typ.FetchGBPS)
+	t.state = wire.TaskPulling
+	t.imageReadyAt = world.now
+	if !m.cachedImages[t.job.Image] {
+		t.imageReadyAt += seconds(t.job.ImageGB / typ.PullGBPerS)
 	}
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -21,86 +21,88 @@
 )
 
 type event struct {
-	at  time.Duration
-	seq int
-	f   func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
-type events []event
+type eventQueue []event
 
-func (e events) Len() int { return len(e) }
-func (e events) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+func (e eventQueue) Len() int { return len(e) }
+func (e eventQueue) Less(i, j int) bool {
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
-func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *events) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *events) Pop() any {
+func (e eventQueue) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *eventQueue) Push(x any)   { *e = append(*e, x.(event)) }
+func (e *eventQueue) Pop() any {
 	old := *e
 	x := old[len(old)-1]
 	*e = old[:len(old)-1]
 	return x
 }
 
-// cut blocks messages from one set of endpoints to another.
-type cut struct {
-	from, to string
-	until    time.Duration
-	hold     bool
+// partition blocks messages from one set of endpoints to another.
+type partition struct {
+	from, to      string
+	until         time.Duration
+	holdsMessages bool
 }
 
-// late is a trouble that befalls a share of events until its time is over.
-type late struct {
-	share float64
-	until time.Duration
+// randomFault is a trouble that befalls a share of events until its time is over.
+type randomFault struct {
+	probability float64
+	until       time.Duration
 }
 
-// strikes tells by chance whether the trouble befalls an event of now.
-func (l late) strikes(w *World) bool { return w.now < l.until && w.rng.Float64() < l.share }
+// occurs tells by chance whether the trouble befalls an event of now.
+func (l randomFault) occurs(world *World) bool {
+	return world.now < l.until && world.rng.Float64() < l.probability
+}
 
 // World is one simulated deployment.
 type World struct {
-	now   time.Duration
-	queue events
-	seq   int
-	rng   *rand.Rand
-
-	cfg     *config.Settings
-	log     *slog.Logger
-	nodes   []*node
-	store   *stateService
-	cloud   *cloudService
-	users   *users
-	check   *checker
-	cuts    []*cut
-	jobs    map[string]*jobTruth
-	on      map[*jobTruth]*jobPlacements  // the tasks that are on machines, see placements.go
-	teams   map[string]map[*jobTruth]bool // those of each team with tasks on machines
-	watch   Observer                      // may be nil
-	started int
-	expired int // tasks that a worker dropped for want of an answer
-
-	standstills []span        // in which all controllers stood still
-	calm        time.Duration // when the last trouble is over
-	lateReports late          // copies of reports that come again
-	endCancels  late          // jobs called off at the moment of their end
+	now          time.Duration
+	queue        eventQueue
+	lastSequence int
+	rng          *rand.Rand
+
+	settings        *config.Settings
+	log             *slog.Logger
+	controllers     []*controller
+	store           *keyValueStore
+	cloud           *cloudService
+	users           *users
+	checker         *checker
+	partitions      []*partition
+	jobs            map[string]*groundTruth
+	placementsByJob map[*groundTruth]*jobPlacements  // the tasks that are on machines, see placements.go
+	jobsByTeam      map[string]map[*groundTruth]bool // those of each team with tasks on machines
+	observer        Observer                         // may be nil
+	taskStarts      int
+	expiredTasks    int // tasks that a worker dropped for want of an answer
+
+	pauses              []interval    // in which all controllers stood still
+	faultsEnd           time.Duration // when the last trouble is over
+	duplicateHeartbeats randomFault   // copies of reports that come again
+	cancellationsAtEnd  randomFault   // jobs called off at the moment of their end
 
 	// mutate, if set, changes what a core asks for: it stands for a broken
 	// core in the checker's own test.
-	mutate func(n *node, out *core.Output)
+	mutate func(n *controller, out *core.Output)
 
-	// regionSend, if set, carries a message to another region; onUse is told of a team whose
+	// sendToRegion, if set, carries a message to another region; usageIncreased is told of a team whose
 	// use has grown. They are nil in a world without other regions.
-	regionSend func(n *node, s core.RegionSend)
-	// heldElsewhere, if set, is how many GPUs of a team's limit other regions use or have
+	sendToRegion func(n *controller, s core.RegionSend)
+	// reservedElsewhere, if set, is how many GPUs of a team's limit other regions use or have
 	// guaranteed.
-	heldElsewhere func(team string) float64
-	// useChanged, if set, is told by how much the use of a team changes.
-	useChanged func(team string, cpus, gpus float64)
-	onUse      func(team string)
+	reservedElsewhere func(team string) float64
+	// usageChanged, if set, is told by how much the use of a team changes.
+	usageChanged   func(team string, cpus, gpus float64)
+	usageIncreased func(team string)
 
 	// newCore, if set, makes the core of a node that boots, in place of that of
 	// this version.
-	newCore func(n *node, boot uint64) stepper
+	newCore func(n *controller, boot uint64) stepper
 }
 
 // stepper is what a node runs: a core of this version, or a child process with
@@ -109,51 +111,51 @@
 	Step(now time.Duration, wall time.Time, in core.Input) core.Output
 }
 
-// jobTruth is what the stand-ins know of a job.
-type jobTruth struct {
+// groundTruth is what the stand-ins know of a job.
+type groundTruth struct {
 	wire.Job
-	runS      float64
-	fail      bool
-	done      map[int]bool
-	progress  map[int]float64 // saved, by task; a gang uses task 0
-	submitted time.Duration   // first attempt to submit it
-	begun     map[int]bool    // tasks that have run, for the observer
+	runS          float64
+	fails         bool
+	doneTasks     map[int]bool
+	savedProgress map[int]float64 // saved, by task; a gang uses task 0
+	submittedAt   time.Duration   // first attempt to submit it
+	startedTasks  map[int]bool    // tasks that have run, for the observer
 }
 
-func newWorld(cfg *config.Settings, seed uint64, log *slog.Logger) *World {
-	w := &World{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), log: log, jobs: map[string]*jobTruth{},
-		on: map[*jobTruth]*jobPlacements{}, teams: map[string]map[*jobTruth]bool{}}
-	w.store = newStore(w)
-	w.cloud = newCloud(w)
-	w.users = newUsers(w)
-	w.check = newChecker(w)
-	for i := 0; i < cfg.Deployment.Size; i++ {
-		n := &node{w: w, index: i, name: "node-" + strconv.Itoa(i)}
-		w.nodes = append(w.nodes, n)
-		w.after(time.Duration(i)*30*time.Millisecond, n.boot)
+func newWorld(settings *config.Settings, seed uint64, log *slog.Logger) *World {
+	world := &World{settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), log: log, jobs: map[string]*groundTruth{},
+		placementsByJob: map[*groundTruth]*jobPlacements{}, jobsByTeam: map[string]map[*groundTruth]bool{}}
+	world.store = newKeyValueStore(world)
+	world.cloud = newCloud(world)
+	world.users = newUsers(world)
+	world.checker = newChecker(world)
+	for i := 0; i < settings.Deployment.Size; i++ {
+		controller := &controller{world: world, index: i, name: "node-" + strconv.Itoa(i)}
+		world.controllers = append(world.controllers, controller)
+		world.after(time.Duration(i)*30*time.Millisecond, controller.start)
 	}
-	return w
+	return world
 }
 
 func (w *World) after(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + max(d, 0), w.seq, f})
+	w.lastSequence++
+	heap.Push(&w.queue, event{w.now + max(d, 0), w.lastSequence, f})
 }
 
 func (w *World) run(until time.Duration) {
 	for len(w.queue) > 0 && w.queue[0].at <= until {
 		e := heap.Pop(&w.queue).(event)
 		w.now = e.at
-		e.f()
+		e.run()
 	}
 	w.now = until
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// match tells whether endpoint name is meant by a pattern: a name, a kind
+// matches tells whether endpoint name is meant by a pattern: a name, a kind
 // ("nodes", "workers"), or "zone:" with a zone.
-func (w *World) match(pattern, name string) bool {
+func (w *World) matches(pattern, name string) bool {
 	switch {
 	case pattern == name:
 		return true
@@ -168,9 +170,9 @@
 }
 
 func (w *World) zoneOf(name string) string {
-	for _, n := range w.nodes {
-		if n.name == name {
-			return w.cfg.Deployment.Zones[n.index%len(w.cfg.Deployment.Zones)]
+	for _, controller := range w.controllers {
+		if controller.name == name {
+			return w.settings.Deployment.Zones[controller.index%len(w.settings.Deployment.Zones)]
 		}
 	}
 	if m := w.cloud.machines[name]; m != nil {
@@ -182,9 +184,9 @@
 // deliver carries a message: f runs at the receiver, unless a cut drops it.
 func (w *World) deliver(from, to string, f func()) {
 	delay := time.Millisecond + time.Duration(w.rng.Int64N(int64(4*time.Millisecond)))
-	for _, c := range w.cuts {
-		if c.until > w.now && w.match(c.from, from) && w.match(c.to, to) {
-			if !c.hold {
+	for _, c := range w.partitions {
+		if c.until > w.now && w.matches(c.from, from) && w.matches(c.to, to) {
+			if !c.holdsMessages {
 				return
 			}
 			delay = max(delay, c.until-w.now+time.Millisecond)
@@ -193,150 +195,150 @@
 	w.after(delay, f)
 }
 
-// node is one controller: a core and what stands for its process.
-type node struct {
-	w     *World
-	index int
-	name  string
-	core  stepper
-	alive bool
-	life  int
-	born  time.Duration
-	reqs  map[uint64]func(core.Answer)
+// controller is one controller: a core and what stands for its process.
+type controller struct {
+	world           *World
+	index           int
+	name            string
+	core            stepper
+	alive           bool
+	incarnation     int
+	startedAt       time.Duration
+	pendingRequests map[uint64]func(core.Answer)
 
 	// process, if set, is the controller itself, outside of this process. The
 	// fields of the simulated one are not used then.
-	process Process
-	next    uint64
-	paused  time.Duration // it stands still until then
-	held    []core.Input  // what has come for it meanwhile
+	process       Process
+	lastRequestID uint64
+	pausedUntil   time.Duration // it stands still until then
+	heldInputs    []core.Input  // what has come for it meanwhile
 	// pausedAt is when it began to stand still.
-	pausedAt time.Duration
-	pace     *store.Pace
-	cloud    *budget.Bucket
+	pausedAt    time.Duration
+	storePace   *store.RateLimiter
+	cloudBudget *budget.Bucket
 }
 
-func (n *node) settings() *config.Settings {
-	s := *n.w.cfg
-	s.Name, s.Zone = n.name, n.w.zoneOf(n.name)
+func (c *controller) settings() *config.Settings {
+	s := *c.world.settings
+	s.Name, s.Zone = c.name, c.world.zoneOf(c.name)
 	s.Peers = nil
-	for _, o := range n.w.nodes {
-		if o != n {
-			s.Peers = append(s.Peers, config.Peer{Name: o.name, Zone: n.w.zoneOf(o.name)})
+	for _, o := range c.world.controllers {
+		if o != c {
+			s.Peers = append(s.Peers, config.Peer{Name: o.name, Zone: c.world.zoneOf(o.name)})
 		}
 	}
 	return &s
 }
 
-func (n *node) boot() {
-	n.alive = true
-	n.life++
-	n.born = n.w.now
-	if n.process != nil {
-		n.process.Start()
+func (c *controller) start() {
+	c.alive = true
+	c.incarnation++
+	c.startedAt = c.world.now
+	if c.process != nil {
+		c.process.Start()
 		return
 	}
-	n.reqs = map[uint64]func(core.Answer){}
-	n.paused, n.held = 0, nil
-	n.pace, n.cloud = store.NewPace(n.w.cfg), cloud.NewPace(n.w.cfg)
-	boot := uint64(n.index+1)<<32 + uint64(n.life)
-	if n.w.newCore != nil {
-		n.core = n.w.newCore(n, boot)
+	c.pendingRequests = map[uint64]func(core.Answer){}
+	c.pausedUntil, c.heldInputs = 0, nil
+	c.storePace, c.cloudBudget = store.NewRateLimiter(c.world.settings), cloud.NewRateLimiter(c.world.settings)
+	boot := uint64(c.index+1)<<32 + uint64(c.incarnation)
+	if c.world.newCore != nil {
+		c.core = c.world.newCore(c, boot)
 	} else {
-		n.core = core.New(n.settings(), nil, boot, n.w.log.With("node", n.name))
+		c.core = core.New(c.settings(), nil, boot, c.world.log.With("node", c.name))
 	}
-	n.tick(n.life)
+	c.tick(c.incarnation)
 }
 
-func (n *node) crash(back time.Duration) {
-	n.alive = false
-	n.life++
-	if n.process != nil {
-		n.process.Kill()
+func (c *controller) crash(back time.Duration) {
+	c.alive = false
+	c.incarnation++
+	if c.process != nil {
+		c.process.Kill()
 	}
-	life := n.life
-	n.w.after(back, func() {
-		if !n.alive && n.life == life {
-			n.boot()
+	life := c.incarnation
+	c.world.after(back, func() {
+		if !c.alive && c.incarnation == life {
+			c.start()
 		}
 	})
 }
 
-func (n *node) tick(life int) {
-	if !n.alive || n.life != life {
+func (c *controller) tick(life int) {
+	if !c.alive || c.incarnation != life {
 		return
 	}
-	if n.w.now >= n.paused {
-		n.feed(core.Tick{})
+	if c.world.now >= c.pausedUntil {
+		c.step(core.Tick{})
 	}
-	n.w.after(75*time.Millisecond, func() { n.tick(life) })
+	c.world.after(75*time.Millisecond, func() { c.tick(life) })
 }
 
 // pause has the controller stand still for a while. What comes meanwhile is there when it
 // goes on, as if nothing had been.
-func (n *node) pause(d time.Duration) {
-	n.pausedAt, n.paused = n.w.now, n.w.now+d
-	life := n.life
-	n.w.after(d, func() {
-		if n.life != life || n.w.now < n.paused {
+func (c *controller) pause(d time.Duration) {
+	c.pausedAt, c.pausedUntil = c.world.now, c.world.now+d
+	life := c.incarnation
+	c.world.after(d, func() {
+		if c.incarnation != life || c.world.now < c.pausedUntil {
 			return
 		}
-		held := n.held
-		n.held = nil
+		held := c.heldInputs
+		c.heldInputs = nil
 		for _, in := range held {
-			n.feed(in)
+			c.step(in)
 		}
 	})
 }
 
-func (n *node) feed(in core.Input) {
-	if n.w.now < n.paused {
-		n.held = append(n.held, in)
+func (c *controller) step(in core.Input) {
+	if c.world.now < c.pausedUntil {
+		c.heldInputs = append(c.heldInputs, in)
 		return
 	}
-	now := n.w.now - n.born + time.Millisecond
+	now := c.world.now - c.startedAt + time.Millisecond
 	// A drifting steady clock, within what the protocol allows.
-	now += now * time.Duration(n.index) / 4000
-	out := n.core.Step(now, n.w.clock(), in)
-	if n.w.mutate != nil {
-		n.w.mutate(n, &out)
+	now += now * time.Duration(c.index) / 4000
+	out := c.core.Step(now, c.world.wallClock(), in)
+	if c.world.mutate != nil {
+		c.world.mutate(c, &out)
 	}
 	for _, a := range out.Answers {
-		if f := n.reqs[a.ID]; f != nil {
-			delete(n.reqs, a.ID)
+		if f := c.pendingRequests[a.ID]; f != nil {
+			delete(c.pendingRequests, a.ID)
 			f(a)
 		}
 	}
-	for _, s := range out.Sends {
-		to, msg := s.To, s.Msg
-		n.w.deliver(n.name, to, func() {
-			for _, o := range n.w.nodes {
+	for _, s := range out.PeerSends {
+		to, msg := s.To, s.Message
+		c.world.deliver(c.name, to, func() {
+			for _, o := range c.world.controllers {
 				if o.name == to && o.alive {
-					o.feed(core.PeerInput{Message: msg})
+					o.step(core.PeerInput{Message: msg})
 				}
 			}
 		})
 	}
 	for _, s := range out.RegionSends {
-		if n.w.regionSend != nil {
-			n.w.regionSend(n, s)
+		if c.world.sendToRegion != nil {
+			c.world.sendToRegion(c, s)
 		}
 	}
-	for _, k := range out.Calls {
-		n.call(k)
+	for _, call := range out.Calls {
+		c.call(call)
 	}
 }
 
 // request delivers an HTTP request to the node; done gets the answer, or
 // status 0 after the timeout.
-func (n *node) request(from, method, path string, body []byte, timeout time.Duration, done func(status int, body []byte)) {
-	n.ask(from, method, path, body, timeout, func(a core.Answer) { done(a.Status, a.Body) })
+func (c *controller) request(from, method, path string, body []byte, timeout time.Duration, done func(status int, body []byte)) {
+	c.requestAnswer(from, method, path, body, timeout, func(a core.Answer) { done(a.Status, a.Body) })
 }
 
-// ask is request for those who heed more of the answer than status and body.
-func (n *node) ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
-	if n.process != nil {
-		n.process.Ask(from, method, path, body, timeout, done)
+// requestAnswer is request for those who heed more of the answer than status and body.
+func (c *controller) requestAnswer(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
+	if c.process != nil {
+		c.process.Ask(from, method, path, body, timeout, done)
 		return
 	}
 	over := false
@@ -346,77 +348,77 @@
 			done(a)
 		}
 	}
-	n.w.after(timeout, func() { finish(core.Answer{}) })
-	n.w.deliver(from, n.name, func() {
-		if !n.alive {
+	c.world.after(timeout, func() { finish(core.Answer{}) })
+	c.world.deliver(from, c.name, func() {
+		if !c.alive {
 			// Refused; the caller notices soon.
-			n.w.deliver(n.name, from, func() { finish(core.Answer{}) })
+			c.world.deliver(c.name, from, func() { finish(core.Answer{}) })
 			return
 		}
-		n.next++
-		n.reqs[n.next] = func(a core.Answer) {
-			n.w.deliver(n.name, from, func() { finish(a) })
+		c.lastRequestID++
+		c.pendingRequests[c.lastRequestID] = func(a core.Answer) {
+			c.world.deliver(c.name, from, func() { finish(a) })
 		}
-		n.feed(core.Request{ID: n.next, Method: method, Path: path, Body: body})
+		c.step(core.Request{ID: c.lastRequestID, Method: method, Path: path, Body: body})
 	})
 }
 
-func (n *node) call(k core.Call) {
-	w, life, over := n.w, n.life, false
+func (c *controller) call(call core.Call) {
+	world, life, over := c.world, c.incarnation, false
 	finish := func(r core.Result) {
-		if !over && n.alive && n.life == life {
+		if !over && c.alive && c.incarnation == life {
 			over = true
-			r.ID = k.ID
-			n.feed(r)
+			r.ID = call.ID
+			c.step(r)
 		}
 	}
-	w.after(k.Timeout, func() { finish(core.Result{}) })
+	world.after(call.Timeout, func() { finish(core.Result{}) })
 	reply := func(from string) func(status int, body []byte) {
 		return func(status int, body []byte) {
-			w.deliver(from, n.name, func() { finish(core.Result{Status: status, Body: body}) })
+			world.deliver(from, c.name, func() { finish(core.Result{Status: status, Body: body}) })
 		}
 	}
-	switch k.Dest {
-	case core.DestStore:
-		n.callStore(k, w.now+k.Timeout, reply("state"), finish)
-	case core.DestCloud:
-		wait, ok := n.cloud.TakeAt(w.clock(), 1, k.Urgent, k.Timeout/2)
+	switch call.Destination {
+	case core.DestinationStore:
+		c.callStore(call, world.now+call.Timeout, reply("state"), finish)
+	case core.DestinationCloud:
+		wait, ok := c.cloudBudget.ReserveAt(world.wallClock(), 1, call.Urgent, call.Timeout/2)
 		if !ok {
-			w.after(0, func() { finish(core.Result{Status: 429, NotSent: true}) })
+			world.after(0, func() { finish(core.Result{Status: 429, NotSent: true}) })
 			return
 		}
-		w.after(wait, func() {
-			w.deliver(n.name, "cloud", func() { w.cloud.handle(k.Method, k.Path, k.Body, reply("cloud")) })
+		world.after(wait, func() {
+			world.deliver(c.name, "cloud", func() { world.cloud.handle(call.Method, call.Path, call.Body, reply("cloud")) })
 		})
-	case core.DestWorker:
-		m := w.cloud.byAddr[k.Addr]
+	case core.DestinationWorker:
+		m := world.cloud.byAddress[call.Addr]
 		if m == nil {
 			return
 		}
-		w.deliver(n.name, m.name, func() { m.direct(k.Method, k.Path, k.Body, reply(m.name)) })
+		world.deliver(c.name, m.name, func() { m.handleDirect(call.Method, call.Path, call.Body, reply(m.name)) })
 	}
 }
 
 // callStore carries a call to the state service out as the client does: at the
 // pace of the budgets, and again where the service turns it away.
-func (n *node) callStore(k core.Call, deadline time.Duration, reply func(int, []byte), finish func(core.Result)) {
-	w := n.w
-	send := func() { w.store.handle(n.name, k.Method, k.Path, k.Body, reply) }
-	if k.Watch {
-		w.deliver(n.name, "state", send)
+func (c *controller) callStore(call core.Call, deadline time.Duration, reply func(int, []byte), finish func(core.Result)) {
+	world := c.world
+	send := func() { world.store.handle(c.name, call.Method, call.Path, call.Body, reply) }
+	if call.Watch {
+		world.deliver(c.name, "state", send)
 		return
 	}
-	wait, ok := n.pace.Take(w.clock(), &k, deadline-w.now)
+	wait, ok := c.storePace.Reserve(world.wallClock(), &call, deadline-world.now)
 	if !ok {
-		w.after(0, func() { finish(core.Result{Status: 429, NotSent: true}) })
+		world.after(0, func() { finish(core.Result{Status: 429, NotSent: true}) })
 		return
 	}
-	w.after(wait, func() {
-		w.deliver(n.name, "state", func() {
-			w.store.slowly(func() {
-				w.store.handle(n.name, k.Method, k.Path, k.Body, func(status int, body []byte) {
-					if status == 429 && deadline-w.now >= store.Last {
-						w.after(store.Retry, func() { n.callStore(k, deadline, reply, finish) })
+	world.after(wait, func() {
+		world.deliver(c.name, "state", func() {
+			world.store.withLatency(func() {
+				world.store.handle(c.name, call.Method, call.Path, call.Body, func(status int, body []byte) {
+					if status == 429 && deadline-world.now >= store.MinTimeToRetry {
+						world.after(store.RetryDelay, func() { c.callStore(call, deadline, reply, finish) })
 						return
 					}
 					reply(status, body)
@@ -426,36 +428,36 @@
 	})
 }
 
-// clock is the time of the stand-ins, for budgets.
-func (w *World) clock() time.Time { return time.UnixMilli(1e12).Add(w.now) }
+// wallClock is the time of the stand-ins, for budgets.
+func (w *World) wallClock() time.Time { return time.UnixMilli(1e12).Add(w.now) }
 
-// unserved is for how long so far no user could be served: the state service was out, or
+// unavailableTime is for how long so far no user could be served: the state service was out, or
 // all controllers stood still.
-func (w *World) unserved() time.Duration {
-	sum := w.store.down
-	for _, s := range w.standstills {
+func (w *World) unavailableTime() time.Duration {
+	sum := w.store.downtime
+	for _, s := range w.pauses {
 		sum += min(w.now, s.until) - s.from
 	}
 	return sum
 }
 
-// span is a time from one moment to another.
-type span struct{ from, until time.Duration }
+// interval is a time from one moment to another.
+type interval struct{ from, until time.Duration }
 
 // leader is the node that holds the leader key, or nil.
-func (w *World) leader() *node {
+func (w *World) leader() *controller {
 	e := w.store.keys["leader"]
 	if e == nil {
 		return nil
 	}
-	for _, n := range w.nodes {
-		if strings.Contains(string(e.value), strconv.Quote(n.name)) {
-			return n
+	for _, controller := range w.controllers {
+		if strings.Contains(string(e.value), strconv.Quote(controller.name)) {
+			return controller
 		}
 	}
 	return nil
 }
 
-func (w *World) trace(format string, a ...any) {
+func (w *World) debugf(format string, a ...any) {
 	w.log.Debug(fmt.Sprintf(format, a...), "at", w.now.Seconds())
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -14,34 +14,34 @@
 
 // Client sends the core's calls to the state service.
 type Client struct {
-	http    httpwire.Client
-	watches httpwire.Client
-	pace    *Pace
-	slots   budget.Slots // of calls that are not urgent
+	http      httpwire.Client
+	watchHTTP httpwire.Client
+	limiter   *RateLimiter
+	semaphore budget.Semaphore // of calls that are not urgent
 }
 
-// share is the part of the sockets that calls which are not urgent may take: a
+// connectionsPerCall is the part of the sockets that calls which are not urgent may take: a
 // state service that does not answer holds each until its deadline.
-const share = 48
+const connectionsPerCall = 48
 
-// Pace keeps calls under the service's published rates.
-type Pace struct{ reqs, writes *budget.Bucket }
+// RateLimiter keeps calls under the service's published rates.
+type RateLimiter struct{ requests, writes *budget.Bucket }
 
-// NewPace makes a pace. A tenth of the rates is left unused, for what other
+// NewRateLimiter makes a pace. A tenth of the rates is left unused, for what other
 // controllers send at the same time.
-func NewPace(s *config.Settings) *Pace {
-	d := s.Deployment.State.Bound()
-	return &Pace{reqs: budget.New(0.9*d.RPS, 0.5*d.RPS), writes: budget.New(0.9*d.WriteRPS, 0.9*d.WriteRPS)}
+func NewRateLimiter(settings *config.Settings) *RateLimiter {
+	limits := settings.Deployment.Store.Strictest()
+	return &RateLimiter{requests: budget.New(0.9*limits.RPS, 0.5*limits.RPS), writes: budget.New(0.9*limits.WriteRPS, 0.9*limits.WriteRPS)}
 }
 
-// Take returns how long a call has to wait; it is not to be made if that is
+// Reserve returns how long a call has to wait; it is not to be made if that is
 // longer than left.
-func (p *Pace) Take(now time.Time, k *core.Call, left time.Duration) (time.Duration, bool) {
-	wait, ok := p.reqs.TakeAt(now, 1, k.Urgent, left)
-	if ok && k.Writes > 0 {
-		var w time.Duration
-		w, ok = p.writes.TakeAt(now, float64(k.Writes), k.Urgent, left)
-		wait = max(wait, w)
+func (p *RateLimiter) Reserve(now time.Time, call *core.Call, left time.Duration) (time.Duration, bool) {
+	wait, ok := p.requests.ReserveAt(now, 1, call.Urgent, left)
+	if ok && call.Writes > 0 {
+		var writeWait time.Duration
+		writeWait, ok = p.writes.ReserveAt(now, float64(call.Writes), call.Urgent, left)
+		wait = max(wait, writeWait)
 	}
 	return wait, ok
 }
@@ -49,56 +49,56 @@
 // A call that the service turned away for its rate is made again after Retry,
 // if Last is left until its deadline.
 const (
-	Retry = 60 * time.Millisecond
-	Last  = 100 * time.Millisecond
+	RetryDelay     = 60 * time.Millisecond
+	MinTimeToRetry = 100 * time.Millisecond
 )
 
 // New makes a client under the settings' limits.
-func New(s *config.Settings) *Client {
+func New(settings *config.Settings) *Client {
 	return &Client{
-		http:    httpwire.Client{Addr: s.External.State, MaxIdle: 8},
-		watches: httpwire.Client{Addr: s.External.State, MaxIdle: 1},
-		pace:    NewPace(s),
-		slots:   budget.NewSlots(max(4, s.Deployment.Limits.MaxConnections/share)),
+		http:      httpwire.Client{Addr: settings.External.Store, MaxIdle: 8},
+		watchHTTP: httpwire.Client{Addr: settings.External.Store, MaxIdle: 1},
+		limiter:   NewRateLimiter(settings),
+		semaphore: budget.NewSemaphore(max(4, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)),
 	}
 }
 
 // Do executes a call and blocks until it ends.
-func (c *Client) Do(k core.Call) core.Result {
-	deadline := time.Now().Add(k.Timeout)
-	if k.Watch {
-		return result(k, &c.watches, deadline)
+func (c *Client) Do(call core.Call) core.Result {
+	deadline := time.Now().Add(call.Timeout)
+	if call.Watch {
+		return execute(call, &c.watchHTTP, deadline)
 	}
-	if !k.Urgent {
-		if !c.slots.Take(k.Timeout) {
-			return core.Result{ID: k.ID, NotSent: true, Status: 429}
+	if !call.Urgent {
+		if !c.semaphore.Acquire(call.Timeout) {
+			return core.Result{ID: call.ID, NotSent: true, Status: 429}
 		}
-		defer c.slots.Free()
+		defer c.semaphore.Release()
 	}
 	for {
-		wait, ok := c.pace.Take(time.Now(), &k, time.Until(deadline))
+		wait, ok := c.limiter.Reserve(time.Now(), &call, time.Until(deadline))
 		if !ok {
-			return core.Result{ID: k.ID, NotSent: true, Status: 429}
+			return core.Result{ID: call.ID, NotSent: true, Status: 429}
 		}
 		time.Sleep(wait)
-		r := result(k, &c.http, deadline)
-		if r.Status != 429 || time.Until(deadline) < Last {
-			return r
+		response := execute(call, &c.http, deadline)
+		if response.Status != 429 || time.Until(deadline) < MinTimeToRetry {
+			return response
 		}
-		time.Sleep(Retry)
+		time.Sleep(RetryDelay)
 	}
 }
 
-func result(k core.Call, h *httpwire.Client, deadline time.Time) core.Result {
-	r, err := h.Do(k.Method, k.Path, k.Body, time.Until(deadline))
-	if err != nil && k.Method == "GET" && !k.Watch && time.Until(deadline) > 0 {
+func execute(call core.Call, client *httpwire.Client, deadline time.Time) core.Result {
+	response, err := client.Do(call.Method, call.Path, call.Body, time.Until(deadline))
+	if err != nil && call.Method == "GET" && !call.Watch && time.Until(deadline) > 0 {
 		// A kept connection may have been reset; a read can be repeated.
-		h.CloseIdle()
-		r, err = h.Do(k.Method, k.Path, k.Body, time.Until(deadline))
+		client.CloseIdle()
+		response, err = client.Do(call.Method, call.Path, call.Body, time.Until(deadline))
 	}
 	if err != nil {
-		h.CloseIdle()
-		return core.Result{ID: k.ID, NotSent: errors.Is(err, httpwire.ErrNotSent)}
+		client.CloseIdle()
+		return core.Result{ID: call.ID, NotSent: errors.Is(err, httpwire.ErrNotSent)}
 	}
-	return core.Result{ID: k.ID, Status: r.Status, Body: r.Body}
+	return core.Result{ID: call.ID, Status: response.Status, Body: response.Body}
 }
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -8,23 +8,23 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// TestPaceKeepsToLaterLimits sends as much as the pace lets through in ten seconds:
+// TestRateLimiterKeepsToLowerLimits sends as much as the pace lets through in ten seconds:
 // no more than the smaller of the rates that hold now and later.
-func TestPaceKeepsToLaterLimits(t *testing.T) {
+func TestRateLimiterKeepsToLowerLimits(t *testing.T) {
 	for _, tc := range []struct {
-		next         *config.State
+		next         *config.StoreLimits
 		reqs, writes float64 // a second
 	}{
 		{nil, 250, 100},
-		{&config.State{WriteRPS: 40}, 250, 40},
-		{&config.State{RPS: 50, WriteRPS: 400}, 50, 100},
+		{&config.StoreLimits{WriteRPS: 40}, 250, 40},
+		{&config.StoreLimits{RPS: 50, WriteRPS: 400}, 50, 100},
 	} {
-		var s config.Settings
-		s.Deployment.State = config.State{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16, Next: tc.next}
-		count := func(k core.Call) float64 {
-			pace, start, n := NewPace(&s), time.UnixMilli(1e12), 0.0
+		var settings config.Settings
+		settings.Deployment.Store = config.StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16, Next: tc.next}
+		count := func(call core.Call) float64 {
+			limiter, start, n := NewRateLimiter(&settings), time.UnixMilli(1e12), 0.0
 			for at := time.Duration(0); at < 10*time.Second; at += time.Millisecond {
-				if _, ok := pace.Take(start.Add(at), &k, 0); ok {
+				if _, ok := limiter.Reserve(start.Add(at), &call, 0); ok {
 					n++
 				}
 			}
--- a/internal/wake/gate/process_test.go
+++ b/internal/wake/activator/process_test.go
@@ -1,4 +1,4 @@
-package gate
+package activator
 
 import (
 	"fmt"
@@ -29,11 +29,11 @@
 func settingsFor(t *testing.T, dir, name, state string) string {
 	t.Helper()
 	cfg := config.Settings{Name: name, Zone: "a", Listen: "127.0.0.1:1", PeerListen: "127.0.0.1:2",
-		External: config.External{State: state, Cloud: state},
+		External: config.External{Store: state, Cloud: state},
 		Deployment: config.Deployment{Size: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "t"}},
-			Workers: config.Workers{ReportS: 1, LeaseS: 10, GangWaitS: 10, GangPeerS: 5, CancelS: 20},
-			State:   config.State{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: config.Cloud{RPS: 1},
-			Limits: config.Limits{CPU: 1, RAMMB: 100, MaxConnections: 100}}}
+			Workers: config.WorkerTimings{ReportS: 1, LeaseS: 10, GangWaitS: 10, GangPeerS: 5, CancelS: 20},
+			Store:   config.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: config.CloudLimits{RPS: 1},
+			MachineLimits: config.MachineLimits{CPU: 1, RAMMB: 100, MaxConnections: 100}}}
 	return writeTOML(t, filepath.Join(dir, name+".toml"), cfg)
 }
 
@@ -55,29 +55,29 @@
 func TestWakeByProcesses(t *testing.T) {
 	t.Parallel()
 	program, dir := buildProgram(t), t.TempDir()
-	p := newPlace(t, 3, time.Second, 5*time.Millisecond)
-	registry := writeTOML(t, filepath.Join(dir, "wake.toml"), p.registry)
+	cluster := newTestCluster(t, 3, time.Second, 5*time.Millisecond)
+	registry := writeTOML(t, filepath.Join(dir, "wake.toml"), cluster.registry)
 	var processes []*exec.Cmd
-	addresses := loopbacktest.Addresses(t, len(p.states))
-	for i, s := range p.states {
+	addresses := loopbacktest.Addresses(t, len(cluster.storeProxies))
+	for i, s := range cluster.storeProxies {
 		addr := addresses[i]
 		process := exec.Command(program, "wake", "--config", settingsFor(t, dir, fmt.Sprint("node-", i), s.Addr()),
-			"--registry", registry, "--listen", addr, "--patience", patience.String())
+			"--registry", registry, "--listen", addr, "--patience", requestTimeout.String())
 		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { process.Process.Kill(); process.Wait() })
-		processes, p.addrs = append(processes, process), append(p.addrs, addr)
+		processes, cluster.addresses = append(processes, process), append(cluster.addresses, addr)
 	}
 	var clients sync.WaitGroup
 	for i := range 60 {
 		clients.Go(func() {
-			if answers, status := p.ask(i, fmt.Sprint("k", i)); answers != 1 || status != 200 {
+			if answers, status := cluster.request(i, fmt.Sprint("k", i)); answers != 1 || status != 200 {
 				t.Errorf("k%d got %d answers, status %d", i, answers, status)
 			}
 		})
 	}
-	for began := time.Now(); p.startsSoFar() == 0 && time.Since(began) < 10*time.Second; {
+	for began := time.Now(); cluster.replicaStarts() == 0 && time.Since(began) < 10*time.Second; {
 		time.Sleep(5 * time.Millisecond)
 	}
 	// Whichever drives, two of three are killed one after the other while it loads.
@@ -85,7 +85,7 @@
 	time.Sleep(300 * time.Millisecond)
 	processes[1].Process.Kill()
 	clients.Wait()
-	if n := p.startsSoFar(); n != 1 {
+	if n := cluster.replicaStarts(); n != 1 {
 		t.Errorf("%d copies were started", n)
 	}
 }
--- a/internal/wake/controller_test.go
+++ b/internal/wake/controller_test.go
@@ -9,134 +9,134 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// ports are a state service, model servers and a process that answer at once, unless told not to.
-type ports struct {
-	now      time.Duration
-	keys     map[string]wire.Item
-	rev      uint64
-	silent   bool   // renewals of leases get no answer
-	before   func() // is called before each transaction is carried out
-	refused  int    // transactions whose conditions did not hold
-	commands []Command
+// fakeBackends are a state service, model servers and a process that answer at once, unless told not to.
+type fakeBackends struct {
+	now          time.Duration
+	items        map[string]wire.Item
+	revision     uint64
+	dropRenewals bool   // renewals of leases get no answer
+	beforeCommit func() // is called before each transaction is carried out
+	conflicts    int    // transactions whose conditions did not hold
+	commands     []Command
 }
 
-func (p *ports) List(_ string, done Answer) {
-	page := wire.Page{Revision: p.rev}
-	for _, it := range p.keys {
+func (p *fakeBackends) List(_ string, done Answer) {
+	page := wire.Page{Revision: p.revision}
+	for _, it := range p.items {
 		page.Items = append(page.Items, it)
 	}
 	body, _ := json.Marshal(page)
 	done(storeOK, body)
 }
 
-func (p *ports) Commit(txn *wire.Txn, done Answer) {
-	if p.before != nil {
-		p.before()
+func (p *fakeBackends) Commit(txn *wire.Txn, done Answer) {
+	if p.beforeCommit != nil {
+		p.beforeCommit()
 	}
-	for _, c := range txn.If {
-		if p.keys[c.Key].Version != c.Version {
-			p.refused++
-			body, _ := json.Marshal(wire.TxnResult{Failed: []string{c.Key}, Revision: p.rev})
+	for _, c := range txn.Conditions {
+		if p.items[c.Key].Version != c.Version {
+			p.conflicts++
+			body, _ := json.Marshal(wire.TxnResult{Conflicts: []string{c.Key}, Revision: p.revision})
 			done(storeConflict, body)
 			return
 		}
 	}
-	p.rev++
+	p.revision++
 	for _, w := range txn.Writes {
-		p.keys[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Version: p.rev}
+		p.items[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Version: p.revision}
 	}
-	body, _ := json.Marshal(wire.TxnResult{Revision: p.rev})
+	body, _ := json.Marshal(wire.TxnResult{Revision: p.revision})
 	done(storeOK, body)
 }
 
-func (p *ports) Grant(_ time.Duration, done Answer) {
+func (p *fakeBackends) Grant(_ time.Duration, done Answer) {
 	body, _ := json.Marshal(wire.Grant{Lease: 1})
 	done(storeOK, body)
 }
 
-func (p *ports) Extend(_ uint64, done Answer) {
-	if !p.silent {
+func (p *fakeBackends) Extend(_ uint64, done Answer) {
+	if !p.dropRenewals {
 		done(storeOK, nil)
 	}
 }
 
-func (p *ports) Watch(string, uint64, Answer) {}
+func (p *fakeBackends) Watch(string, uint64, Answer) {}
 
-func (p *ports) Command(_ string, c Command, done func(CopyReport)) {
+func (p *fakeBackends) Command(_ string, c Command, done func(ReplicaStatus)) {
 	p.commands = append(p.commands, c)
-	done(CopyReport{State: CopyLoading})
+	done(ReplicaStatus{State: ReplicaLoading})
 }
 
-func (p *ports) Ask(string, *Request, func(Outcome, []byte)) {}
-func (p *ports) Now() time.Duration                          { return p.now }
-func (p *ports) Reply(uint64, Reply)                         {}
+func (p *fakeBackends) Forward(string, *Request, func(Outcome, []byte)) {}
+func (p *fakeBackends) Now() time.Duration                              { return p.now }
+func (p *fakeBackends) Reply(uint64, Reply)                             {}
 
 // put writes a key as another controller would.
-func (p *ports) put(key string, value any) {
-	p.rev++
-	p.keys[key] = wire.Item{Key: key, Value: encode(value), Version: p.rev}
+func (p *fakeBackends) put(key string, value any) {
+	p.revision++
+	p.items[key] = wire.Item{Key: key, Value: encode(value), Version: p.revision}
 }
 
-// controllerOf makes a controller of one model over ports.
-func controllerOf(t *testing.T, p *ports) *Controller {
+// newTestController makes a controller of one model over ports.
+func newTestController(t *testing.T, backends *fakeBackends) *Controller {
 	t.Helper()
-	reg, err := ParseRegistry("lease_s = 4\ncopy_lease_s = 12\nmax_waking = 2\nmax_waiting = 10\n" +
+	registry, err := ParseRegistry("lease_s = 4\ncopy_lease_s = 12\nmax_waking = 2\nmax_waiting = 10\n" +
 		"[[models]]\nname = \"a\"\nservers = [\"gpu-0\"]\nload_s = 10\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return New("node-0", 1, reg, p, p, p, slog.New(slog.DiscardHandler))
+	return New("node-0", 1, registry, backends, backends, backends, slog.New(slog.DiscardHandler))
 }
 
-// TestTakeoverDependsOnTheDriversKey has the driver of a copy come back between the moment at
+// TestTakeoverRequiresOwnerKeyGone has the driver of a copy come back between the moment at
 // which its key was seen to be gone and the takeover: the driver keeps the copy.
-func TestTakeoverDependsOnTheDriversKey(t *testing.T) {
-	p := &ports{keys: map[string]wire.Item{}, rev: 1}
-	p.put(modelKey("a"), Record{Phase: Awake, Epoch: 3, Driver: "node-1", Run: 7, Server: "gpu-0"})
-	c := controllerOf(t, p)
+func TestTakeoverRequiresOwnerKeyGone(t *testing.T) {
+	backends := &fakeBackends{items: map[string]wire.Item{}, revision: 1}
+	backends.put(modelKey("a"), Record{Phase: PhaseAwake, Epoch: 3, Owner: "node-1", Incarnation: 7, Server: "gpu-0"})
+	controller := newTestController(t, backends)
 	back := false
-	p.before = func() {
-		if c.registered() && !back {
+	backends.beforeCommit = func() {
+		if controller.registered() && !back {
 			back = true
-			p.put(driverKey("node-1"), liveness{Run: 7})
+			backends.put(controllerKey("node-1"), registration{Incarnation: 7})
 		}
 	}
-	c.Tick()
-	p.now += time.Second
-	c.Tick()
+	controller.Tick()
+	backends.now += time.Second
+	controller.Tick()
 	if !back {
 		t.Fatal("nothing was taken over")
 	}
-	var r Record
-	json.Unmarshal(p.keys[modelKey("a")].Value, &r)
-	if r.Driver != "node-1" || r.Epoch != 3 || p.refused == 0 {
-		t.Errorf("the copy went to %s under epoch %d although its driver is alive", r.Driver, r.Epoch)
+	var record Record
+	json.Unmarshal(backends.items[modelKey("a")].Value, &record)
+	if record.Owner != "node-1" || record.Epoch != 3 || backends.conflicts == 0 {
+		t.Errorf("the copy went to %s under epoch %d although its driver is alive", record.Owner, record.Epoch)
 	}
 }
 
-// TestDriverStopsByItsOwnClock has a driver get no word of its lease's renewal: it commands the
+// TestOwnerStopsOnceLeaseMayHaveExpired has a driver get no word of its lease's renewal: it commands the
 // copy's server until the lease may have run out by its own clock, and no longer, since another
 // controller may have taken over by then.
-func TestDriverStopsByItsOwnClock(t *testing.T) {
-	p := &ports{keys: map[string]wire.Item{}, rev: 1}
-	c := controllerOf(t, p)
-	c.Tick()
-	c.Handle(&Request{ID: 1, Model: "a", Key: "k", Until: time.Hour})
-	c.Tick()
-	if len(p.commands) == 0 {
+func TestOwnerStopsOnceLeaseMayHaveExpired(t *testing.T) {
+	backends := &fakeBackends{items: map[string]wire.Item{}, revision: 1}
+	controller := newTestController(t, backends)
+	controller.Tick()
+	controller.Handle(&Request{ID: 1, Model: "a", IdempotencyKey: "k", Deadline: time.Hour})
+	controller.Tick()
+	if len(backends.commands) == 0 {
 		t.Fatal("the copy's server got no command")
 	}
-	p.silent = true
-	for p.now < c.leaseTime() {
-		p.now += c.pace()
-		c.Tick()
+	backends.dropRenewals = true
+	for backends.now < controller.leaseDuration() {
+		backends.now += controller.pollInterval()
+		controller.Tick()
 	}
-	before := len(p.commands)
+	before := len(backends.commands)
 	for range 20 {
-		p.now += c.pace()
-		c.Tick()
+		backends.now += controller.pollInterval()
+		controller.Tick()
 	}
-	if n := len(p.commands) - before; n > 0 {
+	if n := len(backends.commands) - before; n > 0 {
 		t.Errorf("%d commands after the lease may have run out", n)
 	}
 }
--- a/internal/wake/ports.go
+++ b/internal/wake/ports.go
@@ -24,27 +24,27 @@
 	Watch(prefix string, since uint64, done Answer)
 }
 
-// CopyState is what a model server says of a model's copy.
-type CopyState string
+// ReplicaState is what a model server says of a model's copy.
+type ReplicaState string
 
 // The states of a copy on a server. Unreached stands for no answer.
 const (
-	CopyNone      CopyState = "none"
-	CopyLoading   CopyState = "loading"
-	CopyReady     CopyState = "ready"
-	CopyClosed    CopyState = "closed" // takes no further requests
-	CopyFailed    CopyState = "failed" // the load failed; there is none any more
-	CopyFenced    CopyState = "fenced" // a later epoch has been heard: nothing was done
-	CopyUnreached CopyState = ""
+	ReplicaAbsent      ReplicaState = "none"
+	ReplicaLoading     ReplicaState = "loading"
+	ReplicaReady       ReplicaState = "ready"
+	ReplicaClosed      ReplicaState = "closed" // takes no further requests
+	ReplicaFailed      ReplicaState = "failed" // the load failed; there is none any more
+	ReplicaFenced      ReplicaState = "fenced" // a later epoch has been heard: nothing was done
+	ReplicaUnreachable ReplicaState = ""
 )
 
-// CopyReport is a model server's answer to its driver.
-type CopyReport struct {
-	State CopyState `json:"state"`
-	// Ticket allows one start, for as long as a copy's lease, by the server's clock.
-	Ticket uint64  `json:"ticket,omitempty"`
-	Busy   int     `json:"busy"`   // requests under way
-	IdleS  float64 `json:"idle_s"` // since its last request, in seconds
+// ReplicaStatus is a model server's answer to its driver.
+type ReplicaStatus struct {
+	State ReplicaState `json:"state"`
+	// StartToken allows one start, for as long as a copy's lease, by the server's clock.
+	StartToken  uint64  `json:"ticket,omitempty"`
+	InFlight    int     `json:"busy"`   // requests under way
+	IdleSeconds float64 `json:"idle_s"` // since its last request, in seconds
 }
 
 // Verb is what a driver asks of a model server.
@@ -54,7 +54,7 @@
 // the ticket that a Look without a copy has given, so that one that is late or comes twice
 // never starts a copy; it changes nothing where there is one.
 const (
-	VerbLook  Verb = "look"
+	VerbProbe Verb = "look"
 	VerbStart Verb = "start"
 	VerbClose Verb = "close"
 	VerbStop  Verb = "stop" // ends a closed copy without requests under way
@@ -62,27 +62,27 @@
 
 // Command is a driver's command to a model server.
 type Command struct {
-	Verb   Verb   `json:"verb"`
-	Model  string `json:"model"`
-	Epoch  uint64 `json:"epoch"`
-	Ticket uint64 `json:"ticket,omitempty"`
+	Verb       Verb   `json:"verb"`
+	Model      string `json:"model"`
+	Epoch      uint64 `json:"epoch"`
+	StartToken uint64 `json:"ticket,omitempty"`
 }
 
 // Outcome is what became of a request that was handed to a copy.
 type Outcome int
 
-// The outcomes. After NotTaken the copy certainly has not begun it; Unknown is no answer: the
+// The outcomes. After OutcomeRejected the copy certainly has not begun it; Unknown is no answer: the
 // request is asked again under its key, and the copy answers it once.
 const (
-	Served Outcome = iota
-	NotTaken
-	Unknown
+	OutcomeServed Outcome = iota
+	OutcomeRejected
+	OutcomeUnknown
 )
 
-// Servers are the model servers. Their answers come later.
-type Servers interface {
-	Command(server string, c Command, done func(CopyReport))
-	Ask(server string, r *Request, done func(Outcome, []byte))
+// ModelServers are the model servers. Their answers come later.
+type ModelServers interface {
+	Command(server string, c Command, done func(ReplicaStatus))
+	Forward(server string, r *Request, done func(Outcome, []byte))
 }
 
 // Status is how a request ended.
@@ -91,16 +91,16 @@
 // The final answers.
 const (
 	StatusServed      Status = 200
-	StatusUnknown     Status = 404 // no such model
-	StatusUnavailable Status = 503 // come back after RetryS
-	StatusGivenUp     Status = 504 // its time is over
+	StatusNotFound    Status = 404 // no such model
+	StatusUnavailable Status = 503 // come back after RetryAfterSeconds
+	StatusTimeout     Status = 504 // its time is over
 )
 
 // Reply is the one final answer to a request.
 type Reply struct {
-	Status Status
-	Body   []byte
-	RetryS int
+	Status            Status
+	Body              []byte
+	RetryAfterSeconds int
 }
 
 // Host is the process around a controller.
--- a/internal/wake/record.go
+++ b/internal/wake/record.go
@@ -14,48 +14,48 @@
 const Prefix = "wake/"
 
 const (
-	modelPrefix  = Prefix + "m/"
-	driverPrefix = Prefix + "c/"
-	slotsKey     = Prefix + "slots"
+	modelPrefix      = Prefix + "m/"
+	controllerPrefix = Prefix + "c/"
+	slotsKey         = Prefix + "slots"
 )
 
 // modelKey is the key of a model's record.
 func modelKey(model string) string { return modelPrefix + model }
 
-// driverKey is the key that shows that a controller is alive. It is attached to the
+// controllerKey is the key that shows that a controller is alive. It is attached to the
 // controller's lease.
-func driverKey(controller string) string { return driverPrefix + controller }
+func controllerKey(controller string) string { return controllerPrefix + controller }
 
 // Phase is what a model's copy is in the middle of.
 type Phase string
 
 // The phases of a copy. A model without a record is asleep.
 const (
-	Asleep   Phase = "asleep"
-	Waking   Phase = "waking"
-	Awake    Phase = "awake"
-	Draining Phase = "draining"
+	PhaseAsleep   Phase = "asleep"
+	PhaseWaking   Phase = "waking"
+	PhaseAwake    Phase = "awake"
+	PhaseDraining Phase = "draining"
 )
 
 // Record is what the state service holds of a model. Its JSON names are on record and
 // never change.
 type Record struct {
-	Phase  Phase  `json:"p"`
-	Epoch  uint64 `json:"e"` // raised by every claim, takeover and change of server
-	Driver string `json:"d,omitempty"`
-	Run    uint64 `json:"r,omitempty"` // of the driver's process
-	Server string `json:"s,omitempty"` // the only one that may hold a copy
-	Fails  int    `json:"f,omitempty"` // wakes in a row that led to no copy
+	Phase       Phase  `json:"p"`
+	Epoch       uint64 `json:"e"` // raised by every claim, takeover and change of server
+	Owner       string `json:"d,omitempty"`
+	Incarnation uint64 `json:"r,omitempty"` // of the driver's process
+	Server      string `json:"s,omitempty"` // the only one that may hold a copy
+	Failures    int    `json:"f,omitempty"` // wakes in a row that led to no copy
 }
 
-// liveness is the value of a driver's key.
-type liveness struct {
-	Run uint64 `json:"r"`
+// registration is the value of a driver's key.
+type registration struct {
+	Incarnation uint64 `json:"r"`
 }
 
-// slots lists the models that are waking.
-type slots struct {
-	Waking []string `json:"w"`
+// wakeSlots lists the models that are waking.
+type wakeSlots struct {
+	Holders []string `json:"w"`
 }
 
 // versioned is a value of the state service with its version; 0 for none.
--- a/internal/wake/registry.go
+++ b/internal/wake/registry.go
@@ -12,11 +12,11 @@
 
 // Registry says which models may sleep, and where their copies may be.
 type Registry struct {
-	// LeaseS is how long a driver passes for alive without renewing, in seconds.
-	LeaseS float64 `toml:"lease_s"`
-	// CopyLeaseS is after how long without word of its driver a copy ends by itself, in
-	// seconds; more than LeaseS, so that a takeover finds it.
-	CopyLeaseS float64 `toml:"copy_lease_s"`
+	// LeaseSeconds is how long a driver passes for alive without renewing, in seconds.
+	LeaseSeconds float64 `toml:"lease_s"`
+	// ReplicaLeaseSeconds is after how long without word of its driver a copy ends by itself, in
+	// seconds; more than LeaseSeconds, so that a takeover finds it.
+	ReplicaLeaseSeconds float64 `toml:"copy_lease_s"`
 	// MaxWaking is how many models may be waking at a time.
 	MaxWaking int `toml:"max_waking"`
 	// MaxWaiting is how many requests may wait for a model on a controller.
@@ -26,26 +26,26 @@
 
 // Model is a model that may sleep.
 type Model struct {
-	Name    string   `toml:"name"`
-	Servers []string `toml:"servers"` // addresses that may hold its copy, the preferred first
-	LoadS   float64  `toml:"load_s"`  // how long a copy usually takes to load, in seconds
-	IdleS   float64  `toml:"idle_s"`  // it sleeps after so long without a request, in seconds; 0 for never
+	Name        string   `toml:"name"`
+	Servers     []string `toml:"servers"` // addresses that may hold its copy, the preferred first
+	LoadSeconds float64  `toml:"load_s"`  // how long a copy usually takes to load, in seconds
+	IdleSeconds float64  `toml:"idle_s"`  // it sleeps after so long without a request, in seconds; 0 for never
 }
 
 // ParseRegistry reads and checks a registry. An unknown field is an error that names it.
 func ParseRegistry(text string) (*Registry, error) {
-	var r Registry
-	meta, err := toml.Decode(text, &r)
+	var registry Registry
+	meta, err := toml.Decode(text, &registry)
 	if err != nil {
 		return nil, fmt.Errorf("wake registry: %w", err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		return nil, fmt.Errorf("wake registry: unknown field %s", unknown[0])
 	}
-	if err := r.check(); err != nil {
+	if err := registry.validate(); err != nil {
 		return nil, fmt.Errorf("wake registry: %w", err)
 	}
-	return &r, nil
+	return &registry, nil
 }
 
 // LoadRegistry reads and checks a registry's file.
@@ -57,28 +57,28 @@
 	return ParseRegistry(string(text))
 }
 
-func (r *Registry) check() error {
-	var faults []string
+func (r *Registry) validate() error {
+	var problems []string
 	require := func(ok bool, format string, args ...any) {
 		if !ok {
-			faults = append(faults, fmt.Sprintf(format, args...))
+			problems = append(problems, fmt.Sprintf(format, args...))
 		}
 	}
-	require(r.LeaseS > 0, "lease_s: %v, more than 0 is expected", r.LeaseS)
-	require(r.CopyLeaseS > r.LeaseS, "copy_lease_s: %v, more than lease_s (%v) is expected", r.CopyLeaseS, r.LeaseS)
+	require(r.LeaseSeconds > 0, "lease_s: %v, more than 0 is expected", r.LeaseSeconds)
+	require(r.ReplicaLeaseSeconds > r.LeaseSeconds, "copy_lease_s: %v, more than lease_s (%v) is expected", r.ReplicaLeaseSeconds, r.LeaseSeconds)
 	require(r.MaxWaking > 0, "max_waking: %d, 1 or more is expected", r.MaxWaking)
 	require(r.MaxWaiting > 0, "max_waiting: %d, 1 or more is expected", r.MaxWaiting)
 	require(len(r.Models) > 0, "models: missing")
 	seen := map[string]bool{}
-	for i, m := range r.Models {
-		require(m.Name != "" && !strings.Contains(m.Name, "/") && !seen[m.Name], "models[%d].name: %q is missing, repeated or holds a slash", i, m.Name)
-		seen[m.Name] = true
-		require(len(m.Servers) > 0, "models[%d].servers: missing", i)
-		require(m.LoadS > 0, "models[%d].load_s: %v, more than 0 is expected", i, m.LoadS)
-		require(m.IdleS >= 0, "models[%d].idle_s: %v, 0 or more is expected", i, m.IdleS)
+	for i, model := range r.Models {
+		require(model.Name != "" && !strings.Contains(model.Name, "/") && !seen[model.Name], "models[%d].name: %q is missing, repeated or holds a slash", i, model.Name)
+		seen[model.Name] = true
+		require(len(model.Servers) > 0, "models[%d].servers: missing", i)
+		require(model.LoadSeconds > 0, "models[%d].load_s: %v, more than 0 is expected", i, model.LoadSeconds)
+		require(model.IdleSeconds >= 0, "models[%d].idle_s: %v, 0 or more is expected", i, model.IdleSeconds)
 	}
-	if len(faults) > 0 {
-		return errors.New(strings.Join(faults, "; "))
+	if len(problems) > 0 {
+		return errors.New(strings.Join(problems, "; "))
 	}
 	return nil
 }
--- a/internal/wake/view.go
+++ b/internal/wake/view.go
@@ -8,58 +8,58 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// keepLease has the key that shows that this controller is alive stand. Once the lease may
+// maintainLease has the key that shows that this controller is alive stand. Once the lease may
 // have run out the controller drives nothing until it is registered anew, under the same
 // run: its records' epochs are taken over by whoever finds the key gone, itself included.
-func (c *Controller) keepLease(now time.Duration) {
-	if c.leaseBusy || now < c.leaseNext {
+func (c *Controller) maintainLease(now time.Duration) {
+	if c.leaseCallPending || now < c.nextLeaseCall {
 		return
 	}
-	c.leaseBusy = true
-	c.leaseNext = now + c.leaseTime()/4
-	if c.lease != 0 && c.drivers[c.name].value.Run == c.run {
-		c.store.Extend(c.lease, func(status int, _ []byte) {
-			c.leaseBusy = false
+	c.leaseCallPending = true
+	c.nextLeaseCall = now + c.leaseDuration()/4
+	if c.leaseID != 0 && c.controllers[c.name].value.Incarnation == c.incarnation {
+		c.store.Extend(c.leaseID, func(status int, _ []byte) {
+			c.leaseCallPending = false
 			switch status {
 			case storeOK:
-				c.leaseUntil = now + c.leaseTime()
+				c.leaseExpiry = now + c.leaseDuration()
 			case storeNotFound:
-				c.lease = 0
-				c.leaseNext = c.host.Now()
+				c.leaseID = 0
+				c.nextLeaseCall = c.host.Now()
 				c.relist()
 			}
 		})
 		return
 	}
-	c.store.Grant(c.leaseTime(), func(status int, body []byte) {
-		var g wire.Grant
-		if status != storeOK || json.Unmarshal(body, &g) != nil {
-			c.leaseBusy = false
+	c.store.Grant(c.leaseDuration(), func(status int, body []byte) {
+		var grant wire.Grant
+		if status != storeOK || json.Unmarshal(body, &grant) != nil {
+			c.leaseCallPending = false
 			return
 		}
-		c.register(now, g.Lease)
+		c.register(now, grant.Lease)
 	})
 }
 
 // register writes this controller's key under a lease that was granted at a time.
 func (c *Controller) register(granted time.Duration, lease uint64) {
-	mine := liveness{Run: c.run}
-	txn := &wire.Txn{Writes: []wire.Write{{Put: driverKey(c.name), Value: encode(mine), Lease: lease}}}
+	mine := registration{Incarnation: c.incarnation}
+	txn := &wire.Txn{Writes: []wire.Write{{Put: controllerKey(c.name), Value: encode(mine), Lease: lease}}}
 	c.store.Commit(txn, func(status int, body []byte) {
-		c.leaseBusy = false
+		c.leaseCallPending = false
 		var result wire.TxnResult
 		if status != storeOK || json.Unmarshal(body, &result) != nil {
 			return
 		}
-		c.lease, c.leaseUntil = lease, granted+c.leaseTime()
-		if d := c.drivers[c.name]; d.version < result.Revision {
-			c.drivers[c.name] = versioned[liveness]{mine, result.Revision}
+		c.leaseID, c.leaseExpiry = lease, granted+c.leaseDuration()
+		if d := c.controllers[c.name]; d.version < result.Revision {
+			c.controllers[c.name] = versioned[registration]{mine, result.Revision}
 		}
 	})
 }
 
-// keepView has this controller know what is on record: read once, then watched.
-func (c *Controller) keepView(now time.Duration) {
+// maintainView has this controller know what is on record: read once, then watched.
+func (c *Controller) maintainView(now time.Duration) {
 	switch {
 	case now < c.retryAt:
 	case !c.listed && !c.listing:
@@ -78,37 +78,37 @@
 		c.listing = false
 		var page wire.Page
 		if status != storeOK || json.Unmarshal(body, &page) != nil {
-			c.retryAt = c.host.Now() + c.pace()
+			c.retryAt = c.host.Now() + c.pollInterval()
 			return
 		}
 		if page.Revision < c.revision {
 			return // older than what the watch has shown
 		}
-		c.take(&page)
+		c.replaceView(&page)
 	})
 }
 
-// take takes over a reading of all records.
-func (c *Controller) take(page *wire.Page) {
+// replaceView takes over a reading of all records.
+func (c *Controller) replaceView(page *wire.Page) {
 	items := map[string]wire.Item{}
 	for _, it := range page.Items {
 		items[it.Key] = it
 	}
 	c.revision, c.listed = page.Revision, true
-	c.drivers = map[string]versioned[liveness]{}
+	c.controllers = map[string]versioned[registration]{}
 	for key, it := range items {
-		if name, ok := strings.CutPrefix(key, driverPrefix); ok {
-			c.noteDriver(name, it.Value, it.Version)
+		if name, ok := strings.CutPrefix(key, controllerPrefix); ok {
+			c.applyRegistration(name, it.Value, it.Version)
 		}
 	}
 	s := items[slotsKey]
-	c.slots = decode[slots](s.Value, s.Version)
-	for _, name := range c.names {
+	c.slots = decode[wakeSlots](s.Value, s.Version)
+	for _, name := range c.modelNames {
 		it := items[modelKey(name)]
 		c.setRecord(c.models[name], decode[Record](it.Value, it.Version))
 	}
-	for _, name := range c.names {
-		c.advance(c.models[name])
+	for _, name := range c.modelNames {
+		c.reconcile(c.models[name])
 	}
 }
 
@@ -131,7 +131,7 @@
 		case status == storeGone:
 			c.relist()
 		case status != storeOK || json.Unmarshal(body, &changes) != nil:
-			c.retryAt = c.host.Now() + c.pace()
+			c.retryAt = c.host.Now() + c.pollInterval()
 		case since == c.revision:
 			c.apply(&changes)
 		}
@@ -141,59 +141,59 @@
 // apply takes in changes that a watch has shown.
 func (c *Controller) apply(changes *wire.Changes) {
 	for i := range changes.Events {
-		e := &changes.Events[i]
-		key, version := e.Put, e.Version
+		event := &changes.Events[i]
+		key, version := event.Put, event.Version
 		if key == "" {
-			key, version = e.Delete, 0
+			key, version = event.Delete, 0
 		}
 		switch {
 		case key == slotsKey:
-			c.noteSlots(decode[slots](e.Value, version))
+			c.applySlots(decode[wakeSlots](event.Value, version))
 		case strings.HasPrefix(key, modelPrefix):
-			if m := c.models[strings.TrimPrefix(key, modelPrefix)]; m != nil {
-				c.noteRecord(m, decode[Record](e.Value, version))
+			if model := c.models[strings.TrimPrefix(key, modelPrefix)]; model != nil {
+				c.applyRecord(model, decode[Record](event.Value, version))
 			}
-		case strings.HasPrefix(key, driverPrefix):
-			c.noteDriver(strings.TrimPrefix(key, driverPrefix), e.Value, version)
+		case strings.HasPrefix(key, controllerPrefix):
+			c.applyRegistration(strings.TrimPrefix(key, controllerPrefix), event.Value, version)
 		}
 	}
 	c.revision = max(c.revision, changes.Revision)
-	for _, name := range c.names {
-		c.advance(c.models[name])
+	for _, name := range c.modelNames {
+		c.reconcile(c.models[name])
 	}
 }
 
-// noteDriver takes in whether a controller is alive.
-func (c *Controller) noteDriver(name string, value json.RawMessage, version uint64) {
+// applyRegistration takes in whether a controller is alive.
+func (c *Controller) applyRegistration(name string, value json.RawMessage, version uint64) {
 	if version == 0 {
-		delete(c.drivers, name)
+		delete(c.controllers, name)
 		return
 	}
-	if version >= c.drivers[name].version {
-		c.drivers[name] = decode[liveness](value, version)
+	if version >= c.controllers[name].version {
+		c.controllers[name] = decode[registration](value, version)
 	}
 }
 
-// noteSlots takes in which models are waking.
-func (c *Controller) noteSlots(s versioned[slots]) {
-	if s.version >= c.slots.version {
-		c.slots = s
+// applySlots takes in which models are waking.
+func (c *Controller) applySlots(slots versioned[wakeSlots]) {
+	if slots.version >= c.slots.version {
+		c.slots = slots
 	}
 }
 
-// noteRecord takes in a model's record, unless a later one is known.
-func (c *Controller) noteRecord(m *model, r versioned[Record]) {
-	if r.version >= m.record.version {
-		c.setRecord(m, r)
+// applyRecord takes in a model's record, unless a later one is known.
+func (c *Controller) applyRecord(model *modelState, record versioned[Record]) {
+	if record.version >= model.record.version {
+		c.setRecord(model, record)
 	}
 }
 
-func (c *Controller) setRecord(m *model, r versioned[Record]) {
-	if r.value.Fails > m.record.value.Fails {
-		m.failed = c.host.Now()
+func (c *Controller) setRecord(model *modelState, record versioned[Record]) {
+	if record.value.Failures > model.record.value.Failures {
+		model.lastFailure = c.host.Now()
 	}
-	if r.value.Phase != m.record.value.Phase || r.value.Epoch != m.record.value.Epoch {
-		m.tried = 0
+	if record.value.Phase != model.record.value.Phase || record.value.Epoch != model.record.value.Epoch {
+		model.lastRejection = 0
 	}
-	m.record = r
+	model.record = record
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -13,77 +13,77 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// share is the part of the sockets that direct commands may take.
-const share = 8
+// connectionsPerCall is the part of the sockets that direct commands may take.
+const connectionsPerCall = 8
 
 // Client keeps a connection to each worker that it has lately talked to, under
 // one bound for those in use and those that are idle.
 type Client struct {
-	slots budget.Slots
+	semaphore budget.Semaphore
 
-	mu    sync.Mutex
-	links map[string]*list.Element // of *link, by address
-	order *list.List               // the latest use first
+	mu           sync.Mutex
+	connections  map[string]*list.Element // of *link, by address
+	recentlyUsed *list.List               // the latest use first
 }
 
-type link struct {
-	addr string
-	http httpwire.Client
-	busy int // calls under way
+type connection struct {
+	addr        string
+	http        httpwire.Client
+	activeCalls int // calls under way
 }
 
 // New makes a client that keeps its sockets to a share of the limit.
-func New(s *config.Settings) *Client {
-	return &Client{slots: budget.NewSlots(max(1, s.Deployment.Limits.MaxConnections/share)),
-		links: map[string]*list.Element{}, order: list.New()}
+func New(settings *config.Settings) *Client {
+	return &Client{semaphore: budget.NewSemaphore(max(1, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)),
+		connections: map[string]*list.Element{}, recentlyUsed: list.New()}
 }
 
 // Do executes a call and blocks until it ends. A call that gets no socket in
 // time was not sent.
-func (c *Client) Do(k core.Call) core.Result {
-	deadline := time.Now().Add(k.Timeout)
-	if !c.slots.Take(k.Timeout) {
-		return core.Result{ID: k.ID, NotSent: true}
+func (c *Client) Do(call core.Call) core.Result {
+	deadline := time.Now().Add(call.Timeout)
+	if !c.semaphore.Acquire(call.Timeout) {
+		return core.Result{ID: call.ID, NotSent: true}
 	}
-	defer c.slots.Free()
-	l := c.take(k.Addr)
-	defer c.put(l)
-	r, err := l.http.Do(k.Method, k.Path, k.Body, time.Until(deadline))
+	defer c.semaphore.Release()
+	conn := c.acquire(call.Addr)
+	defer c.release(conn)
+	response, err := conn.http.Do(call.Method, call.Path, call.Body, time.Until(deadline))
 	if err != nil {
-		l.http.CloseIdle()
-		return core.Result{ID: k.ID, NotSent: errors.Is(err, httpwire.ErrNotSent)}
+		conn.http.CloseIdle()
+		return core.Result{ID: call.ID, NotSent: errors.Is(err, httpwire.ErrNotSent)}
 	}
-	return core.Result{ID: k.ID, Status: r.Status, Body: r.Body}
+	return core.Result{ID: call.ID, Status: response.Status, Body: response.Body}
 }
 
-// take finds or makes the link to an address. Where the bound is reached the
+// acquire finds or makes the link to an address. Where the bound is reached the
 // link that has been idle for longest makes way, never all of them: a wave of
 // commands to many workers would else dial each of them anew.
-func (c *Client) take(addr string) *link {
+func (c *Client) acquire(addr string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	e := c.links[addr]
-	if e == nil {
-		for o := c.order.Back(); o != nil && len(c.links) >= cap(c.slots); {
-			old := o
-			o = o.Prev()
-			if l := old.Value.(*link); l.busy == 0 {
-				l.http.CloseIdle()
-				delete(c.links, l.addr)
-				c.order.Remove(old)
+	element := c.connections[addr]
+	if element == nil {
+		for candidate := c.recentlyUsed.Back(); candidate != nil && len(c.connections) >= cap(c.semaphore); {
+			evicted := candidate
+			candidate = candidate.Prev()
+			if conn := evicted.Value.(*connection); conn.activeCalls == 0 {
+				conn.http.CloseIdle()
+				delete(c.connections, conn.addr)
+				c.recentlyUsed.Remove(evicted)
 			}
 		}
-		e = c.order.PushFront(&link{addr: addr, http: httpwire.Client{Addr: addr, MaxIdle: 1}})
-		c.links[addr] = e
+		element = c.recentlyUsed.PushFront(&connection{addr: addr, http: httpwire.Client{Addr: addr, MaxIdle: 1}})
+		c.connections[addr] = element
 	}
-	c.order.MoveToFront(e)
-	l := e.Value.(*link)
-	l.busy++
-	return l
+	c.recentlyUsed.MoveToFront(element)
+	conn := element.Value.(*connection)
+	conn.activeCalls++
+	return conn
 }
 
-func (c *Client) put(l *link) {
+func (c *Client) release(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l.busy--
+	conn.activeCalls--
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -9,12 +9,12 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// TestBound sends commands to more workers than there are sockets for. The
+// TestConnectionLimit sends commands to more workers than there are sockets for. The
 // client keeps to its share, drops the connection that is idle for longest, not
 // all of them, and does not send what gets no socket in time.
-func TestBound(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	const keep = 4
-	dialled := make(chan string, 100)
+	accepted := make(chan string, 100)
 	serve := func(answer bool) string {
 		ln, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
@@ -27,7 +27,7 @@
 				if err != nil {
 					return
 				}
-				dialled <- ln.Addr().String()
+				accepted <- ln.Addr().String()
 				go func() {
 					buf := make([]byte, 4096)
 					for {
@@ -43,9 +43,9 @@
 		}()
 		return ln.Addr().String()
 	}
-	c := New(&config.Settings{Deployment: config.Deployment{Limits: config.Limits{MaxConnections: keep * share}}})
+	client := New(&config.Settings{Deployment: config.Deployment{MachineLimits: config.MachineLimits{MaxConnections: keep * connectionsPerCall}}})
 	ask := func(addr string, timeout time.Duration) core.Result {
-		return c.Do(core.Call{Addr: addr, Method: "GET", Path: "/status", Timeout: timeout})
+		return client.Do(core.Call{Addr: addr, Method: "GET", Path: "/status", Timeout: timeout})
 	}
 	var addrs []string
 	for range keep + 1 {
@@ -56,19 +56,19 @@
 			t.Fatalf("status %d", r.Status)
 		}
 	}
-	if len(c.links) != keep {
-		t.Errorf("%d connections are kept, %d allowed", len(c.links), keep)
+	if len(client.connections) != keep {
+		t.Errorf("%d connections are kept, %d allowed", len(client.connections), keep)
 	}
 	for range addrs {
-		<-dialled
+		<-accepted
 	}
 	for _, a := range addrs[1:] {
 		ask(a, time.Minute)
 	}
-	if len(dialled) != 0 {
-		t.Errorf("%d kept connections were dialled again", len(dialled))
+	if len(accepted) != 0 {
+		t.Errorf("%d kept connections were dialled again", len(accepted))
 	}
-	if ask(addrs[0], time.Minute); len(dialled) != 1 {
+	if ask(addrs[0], time.Minute); len(accepted) != 1 {
 		t.Error("the oldest connection was kept beyond the bound")
 	}
 	// Workers that hang hold all the sockets there are.
@@ -77,7 +77,7 @@
 	for range keep {
 		go func() { done <- ask(hung, time.Minute) }()
 	}
-	for len(c.slots) < keep {
+	for len(client.semaphore) < keep {
 		time.Sleep(time.Millisecond)
 	}
 	if r := ask(addrs[1], time.Millisecond); !r.NotSent {
--- a/wire/store.go
+++ b/wire/store.go
@@ -20,8 +20,8 @@
 	Revision uint64 `json:"logline"`
 }
 
-// Cond requires a key to have a version; 0 means that it must not exist.
-type Cond struct {
+// Condition requires a key to have a version; 0 means that it must not exist.
+type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
 }
@@ -36,14 +36,14 @@
 
 // Txn is an atomic conditional transaction.
 type Txn struct {
-	If     []Cond  `json:"if"`
-	Writes []Write `json:"writes"`
+	Conditions []Condition `json:"if"`
+	Writes     []Write     `json:"writes"`
 }
 
 // TxnResult is the answer to a transaction, and to a read of an absent key.
 type TxnResult struct {
-	Failed   []string `json:"failed,omitempty"`
-	Revision uint64   `json:"logline"`
+	Conflicts []string `json:"failed,omitempty"`
+	Revision  uint64   `json:"logline"`
 }
 
 // GrantRequest asks for a lease of the state service.
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -40,11 +40,11 @@
 
 // Task states in a worker's report.
 const (
-	TaskFetching TaskState = "pulling"
-	TaskWaiting  TaskState = "waiting"
-	TaskRunning  TaskState = "running"
-	TaskSaving   TaskState = "flushing"
-	TaskExited   TaskState = "ended"
+	TaskPulling       TaskState = "pulling"
+	TaskWaiting       TaskState = "waiting"
+	TaskRunning       TaskState = "running"
+	TaskCheckpointing TaskState = "flushing"
+	TaskExited        TaskState = "ended"
 )
 
 // ExitCause tells why a task has exited.
@@ -52,14 +52,14 @@
 
 // Causes of a task's exit.
 const (
-	CauseDone       ExitCause = "done"
-	CauseStopped    ExitCause = "halted"
-	CausePeers      ExitCause = "peers"
-	CauseIncomplete ExitCause = "incomplete"
-	CauseError      ExitCause = "error"
-	CauseNoRoom     ExitCause = "full"
-	CauseInUse      ExitCause = "in_use"
-	CauseUnknown    ExitCause = "no_such"
+	CauseDone                  ExitCause = "done"
+	CauseStopped               ExitCause = "halted"
+	CauseGangMemberLost        ExitCause = "peers"
+	CauseGangIncomplete        ExitCause = "incomplete"
+	CauseError                 ExitCause = "error"
+	CauseInsufficientResources ExitCause = "full"
+	CauseInUse                 ExitCause = "in_use"
+	CauseUnknownTask           ExitCause = "no_such"
 )
 
 // Verb is what a command asks a worker to do.
@@ -76,29 +76,29 @@
 // versions share in the state service: its JSON names never change when a field
 // is renamed, see compat_test.go of internal/core.
 type Job struct {
-	ID          string   `json:"nameId"`
-	Class       string   `json:"jobclass"`
-	Team        string   `json:"crew"`
-	Shape       Shape    `json:"shape"`
-	Priority    Priority `json:"urgency"`
-	Tasks       int      `json:"shards"`
-	CPUs        float64  `json:"cpus"`
-	GPUs        float64  `json:"accelerators"`
-	MemGB       float64  `json:"memGb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"pullGb"`
-	Types       []string `json:"hulls,omitempty"`
-	Zone        string   `json:"berth,omitempty"`
-	OneZone     bool     `json:"together,omitempty"`
-	Spread      bool     `json:"apart,omitempty"`
-	Spot        bool     `json:"standby,omitempty"`
-	EstimateS   float64  `json:"guessS"`
-	CheckpointS float64  `json:"markS"`
-	SaveS       float64  `json:"stowS"`
-	DeadlineS   *float64 `json:"dueS,omitempty"`
-	// Awaits names the jobs that have to be done before any task of this one
+	ID                  string   `json:"nameId"`
+	Class               string   `json:"jobclass"`
+	Team                string   `json:"crew"`
+	Shape               Shape    `json:"shape"`
+	Priority            Priority `json:"urgency"`
+	Tasks               int      `json:"shards"`
+	CPUs                float64  `json:"cpus"`
+	GPUs                float64  `json:"accelerators"`
+	MemGB               float64  `json:"memGb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"pullGb"`
+	MachineTypes        []string `json:"hulls,omitempty"`
+	Zone                string   `json:"berth,omitempty"`
+	OneZone             bool     `json:"together,omitempty"`
+	SpreadZones         bool     `json:"apart,omitempty"`
+	AllowSpot           bool     `json:"standby,omitempty"`
+	EstimatedRunS       float64  `json:"guessS"`
+	CheckpointIntervalS float64  `json:"markS"`
+	CheckpointDurationS float64  `json:"stowS"`
+	DeadlineS           *float64 `json:"dueS,omitempty"`
+	// Dependencies names the jobs that have to be done before any task of this one
 	// starts.
-	Awaits []string `json:"awaits,omitempty"`
+	Dependencies []string `json:"awaits,omitempty"`
 }
 
 // JobStatus answers a submission, a query or a cancellation.
@@ -109,66 +109,66 @@
 	Running int      `json:"running"`
 }
 
-// Report is what a worker sends, and the body of its answers to commands.
-type Report struct {
-	Machine  string   `json:"host"`
-	Addr     string   `json:"endpoint"`
-	Type     string   `json:"hull"`
-	Zone     string   `json:"berth"`
-	Spot     bool     `json:"standby"`
-	Session  uint64   `json:"watch"`
-	Seq      uint64   `json:"tally"`
-	Token    uint64   `json:"helm"`
-	WarningS *float64 `json:"warningS"`
-	Tasks    []Task   `json:"shards"`
+// Heartbeat is what a worker sends, and the body of its answers to commands.
+type Heartbeat struct {
+	Machine           string       `json:"host"`
+	Addr              string       `json:"endpoint"`
+	Type              string       `json:"hull"`
+	Zone              string       `json:"berth"`
+	Spot              bool         `json:"standby"`
+	Incarnation       uint64       `json:"watch"`
+	Sequence          uint64       `json:"tally"`
+	FencingToken      uint64       `json:"helm"`
+	PreemptionNoticeS *float64     `json:"warningS"`
+	Tasks             []TaskStatus `json:"shards"`
 }
 
-// Newer tells whether r was made after the message (session, seq).
-func (r *Report) Newer(session, seq uint64) bool {
-	return r.Session > session || r.Session == session && r.Seq > seq
+// NewerThan tells whether r was made after the message (session, seq).
+func (h *Heartbeat) NewerThan(incarnation, sequence uint64) bool {
+	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// Task is one task in a report.
-type Task struct {
-	Task    string    `json:"shard"`
-	Attempt uint64    `json:"launch"`
-	State   TaskState `json:"status"`
-	Cause   ExitCause `json:"cause,omitempty"`
-	Saved   bool      `json:"kept,omitempty"`
+// TaskStatus is one task in a report.
+type TaskStatus struct {
+	Task         string    `json:"shard"`
+	Attempt      uint64    `json:"launch"`
+	State        TaskState `json:"status"`
+	Cause        ExitCause `json:"cause,omitempty"`
+	Checkpointed bool      `json:"kept,omitempty"`
 }
 
 // Command is one order to a worker.
 type Command struct {
-	Verb    Verb     `json:"verb"`
-	Task    string   `json:"shard"`
-	Attempt uint64   `json:"launch"`
-	GraceS  *float64 `json:"respiteS,omitempty"`
+	Verb         Verb     `json:"verb"`
+	Task         string   `json:"shard"`
+	Attempt      uint64   `json:"launch"`
+	GracePeriodS *float64 `json:"respiteS,omitempty"`
 }
 
-// Orders answers a report, or goes to a worker's command address.
-type Orders struct {
-	Token    uint64    `json:"helm"`
-	Session  uint64    `json:"watch,omitempty"`
-	Commands []Command `json:"orders"`
+// CommandList answers a report, or goes to a worker's command address.
+type CommandList struct {
+	FencingToken uint64    `json:"helm"`
+	Incarnation  uint64    `json:"watch,omitempty"`
+	Commands     []Command `json:"orders"`
 }
 
 // Redirect is the body of a 421.
 type Redirect struct {
-	ReportTo string `json:"bridge,omitempty"`
+	Controller string `json:"bridge,omitempty"`
 }
 
 // MachineType is one type that the cloud rents.
 type MachineType struct {
-	Name      string   `json:"label"`
-	CPUs      float64  `json:"cpus"`
-	GPUs      float64  `json:"accelerators"`
-	MemGB     float64  `json:"memGb"`
-	CacheGB   float64  `json:"localGb"`
-	FetchGBPS float64  `json:"fetchGbPerS"`
-	Price     float64  `json:"rate"`
-	SpotPrice float64  `json:"lowPrice"`
-	BootS     float64  `json:"bootS"`
-	Zones     []string `json:"berths"`
+	Name       string   `json:"label"`
+	CPUs       float64  `json:"cpus"`
+	GPUs       float64  `json:"accelerators"`
+	MemGB      float64  `json:"memGb"`
+	CacheGB    float64  `json:"localGb"`
+	PullGBPerS float64  `json:"fetchGbPerS"`
+	Price      float64  `json:"rate"`
+	SpotPrice  float64  `json:"lowPrice"`
+	BootS      float64  `json:"bootS"`
+	Zones      []string `json:"berths"`
 }
 
 // MachineTypes is the cloud's answer to a query of its types.
@@ -176,13 +176,13 @@
 	Types []MachineType `json:"hulls"`
 }
 
-// RentRequest asks the cloud for machines.
-type RentRequest struct {
-	Request string `json:"charter"`
-	Type    string `json:"hull"`
-	Zone    string `json:"berth"`
-	Spot    bool   `json:"standby"`
-	Count   int    `json:"count"`
+// ProvisionRequest asks the cloud for machines.
+type ProvisionRequest struct {
+	ID    string `json:"charter"`
+	Type  string `json:"hull"`
+	Zone  string `json:"berth"`
+	Spot  bool   `json:"standby"`
+	Count int    `json:"count"`
 }
 
 // MachineNames is the answer to a rental and the body of a return.
