--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -36,7 +37,7 @@
 // taskPrice is the hourly price of a job's task on a full machine of a type; not ok if none
 // fits.
 func taskPrice(j *wire.Job, t *wire.MachineType) (price float64, ok bool) {
-	fit := typeCapacity(t).Fit(taskSize(j), provisioning.MaxTasksPerMachine)
+	fit := cluster.TypeCapacity(t).Fit(cluster.TaskSize(j), provisioning.MaxTasksPerMachine)
 	if fit == 0 {
 		return 0, false
 	}
@@ -59,22 +60,22 @@
 
 // releaseFromBestEffort empties a dear machine on which nothing but guests' work has run for as
 // long as a machine may be idle, so that it can be returned.
-func (l *leader) releaseFromBestEffort(machine *machine) {
-	if machine.guaranteedTasks > 0 || len(machine.placements) == 0 || !l.usable(machine) || l.fleet.keptIdle[machine.name] || machine.reservedFor != nil {
+func (l *leader) releaseFromBestEffort(machine *cluster.Machine) {
+	if machine.GuaranteedTasks > 0 || len(machine.Placements) == 0 || !l.usable(machine) || l.fleet.keptIdle[machine.Name] || machine.ReservedFor != nil {
 		return
 	}
-	if l.core.now-max(machine.guaranteedUntil, machine.firstHeartbeat, l.recordsLoadedAt) < l.maxIdleTime() || l.core.now-machine.createdAt < minBilledTime {
+	if l.core.now-max(machine.GuaranteedUntil, machine.FirstHeartbeat, l.recordsLoadedAt) < l.maxIdleTime() || l.core.now-machine.CreatedAt < minBilledTime {
 		return
 	}
-	var last *job
-	for _, p := range machine.placements {
-		if p.job != last && slices.Contains(l.cheapTypes(&p.job.Job), machine.typeName) {
+	var last *cluster.Job
+	for _, p := range machine.Placements {
+		if p.Job != last && slices.Contains(l.cheapTypes(&p.Job.Job), machine.TypeName) {
 			return
 		}
-		last = p.job
+		last = p.Job
 	}
-	l.cordon(machine, drainCostly)
-	machine.evicting = true
+	l.cordon(machine, cluster.DrainCostly)
+	machine.Evicting = true
 }
 
 // maxIdleTime is how long a machine that nothing needs is kept.
--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -27,12 +28,12 @@
 }
 
 // addArray adds an array to the open jobs.
-func addArray(l *leader, id, team, class string, tasks int, gpus float64) *job {
-	j := newJob(records.Open{Job: wire.Job{ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
-		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3}}, uint64(len(l.jobsBySubmission)+1))
-	j.loaded, j.waitingSinceMS = true, l.core.wallClockMS
+func addArray(l *leader, id, team, class string, tasks int, gpus float64) *cluster.Job {
+	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
+		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3}}, uint64(len(l.JobsBySubmission)+1))
+	j.Loaded, j.WaitingSinceMS = true, l.core.wallClockMS
 	l.initPlacementRecords(j)
-	l.jobs[id], l.jobsBySubmission = j, append(l.jobsBySubmission, j)
+	l.Jobs[id], l.JobsBySubmission = j, append(l.JobsBySubmission, j)
 	return j
 }
 
@@ -44,8 +45,8 @@
 	owner := addArray(l, "job-2", "vision", "sweep", 4, 1)
 	free := addArray(l, "job-3", "vision", "sweep", 4, 0)
 	l.markWithinQuota()
-	if guest.withinQuota || !owner.withinQuota || !free.withinQuota {
-		t.Errorf("within their guarantee: guest %v, owner %v, owner without GPUs %v", guest.withinQuota, owner.withinQuota, free.withinQuota)
+	if guest.WithinQuota || !owner.WithinQuota || !free.WithinQuota {
+		t.Errorf("within their guarantee: guest %v, owner %v, owner without GPUs %v", guest.WithinQuota, owner.WithinQuota, free.WithinQuota)
 	}
 }
 
@@ -64,7 +65,7 @@
 	if got, want := order(), []string{"job-2", "job-1"}; !slices.Equal(got, want) {
 		t.Errorf("order %v, want %v", got, want)
 	}
-	leader.jobs["job-1"].waitingSinceMS -= (maxStartWait + time.Second).Milliseconds()
+	leader.Jobs["job-1"].WaitingSinceMS -= (maxStartWait + time.Second).Milliseconds()
 	if got, want := order(), []string{"job-1", "job-2", "job-1"}; !slices.Equal(got, want) {
 		t.Errorf("after two minutes: order %v, want %v", got, want)
 	}
@@ -74,7 +75,7 @@
 func TestPreemptionLimit(t *testing.T) {
 	_, l := bestEffortLeader(t)
 	j := addArray(l, "job-1", "vision", "sweep", 60, 1)
-	c := &candidate{job: j, pending: j.unplacedTasks()}
+	c := &candidate{job: j, pending: j.UnplacedTasks()}
 	if n := l.preemptionLimit(c); n != maxPreemptionsPerPass {
 		t.Errorf("room for %d tasks beyond the guarantee", n)
 	}
@@ -107,8 +108,8 @@
 			m := idleMachine(l, "n-1", "g4", "a")
 			victim := addArray(l, "job-1", "guest", "scan", 1, 1)
 			j := addArray(l, "job-2", "vision", test.class, 1, 1)
-			j.Image, j.ImageGB, j.withinQuota = "x", test.imageGB, test.within
-			j.waitingSinceMS -= test.waited.Milliseconds()
+			j.Image, j.ImageGB, j.WithinQuota = "x", test.imageGB, test.within
+			j.WaitingSinceMS -= test.waited.Milliseconds()
 			if got := l.preemptionGrace(j, m, victim); got != test.want {
 				t.Errorf("%v s to save, want %v", got, test.want)
 			}
@@ -128,13 +129,13 @@
 	if len(cands) != 1 || len(cands[0].pending) != 1 || cands[0].withinQuota || cands[0].preemptionPriority != 0 || !cands[0].faulty {
 		t.Fatalf("candidates %+v", cands)
 	}
-	leader.bindTasks(job, cands[0].pending, []*machine{only})
+	leader.bindTasks(job, cands[0].pending, []*cluster.Machine{only})
 	if cands := leader.candidates(); len(cands) != 0 {
 		t.Errorf("another task is tried beside the first: %+v", cands[0])
 	}
-	job.tasks[0].state, job.tasks[0].runningSince = wire.TaskRunning, leader.core.now
+	job.TaskStates[0].State, job.TaskStates[0].RunningSince = wire.TaskRunning, leader.core.now
 	leader.core.now += healthyAfterHeartbeats * leader.core.heartbeatInterval()
-	leader.recordRunning(only.placements[0])
+	leader.recordRunning(only.Placements[0])
 	if cands := leader.candidates(); len(cands) != 1 || len(cands[0].pending) != 3 || cands[0].faulty {
 		t.Errorf("after a start that went well: %+v", cands)
 	}
--- a/internal/core/cancel_leader.go
+++ b/internal/core/cancel_leader.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -10,15 +11,15 @@
 // The leader's part of cancellations: it stops the tasks, and says when none is left.
 
 // recordCancellation takes in what an open record says of a cancellation.
-func (l *leader) recordCancellation(job *job, record records.Open) {
+func (l *leader) recordCancellation(job *cluster.Job, record records.Open) {
 	ago := func(at int64, skew float64) time.Duration {
 		return l.core.now - time.Duration(max(0, l.core.wallClockMS-at+int64(skew)))*time.Millisecond
 	}
-	if record.Cancelled && !job.cancellation.Requested() {
+	if record.Cancelled && !job.Cancellation.Requested() {
 		l.core.log.Info("job cancelled", "job", job.ID, "told", record.Acknowledged())
 		l.markCancelled(job)
 		if record.CancelRequestedAt != 0 {
-			job.cancellation.Request(ago(record.CancelRequestedAt, 0))
+			job.Cancellation.Request(ago(record.CancelRequestedAt, 0))
 		}
 		var dependencies []string
 		l.dependencies.EachAwaited(job.ID, func(dependency string) { dependencies = append(dependencies, dependency) })
@@ -31,17 +32,17 @@
 		if record.CancelAcknowledgedAt != 0 {
 			at = ago(record.CancelAcknowledgedAt, l.core.settings.Deployment.SkewMs)
 		}
-		job.cancellation.Acknowledge(at)
+		job.Cancellation.Acknowledge(at)
 	}
 }
 
 // markCancelled has a job end without being done.
-func (l *leader) markCancelled(j *job) {
-	j.cancellation.Request(l.core.now)
+func (l *leader) markCancelled(j *cluster.Job) {
+	j.Cancellation.Request(l.core.now)
 	l.cancelledJobs[j.ID] = j
 	l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, j)
-	for i := range j.tasks {
-		if j.tasks[i].machine != nil {
+	for i := range j.TaskStates {
+		if j.TaskStates[i].Machine != nil {
 			l.stopTask(j, i, 0, stopCancelled)
 		}
 	}
@@ -53,11 +54,11 @@
 func (l *leader) handlePeerCancellations(from string, cancellations []wire.Cancelled) {
 	ends := wire.Ends{TermVersion: l.leadership.TermVersion}
 	for _, cancelled := range cancellations {
-		job := l.jobs[cancelled.ID]
-		if job != nil && !job.cancellation.Requested() {
-			record := job.record
+		job := l.Jobs[cancelled.ID]
+		if job != nil && !job.Cancellation.Requested() {
+			record := job.Record
 			record.Cancelled, record.CancelRequestedAt = true, l.core.wallClockMS
-			l.applyOpenRecord(cancelled.ID, max(cancelled.Version, job.openVersion), record)
+			l.applyOpenRecord(cancelled.ID, max(cancelled.Version, job.OpenVersion), record)
 		}
 		switch final, ended := l.core.users.finalRecords[cancelled.ID]; {
 		case ended:
@@ -80,19 +81,19 @@
 
 // mayAnnounceTermination tells whether a cancelled job has been without a task for longer
 // than it takes to record its end, or cannot have it recorded.
-func (l *leader) mayAnnounceTermination(j *job) bool {
-	return j.cancellation.TerminatedFor(l.core.heartbeatInterval()/5, l.core.now) || j.cancellation.Terminated() && !l.core.store.Available()
+func (l *leader) mayAnnounceTermination(j *cluster.Job) bool {
+	return j.Cancellation.TerminatedFor(l.core.heartbeatInterval()/5, l.core.now) || j.Cancellation.Terminated() && !l.core.store.Available()
 }
 
 // terminationDelayed tells whether tasks of a job are on machines out of reach, so that
 // their end may take a while.
 func (l *leader) terminationDelayed(id string) bool {
-	j := l.jobs[id]
+	j := l.Jobs[id]
 	if j == nil {
 		return false
 	}
-	for i := range j.tasks {
-		if m := j.tasks[i].machine; m != nil && l.core.now-max(m.lastHeartbeat, m.lastContact) > l.heartbeatOverdueAfter() {
+	for i := range j.TaskStates {
+		if m := j.TaskStates[i].Machine; m != nil && l.core.now-max(m.LastHeartbeat, m.LastContact) > l.heartbeatOverdueAfter() {
 			return true
 		}
 	}
@@ -105,8 +106,8 @@
 	var ends wire.Ends
 	for _, id := range sortedKeys(l.cancelledJobs) {
 		job := l.cancelledJobs[id]
-		job.cancellation.UpdateTasks(!job.loaded || job.tasksPlaced > 0 || l.hasLiveDependents(id), l.core.now)
-		if l.mayAnnounceTermination(job) && job.cancellation.Announce() {
+		job.Cancellation.UpdateTasks(!job.Loaded || job.TasksPlaced > 0 || l.hasLiveDependents(id), l.core.now)
+		if l.mayAnnounceTermination(job) && job.Cancellation.Announce() {
 			ends.Gone = append(ends.Gone, id)
 		}
 	}
@@ -125,6 +126,6 @@
 
 // cancellationOverdue tells whether a task of a cancelled job that is not confirmed gone has to go
 // with its machine.
-func (l *leader) cancellationOverdue(j *job) bool {
-	return j.cancellation.Overdue(l.core.now, l.core.cancelGracePeriod(), userRetryPeriod)
+func (l *leader) cancellationOverdue(j *cluster.Job) bool {
+	return j.Cancellation.Overdue(l.core.now, l.core.cancelGracePeriod(), userRetryPeriod)
 }
--- a/internal/core/candidates.go
+++ b/internal/core/candidates.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/placement"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -17,7 +18,7 @@
 
 // candidate is a job with tasks to place, and what orders it.
 type candidate struct {
-	job                *job
+	job                *cluster.Job
 	withinQuota        bool
 	slack              float64
 	remainingWork      float64
@@ -30,40 +31,17 @@
 	bestEffort         bool // its team has no guarantee, and it has not waited too long
 }
 
-// pendingTasks lists the tasks that may be placed now. A gang is placed as a
-// whole, once nothing of its last attempt is left.
-func (j *job) pendingTasks() []int {
-	if !j.loaded || j.waiting || j.cancellation.Requested() || j.endWritePending || j.endRecorded || j.openVersionUnknown || j.tasksDone == len(j.tasks) {
-		return nil
-	}
-	if j.tasksPlaced == len(j.tasks) || j.Shape == wire.ShapeGang && j.tasksPlaced > 0 {
-		return nil
-	}
-	return j.unplacedTasks()
-}
-
-// unplacedTasks lists the tasks that are not done and count on no machine.
-func (j *job) unplacedTasks() []int {
-	var out []int
-	for i := range j.tasks {
-		if t := &j.tasks[i]; t.machine == nil && !t.done {
-			out = append(out, i)
-		}
-	}
-	return out
-}
-
 // candidates lists the jobs with work to place: within a guarantee first, then by
 // priority, those of teams with a guarantee first, deadline slack and submission.
 func (l *leader) candidates() []*candidate {
 	l.markWithinQuota()
 	var out []*candidate
-	for _, job := range l.jobsBySubmission {
-		pending := job.pendingTasks()
+	for _, job := range l.JobsBySubmission {
+		pending := job.PendingTasks()
 		if len(pending) == 0 {
 			continue
 		}
-		c := &candidate{job: job, withinQuota: job.withinQuota, slack: l.slack(job), remainingWork: l.remainingWork(job, len(pending)), pending: pending, preemptionPriority: l.preemptionPriority(job)}
+		c := &candidate{job: job, withinQuota: job.WithinQuota, slack: l.slack(job), remainingWork: l.remainingWork(job, len(pending)), pending: pending, preemptionPriority: l.preemptionPriority(job)}
 		if l.outliers.JobFaulty(job.ID) {
 			if c.pending = l.throttleFaultyJob(job, pending); len(c.pending) > 0 {
 				c.faulty, c.withinQuota, c.preemptionPriority = true, false, 0
@@ -76,7 +54,7 @@
 			// One task makes a job begin. Where more jobs wait than there is
 			// room for, all tasks of one ahead of the next kept every job of
 			// a class from beginning for six minutes.
-			out = append(out, &candidate{job: job, withinQuota: job.withinQuota, slack: c.slack, remainingWork: c.remainingWork - 1, pending: pending[:1:1], preemptionPriority: c.preemptionPriority})
+			out = append(out, &candidate{job: job, withinQuota: job.WithinQuota, slack: c.slack, remainingWork: c.remainingWork - 1, pending: pending[:1:1], preemptionPriority: c.preemptionPriority})
 			c.pending = pending[1:]
 		}
 		out = append(out, c)
@@ -87,27 +65,27 @@
 
 // urgency orders a candidate among the others.
 func (c *candidate) urgency() placement.Urgency {
-	return placement.Urgency{Faulty: c.faulty, WithinQuota: c.withinQuota, Priority: c.job.level, BestEffort: c.bestEffort, Slack: c.slack, RemainingWork: c.remainingWork, Submission: c.job.submissionOrder}
+	return placement.Urgency{Faulty: c.faulty, WithinQuota: c.withinQuota, Priority: c.job.Level, BestEffort: c.bestEffort, Slack: c.slack, RemainingWork: c.remainingWork, Submission: c.job.SubmissionOrder}
 }
 
 // preemptionPriority is the rank by which a job may stop other work. That of a dependent
 // counts once the chain would be late without it.
-func (l *leader) preemptionPriority(j *job) int {
-	if own := priorityLevel[j.Priority]; j.level > own && l.slack(j) > l.runEstimate(j) {
+func (l *leader) preemptionPriority(j *cluster.Job) int {
+	if own := cluster.PriorityLevel[j.Priority]; j.Level > own && l.slack(j) > l.runEstimate(j) {
 		return own
 	}
-	return j.level
+	return j.Level
 }
 
 // noDeadline is the slack of a job without a deadline: behind all others.
 const noDeadline = 1e9
 
 // slack is how long a job can still wait, in seconds.
-func (l *leader) slack(j *job) float64 {
-	if math.IsInf(j.deadline, 1) {
+func (l *leader) slack(j *cluster.Job) float64 {
+	if math.IsInf(j.Deadline, 1) {
 		return noDeadline
 	}
-	return j.deadline - float64(l.core.wallClockMS)/1000 - l.runEstimate(j)
+	return j.Deadline - float64(l.core.wallClockMS)/1000 - l.runEstimate(j)
 }
 
 // maxStartWait is half the time within which the protocol has the largest jobs
@@ -115,15 +93,15 @@
 const maxStartWait = 120 * time.Second
 
 // startOverdue tells whether a job has waited long without a beginning.
-func (l *leader) startOverdue(j *job) bool {
-	return j.tasksDone+j.tasksPlaced == 0 && l.waitingTime(j) > maxStartWait
+func (l *leader) startOverdue(j *cluster.Job) bool {
+	return j.TasksDone+j.TasksPlaced == 0 && l.waitingTime(j) > maxStartWait
 }
 
 // remainingWork is what a job of a class that is to be finished within a time still has
 // to run, in seconds of a task. When not all can be done in time, the least
 // work first gets the most jobs done; one that has waited long without a
 // beginning goes ahead, so that large jobs begin too.
-func (l *leader) remainingWork(j *job, pending int) float64 {
+func (l *leader) remainingWork(j *cluster.Job, pending int) float64 {
 	for _, o := range l.core.settings.Deployment.Objectives {
 		if o.Kind == objectiveFinished && o.Class == j.Class {
 			if l.startOverdue(j) {
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -1,24 +1,23 @@
 package core
 
 import (
-	"strings"
-
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
 // commandsFor lists what a worker should be told now.
-func (l *leader) commandsFor(m *machine) []wire.Command {
+func (l *leader) commandsFor(m *cluster.Machine) []wire.Command {
 	commands := []wire.Command{}
-	for _, ref := range m.placements {
-		if t := ref.task(); t.incarnation == m.incarnation {
-			commands = l.appendPlaced(commands, ref.name, t)
+	for _, ref := range m.Placements {
+		if t := ref.Task(); t.Incarnation == m.Incarnation {
+			commands = l.appendPlaced(commands, ref.Name, t)
 		}
 	}
-	for _, listed := range m.reportedTasks {
-		if t := m.placementOf(listed.Task); t == nil || t.attempt != listed.Attempt {
+	for _, listed := range m.ReportedTasks {
+		if t := m.PlacementOf(listed.Task); t == nil || t.Attempt != listed.Attempt {
 			commands = l.appendUnplaced(commands, m, listed)
 		}
 	}
@@ -26,31 +25,31 @@
 }
 
 // appendPlaced adds the commands for a task that counts on the machine.
-func (l *leader) appendPlaced(commands []wire.Command, name string, task *task) []wire.Command {
-	if task.observed {
-		if task.stop != nil {
+func (l *leader) appendPlaced(commands []wire.Command, name string, task *cluster.Task) []wire.Command {
+	if task.Observed {
+		if task.Stop != nil {
 			if stop := l.stopCommand(name, task); stop != nil {
 				commands = append(commands, *stop)
 			}
 		}
 		return commands
 	}
-	if !task.persisted || !task.placedThisTerm || task.stop != nil && !task.startRetransmitted {
+	if !task.Persisted || !task.PlacedThisTerm || task.Stop != nil && !task.StartRetransmitted {
 		return commands
 	}
-	task.startRetransmitted = true
-	commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: name, Attempt: task.attempt})
-	if task.stop != nil {
+	task.StartRetransmitted = true
+	commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: name, Attempt: task.Attempt})
+	if task.Stop != nil {
 		// A copy of the start may still be under way. Starting and stopping it here
 		// pins the attempt, so that the copy has no effect when it comes.
-		commands = append(commands, immediateStop(name, task.attempt))
+		commands = append(commands, immediateStop(name, task.Attempt))
 	}
 	return commands
 }
 
 // appendUnplaced adds the command for a task that the worker lists and that does not
 // count on the machine: a start that was overtaken, or an attempt that is over.
-func (l *leader) appendUnplaced(commands []wire.Command, m *machine, listed wire.TaskStatus) []wire.Command {
+func (l *leader) appendUnplaced(commands []wire.Command, m *cluster.Machine, listed wire.TaskStatus) []wire.Command {
 	if listed.State != wire.TaskExited {
 		return append(commands, immediateStop(listed.Task, listed.Attempt))
 	}
@@ -69,42 +68,28 @@
 // mayForget tells whether an exited task may be removed from the worker's
 // reports: its outcome is recorded, and no copy of its start can still come,
 // which would start it again.
-func (l *leader) mayForget(machine *machine, name string, attempt uint64) bool {
-	if machine.unconfirmedStarts[attemptID{name, attempt}] > 0 || machine.fencingToken < l.leadership.Term {
+func (l *leader) mayForget(machine *cluster.Machine, name string, attempt uint64) bool {
+	if machine.UnconfirmedStarts[cluster.AttemptID{Task: name, Attempt: attempt}] > 0 || machine.FencingToken < l.leadership.Term {
 		return false
 	}
-	j := l.jobs[jobIDOf(name)]
+	j := l.Jobs[cluster.JobIDOf(name)]
 	if j == nil {
 		return true
 	}
-	for i := range j.placementRecords {
-		if j.placementRecords[i].dirty || j.placementRecords[i].writePending || j.placementRecords[i].versionUnknown {
+	for i := range j.PlacementRecords {
+		if j.PlacementRecords[i].Dirty || j.PlacementRecords[i].WritePending || j.PlacementRecords[i].VersionUnknown {
 			return false
 		}
 	}
-	return !j.endWritePending
-}
-
-// attemptID names an attempt at a task.
-type attemptID struct {
-	task    string
-	attempt uint64
-}
-
-// jobIDOf is the job of the task with that name.
-func jobIDOf(task string) string {
-	if i := strings.IndexByte(task, '/'); i >= 0 {
-		return task[:i]
-	}
-	return task
+	return !j.EndWritePending
 }
 
 // sendStarts sends recorded starts straight to the workers.
-func (l *leader) sendStarts(j *job, starts []records.PlacedTask) {
+func (l *leader) sendStarts(j *cluster.Job, starts []records.PlacedTask) {
 	byMachine := map[string]bool{}
-	var machines []*machine
+	var machines []*cluster.Machine
 	for _, start := range starts {
-		if m := l.machines[start.Machine]; m != nil && !byMachine[start.Machine] {
+		if m := l.Machines[start.Machine]; m != nil && !byMachine[start.Machine] {
 			byMachine[start.Machine] = true
 			machines = append(machines, m)
 		}
@@ -115,13 +100,13 @@
 }
 
 // mayCommand tells whether direct commands may be sent to a machine now.
-func (l *leader) mayCommand(m *machine) bool {
-	return l.recordsLoaded && m.address != "" && m.openDirectCalls == 0 && l.core.now >= m.directRetryAt && m.fencingToken >= l.leadership.Term && !m.returning
+func (l *leader) mayCommand(m *cluster.Machine) bool {
+	return l.recordsLoaded && m.Address != "" && m.OpenDirectCalls == 0 && l.core.now >= m.DirectRetryAt && m.FencingToken >= l.leadership.Term && !m.Returning
 }
 
 // sendCommands sends a worker its commands at once instead of with the answer to
 // its next report.
-func (l *leader) sendCommands(machine *machine) {
+func (l *leader) sendCommands(machine *cluster.Machine) {
 	if !l.mayCommand(machine) {
 		return
 	}
@@ -131,21 +116,21 @@
 	}
 	starts := startedAttempts(commands)
 	for _, id := range starts {
-		machine.unconfirmedStarts[id]++
+		machine.UnconfirmedStarts[id]++
 	}
-	machine.openDirectCalls++
-	session := machine.incarnation
+	machine.OpenDirectCalls++
+	session := machine.Incarnation
 	body := kv.Encode(wire.CommandList{FencingToken: l.leadership.Term, Incarnation: session, Commands: commands})
-	l.core.call(Call{Destination: DestinationWorker, Addr: machine.address, Method: "POST", Path: "/do", Body: body, Timeout: l.core.heartbeatInterval()}, func(result Result) {
-		machine.openDirectCalls--
+	l.core.call(Call{Destination: DestinationWorker, Addr: machine.Address, Method: "POST", Path: "/do", Body: body, Timeout: l.core.heartbeatInterval()}, func(result Result) {
+		machine.OpenDirectCalls--
 		if l.steppedDown {
 			return
 		}
-		if machine.incarnation == session && outcomeKnown(result) {
-			machine.settleDirectStarts(starts)
+		if machine.Incarnation == session && outcomeKnown(result) {
+			machine.SettleDirectStarts(starts)
 		}
 		if result.Status != httpstatus.OK && result.Status != httpstatus.Conflict {
-			machine.directRetryAt = l.core.now + l.core.workerLease()/2
+			machine.DirectRetryAt = l.core.now + l.core.workerLease()/2
 			return
 		}
 		l.handleDirectStatus(machine, result.Body)
@@ -153,11 +138,11 @@
 }
 
 // startedAttempts names the attempts that commands start.
-func startedAttempts(commands []wire.Command) []attemptID {
-	var attempts []attemptID
+func startedAttempts(commands []wire.Command) []cluster.AttemptID {
+	var attempts []cluster.AttemptID
 	for _, c := range commands {
 		if c.Verb == wire.VerbStart {
-			attempts = append(attempts, attemptID{c.Task, c.Attempt})
+			attempts = append(attempts, cluster.AttemptID{Task: c.Task, Attempt: c.Attempt})
 		}
 	}
 	return attempts
@@ -169,32 +154,23 @@
 	return result.Status == httpstatus.OK || result.Status == httpstatus.Conflict || result.Status == httpstatus.BadRequest || result.NotSent
 }
 
-// settleDirectStarts notes that no copy of direct starts is under way any more.
-func (m *machine) settleDirectStarts(attempts []attemptID) {
-	for _, id := range attempts {
-		if m.unconfirmedStarts[id]--; m.unconfirmedStarts[id] <= 0 {
-			delete(m.unconfirmedStarts, id)
-		}
-	}
-}
-
 // handleDirectStatus takes in the state with which a worker answers a direct command
 // or a probe.
-func (l *leader) handleDirectStatus(machine *machine, body []byte) {
+func (l *leader) handleDirectStatus(machine *cluster.Machine, body []byte) {
 	heartbeat, ok := decodeHeartbeat(body)
-	if !ok || heartbeat.Machine != machine.name {
+	if !ok || heartbeat.Machine != machine.Name {
 		return
 	}
 	if heartbeat.FencingToken > l.leadership.Term {
 		l.core.stepDown(stepDownWorkerHigherTerm)
 		return
 	}
-	machine.lastContact = l.core.now
+	machine.LastContact = l.core.now
 	l.zoneReachedAt[heartbeat.Zone] = l.core.now
-	if machine.incarnation != 0 && heartbeat.Incarnation > machine.incarnation {
-		machine.newerIncarnationAt = l.core.now
+	if machine.Incarnation != 0 && heartbeat.Incarnation > machine.Incarnation {
+		machine.NewerIncarnationAt = l.core.now
 	}
-	if heartbeat.NewerThan(machine.incarnation, machine.sequence) {
+	if heartbeat.NewerThan(machine.Incarnation, machine.Sequence) {
 		l.applyHeartbeat(machine, heartbeat)
 	}
 }
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -5,9 +5,9 @@
 	"sort"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
-	"github.com/brookwalk/brookwalk/wire"
 )
 
 // consolidate empties a machine whose replicas all find room on others that
@@ -27,11 +27,11 @@
 	// machines for each source.
 	fleet.nextConsolidationAt = l.core.now + l.core.heartbeatInterval()
 	limit := l.passes.evaluations + l.evaluationBudget()
-	first := slices.IndexFunc(sources, func(m *machine) bool { return m.name == fleet.consolidateFrom })
+	first := slices.IndexFunc(sources, func(m *cluster.Machine) bool { return m.Name == fleet.consolidateFrom })
 	fleet.consolidateFrom = ""
 	for _, m := range sources[max(first, 0):] {
 		if l.passes.evaluations > limit {
-			fleet.consolidateFrom = m.name // goes on there
+			fleet.consolidateFrom = m.Name // goes on there
 			return
 		}
 		if to := l.consolidationPlan(m, targets); to != nil {
@@ -50,7 +50,7 @@
 // consolidationTarget is a machine that replicas may move to.
 type consolidationTarget struct {
 	*provisioning.Bin
-	machine *machine
+	machine *cluster.Machine
 }
 
 // consolidationTargets lists the machines that replicas may move to, by the images that they
@@ -58,12 +58,12 @@
 func (l *leader) consolidationTargets(bins []*provisioning.Bin) map[string][]consolidationTarget {
 	targets := map[string][]consolidationTarget{}
 	for _, b := range bins {
-		m := l.machines[b.Machine]
+		m := l.Machines[b.Machine]
 		if m == nil || b.Free.CPUs <= 0 && b.Free.GPUs <= 0 || !l.usable(m) {
 			continue
 		}
-		for _, i := range m.cachedImages {
-			targets[i.name] = append(targets[i.name], consolidationTarget{b, m})
+		for _, i := range m.CachedImages {
+			targets[i.Name] = append(targets[i.Name], consolidationTarget{b, m})
 		}
 	}
 	return targets
@@ -71,39 +71,39 @@
 
 // consolidationSources lists the machines that may be emptied: cordoned ones first, once
 // their tasks are replicas alone, then those of the highest price.
-func (l *leader) consolidationSources(bins []*provisioning.Bin) []*machine {
-	var sources []*machine
+func (l *leader) consolidationSources(bins []*provisioning.Bin) []*cluster.Machine {
+	var sources []*cluster.Machine
 	for _, b := range bins {
-		m := l.machines[b.Machine]
-		if m != nil && l.usable(m) && !b.Used && l.core.now-m.createdAt > minBilledTime && m.runsReplicasOnly() {
+		m := l.Machines[b.Machine]
+		if m != nil && l.usable(m) && !b.Used && l.core.now-m.CreatedAt > minBilledTime && m.RunsReplicasOnly() {
 			sources = append(sources, m)
 		}
 	}
-	for _, m := range l.machinesByName {
-		if m.drainReason != "" && !m.evicting && !m.returning && m.runsReplicasOnly() {
+	for _, m := range l.MachinesByName {
+		if m.DrainReason != "" && !m.Evicting && !m.Returning && m.RunsReplicasOnly() {
 			sources = append(sources, m)
 		}
 	}
 	sort.SliceStable(sources, func(a, b int) bool {
 		x, y := sources[a], sources[b]
-		if cx, cy := x.drainReason != "", y.drainReason != ""; cx != cy {
+		if cx, cy := x.DrainReason != "", y.DrainReason != ""; cx != cy {
 			return cx
 		}
 		if px, py := l.machinePrice(x), l.machinePrice(y); px != py {
 			return px > py
 		}
-		return len(x.placements) < len(y.placements)
+		return len(x.Placements) < len(y.Placements)
 	})
 	return sources
 }
 
 // evacuate has a machine's replicas move to others, given in their order.
-func (l *leader) evacuate(m *machine, to []*machine) {
-	for k, p := range m.placements {
-		p.job.reschedulingTargets[p.index] = to[k]
+func (l *leader) evacuate(m *cluster.Machine, to []*cluster.Machine) {
+	for k, p := range m.Placements {
+		p.Job.ReschedulingTargets[p.Index] = to[k]
 	}
-	l.cordon(m, drainConsolidated)
-	m.evicting = true
+	l.cordon(m, cluster.DrainConsolidated)
+	m.Evicting = true
 }
 
 // machinesPerConsolidation is for how many machines of a fleet one is emptied at a time, so that a
@@ -114,7 +114,7 @@
 // goes takes its images with it: while a class arrives whose image is fetched
 // too slowly everywhere, they go seldom.
 func (l *leader) consolidationInterval() time.Duration {
-	return l.baseConsolidationInterval() / time.Duration(max(1, len(l.machinesByName)/machinesPerConsolidation))
+	return l.baseConsolidationInterval() / time.Duration(max(1, len(l.MachinesByName)/machinesPerConsolidation))
 }
 
 // baseConsolidationInterval is the pace of a fleet that empties one machine at a time.
@@ -133,49 +133,38 @@
 
 // pullTooSlowEverywhere tells whether a job's image comes too late on every type of
 // machine that the job may use.
-func (l *leader) pullTooSlowEverywhere(j *job) bool {
+func (l *leader) pullTooSlowEverywhere(j *cluster.Job) bool {
 	wait := l.core.maxPullTime(j.Class)
 	for _, t := range l.core.machineTypes {
-		if emptyOrContains(j.MachineTypes, t.Name) && typeCapacity(t).Holds(taskSize(&j.Job)) && j.ImageGB <= wait*t.PullGBPerS {
+		if emptyOrContains(j.MachineTypes, t.Name) && cluster.TypeCapacity(t).Holds(cluster.TaskSize(&j.Job)) && j.ImageGB <= wait*t.PullGBPerS {
 			return false
 		}
 	}
 	return true
 }
 
-// runsReplicasOnly tells whether all that a machine does is to run settled replicas.
-func (m *machine) runsReplicasOnly() bool {
-	for _, p := range m.placements {
-		t := &p.job.tasks[p.index]
-		if p.job.Shape != wire.ShapeService || t.state != wire.TaskRunning || t.stop != nil {
-			return false
-		}
-	}
-	return len(m.placements) > 0
-}
-
 // jobZone names a job in a zone.
 type jobZone struct {
-	job  *job
+	job  *cluster.Job
 	zone string
 }
 
 // consolidationPlan finds a machine for each of a machine's replicas, in their
 // order; nil if not all find one.
-func (l *leader) consolidationPlan(source *machine, targets map[string][]consolidationTarget) []*machine {
+func (l *leader) consolidationPlan(source *cluster.Machine, targets map[string][]consolidationTarget) []*cluster.Machine {
 	taken := map[*provisioning.Bin]topology.Resources{}
 	added := map[jobZone]int{}
-	var to []*machine
-	for _, p := range source.placements {
-		if p.job.OneZone {
+	var to []*cluster.Machine
+	for _, p := range source.Placements {
+		if p.Job.OneZone {
 			return nil
 		}
-		best := l.tightestTarget(source, p.job, targets[p.job.Image], taken, added)
+		best := l.tightestTarget(source, p.Job, targets[p.Job.Image], taken, added)
 		if best.machine == nil {
 			return nil
 		}
-		taken[best.Bin] = taken[best.Bin].Add(taskSize(&p.job.Job))
-		added[jobZone{p.job, best.Offer.Zone}]++
+		taken[best.Bin] = taken[best.Bin].Add(cluster.TaskSize(&p.Job.Job))
+		added[jobZone{p.Job, best.Offer.Zone}]++
 		to = append(to, best.machine)
 	}
 	return to
@@ -185,16 +174,16 @@
 // less than the one to be emptied: it is about to be returned itself. After a
 // job's end replicas once moved from a machine that ran well to one that the
 // job had left empty.
-func (l *leader) soonReturned(b consolidationTarget, from *machine) bool {
+func (l *leader) soonReturned(b consolidationTarget, from *cluster.Machine) bool {
 	m := b.machine
-	idle := !b.Used && len(m.placements) == 0
-	return idle && from.drainReason == "" && l.machinePrice(m) >= l.machinePrice(from)
+	idle := !b.Used && len(m.Placements) == 0
+	return idle && from.DrainReason == "" && l.machinePrice(m) >= l.machinePrice(from)
 }
 
 // tightestTarget finds the tightest target that may take a job's replica from a
 // machine, given what the moves before it take and add; one without a machine if there
 // is none.
-func (l *leader) tightestTarget(from *machine, job *job, targets []consolidationTarget, taken map[*provisioning.Bin]topology.Resources, added map[jobZone]int) consolidationTarget {
+func (l *leader) tightestTarget(from *cluster.Machine, job *cluster.Job, targets []consolidationTarget, taken map[*provisioning.Bin]topology.Resources, added map[jobZone]int) consolidationTarget {
 	zoneRoom := l.zoneBound(job)
 	var best consolidationTarget
 	var bestFree topology.Resources
@@ -204,12 +193,12 @@
 		if t, ok := taken[target.Bin]; ok {
 			free = free.Sub(t)
 		}
-		if machine == from || !free.Holds(taskSize(&job.Job)) || !eligible(&job.Job, machine.typeName, machine.zone, machine.spot) || l.outliers.HasFailures(machine.name) || l.soonReturned(target, from) {
+		if machine == from || !free.Holds(cluster.TaskSize(&job.Job)) || !eligible(&job.Job, machine.TypeName, machine.Zone, machine.Spot) || l.outliers.HasFailures(machine.Name) || l.soonReturned(target, from) {
 			continue
 		}
 		if zoneRoom != nil {
-			n := zoneRoom(machine.zone) - added[jobZone{job, machine.zone}]
-			if machine.zone == from.zone {
+			n := zoneRoom(machine.Zone) - added[jobZone{job, machine.Zone}]
+			if machine.Zone == from.Zone {
 				n++ // its own place there becomes free
 			}
 			if n < 1 {
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -8,7 +8,6 @@
 	"io"
 	"log/slog"
 	"sort"
-	"strconv"
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
@@ -166,5 +165,3 @@
 	sort.Strings(keys)
 	return keys
 }
-
-func taskName(job string, i int) string { return job + "/" + strconv.Itoa(i) }
--- a/internal/core/defragmentation.go
+++ b/internal/core/defragmentation.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -15,9 +16,9 @@
 // gangSlot is a machine for one task of a gang, what moves from it to others, and
 // what is stopped there.
 type gangSlot struct {
-	machine *machine
+	machine *cluster.Machine
 	moves   []replicaMove
-	stops   []taskReference
+	stops   []cluster.TaskReference
 }
 
 // maxMovesPerSlot bounds how many replicas move for one task of a gang.
@@ -43,7 +44,7 @@
 	var rooms []slot
 	for _, s := range best {
 		p.moveReplicas(s.moves)
-		r := slot{Machine: s.machine.name, Zone: s.machine.zone}
+		r := slot{Machine: s.machine.Name, Zone: s.machine.Zone}
 		for _, stop := range s.stops {
 			r.Victims = append(r.Victims, victim{Task: stop})
 		}
@@ -66,14 +67,14 @@
 // fewest tasks first; nil if there are not enough.
 func (p *placementPass) gangSlots(candidate *candidate, zone string) []gangSlot {
 	leader := p.leader
-	var machines []*machine
+	var machines []*cluster.Machine
 	for _, m := range leader.passes.machines {
-		if m.zone == zone && leader.isFeasible(candidate.job, m) && (m.reservedFor == nil || leader.core.now >= m.reservedUntil) {
+		if m.Zone == zone && leader.isFeasible(candidate.job, m) && (m.ReservedFor == nil || leader.core.now >= m.ReservedUntil) {
 			machines = append(machines, m)
 		}
 	}
-	slices.SortStableFunc(machines, func(a, b *machine) int { return len(a.placements) - len(b.placements) })
-	plan := &defragmentation{pass: p, candidate: candidate, targets: map[*machine]*job{}, addedInZone: map[jobZone]int{}, emptied: map[*machine]bool{}}
+	slices.SortStableFunc(machines, func(a, b *cluster.Machine) int { return len(a.Placements) - len(b.Placements) })
+	plan := &defragmentation{pass: p, candidate: candidate, targets: map[*cluster.Machine]*cluster.Job{}, addedInZone: map[jobZone]int{}, emptied: map[*cluster.Machine]bool{}}
 	defer plan.rollBack()
 	// Those that come first are spared as targets, before they are tried.
 	for _, m := range machines[:min(len(candidate.pending), len(machines))] {
@@ -96,22 +97,22 @@
 	pass        *placementPass
 	candidate   *candidate
 	slots       []gangSlot
-	targets     map[*machine]*job // machines that replicas move to, and whose
-	addedInZone map[jobZone]int   // replicas that move to a zone
-	emptied     map[*machine]bool // machines that are to be free
+	targets     map[*cluster.Machine]*cluster.Job // machines that replicas move to, and whose
+	addedInZone map[jobZone]int                   // replicas that move to a zone
+	emptied     map[*cluster.Machine]bool         // machines that are to be free
 }
 
 // tryMachine adds a machine to the plan if it can be made free.
-func (s *defragmentation) tryMachine(machine *machine) {
-	leader, need := s.pass.leader, taskSize(&s.candidate.job.Job)
+func (s *defragmentation) tryMachine(machine *cluster.Machine) {
+	leader, need := s.pass.leader, cluster.TaskSize(&s.candidate.job.Job)
 	if s.targets[machine] != nil {
 		return
 	}
 	whole, _ := leader.capacityOf(machine)
-	free := whole.Sub(machine.used)
+	free := whole.Sub(machine.Used)
 	seat := gangSlot{machine: machine}
 	s.emptied[machine] = true
-	for _, placed := range machine.placements {
+	for _, placed := range machine.Placements {
 		if free.Holds(need) {
 			break
 		}
@@ -119,7 +120,7 @@
 			s.discard(seat)
 			return
 		}
-		free = free.Add(taskSize(&placed.job.Job))
+		free = free.Add(cluster.TaskSize(&placed.Job.Job))
 	}
 	if !free.Holds(need) {
 		s.discard(seat)
@@ -129,12 +130,12 @@
 }
 
 // evictTask has a task leave the machine of a seat; not ok if it has to stay.
-func (s *defragmentation) evictTask(seat *gangSlot, placed taskReference) bool {
+func (s *defragmentation) evictTask(seat *gangSlot, placed cluster.TaskReference) bool {
 	leader := s.pass.leader
 	switch {
-	case placed.task().stop != nil:
+	case placed.Task().Stop != nil:
 		return true
-	case placed.job.Shape != wire.ShapeGang && leader.mayPreempt(s.candidate, placed.job):
+	case placed.Job.Shape != wire.ShapeGang && leader.mayPreempt(s.candidate, placed.Job):
 		seat.stops = append(seat.stops, placed)
 		return true
 	case len(seat.moves) == maxMovesPerSlot || !leader.isMovable(placed):
@@ -151,11 +152,11 @@
 // chooseTarget finds a machine for a replica and counts the replica there. The room on a
 // machine is kept for one job at a time, and a spread job gets one more replica in
 // a zone at most.
-func (s *defragmentation) chooseTarget(replica taskReference, from *machine) *topology.Machine {
-	leader, job := s.pass.leader, replica.job
-	to := s.pass.moveTarget(replica, from, func(m *machine) bool {
+func (s *defragmentation) chooseTarget(replica cluster.TaskReference, from *cluster.Machine) *topology.Machine {
+	leader, job := s.pass.leader, replica.Job
+	to := s.pass.moveTarget(replica, from, func(m *cluster.Machine) bool {
 		other := s.targets[m]
-		crowded := job.SpreadZones && m.zone != from.zone && s.addedInZone[jobZone{job, m.zone}] > 0
+		crowded := job.SpreadZones && m.Zone != from.Zone && s.addedInZone[jobZone{job, m.Zone}] > 0
 		return !s.emptied[m] && !crowded && (other == nil || other == job)
 	})
 	if to == nil {
@@ -163,8 +164,8 @@
 	}
 	m := leader.passes.machines[to.Index]
 	s.targets[m] = job
-	s.addedInZone[jobZone{job, m.zone}]++
-	s.pass.tree.Take(to, taskSize(&job.Job))
+	s.addedInZone[jobZone{job, m.Zone}]++
+	s.pass.tree.Take(to, cluster.TaskSize(&job.Job))
 	return to
 }
 
@@ -173,8 +174,8 @@
 func (s *defragmentation) discard(seat gangSlot) {
 	delete(s.emptied, seat.machine)
 	for _, r := range seat.moves {
-		s.pass.tree.Give(r.target, taskSize(&r.replica.job.Job))
-		s.addedInZone[jobZone{r.replica.job, s.pass.leader.passes.machines[r.target.Index].zone}]--
+		s.pass.tree.Give(r.target, cluster.TaskSize(&r.replica.Job.Job))
+		s.addedInZone[jobZone{r.replica.Job, s.pass.leader.passes.machines[r.target.Index].Zone}]--
 	}
 }
 
@@ -182,7 +183,7 @@
 func (s *defragmentation) rollBack() {
 	for _, seat := range s.slots {
 		for _, r := range seat.moves {
-			s.pass.tree.Give(r.target, taskSize(&r.replica.job.Job))
+			s.pass.tree.Give(r.target, cluster.TaskSize(&r.replica.Job.Job))
 		}
 	}
 }
--- a/internal/core/defragmentation_test.go
+++ b/internal/core/defragmentation_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -129,10 +130,10 @@
 	harness.core.now = 1000 * time.Second
 	idleMachines(leader, tc.machines, "g", 1)
 	running := bindRunning(leader, tc.running)
-	j := newJob(records.Open{Job: tc.job}, 2)
+	j := cluster.NewJob(records.Open{Job: tc.job}, 2)
 	leader.initPlacementRecords(j)
-	j.waitingSinceMS = leader.core.wallClockMS - cmp.Or(tc.waited, 3*time.Minute).Milliseconds()
-	c := &candidate{job: j, pending: j.unplacedTasks(), preemptionPriority: j.level}
+	j.WaitingSinceMS = leader.core.wallClockMS - cmp.Or(tc.waited, 3*time.Minute).Milliseconds()
+	c := &candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level}
 	leader.newPlacementPass().placeCandidate(c)
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) {
 		t.Errorf("%q move or stop, want %q", stopped, tc.want)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/depgraph"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
@@ -23,19 +24,19 @@
 // job cancelled and goes on where the last one stopped.
 
 // addDependencies enters a new job into the graph.
-func (l *leader) addDependencies(job *job) {
-	if job.record.ReadyAt != 0 {
+func (l *leader) addDependencies(job *cluster.Job) {
+	if job.Record.ReadyAt != 0 {
 		// The end of the last one is on record: a leader that counted its waiting
 		// from the submission would take it for one that waits far too long.
-		job.waitingSinceMS = job.record.ReadyAt
+		job.WaitingSinceMS = job.Record.ReadyAt
 	}
-	if len(job.Dependencies) == 0 || job.record.ReadyAt != 0 {
+	if len(job.Dependencies) == 0 || job.Record.ReadyAt != 0 {
 		l.recordArrival(job)
 		return
 	}
-	job.waiting = true
-	if ref, ok := parseListRef(job.Dependencies); ok {
-		job.list, job.Dependencies = ref, nil
+	job.Waiting = true
+	if ref, ok := records.ParseDependencyListRef(job.Dependencies); ok {
+		job.DependencyList, job.Dependencies = ref, nil
 		l.readList(job)
 		return
 	}
@@ -43,7 +44,7 @@
 }
 
 // addDependencyNames takes in which jobs a new job awaits.
-func (l *leader) addDependencyNames(j *job, names []string) {
+func (l *leader) addDependencyNames(j *cluster.Job, names []string) {
 	j.Dependencies = names
 	l.dependencies.Add(j.ID, names)
 	l.core.log.Debug("job waits for", "job", j.ID, "awaited", names)
@@ -56,15 +57,15 @@
 }
 
 // resolveDependencies finds out what has become of the jobs that a new job awaits.
-func (l *leader) resolveDependencies(job *job) {
-	if !job.waiting || job.cancellation.Requested() {
+func (l *leader) resolveDependencies(job *cluster.Job) {
+	if !job.Waiting || job.Cancellation.Requested() {
 		return
 	}
 	for _, a := range job.Dependencies {
-		switch x := l.jobs[a]; {
+		switch x := l.Jobs[a]; {
 		case x == nil:
 			l.lookUpDependency(a)
-		case x.cancellation.Requested() && !job.cancellation.Requested():
+		case x.Cancellation.Requested() && !job.Cancellation.Requested():
 			// Not all that needs the cancelled one: each of them comes here.
 			l.cancelWith([]string{job.ID}, a)
 			l.cancelDependents(job.ID)
@@ -127,21 +128,21 @@
 		return
 	}
 	for _, y := range l.dependencies.Done(id) {
-		if j := l.jobs[y]; j != nil && j.waiting && !j.cancellation.Requested() {
-			j.dependenciesDone = true
+		if j := l.Jobs[y]; j != nil && j.Waiting && !j.Cancellation.Requested() {
+			j.DependenciesDone = true
 			l.writer.dirty = true
 		}
 	}
 }
 
 // markReady takes in what an open record says of the jobs that were awaited.
-func (l *leader) markReady(j *job) {
-	if !j.waiting || j.record.ReadyAt == 0 {
+func (l *leader) markReady(j *cluster.Job) {
+	if !j.Waiting || j.Record.ReadyAt == 0 {
 		return
 	}
 	l.core.log.Info("job goes on", "job", j.ID)
-	j.waiting, j.dependenciesDone = false, false
-	j.waitingSinceMS = j.record.ReadyAt
+	j.Waiting, j.DependenciesDone = false, false
+	j.WaitingSinceMS = j.Record.ReadyAt
 	l.dependencies.Drop(j.ID)
 	l.recordArrival(j)
 	l.passes.requested = true
@@ -151,8 +152,8 @@
 // was cancelled before is cancelled already.
 func (l *leader) cancelDependents(id string) {
 	l.cancelWith(l.dependencies.After(id, func(y string) bool {
-		j := l.jobs[y]
-		return j != nil && !j.cancellation.Requested()
+		j := l.Jobs[y]
+		return j != nil && !j.Cancellation.Requested()
 	}), id)
 }
 
@@ -161,7 +162,7 @@
 	var before []string
 	for _, id := range ids {
 		l.core.log.Info("job cancelled", "job", id, "with", with)
-		l.markCancelled(l.jobs[id])
+		l.markCancelled(l.Jobs[id])
 		l.dependencies.EachAwaited(id, func(a string) { before = append(before, a) })
 	}
 	l.recomputeUrgency(before)
@@ -169,27 +170,19 @@
 
 // hasLiveDependents tells whether any dependent of a job is not over, or may not be.
 func (l *leader) hasLiveDependents(id string) bool {
-	if j := l.jobs[id]; j != nil && l.mayHaveUnknownDependents(j) {
+	if j := l.Jobs[id]; j != nil && l.mayHaveUnknownDependents(j) {
 		return true
 	}
 	return l.dependencies.AnyDependent(id, func(y string) bool {
-		j := l.jobs[y]
-		return j != nil && !j.endRecorded && !j.endWritePending
+		j := l.Jobs[y]
+		return j != nil && !j.EndRecorded && !j.EndWritePending
 	})
 }
 
 // mayHaveUnknownDependents tells whether a job may have dependents that are not known yet,
 // since a list of awaited jobs is still to be read.
-func (l *leader) mayHaveUnknownDependents(j *job) bool {
-	return j.record.HasDependents && len(l.dependencyLists.unread) > 0
-}
-
-// ownDeadline is when a job's user wants it done, as a time of day in seconds.
-func ownDeadline(rec *records.Open) float64 {
-	if rec.Job.DeadlineS == nil {
-		return math.Inf(1)
-	}
-	return float64(rec.SubmittedAt)/1000 + *rec.Job.DeadlineS
+func (l *leader) mayHaveUnknownDependents(j *cluster.Job) bool {
+	return j.Record.HasDependents && len(l.dependencyLists.unread) > 0
 }
 
 // propagateUrgency gives the jobs that others need the highest priority among these, and the
@@ -198,23 +191,23 @@
 // job is looked at after all of its dependents that change, and so once: taken up
 // by way of each path, a job of a layered graph would be looked at as often as
 // there are paths.
-func (l *leader) propagateUrgency(dependents ...*job) {
+func (l *leader) propagateUrgency(dependents ...*cluster.Job) {
 	var changed depgraph.Worklist
 	for _, job := range dependents {
 		changed.Add(job.ID, l.dependencies.Level(job.ID))
 	}
 	for id, ok := changed.Next(); ok; id, ok = changed.Next() {
-		job := l.jobs[id]
-		if job == nil || job.cancellation.Requested() || !job.waiting {
+		job := l.Jobs[id]
+		if job == nil || job.Cancellation.Requested() || !job.Waiting {
 			continue
 		}
-		due := job.deadline - l.runEstimate(job)
+		due := job.Deadline - l.runEstimate(job)
 		l.dependencies.EachAwaited(id, func(a string) {
-			x := l.jobs[a]
-			if x == nil || x.cancellation.Requested() || x.level >= job.level && x.deadline <= due {
+			x := l.Jobs[a]
+			if x == nil || x.Cancellation.Requested() || x.Level >= job.Level && x.Deadline <= due {
 				return
 			}
-			l.setUrgency(x, max(x.level, job.level), min(x.deadline, due))
+			l.setUrgency(x, max(x.Level, job.Level), min(x.Deadline, due))
 			l.queueDependency(&changed, id, a)
 		})
 	}
@@ -228,12 +221,12 @@
 		changed.Add(id, l.dependencies.Level(id))
 	}
 	for id, ok := changed.Next(); ok; id, ok = changed.Next() {
-		j := l.jobs[id]
-		if j == nil || j.cancellation.Requested() || j.level == priorityLevel[j.Priority] && j.deadline == ownDeadline(&j.record) {
+		j := l.Jobs[id]
+		if j == nil || j.Cancellation.Requested() || j.Level == cluster.PriorityLevel[j.Priority] && j.Deadline == cluster.OwnDeadline(&j.Record) {
 			continue
 		}
 		rank, due := l.inheritedUrgency(j)
-		if rank == j.level && due == j.deadline {
+		if rank == j.Level && due == j.Deadline {
 			continue
 		}
 		l.setUrgency(j, rank, due)
@@ -250,36 +243,36 @@
 
 // inheritedUrgency returns the rank of a job and the time by which it has to be done, as its
 // user and its dependents want it.
-func (l *leader) inheritedUrgency(j *job) (rank int, due float64) {
-	rank, due = priorityLevel[j.Priority], ownDeadline(&j.record)
+func (l *leader) inheritedUrgency(j *cluster.Job) (rank int, due float64) {
+	rank, due = cluster.PriorityLevel[j.Priority], cluster.OwnDeadline(&j.Record)
 	l.dependencies.EachDependent(j.ID, func(y string) {
-		if o := l.jobs[y]; o != nil && !o.cancellation.Requested() {
-			rank, due = max(rank, o.level), min(due, o.deadline-l.runEstimate(o))
+		if o := l.Jobs[y]; o != nil && !o.Cancellation.Requested() {
+			rank, due = max(rank, o.Level), min(due, o.Deadline-l.runEstimate(o))
 		}
 	})
 	return rank, due
 }
 
 // setUrgency changes a job's rank and the time by which it has to be done.
-func (l *leader) setUrgency(j *job, rank int, due float64) {
-	if rank != j.level {
+func (l *leader) setUrgency(j *cluster.Job, rank int, due float64) {
+	if rank != j.Level {
 		l.setPriority(j, rank)
 	}
-	j.deadline = due
+	j.Deadline = due
 	l.passes.requested = true
 }
 
 // setPriority changes a job's rank, and with it what machines count by rank.
-func (l *leader) setPriority(job *job, rank int) {
-	for i := range job.tasks {
-		if m := job.tasks[i].machine; m != nil {
-			m.adjustUsage(job, -1)
+func (l *leader) setPriority(job *cluster.Job, rank int) {
+	for i := range job.TaskStates {
+		if m := job.TaskStates[i].Machine; m != nil {
+			m.AdjustUsage(job, -1)
 		}
 	}
-	job.level = rank
-	for i := range job.tasks {
-		if m := job.tasks[i].machine; m != nil {
-			m.adjustUsage(job, 1)
+	job.Level = rank
+	for i := range job.TaskStates {
+		if m := job.TaskStates[i].Machine; m != nil {
+			m.AdjustUsage(job, 1)
 		}
 	}
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -9,6 +9,7 @@
 	stdjson "encoding/json"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
@@ -50,23 +51,23 @@
 	due := 900.0
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
 	machine := leader.machineNamed("n-000001")
-	leader.place(leader.jobs["job-1"], 0, machine)
+	leader.place(leader.Jobs["job-1"], 0, machine)
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, func(r *records.Open) { r.Job.EstimatedRunS = 50 })
 	addRecord(harness, leader, wire.Job{ID: "job-3", Dependencies: []string{"job-2"}}, func(r *records.Open) {
 		r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
 	})
 	end := float64(harness.core.wallClockMS)/1000 + due
 	for id, want := range map[string]float64{"job-1": end - 70, "job-2": end - 20, "job-3": end} {
-		if j := leader.jobs[id]; j.level != priorityLevel[wire.PriorityUrgent] || math.Abs(j.deadline-want) > 1e-3 {
-			t.Errorf("%s: rank %d, due %.0f s before the end, want %.0f", id, j.level, end-j.deadline, end-want)
+		if j := leader.Jobs[id]; j.Level != cluster.PriorityLevel[wire.PriorityUrgent] || math.Abs(j.Deadline-want) > 1e-3 {
+			t.Errorf("%s: rank %d, due %.0f s before the end, want %.0f", id, j.Level, end-j.Deadline, end-want)
 		}
 	}
-	if machine.usedByLevel[priorityLevel[wire.PriorityUrgent]].CPUs != 4 || machine.usedByLevel[0].CPUs != 0 {
-		t.Errorf("the machine counts %v by priority", machine.usedByLevel)
+	if machine.UsedByLevel[cluster.PriorityLevel[wire.PriorityUrgent]].CPUs != 4 || machine.UsedByLevel[0].CPUs != 0 {
+		t.Errorf("the machine counts %v by priority", machine.UsedByLevel)
 	}
-	leader.forget(leader.jobs["job-3"])
-	if j := leader.jobs["job-1"]; j.level != 0 || !math.IsInf(j.deadline, 1) {
-		t.Errorf("without its dependent: rank %d, due %v", j.level, j.deadline)
+	leader.forget(leader.Jobs["job-3"])
+	if j := leader.Jobs["job-1"]; j.Level != 0 || !math.IsInf(j.Deadline, 1) {
+		t.Errorf("without its dependent: rank %d, due %v", j.Level, j.Deadline)
 	}
 }
 
@@ -78,20 +79,20 @@
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, nil) // 4 of 8 CPUs guaranteed
 	addRecord(harness, leader, wire.Job{ID: "job-3"}, nil)
 	leader.markWithinQuota()
-	if !leader.jobs["job-1"].withinQuota || leader.jobs["job-2"].withinQuota || !leader.jobs["job-3"].withinQuota {
+	if !leader.Jobs["job-1"].WithinQuota || leader.Jobs["job-2"].WithinQuota || !leader.Jobs["job-3"].WithinQuota {
 		t.Error("within the guarantee: jobs 1 and 3, not the waiting one before it")
 	}
-	if n := len(leader.jobs["job-2"].pendingTasks()); n != 0 {
+	if n := len(leader.Jobs["job-2"].PendingTasks()); n != 0 {
 		t.Errorf("%d tasks of a waiting job may be placed", n)
 	}
-	since := leader.jobs["job-2"].waitingSinceMS
-	j := leader.jobs["job-1"]
-	j.tasksDone, j.tasks[0].done, leader.writer.dirty = 1, true, true
+	since := leader.Jobs["job-2"].WaitingSinceMS
+	j := leader.Jobs["job-1"]
+	j.TasksDone, j.TaskStates[0].Done, leader.writer.dirty = 1, true, true
 	harness.run(2e9)
-	if len(leader.jobs["job-2"].pendingTasks()) != 1 || !strings.Contains(string(harness.store[records.OpenKey("job-2")].Value), `"ra":`) {
+	if len(leader.Jobs["job-2"].PendingTasks()) != 1 || !strings.Contains(string(harness.store[records.OpenKey("job-2")].Value), `"ra":`) {
 		t.Errorf("it does not go on: %s", harness.store[records.OpenKey("job-2")].Value)
 	}
-	if leader.jobs["job-2"].waitingSinceMS <= since {
+	if leader.Jobs["job-2"].WaitingSinceMS <= since {
 		t.Error("its waiting counts from its submission")
 	}
 }
@@ -158,15 +159,15 @@
 		s.Deployment.Store.TxnOps, s.Deployment.Store.ValueKB = 5, 1
 	})
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
-	job := leader.jobs["job-1"]
-	for i := range job.placementRecords {
-		harness.write(job.placementRecords[i].key, "", []byte(`{"n":1}`))
-		job.placementRecords[i].version = harness.store[job.placementRecords[i].key].Version
+	job := leader.Jobs["job-1"]
+	for i := range job.PlacementRecords {
+		harness.write(job.PlacementRecords[i].Key, "", []byte(`{"n":1}`))
+		job.PlacementRecords[i].Version = harness.store[job.PlacementRecords[i].Key].Version
 	}
-	if len(job.placementRecords) < 10 {
-		t.Fatalf("%d records", len(job.placementRecords))
+	if len(job.PlacementRecords) < 10 {
+		t.Fatalf("%d records", len(job.PlacementRecords))
 	}
-	for i := range job.tasks {
+	for i := range job.TaskStates {
 		leader.markDone(job, i)
 	}
 	harness.run(2e9)
@@ -190,11 +191,11 @@
 	})
 	harness.core.peers["n1"] = &peerState{}
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
-	job := leader.jobs["job-1"]
-	for i := range job.tasks[:60] {
+	job := leader.Jobs["job-1"]
+	for i := range job.TaskStates[:60] {
 		m := leader.machineNamed(fmt.Sprintf("n-%06d", i))
-		job.tasks[i] = task{attempt: uint64(i + 1), zone: "a", incarnation: 1, placedThisTerm: true}
-		job.nextAttempt = uint64(i + 2)
+		job.TaskStates[i] = cluster.Task{Attempt: uint64(i + 1), Zone: "a", Incarnation: 1, PlacedThisTerm: true}
+		job.NextAttempt = uint64(i + 2)
 		leader.place(job, i, m)
 		leader.markPlacementChanged(job, i, false)
 	}
@@ -211,7 +212,7 @@
 	// The answer to that write was lost, and it may still come: as a first one
 	// would, on the condition that no record exists.
 	delete(harness.store, "p/job-1/0")
-	job.placementRecords[0].version, job.placementRecords[0].dirty, job.placementRecords[0].dueAt = 0, true, 0
+	job.PlacementRecords[0].Version, job.PlacementRecords[0].Dirty, job.PlacementRecords[0].DueAt = 0, true, 0
 	leader.writer.dirty = true
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersion}}})
 	harness.run(1e9)
@@ -244,9 +245,9 @@
 			found = append(found, p)
 		}
 	}
-	successor.adoptPlacements(successor.jobs["job-1"], found)
-	if got := successor.jobs["job-1"]; got.tasksPlaced != 60 || got.nextAttempt != 61 || got.numbered {
-		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.tasksPlaced, got.nextAttempt, got.numbered)
+	successor.adoptPlacements(successor.Jobs["job-1"], found)
+	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.Numbered {
+		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.Numbered)
 	}
 }
 
@@ -255,22 +256,22 @@
 func TestAdoptPrefersRanges(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1} })
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 30}, nil)
-	job := leader.jobs["job-1"]
+	job := leader.Jobs["job-1"]
 	leader.adoptPlacements(job, []loadedPlacement{
 		{key: "p/job-1/0", version: 5, PlacementRange: records.PlacementRange{From: 0, To: 128, Numbered: true}, record: records.Placement{NextAttempt: 40, Done: []int{3}, Tasks: []records.PlacedTask{
 			{Task: 1, Attempt: 1, Machine: "n-000001", Zone: "a", Incarnation: 1}, {Task: 20, Attempt: 2, Machine: "n-000001", Zone: "a", Incarnation: 1}}}},
 		{key: "p/job-1/0-12", version: 9, PlacementRange: records.PlacementRange{From: 0, To: 12}, record: records.Placement{NextAttempt: 50, Tasks: []records.PlacedTask{
 			{Task: 2, Attempt: 45, Machine: "n-000002", Zone: "b", Incarnation: 3}}}},
 	})
-	if job.tasks[1].machine != nil || job.tasks[2].machine == nil || job.tasks[2].machine.name != "n-000002" || job.tasks[20].machine == nil || !job.tasks[3].done || job.nextAttempt != 50 {
-		t.Errorf("read as %+v", job.tasks[:21])
+	if job.TaskStates[1].Machine != nil || job.TaskStates[2].Machine == nil || job.TaskStates[2].Machine.Name != "n-000002" || job.TaskStates[20].Machine == nil || !job.TaskStates[3].Done || job.NextAttempt != 50 {
+		t.Errorf("read as %+v", job.TaskStates[:21])
 	}
-	for i := range job.tasks {
-		if ch := job.placementRecordOf(i); i < ch.from || i >= ch.to || strings.Count(ch.key, "-") != 2 {
-			t.Errorf("task %d is covered by %s", i, ch.key)
+	for i := range job.TaskStates {
+		if ch := job.PlacementRecordOf(i); i < ch.From || i >= ch.To || strings.Count(ch.Key, "-") != 2 {
+			t.Errorf("task %d is covered by %s", i, ch.Key)
 		}
 	}
-	if keys := job.placementKeys(); len(keys) != 2 {
+	if keys := job.PlacementKeys(); len(keys) != 2 {
 		t.Errorf("records to delete at the end: %v", keys)
 	}
 }
@@ -284,15 +285,15 @@
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, func(r *records.Open) {
 		r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
 	})
-	j, urgent := leader.jobs["job-1"], priorityLevel[wire.PriorityUrgent]
-	if j.level != urgent || leader.preemptionPriority(j) != 0 {
-		t.Errorf("with 50 s to spare of 30: rank %d, stops by %d", j.level, leader.preemptionPriority(j))
+	j, urgent := leader.Jobs["job-1"], cluster.PriorityLevel[wire.PriorityUrgent]
+	if j.Level != urgent || leader.preemptionPriority(j) != 0 {
+		t.Errorf("with 50 s to spare of 30: rank %d, stops by %d", j.Level, leader.preemptionPriority(j))
 	}
 	harness.core.wallClockMS += 25_000
 	if leader.preemptionPriority(j) != urgent {
 		t.Errorf("with 25 s to spare of 30 it stops by %d", leader.preemptionPriority(j))
 	}
-	if leader.preemptionPriority(leader.jobs["job-2"]) != urgent {
+	if leader.preemptionPriority(leader.Jobs["job-2"]) != urgent {
 		t.Error("a job's own priority counts at all times")
 	}
 }
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -10,6 +10,7 @@
 	stdjson "encoding/json"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
@@ -91,10 +92,10 @@
 			})
 			want := wantInherited(b, l, g, tail, due)
 			for _, id := range g.order {
-				j := l.jobs[id]
+				j := l.Jobs[id]
 				w, claimed := want[id]
-				if claimed != (j.level == priorityLevel[wire.PriorityUrgent]) || claimed && math.Abs(j.deadline-w) > 1e-3 {
-					t.Fatalf("%s: rank %d, due %f, want %v %f", id, j.level, j.deadline, claimed, w)
+				if claimed != (j.Level == cluster.PriorityLevel[wire.PriorityUrgent]) || claimed && math.Abs(j.Deadline-w) > 1e-3 {
+					t.Fatalf("%s: rank %d, due %f, want %v %f", id, j.Level, j.Deadline, claimed, w)
 				}
 			}
 			if steps, most := l.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
@@ -103,8 +104,8 @@
 			before = l.dependencies.Steps()
 			addRecord(b, l, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
 			for _, id := range g.order {
-				if j := l.jobs[id]; j.level != 0 || !math.IsInf(j.deadline, 1) {
-					t.Fatalf("%s without the claim: rank %d, due %f", id, j.level, j.deadline)
+				if j := l.Jobs[id]; j.Level != 0 || !math.IsInf(j.Deadline, 1) {
+					t.Fatalf("%s without the claim: rank %d, due %f", id, j.Level, j.Deadline)
 				}
 			}
 			if steps, most := l.dependencies.Steps()-before, 5*(len(g.order)+g.edges()); steps > most {
@@ -121,8 +122,8 @@
 		id := g.order[n]
 		if w, ok := want[id]; ok {
 			for _, a := range g.awaits[id] {
-				if have, ok := want[a]; !ok || w-l.jobs[id].EstimatedRunS < have {
-					want[a] = w - l.jobs[id].EstimatedRunS
+				if have, ok := want[a]; !ok || w-l.Jobs[id].EstimatedRunS < have {
+					want[a] = w - l.Jobs[id].EstimatedRunS
 				}
 			}
 		}
@@ -222,13 +223,13 @@
 			recordGraph(b, l, g)
 			before := l.dependencies.Steps()
 			for _, id := range g.order {
-				if j := l.jobs[id]; j.waiting && !j.dependenciesDone {
+				if j := l.Jobs[id]; j.Waiting && !j.DependenciesDone {
 					t.Fatalf("%s still waits though all before it are done", id)
 				}
-				j := l.jobs[id]
-				j.waiting, j.dependenciesDone = false, false // as when its record says that it goes on
+				j := l.Jobs[id]
+				j.Waiting, j.DependenciesDone = false, false // as when its record says that it goes on
 				l.dependencies.Drop(id)
-				delete(l.jobs, id)
+				delete(l.Jobs, id)
 				l.dependencyEnded(id, wire.StatusDone)
 			}
 			if steps, most := l.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
@@ -387,7 +388,7 @@
 			if cancelled {
 				b.step(Request{ID: 999, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
 			} else {
-				l.markDone(l.jobs[jobID(1)], 0)
+				l.markDone(l.Jobs[jobID(1)], 0)
 			}
 			b.run(time.Second)
 			if it := b.store[records.OpenKey(jobID(2))]; it.Key != "" { // as the watch tells
@@ -397,12 +398,12 @@
 			}
 			b.run(3 * time.Second)
 			f := string(b.store[records.FinalKey(jobID(1))].Value)
-			switch j := l.jobs[jobID(2)]; {
+			switch j := l.Jobs[jobID(2)]; {
 			case !accepted || f == "":
 				t.Errorf("accepted %v, the first is over: %q", accepted, f)
 			case cancelled && b.store[records.FinalKey(jobID(2))].Key == "":
 				t.Error("the dependent is not over")
-			case !cancelled && (j == nil || j.waiting):
+			case !cancelled && (j == nil || j.Waiting):
 				t.Error("the dependent does not go on")
 			}
 		})
@@ -430,7 +431,7 @@
 		addRecord(b, l, wire.Job{ID: jobID(5), Dependencies: []string{jobID(4), jobID(3)}}, nil)
 	})
 	b.run(3 * time.Second)
-	if l.jobs[jobID(3)].waiting {
+	if l.Jobs[jobID(3)].Waiting {
 		t.Error("a job whose awaited one is done waits")
 	}
 	for _, n := range []int{4, 5} {
--- a/internal/core/dependency_lists.go
+++ b/internal/core/dependency_lists.go
@@ -6,6 +6,7 @@
 	"strings"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -29,46 +30,12 @@
 // but do not cancel it with one that it awaits either. Lists are therefore
 // written only once every controller knows them.
 
-const prefixDependencyList = "a/"
-
 // dependencyLists is what the leader keeps of its reading and clearing of lists.
 type dependencyLists struct {
 	unread        map[string]time.Duration // jobs whose list is not read; when to retry
 	nextCleanupAt time.Duration            // when abandoned lists are cleared next
 }
 
-// listRef refers to a list that is spread over records.
-type listRef struct {
-	prefix  string // of the records' keys: a/JOB/TOKEN/
-	records int
-}
-
-func (r listRef) String() string { return r.prefix + strconv.Itoa(r.records) }
-
-func (r listRef) key(n int) string { return r.prefix + strconv.Itoa(n) }
-
-func (r listRef) keys() []string {
-	keys := make([]string, r.records)
-	for n := range keys {
-		keys[n] = r.key(n)
-	}
-	return keys
-}
-
-// parseListRef returns the reference that an open record's list of awaited jobs
-// consists of, if it is not the list itself.
-func parseListRef(awaits []string) (listRef, bool) {
-	if len(awaits) != 1 || !strings.HasPrefix(awaits[0], prefixDependencyList) {
-		return listRef{}, false
-	}
-	slash := strings.LastIndexByte(awaits[0], '/')
-	n, err := strconv.Atoi(awaits[0][slash+1:])
-	if err != nil || n < 1 {
-		return listRef{}, false
-	}
-	return listRef{prefix: awaits[0][:slash+1], records: n}, true
-}
-
 // listRecord is one record of a list.
 type listRecord struct {
 	At    int64    `json:"at"` // ms, time of day at which the attempt began
@@ -101,7 +68,7 @@
 
 // listWriter writes the list records of one attempt to submit a job.
 type listWriter struct {
-	ref     listRef
+	ref     records.DependencyListRef
 	records []listRecord
 	written int
 	version uint64 // of the first record
@@ -109,7 +76,7 @@
 
 // firstRecordUnchanged is the condition that the attempt has not been cleared.
 func (w *listWriter) firstRecordUnchanged() wire.Condition {
-	return wire.Condition{Key: w.ref.key(0), Version: w.version}
+	return wire.Condition{Key: w.ref.Key(0), Version: w.version}
 }
 
 // complete tells whether all records are written.
@@ -126,7 +93,7 @@
 			break
 		}
 		bytes += len(value) + kv.WriteOverhead
-		txn.Writes = append(txn.Writes, wire.Write{Put: w.ref.key(n), Value: value})
+		txn.Writes = append(txn.Writes, wire.Write{Put: w.ref.Key(n), Value: value})
 	}
 	return txn, len(txn.Writes)
 }
@@ -136,10 +103,10 @@
 func (c *Core) writeList(submission *pendingSubmission) {
 	c.nextDependencyList++
 	token := strconv.FormatUint(c.incarnation, 36) + "-" + strconv.FormatUint(c.nextDependencyList, 36)
-	records := splitList(submission.unfinishedDependencies, c.wallClockMS, c.maxRecordBytes())
+	listRecords := splitList(submission.unfinishedDependencies, c.wallClockMS, c.maxRecordBytes())
 	submission.listWriter = &listWriter{
-		ref:     listRef{prefix: prefixDependencyList + submission.record.Job.ID + "/" + token + "/", records: len(records)},
-		records: records,
+		ref:     records.DependencyListRef{Prefix: records.PrefixDependencyList + submission.record.Job.ID + "/" + token + "/", Records: len(listRecords)},
+		records: listRecords,
 	}
 	c.writeListRecords(submission)
 }
@@ -178,7 +145,7 @@
 }
 
 // readList reads the names that a job awaits from its list records.
-func (l *leader) readList(j *job) {
+func (l *leader) readList(j *cluster.Job) {
 	l.dependencyLists.unread[j.ID] = noRetry
 	l.readListPage(j, "", nil)
 }
@@ -186,9 +153,9 @@
 // noRetry is the time of a retry that is not due while a call is under way.
 const noRetry = time.Duration(math.MaxInt64)
 
-func (l *leader) readListPage(job *job, after string, names []string) {
-	l.core.store.List(job.list.prefix, after, func(r kv.ListResult) {
-		if l.steppedDown || l.jobs[job.ID] != job {
+func (l *leader) readListPage(job *cluster.Job, after string, names []string) {
+	l.core.store.List(job.DependencyList.Prefix, after, func(r kv.ListResult) {
+		if l.steppedDown || l.Jobs[job.ID] != job {
 			return
 		}
 		if r.Status != kv.OK {
@@ -204,14 +171,14 @@
 				return
 			}
 			names = append(names, record.Names...)
-			job.listRecordsRead++
+			job.ListRecordsRead++
 		}
 		switch {
 		case r.Page.More:
 			l.readListPage(job, after, names)
-		case job.listRecordsRead < job.list.records:
+		case job.ListRecordsRead < job.DependencyList.Records:
 			// Accepted with the whole list: read once more.
-			l.core.log.Error("list records are missing", "job", job.ID, "read", job.listRecordsRead, "of", job.list.records)
+			l.core.log.Error("list records are missing", "job", job.ID, "read", job.ListRecordsRead, "of", job.DependencyList.Records)
 			l.retryList(job)
 		default:
 			delete(l.dependencyLists.unread, job.ID)
@@ -221,8 +188,8 @@
 	})
 }
 
-func (l *leader) retryList(j *job) {
-	j.listRecordsRead = 0
+func (l *leader) retryList(j *cluster.Job) {
+	j.ListRecordsRead = 0
 	l.dependencyLists.unread[j.ID] = l.core.now + l.core.leaderLeaseDuration()/8
 }
 
@@ -233,7 +200,7 @@
 		if l.core.now < l.dependencyLists.unread[id] {
 			continue
 		}
-		if j := l.jobs[id]; j != nil {
+		if j := l.Jobs[id]; j != nil {
 			l.readList(j)
 		} else {
 			delete(l.dependencyLists.unread, id)
@@ -257,7 +224,7 @@
 // listAttempt is what the state service holds of an attempt to submit a job with a
 // long list.
 type listAttempt struct {
-	ref       listRef
+	ref       records.DependencyListRef
 	job       string
 	version   uint64 // of the first record; 0 if it is gone
 	startedAt int64
@@ -265,18 +232,18 @@
 }
 
 // parseListKey tells which attempt a list record belongs to.
-func parseListKey(key string) (ref listRef, job string, ok bool) {
+func parseListKey(key string) (ref records.DependencyListRef, job string, ok bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 {
-		return listRef{}, "", false
+		return records.DependencyListRef{}, "", false
 	}
-	return listRef{prefix: strings.Join(parts[:3], "/") + "/"}, parts[1], true
+	return records.DependencyListRef{Prefix: strings.Join(parts[:3], "/") + "/"}, parts[1], true
 }
 
 // findAbandonedLists reads all list records and clears those of attempts that have
 // led to no job.
 func (l *leader) findAbandonedLists(after string, found []listAttempt) {
-	l.core.store.List(prefixDependencyList, after, func(r kv.ListResult) {
+	l.core.store.List(records.PrefixDependencyList, after, func(r kv.ListResult) {
 		if l.steppedDown || r.Status != kv.OK {
 			return
 		}
@@ -292,7 +259,7 @@
 			attempt := &found[len(found)-1]
 			attempt.keys = append(attempt.keys, item.Key)
 			var record listRecord
-			if item.Key == ref.key(0) && json.Unmarshal(item.Value, &record) == nil {
+			if item.Key == ref.Key(0) && json.Unmarshal(item.Value, &record) == nil {
 				attempt.version, attempt.startedAt = item.Version, record.At
 			}
 		}
@@ -309,7 +276,7 @@
 	for len(found) > 0 {
 		attempt := &found[0]
 		age := time.Duration(l.core.wallClockMS-attempt.startedAt) * time.Millisecond
-		if l.jobs[attempt.job] != nil || attempt.version != 0 && age < l.core.abandonedListAge() || len(attempt.keys) == 0 {
+		if l.Jobs[attempt.job] != nil || attempt.version != 0 && age < l.core.abandonedListAge() || len(attempt.keys) == 0 {
 			found = found[1:]
 			continue
 		}
@@ -319,7 +286,7 @@
 		txn := &wire.Txn{Conditions: []wire.Condition{
 			l.termCondition(),
 			{Key: records.OpenKey(attempt.job)},
-			{Key: attempt.ref.key(0), Version: attempt.version},
+			{Key: attempt.ref.Key(0), Version: attempt.version},
 		}}
 		for _, key := range attempt.keys[:count] {
 			txn.Writes = append(txn.Writes, wire.Write{Delete: key})
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -41,7 +41,7 @@
 // listKeys are the keys of the list records that exist.
 func (b *harness) listKeys() (keys []string) {
 	for _, key := range sortedKeys(b.store) {
-		if strings.HasPrefix(key, prefixDependencyList) {
+		if strings.HasPrefix(key, records.PrefixDependencyList) {
 			keys = append(keys, key)
 		}
 	}
@@ -81,15 +81,15 @@
 	if err := stdjson.Unmarshal(b.store[records.OpenKey(id)].Value, &rec); err != nil {
 		t.Fatal(err)
 	}
-	ref, ok := parseListRef(rec.Job.Dependencies)
+	ref, ok := records.ParseDependencyListRef(rec.Job.Dependencies)
 	if !ok {
 		t.Fatalf("recorded as %q", rec.Job.Dependencies)
 	}
-	if keys := b.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.keys()))) {
-		t.Errorf("list records %q, the job refers to %q", keys, ref.keys())
+	if keys := b.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.Keys()))) {
+		t.Errorf("list records %q, the job refers to %q", keys, ref.Keys())
 	}
 	var got []string
-	for _, key := range ref.keys() {
+	for _, key := range ref.Keys() {
 		var record listRecord
 		if err := stdjson.Unmarshal(b.store[key].Value, &record); err != nil {
 			t.Fatal(err)
@@ -113,7 +113,7 @@
 	if a := b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 200 {
 		t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 	}
-	if len(b.listKeys()) != ref.records || len(b.commits) > commits+2 {
+	if len(b.listKeys()) != ref.Records || len(b.commits) > commits+2 {
 		t.Error("the repeat writes a list of its own")
 	}
 }
@@ -129,7 +129,7 @@
 			begun := false
 			b.intercept = func(txn *wire.Txn, carryOut func() int) int {
 				for _, w := range txn.Writes {
-					begun = begun || strings.HasPrefix(w.Put, prefixDependencyList)
+					begun = begun || strings.HasPrefix(w.Put, records.PrefixDependencyList)
 				}
 				if begun {
 					lost--
@@ -147,8 +147,8 @@
 			}
 			var rec records.Open
 			stdjson.Unmarshal(b.store[records.OpenKey(jobID(9))].Value, &rec)
-			ref, ok := parseListRef(rec.Job.Dependencies)
-			for _, key := range ref.keys() {
+			ref, ok := records.ParseDependencyListRef(rec.Job.Dependencies)
+			for _, key := range ref.Keys() {
 				if b.store[key].Key == "" {
 					t.Errorf("%s is missing", key)
 				}
@@ -209,17 +209,17 @@
 	clear(b.core.users.openJobs)
 	l := leadWithRecords(b)
 	b.run(10 * time.Second)
-	j := l.jobs[id]
-	if j == nil || !j.waiting || j.record.ReadyAt != 0 || len(j.pendingTasks()) > 0 {
+	j := l.Jobs[id]
+	if j == nil || !j.Waiting || j.Record.ReadyAt != 0 || len(j.PendingTasks()) > 0 {
 		t.Fatalf("with one job not done it does not wait: %+v", j)
 	}
-	first := l.jobs[names[0]]
+	first := l.Jobs[names[0]]
 	l.markDone(first, 0)
 	b.run(2 * time.Second)
-	if j.waiting || len(j.pendingTasks()) == 0 {
+	if j.Waiting || len(j.PendingTasks()) == 0 {
 		t.Fatal("with all of them done it does not go on")
 	}
-	for i := range j.tasks {
+	for i := range j.TaskStates {
 		l.markDone(j, i)
 	}
 	b.run(5 * time.Second)
@@ -303,14 +303,14 @@
 	b.run(b.core.listCleanupInterval() + 5*time.Second)
 	var left []string
 	for _, key := range b.listKeys() {
-		if !strings.HasPrefix(key, prefixDependencyList+id+"/") {
+		if !strings.HasPrefix(key, records.PrefixDependencyList+id+"/") {
 			left = append(left, key)
 		}
 	}
 	if !slices.Equal(left, []string{"a/job-7/x-2/0"}) || len(b.listKeys()) != accepted+1 {
 		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(b.listKeys())-len(left), accepted)
 	}
-	w := listWriter{ref: listRef{prefix: "a/job-7/x-1/", records: 12}, records: make([]listRecord, 12), written: 11, version: first}
+	w := listWriter{ref: records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 12}, records: make([]listRecord, 12), written: 11, version: first}
 	late, _ := w.nextTxn(5)
 	if status, _ := b.commit(kv.Encode(late)); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
@@ -337,8 +337,8 @@
 	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
 	l.loader.retry = func() {
 		l.deleteAbandonedLists([]listAttempt{
-			{ref: listRef{prefix: accepted}, job: "job-7", version: b.store[accepted+"0"].Version, keys: []string{accepted + "0", accepted + "1"}},
-			{ref: listRef{prefix: begun}, job: "job-8", keys: []string{begun + "1"}},
+			{ref: records.DependencyListRef{Prefix: accepted}, job: "job-7", version: b.store[accepted+"0"].Version, keys: []string{accepted + "0", accepted + "1"}},
+			{ref: records.DependencyListRef{Prefix: begun}, job: "job-8", keys: []string{begun + "1"}},
 		})
 	}
 	b.run(time.Second)
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
@@ -20,65 +21,65 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(l *leader, awaited, waiting *job)
+		change func(l *leader, awaited, waiting *cluster.Job)
 		want   []provisioning.Shortfall
 	}{
 		{
 			name:   "the awaited job ends while a machine boots",
-			change: func(l *leader, awaited, waiting *job) {},
+			change: func(l *leader, awaited, waiting *cluster.Job) {},
 			want:   []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:   "it runs for longer",
-			change: func(l *leader, awaited, waiting *job) { awaited.EstimatedRunS = 300 },
+			change: func(l *leader, awaited, waiting *cluster.Job) { awaited.EstimatedRunS = 300 },
 		},
 		{
 			name: "most of a long run is over",
-			change: func(l *leader, awaited, waiting *job) {
+			change: func(l *leader, awaited, waiting *cluster.Job) {
 				awaited.EstimatedRunS = 300
-				awaited.tasks[0].runningSince = l.core.now - 280*time.Second
+				awaited.TaskStates[0].RunningSince = l.core.now - 280*time.Second
 			},
 			want: []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:   "it has no machine itself",
-			change: func(l *leader, awaited, waiting *job) { awaited.tasksPlaced = 0 },
+			change: func(l *leader, awaited, waiting *cluster.Job) { awaited.TasksPlaced = 0 },
 		},
 		{
 			name: "it waits for another job",
-			change: func(l *leader, awaited, waiting *job) {
-				awaited.waiting = true
+			change: func(l *leader, awaited, waiting *cluster.Job) {
+				awaited.Waiting = true
 				l.dependencies.Add(awaited.ID, []string{"job-3"})
 			},
 		},
 		{
 			name:   "one of two awaited jobs has no machine",
-			change: func(l *leader, awaited, waiting *job) { l.dependencies.Add(waiting.ID, []string{"job-3"}) },
+			change: func(l *leader, awaited, waiting *cluster.Job) { l.dependencies.Add(waiting.ID, []string{"job-3"}) },
 		},
 		{
 			name:   "the job is cancelled",
-			change: func(l *leader, awaited, waiting *job) { waiting.cancellation.Request(0) },
+			change: func(l *leader, awaited, waiting *cluster.Job) { waiting.Cancellation.Request(0) },
 		},
 		{
 			name:   "the team's limit",
-			change: func(l *leader, awaited, waiting *job) { l.core.team("vision").CPUsMax = 4 },
+			change: func(l *leader, awaited, waiting *cluster.Job) { l.core.team("vision").CPUsMax = 4 },
 			want:   large(1),
 		},
 		{
 			name:   "the operators' bound on room in advance",
-			change: func(l *leader, awaited, waiting *job) { l.core.operatorSettings.WarmMachines = &one },
+			change: func(l *leader, awaited, waiting *cluster.Job) { l.core.operatorSettings.WarmMachines = &one },
 			want:   large(1),
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
 			awaited, waiting := dependentJob("job-1", 1), dependentJob("job-2", 3)
-			awaited.tasksPlaced, awaited.tasks[0].runningSince = 1, l.core.now
-			waiting.waiting = true
+			awaited.TasksPlaced, awaited.TaskStates[0].RunningSince = 1, l.core.now
+			waiting.Waiting = true
 			other := dependentJob("job-3", 1)
-			l.jobsBySubmission = []*job{awaited, waiting, other}
-			for _, j := range l.jobsBySubmission {
-				l.jobs[j.ID] = j
+			l.JobsBySubmission = []*cluster.Job{awaited, waiting, other}
+			for _, j := range l.JobsBySubmission {
+				l.Jobs[j.ID] = j
 			}
 			l.dependencies.Add(waiting.ID, []string{awaited.ID})
 			tc.change(l, awaited, waiting)
@@ -93,9 +94,9 @@
 
 // dependentJob is a job whose tasks fill half of a large machine each and run for
 // as long as it takes to boot.
-func dependentJob(id string, tasks int) *job {
-	j := newJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
+func dependentJob(id string, tasks int) *cluster.Job {
+	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 		CPUs: 2, MemGB: 1, EstimatedRunS: 60, Tasks: tasks}}, 1)
-	j.loaded = true
+	j.Loaded = true
 	return j
 }
--- a/internal/core/expensive_machines_test.go
+++ b/internal/core/expensive_machines_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -65,44 +66,44 @@
 		name  string
 		typ   string
 		alone time.Duration // since the last other task, in leases
-		setUp func(l *leader, m *machine)
+		setUp func(l *leader, m *cluster.Machine)
 		want  bool
 	}{
 		{"a dear machine", "g4", 4, nil, true},
 		{"a cheap one", "small", 4, nil, false},
 		{"not long enough", "g4", 2, nil, false},
-		{"needed by work to come", "g4", 4, func(l *leader, m *machine) { l.fleet.keptIdle[m.name] = true }, false},
-		{"another team's task on it", "g4", 4, func(l *leader, m *machine) {
-			l.bindTasks(addArray(l, "job-9", "vision", "sweep", 1, 0), []int{0}, []*machine{m})
+		{"needed by work to come", "g4", 4, func(l *leader, m *cluster.Machine) { l.fleet.keptIdle[m.Name] = true }, false},
+		{"another team's task on it", "g4", 4, func(l *leader, m *cluster.Machine) {
+			l.bindTasks(addArray(l, "job-9", "vision", "sweep", 1, 0), []int{0}, []*cluster.Machine{m})
 		}, false},
-		{"work beside it that fits nowhere else", "g4", 4, func(l *leader, m *machine) {
-			l.bindTasks(addArray(l, "job-9", "guest", "scan", 1, 1), []int{0}, []*machine{m})
+		{"work beside it that fits nowhere else", "g4", 4, func(l *leader, m *cluster.Machine) {
+			l.bindTasks(addArray(l, "job-9", "guest", "scan", 1, 1), []int{0}, []*cluster.Machine{m})
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := leaderWithExpensiveMachines(t)
 			m := idleMachine(l, "n-1", tc.typ, "a")
-			m.createdAt -= minBilledTime
+			m.CreatedAt -= minBilledTime
 			owner := addArray(l, "job-1", "vision", "sweep", 1, 0)
 			guest := addArray(l, "job-2", "guest", "scan", 3, 0)
-			l.bindTasks(owner, []int{0}, []*machine{m})
-			l.bindTasks(guest, []int{0, 1, 2}, []*machine{m, m, m})
-			for i := range guest.tasks {
-				guest.tasks[i].persisted, guest.tasks[i].startRetransmitted = true, true
+			l.bindTasks(owner, []int{0}, []*cluster.Machine{m})
+			l.bindTasks(guest, []int{0, 1, 2}, []*cluster.Machine{m, m, m})
+			for i := range guest.TaskStates {
+				guest.TaskStates[i].Persisted, guest.TaskStates[i].StartRetransmitted = true, true
 			}
 			l.unplace(owner, 0)
 			l.core.now += tc.alone * l.core.workerLease()
-			m.lastHeartbeat = l.core.now
+			m.LastHeartbeat = l.core.now
 			if tc.setUp != nil {
 				tc.setUp(l, m)
 			}
 			l.releaseFromBestEffort(m)
 			l.evictTasks(m)
-			if stopped := guest.tasks[0].stop != nil; m.evicting != tc.want || stopped != tc.want {
-				t.Errorf("emptied: %v, tasks stopped: %v, want %v", m.evicting, stopped, tc.want)
+			if stopped := guest.TaskStates[0].Stop != nil; m.Evicting != tc.want || stopped != tc.want {
+				t.Errorf("emptied: %v, tasks stopped: %v, want %v", m.Evicting, stopped, tc.want)
 			}
-			if tc.want && guest.tasks[0].stop != nil && guest.tasks[0].stop.gracePeriodS != guest.CheckpointDurationS {
-				t.Errorf("%v s to save", guest.tasks[0].stop.gracePeriodS)
+			if tc.want && guest.TaskStates[0].Stop != nil && guest.TaskStates[0].Stop.GracePeriodS != guest.CheckpointDurationS {
+				t.Errorf("%v s to save", guest.TaskStates[0].Stop.GracePeriodS)
 			}
 		})
 	}
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -5,6 +5,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/bootlatency"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 )
 
@@ -49,7 +50,7 @@
 		}
 	}
 	l.sendScaleOuts()
-	for _, m := range l.machinesByName {
+	for _, m := range l.MachinesByName {
 		l.releaseFromBestEffort(m)
 		l.evictTasks(m)
 		l.returnUnneeded(m)
@@ -65,25 +66,20 @@
 	failedBootFactor = 4
 )
 
-// provisioningKind names the machines that a machine is alike with in how it boots.
-func (m *machine) provisioningKind() bootlatency.Kind {
-	return bootlatency.Kind{Type: m.typeName, Zone: m.zone}
-}
-
 // recordProvisioningLatency takes in that a machine that this leader rented has come up.
-func (l *leader) recordProvisioningLatency(m *machine) {
+func (l *leader) recordProvisioningLatency(m *cluster.Machine) {
 	t := l.typeOf(m)
-	if t == nil || m.provisionRequestedAt == 0 {
+	if t == nil || m.ProvisionRequestedAt == 0 {
 		return
 	}
-	l.provisioningLatencies.RecordBoot(m.provisioningKind(), l.core.now, l.core.now-m.provisionRequestedAt, config.Seconds(t.BootS))
+	l.provisioningLatencies.RecordBoot(m.ProvisioningKind(), l.core.now, l.core.now-m.ProvisionRequestedAt, config.Seconds(t.BootS))
 }
 
 // bootTimeRatio tells how many times its type's boot time a machine has taken.
-func (l *leader) bootTimeRatio(m *machine) float64 {
-	t := l.core.machineTypes[m.typeName]
-	if t == nil || t.BootS <= 0 || m.lastHeartbeat != 0 {
+func (l *leader) bootTimeRatio(m *cluster.Machine) float64 {
+	t := l.core.machineTypes[m.TypeName]
+	if t == nil || t.BootS <= 0 || m.LastHeartbeat != 0 {
 		return 0
 	}
-	return (l.core.now - m.createdAt).Seconds() / t.BootS
+	return (l.core.now - m.CreatedAt).Seconds() / t.BootS
 }
--- a/internal/core/fleet_size.go
+++ b/internal/core/fleet_size.go
@@ -9,9 +9,9 @@
 // checkFleetSize warns, once for each time, when the fleet outgrows the sockets that the
 // controllers have while one of them is away: workers beyond them would lose their leases.
 func (l *leader) checkFleetSize() {
-	outgrown := len(l.machinesByName) > l.core.failoverWorkerCapacity()
+	outgrown := len(l.MachinesByName) > l.core.failoverWorkerCapacity()
 	if outgrown && !l.controllersOutgrown {
-		l.core.log.Warn("fleet outgrows the controllers' sockets", "machines", len(l.machinesByName), "carried_with_one_away", l.core.failoverWorkerCapacity(),
+		l.core.log.Warn("fleet outgrows the controllers' sockets", "machines", len(l.MachinesByName), "carried_with_one_away", l.core.failoverWorkerCapacity(),
 			"max_connections", l.core.settings.Deployment.MachineLimits.MaxConnections, "controllers", l.core.settings.Deployment.Size)
 	}
 	l.controllersOutgrown = outgrown
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -8,6 +8,7 @@
 	"testing"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
 // A fleet that outgrows the sockets of the controllers is told of once, and again once it
@@ -18,7 +19,7 @@
 	})
 	var logged bytes.Buffer
 	l.core.log = slog.New(slog.NewTextHandler(&logged, nil))
-	var last *machine
+	var last *cluster.Machine
 	for i := range 21 {
 		l.checkFleetSize()
 		if logged.Len() > 0 {
@@ -33,7 +34,7 @@
 	}
 	l.dropMachine(last)
 	l.checkFleetSize()
-	l.machineNamed(last.name)
+	l.machineNamed(last.Name)
 	l.checkFleetSize()
 	if n := strings.Count(logged.String(), "outgrows"); n != 2 {
 		t.Errorf("%d lines after the fleet has been smaller: %s", n, logged.String())
--- a/internal/core/forecast.go
+++ b/internal/core/forecast.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -12,12 +13,12 @@
 // classArrivals is what the leader keeps of a class's submissions.
 type classArrivals struct {
 	forecast.Arrivals
-	lastJob *job
+	lastJob *cluster.Job
 }
 
 // recordArrival counts a submission, by the time of its record: a new leader
 // learns from the open jobs what was lately submitted.
-func (l *leader) recordArrival(j *job) {
+func (l *leader) recordArrival(j *cluster.Job) {
 	a := l.arrivalsByClass[j.Class]
 	if a == nil {
 		a = &classArrivals{}
@@ -25,10 +26,10 @@
 	}
 	begins := 1
 	if j.Shape != wire.ShapeArray {
-		begins = len(j.tasks)
+		begins = len(j.TaskStates)
 	}
-	at := l.core.now - time.Duration(max(0, l.core.wallClockMS-j.waitingSinceMS))*time.Millisecond
-	a.Record(at, l.core.now, len(j.tasks), begins)
+	at := l.core.now - time.Duration(max(0, l.core.wallClockMS-j.WaitingSinceMS))*time.Millisecond
+	a.Record(at, l.core.now, len(j.TaskStates), begins)
 	a.lastJob = j
 }
 
@@ -48,7 +49,7 @@
 			continue
 		}
 		for _, class := range sortedKeys(l.arrivalsByClass) {
-			if j := l.arrivalsByClass[class].lastJob; !named[class] && j != nil && j.withinQuota && l.core.anyGuaranteeFor(&j.Job) {
+			if j := l.arrivalsByClass[class].lastJob; !named[class] && j != nil && j.WithinQuota && l.core.anyGuaranteeFor(&j.Job) {
 				o.Class = class
 				others = append(others, o)
 			}
@@ -79,10 +80,10 @@
 // leadTime is how long a machine for a job takes to boot and to fetch the job's
 // image, at its type's usual boot time and at a slow one, in seconds; not ok if
 // no type of machine may run the job.
-func (l *leader) leadTime(j *job) (usual, slow float64, ok bool) {
+func (l *leader) leadTime(j *cluster.Job) (usual, slow float64, ok bool) {
 	usual, slow = math.Inf(1), math.Inf(1)
 	for _, t := range l.core.machineTypes {
-		if !emptyOrContains(j.MachineTypes, t.Name) || !typeCapacity(t).Holds(taskSize(&j.Job)) {
+		if !emptyOrContains(j.MachineTypes, t.Name) || !cluster.TypeCapacity(t).Holds(cluster.TaskSize(&j.Job)) {
 			continue
 		}
 		fetch := 0.0
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -39,7 +40,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
-			usual, slow, ok := l.leadTime(&job{Job: tc.job})
+			usual, slow, ok := l.leadTime(&cluster.Job{Job: tc.job})
 			if ok != tc.ok || ok && (usual != tc.usual || slow != tc.slow) {
 				t.Errorf("%v s, slow %v s, %v; want %v, %v, %v", usual, slow, ok, tc.usual, tc.slow, tc.ok)
 			}
@@ -70,7 +71,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
 			l.core.operatorSettings = &config.Operator{WarmMachines: tc.warm}
-			a := &classArrivals{lastJob: &job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
+			a := &classArrivals{lastJob: &cluster.Job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
 			for range tc.old {
 				a.Record(l.core.now-forecast.Window-time.Second, l.core.now, 1, 1)
 			}
@@ -99,7 +100,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
-			l.recordArrival(&job{Job: wire.Job{Class: "c", Shape: tc.shape}, tasks: make([]task, tc.tasks), waitingSinceMS: l.core.wallClockMS - tc.ageS*1000})
+			l.recordArrival(&cluster.Job{Job: wire.Job{Class: "c", Shape: tc.shape}, TaskStates: make([]cluster.Task, tc.tasks), WaitingSinceMS: l.core.wallClockMS - tc.ageS*1000})
 			if got := l.arrivalsByClass["c"].Recent(l.core.now); got != tc.want {
 				t.Errorf("%d arrivals, want %d", got, tc.want)
 			}
--- a/internal/core/gang_pull_test.go
+++ b/internal/core/gang_pull_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -22,18 +23,18 @@
 		t.Run(test.name, func(t *testing.T) {
 			_, leader := bestEffortLeader(t)
 			holder := idleMachine(leader, "n-1", "g4", "a")
-			holder.cachedImages = []image{{name: "x", gb: test.imageGB}}
+			holder.CachedImages = []cluster.Image{{Name: "x", GB: test.imageGB}}
 			for _, name := range []string{"n-2", "n-3"}[:test.empty] {
 				idleMachine(leader, name, "g4", "a")
 			}
 			job := addArray(leader, "job-1", "vision", "train", 2, 4)
 			job.Shape, job.OneZone, job.Image, job.ImageGB = wire.ShapeGang, true, "x", test.imageGB
 			pass := leader.newPlacementPass()
-			waiting := &candidate{job: job, pending: job.unplacedTasks()}
+			waiting := &candidate{job: job, pending: job.UnplacedTasks()}
 			pass.placeFitting(waiting, false)
 			held := 0
-			for i := range job.tasks {
-				if m := job.tasks[i].machine; m == nil {
+			for i := range job.TaskStates {
+				if m := job.TaskStates[i].Machine; m == nil {
 					t.Fatalf("task %d is not placed", i)
 				} else if m == holder {
 					held++
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -53,21 +54,17 @@
 	mostSilent bool
 }
 
-// heartbeatExpected tells whether a machine is expected to report: it has
-// reported, or tasks are recorded on it.
-func (m *machine) heartbeatExpected() bool { return m.lastHeartbeat != 0 || len(m.placements) > 0 }
-
 // tickMachines looks for machines that fell silent or deaf.
 func (l *leader) tickMachines() {
 	survey := l.countSilentMachines()
 	l.recordPartitionedZones(survey)
-	for _, machine := range l.machinesByName {
+	for _, machine := range l.MachinesByName {
 		l.expireLease(machine)
-		if machine.returning {
+		if machine.Returning {
 			continue
 		}
-		if machine.lastHeartbeat == 0 || l.core.now-machine.lastHeartbeat > l.heartbeatOverdueAfter() {
-			if machine.heartbeatExpected() || machine.listedAs == wire.MachineRunning {
+		if machine.LastHeartbeat == 0 || l.core.now-machine.LastHeartbeat > l.heartbeatOverdueAfter() {
+			if machine.HeartbeatExpected() || machine.ListedAs == wire.MachineRunning {
 				l.probe(machine)
 			}
 		}
@@ -81,15 +78,15 @@
 func (l *leader) countSilentMachines() *silenceSurvey {
 	survey := &silenceSurvey{byZone: map[string]silenceCount{}, byController: map[string]silenceCount{}}
 	silent, machines := 0, 0
-	for _, machine := range l.machinesByName {
-		if !machine.heartbeatExpected() {
+	for _, machine := range l.MachinesByName {
+		if !machine.HeartbeatExpected() {
 			continue
 		}
-		zone, controller := survey.byZone[machine.zone], survey.byController[machine.heartbeatController]
+		zone, controller := survey.byZone[machine.Zone], survey.byController[machine.HeartbeatController]
 		machines++
 		zone.machines++
 		controller.machines++
-		silence := l.core.now - max(machine.lastHeartbeat, machine.lastContact, l.recordsLoadedAt)
+		silence := l.core.now - max(machine.LastHeartbeat, machine.LastContact, l.recordsLoadedAt)
 		if silence > l.heartbeatOverdueAfter() {
 			zone.overdue++
 			controller.overdue++
@@ -97,11 +94,11 @@
 		if silence > 3*l.core.heartbeatInterval() {
 			silent++
 			// One that a new leader has not heard yet may hear a deposed one.
-			if silence < l.core.maxExtensionTime() && (machine.lastHeartbeat == 0 || !l.leaseExpired(machine)) {
+			if silence < l.core.maxExtensionTime() && (machine.LastHeartbeat == 0 || !l.leaseExpired(machine)) {
 				zone.silent++
 			}
 		}
-		survey.byZone[machine.zone], survey.byController[machine.heartbeatController] = zone, controller
+		survey.byZone[machine.Zone], survey.byController[machine.HeartbeatController] = zone, controller
 	}
 	survey.mostSilent = silent > 2 && silent*2 > machines
 	return survey
@@ -122,7 +119,7 @@
 const maxLeaseExpiries = 3
 
 // unhealthyReason tells why a machine is to be returned; empty if it is not.
-func (l *leader) unhealthyReason(machine *machine, survey *silenceSurvey) drainReason {
+func (l *leader) unhealthyReason(machine *cluster.Machine, survey *silenceSurvey) cluster.DrainReason {
 	silence := l.silentFor(machine)
 	limit := 2 * l.leaseExpiryBound()
 	if survey.mostSilent {
@@ -130,22 +127,22 @@
 	}
 	switch {
 	case l.isDead(machine, survey):
-		return drainDead
-	case machine.listedAs == wire.MachineFailed:
-		return drainListedFailed
-	case machine.heartbeatExpected() && silence > limit:
-		return drainSilent
-	case machine.leaseExpiries >= maxLeaseExpiries:
-		return drainLeaseExpiries
-	case machine.unreachableSince != 0 && l.core.now-machine.unreachableSince > l.core.workerLease():
-		return drainUnreachable
+		return cluster.DrainDead
+	case machine.ListedAs == wire.MachineFailed:
+		return cluster.DrainListedFailed
+	case machine.HeartbeatExpected() && silence > limit:
+		return cluster.DrainSilent
+	case machine.LeaseExpiries >= maxLeaseExpiries:
+		return cluster.DrainLeaseExpiries
+	case machine.UnreachableSince != 0 && l.core.now-machine.UnreachableSince > l.core.workerLease():
+		return cluster.DrainUnreachable
 	}
 	return ""
 }
 
 // silentFor is for how long nothing was heard of a machine that could have been.
-func (l *leader) silentFor(m *machine) time.Duration {
-	return l.core.now - max(m.lastHeartbeat, m.lastContact, l.recordsLoadedAt, l.fleet.partitionedAt[m.zone])
+func (l *leader) silentFor(m *cluster.Machine) time.Duration {
+	return l.core.now - max(m.LastHeartbeat, m.LastContact, l.recordsLoadedAt, l.fleet.partitionedAt[m.Zone])
 }
 
 // isDead tells whether a silent machine is dead, hangs or is cut off alone: it
@@ -162,12 +159,12 @@
 // controller which is now out of reach. Those that a new leader has not heard yet are
 // not such a group, though all of them are silent: taken for one, machines that hung
 // when the leader changed were given up no sooner than their leases.
-func (l *leader) isDead(machine *machine, survey *silenceSurvey) bool {
-	if !machine.heartbeatExpected() || machine.lastProbeFailure <= max(machine.lastHeartbeat, l.recordsLoadedAt) || l.silentFor(machine) <= l.deadAfter() {
+func (l *leader) isDead(machine *cluster.Machine, survey *silenceSurvey) bool {
+	if !machine.HeartbeatExpected() || machine.LastProbeFailure <= max(machine.LastHeartbeat, l.recordsLoadedAt) || l.silentFor(machine) <= l.deadAfter() {
 		return false
 	}
-	zone, controller := survey.byZone[machine.zone], survey.byController[machine.heartbeatController]
-	if survey.mostSilent || zone.mostOverdue() || machine.heartbeatController != "" && controller.mostOverdue() {
+	zone, controller := survey.byZone[machine.Zone], survey.byController[machine.HeartbeatController]
+	if survey.mostSilent || zone.mostOverdue() || machine.HeartbeatController != "" && controller.mostOverdue() {
 		return false
 	}
 	return l.pathVerified(machine, zone.machines)
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -6,6 +6,7 @@
 
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -75,12 +76,12 @@
 		l.recordsLoadedAt = l.core.now - tc.silent
 		m := idleMachine(l, "n-1", "g4", "a")
 		for _, name := range []string{"n-2", "n-3"} {
-			idleMachine(l, name, "g4", "a").heartbeatController = "n0"
+			idleMachine(l, name, "g4", "a").HeartbeatController = "n0"
 		}
-		m.lastHeartbeat, m.heartbeatController = l.core.now-tc.silent, "n0"
+		m.LastHeartbeat, m.HeartbeatController = l.core.now-tc.silent, "n0"
 		if tc.newTerm {
-			m.lastHeartbeat, m.heartbeatController = 0, ""
-			j := newJob(records.Open{Job: wire.Job{ID: "job-1", Tasks: 1, GPUs: 1}}, 1)
+			m.LastHeartbeat, m.HeartbeatController = 0, ""
+			j := cluster.NewJob(records.Open{Job: wire.Job{ID: "job-1", Tasks: 1, GPUs: 1}}, 1)
 			l.initPlacementRecords(j)
 			l.place(j, 0, m)
 		} else {
--- a/internal/core/image_pull.go
+++ b/internal/core/image_pull.go
@@ -2,7 +2,8 @@
 
 import (
 	"slices"
-	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
 // A machine may fetch several images at once, each at its full rate, or one after
@@ -12,14 +13,6 @@
 // lost with their machines were packed onto two others, and the last ones came up
 // after 36 s instead of 9.
 
-// imagePull is an image that tasks placed on a machine wait for.
-type imagePull struct {
-	name     string
-	since    time.Duration // 0 if it is not known when it began
-	queuedGB float64       // GB that were being fetched when it began
-	gb       float64
-}
-
 // pullEvidence counts the fetches that began behind others on the same machine.
 type pullEvidence struct {
 	sequential int  // took as long as if they waited for the others
@@ -37,59 +30,21 @@
 	return e.sequential > e.parallel
 }
 
-// pullIndex finds the fetch of an image; -1 if there is none.
-func (m *machine) pullIndex(name string) int {
-	return slices.IndexFunc(m.pulls, func(f imagePull) bool { return f.name == name })
-}
-
-// beginPull notes that a task which needs an image is placed on the machine.
-func (m *machine) beginPull(name string, gb float64, since time.Duration) {
-	if m.hasImage(name) || m.pullIndex(name) >= 0 {
-		return
-	}
-	ahead := 0.0
-	for _, f := range m.pulls {
-		ahead += f.gb
-	}
-	m.pulls = append(m.pulls, imagePull{name, since, ahead, gb})
-}
-
-// refreshPulls forgets the fetches that no task on the machine waits for any more,
-// and takes in those of tasks that an earlier leader placed.
-func (m *machine) refreshPulls() {
-	m.pulls = slices.DeleteFunc(m.pulls, func(f imagePull) bool {
-		return m.hasImage(f.name) || !slices.ContainsFunc(m.placements, func(p taskReference) bool { return p.job.Image == f.name && p.task().stop == nil })
-	})
-	for _, p := range m.placements {
-		if p.task().stop == nil {
-			m.beginPull(p.job.Image, p.job.ImageGB, 0)
-		}
-	}
-}
-
-// pullsAhead counts the fetches that one of an image would begin behind.
-func (m *machine) pullsAhead(name string) int {
-	if m.pullIndex(name) >= 0 {
-		return 0
-	}
-	return len(m.pulls)
-}
-
 // recordPulled takes in that a machine holds an image, as evidence of how it fetches.
-func (l *leader) recordPulled(machine *machine, name string) {
-	at := machine.pullIndex(name)
+func (l *leader) recordPulled(machine *cluster.Machine, name string) {
+	at := machine.PullIndex(name)
 	if at < 0 {
 		return
 	}
-	pull := machine.pulls[at]
-	machine.pulls = slices.Delete(machine.pulls, at, at+1)
-	machineType := l.core.machineTypes[machine.typeName]
-	if pull.since == 0 || pull.queuedGB == 0 || machineType == nil || machineType.PullGBPerS <= 0 {
+	pull := machine.Pulls[at]
+	machine.Pulls = slices.Delete(machine.Pulls, at, at+1)
+	machineType := l.core.machineTypes[machine.TypeName]
+	if pull.Since == 0 || pull.QueuedGB == 0 || machineType == nil || machineType.PullGBPerS <= 0 {
 		return
 	}
 	queued := l.pullStatistics.isSequential()
 	// Halfway between a fetch by itself and one behind the others.
-	if (l.core.now - pull.since).Seconds() > (pull.gb+pull.queuedGB/2)/machineType.PullGBPerS {
+	if (l.core.now - pull.Since).Seconds() > (pull.GB+pull.QueuedGB/2)/machineType.PullGBPerS {
 		l.pullStatistics.sequential++
 	} else {
 		l.pullStatistics.parallel++
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
@@ -16,7 +17,7 @@
 }
 
 // pullingLeader leads with two empty machines.
-func pullingLeader(t *testing.T) (l *leader, first, second *machine) {
+func pullingLeader(t *testing.T) (l *leader, first, second *cluster.Machine) {
 	b, l := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
@@ -27,11 +28,11 @@
 }
 
 // startPull places a replica whose image is not held.
-func startPull(l *leader, id, image string, gb float64, m *machine) *job {
-	j := newJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: gb}}, 1)
+func startPull(l *leader, id, image string, gb float64, m *cluster.Machine) *cluster.Job {
+	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: gb}}, 1)
 	l.initPlacementRecords(j)
 	if m != nil {
-		l.bindTasks(j, []int{0}, []*machine{m})
+		l.bindTasks(j, []int{0}, []*cluster.Machine{m})
 	}
 	return j
 }
@@ -70,8 +71,8 @@
 	l, m, _ := pullingLeader(t)
 	startPull(l, "job-1", "x", 20, m)
 	startPull(l, "job-2", "y", 20, m)
-	m.pulls = nil
-	m.refreshPulls()
+	m.Pulls = nil
+	m.RefreshPulls()
 	l.core.now += time.Second
 	l.recordPulled(m, "y")
 	if l.pullStatistics != (pullEvidence{}) {
@@ -142,15 +143,15 @@
 			leader, machine, _ := pullingLeader(t)
 			before := startPull(leader, "job-1", "x", 20, machine)
 			if tc.stopped {
-				before.tasks[0].stop = &stopRequest{}
+				before.TaskStates[0].Stop = &cluster.StopRequest{}
 			}
 			if tc.queue {
 				leader.pullStatistics.sequential = 1
 			}
 			j := startPull(leader, "job-2", tc.image, 20, nil)
-			c := &candidate{job: j, pending: j.unplacedTasks(), preemptionPriority: j.level}
+			c := &candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level}
 			leader.newPlacementPass().placeCandidate(c)
-			if got := j.tasks[0].machine; got == nil || got.name != tc.want {
+			if got := j.TaskStates[0].Machine; got == nil || got.Name != tc.want {
 				t.Errorf("placed on %v, want %s", got, tc.want)
 			}
 		})
@@ -163,9 +164,9 @@
 	l, m, failing := pullingLeader(t)
 	l.pullStatistics.sequential = 1
 	for _, image := range []string{"a", "b", "c", "d", "e", "f"} {
-		m.beginPull(image, 20, l.core.now)
+		m.BeginPull(image, 20, l.core.now)
 	}
-	l.outliers.RecordFailure("job-7", failing.name)
+	l.outliers.RecordFailure("job-7", failing.Name)
 	j := startPull(l, "job-2", "y", 20, nil)
 	wait := l.core.maxPullTime(j.Class)
 	if a, b := l.machinePenalty(j, m, wait), l.machinePenalty(j, failing, wait); a >= b {
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
@@ -75,20 +76,20 @@
 // name. A machine stays listed until it is gone, but lists may be old. Its
 // absence proves nothing, so the return makes it certain.
 func (l *leader) returnUnlisted() {
-	for _, m := range l.machinesByName {
-		if l.fleet.listedMachines[m.name] {
-			m.listedAt = l.core.now
+	for _, m := range l.MachinesByName {
+		if l.fleet.listedMachines[m.Name] {
+			m.ListedAt = l.core.now
 			continue
 		}
 		// One that only the records know was there before this leader: an
 		// earlier one may have returned it when it could not record the ends
 		// of its tasks. Taken for cut off, it held up those for minutes.
-		listed := m.listedAt
-		if listed == 0 && m.lastHeartbeat == 0 && len(m.placements) > 0 {
+		listed := m.ListedAt
+		if listed == 0 && m.LastHeartbeat == 0 && len(m.Placements) > 0 {
 			listed = l.recordsLoadedAt
 		}
-		if listed != 0 && l.core.now-listed > 3*l.listLag() && l.core.now-m.lastHeartbeat > 3*l.core.heartbeatInterval() && !m.returning {
-			l.returnMachine(m, drainUnlisted)
+		if listed != 0 && l.core.now-listed > 3*l.listLag() && l.core.now-m.LastHeartbeat > 3*l.core.heartbeatInterval() && !m.Returning {
+			l.returnMachine(m, cluster.DrainUnlisted)
 		}
 	}
 }
@@ -103,7 +104,7 @@
 		}
 		return
 	}
-	m := l.machines[row.Name]
+	m := l.Machines[row.Name]
 	isNew := m == nil
 	if isNew {
 		m = l.machineNamed(row.Name)
@@ -113,15 +114,15 @@
 	// of it, and was kept for the least time that is charged once more. One known
 	// from records that has not reported yet would pass for one that boots for too
 	// long, and its room would be rented a second time.
-	if isNew || m.lastHeartbeat != 0 {
-		m.createdAt = min(m.createdAt, l.core.now-time.Duration(row.AgeS*float64(time.Second)))
+	if isNew || m.LastHeartbeat != 0 {
+		m.CreatedAt = min(m.CreatedAt, l.core.now-time.Duration(row.AgeS*float64(time.Second)))
 	}
-	if !m.described {
-		l.setDescription(m, row.Addr, row.Type, row.Zone, row.Spot)
-	} else if m.address == "" {
-		m.address = row.Addr
+	if !m.Described {
+		l.describe(m, row.Addr, row.Type, row.Zone, row.Spot)
+	} else if m.Address == "" {
+		m.Address = row.Addr
 	}
-	m.listedAs = row.Status
+	m.ListedAs = row.Status
 }
 
 // parseMachineList decodes a page of the cloud's list.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/bootlatency"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/depgraph"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
@@ -20,10 +21,7 @@
 	steppedDown   bool // the term is over
 	recordsLoaded bool // the records are loaded
 
-	jobs             map[string]*job
-	jobsBySubmission []*job // by submission
-	machines         map[string]*machine
-	machinesByName   []*machine               // replaced, never changed in place
+	cluster.State
 	returnedMachines map[string]time.Duration // machines the cloud has taken back for certain
 
 	recordsLoadedAt time.Duration
@@ -37,8 +35,8 @@
 	openProbes    int                      // probes under way
 	zoneReachedAt map[string]time.Duration // when a machine of a zone last answered or reported to us directly
 
-	cancelledJobs              map[string]*job // cancelled jobs whose end is not recorded
-	cancelledWithoutDependents []*job          // of them, those that may be without dependents
+	cancelledJobs              map[string]*cluster.Job // cancelled jobs whose end is not recorded
+	cancelledWithoutDependents []*cluster.Job          // of them, those that may be without dependents
 	dependencies               *depgraph.Graph
 
 	quota          *quota.Manager            // shares limits with other regions; nil if that is off
@@ -60,10 +58,9 @@
 func newLeader(c *Core, m election.Leadership) *leader {
 	return &leader{
 		core: c, leadership: m,
-		jobs:             map[string]*job{},
-		machines:         map[string]*machine{},
+		State:            cluster.NewState(),
 		zoneReachedAt:    map[string]time.Duration{},
-		returnedMachines: map[string]time.Duration{}, cancelledJobs: map[string]*job{},
+		returnedMachines: map[string]time.Duration{}, cancelledJobs: map[string]*cluster.Job{},
 		dependencies:          depgraph.New(),
 		lookups:               dependencyLookups{dueAt: map[string]time.Duration{}},
 		dependencyLists:       dependencyLists{unread: map[string]time.Duration{}},
--- a/internal/core/lease_extension.go
+++ b/internal/core/lease_extension.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -117,16 +118,16 @@
 		return
 	}
 	for _, k := range d.Kept {
-		if m := c.leader.machines[k.Machine]; m != nil {
-			m.leaseExtendedAt = max(m.leaseExtendedAt, c.now-time.Duration(k.AgeMS)*time.Millisecond)
+		if m := c.leader.Machines[k.Machine]; m != nil {
+			m.LeaseExtendedAt = max(m.LeaseExtendedAt, c.now-time.Duration(k.AgeMS)*time.Millisecond)
 		}
 	}
 }
 
-// leaseExpired tells whether a silent worker's lease has certainly run out: there
+// LeaseExpired tells whether a silent worker's lease has certainly run out: there
 // is a span as long as the lease in which nobody has extended it.
-func (l *leader) leaseExpired(m *machine) bool {
-	from := max(m.lastAnswered, m.leaseExtendedAt)
+func (l *leader) leaseExpired(m *cluster.Machine) bool {
+	from := max(m.LastAnswered, m.LeaseExtendedAt)
 	for _, p := range l.core.peers {
 		from = max(from, p.uncertainUntil)
 	}
--- a/internal/core/machine_filter.go
+++ b/internal/core/machine_filter.go
@@ -3,22 +3,23 @@
 import (
 	"math"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
 // zoneBound returns how many more tasks of a job each zone may take, counting
 // every task that is not certainly gone; nil if nothing bounds it.
-func (l *leader) zoneBound(job *job) func(string) int {
+func (l *leader) zoneBound(job *cluster.Job) func(string) int {
 	if !job.SpreadZones && !job.OneZone {
 		return nil
 	}
 	in := map[string]int{}
-	for i := range job.tasks {
-		if t := &job.tasks[i]; t.machine != nil {
-			in[t.zone]++
+	for i := range job.TaskStates {
+		if t := &job.TaskStates[i]; t.Machine != nil {
+			in[t.Zone]++
 		}
 	}
-	limit := (len(job.tasks) + 1) / 2
+	limit := (len(job.TaskStates) + 1) / 2
 	return func(zone string) int {
 		if job.OneZone && len(in) > 0 && in[zone] == 0 {
 			return 0
@@ -26,7 +27,7 @@
 		if job.SpreadZones {
 			return max(0, limit-in[zone])
 		}
-		return len(job.tasks)
+		return len(job.TaskStates)
 	}
 }
 
@@ -37,15 +38,15 @@
 
 // passesFilters tells whether a machine in use may take a job's tasks, if it has
 // room. wait is how long the image's fetch may take.
-func (l *leader) passesFilters(j *job, m *machine, quick bool, wait float64) bool {
-	if !eligible(&j.Job, m.typeName, m.zone, m.spot) || l.avoids(j, m) || m.taskRowsLeft() < 1 {
+func (l *leader) passesFilters(j *cluster.Job, m *cluster.Machine, quick bool, wait float64) bool {
+	if !eligible(&j.Job, m.TypeName, m.Zone, m.Spot) || l.avoids(j, m) || m.TaskRowsLeft() < 1 {
 		return false
 	}
-	if m.reservedFor != nil && l.core.now < m.reservedUntil {
+	if m.ReservedFor != nil && l.core.now < m.ReservedUntil {
 		// Room that was made for it is taken though the image is slow
 		// there: left out, the job waited for three reports, until the
 		// machine was not kept for it any more.
-		return m.reservedFor == j
+		return m.ReservedFor == j
 	}
 	return !(quick && l.pullTooSlow(j, m, wait))
 }
@@ -62,17 +63,17 @@
 // machinePenalty ranks a machine for a job's tasks: one that fails tasks comes
 // last, one that holds the image first. Of the others those come first that fetch
 // fewer images, if fetches wait for each other.
-func (l *leader) machinePenalty(job *job, machine *machine, wait float64) int {
+func (l *leader) machinePenalty(job *cluster.Job, machine *cluster.Machine, wait float64) int {
 	rank := 0
-	if l.outliers.HasFailures(machine.name) {
+	if l.outliers.HasFailures(machine.Name) {
 		rank = penaltyFailed
 	}
-	if machine.hasImage(job.Image) {
+	if machine.HasImage(job.Image) {
 		return rank
 	}
 	rank += penaltyImagePull
 	if l.pullStatistics.isSequential() {
-		rank += min(machine.pullsAhead(job.Image), maxPenaltyPulls)
+		rank += min(machine.PullsAhead(job.Image), maxPenaltyPulls)
 	}
 	if l.pullTooSlow(job, machine, wait) {
 		rank += penaltySlowPull
@@ -100,9 +101,9 @@
 
 // maxWait is how long a job's tasks may wait by the objectives of its class and, where
 // it is within its team's guarantee, of guarantees, in seconds; infinite if none says so.
-func (l *leader) maxWait(j *job) float64 {
+func (l *leader) maxWait(j *cluster.Job) float64 {
 	within := l.core.maxClassWait(j.Class)
-	if !j.withinQuota || !l.core.anyGuaranteeFor(&j.Job) {
+	if !j.WithinQuota || !l.core.anyGuaranteeFor(&j.Job) {
 		return within
 	}
 	for _, o := range l.core.settings.Deployment.Objectives {
@@ -115,22 +116,22 @@
 
 // pullTime is how long the fetch of a job's image usually takes on a machine, in
 // seconds.
-func (l *leader) pullTime(j *job, m *machine) float64 {
+func (l *leader) pullTime(j *cluster.Job, m *cluster.Machine) float64 {
 	t := l.typeOf(m)
-	if t == nil || t.PullGBPerS <= 0 || m.hasImage(j.Image) {
+	if t == nil || t.PullGBPerS <= 0 || m.HasImage(j.Image) {
 		return 0
 	}
 	return j.ImageGB / t.PullGBPerS
 }
 
 // pullTooSlow tells whether a job's image would come too late on a machine.
-func (l *leader) pullTooSlow(j *job, m *machine, wait float64) bool {
-	t := l.core.machineTypes[m.typeName]
-	return !m.hasImage(j.Image) && t != nil && j.ImageGB > wait*t.PullGBPerS
+func (l *leader) pullTooSlow(j *cluster.Job, m *cluster.Machine, wait float64) bool {
+	t := l.core.machineTypes[m.TypeName]
+	return !m.HasImage(j.Image) && t != nil && j.ImageGB > wait*t.PullGBPerS
 }
 
 // avoids keeps a job away from machines on which it failed, until it has
 // failed on so many that the job is the likelier cause.
-func (l *leader) avoids(j *job, m *machine) bool {
-	return l.outliers.FailedOn(j.ID, m.name) && !l.outliers.JobFaulty(j.ID)
+func (l *leader) avoids(j *cluster.Job, m *cluster.Machine) bool {
+	return l.outliers.FailedOn(j.ID, m.Name) && !l.outliers.JobFaulty(j.ID)
 }
--- a/internal/core/pipeline_times_test.go
+++ b/internal/core/pipeline_times_test.go
@@ -22,17 +22,17 @@
 	addRecord(harness, l, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, func(r *records.Open) { r.Job.DeadlineS = &due })
 	submitted := harness.core.wallClockMS
 	harness.run(60 * time.Second)
-	l.markDone(l.jobs[jobID(1)], 0)
+	l.markDone(l.Jobs[jobID(1)], 0)
 	harness.run(2 * time.Second)
 	for name, l := range map[string]*leader{"the leader": l, "the next": nextLeader(harness, l, "")} {
-		j := l.jobs[jobID(2)]
-		if j.waiting {
+		j := l.Jobs[jobID(2)]
+		if j.Waiting {
 			t.Fatalf("%s: it waits", name)
 		}
-		if want := float64(submitted)/1000 + due; j.deadline != want {
-			t.Errorf("%s: due %.1f s after the submission, want %.1f", name, j.deadline-float64(submitted)/1000, due)
+		if want := float64(submitted)/1000 + due; j.Deadline != want {
+			t.Errorf("%s: due %.1f s after the submission, want %.1f", name, j.Deadline-float64(submitted)/1000, due)
 		}
-		if ago := j.waitingSinceMS - submitted; ago < 60_000 || ago > 63_000 {
+		if ago := j.WaitingSinceMS - submitted; ago < 60_000 || ago > 63_000 {
 			t.Errorf("%s: its waiting counts from %d ms after the submission", name, ago)
 		}
 	}
@@ -49,7 +49,7 @@
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		if !happened && len(txn.Writes) == 1 { // the request
 			happened = true
-			harness.core.leader.markDone(leader.jobs[jobID(1)], 0)
+			harness.core.leader.markDone(leader.Jobs[jobID(1)], 0)
 			harness.intercept = nil
 			leader.writer.dirty = true
 			harness.step(Tick{}) // the end is recorded first
@@ -61,7 +61,7 @@
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	harness.run(2 * time.Second)
-	if j := leader.jobs[jobID(2)]; j == nil || j.cancellation.Requested() || j.waiting {
+	if j := leader.Jobs[jobID(2)]; j == nil || j.Cancellation.Requested() || j.Waiting {
 		t.Error("its dependent does not go on")
 	}
 }
@@ -79,7 +79,7 @@
 		addRecord(harness, leader, wire.Job{ID: jobID(4), Dependencies: []string{jobID(3)}}, nil)
 	})
 	harness.run(time.Second)
-	runInStep(harness, func() { leader.markDone(leader.jobs[jobID(1)], 0) })
+	runInStep(harness, func() { leader.markDone(leader.Jobs[jobID(1)], 0) })
 	harness.run(2 * time.Second)
 	runInStep(harness, func() {
 		addRecord(harness, leader, wire.Job{ID: jobID(2)}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt, r.ReadyAt = true, harness.core.wallClockMS, 1 })
@@ -117,11 +117,11 @@
 	tried := 0
 	harness.afterCommit = func() {
 		tried++
-		leader.jobs[jobID(2)].dependenciesDone = false // once: it would be tried at every answer
+		leader.Jobs[jobID(2)].DependenciesDone = false // once: it would be tried at every answer
 	}
 	runInStep(harness, func() { leader.dependencyEnded(jobID(1), wire.StatusDone) })
 	harness.run(2 * time.Second)
-	if strings.Contains(string(harness.store[records.OpenKey(jobID(2))].Value), `"ra":`) || len(leader.jobs[jobID(2)].pendingTasks()) > 0 {
+	if strings.Contains(string(harness.store[records.OpenKey(jobID(2))].Value), `"ra":`) || len(leader.Jobs[jobID(2)].PendingTasks()) > 0 {
 		t.Errorf("it goes on: %s", harness.store[records.OpenKey(jobID(2))].Value)
 	}
 	if tried == 0 {
--- a/internal/core/placement_pass.go
+++ b/internal/core/placement_pass.go
@@ -5,6 +5,7 @@
 	"sort"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/placement"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
@@ -13,12 +14,12 @@
 
 // passState is what the leader keeps from one placement pass to the next.
 type passState struct {
-	requested    bool          // there is something to place
-	earliest     time.Duration // when the next pass may begin
-	evaluations  int           // machines evaluated by all passes so far
-	machines     []*machine    // those that may take tasks in this pass
-	resumeFrom   *job          // where the last pass was cut short
-	victimBuffer []victim      // kept to be filled again, see victimsOn
+	requested    bool               // there is something to place
+	earliest     time.Duration      // when the next pass may begin
+	evaluations  int                // machines evaluated by all passes so far
+	machines     []*cluster.Machine // those that may take tasks in this pass
+	resumeFrom   *cluster.Job       // where the last pass was cut short
+	victimBuffer []victim           // kept to be filled again, see victimsOn
 }
 
 // placementPass is one walk over the jobs that wait for room.
@@ -52,7 +53,7 @@
 	pass := l.newPlacementPass()
 	cands := l.candidates()
 	for _, candidate := range l.resumeOrder(cands) {
-		if l.core.now < candidate.job.retryAt {
+		if l.core.now < candidate.job.RetryAt {
 			continue
 		}
 		if l.passes.evaluations > pass.evaluationLimit {
@@ -73,16 +74,16 @@
 // buildTree is the tree of the machines that may take tasks, and its leaves; it
 // notes the machines as the pass's leaves.
 func (l *leader) buildTree() (*topology.Tree, []*topology.Machine) {
-	leaves := make([]*topology.Machine, 0, len(l.machinesByName))
-	all := make([]topology.Machine, len(l.machinesByName))
+	leaves := make([]*topology.Machine, 0, len(l.MachinesByName))
+	all := make([]topology.Machine, len(l.MachinesByName))
 	l.passes.machines = l.passes.machines[:0]
-	for _, m := range l.machinesByName {
+	for _, m := range l.MachinesByName {
 		total, ok := l.capacityOf(m)
 		if !ok || !l.usable(m) {
 			continue
 		}
 		leaf := &all[len(leaves)]
-		*leaf = topology.Machine{Name: m.name, Zone: m.zone, Price: l.machinePrice(m), Free: total.Sub(m.used), Index: len(leaves)}
+		*leaf = topology.Machine{Name: m.Name, Zone: m.Zone, Price: l.machinePrice(m), Free: total.Sub(m.Used), Index: len(leaves)}
 		leaves = append(leaves, leaf)
 		l.passes.machines = append(l.passes.machines, m)
 	}
@@ -147,20 +148,20 @@
 // becomes free by that is kept for it from now on: work of lower ranks that came later in the
 // same pass took it, and a gang that needs all of the limit never began.
 func (p *placementPass) preempt(c *candidate, quick bool) (nobody bool) {
-	before := c.job.preemptedWithinTeam
+	before := c.job.PreemptedWithinTeam
 	nobody = p.leader.preempt(c, p.usage, quick)
-	if c.job.preemptedWithinTeam && !before {
+	if c.job.PreemptedWithinTeam && !before {
 		p.reservations = p.leader.limitReservations()
 	}
 	return nobody
 }
 
 // anyMachineFits tells whether any machine that a job may use has room for a task.
-func (l *leader) anyMachineFits(tree *topology.Tree, j *job) bool {
+func (l *leader) anyMachineFits(tree *topology.Tree, j *cluster.Job) bool {
 	defer l.countEvaluations(tree)()
-	return tree.AnyFits(taskSize(&j.Job), func(t *topology.Machine) bool {
+	return tree.AnyFits(cluster.TaskSize(&j.Job), func(t *topology.Machine) bool {
 		m := l.passes.machines[t.Index]
-		return eligible(&j.Job, m.typeName, m.zone, m.spot)
+		return eligible(&j.Job, m.TypeName, m.Zone, m.Spot)
 	})
 }
 
@@ -171,9 +172,9 @@
 	if job.Shape == wire.ShapeGang {
 		batch = len(candidate.pending)
 	}
-	limit, task := p.leader.limit(job.Team), taskSize(&job.Job)
-	kept := p.reservations.AbovePriority(job.Team, job.level)
-	if batch == 1 && job.interchangeable() {
+	limit, task := p.leader.limit(job.Team), cluster.TaskSize(&job.Job)
+	kept := p.reservations.AbovePriority(job.Team, job.Level)
+	if batch == 1 && job.Interchangeable() {
 		p.placeEach(candidate, quick, kept)
 		return
 	}
@@ -181,24 +182,18 @@
 		if !p.leader.placeTogether(p.tree, candidate, candidate.pending[:batch], quick) {
 			return
 		}
-		p.usage[job.Team] = p.usage[job.Team].Add(scaled(task, batch))
+		p.usage[job.Team] = p.usage[job.Team].Add(cluster.Scaled(task, batch))
 		candidate.pending = candidate.pending[batch:]
 	}
 }
 
-// interchangeable tells whether it does not matter which of a job's tasks goes where, nor
-// what the ones before took: none has room kept for it, and they need not share a zone.
-func (j *job) interchangeable() bool {
-	return len(j.reschedulingTargets) == 0 && len(j.reservedMachines) == 0 && !j.OneZone
-}
-
 // evaluationsPerBinding is about how many evaluations of machines take as long as binding a task.
 const evaluationsPerBinding = 10
 
 // placeEach places what of a job of single tasks fits, all in one go.
 func (p *placementPass) placeEach(candidate *candidate, quick bool, kept topology.Resources) {
 	leader, job := p.leader, candidate.job
-	limit, task := leader.limit(job.Team), taskSize(&job.Job)
+	limit, task := leader.limit(job.Team), cluster.TaskSize(&job.Job)
 	used := p.usage[job.Team].Add(kept)
 	count := sort.Search(len(candidate.pending)-candidate.reserved, func(k int) bool { return !limit.Allows(used, task, k+1) })
 	if count < 1 {
@@ -236,8 +231,8 @@
 }
 
 // machinesOf lists the machines that leaves of the pass's tree stand for.
-func (l *leader) machinesOf(leaves []*topology.Machine) []*machine {
-	machines := make([]*machine, len(leaves))
+func (l *leader) machinesOf(leaves []*topology.Machine) []*cluster.Machine {
+	machines := make([]*cluster.Machine, len(leaves))
 	for k, leaf := range leaves {
 		machines[k] = l.passes.machines[leaf.Index]
 	}
@@ -253,17 +248,17 @@
 
 // placementRequest asks for room for tasks of a job that start together. quick
 // leaves out machines on which the image would come too late.
-func (l *leader) placementRequest(job *job, tasks []int, quick bool) topology.Request {
+func (l *leader) placementRequest(job *cluster.Job, tasks []int, quick bool) topology.Request {
 	wait := l.core.maxPullTime(job.Class)
 	req := topology.Request{
-		Task: taskSize(&job.Job), Count: len(tasks), Required: topology.LevelRoot,
+		Task: cluster.TaskSize(&job.Job), Count: len(tasks), Required: topology.LevelRoot,
 		ZoneBound: l.zoneBound(job),
 		Allowed: func(t *topology.Machine) bool {
 			return l.passesFilters(job, l.passes.machines[t.Index], quick, wait)
 		},
-		MachineBound: func(t *topology.Machine) int { return l.passes.machines[t.Index].taskRowsLeft() },
+		MachineBound: func(t *topology.Machine) int { return l.passes.machines[t.Index].TaskRowsLeft() },
 		Penalty: func(t *topology.Machine) int {
-			if m := job.reschedulingTargets[tasks[0]]; m != nil && m.name == t.Name {
+			if m := job.ReschedulingTargets[tasks[0]]; m != nil && m.Name == t.Name {
 				return penaltyMoveTarget
 			}
 			return l.machinePenalty(job, l.passes.machines[t.Index], wait)
@@ -277,27 +272,27 @@
 
 // bindTasks binds tasks that start together to machines, given in their order.
 // The tasks of a gang share an attempt.
-func (l *leader) bindTasks(job *job, tasks []int, machines []*machine) {
-	attempt := job.nextAttempt
+func (l *leader) bindTasks(job *cluster.Job, tasks []int, machines []*cluster.Machine) {
+	attempt := job.NextAttempt
 	for k, i := range tasks {
-		machine, task := machines[k], &job.tasks[i]
+		machine, task := machines[k], &job.TaskStates[i]
 		if job.Shape != wire.ShapeGang {
-			attempt = job.nextAttempt
-			job.nextAttempt++
+			attempt = job.NextAttempt
+			job.NextAttempt++
 		}
-		task.attempt, task.zone, task.incarnation, task.placedThisTerm, task.placedAt = attempt, machine.zone, machine.incarnation, true, l.core.now
-		delete(job.reschedulingTargets, i)
+		task.Attempt, task.Zone, task.Incarnation, task.PlacedThisTerm, task.PlacedAt = attempt, machine.Zone, machine.Incarnation, true, l.core.now
+		delete(job.ReschedulingTargets, i)
 		l.place(job, i, machine)
-		machine.beginPull(job.Image, job.ImageGB, l.core.now)
+		machine.BeginPull(job.Image, job.ImageGB, l.core.now)
 		l.markPlacementChanged(job, i, false)
-		if machine.reservedFor == job {
-			if machine.reservedTasks--; machine.reservedTasks < 1 {
-				machine.reservedFor = nil
+		if machine.ReservedFor == job {
+			if machine.ReservedTasks--; machine.ReservedTasks < 1 {
+				machine.ReservedFor = nil
 			}
 		}
-		l.core.log.Debug("place", "task", taskName(job.ID, i), "attempt", attempt, "machine", machine.name, "image", machine.hasImage(job.Image))
+		l.core.log.Debug("place", "task", cluster.TaskName(job.ID, i), "attempt", attempt, "machine", machine.Name, "image", machine.HasImage(job.Image))
 	}
 	if job.Shape == wire.ShapeGang {
-		job.nextAttempt++
+		job.NextAttempt++
 	}
 }
--- a/internal/core/placement_pass_test.go
+++ b/internal/core/placement_pass_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -25,12 +26,12 @@
 	leader.recordsLoaded = true
 	for i := range machines {
 		m := leader.machineNamed(fmt.Sprintf("n-%06d", i))
-		leader.setDescription(m, "", "plain", []string{"a", "b", "c"}[i%3], false)
-		m.fencingToken, m.lastHeartbeat, m.firstHeartbeat, m.incarnation = 5, harness.core.now, 1, 1
+		leader.describe(m, "", "plain", []string{"a", "b", "c"}[i%3], false)
+		m.FencingToken, m.LastHeartbeat, m.FirstHeartbeat, m.Incarnation = 5, harness.core.now, 1, 1
 		j := addJob(leader, wire.Job{ID: fmt.Sprintf("job-%06d", i), Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 1, MemGB: 1, Tasks: tasksOfMachine})
-		for k := range j.tasks {
+		for k := range j.TaskStates {
 			leader.place(j, k, m)
-			j.tasks[k].state, j.tasks[k].observed = wire.TaskRunning, true
+			j.TaskStates[k].State, j.TaskStates[k].Observed = wire.TaskRunning, true
 		}
 	}
 	return leader
@@ -38,21 +39,21 @@
 
 // makeAllIdle makes all work of the fleet that of the lowest priority.
 func makeAllIdle(l *leader) {
-	l.passes.machines = l.machinesByName
-	for _, j := range l.jobsBySubmission {
-		j.level = 0
-		m := j.tasks[0].machine
-		m.usedByLevel[0], m.usedByLevel[3] = m.usedByLevel[3], m.usedByLevel[0]
+	l.passes.machines = l.MachinesByName
+	for _, j := range l.JobsBySubmission {
+		j.Level = 0
+		m := j.TaskStates[0].Machine
+		m.UsedByLevel[0], m.UsedByLevel[3] = m.UsedByLevel[3], m.UsedByLevel[0]
 	}
 }
 
 // addJob adds a job that waits.
-func addJob(l *leader, spec wire.Job) *job {
+func addJob(l *leader, spec wire.Job) *cluster.Job {
 	spec.Team, spec.Image = "vision", "img"
-	j := newJob(records.Open{Job: spec}, uint64(len(l.jobsBySubmission)+1))
-	j.loaded = true
-	l.jobs[j.ID] = j
-	l.jobsBySubmission = append(l.jobsBySubmission, j)
+	j := cluster.NewJob(records.Open{Job: spec}, uint64(len(l.JobsBySubmission)+1))
+	j.Loaded = true
+	l.Jobs[j.ID] = j
+	l.JobsBySubmission = append(l.JobsBySubmission, j)
 	return j
 }
 
@@ -65,7 +66,7 @@
 	makeAllIdle(l)
 	j := addJob(l, wire.Job{ID: "job-999999", Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 20, MemGB: 1, Tasks: 1})
 	before := l.passes.evaluations
-	l.findSlots(&candidate{job: j, pending: []int{0}, preemptionPriority: j.level}, 1, "", false)
+	l.findSlots(&candidate{job: j, pending: []int{0}, preemptionPriority: j.Level}, 1, "", false)
 	if got := l.passes.evaluations - before; got < machines*tasksOfMachine {
 		t.Errorf("%d evaluations for %d tasks", got, machines*tasksOfMachine)
 	}
@@ -90,7 +91,7 @@
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			l := busyFleet(b, machines)
 			j := addJob(l, wire.Job{ID: "job-999999", Class: "train", Shape: wire.ShapeGang, Priority: wire.PriorityUrgent, CPUs: 1, GPUs: 1, MemGB: 1, Tasks: 512, OneZone: true})
-			tasks := j.unplacedTasks()
+			tasks := j.UnplacedTasks()
 			for b.Loop() {
 				tree, _ := l.buildTree()
 				tree.Place(l.placementRequest(j, tasks, false))
@@ -124,7 +125,7 @@
 			l := busyFleet(b, machines)
 			makeAllIdle(l)
 			j := addJob(l, wire.Job{ID: "job-999999", Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 20, MemGB: 1, Tasks: 8})
-			c := &candidate{job: j, pending: j.unplacedTasks(), preemptionPriority: j.level}
+			c := &candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level}
 			for b.Loop() {
 				l.findSlots(c, 8, "", false)
 			}
--- a/internal/core/placements.go
+++ b/internal/core/placements.go
@@ -3,8 +3,8 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -22,17 +22,6 @@
 //     tasks of its range it stands above any record of the first layout, which
 //     is left as it is until the job is over.
 
-// placementRecord is one placement record: a run of a job's tasks.
-type placementRecord struct {
-	key            string
-	from, to       int // tasks, the last one exclusive
-	version        uint64
-	dirty          bool
-	dueAt          time.Duration // when it is to be written, if dirty
-	versionUnknown bool          // the version is unknown and must be read
-	writePending   bool
-}
-
 // placementEntryBytes is about what a task takes in a record, at most. numberedEntryBytes is
 // what the numbered layout allows for it, and cannot change any more.
 const (
@@ -52,77 +41,47 @@
 }
 
 // initPlacementRecords makes a job's chunks, for a job without records.
-func (l *leader) initPlacementRecords(j *job) {
-	j.placementRecords = nil
+func (l *leader) initPlacementRecords(j *cluster.Job) {
+	j.PlacementRecords = nil
 	if l.writesNamedRanges() {
 		l.addRangeRecords(j)
 		return
 	}
-	j.numbered = true
+	j.Numbered = true
 	l.addNumberedRecords(j)
 }
 
 // addRangeRecords adds chunks that name their range for the tasks that none covers.
-func (l *leader) addRangeRecords(j *job) {
+func (l *leader) addRangeRecords(j *cluster.Job) {
 	per := max(1, l.core.store.MaxPlacementValue()/placementEntryBytes)
-	var add []placementRecord
+	var add []cluster.PlacementRecord
 	from := 0
 	gap := func(to int) {
 		for ; from < to; from += per {
 			end := min(from+per, to)
-			add = append(add, placementRecord{key: records.RangeKey(j.ID, from, end), from: from, to: end})
+			add = append(add, cluster.PlacementRecord{Key: records.RangeKey(j.ID, from, end), From: from, To: end})
 		}
 	}
-	for _, ch := range j.placementRecords {
-		gap(ch.from)
-		from = ch.to
-	}
-	gap(len(j.tasks))
-	j.placementRecords = append(j.placementRecords, add...)
-	slices.SortFunc(j.placementRecords, func(a, b placementRecord) int { return cmp.Compare(a.from, b.from) })
-}
-
-// placementRecordOf is the chunk that covers a task.
-func (j *job) placementRecordOf(i int) *placementRecord {
-	n, _ := slices.BinarySearchFunc(j.placementRecords, i, func(ch placementRecord, i int) int {
-		switch {
-		case ch.to <= i:
-			return -1
-		case ch.from > i:
-			return 1
-		}
-		return 0
-	})
-	return &j.placementRecords[n]
-}
-
-// placementKeys lists a job's placement records.
-func (j *job) placementKeys() []string {
-	keys := slices.Clone(j.supersededKeys)
-	for i := range j.placementRecords {
-		if j.placementRecords[i].version != 0 {
-			keys = append(keys, j.placementRecords[i].key)
-		}
+	for _, ch := range j.PlacementRecords {
+		gap(ch.From)
+		from = ch.To
 	}
-	return keys
-}
-
-// recordKeys lists what a job's end deletes beside its open record.
-func (j *job) recordKeys() []string {
-	return append(j.placementKeys(), j.list.keys()...)
+	gap(len(j.TaskStates))
+	j.PlacementRecords = append(j.PlacementRecords, add...)
+	slices.SortFunc(j.PlacementRecords, func(a, b cluster.PlacementRecord) int { return cmp.Compare(a.From, b.From) })
 }
 
 // switchToNamedRanges moves a job from numbered records to those that name their range. The
 // old ones go on holding for ranges that are not written yet.
-func (l *leader) switchToNamedRanges(j *job) {
-	before := j.placementRecords
-	j.supersededKeys = j.placementKeys()
-	j.placementRecords, j.numbered = nil, false
+func (l *leader) switchToNamedRanges(j *cluster.Job) {
+	before := j.PlacementRecords
+	j.SupersededKeys = j.PlacementKeys()
+	j.PlacementRecords, j.Numbered = nil, false
 	l.addRangeRecords(j)
 	for _, b := range before {
-		for i := range j.placementRecords {
-			if ch := &j.placementRecords[i]; b.dirty && ch.from < b.to && b.from < ch.to {
-				ch.dirty = true
+		for i := range j.PlacementRecords {
+			if ch := &j.PlacementRecords[i]; b.Dirty && ch.From < b.To && b.From < ch.To {
+				ch.Dirty = true
 			}
 		}
 	}
@@ -133,21 +92,21 @@
 // of an earlier write
 // that is still under way, conditional on that record, has no effect then. It
 // would bring back what the new records have overtaken.
-func (l *leader) mayWriteNamedRanges(j *job) bool {
-	if !j.numbered {
+func (l *leader) mayWriteNamedRanges(j *cluster.Job) bool {
+	if !j.Numbered {
 		return true
 	}
 	dirty := false
-	for i := range j.placementRecords {
-		if j.placementRecords[i].writePending || j.placementRecords[i].versionUnknown {
+	for i := range j.PlacementRecords {
+		if j.PlacementRecords[i].WritePending || j.PlacementRecords[i].VersionUnknown {
 			return false
 		}
-		dirty = dirty || j.placementRecords[i].dirty
+		dirty = dirty || j.PlacementRecords[i].Dirty
 	}
 	switch {
 	case !dirty:
-	case j.placementSentThisTerm && !j.cancellation.Requested():
-		j.rewriteOpenFirst = true
+	case j.PlacementSentThisTerm && !j.Cancellation.Requested():
+		j.RewriteOpenFirst = true
 		return false
 	default:
 		l.switchToNamedRanges(j)
@@ -155,18 +114,18 @@
 	return true
 }
 
-func encodePlacementRecord(j *job, ch *placementRecord) ([]byte, []records.PlacedTask) {
-	rec := records.Placement{NextAttempt: j.nextAttempt}
+func encodePlacementRecord(j *cluster.Job, ch *cluster.PlacementRecord) ([]byte, []records.PlacedTask) {
+	rec := records.Placement{NextAttempt: j.NextAttempt}
 	var starts []records.PlacedTask
-	for i := ch.from; i < ch.to; i++ {
-		t := &j.tasks[i]
-		if t.done {
+	for i := ch.From; i < ch.To; i++ {
+		t := &j.TaskStates[i]
+		if t.Done {
 			rec.Done = append(rec.Done, i)
 		}
-		if t.machine != nil {
-			e := records.PlacedTask{Task: i, Attempt: t.attempt, Machine: t.machine.name, Zone: t.zone, Incarnation: t.incarnation}
+		if t.Machine != nil {
+			e := records.PlacedTask{Task: i, Attempt: t.Attempt, Machine: t.Machine.Name, Zone: t.Zone, Incarnation: t.Incarnation}
 			rec.Tasks = append(rec.Tasks, e)
-			if !t.persisted {
+			if !t.Persisted {
 				starts = append(starts, e)
 			}
 		}
@@ -194,7 +153,7 @@
 				l.core.log.Error("placement record is not readable", "key", it.Key)
 				continue
 			}
-			if l.jobs[r.Job] == nil {
+			if l.Jobs[r.Job] == nil {
 				l.writer.orphanedRecords = append(l.writer.orphanedRecords, it.Key)
 				continue
 			}
@@ -205,33 +164,33 @@
 			return
 		}
 		for _, id := range sortedKeys(found) {
-			l.adoptPlacements(l.jobs[id], found[id])
+			l.adoptPlacements(l.Jobs[id], found[id])
 		}
 		l.recordsComplete()
 	})
 }
 
 // adoptPlacements takes in a job's placement records.
-func (l *leader) adoptPlacements(j *job, found []loadedPlacement) {
-	covered, named := namedRanges(found, len(j.tasks))
+func (l *leader) adoptPlacements(j *cluster.Job, found []loadedPlacement) {
+	covered, named := namedRanges(found, len(j.TaskStates))
 	if named && !l.core.store.AnnouncedToShrink() {
 		// A leader before this one found out that the service takes less than the
 		// settings say.
 		l.core.store.AssumeSmallValues()
 		l.writer.rejectedOnce = true
 	}
-	j.placementRecords = nil
+	j.PlacementRecords = nil
 	for _, f := range found {
-		f.To = min(f.To, len(j.tasks))
+		f.To = min(f.To, len(j.TaskStates))
 		if f.From >= f.To || named && f.Numbered {
-			j.supersededKeys = append(j.supersededKeys, f.key)
+			j.SupersededKeys = append(j.SupersededKeys, f.key)
 		} else {
-			j.placementRecords = append(j.placementRecords, placementRecord{key: f.key, from: f.From, to: f.To, version: f.version})
+			j.PlacementRecords = append(j.PlacementRecords, cluster.PlacementRecord{Key: f.key, From: f.From, To: f.To, Version: f.version})
 		}
 		l.adoptPlacedTasks(j, f, covered)
 	}
-	slices.SortFunc(j.placementRecords, func(a, b placementRecord) int { return cmp.Compare(a.from, b.from) })
-	j.numbered = !named
+	slices.SortFunc(j.PlacementRecords, func(a, b cluster.PlacementRecord) int { return cmp.Compare(a.From, b.From) })
+	j.Numbered = !named
 	if named {
 		l.addRangeRecords(j)
 	} else {
@@ -257,65 +216,65 @@
 
 // adoptPlacedTasks takes in what a placement record says of a job's tasks. What a
 // numbered one says of a task that is covered by another record is out of date.
-func (l *leader) adoptPlacedTasks(j *job, f loadedPlacement, covered []bool) {
-	j.nextAttempt = max(j.nextAttempt, f.record.NextAttempt)
+func (l *leader) adoptPlacedTasks(j *cluster.Job, f loadedPlacement, covered []bool) {
+	j.NextAttempt = max(j.NextAttempt, f.record.NextAttempt)
 	for _, i := range f.record.Done {
-		if i < len(j.tasks) && !j.tasks[i].done {
-			j.tasks[i].done = true
-			j.tasksDone++
+		if i < len(j.TaskStates) && !j.TaskStates[i].Done {
+			j.TaskStates[i].Done = true
+			j.TasksDone++
 		}
 	}
 	for _, e := range f.record.Tasks {
-		if e.Task >= len(j.tasks) || f.Numbered && covered[e.Task] {
+		if e.Task >= len(j.TaskStates) || f.Numbered && covered[e.Task] {
 			continue
 		}
 		m := l.machineNamed(e.Machine)
-		t := &j.tasks[e.Task]
-		t.attempt, t.zone, t.incarnation, t.persisted, t.startRetransmitted = e.Attempt, e.Zone, e.Incarnation, true, true
-		m.zone = e.Zone
+		t := &j.TaskStates[e.Task]
+		t.Attempt, t.Zone, t.Incarnation, t.Persisted, t.StartRetransmitted = e.Attempt, e.Zone, e.Incarnation, true, true
+		m.Zone = e.Zone
 		l.place(j, e.Task, m)
 	}
 }
 
 // addNumberedRecords adds numbered chunks for the tasks that none covers.
-func (l *leader) addNumberedRecords(j *job) {
-	found := map[string]placementRecord{}
-	for _, ch := range j.placementRecords {
-		found[ch.key] = ch
+func (l *leader) addNumberedRecords(j *cluster.Job) {
+	found := map[string]cluster.PlacementRecord{}
+	for _, ch := range j.PlacementRecords {
+		found[ch.Key] = ch
 	}
 	per := l.core.tasksPerNumberedRecord()
-	j.placementRecords = nil
-	for from := 0; from < len(j.tasks); from += per {
-		ch := placementRecord{key: records.NumberedKey(j.ID, from/per), from: from, to: min(from+per, len(j.tasks))}
-		if known, ok := found[ch.key]; ok {
+	j.PlacementRecords = nil
+	for from := 0; from < len(j.TaskStates); from += per {
+		ch := cluster.PlacementRecord{Key: records.NumberedKey(j.ID, from/per), From: from, To: min(from+per, len(j.TaskStates))}
+		if known, ok := found[ch.Key]; ok {
 			ch = known
 		}
-		j.placementRecords = append(j.placementRecords, ch)
+		j.PlacementRecords = append(j.PlacementRecords, ch)
 	}
 }
 
 // refreshPlacementRecord reads the version of a placement record that is not known.
-func (l *leader) refreshPlacementRecord(j *job, key string) {
+func (l *leader) refreshPlacementRecord(j *cluster.Job, key string) {
 	l.core.store.Get(key, func(r kv.GetResult) {
 		if l.steppedDown {
 			return
 		}
-		n := slices.IndexFunc(j.placementRecords, func(ch placementRecord) bool { return ch.key == key })
+		n := slices.IndexFunc(j.PlacementRecords, func(ch cluster.PlacementRecord) bool { return ch.Key == key })
 		if n < 0 {
 			return
 		}
-		ch := &j.placementRecords[n]
+		ch := &j.PlacementRecords[n]
 		switch r.Status {
 		case kv.OK:
-			ch.version = r.Item.Version
+			ch.Version = r.Item.Version
 		case kv.NotFound:
-			ch.version = 0
+			ch.Version = 0
 		default:
 			l.refreshPlacementRecord(j, key)
 			return
 		}
-		ch.versionUnknown = false
-		ch.dirty = true
+		ch.VersionUnknown = false
+		ch.Dirty = true
 		l.writer.dirty = true
 	})
 }
--- a/internal/core/preempt.go
+++ b/internal/core/preempt.go
@@ -4,16 +4,17 @@
 	"slices"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/preemption"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
 // slot is room for one more task on a machine, and who has to go for it.
-type slot = preemption.Slot[taskReference]
+type slot = preemption.Slot[cluster.TaskReference]
 
 // victim is a task that may be stopped.
-type victim = preemption.Victim[taskReference]
+type victim = preemption.Victim[cluster.TaskReference]
 
 // maxPreemptionsPerPass bounds how many tasks of an array or a service that is not within its
 // team's guarantee make room in one pass: what is stopped for them comes back as work to
@@ -30,7 +31,7 @@
 	if c.withinQuota || c.job.Shape == wire.ShapeGang {
 		return len(c.pending)
 	}
-	return min(len(c.pending), max(maxPreemptionsPerPass, len(l.machinesByName)/machinesPerPreemption))
+	return min(len(c.pending), max(maxPreemptionsPerPass, len(l.MachinesByName)/machinesPerPreemption))
 }
 
 // preempt makes room for tasks of a job that found none: it stops work of
@@ -76,7 +77,7 @@
 // within its team's limit.
 func (l *leader) preemptionTarget(candidate *candidate, usage map[string]topology.Resources) int {
 	job := candidate.job
-	fits := func(n int) bool { return l.limit(job.Team).Allows(usage[job.Team], taskSize(&job.Job), n) }
+	fits := func(n int) bool { return l.limit(job.Team).Allows(usage[job.Team], cluster.TaskSize(&job.Job), n) }
 	if job.Shape == wire.ShapeGang {
 		if !fits(len(candidate.pending)) {
 			return 0
@@ -108,20 +109,20 @@
 
 // stopVictims stops the tasks that go for preemptions, and returns the longest
 // time that one of them gets to save, in seconds.
-func (l *leader) stopVictims(job *job, chosen []slot) float64 {
+func (l *leader) stopVictims(job *cluster.Job, chosen []slot) float64 {
 	wait := 0.0
 	for _, slot := range chosen {
-		machine := l.machines[slot.Machine]
+		machine := l.Machines[slot.Machine]
 		for i := range slot.Victims {
 			v := &slot.Victims[i].Task
-			grace := l.preemptionGrace(job, machine, v.job)
+			grace := l.preemptionGrace(job, machine, v.Job)
 			wait = max(wait, grace)
-			l.core.log.Info("preempt", "task", v.name, "machine", slot.Machine, "for", job.ID, "grace_s", grace)
-			if v.job.Shape == wire.ShapeGang {
-				v.job.gangPreemptions++
-				l.stopGang(v.job, grace, stopPreempted)
+			l.core.log.Info("preempt", "task", v.Name, "machine", slot.Machine, "for", job.ID, "grace_s", grace)
+			if v.Job.Shape == wire.ShapeGang {
+				v.Job.GangPreemptions++
+				l.stopGang(v.Job, grace, stopPreempted)
 			} else {
-				l.stopTask(v.job, v.index, grace, stopPreempted)
+				l.stopTask(v.Job, v.Index, grace, stopPreempted)
 			}
 		}
 	}
@@ -129,35 +130,35 @@
 }
 
 // machinesOfSlots lists the machines of rooms, in their order.
-func (l *leader) machinesOfSlots(rooms []slot) []*machine {
-	machines := make([]*machine, len(rooms))
+func (l *leader) machinesOfSlots(rooms []slot) []*cluster.Machine {
+	machines := make([]*cluster.Machine, len(rooms))
 	for k := range rooms {
-		machines[k] = l.machines[rooms[k].Machine]
+		machines[k] = l.Machines[rooms[k].Machine]
 	}
 	return machines
 }
 
 // reserve keeps machines for a job until the room is there, wait seconds from now; a
 // machine is named once for each of the job's tasks that it is kept for.
-func (l *leader) reserve(job *job, machines []*machine, wait float64) {
-	job.reservedMachines = nil
+func (l *leader) reserve(job *cluster.Job, machines []*cluster.Machine, wait float64) {
+	job.ReservedMachines = nil
 	for _, m := range machines {
-		m.reservedFor, m.reservedTasks = job, 0
-		if !slices.Contains(job.reservedMachines, m) {
-			job.reservedMachines = append(job.reservedMachines, m)
+		m.ReservedFor, m.ReservedTasks = job, 0
+		if !slices.Contains(job.ReservedMachines, m) {
+			job.ReservedMachines = append(job.ReservedMachines, m)
 		}
 	}
 	until := l.core.now + time.Duration(wait*float64(time.Second)) + 3*l.core.heartbeatInterval()
 	for _, m := range machines {
-		m.reservedTasks++
-		m.reservedUntil = until
+		m.ReservedTasks++
+		m.ReservedUntil = until
 	}
 }
 
 // checkpointGrace is the time that preempted work gets to save. A stop without it
 // loses half an interval of checkpoints on average; with it, two wait for the
 // save.
-func (l *leader) checkpointGrace(j *job) float64 {
+func (l *leader) checkpointGrace(j *cluster.Job) float64 {
 	if j.CheckpointIntervalS == 0 || j.CheckpointIntervalS/2 <= 2*j.CheckpointDurationS {
 		return 0
 	}
@@ -167,7 +168,7 @@
 // preemptionGrace is the time that work which is preempted for a job on a machine gets to
 // save: none where the job starts in time without the wait for it alone. Beside work
 // that saves for three seconds, nothing that was to start within five ever did.
-func (l *leader) preemptionGrace(j *job, m *machine, v *job) float64 {
+func (l *leader) preemptionGrace(j *cluster.Job, m *cluster.Machine, v *cluster.Job) float64 {
 	grace := l.checkpointGrace(v)
 	if grace == 0 {
 		return 0
@@ -184,12 +185,12 @@
 const slowestPullFactor = 4.0 / 3
 
 // preemptionLoss is what the stop of a task loses, in seconds of its work.
-func (l *leader) preemptionLoss(j *job, t *task) float64 {
+func (l *leader) preemptionLoss(j *cluster.Job, t *cluster.Task) float64 {
 	if j.CheckpointIntervalS == 0 {
-		if t.runningSince == 0 {
+		if t.RunningSince == 0 {
 			return 0
 		}
-		return (l.core.now - t.runningSince).Seconds()
+		return (l.core.now - t.RunningSince).Seconds()
 	}
 	if l.checkpointGrace(j) == 0 {
 		return j.CheckpointIntervalS / 2
@@ -200,7 +201,7 @@
 // victimCost weighs a stop: what is lost of the work, by the share of a machine
 // it takes, by its priority, and by how often it had to make way before: else
 // the same cheap victim is stopped again and again.
-func (l *leader) victimCost(job *job, task *task, whole topology.Resources) float64 {
+func (l *leader) victimCost(job *cluster.Job, task *cluster.Task, whole topology.Resources) float64 {
 	share := 0.0
 	if whole.GPUs > 0 {
 		share = job.GPUs / whole.GPUs
@@ -210,18 +211,18 @@
 	}
 	n := 1
 	if job.Shape == wire.ShapeGang {
-		n = len(job.tasks) // all of it goes
+		n = len(job.TaskStates) // all of it goes
 	}
-	rank := float64(1 + job.level)
-	return (l.preemptionLoss(job, task) + 1) * share * float64(n) * rank * rank * float64(1+job.gangPreemptions)
+	rank := float64(1 + job.Level)
+	return (l.preemptionLoss(job, task) + 1) * share * float64(n) * rank * rank * float64(1+job.GangPreemptions)
 }
 
-// reservedTasks counts the tasks for which room is being made.
-func (l *leader) reservedTasks(j *job) int {
+// ReservedTasks counts the tasks for which room is being made.
+func (l *leader) reservedTasks(j *cluster.Job) int {
 	n := 0
-	for _, m := range j.reservedMachines {
-		if m.reservedFor == j && l.core.now < m.reservedUntil {
-			n += m.reservedTasks
+	for _, m := range j.ReservedMachines {
+		if m.ReservedFor == j && l.core.now < m.ReservedUntil {
+			n += m.ReservedTasks
 		}
 	}
 	return n
@@ -231,7 +232,7 @@
 func (l *leader) usableZones() []string {
 	in := map[string]bool{}
 	for _, m := range l.passes.machines {
-		in[m.zone] = true
+		in[m.Zone] = true
 	}
 	return sortedKeys(in)
 }
@@ -241,7 +242,7 @@
 func (l *leader) canPreemptAnywhere(c *candidate) bool {
 	l.passes.evaluations += len(l.passes.machines)
 	for _, m := range l.passes.machines {
-		if eligible(&c.job.Job, m.typeName, m.zone, m.spot) && l.freeAfterPreemption(c, m).Holds(taskSize(&c.job.Job)) {
+		if eligible(&c.job.Job, m.TypeName, m.Zone, m.Spot) && l.freeAfterPreemption(c, m).Holds(cluster.TaskSize(&c.job.Job)) {
 			return true
 		}
 	}
@@ -251,14 +252,14 @@
 // freeAfterPreemption is the most room that stops for a job can make on a machine.
 // It costs nothing to find, so that the tasks of a machine are gone through
 // only where that can be of use.
-func (l *leader) freeAfterPreemption(c *candidate, m *machine) topology.Resources {
+func (l *leader) freeAfterPreemption(c *candidate, m *cluster.Machine) topology.Resources {
 	r, _ := l.capacityOf(m)
-	r = r.Sub(m.used).Add(m.stoppingUse)
-	for _, s := range m.usedByLevel[:c.preemptionPriority] {
+	r = r.Sub(m.Used).Add(m.StoppingUse)
+	for _, s := range m.UsedByLevel[:c.preemptionPriority] {
 		r = r.Add(s)
 	}
 	if c.withinQuota {
-		r = r.Add(m.checkpointedByLevel[c.preemptionPriority]) // see mayPreempt
+		r = r.Add(m.CheckpointedByLevel[c.preemptionPriority]) // see mayPreempt
 	}
 	return r
 }
@@ -271,10 +272,10 @@
 	var all []slot
 	l.passes.evaluations += len(l.passes.machines)
 	for _, m := range l.passes.machines {
-		if zone != "" && m.zone != zone || !l.canPreemptOn(candidate, m) || quick && l.pullTooSlow(candidate.job, m, wait) {
+		if zone != "" && m.Zone != zone || !l.canPreemptOn(candidate, m) || quick && l.pullTooSlow(candidate.job, m, wait) {
 			continue
 		}
-		if zoneRoom != nil && zoneRoom(m.zone) < 1 {
+		if zoneRoom != nil && zoneRoom(m.Zone) < 1 {
 			continue
 		}
 		all = append(all, l.slotsOn(candidate, m, want, quick)...)
@@ -284,19 +285,19 @@
 
 // canPreemptOn tells whether room for a candidate's task can be made on a
 // machine.
-func (l *leader) canPreemptOn(c *candidate, m *machine) bool {
-	return l.freeAfterPreemption(c, m).Holds(taskSize(&c.job.Job)) && l.isFeasible(c.job, m) && (m.reservedFor == nil || l.core.now >= m.reservedUntil)
+func (l *leader) canPreemptOn(c *candidate, m *cluster.Machine) bool {
+	return l.freeAfterPreemption(c, m).Holds(cluster.TaskSize(&c.job.Job)) && l.isFeasible(c.job, m) && (m.ReservedFor == nil || l.core.now >= m.ReservedUntil)
 }
 
 // slotsOn lists the rooms that stops for a candidate make on one machine.
-func (l *leader) slotsOn(c *candidate, m *machine, want int, quick bool) []slot {
+func (l *leader) slotsOn(c *candidate, m *cluster.Machine, want int, quick bool) []slot {
 	whole, _ := l.capacityOf(m)
-	return preemption.SlotsOn(&preemption.Machine[taskReference]{
-		Name: m.name, Zone: m.zone, Free: whole.Sub(m.used),
+	return preemption.SlotsOn(&preemption.Machine[cluster.TaskReference]{
+		Name: m.Name, Zone: m.Zone, Free: whole.Sub(m.Used),
 		Victims: func(free topology.Resources) ([]victim, topology.Resources) {
 			return l.victimsOn(c, m, free, quick)
 		},
-	}, taskSize(&c.job.Job), want)
+	}, cluster.TaskSize(&c.job.Job), want)
 }
 
 // evaluationsPerVictim is about how many evaluations of machines take as long as that of a task as a victim, see
@@ -305,46 +306,35 @@
 
 // victimsOn lists the tasks on a machine that may be stopped for a candidate, and adds
 // what is already on its way out to what is free. The list is good until the next call.
-func (l *leader) victimsOn(candidate *candidate, machine *machine, free topology.Resources, quick bool) ([]victim, topology.Resources) {
+func (l *leader) victimsOn(candidate *candidate, machine *cluster.Machine, free topology.Resources, quick bool) ([]victim, topology.Resources) {
 	whole, _ := l.capacityOf(machine)
-	l.passes.evaluations += evaluationsPerVictim * len(machine.placements)
+	l.passes.evaluations += evaluationsPerVictim * len(machine.Placements)
 	victims := l.passes.victimBuffer[:0]
-	for _, p := range machine.placements {
-		t := p.task()
-		if t.stop != nil {
-			free = free.Add(taskSize(&p.job.Job))
+	for _, p := range machine.Placements {
+		t := p.Task()
+		if t.Stop != nil {
+			free = free.Add(cluster.TaskSize(&p.Job.Job))
 			continue
 		}
-		if !l.mayPreempt(candidate, p.job) || quick && p.job.level == candidate.preemptionPriority {
+		if !l.mayPreempt(candidate, p.Job) || quick && p.Job.Level == candidate.preemptionPriority {
 			continue
 		}
-		victims = append(victims, victim{Task: p, Loss: l.victimCost(p.job, t, whole)})
+		victims = append(victims, victim{Task: p, Loss: l.victimCost(p.Job, t, whole)})
 	}
 	l.passes.victimBuffer = victims
 	return victims, free
 }
 
-// Size is what becomes free when the task stops.
-func (p taskReference) Size() topology.Resources { return taskSize(&p.job.Job) }
-
-// Gang names the gang that stops along with the task; empty if it stops alone.
-func (p taskReference) Gang() string {
-	if p.job.Shape == wire.ShapeGang {
-		return p.job.ID
-	}
-	return ""
-}
-
 // isFeasible tells whether a machine may take a job's tasks, were there room.
-func (l *leader) isFeasible(j *job, m *machine) bool {
-	return l.usable(m) && eligible(&j.Job, m.typeName, m.zone, m.spot) && !l.avoids(j, m)
+func (l *leader) isFeasible(j *cluster.Job, m *cluster.Machine) bool {
+	return l.usable(m) && eligible(&j.Job, m.TypeName, m.Zone, m.Spot) && !l.avoids(j, m)
 }
 
 // worthPreemptingGang tells whether a gang may be stopped for a job that could have a
 // machine rented instead: not where more room than the job needs would be
 // emptied, all of which the gang has to find again.
-func worthPreemptingGang(c *candidate, v *job) bool {
-	n, k := float64(len(v.tasks)), float64(len(c.pending))
+func worthPreemptingGang(c *candidate, v *cluster.Job) bool {
+	n, k := float64(len(v.TaskStates)), float64(len(c.pending))
 	if v.GPUs > 0 {
 		return v.GPUs*n <= c.job.GPUs*k
 	}
@@ -355,15 +345,15 @@
 // priority, or, where the job is within its team's guarantee, because another
 // team runs it beyond its own. In the second case only work of the same
 // priority that keeps its progress is stopped; the protocol would allow any.
-func (l *leader) mayPreempt(c *candidate, v *job) bool {
+func (l *leader) mayPreempt(c *candidate, v *cluster.Job) bool {
 	if c.ownTeamOnly && v.Team != c.job.Team {
 		return false
 	}
 	if v.Shape == wire.ShapeGang && !c.cannotRent && !worthPreemptingGang(c, v) {
 		return false
 	}
-	if v.level != c.preemptionPriority {
-		return v.level < c.preemptionPriority
+	if v.Level != c.preemptionPriority {
+		return v.Level < c.preemptionPriority
 	}
-	return c.withinQuota && v.Team != c.job.Team && !v.withinQuota && v.CheckpointIntervalS > 0
+	return c.withinQuota && v.Team != c.job.Team && !v.WithinQuota && v.CheckpointIntervalS > 0
 }
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -25,7 +26,7 @@
 	job         wire.Job
 	withinQuota bool    // the job is within its team's guarantee
 	limit       float64 // GPUs that the job's team may use; 100 if 0
-	change      func(l *leader, j *job)
+	change      func(l *leader, j *cluster.Job)
 	want        []string // tasks that are stopped
 	reserved    []string // machines that are kept
 }
@@ -199,7 +200,7 @@
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: otherTeam(idle), on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
-			change:   func(l *leader, j *job) { l.core.team("vision").GPUsMax = 3 },
+			change:   func(l *leader, j *cluster.Job) { l.core.team("vision").GPUsMax = 3 },
 		},
 		{
 			name:     "not on a machine of another zone than the job's",
@@ -219,8 +220,8 @@
 				{Job: array("job-2", wire.PriorityIdle, 4), on: []string{"n-2"}},
 			},
 			job: array("job-9", wire.PriorityNormal, 4),
-			change: func(l *leader, j *job) {
-				l.reserve(j, []*machine{l.machines["n-1"]}, 10)
+			change: func(l *leader, j *cluster.Job) {
+				l.reserve(j, []*cluster.Machine{l.Machines["n-1"]}, 10)
 			},
 			reserved: []string{"n-1"},
 		},
@@ -240,11 +241,11 @@
 		leader.passes.machines = append(leader.passes.machines, idleMachine(leader, name, "g4", zone))
 	}
 	running := bindRunning(leader, tc.running)
-	job := newJob(records.Open{Job: tc.job}, 2)
+	job := cluster.NewJob(records.Open{Job: tc.job}, 2)
 	if tc.change != nil {
 		tc.change(leader, job)
 	}
-	c := &candidate{job: job, withinQuota: tc.withinQuota, pending: job.unplacedTasks(), preemptionPriority: job.level}
+	c := &candidate{job: job, withinQuota: tc.withinQuota, pending: job.UnplacedTasks(), preemptionPriority: job.Level}
 	leader.preempt(c, leader.refreshUsage(), false)
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) {
 		t.Errorf("stopped %q, want %q", stopped, tc.want)
@@ -255,15 +256,15 @@
 }
 
 // bindRunning has jobs run on the machines that they name.
-func bindRunning(leader *leader, jobs []runningJob) []*job {
-	var running []*job
+func bindRunning(leader *leader, jobs []runningJob) []*cluster.Job {
+	var running []*cluster.Job
 	for _, r := range jobs {
-		j := newJob(records.Open{Job: r.Job}, 1)
-		j.withinQuota = r.withinQuota
+		j := cluster.NewJob(records.Open{Job: r.Job}, 1)
+		j.WithinQuota = r.withinQuota
 		leader.initPlacementRecords(j)
 		for i, name := range r.on {
-			m := leader.machines[name]
-			j.tasks[i] = task{attempt: 1, zone: m.zone, incarnation: 1, observed: true, persisted: true, startRetransmitted: true, state: wire.TaskRunning, runningSince: leader.core.now - r.ranFor}
+			m := leader.Machines[name]
+			j.TaskStates[i] = cluster.Task{Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true, StartRetransmitted: true, State: wire.TaskRunning, RunningSince: leader.core.now - r.ranFor}
 			leader.place(j, i, m)
 		}
 		running = append(running, j)
@@ -272,33 +273,33 @@
 }
 
 // stoppedTasks names the tasks that are stopped.
-func stoppedTasks(jobs []*job) []string {
+func stoppedTasks(jobs []*cluster.Job) []string {
 	var stopped []string
 	for _, j := range jobs {
-		for i := range j.tasks {
-			if j.tasks[i].stop != nil {
-				stopped = append(stopped, taskName(j.ID, i))
+		for i := range j.TaskStates {
+			if j.TaskStates[i].Stop != nil {
+				stopped = append(stopped, cluster.TaskName(j.ID, i))
 			}
 		}
 	}
 	return stopped
 }
 
-// reservedMachines names the machines that are kept for a job.
-func reservedMachines(l *leader, j *job) []string {
+// ReservedMachines names the machines that are kept for a job.
+func reservedMachines(l *leader, j *cluster.Job) []string {
 	var reserved []string
-	for _, m := range l.machinesByName {
-		if m.reservedFor == j {
-			reserved = append(reserved, m.name)
+	for _, m := range l.MachinesByName {
+		if m.ReservedFor == j {
+			reserved = append(reserved, m.Name)
 		}
 	}
 	return reserved
 }
 
 // idleMachine adds a machine that reports and hears the leader.
-func idleMachine(l *leader, name, typ, zone string) *machine {
+func idleMachine(l *leader, name, typ, zone string) *cluster.Machine {
 	m := l.machineNamed(name)
-	l.setDescription(m, "", typ, zone, false)
-	m.lastHeartbeat, m.fencingToken, m.incarnation = l.core.now, l.leadership.Term, 1
+	l.describe(m, "", typ, zone, false)
+	m.LastHeartbeat, m.FencingToken, m.Incarnation = l.core.now, l.leadership.Term, 1
 	return m
 }
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -26,26 +26,6 @@
 	lossMachineTerminated lossReason = "machine"
 )
 
-// drainReason tells why a machine takes no more tasks, or goes back to the
-// cloud. It is empty for one that takes tasks.
-type drainReason string
-
-const (
-	drainOutlier                 drainReason = "fails the tasks it starts"
-	drainConsolidated            drainReason = "its replicas fit on other machines"
-	drainCancellationUnconfirmed drainReason = "cancelled work is not confirmed gone"
-	drainDead                    drainReason = "dead"
-	drainListedFailed            drainReason = "failed"
-	drainSilent                  drainReason = "silent"
-	drainLeaseExpiries           drainReason = "loses its lease again and again"
-	drainUnreachable             drainReason = "does not hear"
-	drainUnlisted                drainReason = "no longer listed"
-	drainBootTimeout             drainReason = "does not come up"
-	drainPreemptionNotice        drainReason = "will be taken"
-	drainIdle                    drainReason = "idle"
-	drainCostly                  drainReason = "dear for the guests' work that alone runs on it"
-)
-
 // Reasons for which a controller gives up its leadership, beside those that the
 // election finds.
 const (
--- a/internal/core/record_batch.go
+++ b/internal/core/record_batch.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -32,7 +33,7 @@
 	incomplete  bool // records that are due were left out
 
 	dependencyConditions int                  // conditions on awaited jobs
-	writers              []*job               // jobs whose records are written
+	writers              []*cluster.Job       // jobs whose records are written
 	committedEnds        []wire.JobEnd        // ends of jobs that were committed
 	deletions            int                  // left-over records that are deleted
 	handlers             []func(batchOutcome) // of the answer, in the order of the writes
@@ -88,8 +89,8 @@
 }
 
 // addWriter notes that the batch writes for a job whose open record is unchanged.
-func (b *recordBatch) addWriter(j *job) {
-	b.addCondition(records.OpenKey(j.ID), j.openVersion)
+func (b *recordBatch) addWriter(j *cluster.Job) {
+	b.addCondition(records.OpenKey(j.ID), j.OpenVersion)
 	b.writers = append(b.writers, j)
 }
 
@@ -109,22 +110,22 @@
 
 // addFinishedEnds adds the ends of jobs that were not cancelled.
 func (b *recordBatch) addFinishedEnds() {
-	for _, j := range b.leader.jobsBySubmission {
-		if !j.cancellation.Requested() && b.leader.endIsRecordable(j) && !b.addEnd(j) {
+	for _, j := range b.leader.JobsBySubmission {
+		if !j.Cancellation.Requested() && b.leader.endIsRecordable(j) && !b.addEnd(j) {
 			return
 		}
 	}
 }
 
 // addEnd adds the end of a job. It is false if there is no room for it.
-func (b *recordBatch) addEnd(j *job) bool {
-	keys := j.recordKeys()
+func (b *recordBatch) addEnd(j *cluster.Job) bool {
+	keys := j.RecordKeys()
 	writes := min(jobEndWrites+len(keys), b.maxWrites) // the rest is deleted afterwards
 	if !b.reserve(writes) {
 		return false
 	}
-	final := records.Final{Status: wire.StatusDone, Tasks: len(j.tasks)}
-	if j.cancellation.Requested() {
+	final := records.Final{Status: wire.StatusDone, Tasks: len(j.TaskStates)}
+	if j.Cancellation.Requested() {
 		final.Status = wire.StatusCancelled
 	}
 	b.addWriter(j)
@@ -135,24 +136,24 @@
 		b.delete(key)
 	}
 	b.bytes += jobEndBytes
-	j.endWritePending = true
+	j.EndWritePending = true
 	b.onOutcome(func(answer batchOutcome) { b.endOutcome(j, final, keys[deleted:], answer) })
 	return true
 }
 
 // endOutcome takes in the answer to the end of a job. Its records that are left
 // over are deleted by later batches.
-func (b *recordBatch) endOutcome(j *job, final records.Final, leftOver []string, answer batchOutcome) {
+func (b *recordBatch) endOutcome(j *cluster.Job, final records.Final, leftOver []string, answer batchOutcome) {
 	l := b.leader
-	j.endWritePending = false
+	j.EndWritePending = false
 	if !answer.committed {
-		if j.cancellation.Requested() {
+		if j.Cancellation.Requested() {
 			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, j)
 		}
 		return
 	}
 	l.core.log.Info("job over", "job", j.ID, "status", final.Status)
-	j.endRecorded = true
+	j.EndRecorded = true
 	l.writer.orphanedRecords = append(l.writer.orphanedRecords, leftOver...)
 	l.writer.dirty = l.writer.dirty || len(l.writer.orphanedRecords) > 0
 	end := wire.JobEnd{ID: j.ID, Status: string(final.Status), Tasks: final.Tasks}
@@ -165,8 +166,8 @@
 // addOpenRecords adds the open records of jobs that go on, since all that they
 // awaited is done, and of those that are to be written before others.
 func (b *recordBatch) addOpenRecords() {
-	for _, j := range b.leader.jobsBySubmission {
-		if !j.recordsWritable() || j.cancellation.Requested() || !j.dependenciesDone && !j.rewriteOpenFirst || !b.leader.mayWriteOpenRecord(j) {
+	for _, j := range b.leader.JobsBySubmission {
+		if !j.RecordsWritable() || j.Cancellation.Requested() || !j.DependenciesDone && !j.RewriteOpenFirst || !b.leader.mayWriteOpenRecord(j) {
 			continue
 		}
 		if !b.reserve(1) {
@@ -177,9 +178,9 @@
 }
 
 // addOpenRecord adds the open record of a job, for which there is room.
-func (b *recordBatch) addOpenRecord(j *job) {
-	rec := j.record
-	if j.dependenciesDone {
+func (b *recordBatch) addOpenRecord(j *cluster.Job) {
+	rec := j.Record
+	if j.DependenciesDone {
 		rec.ReadyAt = b.leader.core.wallClockMS
 		b.requireDependenciesOver(j)
 	}
@@ -187,13 +188,13 @@
 	b.bytes += len(body) + recordOverhead
 	b.addWriter(j)
 	b.put(records.OpenKey(j.ID), body)
-	j.openWritePending = true
+	j.OpenWritePending = true
 	b.onOutcome(func(answer batchOutcome) { b.leader.openRecordOutcome(j, rec, answer) })
 }
 
 // requireDependenciesOver makes the batch conditional on the ends of the jobs that a job
 // awaited, which took their open records away, as far as conditions are left.
-func (b *recordBatch) requireDependenciesOver(j *job) {
+func (b *recordBatch) requireDependenciesOver(j *cluster.Job) {
 	for _, awaited := range j.Dependencies {
 		if b.dependencyConditions >= 2*b.maxWrites-1 {
 			return
@@ -204,27 +205,27 @@
 }
 
 // openRecordOutcome takes in the answer to the open record of a job that goes on.
-func (l *leader) openRecordOutcome(j *job, rec records.Open, answer batchOutcome) {
-	j.openWritePending = false
+func (l *leader) openRecordOutcome(j *cluster.Job, rec records.Open, answer batchOutcome) {
+	j.OpenWritePending = false
 	if !answer.committed {
 		l.writer.dirty = true
 		return
 	}
 	l.core.cacheOpen(j.ID, &cachedJob{version: answer.revision, record: rec})
-	if j.openVersion < answer.revision {
-		j.openVersion, j.record = answer.revision, rec
+	if j.OpenVersion < answer.revision {
+		j.OpenVersion, j.Record = answer.revision, rec
 	}
 	l.markReady(j)
-	if j.rewriteOpenFirst {
-		j.rewriteOpenFirst, l.writer.dirty = false, true
+	if j.RewriteOpenFirst {
+		j.RewriteOpenFirst, l.writer.dirty = false, true
 		l.switchToNamedRanges(j)
 	}
 }
 
 // addPlacements adds the placement records that have changed.
 func (b *recordBatch) addPlacements() {
-	for _, j := range b.leader.jobsBySubmission {
-		if !j.recordsWritable() || b.leader.inWriteBackoff(j) {
+	for _, j := range b.leader.JobsBySubmission {
+		if !j.RecordsWritable() || b.leader.inWriteBackoff(j) {
 			continue
 		}
 		if b.namedRanges && !b.leader.mayWriteNamedRanges(j) {
@@ -237,15 +238,15 @@
 
 // addPlacementsOf adds the placement records of a job that are due, as far as
 // there is room.
-func (b *recordBatch) addPlacementsOf(j *job) {
+func (b *recordBatch) addPlacementsOf(j *cluster.Job) {
 	first := true
-	for i := range j.placementRecords {
-		ch := &j.placementRecords[i]
-		if !ch.dirty || ch.versionUnknown || ch.writePending {
+	for i := range j.PlacementRecords {
+		ch := &j.PlacementRecords[i]
+		if !ch.Dirty || ch.VersionUnknown || ch.WritePending {
 			continue
 		}
-		if b.leader.core.now < ch.dueAt {
-			b.leader.scheduleWrite(ch.dueAt)
+		if b.leader.core.now < ch.DueAt {
+			b.leader.scheduleWrite(ch.DueAt)
 			continue
 		}
 		if !b.reserve(1) {
@@ -260,27 +261,27 @@
 }
 
 // addPlacement adds a placement record, for which there is room.
-func (b *recordBatch) addPlacement(j *job, ch *placementRecord) {
+func (b *recordBatch) addPlacement(j *cluster.Job, ch *cluster.PlacementRecord) {
 	body, starts := encodePlacementRecord(j, ch)
 	b.bytes += len(body) + recordOverhead
-	b.addCondition(ch.key, ch.version)
-	b.put(ch.key, body)
-	ch.dirty, ch.writePending, j.placementSentThisTerm = false, true, true
+	b.addCondition(ch.Key, ch.Version)
+	b.put(ch.Key, body)
+	ch.Dirty, ch.WritePending, j.PlacementSentThisTerm = false, true, true
 	b.onOutcome(func(answer batchOutcome) { b.leader.placementOutcome(j, ch, starts, answer) })
 }
 
 // placementOutcome takes in the answer to a placement record: what it is the
 // first to place is started now.
-func (l *leader) placementOutcome(j *job, ch *placementRecord, starts []records.PlacedTask, answer batchOutcome) {
-	ch.writePending = false
+func (l *leader) placementOutcome(j *cluster.Job, ch *cluster.PlacementRecord, starts []records.PlacedTask, answer batchOutcome) {
+	ch.WritePending = false
 	if !answer.committed {
-		ch.dirty, ch.dueAt, l.writer.dirty = true, 0, true
+		ch.Dirty, ch.DueAt, l.writer.dirty = true, 0, true
 		return
 	}
-	ch.version = answer.revision
+	ch.Version = answer.revision
 	for _, s := range starts {
-		if t := &j.tasks[s.Task]; t.machine != nil && t.attempt == s.Attempt {
-			t.persisted = true
+		if t := &j.TaskStates[s.Task]; t.Machine != nil && t.Attempt == s.Attempt {
+			t.Persisted = true
 		}
 	}
 	l.sendStarts(j, starts)
@@ -336,7 +337,7 @@
 	case kv.OK:
 		l.writer.singleJobTransactions = false
 		for _, j := range b.writers {
-			j.rejections = 0
+			j.Rejections = 0
 		}
 		return batchOutcome{committed: r.Revision != 0, revision: r.Revision}
 	case kv.Conflict:
--- a/internal/core/record_batch_test.go
+++ b/internal/core/record_batch_test.go
@@ -7,6 +7,7 @@
 	"testing"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -34,9 +35,9 @@
 }
 
 // placedJob adds a job one of whose tasks has a placement to be recorded.
-func placedJob(b *harness, l *leader, id string, tasks int) *job {
+func placedJob(b *harness, l *leader, id string, tasks int) *cluster.Job {
 	addRecord(b, l, wire.Job{ID: id, Tasks: tasks}, nil)
-	j := l.jobs[id]
+	j := l.Jobs[id]
 	placeAndRecord(l, j, 0, tasks)
 	return j
 }
@@ -44,7 +45,7 @@
 // doneJob adds a job whose end is to be recorded.
 func doneJob(b *harness, l *leader, id string) {
 	addRecord(b, l, wire.Job{ID: id}, nil)
-	l.markDone(l.jobs[id], 0)
+	l.markDone(l.Jobs[id], 0)
 }
 
 // TestRecordBatch fills a batch with records that are due: which ones it takes, in
@@ -67,10 +68,10 @@
 			l.writer.orphanedRecords = []string{records.NumberedKey(jobID(9), 0)}
 			placedJob(b, l, jobID(1), 1)
 			addRecord(b, l, wire.Job{ID: jobID(2)}, nil)
-			l.jobs[jobID(2)].dependenciesDone = true
+			l.Jobs[jobID(2)].DependenciesDone = true
 			addRecord(b, l, wire.Job{ID: jobID(3)}, nil)
-			l.jobs[jobID(3)].cancellation.Request(0)
-			l.cancelledWithoutDependents = []*job{l.jobs[jobID(3)]}
+			l.Jobs[jobID(3)].Cancellation.Request(0)
+			l.cancelledWithoutDependents = []*cluster.Job{l.Jobs[jobID(3)]}
 			doneJob(b, l, jobID(4))
 		}, append(slices.Concat(end, end), "open", "place", "remove place"), false},
 		{"as many writes as are allowed", 5, func(b *harness, l *leader) {
@@ -92,7 +93,7 @@
 		{"an end with more records than fit", 5, func(b *harness, l *leader) {
 			doneJob(b, l, jobID(1))
 			for n := range 9 {
-				l.jobs[jobID(1)].supersededKeys = append(l.jobs[jobID(1)].supersededKeys, records.NumberedKey(jobID(1), 1+n))
+				l.Jobs[jobID(1)].SupersededKeys = append(l.Jobs[jobID(1)].SupersededKeys, records.NumberedKey(jobID(1), 1+n))
 			}
 		}, append(slices.Clone(end), slices.Repeat([]string{"remove place"}, 3)...), false},
 		{"left-over records after all else only", 5, func(b *harness, l *leader) {
@@ -136,7 +137,7 @@
 		if w.Put == "" {
 			continue
 		}
-		cond := wire.Condition{Key: records.OpenKey(id), Version: l.jobs[id].openVersion}
+		cond := wire.Condition{Key: records.OpenKey(id), Version: l.Jobs[id].OpenVersion}
 		if !slices.Contains(txn.Conditions, cond) {
 			t.Errorf("%s is put without the condition %+v", w.Put, cond)
 		}
--- a/internal/core/records_load.go
+++ b/internal/core/records_load.go
@@ -2,9 +2,9 @@
 
 import (
 	"slices"
-	"sort"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -71,18 +71,18 @@
 	l.recordsLoaded = true
 	l.recordsLoadedAt = l.core.now
 	l.dependencyLists.nextCleanupAt = l.core.now + l.core.listCleanupInterval()
-	for _, j := range slices.Clone(l.jobsBySubmission) {
-		j.loaded = true
+	for _, j := range slices.Clone(l.JobsBySubmission) {
+		j.Loaded = true
 		l.resolveDependencies(j)
 	}
-	l.propagateUrgency(l.jobsBySubmission...)
+	l.propagateUrgency(l.JobsBySubmission...)
 	waiting := 0
-	for _, j := range l.jobsBySubmission {
-		if j.waiting {
+	for _, j := range l.JobsBySubmission {
+		if j.Waiting {
 			waiting++
 		}
 	}
-	l.core.log.Info("records loaded", "term", l.leadership.Term, "jobs", len(l.jobs), "waiting", waiting, "machines", len(l.machines))
+	l.core.log.Info("records loaded", "term", l.leadership.Term, "jobs", len(l.Jobs), "waiting", waiting, "machines", len(l.Machines))
 	l.startQuota()
 	l.passes.requested = true
 	l.watchOpenJobs()
@@ -124,24 +124,22 @@
 
 // applyOpenRecord takes in an open record, new or changed.
 func (l *leader) applyOpenRecord(id string, version uint64, rec records.Open) {
-	j := l.jobs[id]
+	j := l.Jobs[id]
 	if j == nil {
 		if f, ok := l.core.users.finalRecords[id]; ok && f.Status != "" {
 			return // an old event of a job that is over
 		}
-		j = newJob(rec, version)
-		j.loaded = l.recordsLoaded
+		j = cluster.NewJob(rec, version)
+		j.Loaded = l.recordsLoaded
 		l.initPlacementRecords(j)
-		l.jobs[id] = j
-		at := sort.Search(len(l.jobsBySubmission), func(k int) bool { return l.jobsBySubmission[k].submissionOrder > j.submissionOrder })
-		l.jobsBySubmission = slices.Insert(l.jobsBySubmission, at, j)
-		l.core.log.Debug("job", "job", id, "class", j.Class, "team", j.Team, "shape", j.Shape, "tasks", len(j.tasks))
+		l.AddJob(j)
+		l.core.log.Debug("job", "job", id, "class", j.Class, "team", j.Team, "shape", j.Shape, "tasks", len(j.TaskStates))
 		l.addDependencies(j)
 	}
-	if version < j.openVersion {
+	if version < j.OpenVersion {
 		return
 	}
-	j.openVersion, j.record = version, rec
+	j.OpenVersion, j.Record = version, rec
 	l.markReady(j)
 	l.recordCancellation(j, rec)
 	l.passes.requested = true
--- a/internal/core/records_write.go
+++ b/internal/core/records_write.go
@@ -5,6 +5,7 @@
 	"strings"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
@@ -41,15 +42,9 @@
 	l.core.store.CommitUrgent(batch.txn, batch.onResult)
 }
 
-// recordsWritable tells whether a job's records may be written: its end is not, and the
-// version of its open record is known and not about to change.
-func (j *job) recordsWritable() bool {
-	return j.loaded && !j.endRecorded && !j.openVersionUnknown && !j.endWritePending && !j.openWritePending
-}
-
 // endIsRecordable tells whether nothing on record keeps a job's end from being recorded.
-func (l *leader) endIsRecordable(j *job) bool {
-	return !j.endRecorded && !j.openVersionUnknown && !j.endWritePending && !j.openWritePending && (j.isFinished() || j.isOver()) && !j.hasUnknownPlacementVersion() && !l.inWriteBackoff(j)
+func (l *leader) endIsRecordable(j *cluster.Job) bool {
+	return !j.EndRecorded && !j.OpenVersionUnknown && !j.EndWritePending && !j.OpenWritePending && (j.IsFinished() || j.IsOver()) && !j.HasUnknownPlacementVersion() && !l.inWriteBackoff(j)
 }
 
 // addCancelledEnds has the ends of cancelled jobs recorded as far as there is room:
@@ -57,12 +52,12 @@
 // chain goes into one transaction where it fits: job by job, each after the
 // answer for the one before, a long one would take longer than cancel_s. A job
 // with dependents is looked at again when the last of them is over.
-func (l *leader) addCancelledEnds(end func(*job) bool) {
+func (l *leader) addCancelledEnds(end func(*cluster.Job) bool) {
 	list := l.cancelledWithoutDependents
 	l.cancelledWithoutDependents = nil
 	for k, j := range list {
 		switch {
-		case l.jobs[j.ID] != j || j.endRecorded || j.endWritePending || l.dependencies.Needed(j.ID):
+		case l.Jobs[j.ID] != j || j.EndRecorded || j.EndWritePending || l.dependencies.Needed(j.ID):
 		case l.mayHaveUnknownDependents(j) || !l.endIsRecordable(j):
 			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, j)
 		case !l.addEndWithDependencies(j, end):
@@ -74,14 +69,14 @@
 
 // addEndWithDependencies has the end of a cancelled job recorded, and those of cancelled
 // jobs that nothing but it needs. It is false if there is no room for the job.
-func (l *leader) addEndWithDependencies(j *job, end func(*job) bool) bool {
+func (l *leader) addEndWithDependencies(j *cluster.Job, end func(*cluster.Job) bool) bool {
 	if !end(j) {
 		return false
 	}
-	for at := []*job{j}; len(at) > 0; at = at[1:] {
+	for at := []*cluster.Job{j}; len(at) > 0; at = at[1:] {
 		l.dependencies.EachAwaited(at[0].ID, func(a string) {
-			x := l.jobs[a]
-			if x != nil && x.cancellation.Requested() && l.endIsRecordable(x) && !l.hasLiveDependents(a) && end(x) {
+			x := l.Jobs[a]
+			if x != nil && x.Cancellation.Requested() && l.endIsRecordable(x) && !l.hasLiveDependents(a) && end(x) {
 				at = append(at, x)
 			}
 		})
@@ -99,24 +94,24 @@
 			l.core.stepDown(stepDownTermChanged)
 			return
 		case strings.HasPrefix(key, records.PrefixOpen):
-			if j := l.jobs[key[len(records.PrefixOpen):]]; j != nil && !j.openVersionUnknown {
-				j.openVersionUnknown = true
+			if j := l.Jobs[key[len(records.PrefixOpen):]]; j != nil && !j.OpenVersionUnknown {
+				j.OpenVersionUnknown = true
 				l.refreshOpenRecord(j)
 			}
 		case strings.HasPrefix(key, records.PrefixPlacement):
-			j := l.jobs[jobIDOf(key[len(records.PrefixPlacement):])]
+			j := l.Jobs[cluster.JobIDOf(key[len(records.PrefixPlacement):])]
 			if j == nil {
 				continue
 			}
-			if n := slices.IndexFunc(j.placementRecords, func(ch placementRecord) bool { return ch.key == key }); n >= 0 && !j.placementRecords[n].versionUnknown {
-				j.placementRecords[n].versionUnknown = true
+			if n := slices.IndexFunc(j.PlacementRecords, func(ch cluster.PlacementRecord) bool { return ch.Key == key }); n >= 0 && !j.PlacementRecords[n].VersionUnknown {
+				j.PlacementRecords[n].VersionUnknown = true
 				l.refreshPlacementRecord(j, key)
 			}
 		}
 	}
 }
 
-func (l *leader) refreshOpenRecord(j *job) {
+func (l *leader) refreshOpenRecord(j *cluster.Job) {
 	l.core.store.Get(records.OpenKey(j.ID), func(r kv.GetResult) {
 		if l.steppedDown {
 			return
@@ -124,16 +119,16 @@
 		var rec records.Open
 		switch {
 		case r.Status == kv.OK && json.Unmarshal(r.Item.Value, &rec) == nil:
-			j.openVersionUnknown = false
+			j.OpenVersionUnknown = false
 			l.writer.dirty = true
 			l.applyOpenRecord(j.ID, r.Item.Version, rec)
 		case r.Status == kv.NotFound:
 			// Our own end of it, recorded by a transaction whose answer was
 			// lost: nobody else deletes an open record under this term.
-			j.openVersionUnknown = false
-			j.endRecorded = true
+			j.OpenVersionUnknown = false
+			j.EndRecorded = true
 			l.core.log.Info("job over", "job", j.ID, "status", "recorded earlier")
-			l.writer.orphanedRecords = append(l.writer.orphanedRecords, j.recordKeys()...)
+			l.writer.orphanedRecords = append(l.writer.orphanedRecords, j.RecordKeys()...)
 			l.forget(j)
 			l.lookUpDependency(j.ID)
 		default:
--- a/internal/core/regions.go
+++ b/internal/core/regions.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/internal/kv"
@@ -125,13 +126,13 @@
 		return
 	}
 	demand := d.byTeam[candidate.job.Team]
-	need := amount.OfResources(scaled(taskSize(&candidate.job.Job), tasks))
+	need := amount.OfResources(cluster.Scaled(cluster.TaskSize(&candidate.job.Job), tasks))
 	switch {
 	case candidate.job.Shape != wire.ShapeGang:
 		demand.Shortfall = demand.Shortfall.Add(need)
-		demand.Priority = max(demand.Priority, candidate.job.level)
+		demand.Priority = max(demand.Priority, candidate.job.Level)
 	case demand.Gang.IsZero():
-		demand.Gang, demand.GangPriority = need, candidate.job.level
+		demand.Gang, demand.GangPriority = need, candidate.job.Level
 	}
 	d.byTeam[candidate.job.Team] = demand
 }
@@ -142,9 +143,9 @@
 		return
 	}
 	planned = maps.Clone(planned)
-	for _, j := range d.l.jobsBySubmission {
+	for _, j := range d.l.JobsBySubmission {
 		if n := d.l.reservedTasks(j); n > 0 {
-			planned[j.Team] = planned[j.Team].Add(scaled(taskSize(&j.Job), n))
+			planned[j.Team] = planned[j.Team].Add(cluster.Scaled(cluster.TaskSize(&j.Job), n))
 		}
 	}
 	for _, team := range sortedKeys(planned) {
--- a/internal/core/rejected_records.go
+++ b/internal/core/rejected_records.go
@@ -3,6 +3,7 @@
 import (
 	"strings"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -17,7 +18,7 @@
 // it has too many operations, or a value is too large: of two changes, which any
 // service takes, it can only be a value. Then all that was concluded on the number
 // of operations is in doubt.
-func (l *leader) onTxnRejected(txn *wire.Txn, writers []*job) {
+func (l *leader) onTxnRejected(txn *wire.Txn, writers []*cluster.Job) {
 	l.writer.rejectedOnce = true
 	switch {
 	case len(txn.Writes) > 2:
@@ -30,13 +31,13 @@
 	default:
 		l.writer.singleJobTransactions = false
 		for _, j := range writers {
-			if writesLargeValue(txn, records.PrefixOpen) && !j.openRecordTooLarge {
-				j.openRecordTooLarge = true
+			if writesLargeValue(txn, records.PrefixOpen) && !j.OpenRecordTooLarge {
+				j.OpenRecordTooLarge = true
 				l.core.store.ForgetFewerWrites()
 			}
-			j.rejections++
-			j.writeBackoffUntil = l.core.now + l.core.leaderLeaseDuration()<<min(j.rejections, 8)/8
-			l.core.log.Info("the state service refuses a job's records", "job", j.ID, "times", j.rejections)
+			j.Rejections++
+			j.WriteBackoffUntil = l.core.now + l.core.leaderLeaseDuration()<<min(j.Rejections, 8)/8
+			l.core.log.Info("the state service refuses a job's records", "job", j.ID, "times", j.Rejections)
 		}
 	}
 }
@@ -52,11 +53,11 @@
 }
 
 // inWriteBackoff tells whether a job's records were refused a moment ago.
-func (l *leader) inWriteBackoff(j *job) bool {
-	if l.core.now >= j.writeBackoffUntil {
+func (l *leader) inWriteBackoff(j *cluster.Job) bool {
+	if l.core.now >= j.WriteBackoffUntil {
 		return false
 	}
-	l.scheduleWrite(j.writeBackoffUntil)
+	l.scheduleWrite(j.WriteBackoffUntil)
 	return true
 }
 
@@ -67,18 +68,18 @@
 //   - a copy of a numbered placement record that is still under way can have an
 //     effect until the records that take its place are written, which they are at
 //     once: whatever was sent without an answer counts as changed.
-func (l *leader) mayWriteOpenRecord(j *job) bool {
-	rec := j.record
+func (l *leader) mayWriteOpenRecord(j *cluster.Job) bool {
+	rec := j.Record
 	rec.ReadyAt = max(rec.ReadyAt, l.core.wallClockMS)
-	if !j.openRecordTooLarge && len(kv.Encode(rec)) <= l.core.store.MaxValue() {
+	if !j.OpenRecordTooLarge && len(kv.Encode(rec)) <= l.core.store.MaxValue() {
 		return !l.inWriteBackoff(j)
 	}
-	if j.dependenciesDone {
-		j.record = rec
+	if j.DependenciesDone {
+		j.Record = rec
 		l.markReady(j)
 	}
-	if j.rewriteOpenFirst {
-		j.rewriteOpenFirst, l.writer.dirty = false, true
+	if j.RewriteOpenFirst {
+		j.RewriteOpenFirst, l.writer.dirty = false, true
 		l.switchToNamedRanges(j)
 	}
 	return false
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -9,6 +9,7 @@
 	stdjson "encoding/json"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
@@ -45,10 +46,10 @@
 func withoutAnnouncement(*config.Settings) {}
 
 // placeAndRecord places tasks of a job on machines of its own and has them recorded.
-func placeAndRecord(l *leader, j *job, from, to int) {
+func placeAndRecord(l *leader, j *cluster.Job, from, to int) {
 	for i := from; i < to; i++ {
-		j.tasks[i] = task{attempt: j.nextAttempt, zone: "a", incarnation: 1, placedThisTerm: true}
-		j.nextAttempt++
+		j.TaskStates[i] = cluster.Task{Attempt: j.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
+		j.NextAttempt++
 		l.place(j, i, l.machineNamed(fmt.Sprintf("n-%s-%06d", j.ID, i)))
 		l.markPlacementChanged(j, i, false)
 	}
@@ -68,10 +69,10 @@
 			found = append(found, loadedPlacement{r, key, b.store[key].Version, rec})
 		}
 	}
-	l.adoptPlacements(l.jobs[id], found)
+	l.adoptPlacements(l.Jobs[id], found)
 	n := 0
 	for i := range tasks {
-		if l.jobs[id].tasks[i].machine != nil {
+		if l.Jobs[id].TaskStates[i].Machine != nil {
 			n++
 		}
 	}
@@ -101,21 +102,21 @@
 			b, l := newLeadingHarness(t, tc.settings)
 			for n := range 6 {
 				addRecord(b, l, wire.Job{ID: jobID(n), Tasks: 300}, nil)
-				j := l.jobs[jobID(n)]
+				j := l.Jobs[jobID(n)]
 				// As an earlier version records: numbered, as large as they are now.
-				j.placementRecords, j.numbered = nil, true
+				j.PlacementRecords, j.Numbered = nil, true
 				for from := 0; from < 300; from += 128 {
-					j.placementRecords = append(j.placementRecords, placementRecord{key: records.NumberedKey(j.ID, from/128), from: from, to: min(from+128, 300)})
+					j.PlacementRecords = append(j.PlacementRecords, cluster.PlacementRecord{Key: records.NumberedKey(j.ID, from/128), From: from, To: min(from+128, 300)})
 				}
-				for i := range j.placementRecords {
-					ch := &j.placementRecords[i]
-					placeAndRecord(l, j, ch.from, ch.to)
+				for i := range j.PlacementRecords {
+					ch := &j.PlacementRecords[i]
+					placeAndRecord(l, j, ch.From, ch.To)
 					body, _ := encodePlacementRecord(j, ch)
-					b.write(ch.key, "", body)
-					ch.version, ch.dirty = b.store[ch.key].Version, false
+					b.write(ch.Key, "", body)
+					ch.Version, ch.Dirty = b.store[ch.Key].Version, false
 				}
-				for i := range j.tasks {
-					j.tasks[i].persisted = true
+				for i := range j.TaskStates {
+					j.TaskStates[i].Persisted = true
 				}
 			}
 			addRecord(b, l, wire.Job{ID: jobID(8)}, nil)
@@ -123,19 +124,19 @@
 			refused := lowerLimits(b, tc.ops, tc.bytes)
 			l.writer.rejectedOnce = b.core.settings.Deployment.Store.Next != nil // as once every controller understands
 			for n := range 6 {
-				j := l.jobs[jobID(n)]
+				j := l.Jobs[jobID(n)]
 				for i := 0; i < 300; i += 7 {
-					j.tasks[i].attempt, j.tasks[i].persisted = j.nextAttempt, false
-					j.nextAttempt++
+					j.TaskStates[i].Attempt, j.TaskStates[i].Persisted = j.NextAttempt, false
+					j.NextAttempt++
 					l.markPlacementChanged(j, i, false)
 				}
 			}
-			l.markDone(l.jobs[jobID(8)], 0)
+			l.markDone(l.Jobs[jobID(8)], 0)
 			b.run(20 * time.Second)
 			for n := range 6 {
-				j := l.jobs[jobID(n)]
-				for i := range j.tasks {
-					if !j.tasks[i].persisted {
+				j := l.Jobs[jobID(n)]
+				for i := range j.TaskStates {
+					if !j.TaskStates[i].Persisted {
 						t.Fatalf("task %d of %s is not recorded", i, j.ID)
 					}
 				}
@@ -187,7 +188,7 @@
 			b, l := newLeadingHarness(t, tc.settings)
 			addRecord(b, l, longJob(jobID(1), 40), nil)
 			addRecord(b, l, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
-			j := l.jobs[jobID(1)]
+			j := l.Jobs[jobID(1)]
 			placeAndRecord(l, j, 0, 1)
 			b.run(time.Second)
 			refused := lowerLimits(b, 5, 2048)
@@ -233,25 +234,25 @@
 			long.Dependencies = []string{jobID(1)}
 			addRecord(b, l, long, nil)
 			addRecord(b, l, longJob(jobID(3), 100), nil)
-			other := l.jobs[jobID(3)]
+			other := l.Jobs[jobID(3)]
 			placeAndRecord(l, other, 0, 100)
 			b.run(time.Second)
 			refused := lowerLimits(b, 5, 2048)
 			l.writer.rejectedOnce = b.core.settings.Deployment.Store.Next != nil
-			placeAndRecord(l, l.jobs[jobID(3)], 90, 100) // again, elsewhere
+			placeAndRecord(l, l.Jobs[jobID(3)], 90, 100) // again, elsewhere
 			addRecord(b, l, wire.Job{ID: jobID(4)}, nil)
-			l.markDone(l.jobs[jobID(1)], 0)
-			l.markDone(l.jobs[jobID(4)], 0)
+			l.markDone(l.Jobs[jobID(1)], 0)
+			l.markDone(l.Jobs[jobID(4)], 0)
 			b.run(20 * time.Second)
 			if b.store[records.FinalKey(jobID(1))].Key == "" || b.store[records.FinalKey(jobID(4))].Key == "" {
 				t.Fatal("the ends of other jobs are not recorded")
 			}
-			j := l.jobs[jobID(2)]
-			if j.waiting || len(j.pendingTasks()) != 40 {
-				t.Errorf("it does not go on: waits %v, %d tasks may be placed", j.waiting, len(j.pendingTasks()))
+			j := l.Jobs[jobID(2)]
+			if j.Waiting || len(j.PendingTasks()) != 40 {
+				t.Errorf("it does not go on: waits %v, %d tasks may be placed", j.Waiting, len(j.PendingTasks()))
 			}
-			for i := range other.tasks {
-				if !other.tasks[i].persisted {
+			for i := range other.TaskStates {
+				if !other.TaskStates[i].Persisted {
 					t.Fatalf("task %d is not recorded", i)
 				}
 			}
@@ -263,7 +264,7 @@
 			}
 			// The next leader finds it out by itself.
 			next := nextLeader(b, l, "")
-			if k := next.jobs[jobID(2)]; k.waiting && !k.dependenciesDone {
+			if k := next.Jobs[jobID(2)]; k.Waiting && !k.DependenciesDone {
 				t.Error("it waits again under the next leader")
 			}
 		})
@@ -284,10 +285,10 @@
 		addRecord(b, l, long, nil)
 	}
 	refused := lowerLimits(b, 5, 2048)
-	l.markDone(l.jobs[jobID(0)], 0)
+	l.markDone(l.Jobs[jobID(0)], 0)
 	b.run(20 * time.Second)
 	for n := range 9 {
-		if l.jobs[jobID(1+n)].waiting {
+		if l.Jobs[jobID(1+n)].Waiting {
 			t.Errorf("%s does not go on", jobID(1+n))
 		}
 	}
@@ -313,7 +314,7 @@
 	}
 	for n := range 8 {
 		addRecord(b, l, wire.Job{ID: jobID(n)}, nil)
-		l.markDone(l.jobs[jobID(n)], 0)
+		l.markDone(l.Jobs[jobID(n)], 0)
 	}
 	b.run(120 * time.Second)
 	for n := range 8 {
@@ -347,7 +348,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			b, l := newLeadingHarness(t, tc.settings)
 			addRecord(b, l, longJob(jobID(1), 40), nil)
-			placeAndRecord(l, l.jobs[jobID(1)], 0, 1)
+			placeAndRecord(l, l.Jobs[jobID(1)], 0, 1)
 			names := []string{`"` + jobID(1) + `"`}
 			for n := range tc.others {
 				addRecord(b, l, wire.Job{ID: jobID(10 + n)}, nil)
