--- a/internal/core/rescheduling.go
+++ b/internal/core/rescheduling.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -19,7 +20,7 @@
 
 // replicaMove is a replica that makes room, and where it goes.
 type replicaMove struct {
-	replica taskReference
+	replica cluster.TaskReference
 	target  *topology.Machine
 }
 
@@ -36,24 +37,24 @@
 	zoneRoom := leader.zoneBound(job)
 	added := map[string]int{} // by zone
 	want := leader.preemptionTarget(candidate, p.usage)
-	var room []*machine
+	var room []*cluster.Machine
 	for _, m := range leader.passes.machines {
 		if len(room) == want || leader.passes.evaluations > p.evaluationLimit {
 			break
 		}
-		if !m.hasImage(job.Image) || !leader.isFeasible(job, m) || m.reservedFor != nil && leader.core.now < m.reservedUntil {
+		if !m.HasImage(job.Image) || !leader.isFeasible(job, m) || m.ReservedFor != nil && leader.core.now < m.ReservedUntil {
 			continue
 		}
 		whole, _ := leader.capacityOf(m)
-		free := whole.Sub(m.used)
-		for len(room) < want && (zoneRoom == nil || added[m.zone] < zoneRoom(m.zone)) {
+		free := whole.Sub(m.Used)
+		for len(room) < want && (zoneRoom == nil || added[m.Zone] < zoneRoom(m.Zone)) {
 			moves := p.findMoves(candidate, m, free)
 			if moves == nil {
 				break
 			}
 			p.moveReplicas(moves)
-			free = free.Add(freedByMoves(moves)).Sub(taskSize(&job.Job))
-			added[m.zone]++
+			free = free.Add(freedByMoves(moves)).Sub(cluster.TaskSize(&job.Job))
+			added[m.Zone]++
 			room = append(room, m)
 		}
 	}
@@ -68,20 +69,20 @@
 
 // findMoves finds the replicas on a machine that have to move for one task of a
 // candidate, and where to; nil if there are none. free is what is free there.
-func (p *placementPass) findMoves(candidate *candidate, machine *machine, free topology.Resources) []replicaMove {
-	leader, need := p.leader, taskSize(&candidate.job.Job)
+func (p *placementPass) findMoves(candidate *candidate, machine *cluster.Machine, free topology.Resources) []replicaMove {
+	leader, need := p.leader, cluster.TaskSize(&candidate.job.Job)
 	// Of the replicas that go to one machine only the first is taken: there may be
 	// room for no more, and the zones of one job's replicas count together.
 	var moves []replicaMove
-	for _, replica := range machine.placements {
-		if !leader.isMovable(replica) || replica.job == candidate.job || replica.job.level > candidate.job.level {
+	for _, replica := range machine.Placements {
+		if !leader.isMovable(replica) || replica.Job == candidate.job || replica.Job.Level > candidate.job.Level {
 			continue
 		}
 		to := p.moveTarget(replica, machine, nil)
 		if to == nil {
 			continue
 		}
-		one := taskSize(&replica.job.Job)
+		one := cluster.TaskSize(&replica.Job.Job)
 		if free.Add(one).Holds(need) {
 			return []replicaMove{{replica, to}}
 		}
@@ -99,34 +100,34 @@
 func freedByMoves(moves []replicaMove) topology.Resources {
 	var sum topology.Resources
 	for _, r := range moves {
-		sum = sum.Add(taskSize(&r.replica.job.Job))
+		sum = sum.Add(cluster.TaskSize(&r.replica.Job.Job))
 	}
 	return sum
 }
 
 // isMovable tells whether a task is a replica that runs and may move.
-func (l *leader) isMovable(p taskReference) bool {
-	t := p.task()
-	return p.job.Shape == wire.ShapeService && !p.job.OneZone && t.state == wire.TaskRunning && t.stop == nil &&
-		t.runningSince != 0 && l.core.now-t.runningSince >= minRunBeforeMove
+func (l *leader) isMovable(p cluster.TaskReference) bool {
+	t := p.Task()
+	return p.Job.Shape == wire.ShapeService && !p.Job.OneZone && t.State == wire.TaskRunning && t.Stop == nil &&
+		t.RunningSince != 0 && l.core.now-t.RunningSince >= minRunBeforeMove
 }
 
 // moveTarget finds the tightest machine with room that holds a replica's
 // image. allowed may be nil.
-func (p *placementPass) moveTarget(replica taskReference, from *machine, allowed func(*machine) bool) *topology.Machine {
-	leader, job := p.leader, replica.job
+func (p *placementPass) moveTarget(replica cluster.TaskReference, from *cluster.Machine, allowed func(*cluster.Machine) bool) *topology.Machine {
+	leader, job := p.leader, replica.Job
 	zoneRoom := leader.zoneBound(job)
 	var best *topology.Machine
 	for _, leaf := range p.leavesWithImage(job.Image) {
 		leader.passes.evaluations++
 		machine := leader.passes.machines[leaf.Index]
-		if machine == from || !leaf.Free.Holds(taskSize(&job.Job)) || !eligible(&job.Job, machine.typeName, machine.zone, machine.spot) || leader.outliers.HasFailures(machine.name) {
+		if machine == from || !leaf.Free.Holds(cluster.TaskSize(&job.Job)) || !eligible(&job.Job, machine.TypeName, machine.Zone, machine.Spot) || leader.outliers.HasFailures(machine.Name) {
 			continue
 		}
-		if machine.reservedFor != nil && machine.reservedFor != job && leader.core.now < machine.reservedUntil || allowed != nil && !allowed(machine) {
+		if machine.ReservedFor != nil && machine.ReservedFor != job && leader.core.now < machine.ReservedUntil || allowed != nil && !allowed(machine) {
 			continue
 		}
-		if zoneRoom != nil && machine.zone != from.zone && zoneRoom(machine.zone) < 1 {
+		if zoneRoom != nil && machine.Zone != from.Zone && zoneRoom(machine.Zone) < 1 {
 			continue
 		}
 		if best == nil || leaf.Free.Less(best.Free) {
@@ -144,8 +145,8 @@
 			if leaf.Free.CPUs <= 0 {
 				continue
 			}
-			for _, i := range p.leader.passes.machines[leaf.Index].cachedImages {
-				p.leavesByImage[i.name] = append(p.leavesByImage[i.name], leaf)
+			for _, i := range p.leader.passes.machines[leaf.Index].CachedImages {
+				p.leavesByImage[i.Name] = append(p.leavesByImage[i.Name], leaf)
 			}
 		}
 	}
@@ -156,11 +157,11 @@
 func (p *placementPass) moveReplicas(moves []replicaMove) {
 	l := p.leader
 	for _, r := range moves {
-		j, to := r.replica.job, l.passes.machines[r.target.Index]
-		p.tree.Take(r.target, taskSize(&j.Job))
-		j.reschedulingTargets[r.replica.index] = to
-		l.reserve(j, []*machine{to}, 0)
-		l.core.log.Info("move replica", "task", r.replica.name, "from", r.replica.task().machine.name, "to", to.name)
-		l.stopTask(j, r.replica.index, 0, stopRescheduled)
+		j, to := r.replica.Job, l.passes.machines[r.target.Index]
+		p.tree.Take(r.target, cluster.TaskSize(&j.Job))
+		j.ReschedulingTargets[r.replica.Index] = to
+		l.reserve(j, []*cluster.Machine{to}, 0)
+		l.core.log.Info("move replica", "task", r.replica.Name, "from", r.replica.Task().Machine.Name, "to", to.Name)
+		l.stopTask(j, r.replica.Index, 0, stopRescheduled)
 	}
 }
--- a/internal/core/rescheduling_test.go
+++ b/internal/core/rescheduling_test.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -221,15 +222,15 @@
 	harness.core.now = 1000 * time.Second
 	idleMachines(leader, tc.machines, "g4", 40)
 	running := bindRunning(leader, tc.running)
-	job := newJob(records.Open{Job: tc.job}, 2)
+	job := cluster.NewJob(records.Open{Job: tc.job}, 2)
 	leader.initPlacementRecords(job)
-	waiting := &candidate{job: job, pending: job.unplacedTasks(), preemptionPriority: job.level}
+	waiting := &candidate{job: job, pending: job.UnplacedTasks(), preemptionPriority: job.Level}
 	leader.newPlacementPass().placeCandidate(waiting)
 	var to []string
 	for _, r := range running {
-		for i := range r.tasks {
-			if r.tasks[i].stop != nil {
-				to = append(to, r.reschedulingTargets[i].name)
+		for i := range r.TaskStates {
+			if r.TaskStates[i].Stop != nil {
+				to = append(to, r.ReschedulingTargets[i].Name)
 			}
 		}
 	}
--- a/internal/core/run_estimate.go
+++ b/internal/core/run_estimate.go
@@ -3,11 +3,12 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 )
 
 // learnRun corrects a class's estimates by a finished task.
-func (l *leader) learnRun(j *job, run time.Duration, known bool) {
+func (l *leader) learnRun(j *cluster.Job, run time.Duration, known bool) {
 	if !known || j.EstimatedRunS <= 0 || run <= 0 {
 		return
 	}
@@ -18,7 +19,7 @@
 }
 
 // runEstimate is a job's expected run time in seconds.
-func (l *leader) runEstimate(j *job) float64 {
+func (l *leader) runEstimate(j *cluster.Job) float64 {
 	if r := l.runTimesByClass[j.Class]; r != nil {
 		return r.Correct(j.EstimatedRunS)
 	}
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -3,18 +3,19 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
 // returnMachine returns a machine to the cloud. Whatever was on it is gone once
 // the cloud has confirmed.
-func (l *leader) returnMachine(m *machine, reason drainReason) {
-	if m.drainReason == "" {
-		m.drainReason = reason
-		l.core.log.Info("return machine", "machine", m.name, "why", reason, "tasks", len(m.placements))
+func (l *leader) returnMachine(m *cluster.Machine, reason cluster.DrainReason) {
+	if m.DrainReason == "" {
+		m.DrainReason = reason
+		l.core.log.Info("return machine", "machine", m.Name, "why", reason, "tasks", len(m.Placements))
 	}
-	l.fleet.pendingReturns[m.name] = true
+	l.fleet.pendingReturns[m.Name] = true
 }
 
 // returnPending returns machines, once it is sure that this term still holds: a
@@ -53,8 +54,8 @@
 		names = names[:maxMachinesPerReturn]
 	}
 	for _, n := range names {
-		if m := l.machines[n]; m != nil {
-			m.returning = true
+		if m := l.Machines[n]; m != nil {
+			m.Returning = true
 		}
 	}
 	f.returnInFlight = true
@@ -70,7 +71,7 @@
 		for _, n := range names {
 			delete(f.pendingReturns, n)
 			l.returnedMachines[n] = l.core.now
-			if m := l.machines[n]; m != nil {
+			if m := l.Machines[n]; m != nil {
 				l.recordMachineTerminated(m)
 			}
 		}
@@ -79,23 +80,23 @@
 
 // evictTasks moves work off a machine that the cloud is about to take, in
 // time for the slowest save.
-func (l *leader) evictTasks(m *machine) {
-	if m.preemptionAt == 0 && !m.evicting || len(m.placements) == 0 {
+func (l *leader) evictTasks(m *cluster.Machine) {
+	if m.PreemptionAt == 0 && !m.Evicting || len(m.Placements) == 0 {
 		return
 	}
-	for _, p := range m.placements {
-		if t := p.task(); t.machine != m || t.stop != nil {
+	for _, p := range m.Placements {
+		if t := p.Task(); t.Machine != m || t.Stop != nil {
 			continue
 		}
 		grace := 0.0
-		if p.job.CheckpointIntervalS > 0 {
-			grace = p.job.CheckpointDurationS
+		if p.Job.CheckpointIntervalS > 0 {
+			grace = p.Job.CheckpointDurationS
 		}
-		if p.job.Shape == wire.ShapeGang {
-			l.stopGang(p.job, grace, stopDrained)
+		if p.Job.Shape == wire.ShapeGang {
+			l.stopGang(p.Job, grace, stopDrained)
 			continue
 		}
-		l.stopTask(p.job, p.index, grace, stopDrained)
+		l.stopTask(p.Job, p.Index, grace, stopDrained)
 	}
 }
 
@@ -103,8 +104,8 @@
 const minBilledTime = 60 * time.Second
 
 // returnUnneeded gives back a machine that nothing needs.
-func (l *leader) returnUnneeded(m *machine) {
-	if m.returning || l.fleet.pendingReturns[m.name] {
+func (l *leader) returnUnneeded(m *cluster.Machine) {
+	if m.Returning || l.fleet.pendingReturns[m.Name] {
 		return
 	}
 	if reason := l.returnReason(m); reason != "" {
@@ -113,21 +114,21 @@
 }
 
 // returnReason tells why a machine is not needed any more; empty if it is.
-func (l *leader) returnReason(m *machine) drainReason {
+func (l *leader) returnReason(m *cluster.Machine) cluster.DrainReason {
 	switch {
-	case m.lastHeartbeat == 0:
+	case m.LastHeartbeat == 0:
 		if l.bootFailed(m) {
-			return drainBootTimeout
+			return cluster.DrainBootTimeout
 		}
 		return ""
-	case len(m.placements) > 0:
+	case len(m.Placements) > 0:
 		return ""
-	case m.drainReason != "" && !l.mayBeHealthy(m):
-		return m.drainReason
-	case m.preemptionAt != 0:
-		return drainPreemptionNotice
-	case m.drainReason == "" && l.idleTooLong(m):
-		return drainIdle
+	case m.DrainReason != "" && !l.mayBeHealthy(m):
+		return m.DrainReason
+	case m.PreemptionAt != 0:
+		return cluster.DrainPreemptionNotice
+	case m.DrainReason == "" && l.idleTooLong(m):
+		return cluster.DrainIdle
 	}
 	return ""
 }
@@ -135,15 +136,15 @@
 // bootFailed tells whether a machine that has not reported is given up. A new leader
 // has to give one that came up under an earlier term the time to report first. One
 // that has placements did come up: another controller may have its reports.
-func (l *leader) bootFailed(m *machine) bool {
-	return l.bootTimeRatio(m) > failedBootFactor && l.core.now-l.recordsLoadedAt > l.core.workerLease() && len(m.placements) == 0 && m.lastContact == 0
+func (l *leader) bootFailed(m *cluster.Machine) bool {
+	return l.bootTimeRatio(m) > failedBootFactor && l.core.now-l.recordsLoadedAt > l.core.workerLease() && len(m.Placements) == 0 && m.LastContact == 0
 }
 
 // idleTooLong tells whether an empty machine has had no use for long enough.
-func (l *leader) idleTooLong(m *machine) bool {
+func (l *leader) idleTooLong(m *cluster.Machine) bool {
 	limit := l.maxIdleTime()
-	if l.fleet.keptIdle[m.name] || l.core.now-l.recordsLoadedAt < limit {
+	if l.fleet.keptIdle[m.Name] || l.core.now-l.recordsLoadedAt < limit {
 		return false
 	}
-	return l.core.now-m.idleSince >= limit && l.core.now-m.createdAt >= minBilledTime
+	return l.core.now-m.IdleSince >= limit && l.core.now-m.CreatedAt >= minBilledTime
 }
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -23,13 +24,8 @@
 	return provisioning.Offer{Type: r.message.Type, Zone: r.message.Zone, Spot: r.message.Spot}
 }
 
-// offer is what the machine was rented as.
-func (m *machine) offer() provisioning.Offer {
-	return provisioning.Offer{Type: m.typeName, Zone: m.zone, Spot: m.spot}
-}
-
 // machinePrice is the hourly price of a machine.
-func (l *leader) machinePrice(m *machine) float64 { return hourlyPrice(l.typeOf(m), m.spot) }
+func (l *leader) machinePrice(m *cluster.Machine) float64 { return hourlyPrice(l.typeOf(m), m.Spot) }
 
 // hourlyPrice is the hourly price of a type of machine, which may be unknown.
 func hourlyPrice(t *wire.MachineType, spot bool) float64 {
@@ -55,7 +51,7 @@
 			for _, spot := range []bool{true, false} {
 				o := provisioning.Offer{Type: name, Zone: zone, Spot: spot}
 				if limit := l.offerAvailability(o); limit > 0 {
-					out = append(out, provisioning.OfferDetails{Offer: o, Capacity: typeCapacity(t), Price: hourlyPrice(t, spot), Available: limit})
+					out = append(out, provisioning.OfferDetails{Offer: o, Capacity: cluster.TypeCapacity(t), Price: hourlyPrice(t, spot), Available: limit})
 				}
 			}
 		}
@@ -66,7 +62,7 @@
 // anyOfferFor tells whether the cloud may grant a machine for a job now.
 func (l *leader) anyOfferFor(j *wire.Job) bool {
 	for name, t := range l.core.machineTypes { // in any order: it is enough that there is one
-		if !typeCapacity(t).Holds(taskSize(j)) {
+		if !cluster.TypeCapacity(t).Holds(cluster.TaskSize(j)) {
 			continue
 		}
 		for _, zone := range t.Zones {
@@ -183,10 +179,10 @@
 			continue
 		}
 		m := l.machineNamed(name)
-		if !m.described {
-			l.setDescription(m, "", offer.Type, offer.Zone, offer.Spot)
+		if !m.Described {
+			l.describe(m, "", offer.Type, offer.Zone, offer.Spot)
 		}
-		m.createdAt, m.provisionRequestedAt = requestedAt, requestedAt
+		m.CreatedAt, m.ProvisionRequestedAt = requestedAt, requestedAt
 	}
 	if len(names.Machines) < request.message.Count {
 		l.backOffOffer(offer, l.offerBackoff())
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -8,14 +8,15 @@
 	"strings"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
 // taskSpecOf is what a task of a job asks of a machine that is to be rented.
-func taskSpecOf(j *job, expected bool) provisioning.TaskSpec {
-	return provisioning.TaskSpec{Resources: taskSize(&j.Job), MachineTypes: strings.Join(j.MachineTypes, ","), Zone: j.Zone, AllowSpot: j.AllowSpot, Rank: j.level, Forecast: expected}
+func taskSpecOf(j *cluster.Job, expected bool) provisioning.TaskSpec {
+	return provisioning.TaskSpec{Resources: cluster.TaskSize(&j.Job), MachineTypes: strings.Join(j.MachineTypes, ","), Zone: j.Zone, AllowSpot: j.AllowSpot, Rank: j.Level, Forecast: expected}
 }
 
 // candidateTaskSpec is what a waiting task of a candidate asks of a machine. Guests' tasks
@@ -29,7 +30,7 @@
 }
 
 // binPurpose tells what room for a task is for.
-func binPurpose(j *job, expected bool) string {
+func binPurpose(j *cluster.Job, expected bool) string {
 	if expected {
 		return "expected " + j.Class
 	}
@@ -39,11 +40,11 @@
 // willBeUsable tells whether a machine is, or is about to be, of use. One that
 // has just reported and will hear this term with its next report counts:
 // leaving it out for that moment rented a second machine for the same work.
-func (l *leader) willBeUsable(m *machine) bool {
-	if m.lastHeartbeat == 0 {
+func (l *leader) willBeUsable(m *cluster.Machine) bool {
+	if m.LastHeartbeat == 0 {
 		return l.bootTimeRatio(m) <= lateBootFactor
 	}
-	return l.usable(m) || m.fencingToken < l.leadership.Term && l.core.now-m.lastHeartbeat < 3*l.core.heartbeatInterval()
+	return l.usable(m) || m.FencingToken < l.leadership.Term && l.core.now-m.LastHeartbeat < 3*l.core.heartbeatInterval()
 }
 
 // scaleOutPlan packs the tasks that found no room, and those that are expected
@@ -111,19 +112,19 @@
 func newScaleOutPlan(l *leader) *scaleOutPlan {
 	plan := &scaleOutPlan{leader: l, Plan: provisioning.New(l.availableOffers()), preemptible: map[teamRank]topology.Resources{}, demand: l.newRegionDemand()}
 	late := l.provisioningLatencies.NewLateCounter(l.core.now)
-	for _, m := range l.machinesByName {
+	for _, m := range l.MachinesByName {
 		total, ok := l.capacityOf(m)
-		if !ok || m.returning || l.fleet.pendingReturns[m.name] || m.drainReason != "" || m.preemptionAt != 0 {
+		if !ok || m.Returning || l.fleet.pendingReturns[m.Name] || m.DrainReason != "" || m.PreemptionAt != 0 {
 			continue
 		}
-		if !l.willBeUsable(m) && !(m.lastHeartbeat == 0 && late.Expect(m.provisioningKind())) {
+		if !l.willBeUsable(m) && !(m.LastHeartbeat == 0 && late.Expect(m.ProvisioningKind())) {
 			continue
 		}
-		plan.AddMachine(m.name, m.offer(), total.Sub(m.used), m.usedByLevel)
+		plan.AddMachine(m.Name, m.Offer(), total.Sub(m.Used), m.UsedByLevel)
 	}
 	for _, r := range l.fleet.scaleOuts {
 		if t := l.core.machineTypes[r.message.Type]; t != nil {
-			plan.AddRequested(r.offer(), typeCapacity(t), r.message.Count)
+			plan.AddRequested(r.offer(), cluster.TypeCapacity(t), r.message.Count)
 		}
 	}
 	return plan
@@ -134,7 +135,7 @@
 func (p *scaleOutPlan) packPending(candidates []*candidate, usage map[string]topology.Resources) {
 	for _, c := range candidates {
 		if c.faulty {
-			p.leader.logWait(c.job, waitFaulty)
+			p.leader.logWait(c.job, cluster.WaitFaulty)
 			continue
 		}
 		p.packCandidate(c, usage)
@@ -174,7 +175,7 @@
 			return
 		}
 		if last = p.Pack(&spec, zoneAllowed, last, purpose); last == nil {
-			l.logWait(j, waitNoOffer)
+			l.logWait(j, cluster.WaitNoOffer)
 			return
 		}
 		packed[last.Offer.Zone]++
@@ -182,9 +183,9 @@
 	}
 	switch {
 	case last != nil:
-		l.logWait(j, waitForMachines)
+		l.logWait(j, cluster.WaitForMachines)
 	case c.reserved > 0:
-		l.logWait(j, waitForPreemption)
+		l.logWait(j, cluster.WaitForPreemption)
 	}
 }
 
@@ -203,7 +204,7 @@
 // how many of its tasks the plan has packed in each zone; nil for all zones.
 func (p *scaleOutPlan) allowedZones(c *candidate, spec *provisioning.TaskSpec, packed map[string]int) func(string) bool {
 	j := c.job
-	if j.OneZone && j.tasksPlaced == 0 && c.reserved == 0 {
+	if j.OneZone && j.TasksPlaced == 0 && c.reserved == 0 {
 		only := p.ChooseZone(spec, len(c.pending))
 		return func(zone string) bool { return zone == only }
 	}
@@ -253,7 +254,7 @@
 func (p *scaleOutPlan) logKeptMachines() {
 	kept := map[string]string{}
 	for _, b := range p.Bins() {
-		if m := p.leader.machines[b.Machine]; m != nil && b.Used && len(m.placements) == 0 && m.lastHeartbeat != 0 {
+		if m := p.leader.Machines[b.Machine]; m != nil && b.Used && len(m.Placements) == 0 && m.LastHeartbeat != 0 {
 			kept[b.Machine] = b.Purpose
 			if p.leader.fleet.keptPurpose[b.Machine] != b.Purpose {
 				p.leader.core.log.Debug("empty machine kept", "machine", b.Machine, "for", b.Purpose)
--- a/internal/core/scale_out_plan_test.go
+++ b/internal/core/scale_out_plan_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
@@ -14,7 +15,7 @@
 // pendingCandidate is a job of team vision whose tasks all wait for room.
 func pendingCandidate(spec wire.Job, tasks int) *candidate {
 	spec.Team = "vision"
-	c := &candidate{job: &job{Job: spec, tasks: make([]task, tasks)}}
+	c := &candidate{job: &cluster.Job{Job: spec, TaskStates: make([]cluster.Task, tasks)}}
 	for i := range tasks {
 		c.pending = append(c.pending, i)
 	}
@@ -37,10 +38,10 @@
 }
 
 // bootingMachine adds a machine that boots.
-func bootingMachine(l *leader, name, typ, zone string) *machine {
+func bootingMachine(l *leader, name, typ, zone string) *cluster.Machine {
 	m := l.machineNamed(name)
-	l.setDescription(m, "", typ, zone, false)
-	m.createdAt = l.core.now
+	l.describe(m, "", typ, zone, false)
+	m.CreatedAt = l.core.now
 	return m
 }
 
@@ -109,8 +110,8 @@
 			setUp: func(l *leader) { bootingMachine(l, "n-1", "large", "a"); bootingMachine(l, "n-2", "large", "a") },
 			cands: []*candidate{func() *candidate {
 				c := pendingCandidate(wire.Job{CPUs: 2, MemGB: 1, OneZone: true}, 3)
-				c.job.tasks[0] = task{machine: &machine{}, zone: "b"}
-				c.job.tasksPlaced, c.pending = 1, c.pending[1:]
+				c.job.TaskStates[0] = cluster.Task{Machine: &cluster.Machine{}, Zone: "b"}
+				c.job.TasksPlaced, c.pending = 1, c.pending[1:]
 				return c
 			}()},
 			want: []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
@@ -133,13 +134,13 @@
 		},
 		{
 			name:  "a cordoned machine is not used",
-			setUp: func(l *leader) { bootingMachine(l, "n-1", "large", "b").drainReason = "faulty" },
+			setUp: func(l *leader) { bootingMachine(l, "n-1", "large", "b").DrainReason = "faulty" },
 			cands: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:  []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
 		{
 			name:  "a machine that boots too long is not counted on",
-			setUp: func(l *leader) { bootingMachine(l, "n-1", "large", "b").createdAt -= 100 * time.Second },
+			setUp: func(l *leader) { bootingMachine(l, "n-1", "large", "b").CreatedAt -= 100 * time.Second },
 			cands: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:  []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -3,46 +3,47 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
 // stopTask asks a task to end. Grace 0 ends it without a save.
-func (l *leader) stopTask(j *job, i int, grace float64, reason stopReason) {
-	task := &j.tasks[i]
-	if task.machine == nil || task.stop != nil && (task.stop.gracePeriodS == 0 || grace > 0) {
+func (l *leader) stopTask(j *cluster.Job, i int, grace float64, reason stopReason) {
+	task := &j.TaskStates[i]
+	if task.Machine == nil || task.Stop != nil && (task.Stop.GracePeriodS == 0 || grace > 0) {
 		return
 	}
-	task.stop = &stopRequest{gracePeriodS: grace, requestedAt: l.core.now, killed: grace == 0}
-	task.machine.evaluationStale = true
-	l.core.log.Debug("stop task", "task", taskName(j.ID, i), "machine", task.machine.name, "why", reason, "grace_s", grace)
-	if !task.persisted || !task.startRetransmitted {
+	task.Stop = &cluster.StopRequest{GracePeriodS: grace, RequestedAt: l.core.now, Killed: grace == 0}
+	task.Machine.EvaluationStale = true
+	l.core.log.Debug("stop task", "task", cluster.TaskName(j.ID, i), "machine", task.Machine.Name, "why", reason, "grace_s", grace)
+	if !task.Persisted || !task.StartRetransmitted {
 		// Not recorded yet or never sent: nothing started.
-		if task.placedThisTerm && !task.startRetransmitted {
+		if task.PlacedThisTerm && !task.StartRetransmitted {
 			l.unplace(j, i)
 		}
 		return
 	}
-	l.fleet.urgentCommands[task.machine.name] = true
+	l.fleet.urgentCommands[task.Machine.Name] = true
 }
 
 // stopCommand is the command that stops a task; nil while the worker need not be
 // told.
-func (l *leader) stopCommand(name string, t *task) *wire.Command {
-	grace := t.stop.gracePeriodS
-	if t.state == wire.TaskCheckpointing {
-		if !t.stop.killed {
+func (l *leader) stopCommand(name string, t *cluster.Task) *wire.Command {
+	grace := t.Stop.GracePeriodS
+	if t.State == wire.TaskCheckpointing {
+		if !t.Stop.Killed {
 			return nil
 		}
 		grace = 0
 	}
-	return &wire.Command{Verb: wire.VerbStop, Task: name, Attempt: t.attempt, GracePeriodS: &grace}
+	return &wire.Command{Verb: wire.VerbStop, Task: name, Attempt: t.Attempt, GracePeriodS: &grace}
 }
 
 // stopGang asks all of a gang to end: it has to be told together, or its save
 // fails.
-func (l *leader) stopGang(j *job, grace float64, reason stopReason) {
-	for i := range j.tasks {
-		if j.tasks[i].machine != nil {
+func (l *leader) stopGang(j *cluster.Job, grace float64, reason stopReason) {
+	for i := range j.TaskStates {
+		if j.TaskStates[i].Machine != nil {
 			l.stopTask(j, i, grace, reason)
 		}
 	}
@@ -51,12 +52,12 @@
 // tickStops repeats stops that had no effect, ends saves that take too long,
 // and returns machines on which cancelled work cannot be confirmed gone.
 func (l *leader) tickStops() {
-	for _, machine := range l.machinesByName {
-		for _, ref := range machine.placements {
-			task := ref.task()
+	for _, machine := range l.MachinesByName {
+		for _, ref := range machine.Placements {
+			task := ref.Task()
 			switch {
-			case task.machine != machine: // released by an earlier one
-			case task.stop == nil:
+			case task.Machine != machine: // released by an earlier one
+			case task.Stop == nil:
 				l.stopIfEnded(ref)
 				l.checkUnreachable(machine, task)
 			default:
@@ -66,46 +67,46 @@
 	}
 	for _, name := range sortedKeys(l.fleet.urgentCommands) {
 		delete(l.fleet.urgentCommands, name)
-		if machine := l.machines[name]; machine != nil {
+		if machine := l.Machines[name]; machine != nil {
 			l.sendCommands(machine)
 		}
 	}
 }
 
 // stopIfEnded stops a task of a job that is cancelled or over.
-func (l *leader) stopIfEnded(ref taskReference) {
-	if ref.job.cancellation.Requested() {
-		l.stopTask(ref.job, ref.index, 0, stopCancelled)
-	} else if ref.job.endRecorded || ref.task().done {
-		l.stopTask(ref.job, ref.index, 0, stopJobEnded)
+func (l *leader) stopIfEnded(ref cluster.TaskReference) {
+	if ref.Job.Cancellation.Requested() {
+		l.stopTask(ref.Job, ref.Index, 0, stopCancelled)
+	} else if ref.Job.EndRecorded || ref.Task().Done {
+		l.stopTask(ref.Job, ref.Index, 0, stopJobEnded)
 	}
 }
 
 // checkUnreachable notes a machine that does not hear us: its reports arrive all the
 // while but a task's start never shows. Reports that were held back and come
 // all at once do not tell that.
-func (l *leader) checkUnreachable(machine *machine, task *task) {
-	if task.machine == nil || !task.placedThisTerm || !task.persisted || task.observed || machine.unreachableSince != 0 {
+func (l *leader) checkUnreachable(machine *cluster.Machine, task *cluster.Task) {
+	if task.Machine == nil || !task.PlacedThisTerm || !task.Persisted || task.Observed || machine.UnreachableSince != 0 {
 		return
 	}
-	heartbeatsArrive := l.core.now-machine.lastHeartbeat < 2*l.core.heartbeatInterval()
-	if heartbeatsArrive && l.core.now-max(task.placedAt, machine.regularSince) > 4*l.core.heartbeatInterval() {
-		l.core.log.Info("machine does not hear", "machine", machine.name)
-		machine.unreachableSince = l.core.now
+	heartbeatsArrive := l.core.now-machine.LastHeartbeat < 2*l.core.heartbeatInterval()
+	if heartbeatsArrive && l.core.now-max(task.PlacedAt, machine.RegularSince) > 4*l.core.heartbeatInterval() {
+		l.core.log.Info("machine does not hear", "machine", machine.Name)
+		machine.UnreachableSince = l.core.now
 	}
 }
 
 // enforceStop ends a save that takes too long, and returns the machine if the
 // end of cancelled work is not confirmed in time.
-func (l *leader) enforceStop(machine *machine, ref taskReference) {
-	request := ref.task().stop
-	if !request.killed && l.core.now-request.requestedAt > 2*time.Duration(request.gracePeriodS*float64(time.Second)) {
-		request.killed = true
-		request.gracePeriodS = 0
-		l.fleet.urgentCommands[machine.name] = true
+func (l *leader) enforceStop(machine *cluster.Machine, ref cluster.TaskReference) {
+	request := ref.Task().Stop
+	if !request.Killed && l.core.now-request.RequestedAt > 2*time.Duration(request.GracePeriodS*float64(time.Second)) {
+		request.Killed = true
+		request.GracePeriodS = 0
+		l.fleet.urgentCommands[machine.Name] = true
 	}
-	if l.cancellationOverdue(ref.job) && !l.justReconnected(machine, ref.job) {
-		l.returnMachine(machine, drainCancellationUnconfirmed)
+	if l.cancellationOverdue(ref.Job) && !l.justReconnected(machine, ref.Job) {
+		l.returnMachine(machine, cluster.DrainCancellationUnconfirmed)
 	}
 }
 
@@ -113,6 +114,6 @@
 // a moment ago: the answer to its first report stops the work, the next one
 // confirms it. Returned at once, a machine that was cut off lost all that it ran.
 // Where the user was told already there is no time for that.
-func (l *leader) justReconnected(m *machine, j *job) bool {
-	return !j.cancellation.Acknowledged() && m.lastHeartbeat != 0 && l.core.now-m.regularSince < 2*l.core.heartbeatInterval()
+func (l *leader) justReconnected(m *cluster.Machine, j *cluster.Job) bool {
+	return !j.Cancellation.Acknowledged() && m.LastHeartbeat != 0 && l.core.now-m.RegularSince < 2*l.core.heartbeatInterval()
 }
--- a/internal/core/submission.go
+++ b/internal/core/submission.go
@@ -7,6 +7,7 @@
 	"strings"
 	"unicode/utf8"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
@@ -210,7 +211,7 @@
 	default:
 		return &fieldError{"shape", problemUnknown}
 	}
-	if _, ok := priorityLevel[job.Priority]; !ok {
+	if _, ok := cluster.PriorityLevel[job.Priority]; !ok {
 		return &fieldError{"urgency", problemUnknown}
 	}
 	return nil
@@ -344,7 +345,7 @@
 	zones := map[string]bool{}
 	for _, t := range c.machineTypes {
 		capacity := topology.Resources{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
-		if !emptyOrContains(job.MachineTypes, t.Name) || !capacity.Holds(taskSize(job)) {
+		if !emptyOrContains(job.MachineTypes, t.Name) || !capacity.Holds(cluster.TaskSize(job)) {
 			continue
 		}
 		for _, z := range t.Zones {
@@ -363,5 +364,5 @@
 	if job.Shape != wire.ShapeArray {
 		tasks = job.Tasks
 	}
-	return !limit.Allows(topology.Resources{}, taskSize(job), tasks)
+	return !limit.Allows(topology.Resources{}, cluster.TaskSize(job), tasks)
 }
--- a/internal/core/submission_queue.go
+++ b/internal/core/submission_queue.go
@@ -244,7 +244,7 @@
 		case failed[s.record.Job.ID]:
 			// It was accepted before.
 			c.answerStatus(s.requestID, s.record.Job.ID)
-		case s.listWriter != nil && slices.Contains(conflicts, s.listWriter.ref.key(0)):
+		case s.listWriter != nil && slices.Contains(conflicts, s.listWriter.ref.Key(0)):
 			s.listWriter = nil // cleared
 			c.resolveDependencies(s)
 		case c.evictChanged(s.unfinishedDependencies, failed):
--- a/internal/core/task_ends_test.go
+++ b/internal/core/task_ends_test.go
@@ -16,7 +16,7 @@
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 8}, nil)
 	addRecord(harness, leader, wire.Job{ID: "job-2", Tasks: 1}, nil)
 	for _, id := range []string{"job-1", "job-2"} {
-		leader.jobs[id].loaded = true
+		leader.Jobs[id].Loaded = true
 	}
 	changes := func(id string) int {
 		n := 0
@@ -26,16 +26,16 @@
 		return n
 	}
 	for i := range 4 {
-		leader.markDone(leader.jobs["job-1"], i)
+		leader.markDone(leader.Jobs["job-1"], i)
 		harness.run(leader.core.heartbeatInterval() / 2)
 	}
 	harness.run(leader.core.heartbeatInterval())
 	if n := changes("job-1"); n != 1 {
 		t.Errorf("four ends within two reports: %d changes", n)
 	}
-	leader.markDone(leader.jobs["job-2"], 0)
+	leader.markDone(leader.Jobs["job-2"], 0)
 	harness.run(leader.core.heartbeatInterval() / 2)
-	if leader.jobs["job-2"] != nil || changes("job-2") != 0 {
+	if leader.Jobs["job-2"] != nil || changes("job-2") != 0 {
 		t.Errorf("the end of a job is held up, or its record written first")
 	}
 }
--- a/internal/core/team_limit.go
+++ b/internal/core/team_limit.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"slices"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
@@ -19,16 +20,16 @@
 // being made for.
 func (l *leader) limitReservations() teamlimit.Reservations {
 	kept := teamlimit.Reservations{}
-	for _, j := range l.jobsBySubmission {
-		if !j.preemptedWithinTeam {
+	for _, j := range l.JobsBySubmission {
+		if !j.PreemptedWithinTeam {
 			continue
 		}
 		n := l.reservedTasks(j)
 		if n == 0 {
-			j.preemptedWithinTeam = false
+			j.PreemptedWithinTeam = false
 			continue
 		}
-		kept[j.Team] = append(kept[j.Team], teamlimit.Reservation{Priority: j.level, Amount: scaled(taskSize(&j.Job), n)})
+		kept[j.Team] = append(kept[j.Team], teamlimit.Reservation{Priority: j.Level, Amount: cluster.Scaled(cluster.TaskSize(&j.Job), n)})
 	}
 	return kept
 }
@@ -55,7 +56,7 @@
 		if !ok {
 			continue
 		}
-		candidate.job.preemptedWithinTeam = true
+		candidate.job.PreemptedWithinTeam = true
 		candidate.reserved = len(chosen)
 		wait := max(l.stopVictims(candidate.job, chosen), l.stopVictims(candidate.job, extra))
 		l.reserve(candidate.job, l.machinesOfSlots(chosen), wait)
@@ -71,22 +72,22 @@
 // the least loss first. A gang is listed once, by its first task.
 func (l *leader) teamVictims(candidate *candidate) []slot {
 	var own []slot
-	for _, machine := range l.machinesByName {
+	for _, machine := range l.MachinesByName {
 		whole, ok := l.capacityOf(machine)
 		if !ok {
 			continue
 		}
-		l.passes.evaluations += 1 + len(machine.placements)/tasksPerEvaluation
-		for _, p := range machine.placements {
-			v := p.job
-			if v.Team != candidate.job.Team || v.level >= candidate.preemptionPriority || p.task().stop != nil {
+		l.passes.evaluations += 1 + len(machine.Placements)/tasksPerEvaluation
+		for _, p := range machine.Placements {
+			v := p.Job
+			if v.Team != candidate.job.Team || v.Level >= candidate.preemptionPriority || p.Task().Stop != nil {
 				continue
 			}
-			if v.Shape == wire.ShapeGang && slices.ContainsFunc(own, func(o slot) bool { return o.Victims[0].Task.job == v }) {
+			if v.Shape == wire.ShapeGang && slices.ContainsFunc(own, func(o slot) bool { return o.Victims[0].Task.Job == v }) {
 				continue
 			}
-			loss := l.victimCost(v, p.task(), whole)
-			own = append(own, slot{Machine: machine.name, Zone: machine.zone, Victims: []victim{{Task: p, Loss: loss}}, Cost: loss})
+			loss := l.victimCost(v, p.Task(), whole)
+			own = append(own, slot{Machine: machine.Name, Zone: machine.Zone, Victims: []victim{{Task: p, Loss: loss}}, Cost: loss})
 		}
 	}
 	slices.SortStableFunc(own, func(a, b slot) int { return cmp.Compare(a.Cost, b.Cost) })
@@ -97,7 +98,7 @@
 // the victims of chosen so that the limit allows a task on each of chosen; not ok
 // if all together are not enough.
 func (l *leader) additionalVictims(c *candidate, chosen, own []slot, used topology.Resources) (extra []slot, ok bool) {
-	indices, ok := teamlimit.ChooseVictims(l.limit(c.job.Team), used, taskSize(&c.job.Job), len(chosen), limitVictims(chosen), limitVictims(own))
+	indices, ok := teamlimit.ChooseVictims(l.limit(c.job.Team), used, cluster.TaskSize(&c.job.Job), len(chosen), limitVictims(chosen), limitVictims(own))
 	for _, i := range indices {
 		extra = append(extra, own[i])
 	}
@@ -109,7 +110,7 @@
 	var out []teamlimit.Victim[stopUnit]
 	for _, r := range rooms {
 		for _, v := range r.Victims {
-			out = append(out, teamlimit.Victim[stopUnit]{Key: v.Task.stopUnit(), TaskSize: v.Task.Size(), Freed: freedByStop(v.Task)})
+			out = append(out, teamlimit.Victim[stopUnit]{Key: stopUnitOf(v.Task), TaskSize: v.Task.Size(), Freed: freedByStop(v.Task)})
 		}
 	}
 	return out
@@ -118,10 +119,10 @@
 // preemptibleUsage adds up what a team's work of a rank below uses.
 func (l *leader) preemptibleUsage(team string, rank int) topology.Resources {
 	var sum topology.Resources
-	for _, m := range l.machinesByName {
-		for _, p := range m.placements {
-			if p.job.Team == team && p.job.level < rank {
-				sum = sum.Add(taskSize(&p.job.Job))
+	for _, m := range l.MachinesByName {
+		for _, p := range m.Placements {
+			if p.Job.Team == team && p.Job.Level < rank {
+				sum = sum.Add(cluster.TaskSize(&p.Job.Job))
 			}
 		}
 	}
@@ -130,33 +131,33 @@
 
 // stopUnit names what is stopped at once: a task, or all tasks of a gang.
 type stopUnit struct {
-	job   *job
+	job   *cluster.Job
 	index int
 }
 
-// stopUnit is the key of what is stopped with a task.
-func (p taskReference) stopUnit() stopUnit {
-	if p.job.Shape == wire.ShapeGang {
-		return stopUnit{p.job, 0}
+// stopUnitOf is the key of what is stopped with a task.
+func stopUnitOf(p cluster.TaskReference) stopUnit {
+	if p.Job.Shape == wire.ShapeGang {
+		return stopUnit{p.Job, 0}
 	}
-	return stopUnit{p.job, p.index}
+	return stopUnit{p.Job, p.Index}
 }
 
 // freedByStop is what becomes free when a task is stopped: all of its gang goes.
-func freedByStop(p taskReference) topology.Resources {
-	if p.job.Shape == wire.ShapeGang {
-		return scaled(taskSize(&p.job.Job), p.job.tasksPlaced)
+func freedByStop(p cluster.TaskReference) topology.Resources {
+	if p.Job.Shape == wire.ShapeGang {
+		return cluster.Scaled(cluster.TaskSize(&p.Job.Job), p.Job.TasksPlaced)
 	}
-	return taskSize(&p.job.Job)
+	return cluster.TaskSize(&p.Job.Job)
 }
 
 // stoppingUsage adds up what a team's tasks use that are on their way out.
 func (l *leader) stoppingUsage(team string) topology.Resources {
 	var sum topology.Resources
-	for _, m := range l.machinesByName {
-		for _, p := range m.placements {
-			if p.job.Team == team && p.task().stop != nil {
-				sum = sum.Add(taskSize(&p.job.Job))
+	for _, m := range l.MachinesByName {
+		for _, p := range m.Placements {
+			if p.Job.Team == team && p.Task().Stop != nil {
+				sum = sum.Add(cluster.TaskSize(&p.Job.Job))
 			}
 		}
 	}
--- a/internal/core/team_limit_test.go
+++ b/internal/core/team_limit_test.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -66,8 +67,8 @@
 				{Job: array("job-2", "vision", wire.PriorityIdle, 2), on: []string{"n-2"}, ranFor: time.Second},
 			},
 			job: array("job-9", "vision", wire.PriorityNormal, 2), limit: 4,
-			change: func(l *leader, j *job) {
-				l.stopTask(l.machines["n-2"].placements[0].job, 0, 1, stopPreempted)
+			change: func(l *leader, j *cluster.Job) {
+				l.stopTask(l.Machines["n-2"].Placements[0].Job, 0, 1, stopPreempted)
 			},
 			want: []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
@@ -140,8 +141,8 @@
 				{Job: array("job-2", "vision", wire.PriorityIdle, 2), on: []string{"n-2"}, ranFor: time.Second},
 			},
 			job: array("job-9", "vision", wire.PriorityNormal, 4), limit: 4,
-			change: func(l *leader, j *job) {
-				l.stopTask(l.machines["n-2"].placements[0].job, 0, 1, stopPreempted)
+			change: func(l *leader, j *cluster.Job) {
+				l.stopTask(l.Machines["n-2"].Placements[0].Job, 0, 1, stopPreempted)
 			},
 			want: []string{"job-1/0", "job-2/0"}, reserved: []string{"n-1"},
 		},
@@ -166,14 +167,14 @@
 	gang := addJob(leader, wire.Job{ID: "job-2", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityCritical, Tasks: 2, GPUs: 2, MemGB: 1})
 	lower := addJob(leader, wire.Job{ID: "job-3", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, GPUs: 2, MemGB: 1})
 	p := leader.newPlacementPass()
-	for _, j := range []*job{gang, lower} {
+	for _, j := range []*cluster.Job{gang, lower} {
 		leader.initPlacementRecords(j)
-		p.placeCandidate(&candidate{job: j, pending: j.unplacedTasks(), preemptionPriority: j.level})
+		p.placeCandidate(&candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level})
 	}
 	if stopped := stoppedTasks(running); len(stopped) != 1 {
 		t.Errorf("stopped %q, want job-1/0", stopped)
 	}
-	if lower.tasksPlaced != 0 {
+	if lower.TasksPlaced != 0 {
 		t.Error("work of a lower priority took what was kept for the gang")
 	}
 }
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
@@ -44,7 +45,7 @@
 }
 
 // add takes n tasks of a job in.
-func (u *teamUsage) add(j *job, n int) { u.Add(j.Team, taskSize(&j.Job), n) }
+func (u *teamUsage) add(j *cluster.Job, n int) { u.Add(j.Team, cluster.TaskSize(&j.Job), n) }
 
 // refreshUsage is, by team, what every task uses that is not certainly gone. It notes on each
 // machine what is on its way out and which images it fetches.
@@ -52,9 +53,9 @@
 	if !l.teamUsage.Started() || l.core.now >= l.teamUsage.recountAt {
 		l.recountUsage()
 	}
-	for _, m := range l.machinesByName {
-		if m.evaluationStale {
-			m.refresh()
+	for _, m := range l.MachinesByName {
+		if m.EvaluationStale {
+			m.Refresh()
 		}
 	}
 	return l.teamUsage.Snapshot()
@@ -64,22 +65,10 @@
 func (l *leader) recountUsage() {
 	l.teamUsage.recountAt = l.core.now + l.core.workerLease()
 	l.teamUsage.Reset()
-	for _, m := range l.machinesByName {
-		m.evaluationStale = true
-		for _, p := range m.placements {
-			l.teamUsage.add(p.job, 1)
-		}
-	}
-}
-
-// refresh notes what on the machine is on its way out and which images it fetches.
-func (m *machine) refresh() {
-	m.evaluationStale = false
-	m.stoppingUse = topology.Resources{}
-	m.refreshPulls()
-	for _, p := range m.placements {
-		if p.task().stop != nil {
-			m.stoppingUse = m.stoppingUse.Add(taskSize(&p.job.Job))
+	for _, m := range l.MachinesByName {
+		m.EvaluationStale = true
+		for _, p := range m.Placements {
+			l.teamUsage.add(p.Job, 1)
 		}
 	}
 }
@@ -115,12 +104,12 @@
 // team's earlier unfinished jobs. A job that waits for others holds no part of it.
 func (l *leader) markWithinQuota() {
 	claims := teamlimit.NewClaims(l.core.guarantees())
-	for _, j := range l.jobsBySubmission {
-		if j.cancellation.Requested() || j.waiting {
-			j.withinQuota = false
+	for _, j := range l.JobsBySubmission {
+		if j.Cancellation.Requested() || j.Waiting {
+			j.WithinQuota = false
 			continue
 		}
-		n := float64(len(j.tasks) - j.tasksDone)
-		j.withinQuota = claims.Claim(j.Team, topology.Resources{CPUs: j.CPUs * n, GPUs: j.GPUs * n})
+		n := float64(len(j.TaskStates) - j.TasksDone)
+		j.WithinQuota = claims.Claim(j.Team, topology.Resources{CPUs: j.CPUs * n, GPUs: j.GPUs * n})
 	}
 }
--- a/internal/core/termination_test.go
+++ b/internal/core/termination_test.go
@@ -3,6 +3,7 @@
 import (
 	"testing"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -17,10 +18,10 @@
 	b.core.leader, l.recordsLoaded = l, true
 	job := wire.Job{ID: "job-000001", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}
 	l.applyOpenRecord(job.ID, 7, records.Open{Job: job, SubmittedAt: b.core.wallClockMS})
-	j, m := l.jobs[job.ID], l.machineNamed("n-000001")
-	j.tasks[0] = task{attempt: 2, zone: "a", incarnation: 1, persisted: true, placedThisTerm: true, startRetransmitted: true}
+	j, m := l.Jobs[job.ID], l.machineNamed("n-000001")
+	j.TaskStates[0] = cluster.Task{Attempt: 2, Zone: "a", Incarnation: 1, Persisted: true, PlacedThisTerm: true, StartRetransmitted: true}
 	l.place(j, 0, m)
-	j.placementRecords[0].dirty = true // the end of the earlier attempt is not recorded yet
+	j.PlacementRecords[0].Dirty = true // the end of the earlier attempt is not recorded yet
 	ended := wire.TaskStatus{Task: "job-000001/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped}
 	runs := wire.TaskStatus{Task: "job-000001/0", Attempt: 2, State: wire.TaskRunning}
 	for i, rows := range [][]wire.TaskStatus{{ended, runs}, {runs, ended}, {ended, runs}} {
@@ -28,8 +29,8 @@
 		if status, body := l.handleHeartbeat(kv.Encode(r), "n0"); status != 200 {
 			t.Fatalf("report %d: %d %s", i, status, body)
 		}
-		if x := &j.tasks[0]; x.machine != m || x.state != wire.TaskRunning {
-			t.Fatalf("after report %d the running task is taken for %q on %v", i, x.state, x.machine)
+		if x := &j.TaskStates[0]; x.Machine != m || x.State != wire.TaskRunning {
+			t.Fatalf("after report %d the running task is taken for %q on %v", i, x.State, x.Machine)
 		}
 	}
 }
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -16,14 +17,14 @@
 	for _, told := range []bool{false, true} {
 		b, l := newLeadingHarness(t, func(*config.Settings) {})
 		addRecord(b, l, wire.Job{ID: "job-1"}, nil)
-		j := l.jobs["job-1"]
-		j.loaded = true
+		j := l.Jobs["job-1"]
+		j.Loaded = true
 		l.place(j, 0, l.machineNamed("n-000001"))
-		j.tasks[0].persisted, j.tasks[0].startRetransmitted = true, true
+		j.TaskStates[0].Persisted, j.TaskStates[0].StartRetransmitted = true, true
 		l.markCancelled(j)
 		keep, last := userRetryPeriod*3/4, userRetryPeriod-2*l.core.heartbeatInterval()
 		if told {
-			j.cancellation.Acknowledge(b.now)
+			j.Cancellation.Acknowledge(b.now)
 			keep, last = l.core.cancelGracePeriod()/2, l.core.cancelGracePeriod()*3/4
 		}
 		began := b.now
@@ -48,24 +49,24 @@
 	for _, told := range []bool{false, true} {
 		b, l := newLeadingHarness(t, func(*config.Settings) {})
 		addRecord(b, l, wire.Job{ID: "job-1"}, nil)
-		j := l.jobs["job-1"]
+		j := l.Jobs["job-1"]
 		m := l.machineNamed("n-000001")
 		l.place(j, 0, m)
 		l.markCancelled(j)
-		j.cancellation.Request(b.core.now - userRetryPeriod)
+		j.Cancellation.Request(b.core.now - userRetryPeriod)
 		if told {
-			j.cancellation.Acknowledge(b.core.now - l.core.cancelGracePeriod())
+			j.Cancellation.Acknowledge(b.core.now - l.core.cancelGracePeriod())
 		}
 		returned := func() bool {
-			l.enforceStop(m, taskReference{j, 0, taskName(j.ID, 0)})
-			return l.fleet.pendingReturns[m.name]
+			l.enforceStop(m, cluster.NewTaskReference(j, 0))
+			return l.fleet.pendingReturns[m.Name]
 		}
-		m.lastHeartbeat, m.regularSince = b.core.now, b.core.now
+		m.LastHeartbeat, m.RegularSince = b.core.now, b.core.now
 		if returned() != told {
 			t.Errorf("told %v: returned with its first report: %v", told, !told)
 		}
 		b.core.now += 2 * l.core.heartbeatInterval()
-		m.lastHeartbeat = b.core.now
+		m.LastHeartbeat = b.core.now
 		if !returned() {
 			t.Errorf("told %v: kept though the task is still there after two reports", told)
 		}
@@ -77,14 +78,14 @@
 func TestAgeOfKnownMachines(t *testing.T) {
 	b, l := newLeadingHarness(t, func(*config.Settings) {})
 	known, rented, unheard := l.machineNamed("n-000001"), l.machineNamed("n-000002"), l.machineNamed("n-000004")
-	known.lastHeartbeat, rented.lastHeartbeat = b.core.now, b.core.now
-	rented.createdAt = b.core.now - 90*time.Second
+	known.LastHeartbeat, rented.LastHeartbeat = b.core.now, b.core.now
+	rented.CreatedAt = b.core.now - 90*time.Second
 	for _, name := range []string{"n-000001", "n-000002", "n-000003", "n-000004"} {
 		l.recordListed(&wire.Machine{Name: name, Type: "small", Zone: "a", Status: "running", AgeS: 80})
 	}
-	for m, want := range map[*machine]time.Duration{known: 80 * time.Second, rented: 90 * time.Second, l.machines["n-000003"]: 80 * time.Second, unheard: 0} {
-		if age := b.core.now - m.createdAt; age != want {
-			t.Errorf("%s is %v old, want %v", m.name, age, want)
+	for m, want := range map[*cluster.Machine]time.Duration{known: 80 * time.Second, rented: 90 * time.Second, l.Machines["n-000003"]: 80 * time.Second, unheard: 0} {
+		if age := b.core.now - m.CreatedAt; age != want {
+			t.Errorf("%s is %v old, want %v", m.Name, age, want)
 		}
 	}
 	if slices.Contains(sortedKeys(l.fleet.pendingReturns), "n-000001") {
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -19,22 +20,22 @@
 	leader.core.log = slog.New(slog.NewTextHandler(&out, nil))
 	job := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 3).job
 	start := leader.core.now
-	job.waitingSinceMS = leader.core.wallClockMS
+	job.WaitingSinceMS = leader.core.wallClockMS
 	for _, step := range []struct {
 		at   time.Duration
-		why  waitReason
+		why  cluster.WaitReason
 		told bool
 	}{
-		{0, waitForMachines, false},
-		{10 * time.Second, waitNoOffer, false},
-		{31 * time.Second, waitNoOffer, true},
-		{32 * time.Second, waitNoOffer, false},
-		{40 * time.Second, waitLimit, false}, // too soon after the last line
-		{62 * time.Second, waitLimit, true},
-		{200 * time.Second, waitLimit, false},
+		{0, cluster.WaitForMachines, false},
+		{10 * time.Second, cluster.WaitNoOffer, false},
+		{31 * time.Second, cluster.WaitNoOffer, true},
+		{32 * time.Second, cluster.WaitNoOffer, false},
+		{40 * time.Second, cluster.WaitLimit, false}, // too soon after the last line
+		{62 * time.Second, cluster.WaitLimit, true},
+		{200 * time.Second, cluster.WaitLimit, false},
 	} {
 		out.Reset()
-		leader.core.now, leader.core.wallClockMS = start+step.at, job.waitingSinceMS+step.at.Milliseconds()
+		leader.core.now, leader.core.wallClockMS = start+step.at, job.WaitingSinceMS+step.at.Milliseconds()
 		leader.logWait(job, step.why)
 		if told := strings.Contains(out.String(), string(step.why)); told != step.told {
 			t.Errorf("after %v: told %v, want %v (%s)", step.at, told, step.told, out.String())
@@ -47,20 +48,20 @@
 	for _, tc := range []struct {
 		name  string
 		setUp func(l *leader, c *candidate)
-		want  waitReason
+		want  cluster.WaitReason
 	}{
-		{"a machine is rented", func(*leader, *candidate) {}, waitForMachines},
-		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, waitForMachines},
-		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, waitLimit},
-		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, waitNoOffer},
-		{"room is made", func(_ *leader, c *candidate) { c.reserved = 1 }, waitForPreemption},
+		{"a machine is rented", func(*leader, *candidate) {}, cluster.WaitForMachines},
+		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, cluster.WaitForMachines},
+		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
+		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, cluster.WaitNoOffer},
+		{"room is made", func(_ *leader, c *candidate) { c.reserved = 1 }, cluster.WaitForPreemption},
 	} {
 		l := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
 		tc.setUp(l, c)
 		p := newScaleOutPlan(l)
 		p.packPending([]*candidate{c}, map[string]topology.Resources{})
-		if got := c.job.waitLog.lastReason; got != tc.want {
+		if got := c.job.WaitLog.LastReason; got != tc.want {
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
 		}
 	}
@@ -72,7 +73,7 @@
 	var out bytes.Buffer
 	leader.core.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))
 	idle := bootingMachine(leader, "n-1", "small", "b")
-	idle.lastHeartbeat, idle.fencingToken = leader.core.now, leader.leadership.Term
+	idle.LastHeartbeat, idle.FencingToken = leader.core.now, leader.leadership.Term
 	c := pendingCandidate(wire.Job{ID: "job-000007", CPUs: 1, MemGB: 1}, 1)
 	other := pendingCandidate(wire.Job{ID: "job-000008", CPUs: 4, MemGB: 1}, 1)
 	for range 2 {
--- a/internal/core/zone_loss_test.go
+++ b/internal/core/zone_loss_test.go
@@ -13,7 +13,7 @@
 // are of the lowest priority and make way.
 func zoneLossLeader(t testing.TB, machines int) *leader {
 	leader := busyFleet(t, machines)
-	for i, j := range leader.jobsBySubmission {
+	for i, j := range leader.JobsBySubmission {
 		leader.initPlacementRecords(j)
 		j.SpreadZones = i%2 == 0
 		if i%3 == 2 {
@@ -21,24 +21,24 @@
 		}
 	}
 	// The tasks of a job change places, so that each job has some in every zone.
-	for _, j := range leader.jobsBySubmission {
-		for k := range j.tasks {
+	for _, j := range leader.JobsBySubmission {
+		for k := range j.TaskStates {
 			leader.unplace(j, k)
 		}
 	}
-	for i, j := range leader.jobsBySubmission {
-		for k := range j.tasks {
-			m := leader.machinesByName[(i+k*131)%machines]
+	for i, j := range leader.JobsBySubmission {
+		for k := range j.TaskStates {
+			m := leader.MachinesByName[(i+k*131)%machines]
 			leader.place(j, k, m)
-			j.tasks[k].state, j.tasks[k].observed, j.tasks[k].zone = wire.TaskRunning, true, m.zone
+			j.TaskStates[k].State, j.TaskStates[k].Observed, j.TaskStates[k].Zone = wire.TaskRunning, true, m.Zone
 		}
 	}
-	for _, m := range leader.machinesByName {
-		if m.zone != "b" {
+	for _, m := range leader.MachinesByName {
+		if m.Zone != "b" {
 			continue
 		}
-		for _, p := range m.placements {
-			leader.unplace(p.job, p.index)
+		for _, p := range m.Placements {
+			leader.unplace(p.Job, p.Index)
 		}
 		leader.dropMachine(m)
 	}
@@ -49,11 +49,11 @@
 
 // fillMachines has tasks of the lowest priority take the room that is left on all machines.
 func fillMachines(l *leader) {
-	j := addJob(l, wire.Job{ID: "job-888888", Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, CPUs: 1, MemGB: 1, Tasks: 3 * len(l.machinesByName), CheckpointIntervalS: 30, CheckpointDurationS: 3})
+	j := addJob(l, wire.Job{ID: "job-888888", Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, CPUs: 1, MemGB: 1, Tasks: 3 * len(l.MachinesByName), CheckpointIntervalS: 30, CheckpointDurationS: 3})
 	l.initPlacementRecords(j)
-	for i := range j.tasks {
-		l.place(j, i, l.machinesByName[i/3])
-		j.tasks[i].state, j.tasks[i].observed, j.tasks[i].persisted, j.tasks[i].startRetransmitted = wire.TaskRunning, true, true, true
+	for i := range j.TaskStates {
+		l.place(j, i, l.MachinesByName[i/3])
+		j.TaskStates[i].State, j.TaskStates[i].Observed, j.TaskStates[i].Persisted, j.TaskStates[i].StartRetransmitted = wire.TaskRunning, true, true, true
 	}
 }
 
