--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -32,7 +32,7 @@
 	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
 		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3}}, uint64(len(l.JobsBySubmission)+1))
 	j.Loaded, j.WaitingSinceMS = true, l.core.wallClockMS
-	l.initPlacementRecords(j)
+	l.writer.InitPlacementRecords(j)
 	l.Jobs[id], l.JobsBySubmission = j, append(l.JobsBySubmission, j)
 	return j
 }
--- a/internal/core/cancel_leader.go
+++ b/internal/core/cancel_leader.go
@@ -46,7 +46,7 @@
 			l.stopTask(j, i, 0, stopCancelled)
 		}
 	}
-	l.writer.dirty = true
+	l.writer.MarkDirty()
 }
 
 // handlePeerCancellations takes in the cancellations that another controller has
--- /dev/null
+++ b/internal/core/cancelled_ends.go
@@ -0,0 +1,43 @@
+package core
+
+import "github.com/brookwalk/brookwalk/internal/core/cluster"
+
+// addCancelledEnds adds the ends of cancelled jobs to a transaction as far as there is room:
+// no user is told of one before its dependents are over, so these come first. A chain goes
+// into one transaction where it fits: job by job, each after the outcome of the one before, a
+// long one would take longer than cancel_s. A job with dependents is added when the last of
+// them is over.
+func (l *leader) addCancelledEnds(add func(*cluster.Job) bool) {
+	waiting := l.cancelledWithoutDependents
+	l.cancelledWithoutDependents = nil
+	for i, job := range waiting {
+		switch {
+		case l.Jobs[job.ID] != job || job.EndRecorded || job.EndWritePending || l.dependencies.Needed(job.ID):
+		case l.mayHaveUnknownDependents(job) || !l.writer.EndRecordable(job):
+			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, job)
+		case !l.addEndWithDependencies(job, add):
+			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, waiting[i:]...)
+			return
+		}
+	}
+}
+
+// addEndWithDependencies adds the end of a cancelled job, and those of its cancelled
+// dependencies that no other job needs. It returns false if there is no room for the job.
+func (l *leader) addEndWithDependencies(job *cluster.Job, add func(*cluster.Job) bool) bool {
+	if !add(job) {
+		return false
+	}
+	for queue := []*cluster.Job{job}; len(queue) > 0; queue = queue[1:] {
+		l.dependencies.EachAwaited(queue[0].ID, func(id string) {
+			dependency := l.Jobs[id]
+			if dependency == nil || !dependency.Cancellation.Requested() || !l.writer.EndRecordable(dependency) {
+				return
+			}
+			if !l.hasLiveDependents(id) && add(dependency) {
+				queue = append(queue, dependency)
+			}
+		})
+	}
+	return true
+}
--- a/internal/core/defragmentation_test.go
+++ b/internal/core/defragmentation_test.go
@@ -131,7 +131,7 @@
 	idleMachines(leader, tc.machines, "g", 1)
 	running := bindRunning(leader, tc.running)
 	j := cluster.NewJob(records.Open{Job: tc.job}, 2)
-	leader.initPlacementRecords(j)
+	leader.writer.InitPlacementRecords(j)
 	j.WaitingSinceMS = leader.core.wallClockMS - cmp.Or(tc.waited, 3*time.Minute).Milliseconds()
 	c := &candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level}
 	leader.newPlacementPass().placeCandidate(c)
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -130,7 +130,7 @@
 	for _, y := range l.dependencies.Done(id) {
 		if j := l.Jobs[y]; j != nil && j.Waiting && !j.Cancellation.Requested() {
 			j.DependenciesDone = true
-			l.writer.dirty = true
+			l.writer.MarkDirty()
 		}
 	}
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -11,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/core/persistence"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -87,7 +88,8 @@
 	}
 	since := leader.Jobs["job-2"].WaitingSinceMS
 	j := leader.Jobs["job-1"]
-	j.TasksDone, j.TaskStates[0].Done, leader.writer.dirty = 1, true, true
+	j.TasksDone, j.TaskStates[0].Done = 1, true
+	leader.writer.MarkDirty()
 	harness.run(2e9)
 	if len(leader.Jobs["job-2"].PendingTasks()) != 1 || !strings.Contains(string(harness.store[records.OpenKey("job-2")].Value), `"ra":`) {
 		t.Errorf("it does not go on: %s", harness.store[records.OpenKey("job-2")].Value)
@@ -197,7 +199,7 @@
 		job.TaskStates[i] = cluster.Task{Attempt: uint64(i + 1), Zone: "a", Incarnation: 1, PlacedThisTerm: true}
 		job.NextAttempt = uint64(i + 2)
 		leader.place(job, i, m)
-		leader.markPlacementChanged(job, i, false)
+		leader.writer.MarkPlacement(job, i)
 	}
 	harness.run(1e9)
 	late := ""
@@ -213,7 +215,7 @@
 	// would, on the condition that no record exists.
 	delete(harness.store, "p/job-1/0")
 	job.PlacementRecords[0].Version, job.PlacementRecords[0].Dirty, job.PlacementRecords[0].DueAt = 0, true, 0
-	leader.writer.dirty = true
+	leader.writer.MarkDirty()
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersion}}})
 	harness.run(1e9)
 	if status, _ := harness.commit([]byte(late)); status != 409 {
@@ -234,18 +236,18 @@
 	// A next leader finds all of it.
 	successor := newLeader(harness.core, election.Leadership{Term: 6, TermVersion: leader.leadership.TermVersion, Lease: 1})
 	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
-	var found []loadedPlacement
+	var found []persistence.LoadedPlacement
 	for _, k := range sortedKeys(harness.store) {
 		if strings.HasPrefix(k, records.PrefixPlacement) {
-			r, ok := records.ParsePlacementKey(k, harness.core.tasksPerNumberedRecord())
-			p := loadedPlacement{PlacementRange: r, key: k, version: harness.store[k].Version}
-			if !ok || stdjson.Unmarshal(harness.store[k].Value, &p.record) != nil {
+			r, ok := records.ParsePlacementKey(k, leader.writer.TasksPerNumberedRecord())
+			p := persistence.LoadedPlacement{PlacementRange: r, Key: k, Version: harness.store[k].Version}
+			if !ok || stdjson.Unmarshal(harness.store[k].Value, &p.Record) != nil {
 				t.Fatalf("%s is not read", k)
 			}
 			found = append(found, p)
 		}
 	}
-	successor.adoptPlacements(successor.Jobs["job-1"], found)
+	successor.writer.Adopt(successor.Jobs["job-1"], found)
 	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.Numbered {
 		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.Numbered)
 	}
@@ -257,10 +259,10 @@
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1} })
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 30}, nil)
 	job := leader.Jobs["job-1"]
-	leader.adoptPlacements(job, []loadedPlacement{
-		{key: "p/job-1/0", version: 5, PlacementRange: records.PlacementRange{From: 0, To: 128, Numbered: true}, record: records.Placement{NextAttempt: 40, Done: []int{3}, Tasks: []records.PlacedTask{
+	leader.writer.Adopt(job, []persistence.LoadedPlacement{
+		{Key: "p/job-1/0", Version: 5, PlacementRange: records.PlacementRange{From: 0, To: 128, Numbered: true}, Record: records.Placement{NextAttempt: 40, Done: []int{3}, Tasks: []records.PlacedTask{
 			{Task: 1, Attempt: 1, Machine: "n-000001", Zone: "a", Incarnation: 1}, {Task: 20, Attempt: 2, Machine: "n-000001", Zone: "a", Incarnation: 1}}}},
-		{key: "p/job-1/0-12", version: 9, PlacementRange: records.PlacementRange{From: 0, To: 12}, record: records.Placement{NextAttempt: 50, Tasks: []records.PlacedTask{
+		{Key: "p/job-1/0-12", Version: 9, PlacementRange: records.PlacementRange{From: 0, To: 12}, Record: records.Placement{NextAttempt: 50, Tasks: []records.PlacedTask{
 			{Task: 2, Attempt: 45, Machine: "n-000002", Zone: "b", Incarnation: 3}}}},
 	})
 	if job.TaskStates[1].Machine != nil || job.TaskStates[2].Machine == nil || job.TaskStates[2].Machine.Name != "n-000002" || job.TaskStates[20].Machine == nil || !job.TaskStates[3].Done || job.NextAttempt != 50 {
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -210,7 +210,7 @@
 		}
 		l.applyOpenRecord(id, b.store[key].Version, rec)
 	}
-	l.recordsComplete()
+	l.takeUpWork()
 	return l
 }
 
--- a/internal/core/dependency_lists.go
+++ b/internal/core/dependency_lists.go
@@ -183,7 +183,7 @@
 		default:
 			delete(l.dependencyLists.unread, job.ID)
 			l.addDependencyNames(job, names)
-			l.writer.dirty = true
+			l.writer.MarkDirty()
 		}
 	})
 }
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -188,7 +188,7 @@
 func leadWithRecords(b *harness) *leader {
 	b.write(election.KeyTerm, "", []byte("5"))
 	l := b.lead()
-	l.loader.retry = l.recover // with the next tick
+	l.loader.RetryWith(l.loader.Load)
 	b.run(time.Second)
 	return l
 }
@@ -335,12 +335,12 @@
 		}
 	}
 	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
-	l.loader.retry = func() {
+	l.loader.RetryWith(func() {
 		l.deleteAbandonedLists([]listAttempt{
 			{ref: records.DependencyListRef{Prefix: accepted}, job: "job-7", version: b.store[accepted+"0"].Version, keys: []string{accepted + "0", accepted + "1"}},
 			{ref: records.DependencyListRef{Prefix: begun}, job: "job-8", keys: []string{begun + "1"}},
 		})
-	}
+	})
 	b.run(time.Second)
 	if keys := b.listKeys(); len(keys) != 4 {
 		t.Errorf("left: %q", keys)
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -35,7 +35,7 @@
 // Lead begins to lead.
 func (h electionHost) Lead(m election.Leadership) {
 	h.c.leader = newLeader(h.c, m)
-	h.c.leader.recover()
+	h.c.leader.loader.Load()
 	h.c.sendDigests()
 	h.c.forwardPending()
 }
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -82,7 +82,7 @@
 		if tc.newTerm {
 			m.LastHeartbeat, m.HeartbeatController = 0, ""
 			j := cluster.NewJob(records.Open{Job: wire.Job{ID: "job-1", Tasks: 1, GPUs: 1}}, 1)
-			l.initPlacementRecords(j)
+			l.writer.InitPlacementRecords(j)
 			l.place(j, 0, m)
 		} else {
 			l.recordsLoadedAt -= 100 * time.Second
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -30,7 +30,7 @@
 // startPull places a replica whose image is not held.
 func startPull(l *leader, id, image string, gb float64, m *cluster.Machine) *cluster.Job {
 	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: gb}}, 1)
-	l.initPlacementRecords(j)
+	l.writer.InitPlacementRecords(j)
 	if m != nil {
 		l.bindTasks(j, []int{0}, []*cluster.Machine{m})
 	}
--- a/internal/core/job.go
+++ b/internal/core/job.go
@@ -1,8 +1,6 @@
 package core
 
 import (
-	"time"
-
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -38,45 +36,16 @@
 	j.TasksPlaced--
 	done := t.Done
 	*t = cluster.Task{Done: done}
-	l.markPlacementChanged(j, i, true)
+	l.writer.MarkPlacementDeferred(j, i)
 	l.passes.requested = true
 }
 
-// markPlacementChanged marks a task's record for writing: at once, or, where nothing is lost
-// with it but the knowledge that the task is over, gathered with what follows
-// in two reports' time. The worker remembers an end until it is recorded.
-// Written one by one, the ends of arrays took most of the state service's
-// changes, and their last ones are written in vain, since the job's own end
-// deletes the record.
-func (l *leader) markPlacementChanged(j *cluster.Job, i int, deferred bool) {
-	ch := j.PlacementRecordOf(i)
-	at := l.core.now
-	if deferred {
-		at += 2 * l.core.heartbeatInterval()
-	}
-	if !ch.Dirty || at < ch.DueAt {
-		ch.Dirty, ch.DueAt = true, at
-	}
-	if !deferred || j.IsFinished() || j.IsOver() {
-		l.writer.dirty = true
-	} else {
-		l.scheduleWrite(ch.DueAt)
-	}
-}
-
-// scheduleWrite has the records written at a time, if not before.
-func (l *leader) scheduleWrite(at time.Duration) {
-	if l.writer.deferredUntil == 0 || at < l.writer.deferredUntil {
-		l.writer.deferredUntil = at
-	}
-}
-
 // markDone notes that a task is done for certain.
 func (l *leader) markDone(j *cluster.Job, i int) {
 	if !j.TaskStates[i].Done {
 		j.TaskStates[i].Done = true
 		j.TasksDone++
-		l.markPlacementChanged(j, i, true)
+		l.writer.MarkPlacementDeferred(j, i)
 	}
 }
 
@@ -93,7 +62,7 @@
 	for _, a := range before {
 		if x := l.Jobs[a]; x != nil && x.Cancellation.Requested() && !l.dependencies.Needed(a) {
 			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, x)
-			l.writer.dirty = true
+			l.writer.MarkDirty()
 		}
 	}
 	if !j.Cancellation.Requested() { // else they were told when it was cancelled
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -9,6 +9,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 	"github.com/brookwalk/brookwalk/internal/core/outlier"
+	"github.com/brookwalk/brookwalk/internal/core/persistence"
 	"github.com/brookwalk/brookwalk/internal/quota"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
 	"github.com/brookwalk/brookwalk/wire"
@@ -25,8 +26,8 @@
 	returnedMachines map[string]time.Duration // machines the cloud has taken back for certain
 
 	recordsLoadedAt time.Duration
-	loader          recordLoader
-	writer          recordWriter
+	loader          *persistence.Loader
+	writer          *persistence.Writer
 	dependencyLists dependencyLists
 	lookups         dependencyLookups
 	passes          passState
@@ -56,7 +57,7 @@
 }
 
 func newLeader(c *Core, m election.Leadership) *leader {
-	return &leader{
+	l := &leader{
 		core: c, leadership: m,
 		State:            cluster.NewState(),
 		zoneReachedAt:    map[string]time.Duration{},
@@ -72,6 +73,10 @@
 		outliers:              outlier.New(),
 		provisioningLatencies: bootlatency.New(),
 	}
+	host := persistenceHost{l}
+	l.writer = persistence.NewWriter(c.store, &l.State, host, &c.settings.Deployment, l.termCondition(), c.log)
+	l.loader = persistence.NewLoader(c.store, &l.State, host, l.writer, c.log)
+	return l
 }
 
 func (l *leader) termCondition() wire.Condition {
@@ -80,20 +85,11 @@
 
 // tick does what has become due.
 func (l *leader) tick() {
-	if f := l.loader.retry; f != nil && l.core.now >= l.loader.retryDueAt {
-		l.loader.retry = nil
-		f()
-	}
-	if l.loader.watchRetryDueAt != 0 && l.core.now >= l.loader.watchRetryDueAt {
-		l.loader.watchRetryDueAt = 0
-		l.watchOpenJobs()
-	}
+	l.loader.Tick()
 	if !l.recordsLoaded {
 		return
 	}
-	if l.writer.deferredUntil != 0 && l.core.now >= l.writer.deferredUntil {
-		l.writer.deferredUntil, l.writer.dirty = 0, true
-	}
+	l.writer.Tick()
 	l.tickMachines()
 	l.tickOutliers()
 	l.tickFleet()
@@ -118,5 +114,5 @@
 		l.passes.earliest = l.core.now + l.core.heartbeatInterval()/50
 		l.runPlacementPass()
 	}
-	l.writeRecords()
+	l.writer.Write()
 }
--- /dev/null
+++ b/internal/core/persistence/batch.go
@@ -0,0 +1,342 @@
+package persistence
+
+import (
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// Estimates of the bytes that a write takes in a transaction.
+const (
+	// maxBatchBytes is the size from which a batch takes no further record.
+	maxBatchBytes = 44 << 10
+	// jobEndBytes is what the end of a job takes.
+	jobEndBytes = 400
+	// recordOverhead is what a record takes beside its value.
+	recordOverhead = 300
+)
+
+// jobEndWrites is the number of writes that every end of a job takes: the deletion of the
+// open record and the final record.
+const jobEndWrites = 2
+
+// A batch collects the record writes of one transaction and what is to be done with its
+// outcome.
+type batch struct {
+	*Writer
+	txn         *wire.Txn
+	maxWrites   int
+	namedRanges bool // placement records name their range
+	bytes       int  // estimate of the size
+	incomplete  bool // records that are due were left out
+
+	dependencyConditions int             // conditions on dependencies
+	jobs                 []*cluster.Job  // whose records are written
+	ends                 []wire.JobEnd   // that were committed
+	deletions            int             // orphaned records that are deleted
+	handlers             []func(outcome) // in the order of the writes
+}
+
+// An outcome tells whether a batch was committed.
+type outcome struct {
+	committed bool
+	revision  uint64 // of the records written
+}
+
+// newBatch makes an empty batch under the limits that hold now.
+func (w *Writer) newBatch() *batch {
+	return &batch{
+		Writer:      w,
+		txn:         &wire.Txn{Conditions: []wire.Condition{w.termCondition}},
+		maxWrites:   w.store.MaxWrites(),
+		namedRanges: w.writesNamedRanges(),
+	}
+}
+
+// fill adds the records that are due, ends of jobs ahead of placements.
+func (b *batch) fill() {
+	b.addFinishedEnds()
+	b.host.AddCancelledEnds(b.addEnd)
+	b.addOpenRecords()
+	b.addPlacements()
+	b.addDeletions()
+}
+
+// hasRoom reports whether the batch takes a number of further writes.
+func (b *batch) hasRoom(writes int) bool {
+	if b.singleJobTransactions && !b.empty() {
+		return false
+	}
+	return len(b.txn.Writes)+writes <= b.maxWrites && b.bytes < maxBatchBytes
+}
+
+// reserve is hasRoom for a record that is due: without room, it is left out.
+func (b *batch) reserve(writes int) bool {
+	if b.hasRoom(writes) {
+		return true
+	}
+	b.incomplete = true
+	return false
+}
+
+func (b *batch) empty() bool { return len(b.txn.Writes) == 0 }
+
+// moreDue reports whether records that are due are not in the batch.
+func (b *batch) moreDue() bool { return b.incomplete || len(b.orphans) > b.deletions }
+
+// addCondition makes the batch conditional on the version of a record; 0 is none.
+func (b *batch) addCondition(key string, version uint64) {
+	b.txn.Conditions = append(b.txn.Conditions, wire.Condition{Key: key, Version: version})
+}
+
+// addJob adds a job whose records the batch writes, on the condition that its open record is
+// unchanged.
+func (b *batch) addJob(job *cluster.Job) {
+	b.addCondition(records.OpenKey(job.ID), job.OpenVersion)
+	b.jobs = append(b.jobs, job)
+}
+
+func (b *batch) put(key string, value []byte) {
+	b.txn.Writes = append(b.txn.Writes, wire.Write{Put: key, Value: value})
+}
+
+func (b *batch) delete(key string) {
+	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: key})
+}
+
+// onOutcome has a function called with the outcome, after those that were given before.
+func (b *batch) onOutcome(handle func(outcome)) { b.handlers = append(b.handlers, handle) }
+
+// addFinishedEnds adds the ends of jobs that were not cancelled.
+func (b *batch) addFinishedEnds() {
+	for _, job := range b.state.JobsBySubmission {
+		if !job.Cancellation.Requested() && b.EndRecordable(job) && !b.addEnd(job) {
+			return
+		}
+	}
+}
+
+// addEnd adds the end of a job. It returns false if there is no room for it.
+func (b *batch) addEnd(job *cluster.Job) bool {
+	keys := job.RecordKeys()
+	writes := min(jobEndWrites+len(keys), b.maxWrites) // the rest is deleted afterwards
+	if !b.reserve(writes) {
+		return false
+	}
+	final := records.Final{Status: wire.StatusDone, Tasks: len(job.TaskStates)}
+	if job.Cancellation.Requested() {
+		final.Status = wire.StatusCancelled
+	}
+	b.addJob(job)
+	b.delete(records.OpenKey(job.ID))
+	b.put(records.FinalKey(job.ID), kv.Encode(final))
+	deleted := writes - jobEndWrites
+	for _, key := range keys[:deleted] {
+		b.delete(key)
+	}
+	b.bytes += jobEndBytes
+	job.EndWritePending = true
+	b.onOutcome(func(o outcome) { b.endOutcome(job, final, keys[deleted:], o) })
+	return true
+}
+
+// endOutcome handles the outcome of a job's end. Records that are left over are deleted by
+// later batches.
+func (b *batch) endOutcome(job *cluster.Job, final records.Final, leftOver []string, o outcome) {
+	job.EndWritePending = false
+	if !o.committed {
+		if job.Cancellation.Requested() {
+			b.host.CancelledEndFailed(job)
+		}
+		return
+	}
+	b.log.Info("job ended", "job", job.ID, "status", final.Status)
+	job.EndRecorded = true
+	b.AddOrphans(leftOver...)
+	b.dirty = b.dirty || len(b.orphans) > 0
+	end := wire.JobEnd{ID: job.ID, Status: string(final.Status), Tasks: final.Tasks}
+	b.ends = append(b.ends, end)
+	b.host.JobEnded(job, end)
+}
+
+// addOpenRecords adds the open records of jobs whose dependencies are all done, and of those
+// that have to be written before others.
+func (b *batch) addOpenRecords() {
+	for _, job := range b.state.JobsBySubmission {
+		if !job.RecordsWritable() || job.Cancellation.Requested() {
+			continue
+		}
+		if !job.DependenciesDone && !job.RewriteOpenFirst || !b.mayWriteOpenRecord(job) {
+			continue
+		}
+		if !b.reserve(1) {
+			return
+		}
+		b.addOpenRecord(job)
+	}
+}
+
+// addOpenRecord adds the open record of a job, for which there is room.
+func (b *batch) addOpenRecord(job *cluster.Job) {
+	record := job.Record
+	if job.DependenciesDone {
+		record.ReadyAt = b.host.WallClockMS()
+		b.requireDependenciesOver(job)
+	}
+	body := kv.Encode(record)
+	b.bytes += len(body) + recordOverhead
+	b.addJob(job)
+	b.put(records.OpenKey(job.ID), body)
+	job.OpenWritePending = true
+	b.onOutcome(func(o outcome) { b.openRecordOutcome(job, record, o) })
+}
+
+// requireDependenciesOver makes the batch conditional on the ends of a job's dependencies, which
+// deleted their open records, as far as conditions are left.
+func (b *batch) requireDependenciesOver(job *cluster.Job) {
+	for _, dependency := range job.Dependencies {
+		if b.dependencyConditions >= 2*b.maxWrites-1 {
+			return
+		}
+		b.dependencyConditions++
+		b.addCondition(records.OpenKey(dependency), 0)
+	}
+}
+
+// openRecordOutcome handles the outcome of writing a job's open record.
+func (w *Writer) openRecordOutcome(job *cluster.Job, record records.Open, o outcome) {
+	job.OpenWritePending = false
+	if !o.committed {
+		w.dirty = true
+		return
+	}
+	w.host.OpenRecordWritten(job, record, o.revision)
+	if job.OpenVersion < o.revision {
+		job.OpenVersion, job.Record = o.revision, record
+	}
+	w.host.DependenciesMayBeReady(job)
+	if job.RewriteOpenFirst {
+		job.RewriteOpenFirst, w.dirty = false, true
+		w.switchToNamedRanges(job)
+	}
+}
+
+// addPlacements adds the placement records that have changed.
+func (b *batch) addPlacements() {
+	for _, job := range b.state.JobsBySubmission {
+		if !job.RecordsWritable() || b.inBackoff(job) {
+			continue
+		}
+		if b.namedRanges && !b.mayWriteNamedRanges(job) {
+			b.incomplete = true
+			continue
+		}
+		b.addPlacementsOf(job)
+	}
+}
+
+// addPlacementsOf adds the placement records of a job that are due, as far as there is room.
+func (b *batch) addPlacementsOf(job *cluster.Job) {
+	first := true
+	for i := range job.PlacementRecords {
+		record := &job.PlacementRecords[i]
+		if !record.Dirty || record.VersionUnknown || record.WritePending {
+			continue
+		}
+		if b.host.Now() < record.DueAt {
+			b.schedule(record.DueAt)
+			continue
+		}
+		if !b.reserve(1) {
+			return
+		}
+		if first {
+			first = false
+			b.addJob(job)
+		}
+		b.addPlacement(job, record)
+	}
+}
+
+// addPlacement adds a placement record, for which there is room.
+func (b *batch) addPlacement(job *cluster.Job, record *cluster.PlacementRecord) {
+	body, starts := EncodePlacement(job, record)
+	b.bytes += len(body) + recordOverhead
+	b.addCondition(record.Key, record.Version)
+	b.put(record.Key, body)
+	record.Dirty, record.WritePending, job.PlacementSentThisTerm = false, true, true
+	b.onOutcome(func(o outcome) { b.placementOutcome(job, record, starts, o) })
+}
+
+// placementOutcome handles the outcome of writing a placement record: tasks that it is the
+// first to place are started now.
+func (w *Writer) placementOutcome(job *cluster.Job, record *cluster.PlacementRecord, starts []records.PlacedTask, o outcome) {
+	record.WritePending = false
+	if !o.committed {
+		record.Dirty, record.DueAt, w.dirty = true, 0, true
+		return
+	}
+	record.Version = o.revision
+	for _, start := range starts {
+		if t := &job.TaskStates[start.Task]; t.Machine != nil && t.Attempt == start.Attempt {
+			t.Persisted = true
+		}
+	}
+	w.host.StartTasks(job, starts)
+}
+
+// addDeletions adds deletions of orphaned records, if all else that is due has found room.
+func (b *batch) addDeletions() {
+	for _, key := range b.orphans {
+		if b.incomplete || !b.hasRoom(1) {
+			break
+		}
+		b.delete(key)
+		b.deletions++
+	}
+	if b.deletions > 0 {
+		b.onOutcome(b.deletionsOutcome)
+	}
+}
+
+// deletionsOutcome forgets the orphaned records that were deleted.
+func (b *batch) deletionsOutcome(o outcome) {
+	if o.committed {
+		b.orphans = b.orphans[b.deletions:]
+	}
+}
+
+// onResult handles the result of the transaction.
+func (b *batch) onResult(r kv.TxnResult) {
+	b.transactionOpen = false
+	if b.host.SteppedDown() {
+		return
+	}
+	o := b.outcomeOf(r)
+	b.dirty = b.dirty || !o.committed
+	for _, handle := range b.handlers {
+		handle(o)
+	}
+	b.host.BatchAnswered(b.ends)
+}
+
+// outcomeOf tells whether the batch was committed, and handles the causes if not.
+func (b *batch) outcomeOf(r kv.TxnResult) outcome {
+	switch r.Status {
+	case kv.OK:
+		b.singleJobTransactions = false
+		for _, job := range b.jobs {
+			job.Rejections = 0
+		}
+		return outcome{committed: r.Revision != 0, revision: r.Revision}
+	case kv.Conflict:
+		b.resolveConflicts(r.Conflicts)
+	case kv.Rejected:
+		b.onRejected(b.txn, b.jobs)
+		b.retryLater()
+	case kv.Unanswered, kv.Throttled, kv.Unavailable, kv.Failed, kv.NotFound, kv.Compacted:
+		b.retryLater()
+	}
+	return outcome{}
+}
--- /dev/null
+++ b/internal/core/persistence/writer.go
@@ -0,0 +1,116 @@
+package persistence
+
+import (
+	"log/slog"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// A Writer writes the records of a leader, for one term. One transaction is open at a time, and
+// each is conditional on the term and on the versions of the jobs' open records: a
+// leader that was replaced writes nothing, and of a cancellation and a start only one takes
+// effect.
+type Writer struct {
+	store         *kv.Client
+	state         *cluster.State
+	host          Host
+	deployment    *config.Deployment
+	termCondition wire.Condition
+	log           *slog.Logger
+
+	dirty           bool          // records may be due
+	deferredUntil   time.Duration // when records that were deferred are due; 0 for none
+	transactionOpen bool
+	retryAt         time.Duration // no transaction before, since the last one failed
+	orphans         []string      // keys of records of jobs that are over, to be deleted
+
+	namedRangesAllowed    bool // though not every peer has said that it reads them
+	singleJobTransactions bool // one job a transaction, to find out whose record is rejected
+}
+
+// NewWriter makes a writer of a term.
+func NewWriter(store *kv.Client, state *cluster.State, host Host, deployment *config.Deployment, term wire.Condition, log *slog.Logger) *Writer {
+	return &Writer{store: store, state: state, host: host, deployment: deployment, termCondition: term, log: log}
+}
+
+// MarkDirty has the records looked through for changes with the next Write.
+func (w *Writer) MarkDirty() { w.dirty = true }
+
+// MarkPlacement marks a task's placement record for writing at once.
+func (w *Writer) MarkPlacement(job *cluster.Job, task int) {
+	w.markDue(job.PlacementRecordOf(task), w.host.Now())
+	w.dirty = true
+}
+
+// deferral is for how many heartbeats a placement record is deferred.
+const deferral = 2
+
+// MarkPlacementDeferred marks a task's placement record for writing where nothing is lost with
+// it but the knowledge that the task is over: it is gathered with what follows. The worker
+// remembers an end until it is recorded. Written one by one, the ends of arrays took most of
+// the store's write rate, and their last ones in vain, since the job's own end deletes the
+// record.
+func (w *Writer) MarkPlacementDeferred(job *cluster.Job, task int) {
+	record := job.PlacementRecordOf(task)
+	w.markDue(record, w.host.Now()+deferral*config.Seconds(w.deployment.Workers.ReportS))
+	if job.IsFinished() || job.IsOver() {
+		w.dirty = true
+		return
+	}
+	w.schedule(record.DueAt)
+}
+
+// markDue marks a record for writing at a time, if it is not due before.
+func (w *Writer) markDue(record *cluster.PlacementRecord, at time.Duration) {
+	if !record.Dirty || at < record.DueAt {
+		record.Dirty, record.DueAt = true, at
+	}
+}
+
+// schedule has the records written at a time, if not before.
+func (w *Writer) schedule(at time.Duration) {
+	if w.deferredUntil == 0 || at < w.deferredUntil {
+		w.deferredUntil = at
+	}
+}
+
+// AddOrphans adds keys of records of jobs that are over. They are deleted when all else is
+// written.
+func (w *Writer) AddOrphans(keys ...string) { w.orphans = append(w.orphans, keys...) }
+
+// Tick makes records due that were deferred until now.
+func (w *Writer) Tick() {
+	if w.deferredUntil != 0 && w.host.Now() >= w.deferredUntil {
+		w.deferredUntil, w.dirty = 0, true
+	}
+}
+
+// Write commits what has changed and is due.
+func (w *Writer) Write() {
+	if w.transactionOpen || !w.dirty || w.host.Now() < w.retryAt {
+		return
+	}
+	batch := w.newBatch()
+	batch.fill()
+	w.dirty = batch.moreDue()
+	if batch.empty() {
+		return
+	}
+	w.transactionOpen = true
+	w.store.CommitUrgent(batch.txn, batch.onResult)
+}
+
+// retryLater puts the next transaction off for a moment.
+func (w *Writer) retryLater() { w.retryAt = w.host.Now() + w.host.LeaderLease()/20 }
+
+// EndRecordable reports whether nothing on record keeps a job's end from being recorded.
+func (w *Writer) EndRecordable(job *cluster.Job) bool {
+	if job.EndRecorded || job.OpenVersionUnknown || job.EndWritePending || job.OpenWritePending {
+		return false
+	}
+	return (job.IsFinished() || job.IsOver()) && !job.HasUnknownPlacementVersion() && !w.inBackoff(job)
+}
--- /dev/null
+++ b/internal/core/persistence_host.go
@@ -0,0 +1,143 @@
+package core
+
+import (
+	"slices"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// persistenceHost is the leader as its writer and loader of records see it.
+type persistenceHost struct{ leader *leader }
+
+// Now is the steady time.
+func (h persistenceHost) Now() time.Duration { return h.leader.core.now }
+
+// WallClockMS is the time of day, in ms.
+func (h persistenceHost) WallClockMS() int64 { return h.leader.core.wallClockMS }
+
+// LeaderLease is the duration of the leader's lease.
+func (h persistenceHost) LeaderLease() time.Duration { return h.leader.core.leaderLeaseDuration() }
+
+// SteppedDown reports whether the leader's term is over.
+func (h persistenceHost) SteppedDown() bool { return h.leader.steppedDown }
+
+// PeersReadNamedRanges reports whether every peer reads placement records that name their range.
+func (h persistenceHost) PeersReadNamedRanges() bool {
+	return h.leader.core.allPeersSupport(wire.PeerVersionRanges)
+}
+
+// AddCancelledEnds adds the ends of cancelled jobs to a batch.
+func (h persistenceHost) AddCancelledEnds(add func(*cluster.Job) bool) {
+	h.leader.addCancelledEnds(add)
+}
+
+// CancelledEndFailed is told that the end of a cancelled job was not recorded.
+func (h persistenceHost) CancelledEndFailed(job *cluster.Job) {
+	h.leader.cancelledWithoutDependents = append(h.leader.cancelledWithoutDependents, job)
+}
+
+// JobEnded is told that a job's end is on record.
+func (h persistenceHost) JobEnded(job *cluster.Job, end wire.JobEnd) {
+	h.leader.core.applyEnd(end)
+	h.leader.forget(job)
+	h.leader.dependencyEnded(job.ID, wire.JobState(end.Status))
+}
+
+// JobEndedBefore is told that a job's end was found on record.
+func (h persistenceHost) JobEndedBefore(job *cluster.Job) {
+	h.leader.forget(job)
+	h.leader.lookUpDependency(job.ID)
+}
+
+// BatchAnswered is told that a transaction was answered.
+func (h persistenceHost) BatchAnswered(ends []wire.JobEnd) {
+	h.leader.sendJobEnds(wire.Ends{Over: ends})
+	h.leader.passes.requested = true
+}
+
+// OpenRecordWritten is told that the leader has changed a job's open record.
+func (h persistenceHost) OpenRecordWritten(job *cluster.Job, record records.Open, version uint64) {
+	h.leader.core.cacheOpen(job.ID, &cachedJob{version: version, record: record})
+}
+
+// DependenciesMayBeReady is told that a job's open record has changed.
+func (h persistenceHost) DependenciesMayBeReady(job *cluster.Job) { h.leader.markReady(job) }
+
+// StartTasks starts tasks whose placements are on record now.
+func (h persistenceHost) StartTasks(job *cluster.Job, placed []records.PlacedTask) {
+	h.leader.sendStarts(job, placed)
+}
+
+// OpenRecordRead is told of an open record, new or changed.
+func (h persistenceHost) OpenRecordRead(job string, version uint64, record records.Open) {
+	h.leader.applyOpenRecord(job, version, record)
+}
+
+// PlacementRead is told that a task may be on a machine.
+func (h persistenceHost) PlacementRead(job *cluster.Job, placed records.PlacedTask) {
+	machine := h.leader.machineNamed(placed.Machine)
+	task := &job.TaskStates[placed.Task]
+	task.Attempt, task.Zone, task.Incarnation = placed.Attempt, placed.Zone, placed.Incarnation
+	task.Persisted, task.StartRetransmitted = true, true
+	machine.Zone = placed.Zone
+	h.leader.place(job, placed.Task, machine)
+}
+
+// RecordsLoaded takes up the work of the term.
+func (h persistenceHost) RecordsLoaded() { h.leader.takeUpWork() }
+
+// TermChanged ends the leadership.
+func (h persistenceHost) TermChanged() { h.leader.core.stepDown(stepDownTermChanged) }
+
+// takeUpWork begins to decide, once all records are loaded.
+func (l *leader) takeUpWork() {
+	l.recordsLoaded = true
+	l.recordsLoadedAt = l.core.now
+	l.dependencyLists.nextCleanupAt = l.core.now + l.core.listCleanupInterval()
+	for _, job := range slices.Clone(l.JobsBySubmission) {
+		job.Loaded = true
+		l.resolveDependencies(job)
+	}
+	l.propagateUrgency(l.JobsBySubmission...)
+	waiting := 0
+	for _, job := range l.JobsBySubmission {
+		if job.Waiting {
+			waiting++
+		}
+	}
+	l.core.log.Info("records loaded", "term", l.leadership.Term, "jobs", len(l.Jobs), "waiting", waiting, "machines", len(l.Machines))
+	l.startQuota()
+	l.passes.requested = true
+}
+
+// applyOpenRecord applies an open record, new or changed.
+func (l *leader) applyOpenRecord(id string, version uint64, record records.Open) {
+	job := l.Jobs[id]
+	if job == nil {
+		if final, ok := l.core.users.finalRecords[id]; ok && final.Status != "" {
+			return // an old event of a job that is over
+		}
+		job = l.addJob(id, version, record)
+	}
+	if version < job.OpenVersion {
+		return
+	}
+	job.OpenVersion, job.Record = version, record
+	l.markReady(job)
+	l.recordCancellation(job, record)
+	l.passes.requested = true
+}
+
+// addJob adds a job that was not known.
+func (l *leader) addJob(id string, version uint64, record records.Open) *cluster.Job {
+	job := cluster.NewJob(record, version)
+	job.Loaded = l.recordsLoaded
+	l.writer.InitPlacementRecords(job)
+	l.AddJob(job)
+	l.core.log.Debug("job added", "job", id, "class", job.Class, "team", job.Team, "shape", job.Shape, "tasks", len(job.TaskStates))
+	l.addDependencies(job)
+	return job
+}
--- a/internal/core/pipeline_times_test.go
+++ b/internal/core/pipeline_times_test.go
@@ -51,7 +51,7 @@
 			happened = true
 			harness.core.leader.markDone(leader.Jobs[jobID(1)], 0)
 			harness.intercept = nil
-			leader.writer.dirty = true
+			leader.writer.MarkDirty()
 			harness.step(Tick{}) // the end is recorded first
 		}
 		return carryOut()
--- a/internal/core/placement_pass.go
+++ b/internal/core/placement_pass.go
@@ -284,7 +284,7 @@
 		delete(job.ReschedulingTargets, i)
 		l.place(job, i, machine)
 		machine.BeginPull(job.Image, job.ImageGB, l.core.now)
-		l.markPlacementChanged(job, i, false)
+		l.writer.MarkPlacement(job, i)
 		if machine.ReservedFor == job {
 			if machine.ReservedTasks--; machine.ReservedTasks < 1 {
 				machine.ReservedFor = nil
--- a/internal/core/preempt_test.go
+++ b/internal/core/preempt_test.go
@@ -261,7 +261,7 @@
 	for _, r := range jobs {
 		j := cluster.NewJob(records.Open{Job: r.Job}, 1)
 		j.WithinQuota = r.withinQuota
-		leader.initPlacementRecords(j)
+		leader.writer.InitPlacementRecords(j)
 		for i, name := range r.on {
 			m := leader.Machines[name]
 			j.TaskStates[i] = cluster.Task{Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true, StartRetransmitted: true, State: wire.TaskRunning, RunningSince: leader.core.now - r.ranFor}
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -11,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/core/persistence"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
@@ -51,7 +52,7 @@
 		j.TaskStates[i] = cluster.Task{Attempt: j.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
 		j.NextAttempt++
 		l.place(j, i, l.machineNamed(fmt.Sprintf("n-%s-%06d", j.ID, i)))
-		l.markPlacementChanged(j, i, false)
+		l.writer.MarkPlacement(j, i)
 	}
 }
 
@@ -61,15 +62,15 @@
 	var rec records.Open
 	stdjson.Unmarshal(b.store[records.OpenKey(id)].Value, &rec)
 	l.applyOpenRecord(id, b.store[records.OpenKey(id)].Version, rec)
-	var found []loadedPlacement
+	var found []persistence.LoadedPlacement
 	for _, key := range sortedKeys(b.store) {
-		if r, ok := records.ParsePlacementKey(key, b.core.tasksPerNumberedRecord()); strings.HasPrefix(key, records.PrefixPlacement) && ok && r.Job == id {
+		if r, ok := records.ParsePlacementKey(key, l.writer.TasksPerNumberedRecord()); strings.HasPrefix(key, records.PrefixPlacement) && ok && r.Job == id {
 			var rec records.Placement
 			stdjson.Unmarshal(b.store[key].Value, &rec)
-			found = append(found, loadedPlacement{r, key, b.store[key].Version, rec})
+			found = append(found, persistence.LoadedPlacement{PlacementRange: r, Key: key, Version: b.store[key].Version, Record: rec})
 		}
 	}
-	l.adoptPlacements(l.Jobs[id], found)
+	l.writer.Adopt(l.Jobs[id], found)
 	n := 0
 	for i := range tasks {
 		if l.Jobs[id].TaskStates[i].Machine != nil {
@@ -111,7 +112,7 @@
 				for i := range j.PlacementRecords {
 					ch := &j.PlacementRecords[i]
 					placeAndRecord(l, j, ch.From, ch.To)
-					body, _ := encodePlacementRecord(j, ch)
+					body, _ := persistence.EncodePlacement(j, ch)
 					b.write(ch.Key, "", body)
 					ch.Version, ch.Dirty = b.store[ch.Key].Version, false
 				}
@@ -122,13 +123,15 @@
 			addRecord(b, l, wire.Job{ID: jobID(8)}, nil)
 			addRecord(b, l, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
 			refused := lowerLimits(b, tc.ops, tc.bytes)
-			l.writer.rejectedOnce = b.core.settings.Deployment.Store.Next != nil // as once every controller understands
+			if b.core.settings.Deployment.Store.Next != nil {
+				l.writer.AllowNamedRanges() // as once every controller reads them
+			}
 			for n := range 6 {
 				j := l.Jobs[jobID(n)]
 				for i := 0; i < 300; i += 7 {
 					j.TaskStates[i].Attempt, j.TaskStates[i].Persisted = j.NextAttempt, false
 					j.NextAttempt++
-					l.markPlacementChanged(j, i, false)
+					l.writer.MarkPlacement(j, i)
 				}
 			}
 			l.markDone(l.Jobs[jobID(8)], 0)
@@ -238,7 +241,9 @@
 			placeAndRecord(l, other, 0, 100)
 			b.run(time.Second)
 			refused := lowerLimits(b, 5, 2048)
-			l.writer.rejectedOnce = b.core.settings.Deployment.Store.Next != nil
+			if b.core.settings.Deployment.Store.Next != nil {
+				l.writer.AllowNamedRanges() // as once every controller reads them
+			}
 			placeAndRecord(l, l.Jobs[jobID(3)], 90, 100) // again, elsewhere
 			addRecord(b, l, wire.Job{ID: jobID(4)}, nil)
 			l.markDone(l.Jobs[jobID(1)], 0)
--- a/internal/core/rescheduling_test.go
+++ b/internal/core/rescheduling_test.go
@@ -223,7 +223,7 @@
 	idleMachines(leader, tc.machines, "g4", 40)
 	running := bindRunning(leader, tc.running)
 	job := cluster.NewJob(records.Open{Job: tc.job}, 2)
-	leader.initPlacementRecords(job)
+	leader.writer.InitPlacementRecords(job)
 	waiting := &candidate{job: job, pending: job.UnplacedTasks(), preemptionPriority: job.Level}
 	leader.newPlacementPass().placeCandidate(waiting)
 	var to []string
--- a/internal/core/team_limit_test.go
+++ b/internal/core/team_limit_test.go
@@ -168,7 +168,7 @@
 	lower := addJob(leader, wire.Job{ID: "job-3", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, GPUs: 2, MemGB: 1})
 	p := leader.newPlacementPass()
 	for _, j := range []*cluster.Job{gang, lower} {
-		leader.initPlacementRecords(j)
+		leader.writer.InitPlacementRecords(j)
 		p.placeCandidate(&candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level})
 	}
 	if stopped := stoppedTasks(running); len(stopped) != 1 {
--- a/internal/core/zone_loss_test.go
+++ b/internal/core/zone_loss_test.go
@@ -14,7 +14,7 @@
 func zoneLossLeader(t testing.TB, machines int) *leader {
 	leader := busyFleet(t, machines)
 	for i, j := range leader.JobsBySubmission {
-		leader.initPlacementRecords(j)
+		leader.writer.InitPlacementRecords(j)
 		j.SpreadZones = i%2 == 0
 		if i%3 == 2 {
 			leader.setPriority(j, 0)
@@ -50,7 +50,7 @@
 // fillMachines has tasks of the lowest priority take the room that is left on all machines.
 func fillMachines(l *leader) {
 	j := addJob(l, wire.Job{ID: "job-888888", Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, CPUs: 1, MemGB: 1, Tasks: 3 * len(l.MachinesByName), CheckpointIntervalS: 30, CheckpointDurationS: 3})
-	l.initPlacementRecords(j)
+	l.writer.InitPlacementRecords(j)
 	for i := range j.TaskStates {
 		l.place(j, i, l.MachinesByName[i/3])
 		j.TaskStates[i].State, j.TaskStates[i].Observed, j.TaskStates[i].Persisted, j.TaskStates[i].StartRetransmitted = wire.TaskRunning, true, true, true
