--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,7 +1,13 @@
-// Package core is the controllers' state machine. It takes inputs (a request,
-// a peer's message, a call's result, a tick) and returns what to answer, call
-// and send. It owns no clock, goroutine or socket, and map order has no effect
-// on what it does.
+// Package core is the state machine of a controller. Step takes one input (a request, a peer's
+// message, the result of a call, a tick) and returns what to answer, call and send. It owns no
+// clock, goroutine or socket, and map order has no effect on what it does: the same inputs at
+// the same times lead to the same outputs.
+//
+// Core is what every controller has: the front end for users, forwarding of heartbeats, the
+// election. leader is what only the leader has, for one term: the state of jobs and machines
+// (package cluster), reconciliation, scheduling, provisioning and persistence. internal/node
+// runs a core on sockets, internal/sim in virtual time. docs/architecture.md shows the way
+// of a request through it.
 package core
 
 import (
@@ -21,25 +27,24 @@
 	settings         *config.Settings
 	operatorSettings *config.Operator
 	log              *slog.Logger
-	incarnation      uint64
-	now              time.Duration
-	wallClockMS      int64 // ms, time of day
-	out              Output
+	incarnation      uint64        // differs from that of any other run of the program
+	now              time.Duration // steady time of the present step
+	wallClockMS      int64         // time of day of the present step, in ms
+	out              Output        // of the present step
 
-	pendingCalls       map[uint64]func(Result)
+	pendingCalls       map[uint64]func(Result) // what handles the result, by the call's ID
 	nextCall           uint64
-	nextDependencyList uint64 // attempts to write a long list of awaited jobs
+	nextDependencyList uint64 // numbers the attempts to write a long list of dependencies
 
-	machineTypes            map[string]*wire.MachineType
+	machineTypes            map[string]*wire.MachineType // by name, as the cloud last listed them
 	machineTypesRequestedAt time.Duration
-	machineTypesGeneration  int // answers that the types were read from
+	machineTypesGeneration  int // counts the answers that the types were taken from
 	machineTypesRequested   bool
-	machineTypesStored      string
+	machineTypesStored      string // the list as it was last written to the store
 
 	users    frontEnd
 	election *election.Election
-
-	store *kv.Client
+	store    *kv.Client
 
 	peers  map[string]*peerState
 	leader *leader // nil on a follower
@@ -65,8 +70,8 @@
 	version     int // highest PeerVersion that it has said
 }
 
-// New makes a core. The logger may be nil; boot has to differ from that of any
-// other run of the program.
+// New makes the core of a controller. The operators' settings and the logger may be nil. The
+// incarnation has to differ from that of any other run of the program.
 func New(settings *config.Settings, operatorSettings *config.Operator, incarnation uint64, log *slog.Logger) *Core {
 	if operatorSettings == nil {
 		operatorSettings = &config.Operator{}
@@ -75,7 +80,10 @@
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
 	}
 	c := &Core{
-		settings: settings, operatorSettings: operatorSettings, log: log, incarnation: incarnation,
+		settings:            settings,
+		operatorSettings:    operatorSettings,
+		log:                 log,
+		incarnation:         incarnation,
 		pendingCalls:        map[uint64]func(Result){},
 		machineTypes:        map[string]*wire.MachineType{},
 		peers:               map[string]*peerState{},
@@ -90,8 +98,8 @@
 	return c
 }
 
-// Step feeds one input at the steady time now and the time of day wall, and
-// returns what it leads to.
+// Step applies one input at a steady time, which does not go back, and a time of day. It
+// returns what the input leads to.
 func (c *Core) Step(now time.Duration, wall time.Time, in Input) Output {
 	c.logProcessPause(now)
 	if now > c.now {
@@ -101,16 +109,16 @@
 	c.out = Output{}
 	in.apply(c)
 	if c.leader != nil {
-		// Decisions wait for the next tick, so that no report's answer is late
-		// behind one; what they have changed is recorded at once.
+		// Decisions wait for the next tick, so that no answer to a heartbeat is
+		// delayed by one; what they have changed is recorded at once.
 		_, tick := in.(Tick)
 		c.leader.decideAndRecord(tick)
 	}
 	return c.out
 }
 
-// Evaluations counts the machines that this core's decisions evaluated while it
-// has led: what they cost, independent of any clock.
+// Evaluations counts the machines that scheduling passes of the present term have evaluated: a
+// measure of their cost that does not depend on a clock. It is 0 on a follower.
 func (c *Core) Evaluations() int {
 	if c.leader == nil {
 		return 0
@@ -118,6 +126,7 @@
 	return c.leader.passes.evaluations
 }
 
+// onTick does what has become due.
 func (c *Core) onTick() {
 	c.election.Tick()
 	c.tickMachineTypes()
@@ -134,6 +143,7 @@
 	}
 }
 
+// call makes a call; done handles its result.
 func (c *Core) call(request Call, done func(Result)) {
 	c.nextCall++
 	request.ID = c.nextCall
@@ -141,6 +151,8 @@
 	c.out.Calls = append(c.out.Calls, request)
 }
 
+// answer answers a request. A nil value stands for an empty object; retryAfter is in seconds, 0
+// for none.
 func (c *Core) answer(requestID uint64, status int, value any, retryAfter int) {
 	body := []byte("{}")
 	if value != nil {
@@ -149,14 +161,17 @@
 	c.out.Answers = append(c.out.Answers, Answer{ID: requestID, Status: status, Body: body, RetryAfter: retryAfter})
 }
 
+// workerLease is how long a worker keeps its tasks without an answer to a heartbeat.
 func (c *Core) workerLease() time.Duration {
 	return config.Seconds(c.settings.Deployment.Workers.LeaseS)
 }
+
+// heartbeatInterval is the time between two heartbeats of a worker, plus or minus a quarter.
 func (c *Core) heartbeatInterval() time.Duration {
 	return config.Seconds(c.settings.Deployment.Workers.ReportS)
 }
 
-// sortedKeys returns a map's keys in order, so that no map order shows.
+// sortedKeys returns a map's keys in order, so that map order has no effect.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -15,53 +15,63 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leader is the state of the controller that decides, for one term.
+// leader is what a controller has while it leads, for one term. Nothing of it outlives the
+// term: the next leader rebuilds it from the records and from heartbeats.
 type leader struct {
-	core          *Core
-	leadership    election.Leadership
-	steppedDown   bool // the term is over
-	recordsLoaded bool // the records are loaded
+	core        *Core
+	leadership  election.Leadership
+	steppedDown bool // the term is over: results that come later have no effect
 
 	cluster.State
-	returnedMachines map[string]time.Duration // machines the cloud has taken back for certain
 
-	recordsLoadedAt time.Duration
+	// Persistence.
 	loader          *persistence.Loader
 	writer          *persistence.Writer
-	dependencyLists dependencyLists
-	lookups         dependencyLookups
-	passes          passState
-	teamUsage       teamUsage
-
-	openProbes    int                      // probes under way
-	zoneReachedAt map[string]time.Duration // when a machine of a zone last answered or reported to us directly
+	recordsLoaded   bool
+	recordsLoadedAt time.Duration
 
-	cancelledJobs              map[string]*cluster.Job // cancelled jobs whose end is not recorded
-	cancelledWithoutDependents []*cluster.Job          // of them, those that may be without dependents
+	// Dependencies and cancellation.
 	dependencies               *depgraph.Graph
+	dependencyLists            dependencyLists
+	lookups                    dependencyLookups
+	cancelledJobs              map[string]*cluster.Job // whose ends are not on record
+	cancelledWithoutDependents []*cluster.Job          // of them, those that may have no dependents left
+
+	// Reconciliation.
+	openProbes     int
+	zoneReachedAt  map[string]time.Duration // when a machine of a zone last answered or sent a heartbeat here
+	outliers       *outlier.Detector
+	pullStatistics pullEvidence
 
-	quota          *quota.Manager            // shares limits with other regions; nil if that is off
-	regionDemands  map[string]balance.Demand // what the last plan found, by team
-	quotaLoadRetry func()                    // reads records again that could not be read
-	quotaRetryAt   time.Duration
-	reservations   reservationCache
+	// Scheduling and quotas.
+	passes          passState
+	teamUsage       teamUsage
+	bestEffortTeams map[string]bool // teams without a guarantee beside teams with one
+	quota           *quota.Manager  // shares limits with other regions; nil if that is off
+	regionDemands   map[string]balance.Demand
+	quotaLoadRetry  func() // reads quota records again that could not be read
+	quotaRetryAt    time.Duration
+	reservations    reservationCache
 
+	// Provisioning.
 	fleet                 fleet
-	controllersOutgrown   bool                          // the fleet is larger than the controllers carry, see checkFleetSize
-	bestEffortTeams       map[string]bool               // teams without a guarantee beside others with one
-	arrivalsByClass       map[string]*classArrivals     // by class
-	runTimesByClass       map[string]*forecast.RunTimes // by class
-	pullStatistics        pullEvidence
-	outliers              *outlier.Detector
+	returnedMachines      map[string]time.Duration // when the cloud confirmed their return
+	controllersOutgrown   bool                     // the fleet is larger than the controllers carry, see checkFleetSize
+	arrivalsByClass       map[string]*classArrivals
+	runTimesByClass       map[string]*forecast.RunTimes
 	provisioningLatencies *bootlatency.History
 }
 
-func newLeader(c *Core, m election.Leadership) *leader {
+// newLeader makes the leader of a term that was won. It decides nothing before its records are
+// loaded.
+func newLeader(c *Core, leadership election.Leadership) *leader {
 	l := &leader{
-		core: c, leadership: m,
-		State:            cluster.NewState(),
-		zoneReachedAt:    map[string]time.Duration{},
-		returnedMachines: map[string]time.Duration{}, cancelledJobs: map[string]*cluster.Job{},
+		core:                  c,
+		leadership:            leadership,
+		State:                 cluster.NewState(),
+		zoneReachedAt:         map[string]time.Duration{},
+		returnedMachines:      map[string]time.Duration{},
+		cancelledJobs:         map[string]*cluster.Job{},
 		dependencies:          depgraph.New(),
 		lookups:               dependencyLookups{dueAt: map[string]time.Duration{}},
 		dependencyLists:       dependencyLists{unread: map[string]time.Duration{}},
@@ -79,6 +89,7 @@
 	return l
 }
 
+// termCondition is the condition that no later term has begun. Every write of a leader has it.
 func (l *leader) termCondition() wire.Condition {
 	return wire.Condition{Key: election.KeyTerm, Version: l.leadership.TermVersion}
 }
@@ -103,8 +114,8 @@
 	}
 }
 
-// decideAndRecord runs after every input: decisions first, where it is time for them,
-// then the records they need.
+// decideAndRecord runs after every input: a scheduling pass first, where it is time for one and
+// the input allows it, then the records that are due.
 func (l *leader) decideAndRecord(mayDecide bool) {
 	if l.steppedDown || !l.recordsLoaded {
 		return
--- a/internal/core/records/dependency_list.go
+++ b/internal/core/records/dependency_list.go
@@ -5,18 +5,24 @@
 	"strings"
 )
 
+// PrefixDependencyList is the prefix of the keys of dependency lists: a/JOB/TOKEN/N. The token
+// differs for each attempt to submit a job.
 const PrefixDependencyList = "a/"
 
-// DependencyListRef refers to a list that is spread over records.
+// DependencyListRef refers to a list of dependencies that is spread over records, since it does
+// not fit into the open record of its job.
 type DependencyListRef struct {
 	Prefix  string // of the records' keys: a/JOB/TOKEN/
 	Records int
 }
 
+// String is the reference as it stands in an open record, in place of the list.
 func (r DependencyListRef) String() string { return r.Prefix + strconv.Itoa(r.Records) }
 
+// Key is the key of the nth record.
 func (r DependencyListRef) Key(n int) string { return r.Prefix + strconv.Itoa(n) }
 
+// Keys are the keys of all records.
 func (r DependencyListRef) Keys() []string {
 	keys := make([]string, r.Records)
 	for n := range keys {
@@ -25,16 +31,16 @@
 	return keys
 }
 
-// ParseDependencyListRef returns the reference that an open record's list of awaited jobs
-// consists of, if it is not the list itself.
-func ParseDependencyListRef(awaits []string) (DependencyListRef, bool) {
-	if len(awaits) != 1 || !strings.HasPrefix(awaits[0], PrefixDependencyList) {
+// ParseDependencyListRef returns the reference that stands in place of an open record's list of
+// dependencies; false if the record has the list itself.
+func ParseDependencyListRef(dependencies []string) (DependencyListRef, bool) {
+	if len(dependencies) != 1 || !strings.HasPrefix(dependencies[0], PrefixDependencyList) {
 		return DependencyListRef{}, false
 	}
-	slash := strings.LastIndexByte(awaits[0], '/')
-	n, err := strconv.Atoi(awaits[0][slash+1:])
+	slash := strings.LastIndexByte(dependencies[0], '/')
+	n, err := strconv.Atoi(dependencies[0][slash+1:])
 	if err != nil || n < 1 {
 		return DependencyListRef{}, false
 	}
-	return DependencyListRef{Prefix: awaits[0][:slash+1], Records: n}, true
+	return DependencyListRef{Prefix: dependencies[0][:slash+1], Records: n}, true
 }
--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -1,11 +1,11 @@
-// Package records defines what controllers keep in the state service: its keys and the
-// values of its records. Versions share them: keys and JSON names never change, see
+// Package records defines the keys and values that controllers keep in the key-value store, and
+// nothing else. Versions of the program share them: keys and JSON names never change, see
 // compat_test.go of internal/core.
 //
-// An open job has one record that only its submission, its cancellation and its end
-// change; a final one has a small record that never changes. Finishing moves it in one
-// transaction, so a reader that looks at the open record first and the final one second
-// misses nothing.
+// An open job has one record, which only its submission, its cancellation, its readiness and
+// its end change; a job that is over has a small final record that never changes. One
+// transaction replaces the first by the second, so a reader that reads the open record first
+// and the final one second misses nothing.
 package records
 
 import (
@@ -22,7 +22,7 @@
 	PrefixPlacement = "p/"
 )
 
-// KeyTypes holds the machine types last seen.
+// KeyTypes is the key of the machine types that the cloud last listed.
 const KeyTypes = "types"
 
 // OpenKey is the key of a job's open record.
@@ -31,7 +31,7 @@
 // FinalKey is the key of a job's final record.
 func FinalKey(job string) string { return PrefixFinal + job }
 
-// Jobs returns the ids of the jobs that keys of records belong to.
+// Jobs returns the ids of the jobs that keys of open or final records belong to.
 func Jobs(keys []string) map[string]bool {
 	ids := make(map[string]bool, len(keys))
 	for _, key := range keys {
@@ -43,29 +43,29 @@
 // Open is the value of an open job's record.
 type Open struct {
 	Job         wire.Job `json:"j"`
-	SubmittedAt int64    `json:"at"` // ms, time of day of the submission
+	SubmittedAt int64    `json:"at"` // time of day, in ms
 	Cancelled   bool     `json:"c,omitempty"`
 	// CancelRequestedAt is the time of day, in ms, at which the user asked to cancel: the
-	// tasks are stopped, but nobody is told before they are gone.
+	// tasks are stopped, but it is not acknowledged before they have terminated.
 	CancelRequestedAt int64 `json:"ak,omitempty"`
-	// CancelAcknowledgedAt is the time of day, in ms, at which the user was about to be
-	// told: cancel_s runs from it, whoever leads.
+	// CancelAcknowledgedAt is the time of day, in ms, at which the cancellation was about to
+	// be acknowledged: cancel_s counts from it, whoever leads.
 	CancelAcknowledgedAt int64 `json:"ca,omitempty"`
-	// HasDependents tells that another job awaits this one.
+	// HasDependents is set once another job depends on this one.
 	HasDependents bool `json:"nd,omitempty"`
-	// ReadyAt is the time of day, in ms, at which all jobs that it awaited were
-	// done; before that none of its tasks may be placed.
+	// ReadyAt is the time of day, in ms, at which all dependencies were done; before that
+	// none of its tasks may be placed. 0 for a job that waits, or has no dependencies.
 	ReadyAt int64 `json:"ra,omitempty"`
 }
 
-// Acknowledged tells whether the user may have been told that the job is cancelled.
+// Acknowledged reports whether the user may have been told that the job is cancelled.
 func (r *Open) Acknowledged() bool {
 	return r.Cancelled && (r.CancelAcknowledgedAt != 0 || r.CancelRequestedAt == 0)
 }
 
-// Reduced is an open record of a cancelled job without what only matters to one that
-// is to run: so that a cancellation request can be recorded where the service has come
-// to take less than the description.
+// Reduced is the open record of a cancelled job without what only matters to one that is to run:
+// so a cancellation can be recorded where the store does not take the whole description any
+// more.
 func (r Open) Reduced() Open {
 	j := r.Job
 	if len(j.Class) > maxReducedClassName {
@@ -80,13 +80,13 @@
 // maxReducedClassName is how long a class's name may be to stay in a reduced record.
 const maxReducedClassName = 64
 
-// Final is the value of an ended job's record, which is never changed.
+// Final is the value of the record of a job that is over, which is never changed.
 type Final struct {
 	Status wire.JobState `json:"s"`
 	Tasks  int           `json:"n"`
 }
 
-// JobStatus is what the job's user is told.
+// JobStatus is the answer to the job's user.
 func (f Final) JobStatus(job string) wire.JobStatus {
 	s := wire.JobStatus{ID: job, Status: f.Status}
 	if f.Status == wire.StatusDone {
@@ -95,8 +95,8 @@
 	return s
 }
 
-// Placement is the value of a placement record: which of a range of a job's tasks may be
-// on which machine.
+// Placement is the value of a placement record: which tasks of a range may be on which machine,
+// and which are done.
 type Placement struct {
 	NextAttempt uint64       `json:"n"` // the job's next attempt
 	Done        []int        `json:"d,omitempty"`
@@ -108,8 +108,8 @@
 	Task    int    `json:"i"`
 	Attempt uint64 `json:"a"`
 	Machine string `json:"m"`
-	// Zone counts for spread and one-zone jobs while a new leader has not
-	// heard the machine yet.
+	// Zone counts for jobs spread over zones or bound to one, while a new leader has had no
+	// heartbeat of the machine.
 	Zone        string `json:"z"`
 	Incarnation uint64 `json:"s"`
 }
@@ -130,8 +130,8 @@
 	return PrefixPlacement + job + "/" + strconv.Itoa(from) + "-" + strconv.Itoa(to)
 }
 
-// ParsePlacementKey tells which tasks a placement record covers; perNumber is how many a
-// numbered one does. It is false for a key that is none of a placement record.
+// ParsePlacementKey returns which tasks a placement record covers; perNumber is how many a
+// numbered one does. It returns false for any other key.
 func ParsePlacementKey(key string, perNumber int) (PlacementRange, bool) {
 	job, part, found := strings.Cut(strings.TrimPrefix(key, PrefixPlacement), "/")
 	if !found {
--- a/internal/core/job.go
+++ b/internal/core/task_accounting.go
@@ -5,7 +5,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// place makes a task count on a machine.
+// place makes a task count on a machine: with what it uses there, and in its team's limit.
 func (l *leader) place(j *cluster.Job, i int, m *cluster.Machine) {
 	t := &j.TaskStates[i]
 	t.Machine = m
@@ -18,7 +18,7 @@
 	j.TasksPlaced++
 }
 
-// unplace ends the counting of a task. Only gone.go decides to call it.
+// unplace ends the counting of a task. termination.go alone decides when it may.
 func (l *leader) unplace(j *cluster.Job, i int) {
 	t := &j.TaskStates[i]
 	m := t.Machine
@@ -40,7 +40,7 @@
 	l.passes.requested = true
 }
 
-// markDone notes that a task is done for certain.
+// markDone records that a task is certainly done.
 func (l *leader) markDone(j *cluster.Job, i int) {
 	if !j.TaskStates[i].Done {
 		j.TaskStates[i].Done = true
@@ -49,29 +49,30 @@
 	}
 }
 
-// forget drops a job whose end is recorded. Copies of its tasks that still
-// count on machines stay bound until they are certainly gone.
+// forget drops a job whose end is on record. Copies of its tasks that still count on machines
+// do so until they have certainly terminated.
 func (l *leader) forget(j *cluster.Job) {
 	l.DropJob(j)
 	delete(l.cancelledJobs, j.ID)
 	delete(l.dependencyLists.unread, j.ID)
 	l.outliers.ForgetJob(j.ID)
-	var before []string
-	l.dependencies.EachAwaited(j.ID, func(a string) { before = append(before, a) })
+	var dependencies []string
+	l.dependencies.EachAwaited(j.ID, func(a string) { dependencies = append(dependencies, a) })
 	l.dependencies.Drop(j.ID)
-	for _, a := range before {
-		if x := l.Jobs[a]; x != nil && x.Cancellation.Requested() && !l.dependencies.Needed(a) {
-			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, x)
+	for _, id := range dependencies {
+		if dependency := l.Jobs[id]; dependency != nil && dependency.Cancellation.Requested() && !l.dependencies.Needed(id) {
+			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, dependency)
 			l.writer.MarkDirty()
 		}
 	}
-	if !j.Cancellation.Requested() { // else they were told when it was cancelled
-		l.recomputeUrgency(before)
+	if !j.Cancellation.Requested() { // else they were updated when it was cancelled
+		l.recomputeUrgency(dependencies)
 	}
 	l.passes.requested = true
 }
 
-// jobCounts lists the unfinished jobs' counts for the other controllers.
+// jobCounts lists the counts of unfinished jobs for the other controllers, which answer users'
+// queries with them.
 func (l *leader) jobCounts() []wire.JobCount {
 	out := make([]wire.JobCount, 0, len(l.JobsBySubmission))
 	for _, j := range l.JobsBySubmission {
@@ -82,7 +83,7 @@
 	return out
 }
 
-// jobCount tells how many tasks of a job are done and running.
+// jobCount counts the tasks of a job that are done and running.
 func (l *leader) jobCount(j *cluster.Job) wire.JobCount {
 	n := wire.JobCount{ID: j.ID, Done: j.TasksDone}
 	if j.TasksPlaced == 0 {
@@ -96,7 +97,7 @@
 	return n
 }
 
-// jobCountByID is jobCount for a job by its name; nothing for an unknown one.
+// jobCountByID is jobCount for a job by its id; zero for one that is not known.
 func (l *leader) jobCountByID(id string) wire.JobCount {
 	if j := l.Jobs[id]; j != nil {
 		return l.jobCount(j)
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -1,9 +1,9 @@
 package wire
 
-// Controllers of two versions exchange these messages during an upgrade. Gob
-// sends the names of types and fields and drops what the receiver's type lacks:
-// those of the types below never change; fields may be added. compat_test.go
-// holds them.
+// Controllers of two versions exchange these messages during an upgrade. Gob sends the names
+// of types and fields and drops what the receiver's type lacks: those of the types below never
+// change, whatever terms the rest of the program uses; fields may be added. compat_test.go
+// checks them.
 
 // PeerMessage is what one controller sends another: a stream of gob values,
 // each behind a four-byte length, over one connection per direction. Exactly
@@ -32,7 +32,7 @@
 	PeerVersionLists  = 2
 )
 
-// Forward hands a worker's report to the leader as it came.
+// Forward passes a worker's heartbeat on to the leader as it came.
 type Forward struct {
 	ID   uint64
 	Body []byte
@@ -45,13 +45,12 @@
 	Body   []byte
 }
 
-// Digest is sent by every controller to the others several times within the
-// leader's lease: who it takes for the leader, whether it hears that one, and
-// whether the state service answers it. Now and then the leader adds its jobs'
-// counts for display.
+// Digest is sent by every controller to its peers several times per leader lease: the highest
+// term that it knows, whether it hears the leader, and whether the key-value store answers it.
+// Once per lease the leader adds its jobs' counts for display.
 type Digest struct {
-	// Version is that of what the sender understands, see PeerVersion; 0 of
-	// controllers that came before it was said.
+	// Version is the sender's PeerVersion; 0 for versions of the program before there was
+	// one.
 	Version     int
 	Term        uint64
 	Leader      bool
@@ -59,36 +58,36 @@
 	StoreOK     bool
 	HasJobs     bool
 	Jobs        []JobCount
-	// More tells that Jobs goes on from the digest before.
+	// More is set if Jobs continues those of the digest before.
 	More bool
-	// FetchesQueue tells, in a leader's digest, that machines fetch one image after
-	// the other, as far as the leader has seen.
+	// FetchesQueue is set in a leader's digest if machines pull one image after the other, as
+	// far as the leader has observed.
 	FetchesQueue bool
-	// Boot tells one run of the sender's process from another. Clock is the
-	// sender's steady clock at this digest, in nanoseconds; EchoBoot and Echo
-	// are those of the newest digest that the sender has from the receiver.
+	// Boot is the sender's incarnation. Clock is its steady clock at this digest, in
+	// nanoseconds; EchoBoot and Echo are those of the newest digest that the sender has from
+	// the receiver.
 	Boot, EchoBoot uint64
 	Clock, Echo    int64
-	// Kept lists the workers whose leases the sender has lately extended while
-	// it could not reach the leader.
+	// Kept lists the workers whose leases the sender has extended lately, while it could not
+	// reach the leader.
 	Kept []Kept
-	// Cancelled lists the jobs whose cancellation this controller has recorded
-	// and not told yet: the leader must stop their tasks even if it cannot read
-	// the state service meanwhile, and answers with Ends.
+	// Cancelled lists the jobs whose cancellation this controller has recorded and not yet
+	// acknowledged to their users: the leader must stop their tasks even if it cannot read
+	// the store meanwhile, and answers with Ends.
 	Cancelled []Cancelled
 }
 
-// Ends is the leader's word on jobs that end or are to end.
+// Ends is sent by the leader on jobs that have ended or are cancelled.
 type Ends struct {
-	// Over lists jobs whose end is recorded for good.
+	// Over lists jobs whose end is on record.
 	Over []JobEnd
-	// Gone lists cancelled jobs none of whose tasks is left, though the leader
-	// has not recorded their end. It holds if the term key still has this
-	// version: no later leader can have started any of them.
+	// Gone lists cancelled jobs whose tasks have all terminated, though the leader has not
+	// recorded their end. It is valid if the term key still has TermVersion: then no later
+	// leader can have started any task of them.
 	Gone        []string
 	TermVersion uint64
-	// Held lists cancelled jobs whose tasks are out of reach: their users had
-	// better come back later.
+	// Held lists cancelled jobs with tasks on unreachable machines: their users are asked to
+	// retry later.
 	Held []string
 }
 
--- a/wire/store.go
+++ b/wire/store.go
@@ -2,10 +2,11 @@
 
 import "encoding/json"
 
-// The JSON names below are the state service's, see compat_test.go of
-// internal/core: they never change when a field is renamed.
+// The JSON names below are those of the key-value store's protocol, see compat_test.go of
+// internal/core: they never change when a field is renamed. Package internal/kv alone speaks
+// that protocol.
 
-// Item is a key of the state service with its value.
+// Item is a key of the store with its value.
 type Item struct {
 	Key     string          `json:"k"`
 	Value   json.RawMessage `json:"v"`
@@ -34,7 +35,7 @@
 	Lease  uint64          `json:"permit,omitempty"`
 }
 
-// Txn is an atomic conditional transaction.
+// Txn is a compare-and-swap of several keys: all writes are carried out if all conditions hold.
 type Txn struct {
 	Conditions []Condition `json:"if"`
 	Writes     []Write     `json:"writes"`
@@ -46,12 +47,12 @@
 	Revision  uint64   `json:"logline"`
 }
 
-// GrantRequest asks for a lease of the state service.
+// GrantRequest asks for a lease of the store.
 type GrantRequest struct {
 	TTLMs int `json:"ttlMs"`
 }
 
-// Grant is a lease of the state service.
+// Grant is a lease of the store. Keys attached to it are deleted when it expires.
 type Grant struct {
 	Lease uint64 `json:"permit"`
 }
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,12 +1,13 @@
-// Package wire holds the JSON types of every protocol that brookwalk speaks,
-// and the messages its controllers exchange. Field names follow the standard
-// terms of the field; the tags carry the names the protocol uses.
+// Package wire holds the JSON types of every protocol that brookwalk speaks, and the messages
+// that its controllers exchange. Clients may import it. Names in Go are the field's terms; the
+// tags carry the names of the protocols, and nothing else in the program knows them.
 package wire
 
-// Shape tells how the tasks of a job belong together.
+// Shape is how the tasks of a job belong together.
 type Shape string
 
-// Job shapes.
+// Job shapes: independent tasks, tasks that run at the same time or not at all, and replicas
+// that run until the job is cancelled.
 const (
 	ShapeArray   Shape = "array"
 	ShapeGang    Shape = "group"
@@ -35,10 +36,10 @@
 	StatusCancelled JobState = "withdrawn"
 )
 
-// TaskState is the state of a task on its machine.
+// TaskState is the state of a task as its worker reports it.
 type TaskState string
 
-// Task states in a worker's report.
+// Task states in a heartbeat.
 const (
 	TaskPulling       TaskState = "pulling"
 	TaskWaiting       TaskState = "waiting"
@@ -47,7 +48,7 @@
 	TaskExited        TaskState = "ended"
 )
 
-// ExitCause tells why a task has exited.
+// ExitCause is why a task has exited.
 type ExitCause string
 
 // Causes of a task's exit.
@@ -82,22 +83,21 @@
 	Shape               Shape    `json:"shape"`
 	Priority            Priority `json:"urgency"`
 	Tasks               int      `json:"shards"`
-	CPUs                float64  `json:"cpus"`
-	GPUs                float64  `json:"accelerators"`
-	MemGB               float64  `json:"memGb"`
+	CPUs                float64  `json:"cpus"` // of each task
+	GPUs                float64  `json:"accelerators"` // of each task
+	MemGB               float64  `json:"memGb"` // of each task
 	Image               string   `json:"bundle"`
 	ImageGB             float64  `json:"pullGb"`
-	MachineTypes        []string `json:"hulls,omitempty"`
-	Zone                string   `json:"berth,omitempty"`
-	OneZone             bool     `json:"together,omitempty"`
-	SpreadZones         bool     `json:"apart,omitempty"`
-	AllowSpot           bool     `json:"standby,omitempty"`
-	EstimatedRunS       float64  `json:"guessS"`
-	CheckpointIntervalS float64  `json:"markS"`
-	CheckpointDurationS float64  `json:"stowS"`
-	DeadlineS           *float64 `json:"dueS,omitempty"`
-	// Dependencies names the jobs that have to be done before any task of this one
-	// starts.
+	MachineTypes        []string `json:"hulls,omitempty"` // allowed; any if empty
+	Zone                string   `json:"berth,omitempty"` // the only one allowed; any if empty
+	OneZone             bool     `json:"together,omitempty"` // all tasks in the same zone
+	SpreadZones         bool     `json:"apart,omitempty"` // at most half of the tasks, rounded up, in one zone
+	AllowSpot           bool     `json:"standby,omitempty"` // may run on spot machines
+	EstimatedRunS       float64  `json:"guessS"` // of a task, by its owner; 0 for services
+	CheckpointIntervalS float64  `json:"markS"` // 0: no checkpoints
+	CheckpointDurationS float64  `json:"stowS"` // to save one when stopped
+	DeadlineS           *float64 `json:"dueS,omitempty"` // seconds from the submission; nil for none
+	// Dependencies names the jobs that have to be done before any task of this one starts.
 	Dependencies []string `json:"awaits,omitempty"`
 }
 
@@ -109,26 +109,28 @@
 	Running int      `json:"running"`
 }
 
-// Heartbeat is what a worker sends, and the body of its answers to commands.
+// Heartbeat is what a worker sends periodically, and the body of its answers to direct commands
+// and probes: the state of all tasks on its machine, exited ones included.
 type Heartbeat struct {
 	Machine           string       `json:"host"`
 	Addr              string       `json:"endpoint"`
 	Type              string       `json:"hull"`
 	Zone              string       `json:"berth"`
 	Spot              bool         `json:"standby"`
-	Incarnation       uint64       `json:"watch"`
-	Sequence          uint64       `json:"tally"`
-	FencingToken      uint64       `json:"helm"`
-	PreemptionNoticeS *float64     `json:"warningS"`
+	Incarnation       uint64       `json:"watch"`    // counts the worker's lease expiries, from 1
+	Sequence          uint64       `json:"tally"`    // counts its messages
+	FencingToken      uint64       `json:"helm"`     // highest one that it has heard
+	PreemptionNoticeS *float64     `json:"warningS"` // seconds until the cloud takes the machine; nil without a notice
 	Tasks             []TaskStatus `json:"shards"`
 }
 
-// NewerThan tells whether r was made after the message (session, seq).
+// NewerThan reports whether h was made after the message with an incarnation and a sequence
+// number.
 func (h *Heartbeat) NewerThan(incarnation, sequence uint64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
 
-// TaskStatus is one task in a report.
+// TaskStatus is the state of one attempt at a task in a heartbeat.
 type TaskStatus struct {
 	Task         string    `json:"shard"`
 	Attempt      uint64    `json:"launch"`
@@ -137,7 +139,7 @@
 	Checkpointed bool      `json:"kept,omitempty"`
 }
 
-// Command is one order to a worker.
+// Command is one command to a worker.
 type Command struct {
 	Verb         Verb     `json:"verb"`
 	Task         string   `json:"shard"`
@@ -145,14 +147,14 @@
 	GracePeriodS *float64 `json:"respiteS,omitempty"`
 }
 
-// CommandList answers a report, or goes to a worker's command address.
+// CommandList answers a heartbeat, or goes directly to a worker.
 type CommandList struct {
 	FencingToken uint64    `json:"helm"`
 	Incarnation  uint64    `json:"watch,omitempty"`
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect is the body of a 421.
+// Redirect is the body of a 421: it names the controller to send heartbeats to.
 type Redirect struct {
 	Controller string `json:"bridge,omitempty"`
 }
@@ -185,7 +187,7 @@
 	Count int    `json:"count"`
 }
 
-// MachineNames is the answer to a rental and the body of a return.
+// MachineNames is the answer to a ProvisionRequest, and the body of a return of machines.
 type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
