--- a/wire/wire.go
+++ b/wire/wire.go
@@ -83,20 +83,20 @@
 	Shape               Shape    `json:"shape"`
 	Priority            Priority `json:"urgency"`
 	Tasks               int      `json:"shards"`
-	CPUs                float64  `json:"cpus"` // of each task
+	CPUs                float64  `json:"cpus"`         // of each task
 	GPUs                float64  `json:"accelerators"` // of each task
-	MemGB               float64  `json:"memGb"` // of each task
+	MemGB               float64  `json:"memGb"`        // of each task
 	Image               string   `json:"bundle"`
 	ImageGB             float64  `json:"pullGb"`
-	MachineTypes        []string `json:"hulls,omitempty"` // allowed; any if empty
-	Zone                string   `json:"berth,omitempty"` // the only one allowed; any if empty
+	MachineTypes        []string `json:"hulls,omitempty"`    // allowed; any if empty
+	Zone                string   `json:"berth,omitempty"`    // the only one allowed; any if empty
 	OneZone             bool     `json:"together,omitempty"` // all tasks in the same zone
-	SpreadZones         bool     `json:"apart,omitempty"` // at most half of the tasks, rounded up, in one zone
-	AllowSpot           bool     `json:"standby,omitempty"` // may run on spot machines
-	EstimatedRunS       float64  `json:"guessS"` // of a task, by its owner; 0 for services
-	CheckpointIntervalS float64  `json:"markS"` // 0: no checkpoints
-	CheckpointDurationS float64  `json:"stowS"` // to save one when stopped
-	DeadlineS           *float64 `json:"dueS,omitempty"` // seconds from the submission; nil for none
+	SpreadZones         bool     `json:"apart,omitempty"`    // at most half of the tasks, rounded up, in one zone
+	AllowSpot           bool     `json:"standby,omitempty"`  // may run on spot machines
+	EstimatedRunS       float64  `json:"guessS"`             // of a task, by its owner; 0 for services
+	CheckpointIntervalS float64  `json:"markS"`              // 0: no checkpoints
+	CheckpointDurationS float64  `json:"stowS"`              // to save one when stopped
+	DeadlineS           *float64 `json:"dueS,omitempty"`     // seconds from the submission; nil for none
 	// Dependencies names the jobs that have to be done before any task of this one starts.
 	Dependencies []string `json:"awaits,omitempty"`
 }
