--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/wake"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -182,34 +183,38 @@
 	}
 }
 
-func (a *activator) storeCall(method, path string, body []byte, timeout time.Duration, done wake.Answer) {
+func (a *activator) storeCall(method, path string, body []byte, timeout time.Duration, done func(kv.Response)) {
 	a.world.storeCalls++
 	a.recordAction(method, path, string(body), timeout)
 	a.call("state", timeout, func(reply func(func())) {
-		a.world.store.handle(a.name, method, path, body, func(status int, answer []byte) { reply(func() { done(status, answer) }) })
-	}, func() { done(0, nil) })
+		a.world.store.handle(a.name, method, path, body, func(status int, answer []byte) {
+			reply(func() { done(kv.Response{Number: status, Body: answer}) })
+		})
+	}, func() { done(kv.Response{}) })
 }
 
-func (a *activator) List(prefix string, done wake.Answer) {
-	a.storeCall("GET", "/store?under="+prefix, nil, callTimeout, done)
+func (a *activator) List(prefix string, done func(kv.ListResult)) {
+	a.storeCall("GET", "/store?under="+prefix, nil, callTimeout, func(r kv.Response) { done(kv.ParseList(r)) })
 }
 
-func (a *activator) Commit(txn *wire.Txn, done wake.Answer) {
+func (a *activator) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	body, _ := json.Marshal(txn)
-	a.storeCall("POST", "/commit", body, callTimeout, done)
+	a.storeCall("POST", "/commit", body, callTimeout, func(r kv.Response) { done(kv.ParseTxn(r)) })
 }
 
-func (a *activator) Grant(ttl time.Duration, done wake.Answer) {
+func (a *activator) Grant(ttl time.Duration, done func(kv.GrantResult)) {
 	body, _ := json.Marshal(wire.GrantRequest{TTLMs: int(ttl / time.Millisecond)})
-	a.storeCall("POST", "/grants", body, callTimeout, done)
+	a.storeCall("POST", "/grants", body, callTimeout, func(r kv.Response) { done(kv.ParseGrant(r)) })
 }
 
-func (a *activator) Extend(lease uint64, done wake.Answer) {
-	a.storeCall("POST", fmt.Sprintf("/grants/%d/extend", lease), nil, callTimeout, done)
+func (a *activator) Renew(lease uint64, done func(kv.Status)) {
+	path := fmt.Sprintf("/grants/%d/extend", lease)
+	a.storeCall("POST", path, nil, callTimeout, func(r kv.Response) { done(kv.StatusOf(r.Number)) })
 }
 
-func (a *activator) Watch(prefix string, since uint64, done wake.Answer) {
-	a.storeCall("GET", fmt.Sprintf("/changes?under=%s&since=%d&holdMs=20000", prefix, since), nil, 22*time.Second, done)
+func (a *activator) Watch(prefix string, since uint64, done func(kv.WatchResult)) {
+	path := fmt.Sprintf("/changes?under=%s&since=%d&holdMs=20000", prefix, since)
+	a.storeCall("GET", path, nil, 22*time.Second, func(r kv.Response) { done(kv.ParseWatch(r)) })
 }
 
 func (a *activator) Command(server string, c wake.Command, done func(wake.ReplicaStatus)) {
--- /dev/null
+++ b/internal/wake/activator/models.go
@@ -0,0 +1,65 @@
+package activator
+
+import (
+	"net/url"
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/internal/wake"
+	"github.com/segmentio/encoding/json"
+)
+
+// Command sends an owner's command to a model server. An answer that cannot be decoded counts
+// as none.
+func (s *Server) Command(server string, command wake.Command, done func(wake.ReplicaStatus)) {
+	s.call(s.clientFor(server), methodPost, "/copy", kv.Encode(command), s.callTimeout(), func(status int, body []byte) {
+		var replica wake.ReplicaStatus
+		if status != httpstatus.OK || json.Unmarshal(body, &replica) != nil {
+			replica = wake.ReplicaStatus{State: wake.ReplicaUnreachable}
+		}
+		done(replica)
+	})
+}
+
+// Forward sends a request to a model server, as soon as the number of connections permits.
+func (s *Server) Forward(server string, request *wake.Request, done func(wake.Outcome, []byte)) {
+	client, timeout := s.clientFor(server), request.Deadline-s.Now()
+	go func() {
+		outcome, body := s.forward(client, request, timeout)
+		s.withLock(func() { done(outcome, body) })
+	}()
+}
+
+// forward blocks until a model server has answered a request or the time is over.
+func (s *Server) forward(client *httpwire.Client, request *wake.Request, timeout time.Duration) (wake.Outcome, []byte) {
+	deadline := time.Now().Add(timeout)
+	if !s.forwardSlots.Acquire(timeout) {
+		return wake.OutcomeRejected, nil
+	}
+	defer s.forwardSlots.Release()
+	path := "/ask/" + url.PathEscape(request.Model) + "/" + url.PathEscape(request.IdempotencyKey)
+	response, err := client.Do(methodPost, path, request.Body, time.Until(deadline))
+	if err != nil {
+		return wake.OutcomeUnknown, nil
+	}
+	switch response.Status {
+	case httpstatus.OK:
+		return wake.OutcomeServed, response.Body
+	case httpstatus.Conflict: // no replica takes it
+		return wake.OutcomeRejected, nil
+	default:
+		return wake.OutcomeUnknown, nil
+	}
+}
+
+// clientFor is the client of a model server. It is called with the state machine locked.
+func (s *Server) clientFor(address string) *httpwire.Client {
+	client := s.modelServers[address]
+	if client == nil {
+		client = &httpwire.Client{Addr: address, MaxIdle: maxIdleConnections}
+		s.modelServers[address] = client
+	}
+	return client
+}
--- a/internal/wake/activator/process_test.go
+++ b/internal/wake/activator/process_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/BurntSushi/toml"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/loopback/loopbacktest"
 )
@@ -25,33 +26,44 @@
 	return program
 }
 
-// settingsFor writes the settings of a controller whose state service is at an address.
-func settingsFor(t *testing.T, dir, name, state string) string {
+// writeSettings writes the settings of a controller whose key-value store is at an address, and
+// returns the file's path.
+func writeSettings(t *testing.T, dir, name, store string) string {
 	t.Helper()
-	cfg := config.Settings{Name: name, Zone: "a", Listen: "127.0.0.1:1", PeerListen: "127.0.0.1:2",
-		External: config.External{Store: state, Cloud: state},
-		Deployment: config.Deployment{Size: 1, Zones: []string{"a"}, Teams: []config.Team{{Name: "t"}},
-			Workers: config.WorkerTimings{ReportS: 1, LeaseS: 10, GangWaitS: 10, GangPeerS: 5, CancelS: 20},
-			Store:   config.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16}, Cloud: config.CloudLimits{RPS: 1},
-			MachineLimits: config.MachineLimits{CPU: 1, RAMMB: 100, MaxConnections: 100}}}
-	return writeTOML(t, filepath.Join(dir, name+".toml"), cfg)
+	settings := config.Settings{
+		Name:       name,
+		Zone:       "a",
+		Listen:     "127.0.0.1:1",
+		PeerListen: "127.0.0.1:2",
+		External:   config.External{Store: store, Cloud: store},
+		Deployment: config.Deployment{
+			Size:          1,
+			Zones:         []string{"a"},
+			Teams:         []config.Team{{Name: "t"}},
+			Workers:       config.WorkerTimings{ReportS: 1, LeaseS: 10, GangWaitS: 10, GangPeerS: 5, CancelS: 20},
+			Store:         config.StoreLimits{RPS: 100, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+			Cloud:         config.CloudLimits{RPS: 1},
+			MachineLimits: config.MachineLimits{CPU: 1, RAMMB: 100, MaxConnections: 100},
+		},
+	}
+	return writeTOML(t, filepath.Join(dir, name+".toml"), settings)
 }
 
-func writeTOML(t *testing.T, path string, v any) string {
+func writeTOML(t *testing.T, path string, value any) string {
 	t.Helper()
-	f, err := os.Create(path)
+	file, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
-	if err := toml.NewEncoder(f).Encode(v); err != nil {
+	defer file.Close()
+	if err := toml.NewEncoder(file).Encode(value); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
-// TestWakeByProcesses runs the command wake as three processes. The one that drives the wake
-// is killed in the middle: the copy that it started serves everybody.
+// TestWakeByProcesses runs the command wake as three processes, two of which are killed while the
+// replica loads: the one replica that was started serves all requests.
 func TestWakeByProcesses(t *testing.T) {
 	t.Parallel()
 	program, dir := buildProgram(t), t.TempDir()
@@ -59,20 +71,24 @@
 	registry := writeTOML(t, filepath.Join(dir, "wake.toml"), cluster.registry)
 	var processes []*exec.Cmd
 	addresses := loopbacktest.Addresses(t, len(cluster.storeProxies))
-	for i, s := range cluster.storeProxies {
-		addr := addresses[i]
-		process := exec.Command(program, "wake", "--config", settingsFor(t, dir, fmt.Sprint("node-", i), s.Addr()),
-			"--registry", registry, "--listen", addr, "--patience", requestTimeout.String())
+	for i, store := range cluster.storeProxies {
+		settings := writeSettings(t, dir, fmt.Sprint("node-", i), store.Addr())
+		process := exec.Command(program, "wake", "--config", settings,
+			"--registry", registry, "--listen", addresses[i], "--patience", requestTimeout.String())
 		if err := process.Start(); err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { process.Process.Kill(); process.Wait() })
-		processes, cluster.addresses = append(processes, process), append(cluster.addresses, addr)
+		t.Cleanup(func() {
+			process.Process.Kill() // it may have been killed already
+			process.Wait()
+		})
+		processes = append(processes, process)
 	}
+	cluster.addresses = addresses
 	var clients sync.WaitGroup
 	for i := range 60 {
 		clients.Go(func() {
-			if answers, status := cluster.request(i, fmt.Sprint("k", i)); answers != 1 || status != 200 {
+			if answers, status := cluster.request(i, fmt.Sprint("k", i)); answers != 1 || status != httpstatus.OK {
 				t.Errorf("k%d got %d answers, status %d", i, answers, status)
 			}
 		})
@@ -80,12 +96,12 @@
 	for began := time.Now(); cluster.replicaStarts() == 0 && time.Since(began) < 10*time.Second; {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// Whichever drives, two of three are killed one after the other while it loads.
+	// Whichever owns the replica, two of three are killed one after the other while it loads.
 	processes[0].Process.Kill()
 	time.Sleep(300 * time.Millisecond)
 	processes[1].Process.Kill()
 	clients.Wait()
 	if n := cluster.replicaStarts(); n != 1 {
-		t.Errorf("%d copies were started", n)
+		t.Errorf("%d replicas were started", n)
 	}
 }
--- /dev/null
+++ b/internal/wake/activator/store.go
@@ -0,0 +1,56 @@
+package activator
+
+import (
+	"net/url"
+	"strconv"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// The requests below differ from those of kv.Client in their timeouts, in that List reads all
+// keys at once, and in that an empty list of a transaction is sent as null.
+
+// List reads all keys below a prefix.
+func (s *Server) List(prefix string, done func(kv.ListResult)) {
+	path := "/store?under=" + url.QueryEscape(prefix)
+	s.callStore(methodGet, path, nil, func(r kv.Response) { done(kv.ParseList(r)) })
+}
+
+// Commit carries out a transaction.
+func (s *Server) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
+	s.callStore(methodPost, "/commit", kv.Encode(txn), func(r kv.Response) { done(kv.ParseTxn(r)) })
+}
+
+// Grant asks for a lease.
+func (s *Server) Grant(ttl time.Duration, done func(kv.GrantResult)) {
+	body := kv.Encode(wire.GrantRequest{TTLMs: int(ttl / time.Millisecond)})
+	s.callStore(methodPost, "/grants", body, func(r kv.Response) { done(kv.ParseGrant(r)) })
+}
+
+// Renew renews a lease.
+func (s *Server) Renew(lease uint64, done func(kv.Status)) {
+	path := "/grants/" + strconv.FormatUint(lease, 10) + "/extend"
+	s.callStore(methodPost, path, []byte("{}"), func(r kv.Response) { done(kv.StatusOf(r.Number)) })
+}
+
+// Watch waits for changes below a prefix after a revision.
+func (s *Server) Watch(prefix string, since uint64, done func(kv.WatchResult)) {
+	path := "/changes?under=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(since, 10) +
+		"&holdMs=" + strconv.Itoa(int(s.watchHold()/time.Millisecond))
+	s.call(s.watchStore, methodGet, path, nil, s.watchHold()+s.callTimeout(), func(status int, body []byte) {
+		done(kv.ParseWatch(kv.Response{Number: status, Body: body}))
+	})
+}
+
+// watchHold is how long the store holds a watch open without changes. An activator that was
+// partitioned meanwhile learns of it after that time at most.
+func (s *Server) watchHold() time.Duration { return s.leases(2) }
+
+// callStore calls the store.
+func (s *Server) callStore(method, path string, body []byte, done func(kv.Response)) {
+	s.call(s.store, method, path, body, s.callTimeout(), func(status int, body []byte) {
+		done(kv.Response{Number: status, Body: body})
+	})
+}
--- a/internal/wake/controller_test.go
+++ b/internal/wake/controller_test.go
@@ -6,78 +6,79 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// fakeBackends are a state service, model servers and a process that answer at once, unless told not to.
+// fakeBackends is a store, model servers and a host that answer at once, unless told not to.
 type fakeBackends struct {
 	now          time.Duration
 	items        map[string]wire.Item
 	revision     uint64
 	dropRenewals bool   // renewals of leases get no answer
-	beforeCommit func() // is called before each transaction is carried out
+	beforeCommit func() // is called before each transaction
 	conflicts    int    // transactions whose conditions did not hold
 	commands     []Command
 }
 
-func (p *fakeBackends) List(_ string, done Answer) {
-	page := wire.Page{Revision: p.revision}
-	for _, it := range p.items {
-		page.Items = append(page.Items, it)
+func newFakeBackends() *fakeBackends {
+	return &fakeBackends{items: map[string]wire.Item{}, revision: 1}
+}
+
+func (f *fakeBackends) List(_ string, done func(kv.ListResult)) {
+	page := wire.Page{Revision: f.revision}
+	for _, item := range f.items {
+		page.Items = append(page.Items, item)
 	}
-	body, _ := json.Marshal(page)
-	done(storeOK, body)
+	done(kv.ListResult{Status: kv.OK, Page: page})
 }
 
-func (p *fakeBackends) Commit(txn *wire.Txn, done Answer) {
-	if p.beforeCommit != nil {
-		p.beforeCommit()
+func (f *fakeBackends) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
+	if f.beforeCommit != nil {
+		f.beforeCommit()
 	}
-	for _, c := range txn.Conditions {
-		if p.items[c.Key].Version != c.Version {
-			p.conflicts++
-			body, _ := json.Marshal(wire.TxnResult{Conflicts: []string{c.Key}, Revision: p.revision})
-			done(storeConflict, body)
+	for _, condition := range txn.Conditions {
+		if f.items[condition.Key].Version != condition.Version {
+			f.conflicts++
+			done(kv.TxnResult{Status: kv.Conflict, Revision: f.revision, Conflicts: []string{condition.Key}})
 			return
 		}
 	}
-	p.revision++
-	for _, w := range txn.Writes {
-		p.items[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Version: p.revision}
+	f.revision++
+	for _, write := range txn.Writes {
+		f.items[write.Put] = wire.Item{Key: write.Put, Value: write.Value, Version: f.revision}
 	}
-	body, _ := json.Marshal(wire.TxnResult{Revision: p.revision})
-	done(storeOK, body)
+	done(kv.TxnResult{Status: kv.OK, Revision: f.revision})
 }
 
-func (p *fakeBackends) Grant(_ time.Duration, done Answer) {
-	body, _ := json.Marshal(wire.Grant{Lease: 1})
-	done(storeOK, body)
+func (f *fakeBackends) Grant(_ time.Duration, done func(kv.GrantResult)) {
+	done(kv.GrantResult{Status: kv.OK, Lease: 1})
 }
 
-func (p *fakeBackends) Extend(_ uint64, done Answer) {
-	if !p.dropRenewals {
-		done(storeOK, nil)
+func (f *fakeBackends) Renew(_ uint64, done func(kv.Status)) {
+	if !f.dropRenewals {
+		done(kv.OK)
 	}
 }
 
-func (p *fakeBackends) Watch(string, uint64, Answer) {}
+func (f *fakeBackends) Watch(string, uint64, func(kv.WatchResult)) {}
 
-func (p *fakeBackends) Command(_ string, c Command, done func(ReplicaStatus)) {
-	p.commands = append(p.commands, c)
+func (f *fakeBackends) Command(_ string, command Command, done func(ReplicaStatus)) {
+	f.commands = append(f.commands, command)
 	done(ReplicaStatus{State: ReplicaLoading})
 }
 
-func (p *fakeBackends) Forward(string, *Request, func(Outcome, []byte)) {}
-func (p *fakeBackends) Now() time.Duration                              { return p.now }
-func (p *fakeBackends) Reply(uint64, Reply)                             {}
+func (f *fakeBackends) Forward(string, *Request, func(Outcome, []byte)) {}
+func (f *fakeBackends) Now() time.Duration                              { return f.now }
+func (f *fakeBackends) Reply(uint64, Reply)                             {}
 
 // put writes a key as another controller would.
-func (p *fakeBackends) put(key string, value any) {
-	p.revision++
-	p.items[key] = wire.Item{Key: key, Value: encode(value), Version: p.revision}
+func (f *fakeBackends) put(key string, value any) {
+	f.revision++
+	f.items[key] = wire.Item{Key: key, Value: kv.Encode(value), Version: f.revision}
 }
 
-// newTestController makes a controller of one model over ports.
+// newTestController makes a controller of one model.
 func newTestController(t *testing.T, backends *fakeBackends) *Controller {
 	t.Helper()
 	registry, err := ParseRegistry("lease_s = 4\ncopy_lease_s = 12\nmax_waking = 2\nmax_waiting = 10\n" +
@@ -88,43 +89,45 @@
 	return New("node-0", 1, registry, backends, backends, backends, slog.New(slog.DiscardHandler))
 }
 
-// TestTakeoverRequiresOwnerKeyGone has the driver of a copy come back between the moment at
-// which its key was seen to be gone and the takeover: the driver keeps the copy.
+// TestTakeoverRequiresOwnerKeyGone lets the owner of a replica return between the moment at which
+// its key was seen to be gone and the takeover: the owner keeps the replica.
 func TestTakeoverRequiresOwnerKeyGone(t *testing.T) {
-	backends := &fakeBackends{items: map[string]wire.Item{}, revision: 1}
+	backends := newFakeBackends()
 	backends.put(modelKey("a"), Record{Phase: PhaseAwake, Epoch: 3, Owner: "node-1", Incarnation: 7, Server: "gpu-0"})
 	controller := newTestController(t, backends)
-	back := false
+	returned := false
 	backends.beforeCommit = func() {
-		if controller.registered() && !back {
-			back = true
+		if controller.registered() && !returned {
+			returned = true
 			backends.put(controllerKey("node-1"), registration{Incarnation: 7})
 		}
 	}
 	controller.Tick()
 	backends.now += time.Second
 	controller.Tick()
-	if !back {
-		t.Fatal("nothing was taken over")
+	if !returned {
+		t.Fatal("no takeover was attempted")
 	}
 	var record Record
-	json.Unmarshal(backends.items[modelKey("a")].Value, &record)
+	if err := json.Unmarshal(backends.items[modelKey("a")].Value, &record); err != nil {
+		t.Fatal(err)
+	}
 	if record.Owner != "node-1" || record.Epoch != 3 || backends.conflicts == 0 {
-		t.Errorf("the copy went to %s under epoch %d although its driver is alive", record.Owner, record.Epoch)
+		t.Errorf("%s owns the replica under epoch %d although the previous owner is alive", record.Owner, record.Epoch)
 	}
 }
 
-// TestOwnerStopsOnceLeaseMayHaveExpired has a driver get no word of its lease's renewal: it commands the
-// copy's server until the lease may have run out by its own clock, and no longer, since another
-// controller may have taken over by then.
+// TestOwnerStopsOnceLeaseMayHaveExpired leaves the renewals of an owner's lease unanswered: it
+// commands the model server until the lease may have expired by its own clock, and no longer,
+// since another controller may have taken over by then.
 func TestOwnerStopsOnceLeaseMayHaveExpired(t *testing.T) {
-	backends := &fakeBackends{items: map[string]wire.Item{}, revision: 1}
+	backends := newFakeBackends()
 	controller := newTestController(t, backends)
 	controller.Tick()
 	controller.Handle(&Request{ID: 1, Model: "a", IdempotencyKey: "k", Deadline: time.Hour})
 	controller.Tick()
 	if len(backends.commands) == 0 {
-		t.Fatal("the copy's server got no command")
+		t.Fatal("the model server got no command")
 	}
 	backends.dropRenewals = true
 	for backends.now < controller.leaseDuration() {
@@ -137,6 +140,20 @@
 		controller.Tick()
 	}
 	if n := len(backends.commands) - before; n > 0 {
-		t.Errorf("%d commands after the lease may have run out", n)
+		t.Errorf("%d commands after the lease may have expired", n)
+	}
+}
+
+// TestMalformedRecord lists a record that cannot be decoded: its version is known, so that the
+// next write replaces it.
+func TestMalformedRecord(t *testing.T) {
+	backends := newFakeBackends()
+	backends.items[modelKey("a")] = wire.Item{Key: modelKey("a"), Value: []byte("{"), Version: 1}
+	controller := newTestController(t, backends)
+	controller.Tick()
+	controller.Handle(&Request{ID: 1, Model: "a", IdempotencyKey: "k", Deadline: time.Hour})
+	var record Record
+	if err := json.Unmarshal(backends.items[modelKey("a")].Value, &record); err != nil || record.Owner != "node-0" {
+		t.Errorf("the record is %+v, %v", record, err)
 	}
 }
--- a/internal/wake/ports.go
+++ b/internal/wake/ports.go
@@ -3,64 +3,62 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Answer is called with the status and body of an answer of the state service; status 0 if
-// none came.
-type Answer func(status int, body []byte)
-
-// Store is the state service. Its answers come later.
+// Store is the key-value store. Each call is answered later, by its callback.
 type Store interface {
-	// List reads all keys below a prefix: a wire.Page.
-	List(prefix string, done Answer)
+	// List reads all keys below a prefix.
+	List(prefix string, done func(kv.ListResult))
 	// Commit carries out a transaction.
-	Commit(txn *wire.Txn, done Answer)
-	// Grant asks for a lease, Extend renews it.
-	Grant(ttl time.Duration, done Answer)
-	Extend(lease uint64, done Answer)
-	// Watch waits for changes below a prefix after a revision: wire.Changes, or 410 if they
-	// are no longer known.
-	Watch(prefix string, since uint64, done Answer)
+	Commit(txn *wire.Txn, done func(kv.TxnResult))
+	// Grant asks for a lease.
+	Grant(ttl time.Duration, done func(kv.GrantResult))
+	// Renew renews a lease; NotFound means that it has expired.
+	Renew(lease uint64, done func(kv.Status))
+	// Watch waits for changes below a prefix after a revision.
+	Watch(prefix string, since uint64, done func(kv.WatchResult))
 }
 
-// ReplicaState is what a model server says of a model's copy.
+// ReplicaState is the state of a model's replica as its model server reports it.
 type ReplicaState string
 
-// The states of a copy on a server. Unreached stands for no answer.
+// The states of a replica. ReplicaUnreachable stands for a server that did not answer.
 const (
 	ReplicaAbsent      ReplicaState = "none"
 	ReplicaLoading     ReplicaState = "loading"
 	ReplicaReady       ReplicaState = "ready"
 	ReplicaClosed      ReplicaState = "closed" // takes no further requests
-	ReplicaFailed      ReplicaState = "failed" // the load failed; there is none any more
-	ReplicaFenced      ReplicaState = "fenced" // a later epoch has been heard: nothing was done
+	ReplicaFailed      ReplicaState = "failed" // the load failed, and the replica is gone
+	ReplicaFenced      ReplicaState = "fenced" // the server knows a later epoch and did nothing
 	ReplicaUnreachable ReplicaState = ""
 )
 
-// ReplicaStatus is a model server's answer to its driver.
+// ReplicaStatus is a model server's answer to a command.
 type ReplicaStatus struct {
 	State ReplicaState `json:"state"`
-	// StartToken allows one start, for as long as a copy's lease, by the server's clock.
+	// StartToken permits one start, for as long as a replica's lease, by the server's clock.
 	StartToken  uint64  `json:"ticket,omitempty"`
-	InFlight    int     `json:"busy"`   // requests under way
-	IdleSeconds float64 `json:"idle_s"` // since its last request, in seconds
+	InFlight    int     `json:"busy"`   // requests that are being served
+	IdleSeconds float64 `json:"idle_s"` // since the last request
 }
 
-// Verb is what a driver asks of a model server.
+// Verb is what a command asks of a model server.
 type Verb string
 
-// The verbs of drivers. Each renews the copy's lease and fences earlier epochs. Start needs
-// the ticket that a Look without a copy has given, so that one that is late or comes twice
-// never starts a copy; it changes nothing where there is one.
+// The verbs of commands. Each command renews the replica's lease and fences earlier epochs. A
+// start needs the token that a probe has returned where there is no replica, so that a start
+// that is late or repeated never starts a second replica; it does nothing where there is one.
 const (
 	VerbProbe Verb = "look"
 	VerbStart Verb = "start"
 	VerbClose Verb = "close"
-	VerbStop  Verb = "stop" // ends a closed copy without requests under way
+	VerbStop  Verb = "stop" // ends a closed replica that serves no request
 )
 
-// Command is a driver's command to a model server.
+// Command is a command of a replica's owner to the model server.
 type Command struct {
 	Verb       Verb   `json:"verb"`
 	Model      string `json:"model"`
@@ -68,32 +66,35 @@
 	StartToken uint64 `json:"ticket,omitempty"`
 }
 
-// Outcome is what became of a request that was handed to a copy.
+// Outcome is what became of a request that was forwarded to a replica.
 type Outcome int
 
-// The outcomes. After OutcomeRejected the copy certainly has not begun it; Unknown is no answer: the
-// request is asked again under its key, and the copy answers it once.
+// The outcomes. After OutcomeRejected the replica has certainly not begun the request. After
+// OutcomeUnknown, when no answer came, the request is forwarded again under its idempotency
+// key, and the replica serves it once.
 const (
 	OutcomeServed Outcome = iota
 	OutcomeRejected
 	OutcomeUnknown
 )
 
-// ModelServers are the model servers. Their answers come later.
+// ModelServers are the servers that run replicas. Each call is answered later, by its callback.
 type ModelServers interface {
-	Command(server string, c Command, done func(ReplicaStatus))
-	Forward(server string, r *Request, done func(Outcome, []byte))
+	// Command sends a command to a server.
+	Command(server string, command Command, done func(ReplicaStatus))
+	// Forward sends a request to the replica on a server.
+	Forward(server string, request *Request, done func(outcome Outcome, body []byte))
 }
 
-// Status is how a request ended.
+// Status is how a request ended, as a status number of HTTP.
 type Status int
 
 // The final answers.
 const (
-	StatusServed      Status = 200
-	StatusNotFound    Status = 404 // no such model
-	StatusUnavailable Status = 503 // come back after RetryAfterSeconds
-	StatusTimeout     Status = 504 // its time is over
+	StatusServed      Status = httpstatus.OK
+	StatusNotFound    Status = httpstatus.NotFound           // no such model
+	StatusUnavailable Status = httpstatus.ServiceUnavailable // to be repeated after RetryAfterSeconds
+	StatusTimeout     Status = httpstatus.GatewayTimeout
 )
 
 // Reply is the one final answer to a request.
@@ -108,5 +109,5 @@
 	// Now is the steady time.
 	Now() time.Duration
 	// Reply gives a request its final answer.
-	Reply(id uint64, r Reply)
+	Reply(id uint64, reply Reply)
 }
--- a/internal/wake/queue.go
+++ b/internal/wake/queue.go
@@ -6,47 +6,49 @@
 type Request struct {
 	ID             uint64 // of the connection that waits for the answer
 	Model          string
-	IdempotencyKey string // the client's own; a repeated request has the same one
+	IdempotencyKey string // chosen by the client; a repeated request has the same one
 	Body           []byte
-	Deadline       time.Duration // when its client gives up, by the controller's clock
+	Deadline       time.Duration // when the client gives up, by the controller's clock
 }
 
-// queue holds the requests that wait for a model, in the order in which they came. Its
-// length is bounded.
+// queue holds the requests that wait for a model, in order of arrival. Its length is bounded.
 type queue struct {
 	limit    int
 	requests []*Request
 }
 
-// push adds a request; false if the line is full.
-func (l *queue) push(r *Request) bool {
-	if len(l.requests) >= l.limit {
+// push appends a request. It reports false if the queue is full.
+func (q *queue) push(request *Request) bool {
+	if len(q.requests) >= q.limit {
 		return false
 	}
-	l.requests = append(l.requests, r)
+	q.requests = append(q.requests, request)
 	return true
 }
 
-// pushFront puts a request that was under way first again. It had its place already.
-func (l *queue) pushFront(r *Request) { l.requests = append([]*Request{r}, l.requests...) }
+// pushFront returns a request that was forwarded to the head of the queue. The limit does not
+// apply: the request was counted when it arrived.
+func (q *queue) pushFront(request *Request) {
+	q.requests = append([]*Request{request}, q.requests...)
+}
 
-// drain takes all requests out of the line.
-func (l *queue) drain() []*Request {
-	all := l.requests
-	l.requests = nil
+// drain removes and returns all requests.
+func (q *queue) drain() []*Request {
+	all := q.requests
+	q.requests = nil
 	return all
 }
 
-// removeExpired takes out the requests whose clients give up now.
-func (l *queue) removeExpired(now time.Duration) []*Request {
+// removeExpired removes and returns the requests whose deadlines have passed.
+func (q *queue) removeExpired(now time.Duration) []*Request {
 	var expired, left []*Request
-	for _, request := range l.requests {
+	for _, request := range q.requests {
 		if now >= request.Deadline {
 			expired = append(expired, request)
 		} else {
 			left = append(left, request)
 		}
 	}
-	l.requests = left
+	q.requests = left
 	return expired
 }
--- a/internal/wake/record.go
+++ b/internal/wake/record.go
@@ -1,16 +1,16 @@
-// Package wake has any number of controllers agree that a sleeping model wakes exactly
-// once, and hands every request that waits for it to that one copy.
+// Package wake implements scale from zero: any number of controllers agree that a sleeping
+// model, one without a replica, is started exactly once, and every request that waits for it
+// is served by that one replica.
 //
-// Which controller drives a model's copy is on record in the state service, under an epoch
-// that every change of driver raises. The model servers refuse what comes under an older
-// epoch, so a driver that stood still or was cut off can do no harm when it goes on. The
-// package is a state machine: requests, ticks and answers in; calls and replies out. It
-// keeps no clock, socket or goroutine. docs/design-wake.md weighs the ways.
+// A record in the key-value store names the controller that owns a model's replica, under an
+// epoch that each change of owner raises. Model servers reject commands of an older epoch, so
+// an owner that was paused or partitioned can do no harm when it resumes. The package is a
+// state machine: requests, ticks and answers in; calls and replies out. It has no clock, socket
+// or goroutine. Package wake/activator runs it in a process, and internal/sim in virtual time.
+// It writes only keys below Prefix. docs/design-wake.md compares the alternatives.
 package wake
 
-import "github.com/segmentio/encoding/json"
-
-// Prefix begins all keys of this package in the state service.
+// Prefix begins all keys of this package in the key-value store.
 const Prefix = "wake/"
 
 const (
@@ -26,48 +26,35 @@
 // controller's lease.
 func controllerKey(controller string) string { return controllerPrefix + controller }
 
-// Phase is what a model's copy is in the middle of.
+// Phase is where a model's replica is in its life.
 type Phase string
 
-// The phases of a copy. A model without a record is asleep.
+// The phases of a replica. A model without a record is asleep.
 const (
-	PhaseAsleep   Phase = "asleep"
-	PhaseWaking   Phase = "waking"
-	PhaseAwake    Phase = "awake"
-	PhaseDraining Phase = "draining"
+	phaseNoRecord Phase = ""
+	PhaseAsleep   Phase = "asleep"   // scaled to zero
+	PhaseWaking   Phase = "waking"   // being started
+	PhaseAwake    Phase = "awake"    // serves requests
+	PhaseDraining Phase = "draining" // takes no further requests and is then stopped
 )
 
-// Record is what the state service holds of a model. Its JSON names are on record and
-// never change.
+// Record is what the store holds of a model. Its JSON names are in stored records and never
+// change.
 type Record struct {
 	Phase       Phase  `json:"p"`
-	Epoch       uint64 `json:"e"` // raised by every claim, takeover and change of server
-	Owner       string `json:"d,omitempty"`
-	Incarnation uint64 `json:"r,omitempty"` // of the driver's process
-	Server      string `json:"s,omitempty"` // the only one that may hold a copy
-	Failures    int    `json:"f,omitempty"` // wakes in a row that led to no copy
+	Epoch       uint64 `json:"e"`           // raised by every claim, takeover and change of server
+	Owner       string `json:"d,omitempty"` // the controller that owns the replica
+	Incarnation uint64 `json:"r,omitempty"` // of the owner's process
+	Server      string `json:"s,omitempty"` // the only one that may have a replica
+	Failures    int    `json:"f,omitempty"` // consecutive starts that led to no replica
 }
 
-// registration is the value of a driver's key.
+// registration is the value of a controller's key.
 type registration struct {
 	Incarnation uint64 `json:"r"`
 }
 
-// wakeSlots lists the models that are waking.
+// wakeSlots lists the models that are being started. Their number is bounded.
 type wakeSlots struct {
 	Holders []string `json:"w"`
 }
-
-// versioned is a value of the state service with its version; 0 for none.
-type versioned[T any] struct {
-	value   T
-	version uint64
-}
-
-func encode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic("wake: encode: " + err.Error()) // only values of this package come here
-	}
-	return b
-}
--- a/internal/wake/registry.go
+++ b/internal/wake/registry.go
@@ -10,29 +10,30 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Registry says which models may sleep, and where their copies may be.
+// Registry lists the models that may be scaled to zero, the servers that may run their replicas,
+// and the bounds for all of them.
 type Registry struct {
-	// LeaseSeconds is how long a driver passes for alive without renewing, in seconds.
+	// LeaseSeconds is how long a controller counts as alive without renewing its lease.
 	LeaseSeconds float64 `toml:"lease_s"`
-	// ReplicaLeaseSeconds is after how long without word of its driver a copy ends by itself, in
-	// seconds; more than LeaseSeconds, so that a takeover finds it.
+	// ReplicaLeaseSeconds is how long a replica runs without a command of its owner. It is
+	// more than LeaseSeconds, so that a takeover finds the replica.
 	ReplicaLeaseSeconds float64 `toml:"copy_lease_s"`
-	// MaxWaking is how many models may be waking at a time.
+	// MaxWaking is how many models may be started at a time.
 	MaxWaking int `toml:"max_waking"`
-	// MaxWaiting is how many requests may wait for a model on a controller.
+	// MaxWaiting is how many requests for a model may wait on a controller.
 	MaxWaiting int     `toml:"max_waiting"`
 	Models     []Model `toml:"models"`
 }
 
-// Model is a model that may sleep.
+// Model is a model that may be scaled to zero.
 type Model struct {
 	Name        string   `toml:"name"`
-	Servers     []string `toml:"servers"` // addresses that may hold its copy, the preferred first
-	LoadSeconds float64  `toml:"load_s"`  // how long a copy usually takes to load, in seconds
-	IdleSeconds float64  `toml:"idle_s"`  // it sleeps after so long without a request, in seconds; 0 for never
+	Servers     []string `toml:"servers"` // addresses that may run its replica, the preferred one first
+	LoadSeconds float64  `toml:"load_s"`  // how long a replica usually takes to load
+	IdleSeconds float64  `toml:"idle_s"`  // time without a request before scaling to zero; 0 for never
 }
 
-// ParseRegistry reads and checks a registry. An unknown field is an error that names it.
+// ParseRegistry reads and validates a registry. An unknown field is an error that names it.
 func ParseRegistry(text string) (*Registry, error) {
 	var registry Registry
 	meta, err := toml.Decode(text, &registry)
@@ -48,7 +49,7 @@
 	return &registry, nil
 }
 
-// LoadRegistry reads and checks a registry's file.
+// LoadRegistry reads and validates a registry from a file.
 func LoadRegistry(path string) (*Registry, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,6 +58,7 @@
 	return ParseRegistry(string(text))
 }
 
+// validate checks the values. The error names every wrong field.
 func (r *Registry) validate() error {
 	var problems []string
 	require := func(ok bool, format string, args ...any) {
@@ -71,7 +73,8 @@
 	require(len(r.Models) > 0, "models: missing")
 	seen := map[string]bool{}
 	for i, model := range r.Models {
-		require(model.Name != "" && !strings.Contains(model.Name, "/") && !seen[model.Name], "models[%d].name: %q is missing, repeated or holds a slash", i, model.Name)
+		require(model.Name != "" && !strings.Contains(model.Name, "/") && !seen[model.Name],
+			"models[%d].name: %q is missing, repeated or holds a slash", i, model.Name)
 		seen[model.Name] = true
 		require(len(model.Servers) > 0, "models[%d].servers: missing", i)
 		require(model.LoadSeconds > 0, "models[%d].load_s: %v, more than 0 is expected", i, model.LoadSeconds)
@@ -83,5 +86,5 @@
 	return nil
 }
 
-// seconds is a number of seconds as a duration.
+// seconds converts a number of seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/wake/registry_test.go
+++ b/internal/wake/registry_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-const goodRegistry = `
+// validRegistry is a registry that the tests change.
+const validRegistry = `
 lease_s = 4
 copy_lease_s = 12
 max_waking = 2
@@ -19,8 +20,9 @@
 idle_s = 20
 `
 
+// TestParseRegistry changes a valid registry in one place: the error names the field.
 func TestParseRegistry(t *testing.T) {
-	if r, err := ParseRegistry(goodRegistry); err != nil || len(r.Models) != 1 || r.Models[0].Servers[1] != "y:1" {
+	if r, err := ParseRegistry(validRegistry); err != nil || len(r.Models) != 1 || r.Models[0].Servers[1] != "y:1" {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	for _, tc := range []struct{ old, new, want string }{
@@ -33,19 +35,21 @@
 		{"max_waiting = 100", "max_waiting = 0", "max_waiting"},
 		{"idle_s = 20", "idle_s = -1", "models[0].idle_s"},
 	} {
-		_, err := ParseRegistry(strings.Replace(goodRegistry, tc.old, tc.new, 1))
-		if err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("with %q: error %v does not name %q", tc.new, err, tc.want)
-		}
+		t.Run(tc.want, func(t *testing.T) {
+			_, err := ParseRegistry(strings.Replace(validRegistry, tc.old, tc.new, 1))
+			if err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Errorf("with %q: error %v does not name %q", tc.new, err, tc.want)
+			}
+		})
 	}
 }
 
-// The example under deploy is a good one.
+// TestExampleRegistry loads the example under deploy, and a file that does not exist.
 func TestExampleRegistry(t *testing.T) {
 	if _, err := LoadRegistry("../../deploy/wake.toml"); err != nil {
 		t.Error(err)
 	}
 	if _, err := LoadRegistry("../../deploy/none.toml"); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a file that is not there: %v", err)
+		t.Errorf("a file that does not exist: %v", err)
 	}
 }
--- a/internal/wake/replica.go
+++ b/internal/wake/replica.go
@@ -2,141 +2,164 @@
 
 import "time"
 
-// ownership is what the driver of a copy knows of it.
+// ownership is what the owner of a replica knows of it, under one epoch.
 type ownership struct {
-	epoch          uint64        // what is below holds for this epoch
-	commandPending bool          // a command is under way
-	nextCommand    time.Duration // when the copy is asked about again
-	startToken     uint64        // that allows to start the copy; 0 for none
-	lastAnswer     time.Duration // when it last answered
-	since          time.Duration // when driving under this epoch began
-	replicaSeen    bool          // a copy was seen under this epoch
-	closed         bool          // the copy takes no further requests
+	epoch          uint64
+	commandPending bool          // a command is in flight
+	nextCommand    time.Duration // when the next command is due
+	startToken     uint64        // permits to start the replica; 0 for none
+	lastAnswer     time.Duration // when the server last answered
+	since          time.Duration // when this ownership began
+	replicaSeen    bool          // the replica existed under this epoch
+	closed         bool          // the replica takes no further requests
 }
 
-// reconcileReplica does what is due for a copy that this controller drives.
+// reconcileReplica does what is due for a replica that this controller owns.
 func (c *Controller) reconcileReplica(model *modelState) {
 	if !c.registered() {
-		return // another one may drive it by now
+		return // another controller may own it by now
 	}
-	now, record := c.host.Now(), model.record.value
+	now, record := c.host.Now(), model.record.Value
 	if model.ownership.epoch != record.Epoch {
 		model.ownership = ownership{epoch: record.Epoch, since: now}
 	}
-	ownership := &model.ownership
+	owned := &model.ownership
 	if c.replicaExpired(model, now) {
 		c.failOver(model)
 		return
 	}
-	if ownership.commandPending || now < ownership.nextCommand || model.writePending {
+	if owned.commandPending || now < owned.nextCommand || model.writePending {
 		return
 	}
-	ownership.commandPending = true
-	command := Command{Verb: c.nextVerb(model), Model: model.Name, Epoch: record.Epoch, StartToken: ownership.startToken}
+	owned.commandPending = true
+	command := Command{Verb: nextVerb(model), Model: model.Name, Epoch: record.Epoch, StartToken: owned.startToken}
 	c.servers.Command(record.Server, command, func(status ReplicaStatus) { c.onStatus(model, command, status) })
 }
 
-// nextVerb is what the copy's server is to do next.
-func (c *Controller) nextVerb(model *modelState) Verb {
-	ownership := &model.ownership
-	switch model.record.value.Phase {
+// nextVerb is the next command to the replica's server.
+func nextVerb(model *modelState) Verb {
+	owned := &model.ownership
+	switch model.record.Value.Phase {
 	case PhaseWaking:
-		if ownership.startToken != 0 {
+		if owned.startToken != 0 {
 			return VerbStart
 		}
 	case PhaseDraining:
-		if ownership.closed {
+		if owned.closed {
 			return VerbStop
 		}
 		return VerbClose
+	case PhaseAwake, PhaseAsleep, phaseNoRecord:
 	}
 	return VerbProbe
 }
 
-// replicaExpired tells whether the copy has certainly ended by itself: its server has not
-// been reached for longer than the copy's lease, with a margin for the clocks' drift. A
-// driver that has just taken over counts from then, since the one before may have renewed
-// the lease until its own ran out.
+// replicaExpired reports whether the replica's lease has certainly expired and the replica has
+// ended by itself: its server has not answered for longer than the lease, with a margin of a
+// twentieth for the drift of the clocks. After a takeover the time counts from then, since the
+// previous owner may have renewed the replica's lease until its own expired.
 func (c *Controller) replicaExpired(model *modelState, now time.Duration) bool {
 	since := max(model.ownership.lastAnswer, model.ownership.since)
 	lease := seconds(c.registry.ReplicaLeaseSeconds)
-	return now-since > lease+lease/20+c.leaseDuration()
+	return now-since > lease+lease/driftDivisor+c.leaseDuration()
 }
 
-// onStatus takes in what a server says of the copy.
+// driftDivisor is the part of a replica's lease by which clocks may drift during it.
+const driftDivisor = 20
+
+// onStatus handles a model server's answer to a command.
 func (c *Controller) onStatus(model *modelState, command Command, status ReplicaStatus) {
-	ownership, now := &model.ownership, c.host.Now()
-	if ownership.epoch != command.Epoch || !c.owns(model) {
-		return // the driver has changed meanwhile
+	owned, now := &model.ownership, c.host.Now()
+	if owned.epoch != command.Epoch || !c.owns(model) {
+		return // the owner has changed meanwhile
 	}
-	ownership.commandPending = false
-	ownership.nextCommand = now + c.pollInterval()
-	switch status.State {
-	case ReplicaUnreachable:
+	owned.commandPending = false
+	owned.nextCommand = now + c.pollInterval()
+	if status.State == ReplicaUnreachable {
 		return
-	case ReplicaFenced:
+	}
+	if status.State == ReplicaFenced {
 		c.relist()
 		return
 	}
-	ownership.lastAnswer, ownership.startToken = now, 0
+	owned.lastAnswer, owned.startToken = now, 0
 	switch status.State {
 	case ReplicaAbsent:
 		c.onAbsent(model, status.StartToken)
 	case ReplicaLoading:
-		ownership.replicaSeen = true
+		owned.replicaSeen = true
 	case ReplicaReady:
-		ownership.replicaSeen = true
+		owned.replicaSeen = true
 		c.onReady(model, status)
 	case ReplicaClosed:
 		c.onClosed(model, status)
 	case ReplicaFailed:
-		c.log.Warn("copy does not come up", "model", model.Name, "server", model.record.value.Server, "fails", model.record.value.Failures+1)
-		c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: model.record.value.Epoch, Failures: model.record.value.Failures + 1}, slotReleased)
+		c.onFailed(model)
+	case ReplicaFenced, ReplicaUnreachable: // handled above
 	}
 }
 
-// onAbsent takes in that the server holds no copy, and the ticket to start one.
+// onFailed records that the replica failed to load.
+func (c *Controller) onFailed(model *modelState) {
+	record := model.record.Value
+	failures := record.Failures + 1
+	c.log.Warn("replica failed to load", "model", model.Name, "server", record.Server, "failures", failures)
+	c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch, Failures: failures}, slotReleased)
+}
+
+// onAbsent handles that the server has no replica. The token permits to start one.
 func (c *Controller) onAbsent(model *modelState, startToken uint64) {
-	record := model.record.value
+	record := model.record.Value
 	switch record.Phase {
 	case PhaseWaking:
 		if model.ownership.replicaSeen {
-			// It was there and has ended: a load that broke off.
+			// The replica existed and has ended: a load that was aborted.
 			c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch, Failures: record.Failures + 1}, slotReleased)
 			return
 		}
-		if startToken != 0 { // nobody has started one: start it now
+		if startToken != 0 { // no owner has started it: start it now
 			model.ownership.startToken, model.ownership.nextCommand = startToken, c.host.Now()
 			c.reconcileReplica(model)
 		}
 	case PhaseAwake, PhaseDraining:
-		c.log.Info("copy is gone", "model", model.Name, "server", record.Server, "phase", record.Phase)
+		c.log.Info("replica ended", "model", model.Name, "server", record.Server, "phase", record.Phase)
 		c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch}, slotUnchanged)
+	case PhaseAsleep, phaseNoRecord: // no owner, so no command
 	}
 }
 
-// onReady takes in that the copy can take requests.
+// onReady handles that the replica can take requests, and drains it once it is idle.
 func (c *Controller) onReady(model *modelState, status ReplicaStatus) {
-	record := model.record.value
+	record := model.record.Value
 	switch record.Phase {
 	case PhaseWaking:
 		record.Phase, record.Failures = PhaseAwake, 0
 		c.writeRecord(model, record, slotReleased)
 	case PhaseAwake:
-		if model.IdleSeconds > 0 && status.InFlight == 0 && status.IdleSeconds >= model.IdleSeconds && len(model.queue.requests)+len(model.inFlight) == 0 {
+		if model.idle(status) {
 			record.Phase = PhaseDraining
 			c.writeRecord(model, record, slotUnchanged)
 		}
+	case PhaseDraining, PhaseAsleep, phaseNoRecord: // the next command closes the replica, if any
 	}
 }
 
-// onClosed takes in that the copy takes no further requests.
+// idle reports whether the replica is to sleep: neither the server nor this controller has had
+// a request for it for long enough.
+func (m *modelState) idle(status ReplicaStatus) bool {
+	if m.IdleSeconds <= 0 || status.InFlight != 0 || status.IdleSeconds < m.IdleSeconds {
+		return false
+	}
+	return len(m.queue.requests)+len(m.inFlight) == 0
+}
+
+// onClosed handles that the replica takes no further requests.
 func (c *Controller) onClosed(model *modelState, status ReplicaStatus) {
 	model.ownership.closed = true
-	if model.record.value.Phase == PhaseWaking {
-		// A driver before this one closed it and did not record that: it wakes anew once
-		// that copy has ended.
-		record := model.record.value
+	if model.record.Value.Phase == PhaseWaking {
+		// A previous owner closed it and did not record that. The model is started again once
+		// that replica has ended.
+		record := model.record.Value
 		record.Phase = PhaseDraining
 		c.writeRecord(model, record, slotReleased)
 		return
@@ -146,27 +169,34 @@
 	}
 }
 
-// failOver wakes a model on its next server, once the copy on the one out of reach has
-// certainly ended; a copy that was about to sleep just has.
+// failOver starts a model on its next server, once the replica on the unreachable one has
+// certainly ended. A replica that was draining is then simply gone.
 func (c *Controller) failOver(model *modelState) {
-	record := model.record.value
+	record := model.record.Value
 	if record.Phase == PhaseDraining {
 		c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch}, slotUnchanged)
 		return
 	}
-	slot := slotUnchanged
+	slot := slotUnchanged // a model that was being started has a slot already
 	if record.Phase == PhaseAwake {
 		slot = slotAcquired
 	}
-	next := Record{Phase: PhaseWaking, Epoch: record.Epoch + 1, Owner: c.name, Incarnation: c.incarnation, Server: model.serverAfter(record.Server), Failures: record.Failures}
-	c.log.Warn("model server out of reach", "model", model.Name, "server", record.Server, "next", next.Server)
+	next := Record{
+		Phase:       PhaseWaking,
+		Epoch:       record.Epoch + 1,
+		Owner:       c.name,
+		Incarnation: c.incarnation,
+		Server:      model.serverAfter(record.Server),
+		Failures:    record.Failures,
+	}
+	c.log.Warn("model server unreachable", "model", model.Name, "server", record.Server, "next_server", next.Server)
 	c.writeRecord(model, next, slot)
 }
 
-// serverAfter is the server that follows one in a model's list.
+// serverAfter is the server that follows one in a model's list, the first after the last.
 func (m *modelState) serverAfter(server string) string {
-	for i, s := range m.Servers {
-		if s == server {
+	for i, candidate := range m.Servers {
+		if candidate == server {
 			return m.Servers[(i+1)%len(m.Servers)]
 		}
 	}
--- a/internal/wake/view.go
+++ b/internal/wake/view.go
@@ -1,64 +1,16 @@
 package wake
 
 import (
+	"log/slog"
 	"strings"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
-// maintainLease has the key that shows that this controller is alive stand. Once the lease may
-// have run out the controller drives nothing until it is registered anew, under the same
-// run: its records' epochs are taken over by whoever finds the key gone, itself included.
-func (c *Controller) maintainLease(now time.Duration) {
-	if c.leaseCallPending || now < c.nextLeaseCall {
-		return
-	}
-	c.leaseCallPending = true
-	c.nextLeaseCall = now + c.leaseDuration()/4
-	if c.leaseID != 0 && c.controllers[c.name].value.Incarnation == c.incarnation {
-		c.store.Extend(c.leaseID, func(status int, _ []byte) {
-			c.leaseCallPending = false
-			switch status {
-			case storeOK:
-				c.leaseExpiry = now + c.leaseDuration()
-			case storeNotFound:
-				c.leaseID = 0
-				c.nextLeaseCall = c.host.Now()
-				c.relist()
-			}
-		})
-		return
-	}
-	c.store.Grant(c.leaseDuration(), func(status int, body []byte) {
-		var grant wire.Grant
-		if status != storeOK || json.Unmarshal(body, &grant) != nil {
-			c.leaseCallPending = false
-			return
-		}
-		c.register(now, grant.Lease)
-	})
-}
-
-// register writes this controller's key under a lease that was granted at a time.
-func (c *Controller) register(granted time.Duration, lease uint64) {
-	mine := registration{Incarnation: c.incarnation}
-	txn := &wire.Txn{Writes: []wire.Write{{Put: controllerKey(c.name), Value: encode(mine), Lease: lease}}}
-	c.store.Commit(txn, func(status int, body []byte) {
-		c.leaseCallPending = false
-		var result wire.TxnResult
-		if status != storeOK || json.Unmarshal(body, &result) != nil {
-			return
-		}
-		c.leaseID, c.leaseExpiry = lease, granted+c.leaseDuration()
-		if d := c.controllers[c.name]; d.version < result.Revision {
-			c.controllers[c.name] = versioned[registration]{mine, result.Revision}
-		}
-	})
-}
-
-// maintainView has this controller know what is on record: read once, then watched.
+// maintainView keeps this controller's view of the records current: they are listed once, then
+// watched.
 func (c *Controller) maintainView(now time.Duration) {
 	switch {
 	case now < c.retryAt:
@@ -69,130 +21,137 @@
 	}
 }
 
-// relist has the records read anew.
+// relist requests a new listing of the records.
 func (c *Controller) relist() { c.listed = false }
 
 func (c *Controller) list() {
 	c.listing = true
-	c.store.List(Prefix, func(status int, body []byte) {
+	c.store.List(Prefix, func(result kv.ListResult) {
 		c.listing = false
-		var page wire.Page
-		if status != storeOK || json.Unmarshal(body, &page) != nil {
+		if result.Status != kv.OK {
 			c.retryAt = c.host.Now() + c.pollInterval()
 			return
 		}
-		if page.Revision < c.revision {
+		if result.Page.Revision < c.revision {
 			return // older than what the watch has shown
 		}
-		c.replaceView(&page)
+		c.replaceView(&result.Page)
 	})
 }
 
-// replaceView takes over a reading of all records.
+// replaceView replaces the view by a listing of all records.
 func (c *Controller) replaceView(page *wire.Page) {
 	items := map[string]wire.Item{}
-	for _, it := range page.Items {
-		items[it.Key] = it
+	for _, item := range page.Items {
+		items[item.Key] = item
 	}
 	c.revision, c.listed = page.Revision, true
-	c.controllers = map[string]versioned[registration]{}
-	for key, it := range items {
+	c.controllers = map[string]kv.Versioned[registration]{}
+	for key, item := range items {
 		if name, ok := strings.CutPrefix(key, controllerPrefix); ok {
-			c.applyRegistration(name, it.Value, it.Version)
+			c.applyRegistration(name, decode[registration](c.log, item))
 		}
 	}
-	s := items[slotsKey]
-	c.slots = decode[wakeSlots](s.Value, s.Version)
+	c.slots = decode[wakeSlots](c.log, items[slotsKey])
 	for _, name := range c.modelNames {
-		it := items[modelKey(name)]
-		c.setRecord(c.models[name], decode[Record](it.Value, it.Version))
+		c.setRecord(c.models[name], decode[Record](c.log, items[modelKey(name)]))
 	}
+	c.reconcileAll()
+}
+
+func (c *Controller) reconcileAll() {
 	for _, name := range c.modelNames {
 		c.reconcile(c.models[name])
 	}
 }
 
-// decode reads a value; the zero value if there is none.
-func decode[T any](value json.RawMessage, version uint64) versioned[T] {
-	v := versioned[T]{version: version}
-	if version != 0 {
-		json.Unmarshal(value, &v.value)
-	}
-	return v
+// decode decodes a record; a key that does not exist has the zero value. Only controllers write
+// these keys, so a value that cannot be decoded shows a fault of theirs: it is logged, and what
+// could be decoded is used, since every write is conditional on the version.
+func decode[T any](log *slog.Logger, item wire.Item) kv.Versioned[T] {
+	decoded, err := kv.Decode[T](item.Value, item.Version)
+	if err != nil {
+		log.Error("store record malformed", "key", item.Key, "error", err)
+	}
+	return decoded
 }
 
 func (c *Controller) watch() {
 	c.watching = true
 	since := c.revision
-	c.store.Watch(Prefix, since, func(status int, body []byte) {
+	c.store.Watch(Prefix, since, func(result kv.WatchResult) {
 		c.watching = false
-		var changes wire.Changes
 		switch {
-		case status == storeGone:
+		case result.Status == kv.Compacted:
 			c.relist()
-		case status != storeOK || json.Unmarshal(body, &changes) != nil:
+		case result.Status != kv.OK:
 			c.retryAt = c.host.Now() + c.pollInterval()
-		case since == c.revision:
-			c.apply(&changes)
+		case since == c.revision: // else a listing has overtaken the watch
+			c.apply(&result.Changes)
 		}
 	})
 }
 
-// apply takes in changes that a watch has shown.
+// apply applies the changes that a watch has shown.
 func (c *Controller) apply(changes *wire.Changes) {
 	for i := range changes.Events {
-		event := &changes.Events[i]
-		key, version := event.Put, event.Version
-		if key == "" {
-			key, version = event.Delete, 0
-		}
-		switch {
-		case key == slotsKey:
-			c.applySlots(decode[wakeSlots](event.Value, version))
-		case strings.HasPrefix(key, modelPrefix):
-			if model := c.models[strings.TrimPrefix(key, modelPrefix)]; model != nil {
-				c.applyRecord(model, decode[Record](event.Value, version))
-			}
-		case strings.HasPrefix(key, controllerPrefix):
-			c.applyRegistration(strings.TrimPrefix(key, controllerPrefix), event.Value, version)
-		}
+		c.applyItem(changedItem(&changes.Events[i]))
 	}
 	c.revision = max(c.revision, changes.Revision)
-	for _, name := range c.modelNames {
-		c.reconcile(c.models[name])
+	c.reconcileAll()
+}
+
+// changedItem is a key after a change, at version 0 if it was deleted.
+func changedItem(event *wire.Event) wire.Item {
+	if event.Put == "" {
+		return wire.Item{Key: event.Delete}
+	}
+	return wire.Item{Key: event.Put, Value: event.Value, Version: event.Version}
+}
+
+// applyItem records the new value of a key.
+func (c *Controller) applyItem(item wire.Item) {
+	if item.Key == slotsKey {
+		c.applySlots(decode[wakeSlots](c.log, item))
+	} else if name, ok := strings.CutPrefix(item.Key, modelPrefix); ok {
+		if model := c.models[name]; model != nil {
+			c.applyRecord(model, decode[Record](c.log, item))
+		}
+	} else if name, ok := strings.CutPrefix(item.Key, controllerPrefix); ok {
+		c.applyRegistration(name, decode[registration](c.log, item))
 	}
 }
 
-// applyRegistration takes in whether a controller is alive.
-func (c *Controller) applyRegistration(name string, value json.RawMessage, version uint64) {
-	if version == 0 {
+// applyRegistration records whether a controller is alive.
+func (c *Controller) applyRegistration(name string, registered kv.Versioned[registration]) {
+	if registered.Version == 0 {
 		delete(c.controllers, name)
 		return
 	}
-	if version >= c.controllers[name].version {
-		c.controllers[name] = decode[registration](value, version)
+	if registered.Version >= c.controllers[name].Version {
+		c.controllers[name] = registered
 	}
 }
 
-// applySlots takes in which models are waking.
-func (c *Controller) applySlots(slots versioned[wakeSlots]) {
-	if slots.version >= c.slots.version {
+// applySlots records which models are being started.
+func (c *Controller) applySlots(slots kv.Versioned[wakeSlots]) {
+	if slots.Version >= c.slots.Version {
 		c.slots = slots
 	}
 }
 
-// applyRecord takes in a model's record, unless a later one is known.
-func (c *Controller) applyRecord(model *modelState, record versioned[Record]) {
-	if record.version >= model.record.version {
+// applyRecord records a model's record, unless a later one is known.
+func (c *Controller) applyRecord(model *modelState, record kv.Versioned[Record]) {
+	if record.Version >= model.record.Version {
 		c.setRecord(model, record)
 	}
 }
 
-func (c *Controller) setRecord(model *modelState, record versioned[Record]) {
-	if record.value.Failures > model.record.value.Failures {
+func (c *Controller) setRecord(model *modelState, record kv.Versioned[Record]) {
+	if record.Value.Failures > model.record.Value.Failures {
 		model.lastFailure = c.host.Now()
 	}
-	if record.value.Phase != model.record.value.Phase || record.value.Epoch != model.record.value.Epoch {
+	if record.Value.Phase != model.record.Value.Phase || record.Value.Epoch != model.record.Value.Epoch {
 		model.lastRejection = 0
 	}
 	model.record = record
