--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -155,7 +155,7 @@
 func (m *Manager) initialShare(team string) ledger.Share {
 	index := slices.IndexFunc(m.Plan.Teams, func(t plan.Team) bool { return t.Name == team })
 	part := m.Plan.Teams[index].InitialShare(m.Region)
-	return ledger.Share{Limit: part.Ceiling, Guarantee: part.Floor, Owned: part.Owned, PlanFingerprint: m.planFingerprint}
+	return ledger.Share{Limit: part.Limit, Guarantee: part.Guarantee, Owned: part.Owned, PlanFingerprint: m.planFingerprint}
 }
 
 // initialSharesAgree tells whether no other region has shares of a team from another file.
--- a/internal/quota/ledger/ledger_test.go
+++ b/internal/quota/ledger/ledger_test.go
@@ -1,111 +1,140 @@
 package ledger
 
 import (
+	"strings"
 	"testing"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
 var testTerm = wire.Condition{Key: "term", Version: 5}
 
-// newTestLedger is one that owns 8 GPUs of a ceiling of 16, 2 of them guaranteed.
+// newTestLedger owns 8 GPUs of a limit of 16, 2 of them guaranteed.
 func newTestLedger() *Ledger {
+	share := Share{Limit: amount.Of(0, 16), Guarantee: amount.Of(0, 2), Owned: amount.Of(0, 8)}
 	return &Ledger{
-		header: versioned[header]{header{Epoch: 7}, 1},
-		shares: map[string]versioned[Share]{"vision": {Share{Limit: amount.Of(0, 16), Guarantee: amount.Of(0, 2), Owned: amount.Of(0, 8)}, 2}},
-		links:  map[string]versioned[Link]{"south": {Link{RemoteEpoch: 9}, 3}},
+		header: kv.Versioned[header]{Value: header{Epoch: 7}, Version: 1},
+		shares: map[string]kv.Versioned[Share]{"vision": {Value: share, Version: 2}},
+		links:  map[string]kv.Versioned[Link]{"south": {Value: Link{RemoteEpoch: 9}, Version: 3}},
 	}
 }
 
 func gpus(n float64) []Part { return []Part{{Team: "vision", Amount: amount.Of(0, n)}} }
 
+// mustDebit makes a transfer of GPUs to region south.
+func mustDebit(t *testing.T, l *Ledger, n float64) *Change {
+	t.Helper()
+	change, err := l.Debit(testTerm, "south", 0, gpus(n))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return change
+}
+
 // conditions lists the keys and versions that a transaction depends on.
 func conditions(c *Change) map[string]uint64 {
-	out := map[string]uint64{}
-	for _, x := range c.Txn.Conditions {
-		out[x.Key] = x.Version
+	versions := map[string]uint64{}
+	for _, condition := range c.Txn.Conditions {
+		versions[condition.Key] = condition.Version
 	}
-	return out
+	return versions
 }
 
-// TestChangesAreConditional looks at each transaction that moves shares: it depends on the term
-// and on the version of each record that it writes, so that neither a deposed leader's nor a
-// second copy takes effect.
-func TestChangesAreConditional(t *testing.T) {
+// TestTransfersAreConditional checks that each transaction that moves shares depends on the term
+// and on the version of each record that it writes, so that neither that of a replaced leader nor
+// a repeated one is carried out.
+func TestTransfersAreConditional(t *testing.T) {
 	l := newTestLedger()
-	give, err := l.Debit(testTerm, "south", 0, gpus(3))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for name, c := range map[string]*Change{"give": give, "take": l.Credit(testTerm, "south", 0, Transfer{1, gpus(3)})} {
-		have := conditions(c)
-		for key, version := range map[string]uint64{"term": 5, "quota/s/vision": 2, "quota/r/south": 3} {
-			if have[key] != version {
-				t.Errorf("%s depends on version %d of %s, want %d", name, have[key], key, version)
+	for _, tc := range []struct {
+		name   string
+		change *Change
+	}{
+		{"debit", mustDebit(t, l, 3)},
+		{"credit", l.Credit(testTerm, "south", 0, Transfer{1, gpus(3)})},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			have := conditions(tc.change)
+			for key, version := range map[string]uint64{"term": 5, "quota/s/vision": 2, "quota/r/south": 3} {
+				if have[key] != version {
+					t.Errorf("depends on version %d of %s, want %d", have[key], key, version)
+				}
 			}
-		}
-		if len(c.Txn.Writes) != 2 {
-			t.Errorf("%s writes %d records, want share and link", name, len(c.Txn.Writes))
-		}
+			if len(tc.change.Txn.Writes) != 2 {
+				t.Errorf("writes %d records, want share and link", len(tc.change.Txn.Writes))
+			}
+		})
 	}
-	for name, c := range map[string]*Change{"fence": l.Fence(testTerm, "why"), "meet": l.Handshake(testTerm, "west", 4), "complete": l.Complete(testTerm, 7)} {
-		if conditions(c)["term"] != 5 {
-			t.Errorf("%s does not depend on the term", name)
-		}
+}
+
+// TestChangesAreConditional checks that the other transactions depend on the term.
+func TestChangesAreConditional(t *testing.T) {
+	l := newTestLedger()
+	for _, tc := range []struct {
+		name   string
+		change *Change
+	}{
+		{"fence", l.Fence(testTerm, "why")},
+		{"handshake", l.Handshake(testTerm, "west", 4)},
+		{"complete", l.Complete(testTerm, 7)},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if conditions(tc.change)["term"] != 5 {
+				t.Error("does not depend on the term")
+			}
+		})
 	}
 }
 
-// TestDebit asks for amounts that may and may not leave.
+// TestDebit debits amounts that may and may not leave the region.
 func TestDebit(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		parts []Part
 		ok    bool
 	}{
-		{"all above the floor", gpus(6), true},
-		{"a part of the floor", gpus(6.001), false},
-		{"less than nothing", gpus(-1), false},
-		{"of a team without a share", []Part{{Team: "nobody", Amount: amount.Of(0, 1)}}, false},
+		{"all above the guarantee", gpus(6), true},
+		{"a part of the guarantee", gpus(6.001), false},
+		{"a negative amount", gpus(-1), false},
+		{"a team without a share", []Part{{Team: "nobody", Amount: amount.Of(0, 1)}}, false},
 	} {
-		if _, err := newTestLedger().Debit(testTerm, "south", 0, tc.parts); (err == nil) != tc.ok {
-			t.Errorf("%s: error %v", tc.name, err)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			if _, err := newTestLedger().Debit(testTerm, "south", 0, tc.parts); (err == nil) != tc.ok {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
 }
 
-// TestCreditInOrder offers transfers again, late and ahead of their turn: each is added once and
-// in its turn.
+// TestCreditInOrder offers transfers repeatedly, late and ahead of their turn: each is credited
+// once and in its turn.
 func TestCreditInOrder(t *testing.T) {
 	l := newTestLedger()
-	for _, tc := range []struct {
-		number uint64
-		added  bool
+	for _, step := range []struct {
+		number   uint64
+		credited bool
 	}{{2, false}, {1, true}, {1, false}, {3, false}, {2, true}, {1, false}, {2, false}, {3, true}} {
-		c := l.Credit(testTerm, "south", 0, Transfer{tc.number, gpus(1)})
-		if (c != nil) != tc.added {
-			t.Errorf("transfer %d: added %v, want %v", tc.number, c != nil, tc.added)
+		change := l.Credit(testTerm, "south", 0, Transfer{step.number, gpus(1)})
+		if (change != nil) != step.credited {
+			t.Errorf("transfer %d: credited %v, want %v", step.number, change != nil, step.credited)
 		}
-		if c != nil {
-			c.OnCommitted(10 + tc.number)
+		if change != nil {
+			change.OnCommitted(10 + step.number)
 		}
 	}
-	if s, _ := l.Share("vision"); s.Owned != amount.Of(0, 11) {
-		t.Errorf("owned %v, want 11 GPUs", s.Owned)
+	if share, _ := l.Share("vision"); share.Owned != amount.Of(0, 11) {
+		t.Errorf("owned %v, want 11 GPUs", share.Owned)
 	}
 }
 
-// TestAcknowledge drops what has arrived, and nothing else.
+// TestAcknowledge drops the transfers that have been credited, and no others.
 func TestAcknowledge(t *testing.T) {
 	l := newTestLedger()
 	for range 3 {
-		c, err := l.Debit(testTerm, "south", 0, gpus(1))
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.OnCommitted(20)
+		mustDebit(t, l, 1).OnCommitted(20)
 	}
-	if c := l.Acknowledge(testTerm, "south", 0); c != nil {
+	if change := l.Acknowledge(testTerm, "south", 0); change != nil {
 		t.Error("an acknowledgement of nothing leads to a write")
 	}
 	l.Acknowledge(testTerm, "south", 2).OnCommitted(30)
@@ -114,30 +143,75 @@
 		t.Errorf("left %+v", link)
 	}
 	if got := link.InTransit("vision", 0); got != amount.Of(0, 1) {
-		t.Errorf("%v on their way, want 1 GPU", got)
+		t.Errorf("%v in transit, want 1 GPU", got)
 	}
 	if err := l.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestLoad writes records and reads them back; one that is not readable is named.
-func TestLoad(t *testing.T) {
+// recordsOf lists the records of a ledger after a debit.
+func recordsOf(t *testing.T) []wire.Item {
+	t.Helper()
 	l := newTestLedger()
-	c, _ := l.Debit(testTerm, "south", 0, gpus(2))
 	var items []wire.Item
-	for _, w := range append(c.Txn.Writes, l.Complete(testTerm, 7).Txn.Writes...) {
-		items = append(items, wire.Item{Key: w.Put, Value: w.Value, Version: 40})
+	for _, write := range append(mustDebit(t, l, 2).Txn.Writes, l.Complete(testTerm, 7).Txn.Writes...) {
+		items = append(items, wire.Item{Key: write.Put, Value: write.Value, Version: 40})
+	}
+	return items
+}
+
+// TestLoad writes records and loads them.
+func TestLoad(t *testing.T) {
+	loaded, err := Load(recordsOf(t))
+	if err != nil || loaded.Epoch() != 7 || loaded.Link("south").Sent != 1 {
+		t.Fatalf("loaded %+v, %v", loaded, err)
 	}
-	read, err := Load(items)
-	if err != nil || read.Epoch() != 7 || read.Link("south").Sent != 1 {
-		t.Errorf("read %+v, %v", read, err)
+	if share, _ := loaded.Share("vision"); share.Owned != amount.Of(0, 6) || share.Guarantee != amount.Of(0, 2) {
+		t.Errorf("share %+v", share)
 	}
-	if s, _ := read.Share("vision"); s.Owned != amount.Of(0, 6) || s.Guarantee != amount.Of(0, 2) {
-		t.Errorf("share %+v", s)
+}
+
+// TestLoadMalformed loads a malformed record, and one under a key that is none of the ledger's:
+// the error names the key.
+func TestLoadMalformed(t *testing.T) {
+	malformed := recordsOf(t)
+	malformed[0].Value = []byte("{")
+	unknown := append(recordsOf(t), wire.Item{Key: "quota/x", Value: []byte("{}"), Version: 40})
+	for _, tc := range []struct {
+		key   string
+		items []wire.Item
+	}{{malformed[0].Key, malformed}, {"quota/x", unknown}} {
+		t.Run(tc.key, func(t *testing.T) {
+			if _, err := Load(tc.items); err == nil || !strings.Contains(err.Error(), tc.key) {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
-	items[0].Value = []byte("{")
-	if _, err := Load(items); err == nil {
-		t.Error("a record that is not readable was read")
+}
+
+// TestCheckInvariants breaks each invariant. The texts are in stored records.
+func TestCheckInvariants(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		spoil func(share *Share, link *Link)
+		want  string
+	}{
+		{"negative", func(s *Share, _ *Link) { s.Owned = amount.Of(0, -1) }, "ledger: vision: owned 0 CPUs, -1 GPUs is below 0"},
+		{"guarantee", func(s *Share, _ *Link) { s.Owned = amount.Of(0, 1) },
+			"ledger: vision: owned 0 CPUs, 1 GPUs is less than the guaranteed 0 CPUs, 2 GPUs"},
+		{"limit", func(s *Share, _ *Link) { s.Owned = amount.Of(0, 17) },
+			"ledger: vision: owned 0 CPUs, 17 GPUs is more than the ceiling 0 CPUs, 16 GPUs"},
+		{"order", func(_ *Share, l *Link) { l.Sent, l.Unacknowledged = 3, []Transfer{{Number: 1}} }, "ledger: south: transfer 1 out of order"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l := newTestLedger()
+			share, link := l.shares["vision"], l.links["south"]
+			tc.spoil(&share.Value, &link.Value)
+			l.shares["vision"], l.links["south"] = share, link
+			if err := l.CheckInvariants(); err == nil || err.Error() != tc.want {
+				t.Errorf("error %v, want %s", err, tc.want)
+			}
+		})
 	}
 }
--- a/internal/quota/ledger/records.go
+++ b/internal/quota/ledger/records.go
@@ -1,21 +1,21 @@
-// Package ledger keeps what a region owns of the teams' ceilings, and the transfers by which
-// shares move between regions, as records of the region's state service.
+// Package ledger keeps what a region owns of the teams' limits, and the transfers by which shares
+// move between regions, as records in the region's key-value store.
 //
-// Over all regions, owned shares and transfers on their way add up to each ceiling at every
-// moment: one transaction takes a transfer's shares from its source and puts the transfer
-// on record there, one adds them at its destination and notes the transfer's number. The
-// package builds these transactions and takes in their outcome. It does no I/O, keeps no
-// time and decides nothing. docs/design-quota.md weighs the ways.
+// Over all regions, owned shares and transfers in transit add up to each limit at every moment:
+// one transaction debits a transfer's shares at its source and records the transfer there, and
+// one credits them at its destination and records the transfer's number. The package builds these
+// transactions and applies their outcome. It does no I/O, has no clock and decides nothing:
+// package quota does, which calls it; package report only reads. It owns the keys below Prefix.
+// docs/design-quota.md compares the alternatives.
 package ledger
 
 import (
 	"strings"
 
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
-	"github.com/segmentio/encoding/json"
 )
 
-// Prefix begins all keys of the ledger in the state service.
+// Prefix begins all keys of the ledger in the store.
 const Prefix = "quota/"
 
 const (
@@ -27,20 +27,20 @@
 func shareKey(team string) string  { return sharePrefix + team }
 func linkKey(region string) string { return linkPrefix + region }
 
-// The JSON names of the records below are on record and never change.
+// The JSON names of the records below are in stored records and never change.
 
-// header is the record that makes a ledger one: it is written last.
+// header is the record that completes a ledger: it is written last.
 type header struct {
-	Epoch       uint64 `json:"e"` // of this ledger; another one has another
+	Epoch       uint64 `json:"e"` // identifies this ledger; a ledger made anew has another one
 	FenceReason string `json:"f,omitempty"`
 }
 
-// Share is what the region has of a team's ceiling.
+// Share is what the region has of a team's limit.
 type Share struct {
 	Limit           amount.Amount `json:"c"` // over all regions
-	Guarantee       amount.Amount `json:"g"` // guaranteed here: it never leaves
+	Guarantee       amount.Amount `json:"g"` // in this region; it is never transferred
 	Owned           amount.Amount `json:"o"`
-	PlanFingerprint uint64        `json:"p"` // fingerprint of the file that the first share came from
+	PlanFingerprint uint64        `json:"p"` // of the regions file that the initial share came from
 }
 
 // Part is one team's amount in a transfer.
@@ -49,8 +49,7 @@
 	Amount amount.Amount `json:"a"`
 }
 
-// Transfer is a number of shares on their way to another region. Numbers of a link follow
-// each other without a gap.
+// Transfer moves shares to another region. The numbers of a link's transfers are consecutive.
 type Transfer struct {
 	Number uint64 `json:"n"`
 	Parts  []Part `json:"p"`
@@ -60,24 +59,31 @@
 type Link struct {
 	RemoteEpoch    uint64     `json:"e"`           // of the other region's ledger; 0 until it is known
 	Sent           uint64     `json:"s"`           // number of the last transfer to it
-	Unacknowledged []Transfer `json:"o,omitempty"` // those that it has not acknowledged, in order
-	Received       uint64     `json:"r"`           // number of the last transfer from it that was added here
+	Unacknowledged []Transfer `json:"o,omitempty"` // to it, in order
+	Received       uint64     `json:"r"`           // number of the last transfer from it that was credited
 }
 
-// Acknowledged is the number of the last transfer that the other region is known to have added.
+// Acknowledged is the number of the last transfer that the other region is known to have
+// credited.
 func (l *Link) Acknowledged() uint64 { return l.Sent - uint64(len(l.Unacknowledged)) }
 
-// InTransit adds up what the transfers after a number carry of a team.
+// InTransit adds up a team's amounts in the transfers after a number.
 func (l *Link) InTransit(team string, after uint64) amount.Amount {
 	var sum amount.Amount
 	for _, transfer := range l.Unacknowledged {
-		if transfer.Number <= after {
-			continue
+		if transfer.Number > after {
+			sum = sum.Add(transfer.amountOf(team))
 		}
-		for _, part := range transfer.Parts {
-			if part.Team == team {
-				sum = sum.Add(part.Amount)
-			}
+	}
+	return sum
+}
+
+// amountOf adds up a team's amounts in the transfer.
+func (t *Transfer) amountOf(team string) amount.Amount {
+	var sum amount.Amount
+	for _, part := range t.Parts {
+		if part.Team == team {
+			sum = sum.Add(part.Amount)
 		}
 	}
 	return sum
@@ -90,27 +96,7 @@
 	}
 }
 
-// versioned is a record with its version; 0 for none.
-type versioned[T any] struct {
-	value   T
-	version uint64
-}
-
-func encode(v any) []byte {
-	b, err := json.Marshal(v)
-	if err != nil {
-		panic("ledger: encode: " + err.Error()) // only values of this package come here
-	}
-	return b
-}
-
-// decode reads a record; false if it is none.
-func decode[T any](value json.RawMessage, version uint64) (versioned[T], bool) {
-	v := versioned[T]{version: version}
-	return v, json.Unmarshal(value, &v.value) == nil
-}
-
-// parseKey tells what a key's record is, and of which team or region.
+// parseKey returns which kind of record a key has, and of which team or region.
 func parseKey(key string) (kind, name string) {
 	if team, ok := strings.CutPrefix(key, sharePrefix); ok {
 		return sharePrefix, team
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -114,9 +114,9 @@
 	for i := range m.Plan.Teams {
 		team := &m.Plan.Teams[i]
 		part := team.InitialShare(m.Region)
-		if share, ok := m.ledger.Share(team.Name); ok && (share.Limit != part.Ceiling || share.Guarantee != part.Floor) {
+		if share, ok := m.ledger.Share(team.Name); ok && (share.Limit != part.Limit || share.Guarantee != part.Guarantee) {
 			m.Log.Warn("regions file contradicts the ledger, which holds", "team", team.Name,
-				"file_ceiling", part.Ceiling, "ceiling", share.Limit, "file_guaranteed", part.Floor, "guaranteed", share.Guarantee)
+				"file_ceiling", part.Limit, "ceiling", share.Limit, "file_guaranteed", part.Guarantee, "guaranteed", share.Guarantee)
 		}
 	}
 }
--- a/internal/quota/plan/plan_test.go
+++ b/internal/quota/plan/plan_test.go
@@ -1,7 +1,6 @@
 package plan
 
 import (
-	"path/filepath"
 	"strings"
 	"testing"
 
@@ -28,7 +27,7 @@
 gpus_owned = 4
 `
 
-// TestParseNamesFields changes a good file in one place: the error names the field.
+// TestParseNamesFields changes a valid file in one place: the error names the field.
 func TestParseNamesFields(t *testing.T) {
 	if _, err := Parse(validPlan); err != nil {
 		t.Fatal(err)
@@ -48,53 +47,101 @@
 		{`region = "south"`, `region = "north"`, `teams[0].shares[1].region: "north" stands twice`},
 		{`gpus = 2.5`, `gups = 2.5`, `teams.shares.gups: unknown field`},
 	} {
-		text := strings.Replace(validPlan, tc.old, tc.with, 1)
-		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s in place of %s: error %v, want one with %s", tc.with, tc.old, err, tc.want)
-		}
+		t.Run(tc.want, func(t *testing.T) {
+			text := strings.Replace(validPlan, tc.old, tc.with, 1)
+			if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), tc.want) {
+				t.Errorf("%s in place of %s: error %v, want one with %s", tc.with, tc.old, err, tc.want)
+			}
+		})
 	}
 }
 
-// TestParts reads what each region has, and a resource without a limit.
-func TestParts(t *testing.T) {
+// TestInitialShares reads what each region has, and a resource without a limit.
+func TestInitialShares(t *testing.T) {
 	p, err := Parse(validPlan)
 	if err != nil {
 		t.Fatal(err)
 	}
 	north, south, other := p.Teams[0].InitialShare("north"), p.Teams[0].InitialShare("south"), p.Teams[0].InitialShare("west")
-	if north.Floor.GPUs != amount.Of(0, 2.5).GPUs || north.Owned.GPUs != amount.Of(0, 8).GPUs || north.Owned.CPUs != amount.Unlimited {
+	if north.Guarantee.GPUs != amount.Of(0, 2.5).GPUs || north.Owned.GPUs != amount.Of(0, 8).GPUs || north.Owned.CPUs != amount.Unlimited {
 		t.Errorf("north has %+v", north)
 	}
-	if sum := north.Owned.Add(south.Owned).Add(other.Owned); sum.GPUs != north.Ceiling.GPUs {
-		t.Errorf("owned parts add up to %v of %v", sum, north.Ceiling)
+	if sum := north.Owned.Add(south.Owned).Add(other.Owned); sum.GPUs != north.Limit.GPUs {
+		t.Errorf("owned parts add up to %v of %v", sum, north.Limit)
 	}
 }
 
-// TestFingerprint tells files apart that divide ceilings in different ways, and no others.
+// limitedPlan divides limits of both resources.
+const limitedPlan = `
+[[regions]]
+name = "north"
+controllers = ["127.0.0.1:9301"]
+[[regions]]
+name = "south"
+lost = true
+[[teams]]
+name = "vision"
+cpus_max = 100.5
+gpus_max = 12
+[[teams.shares]]
+region = "south"
+cpus = 0.25
+cpus_owned = 100.5
+gpus_owned = 12
+`
+
+// TestFingerprint pins fingerprints: they are in stored records and in messages between regions.
 func TestFingerprint(t *testing.T) {
-	of := func(old, with string) uint64 {
-		p, err := Parse(strings.Replace(validPlan, old, with, 1))
+	for _, tc := range []struct {
+		name, text string
+		want       uint64
+	}{
+		{"valid", validPlan, 4602490508506644241},
+		{"limited", limitedPlan, 1036872743966440510},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			plan, err := Parse(tc.text)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := plan.Fingerprint(); got != tc.want {
+				t.Errorf("the fingerprint is %d, want %d", got, tc.want)
+			}
+		})
+	}
+}
+
+// TestFingerprintDiffers compares the fingerprints of plans that do and do not divide limits in the
+// same way.
+func TestFingerprintDiffers(t *testing.T) {
+	fingerprint := func(old, with string) uint64 {
+		plan, err := Parse(strings.Replace(validPlan, old, with, 1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		return p.Fingerprint()
-	}
-	same := of("", "")
-	if of("127.0.0.1:9311", "127.0.0.1:9312") != same || of(`controllers = ["127.0.0.1:9311"]`, "lost = true") != same {
-		t.Error("addresses or lost regions count")
+		return plan.Fingerprint()
 	}
-	if of("gpus = 2.5", "gpus = 2") == same || of(`name = "vision"`, `name = "audio"`) == same {
-		t.Error("another guarantee or team does not count")
+	unchanged := fingerprint("", "")
+	for _, tc := range []struct {
+		name, old, with string
+		same            bool
+	}{
+		{"address", "127.0.0.1:9311", "127.0.0.1:9312", true},
+		{"lost region", `controllers = ["127.0.0.1:9311"]`, "lost = true", true},
+		{"guarantee", "gpus = 2.5", "gpus = 2", false},
+		{"team", `name = "vision"`, `name = "audio"`, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if same := fingerprint(tc.old, tc.with) == unchanged; same != tc.same {
+				t.Errorf("same fingerprint: %v, want %v", same, tc.same)
+			}
+		})
 	}
 }
 
-// TestExample checks the file that comes with the project.
+// TestExample loads the regions file that comes with the project.
 func TestExample(t *testing.T) {
-	files, _ := filepath.Glob("../../../deploy/regions.toml")
-	if len(files) != 1 {
-		t.Fatal("no example")
-	}
-	if _, err := Load(files[0]); err != nil {
+	if _, err := Load("../../../deploy/regions.toml"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -146,8 +146,8 @@
 	}
 	w.peakUse[team] = w.peakUse[team].Max(sum)
 	for i := range w.plan.Teams {
-		if t := &w.plan.Teams[i]; t.Name == team && !t.InitialShare("").Ceiling.Covers(sum) {
-			w.violation("%s uses %v of %v", team, sum, t.InitialShare("").Ceiling)
+		if t := &w.plan.Teams[i]; t.Name == team && !t.InitialShare("").Limit.Covers(sum) {
+			w.violation("%s uses %v of %v", team, sum, t.InitialShare("").Limit)
 		}
 	}
 }
@@ -188,7 +188,7 @@
 				}
 			}
 		}
-		if ceiling := t.InitialShare("").Ceiling; sum.GPUs != ceiling.GPUs {
+		if ceiling := t.InitialShare("").Limit; sum.GPUs != ceiling.GPUs {
 			w.violation("shares of %s add up to %v of %v", t.Name, sum, ceiling)
 		}
 	}
@@ -313,7 +313,7 @@
 		for p.r.w.plan.Teams[i].Name != team {
 			i++
 		}
-		return p.r.w.plan.Teams[i].InitialShare("").Ceiling.Covers(sum)
+		return p.r.w.plan.Teams[i].InitialShare("").Limit.Covers(sum)
 	}
 	return p.m.Limit(team).Covers(p.used[team].Add(size))
 }
