--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -15,74 +15,88 @@
 	store Store
 	host  Host
 
-	regionIndex     int // place in the file
+	regionIndex     int // position in the regions file
 	planFingerprint uint64
 	remotes         []*remoteRegion // in the file's order, without lost ones
 
-	incarnation, sequence uint64
-	ledger                *ledger.Ledger // nil while it is read
-	fenceReason           string         // why the region has to be fenced, which is not on record yet
-	pending               *pendingChange // the transaction under way; nil for none
-	recentCredits         map[string][]recentCredit
-	loggedRejections      map[string]bool // senders whose messages were refused, by what was logged
+	incarnation      uint64                    // of this view of the ledger: each loading begins another one
+	sequence         uint64                    // of the last message of the incarnation
+	ledger           *ledger.Ledger            // nil while it is loaded
+	fenceReason      string                    // why the region must be fenced, before that is recorded
+	pending          *pendingChange            // nil for none
+	recentCredits    map[string][]recentCredit // by team, in order of time
+	loggedRejections map[rejection]bool
 }
 
 // remoteRegion is what is known of another region.
 type remoteRegion struct {
 	name  string
-	index int // place in the file
+	index int // position in the regions file
 
+	// Which messages are accepted, see Receive.
 	echoIncarnation, echoSequence uint64        // of the message to be echoed
-	candidateIncarnation          uint64        // a run of its that answers this one, not confirmed yet
-	confirmedIncarnation          uint64        // the run whose transfers and claims are taken; 0 for none
-	confirmedAtSequence           uint64        // the last message to it before that
-	sequence                      uint64        // of the newest message of the confirmed run
-	lastHeard                     time.Duration // when a message last came that answers this run; 0 never
-	hasConfirmed                  bool          // what it says of this run's ledger is not overtaken
-	hasVerified                   bool          // it has confirmed this run's ledger
-
-	planFingerprint   uint64 // as it said last
-	epoch             uint64
-	knownEpoch        uint64
-	received          uint64 // the last transfer that it has added, for certain
-	offers            map[string]wire.RegionOffer
+	candidateIncarnation          uint64        // has answered this incarnation and is not confirmed yet; 0 for none
+	confirmedIncarnation          uint64        // whose transfers and claims are accepted; 0 for none
+	confirmedAtSequence           uint64        // the last message to the region before the confirmation
+	sequence                      uint64        // of the newest message of the confirmed incarnation
+	lastHeard                     time.Duration // when a message last answered this incarnation; 0 for never
+
+	// What the region knows of this region's ledger.
+	hasConfirmed bool   // it has confirmed this incarnation, so that its knowledge is current
+	hasVerified  bool   // it has verified this incarnation's ledger
+	knownEpoch   uint64 // of the ledger that it knows
+
+	// What the region said last of itself.
+	planFingerprint   uint64
+	epoch             uint64                      // of its ledger
+	received          uint64                      // the last transfer that it has certainly credited
+	offers            map[string]wire.RegionOffer // by team
 	hasOffers         bool
 	claims            []wire.RegionClaim
-	claimsReceived    uint64 // the last transfer that it had added when it claimed
+	claimsReceived    uint64 // the last transfer that it had credited when it claimed
 	transfers         []wire.RegionTransfer
-	replacementLogged bool // it was logged that its ledger is another one
+	replacementLogged bool // it was logged that its ledger was replaced
 
-	lastDebit     time.Duration // the last transfer to it; 0 for none in this run
-	lastLinkWrite time.Duration // the last change of the link's record
+	// When messages and transfers are due.
+	lastDebit     time.Duration // 0 for none in this incarnation
+	lastLinkWrite time.Duration
 	lastSent      time.Duration
 	nextComplete  time.Duration // when the next complete message is due
-	interval      time.Duration
-	urgent        bool
+	interval      time.Duration // between complete messages
+	urgent        bool          // a message is due as soon as the rate permits
 }
 
-// recentCredit is an amount that came a moment ago.
+// recentCredit is an amount that was credited recently.
 type recentCredit struct {
 	amount    amount.Amount
 	keptUntil time.Duration
 }
 
-// New makes a manager and begins to read the ledger.
-func New(cfg Config, store Store, host Host) *Manager {
-	manager := &Manager{Config: cfg, store: store, host: host, regionIndex: cfg.Plan.Index(cfg.Region), planFingerprint: cfg.Plan.Fingerprint(),
-		recentCredits: map[string][]recentCredit{}, loggedRejections: map[string]bool{}}
-	for _, name := range cfg.Plan.OtherRegions(cfg.Region) {
-		manager.remotes = append(manager.remotes, &remoteRegion{name: name, index: cfg.Plan.Index(name)})
+// New makes a manager and begins to load the ledger.
+func New(config Config, store Store, host Host) *Manager {
+	m := &Manager{
+		Config:           config,
+		store:            store,
+		host:             host,
+		regionIndex:      config.Plan.Index(config.Region),
+		planFingerprint:  config.Plan.Fingerprint(),
+		recentCredits:    map[string][]recentCredit{},
+		loggedRejections: map[rejection]bool{},
 	}
-	manager.load()
-	return manager
+	for _, name := range config.Plan.OtherRegions(config.Region) {
+		m.remotes = append(m.remotes, &remoteRegion{name: name, index: config.Plan.Index(name)})
+	}
+	m.load()
+	return m
 }
 
-// load reads the ledger. What other regions have confirmed before does not count for it.
+// load loads the ledger and begins a new incarnation. What other regions have verified before
+// does not count for it.
 func (m *Manager) load() {
 	m.ledger = nil
 	m.incarnation, m.sequence = m.host.NewIncarnation(), 0
 	for _, remote := range m.remotes {
-		*remote = remoteRegion{name: remote.name, index: remote.index, echoIncarnation: remote.echoIncarnation, echoSequence: remote.echoSequence, interval: m.MessageInterval, replacementLogged: remote.replacementLogged}
+		remote.reset(m.MessageInterval)
 	}
 	incarnation := m.incarnation
 	m.store.Load(ledger.Prefix, func(items []wire.Item) {
@@ -92,44 +106,61 @@
 	})
 }
 
-// onLoaded takes in the records.
+// reset forgets what the region has said to an earlier incarnation.
+func (r *remoteRegion) reset(interval time.Duration) {
+	*r = remoteRegion{
+		name:              r.name,
+		index:             r.index,
+		echoIncarnation:   r.echoIncarnation,
+		echoSequence:      r.echoSequence,
+		interval:          interval,
+		replacementLogged: r.replacementLogged,
+	}
+}
+
+// onLoaded uses the records that were read.
 func (m *Manager) onLoaded(items []wire.Item) {
 	loaded, err := ledger.Load(items)
 	if err != nil {
-		m.Log.Error("quota ledger is not readable", "err", err)
+		m.Log.Error("quota ledger malformed", "region", m.Region, "error", err)
 		m.fenceReason = err.Error()
 		return
 	}
 	m.ledger = loaded
-	if err := loaded.CheckInvariants(); err != nil {
-		m.fenceReason = err.Error()
-	}
+	m.checkInvariants()
 	m.logPlanDifferences()
-	m.Log.Info("quota ledger loaded", "region", m.Region, "epoch", loaded.Epoch(), "teams", len(loaded.Teams()), "fenced", loaded.FenceReason())
+	m.Log.Info("quota ledger loaded", "region", m.Region, "epoch", loaded.Epoch(), "teams", len(loaded.Teams()), "fence_reason", loaded.FenceReason())
 	m.startNext()
 }
 
-// logPlanDifferences tells of teams of which file and ledger say something else. The ledger holds.
+// checkInvariants requests a fence if the ledger is not sound.
+func (m *Manager) checkInvariants() {
+	if err := m.ledger.CheckInvariants(); err != nil {
+		m.fenceReason = err.Error()
+	}
+}
+
+// logPlanDifferences logs teams for which file and ledger differ. The ledger is used.
 func (m *Manager) logPlanDifferences() {
 	for i := range m.Plan.Teams {
 		team := &m.Plan.Teams[i]
-		part := team.InitialShare(m.Region)
-		if share, ok := m.ledger.Share(team.Name); ok && (share.Limit != part.Limit || share.Guarantee != part.Guarantee) {
-			m.Log.Warn("regions file contradicts the ledger, which holds", "team", team.Name,
-				"file_ceiling", part.Limit, "ceiling", share.Limit, "file_guaranteed", part.Guarantee, "guaranteed", share.Guarantee)
+		planned := team.InitialShare(m.Region)
+		if share, ok := m.ledger.Share(team.Name); ok && (share.Limit != planned.Limit || share.Guarantee != planned.Guarantee) {
+			m.Log.Warn("regions file differs from quota ledger, which is used", "team", team.Name,
+				"file_limit", planned.Limit, "limit", share.Limit, "file_guarantee", planned.Guarantee, "guarantee", share.Guarantee)
 		}
 	}
 }
 
-// complete tells whether there is a whole ledger.
+// complete reports whether there is a complete ledger.
 func (m *Manager) complete() bool { return m.ledger != nil && m.ledger.Epoch() != 0 }
 
-// fenced tells whether the region may grant nothing.
+// fenced reports whether the region may grant nothing.
 func (m *Manager) fenced() bool {
 	return m.fenceReason != "" || m.ledger != nil && m.ledger.FenceReason() != ""
 }
 
-// verified tells whether the ledger is complete, not fenced and confirmed by every other region.
+// verified reports whether the ledger is complete, not fenced and verified by every other region.
 func (m *Manager) verified() bool {
 	if !m.complete() || m.fenced() {
 		return false
@@ -142,9 +173,8 @@
 	return true
 }
 
-// Limit is what a team's tasks may use in the region now: what it owns and is not giving
-// away, of a ledger that is not confirmed yet the guaranteed part of it, of a fenced one
-// nothing.
+// Limit is what a team's tasks may use in the region at present: what it owns without a pending
+// debit; of a ledger that is not verified yet at most the guarantee; of a fenced one nothing.
 func (m *Manager) Limit(team string) amount.Amount {
 	if !m.complete() || m.fenced() {
 		return amount.Amount{}
@@ -157,27 +187,28 @@
 	return owned
 }
 
-// pendingDebit is what a transaction under way takes from a team's share.
+// pendingDebit is what the pending transaction debits of a team's share.
 func (m *Manager) pendingDebit(team string) amount.Amount {
 	var sum amount.Amount
-	if m.pending != nil {
-		for _, debit := range m.pending.debits {
-			if debit.Team == team {
-				sum = sum.Add(debit.Amount)
-			}
+	if m.pending == nil {
+		return sum
+	}
+	for _, debit := range m.pending.debits {
+		if debit.Team == team {
+			sum = sum.Add(debit.Amount)
 		}
 	}
 	return sum
 }
 
-// Tick tells the manager that time has passed.
+// Tick does what is due. It is called several times per message interval.
 func (m *Manager) Tick() {
 	m.retryPending()
 	m.startNext()
 	m.sendDue()
 }
 
-// remote finds another region; nil if the file has none of that name.
+// remote finds another region; nil if the file has none of that name that is not lost.
 func (m *Manager) remote(name string) *remoteRegion {
 	for _, remote := range m.remotes {
 		if remote.name == name {
@@ -187,13 +218,18 @@
 	return nil
 }
 
-// holding is the region's share of a team and what it does with it.
+// holding is the region's share of a team and what the region does with it.
 func (m *Manager) holding(team string) balance.Holding {
-	s, _ := m.ledger.Share(team)
-	return balance.Holding{Owned: s.Owned.Sub(m.pendingDebit(team)), Guarantee: s.Guarantee, Demand: m.host.Demand(team), RecentlyCredited: m.recentCredit(team)}
+	share, _ := m.ledger.Share(team)
+	return balance.Holding{
+		Owned:            share.Owned.Sub(m.pendingDebit(team)),
+		Guarantee:        share.Guarantee,
+		Demand:           m.host.Demand(team),
+		RecentlyCredited: m.recentCredit(team),
+	}
 }
 
-// recentCredit is what came of a team's shares a moment ago.
+// recentCredit is what was credited of a team recently.
 func (m *Manager) recentCredit(team string) amount.Amount {
 	var sum amount.Amount
 	credits := m.recentCredits[team]
@@ -209,21 +245,19 @@
 	return sum
 }
 
-// offersOf lists what other regions said that they could spare of a team.
+// offersOf lists what the other regions, in the order of remotes, could spare of a team.
 func (m *Manager) offersOf(team string) []balance.Offer {
 	offers := make([]balance.Offer, len(m.remotes))
 	for i, remote := range m.remotes {
 		offers[i].Region = remote.index
-		offer, ok := remote.offers[team]
-		if !ok || !m.reachable(remote) {
-			continue
+		if offer, ok := remote.offers[team]; ok && m.reachable(remote) {
+			offers[i] = offerFromWire(offer, remote.index)
 		}
-		offers[i] = balance.Offer{Region: remote.index, Amount: amount.Amount{CPUs: offer.CPUs, GPUs: offer.GPUs}, Contested: offer.Contested, GangPriority: offer.GangRank}
 	}
 	return offers
 }
 
-// reachable tells whether a region was heard lately.
+// reachable reports whether a region has answered recently.
 func (m *Manager) reachable(remote *remoteRegion) bool {
 	return remote.confirmedIncarnation != 0 && m.host.Now()-remote.lastHeard <= unreachableFactor*m.MessageInterval
 }
--- a/internal/quota/receive.go
+++ b/internal/quota/receive.go
@@ -6,18 +6,19 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Receive takes in a message of another region.
+// Receive handles a message of another region. Only a message that answers this incarnation
+// counts, and of those only the newest of the sender's confirmed incarnation may move shares.
 func (m *Manager) Receive(msg *wire.RegionMessage) {
 	remote := m.remote(msg.From)
 	switch {
 	case msg.Version > wire.RegionVersion:
-		m.reject(msg.From, "of a newer version")
+		m.reject(msg.From, "newer protocol version")
 		return
 	case remote == nil:
-		m.reject(msg.From, "of a region that the file does not name, or names as lost")
+		m.reject(msg.From, "region is lost or not in the regions file")
 		return
 	case msg.To != m.Region:
-		m.reject(msg.From, "for another region")
+		m.reject(msg.From, "addressed to another region")
 		return
 	}
 	if msg.EchoRun != m.incarnation {
@@ -28,22 +29,27 @@
 	remote.planFingerprint, remote.epoch, remote.knownEpoch = msg.Plan, msg.Epoch, msg.KnownEpoch
 	m.verifyLedger(remote, msg)
 	if m.advanceSequence(remote, msg) && m.hasSameLedger(remote) {
-		m.applyContent(remote, msg)
+		remote.applyContent(msg)
 	}
 	m.startNext()
 	m.sendDue()
 }
 
-// reject logs once for each sender why its messages are not taken.
-func (m *Manager) reject(from, reason string) {
-	if !m.loggedRejections[from+reason] {
-		m.loggedRejections[from+reason] = true
-		m.Log.Warn("region message refused", "from", from, "why", reason)
+// rejection is why messages of a region are rejected.
+type rejection struct{ region, reason string }
+
+// reject logs, once for each sender and reason, that a message is rejected.
+func (m *Manager) reject(region, reason string) {
+	rejected := rejection{region, reason}
+	if m.loggedRejections[rejected] {
+		return
 	}
+	m.loggedRejections[rejected] = true
+	m.Log.Warn("region message rejected", "region", region, "reason", reason)
 }
 
-// onUnknownIncarnation notes a message that does not answer this run, so that its sender gets one that
-// it can answer.
+// onUnknownIncarnation handles a message that does not answer this incarnation: its sender gets a
+// message that it can answer.
 func (m *Manager) onUnknownIncarnation(remote *remoteRegion, msg *wire.RegionMessage) {
 	if msg.Run == remote.echoIncarnation && msg.Sequence <= remote.echoSequence {
 		return
@@ -53,26 +59,30 @@
 	m.sendDue()
 }
 
-// advanceSequence tells whether a message is the newest of the run of its sender that is confirmed.
-// Another run becomes a candidate once it answers what was sent after that one was confirmed:
-// late messages of earlier runs never do. They would bring back what has been overtaken, such
-// as a transfer from before the sender's ledger was replaced by an older copy.
+// advanceSequence reports whether a message is the newest of its sender's confirmed incarnation,
+// and records it. Another incarnation becomes a candidate once it answers a message that was sent
+// after the confirmation; late messages of earlier incarnations never do. They would bring back
+// what is outdated, such as a transfer from before the sender's ledger was replaced by an older
+// copy.
 func (m *Manager) advanceSequence(remote *remoteRegion, msg *wire.RegionMessage) bool {
 	if msg.Run != remote.confirmedIncarnation {
 		if remote.confirmedIncarnation == 0 || msg.EchoSequence > remote.confirmedAtSequence {
-			remote.candidateIncarnation, remote.echoIncarnation, remote.echoSequence = msg.Run, msg.Run, msg.Sequence
+			remote.candidateIncarnation = msg.Run
+			remote.echoIncarnation, remote.echoSequence = msg.Run, msg.Sequence
 		}
 		return false
 	}
 	if msg.Sequence <= remote.sequence {
 		return false
 	}
-	remote.sequence, remote.echoIncarnation, remote.echoSequence = msg.Sequence, msg.Run, msg.Sequence
+	remote.sequence = msg.Sequence
+	remote.echoIncarnation, remote.echoSequence = msg.Run, msg.Sequence
 	return true
 }
 
-// verifyLedger holds this ledger against what another region knows of it. The numbers of transfers
-// that it has seen show whether this ledger is an older copy, or another one.
+// verifyLedger compares this ledger with what another region knows of it. The numbers of the
+// transfers that the other region has seen show whether this ledger is an older copy, or another
+// one. The reasons of a fence are in stored records: their wording never changes.
 func (m *Manager) verifyLedger(remote *remoteRegion, msg *wire.RegionMessage) {
 	if m.ledger == nil {
 		return
@@ -82,7 +92,7 @@
 	switch {
 	case !m.complete():
 		if msg.KnownEpoch != 0 {
-			m.reject(remote.name, "this region's ledger is gone: "+remote.name+" knows one, and nothing is granted until an operator says so")
+			m.reject(remote.name, "this region's ledger is missing though the other region knows one; nothing is granted until an operator intervenes")
 		}
 		return
 	case msg.KnownEpoch != 0 && msg.KnownEpoch != m.ledger.Epoch():
@@ -92,10 +102,12 @@
 	case msg.Acknowledged > link.Received:
 		m.fenceReason = remote.name + " was told of transfers that this ledger does not have: it is an older copy"
 	}
-	remote.hasVerified = remote.hasVerified || m.fenceReason == "" && remote.hasConfirmed && msg.KnownEpoch == m.ledger.Epoch()
+	if m.fenceReason == "" && remote.hasConfirmed && msg.KnownEpoch == m.ledger.Epoch() {
+		remote.hasVerified = true
+	}
 }
 
-// hasSameLedger tells whether a region still has the ledger that transfers were agreed with.
+// hasSameLedger reports whether a region still has the ledger of the handshake.
 func (m *Manager) hasSameLedger(remote *remoteRegion) bool {
 	if !m.complete() {
 		return false
@@ -103,30 +115,31 @@
 	known := m.ledger.Link(remote.name).RemoteEpoch
 	if known != 0 && remote.epoch != known && !remote.replacementLogged {
 		remote.replacementLogged = true
-		m.Log.Error("region has lost its ledger, no shares move to or from it", "region", remote.name)
+		m.Log.Error("quota ledger of region replaced, transfers suspended", "region", remote.name)
 	}
 	return known != 0 && remote.epoch == known
 }
 
-// applyContent takes in what a region gives, asks for and offers.
-func (m *Manager) applyContent(remote *remoteRegion, msg *wire.RegionMessage) {
-	remote.received = max(remote.received, msg.Received)
-	remote.transfers = msg.Transfers
-	remote.claims, remote.claimsReceived = msg.Claims, msg.Received
-	if msg.HasOffers {
-		remote.hasOffers = true
-		remote.offers = make(map[string]wire.RegionOffer, len(msg.Offers))
-		for _, offer := range msg.Offers {
-			remote.offers[offer.Team] = offer
-		}
+// applyContent records what the region transfers, claims and offers.
+func (r *remoteRegion) applyContent(msg *wire.RegionMessage) {
+	r.received = max(r.received, msg.Received)
+	r.transfers = msg.Transfers
+	r.claims, r.claimsReceived = msg.Claims, msg.Received
+	if !msg.HasOffers {
+		return
+	}
+	r.hasOffers = true
+	r.offers = make(map[string]wire.RegionOffer, len(msg.Offers))
+	for _, offer := range msg.Offers {
+		r.offers[offer.Team] = offer
 	}
 }
 
-// nextTransfer is the one that a region has sent and that comes next; nil for none.
-func (p *remoteRegion) nextTransfer(received uint64) *wire.RegionTransfer {
-	i := slices.IndexFunc(p.transfers, func(t wire.RegionTransfer) bool { return t.Number == received+1 })
+// nextTransfer is the transfer that the region has sent after a number; nil for none.
+func (r *remoteRegion) nextTransfer(received uint64) *wire.RegionTransfer {
+	i := slices.IndexFunc(r.transfers, func(t wire.RegionTransfer) bool { return t.Number == received+1 })
 	if i < 0 {
 		return nil
 	}
-	return &p.transfers[i]
+	return &r.transfers[i]
 }
--- a/internal/quota/report/report_test.go
+++ b/internal/quota/report/report_test.go
@@ -3,54 +3,64 @@
 import (
 	"encoding/json"
 	"errors"
+	"net/url"
+	"slices"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/httpserve"
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// serveStore serves keys as a state service does, two to a page.
-func serveStore(t *testing.T, keys []wire.Item) string {
+// pageSize is how many keys the test store returns in a page.
+const pageSize = 2
+
+// serveStore serves keys, which are in order, as a key-value store does.
+func serveStore(t *testing.T, items []wire.Item) string {
 	t.Helper()
-	var traffic httpserve.Traffic
-	s, err := httpserve.Listen("127.0.0.1:0", &traffic, func(q *httpwire.Request, reply func(httpserve.Response)) {
-		target := httpserve.RequestTarget(q)
-		arg := func(name string) string {
-			_, rest, _ := strings.Cut(target, name+"=")
-			value, _, _ := strings.Cut(rest, "&")
-			return value
-		}
-		page := wire.Page{Items: []wire.Item{}}
-		for _, it := range keys {
-			if !strings.HasPrefix(it.Key, arg("under")) || it.Key <= arg("since") {
-				continue
-			}
-			if len(page.Items) == 2 {
-				page.More = true
-				break
-			}
-			page.Items = append(page.Items, it)
+	server, err := httpserve.Listen("127.0.0.1:0", &httpserve.Traffic{}, func(request *httpwire.Request, reply func(httpserve.Response)) {
+		query, err := url.ParseQuery(request.Query)
+		if err != nil {
+			t.Error(err)
 		}
-		body, _ := json.Marshal(page)
-		reply(httpserve.Response{Status: 200, Body: body})
+		page := pageOf(items, query.Get("under"), query.Get("since"))
+		reply(httpserve.Response{Status: httpstatus.OK, Body: kv.Encode(page)})
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { s.Close() })
-	return s.Addr()
+	t.Cleanup(func() { server.Close() })
+	return server.Addr()
+}
+
+// pageOf is a page of the items below a prefix, beginning after a key.
+func pageOf(items []wire.Item, prefix, after string) wire.Page {
+	page := wire.Page{Items: []wire.Item{}}
+	for _, item := range items {
+		if !strings.HasPrefix(item.Key, prefix) || item.Key <= after {
+			continue
+		}
+		if len(page.Items) == pageSize {
+			page.More = true
+			break
+		}
+		page.Items = append(page.Items, item)
+	}
+	return page
 }
 
 func item(key, value string) wire.Item {
 	return wire.Item{Key: key, Value: []byte(value), Version: 5}
 }
 
-// TestRead reads a ledger of more than a page and adds up what placements use.
-func TestRead(t *testing.T) {
-	addr := serveStore(t, []wire.Item{
+// readTestReport reads a ledger of more than a page, with placements.
+func readTestReport(t *testing.T) *Report {
+	t.Helper()
+	address := serveStore(t, []wire.Item{
 		item("o/job-000001", `{"j":{"nameId":"job-000001","crew":"vision","shards":3,"cpus":2,"accelerators":1},"at":1}`),
 		item("p/job-000001/0-3", `{"n":4,"t":[{"i":0,"a":1,"m":"n-1","z":"a","s":1},{"i":2,"a":2,"m":"n-1","z":"a","s":1}]}`),
 		item("quota/head", `{"e":7,"f":"why"}`),
@@ -58,42 +68,60 @@
 		item("quota/s/audio", `{"c":{"c":8000,"g":0},"g":{"c":0,"g":0},"o":{"c":4000,"g":0},"p":1}`),
 		item("quota/s/vision", `{"c":{"c":1152921504606846975,"g":16000},"g":{"c":1152921504606846975,"g":2000},"o":{"c":1152921504606846975,"g":8000},"p":1}`),
 	})
-	r, err := Read(addr, 5*time.Second)
+	report, err := Read(address, 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var table, object strings.Builder
-	if err := r.WriteTable(&table); err != nil {
+	return report
+}
+
+// TestWriteTable looks for rows with the cells that the ledger and the placements give.
+func TestWriteTable(t *testing.T) {
+	var table strings.Builder
+	if err := readTestReport(t).WriteTable(&table); err != nil {
 		t.Fatal(err)
 	}
-	for _, row := range [][]string{{"FENCED:", "why"}, {"vision", "- / 16", "- / 2", "- / 8", "4 / 2"}, {"audio", "8 / 0", "4 / 0"}, {"south", "2", "4", "1"}, {"2", "vision", "0 / 1.5"}} {
-		found := false
-		for _, line := range strings.Split(table.String(), "\n") {
-			all := true
-			for _, cell := range row {
-				all = all && strings.Contains(line, cell)
-			}
-			found = found || all
-		}
-		if !found {
+	for _, row := range [][]string{
+		{"FENCED:", "why"},
+		{"vision", "- / 16", "- / 2", "- / 8", "4 / 2"},
+		{"audio", "8 / 0", "4 / 0"},
+		{"south", "2", "4", "1"},
+		{"2", "vision", "0 / 1.5"},
+	} {
+		if !hasRow(table.String(), row) {
 			t.Errorf("no row with %q in\n%s", row, table.String())
 		}
 	}
-	if err := r.WriteJSON(&object); err != nil {
+}
+
+// hasRow reports whether a line of a table contains all cells.
+func hasRow(table string, cells []string) bool {
+	return slices.ContainsFunc(strings.Split(table, "\n"), func(line string) bool {
+		return !slices.ContainsFunc(cells, func(cell string) bool { return !strings.Contains(line, cell) })
+	})
+}
+
+// TestWriteJSON decodes what was written.
+func TestWriteJSON(t *testing.T) {
+	var object strings.Builder
+	if err := readTestReport(t).WriteJSON(&object); err != nil {
+		t.Fatal(err)
+	}
+	var decoded Report
+	if err := json.Unmarshal([]byte(object.String()), &decoded); err != nil {
 		t.Fatal(err)
 	}
-	var back Report
-	if err := json.Unmarshal([]byte(object.String()), &back); err != nil || len(back.Teams) != 2 || back.Teams[1].Limit.CPUs != nil || *back.Teams[1].Owned.GPUs != 8 {
-		t.Errorf("JSON reads back as %+v, %v", back, err)
+	if len(decoded.Teams) != 2 || decoded.Teams[1].Limit.CPUs != nil || *decoded.Teams[1].Owned.GPUs != 8 {
+		t.Errorf("decoded %+v", decoded)
 	}
 }
 
-// TestReadNothing reads a state service without a ledger, and one that is not there.
+// TestReadNothing reads from a store without a ledger, and from one that cannot be reached.
 func TestReadNothing(t *testing.T) {
 	if _, err := Read(serveStore(t, nil), 5*time.Second); !errors.Is(err, ErrNoLedger) {
 		t.Errorf("error %v, want that there is no ledger", err)
 	}
 	if _, err := Read("127.0.0.1:1", time.Second); err == nil {
-		t.Error("a state service that is not there was read")
+		t.Error("a store that cannot be reached was read")
 	}
 }
--- a/internal/quota/send.go
+++ b/internal/quota/send.go
@@ -8,119 +8,141 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// sendDue sends the messages that are due: complete ones from time to time, others as soon as
-// there is something to tell, at a bounded rate.
+// sendDue sends the messages that are due: complete ones periodically, others as soon as there
+// is something to say, at a bounded rate. Nothing can be said before the ledger is loaded.
 func (m *Manager) sendDue() {
 	if m.ledger == nil {
-		return // nothing can be said before it is read
+		return
 	}
 	now := m.host.Now()
 	var states []teamState // found once for all messages of a moment
 	for i, remote := range m.remotes {
 		complete := now >= remote.nextComplete
-		if !complete && !(remote.urgent && now >= remote.lastSent+m.MessageInterval/urgentDivisor) {
+		urgent := remote.urgent && now >= remote.lastSent+m.MessageInterval/urgentDivisor
+		if !complete && !urgent {
 			continue
 		}
 		if complete {
-			if remote.lastHeard != 0 && now-remote.lastHeard > unreachableFactor*m.MessageInterval || remote.lastHeard == 0 && remote.lastSent != 0 {
-				remote.interval = min(2*remote.interval, maxBackoffFactor*m.MessageInterval)
-			}
-			remote.nextComplete = now + remote.interval + m.jitter(remote)
+			m.scheduleComplete(remote, now)
 		}
 		if states == nil && m.verified() {
 			states = m.teamStates()
 		}
 		remote.urgent, remote.lastSent = false, now
-		m.host.Send(remote.name, m.message(i, complete, states))
+		msg := m.linkMessage(remote)
+		if m.verified() {
+			m.addTransfers(msg, remote)
+			addClaims(msg, states, i)
+			if complete {
+				m.addOffers(msg, states)
+			}
+		}
+		m.host.Send(remote.name, msg)
 	}
 }
 
-// jitter is a part of the interval that differs between regions and messages, so that they do
-// not all send at once.
+// scheduleComplete sets when the next complete message is due, with backoff while a region does
+// not answer.
+func (m *Manager) scheduleComplete(remote *remoteRegion, now time.Duration) {
+	fellSilent := remote.lastHeard != 0 && now-remote.lastHeard > unreachableFactor*m.MessageInterval
+	neverHeard := remote.lastHeard == 0 && remote.lastSent != 0
+	if fellSilent || neverHeard {
+		remote.interval = min(2*remote.interval, maxBackoffFactor*m.MessageInterval)
+	}
+	remote.nextComplete = now + remote.interval + m.jitter(remote)
+}
+
+// jitter is up to an eighth of the interval. It differs between regions and messages, so that
+// they do not all send at once.
 func (m *Manager) jitter(remote *remoteRegion) time.Duration {
 	const multiplier = 0x9e3779b97f4a7c15 // spreads consecutive numbers over all values
 	spread := (m.incarnation ^ (m.sequence+1)*multiplier ^ uint64(remote.index)*multiplier) >> 56
 	return remote.interval / 8 * time.Duration(spread) / 256
 }
 
-// teamState is what the region has of a team, what others offer of it, and what it asks of each
-// of them.
+// teamState is what the region has of a team, what others offer of it, and what it claims from
+// each of them.
 type teamState struct {
 	team    string
 	share   ledger.Share
 	holding balance.Holding
-	offers  []balance.Offer // by peer
-	claims  []balance.Claim // by peer
+	offers  []balance.Offer // by index of remotes
+	claims  []balance.Claim // by index of remotes
 }
 
-// teamStates finds that of each team.
+// teamStates finds the state of each team.
 func (m *Manager) teamStates() []teamState {
 	teams := m.ledger.Teams()
-	out := make([]teamState, len(teams))
+	states := make([]teamState, len(teams))
 	for i, team := range teams {
-		state := &out[i]
+		state := &states[i]
 		state.team, state.holding, state.offers = team, m.holding(team), m.offersOf(team)
 		state.share, _ = m.ledger.Share(team)
 		state.claims = state.holding.Claims(m.regionIndex, state.offers)
 	}
-	return out
+	return states
 }
 
-// message states all that is to be said to a region, the one at that place among the peers.
-func (m *Manager) message(index int, complete bool, states []teamState) *wire.RegionMessage {
-	remote := m.remotes[index]
+// linkMessage begins the next message to a region with what is known of the link.
+func (m *Manager) linkMessage(remote *remoteRegion) *wire.RegionMessage {
 	m.sequence++
-	msg := &wire.RegionMessage{
-		Version: wire.RegionVersion, From: m.Region, To: remote.name, Run: m.incarnation, Sequence: m.sequence,
-		EchoRun: remote.echoIncarnation, EchoSequence: remote.echoSequence, ConfirmedRun: remote.confirmedIncarnation, Plan: m.planFingerprint,
-	}
 	link := m.ledger.Link(remote.name)
-	msg.Epoch, msg.KnownEpoch = m.ledger.Epoch(), link.RemoteEpoch
-	msg.Sent, msg.Acknowledged, msg.Received = link.Sent, link.Acknowledged(), link.Received
-	if !m.verified() {
-		return msg
+	return &wire.RegionMessage{
+		Version:      wire.RegionVersion,
+		From:         m.Region,
+		To:           remote.name,
+		Run:          m.incarnation,
+		Sequence:     m.sequence,
+		EchoRun:      remote.echoIncarnation,
+		EchoSequence: remote.echoSequence,
+		ConfirmedRun: remote.confirmedIncarnation,
+		Plan:         m.planFingerprint,
+		Epoch:        m.ledger.Epoch(),
+		KnownEpoch:   link.RemoteEpoch,
+		Sent:         link.Sent,
+		Acknowledged: link.Acknowledged(),
+		Received:     link.Received,
 	}
-	for _, unacknowledged := range link.Unacknowledged {
-		if unacknowledged.Number <= remote.received {
-			continue
-		}
-		transfer := wire.RegionTransfer{Number: unacknowledged.Number}
-		for _, part := range unacknowledged.Parts {
-			transfer.Parts = append(transfer.Parts, wire.RegionShare{Team: part.Team, CPUs: part.Amount.CPUs, GPUs: part.Amount.GPUs})
+}
+
+// addTransfers adds the transfers that the region has not certainly credited.
+func (m *Manager) addTransfers(msg *wire.RegionMessage, remote *remoteRegion) {
+	link := m.ledger.Link(remote.name)
+	for _, transfer := range link.Unacknowledged {
+		if transfer.Number > remote.received {
+			msg.Transfers = append(msg.Transfers, transferToWire(transfer))
 		}
-		msg.Transfers = append(msg.Transfers, transfer)
 	}
-	addClaims(msg, states, index)
-	if complete {
-		m.addOffers(msg, states)
-	}
-	return msg
 }
 
-// addClaims says what is wanted of the region at a place among the peers.
+// addClaims adds what is claimed from the region at an index of remotes.
 func addClaims(msg *wire.RegionMessage, states []teamState, index int) {
 	for i := range states {
 		claim := states[i].claims[index]
-		if claim.Need.IsZero() && claim.Reserve.IsZero() {
-			continue
+		if !claim.Need.IsZero() || !claim.Reserve.IsZero() {
+			msg.Claims = append(msg.Claims, claimToWire(claim, states[i].team))
 		}
-		msg.Claims = append(msg.Claims, wire.RegionClaim{Team: states[i].team, NeedCPUs: claim.Need.CPUs, NeedGPUs: claim.Need.GPUs,
-			ReserveCPUs: claim.Reserve.CPUs, ReserveGPUs: claim.Reserve.GPUs, Rank: claim.Priority, Gang: claim.Gang})
 	}
 }
 
-// addOffers says what could be spared.
+// addOffers adds what this region could spare.
 func (m *Manager) addOffers(msg *wire.RegionMessage, states []teamState) {
 	msg.HasOffers = true
 	for i := range states {
 		state := &states[i]
 		spare := state.holding.Spare()
-		msg.Offers = append(msg.Offers, wire.RegionOffer{Team: state.team, CPUs: spare.CPUs, GPUs: spare.GPUs, Plan: state.share.PlanFingerprint,
-			Contested: state.holding.Contested(m.regionIndex, state.offers), GangRank: state.holding.Demand.GangPriority})
+		msg.Offers = append(msg.Offers, wire.RegionOffer{
+			Team:      state.team,
+			CPUs:      spare.CPUs,
+			GPUs:      spare.GPUs,
+			Plan:      state.share.PlanFingerprint,
+			Contested: state.holding.Contested(m.regionIndex, state.offers),
+			GangRank:  state.holding.Demand.GangPriority,
+		})
 	}
 }
 
-// DemandChanged tells that more is wanted than before: the other regions hear of it soon.
+// DemandChanged is called when a team wants more than before: the other regions are told soon.
 func (m *Manager) DemandChanged() {
 	if !m.verified() {
 		return
--- /dev/null
+++ b/internal/quota/transfers.go
@@ -0,0 +1,117 @@
+package quota
+
+import "github.com/brookwalk/brookwalk/internal/quota/ledger"
+
+// credit credits the next transfer from another region.
+func (m *Manager) credit() *pendingChange {
+	if !m.verified() {
+		return nil
+	}
+	for _, remote := range m.remotes {
+		next := remote.nextTransfer(m.ledger.Link(remote.name).Received)
+		if next == nil {
+			continue
+		}
+		transfer := transferFromWire(next)
+		change := m.ledger.Credit(m.host.Term(), remote.name, remote.received, transfer)
+		return &pendingChange{change: change.Then(func(uint64) { m.onCredited(remote, transfer) })}
+	}
+	return nil
+}
+
+// onCredited makes use of shares that were credited.
+func (m *Manager) onCredited(remote *remoteRegion, transfer ledger.Transfer) {
+	keptUntil := m.host.Now() + recentCreditFactor*m.MessageInterval
+	for _, part := range transfer.Parts {
+		m.recentCredits[part.Team] = append(m.recentCredits[part.Team], recentCredit{part.Amount, keptUntil})
+		m.Log.Debug("shares credited", "team", part.Team, "amount", part.Amount, "region", remote.name, "transfer", transfer.Number)
+	}
+	remote.urgent, remote.lastLinkWrite = true, m.host.Now()
+	m.host.SharesChanged()
+}
+
+// debit transfers shares to a region that has claimed them.
+func (m *Manager) debit() *pendingChange {
+	if !m.verified() {
+		return nil
+	}
+	for _, remote := range m.remotes {
+		link := m.ledger.Link(remote.name)
+		if !m.mayDebit(remote, &link) {
+			continue
+		}
+		parts := m.grantedParts(remote, &link)
+		remote.claims = nil // they are answered; what is still wanted comes with the next message
+		if len(parts) == 0 {
+			continue
+		}
+		change, err := m.ledger.Debit(m.host.Term(), remote.name, remote.received, parts)
+		if err != nil {
+			m.Log.Error("shares not debited", "region", remote.name, "error", err)
+			continue
+		}
+		transfer := ledger.Transfer{Number: link.Sent + 1, Parts: parts}
+		return &pendingChange{debits: parts, change: change.Then(func(uint64) { m.onDebited(remote, transfer) })}
+	}
+	return nil
+}
+
+// mayDebit reports whether a transfer to a region is due.
+func (m *Manager) mayDebit(remote *remoteRegion, link *ledger.Link) bool {
+	if len(remote.claims) == 0 || len(link.Unacknowledged) >= maxUnacknowledged || !m.reachable(remote) {
+		return false
+	}
+	return remote.lastDebit == 0 || m.host.Now()-remote.lastDebit >= m.MessageInterval/debitDivisor
+}
+
+// onDebited requests a message with the transfer.
+func (m *Manager) onDebited(remote *remoteRegion, transfer ledger.Transfer) {
+	for _, part := range transfer.Parts {
+		m.Log.Debug("shares debited", "team", part.Team, "amount", part.Amount, "region", remote.name, "transfer", transfer.Number)
+	}
+	remote.urgent = true
+	remote.lastDebit, remote.lastLinkWrite = m.host.Now(), m.host.Now()
+}
+
+// grantedParts decides what a region gets for its claims. The transfer is bounded so that it and
+// the link's record fit the store's limits.
+func (m *Manager) grantedParts(remote *remoteRegion, link *ledger.Link) []ledger.Part {
+	var parts []ledger.Part
+	limit := min(maxTransferParts, m.MaxWrites-1, m.MaxValueBytes/maxPartBytes/maxUnacknowledged)
+	seen := map[string]bool{}
+	for _, request := range remote.claims {
+		if _, ok := m.ledger.Share(request.Team); !ok || seen[request.Team] || len(parts) >= limit {
+			continue
+		}
+		seen[request.Team] = true
+		claim := claimFromWire(request, remote.index)
+		// What is in transit was claimed before it could arrive.
+		inTransit := link.InTransit(request.Team, remote.claimsReceived)
+		claim.Reserve = claim.Reserve.Sub(inTransit.Sub(claim.Need).NonNegative()).NonNegative()
+		claim.Need = claim.Need.Sub(inTransit).NonNegative()
+		holding := m.holding(request.Team)
+		granted := holding.Grant(m.regionIndex, claim, m.offersOf(request.Team))
+		if !granted.IsZero() {
+			parts = append(parts, ledger.Part{Team: request.Team, Amount: granted})
+		}
+	}
+	return parts
+}
+
+// acknowledge drops transfers that were credited. The link's next transfer does so too, so that
+// this is seldom worth a write of its own.
+func (m *Manager) acknowledge() *pendingChange {
+	if !m.verified() {
+		return nil
+	}
+	for _, remote := range m.remotes {
+		full := len(m.ledger.Link(remote.name).Unacknowledged) >= maxUnacknowledged
+		if !full && m.host.Now()-remote.lastLinkWrite < acknowledgeFactor*m.MessageInterval {
+			continue
+		}
+		if change := m.ledger.Acknowledge(m.host.Term(), remote.name, remote.received); change != nil {
+			return &pendingChange{change: change}
+		}
+	}
+	return nil
+}
