--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -10,434 +10,434 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Each test here brings about one failure that one guard of the protocol is there for.
+// Each test here causes one failure that one guard of the protocol prevents, see
+// docs/design-quota.md.
 
-// limit is what a region's leader may grant.
+// limit is what a region's leader may grant, in GPUs.
 func (r *stepRegion) limit() float64 {
-	_, gpus := r.leader().m.Limit(stepTeam).Units()
+	_, gpus := r.leader().manager.Limit(stepTeam).Units()
 	return gpus
 }
 
-// claimAndDebit has region b ask a for shares and a subtract them. The messages that carry the
-// transfer are kept back and returned.
-func (w *interleaving) claimAndDebit(t *testing.T, a, b int) []stepMessage {
+// owned is what a region owns by its records, in GPUs.
+func (r *stepRegion) owned(t *testing.T) float64 {
 	t.Helper()
-	w.regions[b].demand = balance.Demand{Shortfall: amount.Of(0, 9), Priority: 1}
-	before := w.regions[a].limit()
+	loaded, err := ledger.Load(r.records())
+	if err != nil {
+		t.Fatal(err)
+	}
+	share, _ := loaded.Share(stepTeam)
+	_, gpus := share.Owned.Units()
+	return gpus
+}
+
+// checkOwned checks that two regions do not own more than the limit together.
+func (s *interleaving) checkOwned(t *testing.T) {
+	t.Helper()
+	if sum := s.regions[0].owned(t) + s.regions[1].owned(t); sum > stepLimit {
+		t.Errorf("%v GPUs are owned, the limit is %d", sum, stepLimit)
+	}
+}
+
+// claimAndDebit makes region 1 claim shares and region 0 debit them. The messages that carry the
+// transfer are held back and returned.
+func (s *interleaving) claimAndDebit(t *testing.T) []stepMessage {
+	t.Helper()
+	source, destination := s.regions[0], s.regions[1]
+	destination.demand = balance.Demand{Shortfall: amount.Of(0, 9), Priority: 1}
+	before := source.limit()
 	var held []stepMessage
-	for range 200 {
-		w.now += testInterval / urgentDivisor
-		for _, r := range w.regions {
-			r.leader().m.Tick()
-			for len(r.leader().calls) > 0 {
-				r.leader().answer(0)
-			}
+	for i := 0; i < 200 && len(held) < 2; i++ {
+		s.advance()
+		for _, region := range s.regions {
+			region.leader().tick()
 		}
-		messages := w.messages
-		w.messages = nil
-		for _, x := range messages {
-			if x.to == b && x.msg.From == w.plan.Regions[a].Name && len(x.msg.Transfers) > 0 {
-				held = append(held, x)
-				continue
+		for _, message := range s.takeMessages() {
+			if message.to == 1 && message.msg.From == "region-0" && len(message.msg.Transfers) > 0 {
+				held = append(held, message)
+			} else {
+				s.receive(message)
 			}
-			w.regions[x.to].leader().m.Receive(x.msg)
-		}
-		if len(held) > 1 {
-			break
 		}
 	}
-	if len(held) < 2 || w.regions[a].limit() >= before {
-		t.Fatal("nothing was given")
+	if len(held) < 2 || source.limit() >= before {
+		t.Fatal("nothing was debited")
 	}
-	w.regions[b].demand = balance.Demand{}
+	destination.demand = balance.Demand{}
 	return held
 }
 
-// owned is what a region's records say that it owns.
-func (r *stepRegion) owned() float64 {
-	l, _ := ledger.Load(r.records())
-	s, _ := l.Share(stepTeam)
-	_, gpus := s.Owned.Units()
-	return gpus
+// deliver delivers messages and answers all calls.
+func (s *interleaving) deliver(messages []stepMessage) {
+	for _, message := range messages {
+		s.receive(message)
+		s.regions[message.to].leader().answerAll()
+	}
 }
 
-// deliver hands messages over and answers all calls.
-func (w *interleaving) deliver(messages []stepMessage) {
-	for _, x := range messages {
-		l := w.regions[x.to].leader()
-		l.m.Receive(x.msg)
-		for len(l.calls) > 0 {
-			l.answer(0)
-		}
+// message is a message of region 1 that the leader of region 0 accepts. Its sequence follows that of
+// the last one by a number.
+func (s *interleaving) message(following int64, claims ...wire.RegionClaim) *wire.RegionMessage {
+	receiver := s.regions[0].leader().manager
+	remote := receiver.remote("region-1")
+	return &wire.RegionMessage{
+		Version:      wire.RegionVersion,
+		From:         "region-1",
+		To:           "region-0",
+		Run:          remote.confirmedIncarnation,
+		Sequence:     remote.sequence + uint64(following),
+		EchoRun:      receiver.incarnation,
+		EchoSequence: receiver.sequence,
+		ConfirmedRun: receiver.incarnation,
+		Plan:         receiver.planFingerprint,
+		Epoch:        remote.epoch,
+		KnownEpoch:   receiver.ledger.Epoch(),
+		Claims:       claims,
 	}
 }
 
-// TestTransferOfEarlierIncarnation has a transfer arrive after its region's ledger was replaced by a
-// copy from before it, and confirmed by the others: the shares are in that ledger again.
+// claimOf claims a number of thousandths of a GPU.
+func claimOf(gpus int64) wire.RegionClaim { return wire.RegionClaim{Team: stepTeam, NeedGPUs: gpus} }
+
+// receiveAnswered makes the leader of region 0 receive a message and answers its calls.
+func (s *interleaving) receiveAnswered(msg *wire.RegionMessage) {
+	leader := s.regions[0].leader()
+	leader.manager.Receive(msg)
+	leader.answerAll()
+}
+
+// TestTransferOfEarlierIncarnation delivers a transfer after the sender's ledger was replaced by an
+// older copy, which the others have verified: that ledger still owns the shares.
 func TestTransferOfEarlierIncarnation(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[0].takeBackup()
-	held := w.claimAndDebit(t, 0, 1)
-	w.regions[0].restoreLedger()
-	w.settle()
-	if w.regions[0].limit() != 6 {
-		t.Fatalf("the copy is not trusted: it may grant %v", w.regions[0].limit())
-	}
-	w.deliver(append(held, held...))
-	w.settle()
-	if sum := w.regions[0].owned() + w.regions[1].owned(); sum > 12 {
-		t.Errorf("%v GPUs are owned, the ceiling is 12", sum)
-	}
+	s := newInterleaving(2)
+	s.regions[0].takeBackup()
+	held := s.claimAndDebit(t)
+	s.regions[0].restoreLedger()
+	s.settle()
+	if s.regions[0].limit() != 6 {
+		t.Fatalf("the copy is not verified: it may grant %v", s.regions[0].limit())
+	}
+	s.deliver(append(held, held...))
+	s.settle()
+	s.checkOwned(t)
 }
 
-// TestTransferDuringConfirmation has it arrive while the new run is being confirmed.
+// TestTransferDuringConfirmation delivers it while the new incarnation is being confirmed.
 func TestTransferDuringConfirmation(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[0].takeBackup()
-	held := w.claimAndDebit(t, 0, 1)
-	w.regions[0].restoreLedger()
-	b := w.regions[1].leader()
-	for range 200 {
-		w.now += testInterval / urgentDivisor
-		for _, r := range w.regions {
-			r.leader().m.Tick()
-		}
-		for len(w.regions[0].leader().calls) > 0 {
-			w.regions[0].leader().answer(0)
-		}
-		messages := w.messages
-		w.messages = nil
-		for _, x := range messages {
-			w.regions[x.to].leader().m.Receive(x.msg)
+	s := newInterleaving(2)
+	s.regions[0].takeBackup()
+	held := s.claimAndDebit(t)
+	s.regions[0].restoreLedger()
+	receiver := s.regions[1].leader()
+	for i := 0; i < 200 && receiver.manager.pending == nil; i++ {
+		s.advance()
+		for _, region := range s.regions {
+			region.leader().manager.Tick()
 		}
-		if b.m.pending != nil {
-			break
+		s.regions[0].leader().answerAll()
+		for _, message := range s.takeMessages() {
+			s.receive(message)
 		}
 	}
-	if b.m.pending == nil {
-		t.Fatal("no run was confirmed")
+	if receiver.manager.pending == nil {
+		t.Fatal("no incarnation was confirmed")
 	}
-	for _, x := range held {
-		b.m.Receive(x.msg)
-	}
-	w.settle()
-	if sum := w.regions[0].owned() + w.regions[1].owned(); sum > 12 {
-		t.Errorf("%v GPUs are owned, the ceiling is 12", sum)
+	for _, message := range held {
+		receiver.manager.Receive(message.msg)
 	}
+	s.settle()
+	s.checkOwned(t)
 }
 
-// TestConfirmationByReplacedLeader has a leader that was replaced without knowing it answer a region
-// whose ledger is an older copy: it has not seen the transfer that shows it.
+// TestConfirmationByReplacedLeader lets a leader that does not know of its replacement answer a
+// region whose ledger is an older copy: it has not seen the transfer that shows it.
 func TestConfirmationByReplacedLeader(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[0].takeBackup()
-	replaced := w.regions[1].leader()
-	w.regions[1].elect()
-	w.settle()
-	held := w.claimAndDebit(t, 0, 1)
-	w.deliver(held)
-	if w.regions[1].owned() <= 6 {
-		t.Fatal("the transfer was not added")
-	}
-	w.regions[0].restoreLedger()
+	s := newInterleaving(2)
+	s.regions[0].takeBackup()
+	replaced := s.regions[1].leader()
+	s.regions[1].elect()
+	s.settle()
+	s.deliver(s.claimAndDebit(t))
+	if s.regions[1].owned(t) <= 6 {
+		t.Fatal("the transfer was not credited")
+	}
+	s.regions[0].restoreLedger()
+	leader := s.regions[0].leader()
 	for range 60 {
-		w.now += testInterval / urgentDivisor
-		a := w.regions[0].leader()
-		for _, l := range []*stepLeader{a, replaced} {
-			if l.ended {
-				continue
-			}
-			l.m.Tick()
-			for len(l.calls) > 0 {
-				l.answer(0)
+		s.advance()
+		for _, l := range []*stepLeader{leader, replaced} {
+			if !l.ended {
+				l.tick()
 			}
 		}
-		messages := w.messages
-		w.messages = nil
-		for _, x := range messages {
+		for _, message := range s.takeMessages() {
 			switch {
-			case x.to == 0:
-				a.m.Receive(x.msg)
+			case message.to == 0:
+				leader.manager.Receive(message.msg)
 			case !replaced.ended:
-				replaced.m.Receive(x.msg)
+				replaced.manager.Receive(message.msg)
 			}
 		}
 	}
-	if got := w.regions[0].limit(); got > 1.5 {
-		t.Errorf("the older copy may grant %v GPUs, its guaranteed part is 1.5", got)
+	if got := s.regions[0].limit(); got > 1.5 {
+		t.Errorf("the older copy may grant %v GPUs, its guarantee is 1.5", got)
 	}
 }
 
-// TestConfirmationFromBeforeReload has a message that confirmed the ledger arrive again after the
-// ledger was read anew, by then an older copy.
+// TestConfirmationFromBeforeReload delivers a message that verified the ledger again after the
+// ledger was reloaded, by then an older copy.
 func TestConfirmationFromBeforeReload(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[0].takeBackup()
-	var confirmations []stepMessage
-	w.now += 2 * testInterval
-	w.regions[1].leader().m.Tick()
-	confirmations, w.messages = w.messages, nil
-	held := w.claimAndDebit(t, 0, 1)
-	w.deliver(held)
-	w.regions[0].replaceRecords()
-	a := w.regions[0].leader()
-	a.m.load()
-	for len(a.calls) > 0 {
-		a.answer(0)
-	}
-	for _, x := range confirmations {
-		a.m.Receive(x.msg)
-	}
-	if a.m.verified() {
-		t.Error("a message from before the reading confirmed it")
+	s := newInterleaving(2)
+	s.regions[0].takeBackup()
+	s.now += 2 * testInterval
+	s.regions[1].leader().manager.Tick()
+	confirmations := s.takeMessages()
+	s.deliver(s.claimAndDebit(t))
+	s.regions[0].replaceRecords()
+	leader := s.regions[0].leader()
+	leader.manager.load()
+	leader.answerAll()
+	for _, message := range confirmations {
+		leader.manager.Receive(message.msg)
+	}
+	if leader.manager.verified() {
+		t.Error("a message from before the reload verified the ledger")
 	}
 }
 
-// TestUnverifiedLedgerMovesNothing has a region whose ledger one other region has not confirmed
-// be asked for shares, and be sent some.
+// TestUnverifiedLedgerMovesNothing claims shares from a region whose ledger one other region has not
+// verified, and transfers some to another such region.
 func TestUnverifiedLedgerMovesNothing(t *testing.T) {
-	w := newInterleaving(3)
-	held := w.claimAndDebit(t, 0, 1) // is on its way to region 1
-	w.regions[0].elect()
-	w.regions[1].elect()
-	w.excluded = 2
-	owned := []float64{w.regions[0].owned(), w.regions[1].owned()}
-	w.settle()
-	a, b := w.regions[0].leader(), w.regions[1].leader()
-	b.m.remote("region-0").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 1000, Rank: 1}}
-	b.m.remote("region-0").transfers = held[0].msg.Transfers
-	for _, l := range []*stepLeader{a, b} {
-		l.m.startNext()
-		for len(l.calls) > 0 {
-			l.answer(0)
-		}
-	}
-	if a.m.verified() || b.m.verified() {
-		t.Fatal("a ledger is trusted that region-2 has not confirmed")
-	}
-	if w.regions[0].owned() != owned[0] || w.regions[1].owned() != owned[1] {
-		t.Errorf("shares moved: %v and %v, were %v", w.regions[0].owned(), w.regions[1].owned(), owned)
+	s := newInterleaving(3)
+	held := s.claimAndDebit(t) // is in transit to region 1
+	s.regions[0].elect()
+	s.regions[1].elect()
+	s.excluded = 2
+	owned := []float64{s.regions[0].owned(t), s.regions[1].owned(t)}
+	s.settle()
+	source, destination := s.regions[0].leader(), s.regions[1].leader()
+	source.manager.remote("region-1").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 1000, Rank: 1}}
+	destination.manager.remote("region-0").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 1000, Rank: 1}}
+	destination.manager.remote("region-0").transfers = held[0].msg.Transfers
+	for _, leader := range []*stepLeader{source, destination} {
+		leader.manager.startNext()
+		leader.answerAll()
+	}
+	if source.manager.verified() || destination.manager.verified() {
+		t.Fatal("a ledger is verified without region-2")
+	}
+	if s.regions[0].owned(t) != owned[0] || s.regions[1].owned(t) != owned[1] {
+		t.Errorf("shares moved: %v and %v, were %v", s.regions[0].owned(t), s.regions[1].owned(t), owned)
 	}
 }
 
-// TestEmptiedLedgerIsNotRecreated empties a region's state service: the others know of its
-// ledger, and it makes no other one.
+// TestEmptiedLedgerIsNotRecreated empties a region's store: the others know of its ledger, and it
+// makes no other one.
 func TestEmptiedLedgerIsNotRecreated(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[0].backup = map[string]wire.Item{}
-	w.regions[0].restoreLedger()
-	w.settle()
-	if w.regions[0].leader().m.complete() || w.regions[0].limit() != 0 {
-		t.Errorf("a new ledger was made, it may grant %v", w.regions[0].limit())
+	s := newInterleaving(2)
+	s.regions[0].backup = map[string]wire.Item{}
+	s.regions[0].restoreLedger()
+	s.settle()
+	if s.regions[0].leader().manager.complete() || s.regions[0].limit() != 0 {
+		t.Errorf("a new ledger was made, it may grant %v", s.regions[0].limit())
 	}
 }
 
-// TestDifferentRegionsFiles starts regions with files that divide the ceilings in different ways: no ledger
-// is made, and a team that is new to one file gets no shares.
+// TestDifferentRegionsFiles starts regions with files that divide the limits in different ways: no
+// ledger is made.
 func TestDifferentRegionsFiles(t *testing.T) {
-	w := &interleaving{plan: testPlan(2, 1, 12), excluded: -1}
-	for i := range 2 {
-		w.regions = append(w.regions, &stepRegion{w: w, index: i, testStore: newTestStore()})
-		w.regions[i].elect()
-	}
-	w.regions[1].leader().m.planFingerprint++
-	w.settle()
-	if w.regions[0].leader().m.complete() {
+	s := startInterleaving(testPlan(2, 1, stepLimit))
+	s.regions[1].leader().manager.planFingerprint++
+	s.settle()
+	if s.regions[0].leader().manager.complete() {
 		t.Error("a ledger was made from a file that the other region does not have")
 	}
-	w = newInterleaving(2)
-	a := w.regions[0].leader()
-	a.m.Plan = testPlan(2, 2, 12)
-	b := w.regions[1].leader()
-	b.m.Plan = a.m.Plan
-	a.m.planFingerprint, b.m.planFingerprint = 77, 77
-	other := a.m.remote("region-1")
+}
+
+// TestNewTeamOfDifferentFiles adds a team to the file: it gets shares only if no other region has
+// some from another file.
+func TestNewTeamOfDifferentFiles(t *testing.T) {
+	s := newInterleaving(2)
+	extended := testPlan(2, 2, stepLimit)
+	manager := s.regions[0].leader().manager
+	for _, region := range s.regions {
+		region.leader().manager.Plan, region.leader().manager.planFingerprint = extended, 77
+	}
+	other := manager.remote("region-1")
 	other.offers = map[string]wire.RegionOffer{"team-1": {Team: "team-1", Plan: 76}}
 	other.planFingerprint, other.hasOffers = 77, true
-	if a.m.createShares() != nil {
+	if manager.createShares() != nil {
 		t.Error("shares were made of a team of which the other region has some from another file")
 	}
 	other.offers = nil
-	if a.m.createShares() == nil {
+	if manager.createShares() == nil {
 		t.Error("no shares were made of a team that is new to all")
 	}
 }
 
-// TestFencedRegionGrantsNothing looks at a region whose ledger went back: not even the guaranteed part
-// is granted until an operator says so.
+// TestFencedRegionGrantsNothing restores an older copy of a region's ledger: not even the guarantee
+// is granted until an operator intervenes.
 func TestFencedRegionGrantsNothing(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[0].takeBackup()
-	w.deliver(w.claimAndDebit(t, 0, 1))
-	w.regions[0].restoreLedger()
-	w.settle()
-	if !w.regions[0].leader().m.fenced() || w.regions[0].limit() != 0 {
-		t.Errorf("fenced %v, may grant %v", w.regions[0].leader().m.fenced(), w.regions[0].limit())
-	}
-	w.regions[0].elect()
-	w.settle()
-	if w.regions[0].limit() != 0 {
+	s := newInterleaving(2)
+	s.regions[0].takeBackup()
+	s.deliver(s.claimAndDebit(t))
+	s.regions[0].restoreLedger()
+	s.settle()
+	if !s.regions[0].leader().manager.fenced() || s.regions[0].limit() != 0 {
+		t.Errorf("fenced %v, may grant %v", s.regions[0].leader().manager.fenced(), s.regions[0].limit())
+	}
+	s.regions[0].elect()
+	s.settle()
+	if s.regions[0].limit() != 0 {
 		t.Error("the next leader grants again")
 	}
 }
 
-// TestBackupFromBeforeCredit restores the ledger of a region from before it added a transfer.
+// TestBackupFromBeforeCredit restores the ledger of a region from before it credited a transfer.
 func TestBackupFromBeforeCredit(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[1].takeBackup()
-	w.deliver(w.claimAndDebit(t, 0, 1))
-	w.settle()
-	w.now += 10 * testInterval
-	w.settle() // the transfer is acknowledged and forgotten by its source
-	w.regions[1].restoreLedger()
-	w.settle()
-	if !w.regions[1].leader().m.fenced() {
+	s := newInterleaving(2)
+	s.regions[1].takeBackup()
+	s.deliver(s.claimAndDebit(t))
+	s.settle()
+	s.now += 10 * testInterval
+	s.settle() // the transfer is acknowledged and dropped by its source
+	s.regions[1].restoreLedger()
+	s.settle()
+	if !s.regions[1].leader().manager.fenced() {
 		t.Error("the older copy was not noticed")
 	}
 }
 
-// TestReplacedLedger has a region tell of another ledger than the one that is on record: it is
-// given nothing.
+// TestReplacedLedger claims shares for a region that has another ledger than at the handshake: it
+// gets none.
 func TestReplacedLedger(t *testing.T) {
-	w := newInterleaving(2)
-	a := w.regions[0].leader()
-	p := a.m.remote("region-1")
-	msg := &wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: p.confirmedIncarnation, Sequence: p.sequence + 1, EchoRun: a.m.incarnation,
-		EchoSequence: a.m.sequence, ConfirmedRun: a.m.incarnation, Plan: a.m.planFingerprint, Epoch: p.epoch + 1, KnownEpoch: a.m.ledger.Epoch(),
-		Claims: []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000}}}
-	a.m.Receive(msg)
-	for len(a.calls) > 0 {
-		a.answer(0)
-	}
-	if w.regions[0].owned() != 6 {
-		t.Errorf("it was given shares: %v of 6 GPUs are left", w.regions[0].owned())
+	s := newInterleaving(2)
+	msg := s.message(1, claimOf(3000))
+	msg.Epoch++
+	s.receiveAnswered(msg)
+	if got := s.regions[0].owned(t); got != 6 {
+		t.Errorf("shares were debited: %v of 6 GPUs are left", got)
 	}
 }
 
-// TestStaleClaim has claims arrive out of order, and again while what was given for them is on
-// its way: the newest counts, once.
+// TestStaleClaim delivers claims out of order, and again while what was debited for them is in
+// transit: the newest counts, once.
 func TestStaleClaim(t *testing.T) {
-	w := newInterleaving(2)
-	a := w.regions[0].leader()
-	p := a.m.remote("region-1")
-	say := func(sequence uint64, need int64) {
-		a.m.Receive(&wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: p.confirmedIncarnation, Sequence: p.sequence + sequence, EchoRun: a.m.incarnation,
-			EchoSequence: a.m.sequence, ConfirmedRun: a.m.incarnation, Plan: a.m.planFingerprint, Epoch: p.epoch, KnownEpoch: a.m.ledger.Epoch(),
-			Claims: []wire.RegionClaim{{Team: stepTeam, NeedGPUs: need}}})
-		for len(a.calls) > 0 {
-			a.answer(0)
+	s := newInterleaving(2)
+	for _, step := range []struct {
+		name      string
+		following int64 // of the message's sequence
+		need      int64
+	}{
+		{"a claim", 2, 1000},
+		{"an older claim", -1, 3000},
+		{"a claim of the same sequence", 0, 3000},
+		{"the first claim in a newer message", 1, 1000},
+	} {
+		s.receiveAnswered(s.message(step.following, claimOf(step.need)))
+		s.now += testInterval
+		if got := s.regions[0].owned(t); got != 5 {
+			t.Fatalf("%v of 6 GPUs are left after %s, want 5", got, step.name)
 		}
-		w.now += testInterval
-	}
-	say(2, 1000)
-	if got := w.regions[0].owned(); got != 5 {
-		t.Fatalf("%v of 6 GPUs are left after one was claimed", got)
-	}
-	p.sequence++ // the next one is older than what was heard
-	say(0, 3000)
-	if got := w.regions[0].owned(); got != 5 {
-		t.Errorf("%v GPUs are left: an older claim was served", got)
-	}
-	say(1, 1000)
-	if got := w.regions[0].owned(); got != 5 {
-		t.Errorf("%v GPUs are left: a claim was served twice", got)
 	}
 }
 
-// TestRejectedMessages hands over messages that are not for this version or region.
+// TestRejectedMessages delivers messages of another version, and from and to other regions.
 func TestRejectedMessages(t *testing.T) {
-	w := newInterleaving(2)
-	a := w.regions[0].leader()
-	p := *a.m.remote("region-1")
+	s := newInterleaving(2)
+	manager := s.regions[0].leader().manager
+	before := *manager.remote("region-1")
 	for _, msg := range []*wire.RegionMessage{
-		{Version: wire.RegionVersion + 1, From: "region-1", To: "region-0", EchoRun: a.m.incarnation, Run: 1},
-		{Version: 1, From: "nowhere", To: "region-0", EchoRun: a.m.incarnation},
-		{Version: 1, From: "region-1", To: "region-7", EchoRun: a.m.incarnation, Run: 1},
+		{Version: wire.RegionVersion + 1, From: "region-1", To: "region-0", EchoRun: manager.incarnation, Run: 1},
+		{Version: 1, From: "nowhere", To: "region-0", EchoRun: manager.incarnation},
+		{Version: 1, From: "region-1", To: "region-7", EchoRun: manager.incarnation, Run: 1},
 	} {
-		a.m.Receive(msg)
+		manager.Receive(msg)
 	}
-	if now := a.m.remote("region-1"); now.echoIncarnation != p.echoIncarnation || now.lastHeard != p.lastHeard || len(a.m.loggedRejections) != 3 {
-		t.Errorf("a message was taken: %v", a.m.loggedRejections)
+	now := manager.remote("region-1")
+	if now.echoIncarnation != before.echoIncarnation || now.lastHeard != before.lastHeard || len(manager.loggedRejections) != 3 {
+		t.Errorf("a message was accepted: %v", manager.loggedRejections)
 	}
 }
 
-// TestDebitWithoutAnswer has the transaction of a transfer get no answer and take effect later:
-// meanwhile its amounts count as gone.
+// TestDebitWithoutAnswer loses the answer to the transaction of a transfer, which is carried out
+// later: meanwhile its amounts count as gone.
 func TestDebitWithoutAnswer(t *testing.T) {
-	w := newInterleaving(2)
-	a := w.regions[0].leader()
-	a.m.remote("region-1").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000, Rank: 1}}
-	a.m.startNext()
-	if len(a.calls) != 1 {
-		t.Fatalf("%d calls, want the transfer's", len(a.calls))
-	}
-	call := a.take(0)
+	s := newInterleaving(2)
+	leader := s.regions[0].leader()
+	leader.manager.remote("region-1").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000, Rank: 1}}
+	leader.manager.startNext()
+	if len(leader.calls) != 1 {
+		t.Fatalf("%d calls, want the transfer's", len(leader.calls))
+	}
+	call := leader.take()
 	call.done(kv.TxnResult{Status: kv.Unanswered})
-	if w.regions[0].limit() != 3 {
-		t.Errorf("it may grant %v of 6 GPUs, of which 3 may be on their way", w.regions[0].limit())
+	if s.regions[0].limit() != 3 {
+		t.Errorf("it may grant %v of 6 GPUs, of which 3 may be in transit", s.regions[0].limit())
 	}
-	w.regions[0].commit(call.txn)
-	w.settle()
-	if w.regions[0].limit() != 3 || w.regions[1].limit() != 9 {
-		t.Errorf("in the end the limits are %v and %v, want 3 and 9", w.regions[0].limit(), w.regions[1].limit())
+	s.regions[0].commit(call.txn)
+	s.settle()
+	if s.regions[0].limit() != 3 || s.regions[1].limit() != 9 {
+		t.Errorf("in the end the limits are %v and %v, want 3 and 9", s.regions[0].limit(), s.regions[1].limit())
 	}
 }
 
-// TestUnknownLedger has a region confirm a ledger that it has not put on record, and one that
-// knows another ledger: neither counts.
+// TestUnknownLedger lets a region confirm a ledger that it has not recorded, and one that differs
+// from the recorded one: neither is verified.
 func TestUnknownLedger(t *testing.T) {
-	for known, fenced := range map[uint64]bool{0: false, 12345: true} {
-		w := newInterleaving(2)
-		w.regions[0].elect()
-		a := w.regions[0].leader()
-		for len(a.calls) > 0 {
-			a.answer(0)
-		}
-		a.m.Receive(&wire.RegionMessage{Version: 1, From: "region-1", To: "region-0", Run: 99, Sequence: 1, EchoRun: a.m.incarnation,
-			EchoSequence: a.m.sequence, ConfirmedRun: a.m.incarnation, Plan: a.m.planFingerprint, Epoch: 7, KnownEpoch: known})
-		if a.m.verified() || a.m.fenced() != fenced {
-			t.Errorf("known epoch %d: trusted %v, fenced %v", known, a.m.verified(), a.m.fenced())
-		}
+	for _, tc := range []struct {
+		name       string
+		knownEpoch uint64
+		fenced     bool
+	}{{"not recorded", 0, false}, {"another one", 12345, true}} {
+		t.Run(tc.name, func(t *testing.T) {
+			s := newInterleaving(2)
+			s.regions[0].elect()
+			leader := s.regions[0].leader()
+			leader.answerAll()
+			msg := s.message(1)
+			msg.Run, msg.Epoch, msg.KnownEpoch = 99, 7, tc.knownEpoch
+			leader.manager.Receive(msg)
+			if leader.manager.verified() || leader.manager.fenced() != tc.fenced {
+				t.Errorf("verified %v, fenced %v", leader.manager.verified(), leader.manager.fenced())
+			}
+		})
 	}
 }
 
-// TestStoreLimitsDecrease has the state service take fewer writes at a time than it was said
-// to: transfers become smaller and go on.
+// TestStoreLimitsDecrease lets the store take fewer writes in a transaction than it announced:
+// transfers become smaller and go on.
 func TestStoreLimitsDecrease(t *testing.T) {
-	w := &interleaving{plan: testPlan(2, 8, 12), excluded: -1}
-	for i := range 2 {
-		w.regions = append(w.regions, &stepRegion{w: w, index: i, testStore: newTestStore()})
-		w.regions[i].elect()
-	}
-	w.settle()
-	w.regions[0].maxWrites = 3
-	w.regions[1].demand = balance.Demand{Shortfall: amount.Of(0, 9), Priority: 1} // of every team
-	w.regions[1].leader().m.DemandChanged()
+	s := startInterleaving(testPlan(2, 8, stepLimit))
+	s.settle()
+	s.regions[0].maxWrites = 3
+	s.regions[1].demand = balance.Demand{Shortfall: amount.Of(0, 9), Priority: 1} // of every team
+	s.regions[1].leader().manager.DemandChanged()
 	for range 10 {
-		w.settle()
+		s.settle()
 	}
-	for _, team := range w.plan.Teams {
-		if _, gpus := w.regions[1].leader().m.Limit(team.Name).Units(); gpus != 9 {
+	for _, team := range s.plan.Teams {
+		if _, gpus := s.regions[1].leader().manager.Limit(team.Name).Units(); gpus != 9 {
 			t.Errorf("%s: the limit is %v, want 9", team.Name, gpus)
 		}
 	}
 }
 
-// TestNoMessagesBeforeLedgerIsLoaded has a leader begin while its state service is slow: the
-// other region would take a message without an epoch for the word that the ledger is gone.
+// TestNoMessagesBeforeLedgerIsLoaded begins a term while the store is slow: from a message without
+// an epoch the other region would conclude that the ledger is gone.
 func TestNoMessagesBeforeLedgerIsLoaded(t *testing.T) {
-	w := newInterleaving(2)
-	w.regions[0].elect()
-	w.messages = nil
+	s := newInterleaving(2)
+	s.regions[0].elect()
+	s.messages = nil
 	for range 10 {
-		w.now += testInterval
-		w.regions[0].leader().m.Tick()
+		s.now += testInterval
+		s.regions[0].leader().manager.Tick()
 	}
-	if len(w.messages) > 0 {
-		t.Errorf("%d messages before the ledger was read", len(w.messages))
+	if len(s.messages) > 0 {
+		t.Errorf("%d messages before the ledger was loaded", len(s.messages))
 	}
-	w.settle()
-	if w.regions[1].leader().m.remote("region-0").replacementLogged {
+	s.settle()
+	if s.regions[1].leader().manager.remote("region-0").replacementLogged {
 		t.Error("the ledger counts as lost")
 	}
 }
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"flag"
-	"log/slog"
 	"os"
+	"slices"
 	"testing"
 	"time"
 
@@ -17,343 +17,418 @@
 )
 
 func TestMain(m *testing.M) {
-	flag.Set("rapid.steps", "150")
+	if err := flag.Set("rapid.steps", "150"); err != nil {
+		panic(err)
+	}
 	os.Exit(m.Run())
 }
 
-// interleaving plays the transfer protocol step by step, in any order that rapid draws: each
-// message may come at any later time, again or never, each transaction may be carried out at
-// any later time with its answer or without, and a leader that was replaced goes on.
+// interleaving runs the transfer protocol step by step, in any order that rapid draws: each message
+// may arrive at any later time, repeatedly or never, each transaction may be carried out at any
+// later time with its answer or without, and a leader that was replaced goes on.
 type interleaving struct {
-	now      time.Duration
-	plan     *plan.Plan
-	regions  []*stepRegion
-	messages []stepMessage
-	lateTxns []stepTxn // transactions that nobody waits for any more
-	runs     uint64
-	restored bool // a ledger was replaced: the shares need not add up
-	excluded int  // region that settle leaves out, -1 for none
+	now          time.Duration
+	plan         *plan.Plan
+	regions      []*stepRegion
+	messages     []stepMessage
+	lateTxns     []stepTxn // transactions that no leader waits for any more
+	incarnations uint64
+	restored     bool // a ledger was replaced: the shares need not add up
+	excluded     int  // region that settle leaves out, -1 for none
 }
 
+// stepMessage is a message on its way to the region at an index.
 type stepMessage struct {
 	to  int
 	msg *wire.RegionMessage
 }
 
+// stepTxn is a transaction of the region at an index.
 type stepTxn struct {
 	region int
 	txn    *wire.Txn
 }
 
-// stepRegion is a region: its records, what runs, and the leaders that think they lead.
+// stepRegion is a region: its records, its tasks, and the leaders that believe to lead.
 type stepRegion struct {
-	w     *interleaving
+	steps *interleaving
 	index int
 	testStore
-	used    int
+	used    int // GPUs of tasks that run
 	demand  balance.Demand
 	leaders []*stepLeader // the last one leads
 }
 
 // stepLeader is a leader's process and the calls that it waits for.
 type stepLeader struct {
-	r     *stepRegion
-	m     *Manager
-	term  wire.Condition
-	used  int
-	calls []stepCall
-	ended bool
+	region  *stepRegion
+	manager *Manager
+	term    wire.Condition
+	used    int // GPUs that it has granted
+	calls   []stepCall
+	ended   bool
 }
 
-// stepCall is a call to the state service: a transaction, or a reading if txn is nil.
+// stepCall is a call to the store: a transaction, or the loading of records if txn is nil.
 type stepCall struct {
 	txn  *wire.Txn
 	done func(kv.TxnResult)
 	load func([]wire.Item)
 }
 
-const stepTeam = "team-0"
+const (
+	stepTeam = "team-0"
+	// stepLimit is the team's limit in GPUs.
+	stepLimit = 12
+	// maxStepMessages bounds the messages that are kept; maxStepLeaders the leaders of a region.
+	maxStepMessages = 60
+	maxStepLeaders  = 3
+)
 
+// newInterleaving makes regions that have verified their ledgers.
 func newInterleaving(regions int) *interleaving {
-	w := &interleaving{plan: testPlan(regions, 1, 12), excluded: -1}
-	for i := range regions {
-		r := &stepRegion{w: w, index: i, testStore: newTestStore()}
-		w.regions = append(w.regions, r)
-		r.elect()
+	s := startInterleaving(testPlan(regions, 1, stepLimit))
+	s.settle()
+	return s
+}
+
+// startInterleaving makes the regions of a plan and elects their first leaders.
+func startInterleaving(p *plan.Plan) *interleaving {
+	s := &interleaving{plan: p, excluded: -1}
+	for i := range p.Regions {
+		region := &stepRegion{steps: s, index: i, testStore: newTestStore()}
+		s.regions = append(s.regions, region)
+		region.elect()
 	}
-	w.settle()
-	return w
+	return s
 }
 
-// settle has everything arrive in order until all regions trust their ledgers.
-func (w *interleaving) settle() {
+// advance advances the time by the least time between two messages.
+func (s *interleaving) advance() { s.now += testInterval / urgentDivisor }
+
+// settle carries out all calls and delivers all messages in order, until all regions have verified
+// their ledgers.
+func (s *interleaving) settle() {
 	for range 60 {
-		w.now += testInterval / urgentDivisor
-		for _, r := range w.regions {
-			if r.index == w.excluded {
-				continue
-			}
-			l := r.leader()
-			l.m.Tick()
-			for len(l.calls) > 0 {
-				l.answer(0)
+		s.advance()
+		for _, region := range s.regions {
+			if region.index != s.excluded {
+				region.leader().tick()
 			}
 		}
-		messages := w.messages
-		w.messages = nil
-		for _, x := range messages {
-			if away := w.plan.Regions[max(0, w.excluded)].Name; w.excluded < 0 || x.to != w.excluded && x.msg.From != away {
-				w.regions[x.to].leader().m.Receive(x.msg)
+		for _, message := range s.takeMessages() {
+			if !s.isExcluded(message) {
+				s.receive(message)
 			}
 		}
 	}
 }
 
+// isExcluded reports whether a message is to or from the excluded region.
+func (s *interleaving) isExcluded(message stepMessage) bool {
+	if s.excluded < 0 {
+		return false
+	}
+	return message.to == s.excluded || message.msg.From == s.plan.Regions[s.excluded].Name
+}
+
+// takeMessages removes and returns the messages on their way.
+func (s *interleaving) takeMessages() []stepMessage {
+	messages := s.messages
+	s.messages = nil
+	return messages
+}
+
+// receive delivers a message to the leader of its region.
+func (s *interleaving) receive(message stepMessage) {
+	s.regions[message.to].leader().manager.Receive(message.msg)
+}
+
 func (r *stepRegion) leader() *stepLeader { return r.leaders[len(r.leaders)-1] }
 
-// elect begins a term; the leader before goes on, unaware of it.
+// elect begins a term; the previous leader does not know and goes on.
 func (r *stepRegion) elect() {
-	l := &stepLeader{r: r, term: r.beginTerm(), used: r.used}
-	r.leaders = append(r.leaders, l)
-	if len(r.leaders) > 3 {
+	leader := &stepLeader{region: r, term: r.beginTerm(), used: r.used}
+	r.leaders = append(r.leaders, leader)
+	if len(r.leaders) > maxStepLeaders {
 		r.leaders = r.leaders[1:]
 	}
-	l.m = New(Config{Region: r.w.plan.Regions[r.index].Name, Plan: r.w.plan, MessageInterval: testInterval, MaxWrites: testMaxWrites, MaxValueBytes: 4096, Log: slog.New(slog.DiscardHandler)}, l, l)
+	leader.manager = newTestManager(r.steps.plan.Regions[r.index].Name, r.steps.plan, leader, leader)
+}
+
+// tick ticks the manager and carries out all calls.
+func (l *stepLeader) tick() {
+	l.manager.Tick()
+	l.answerAll()
 }
 
-// take removes a call and returns it.
-func (l *stepLeader) take(i int) stepCall {
-	c := l.calls[i]
-	l.calls = append(append([]stepCall{}, l.calls[:i]...), l.calls[i+1:]...)
-	return c
+// take removes the first call and returns it.
+func (l *stepLeader) take() stepCall {
+	call := l.calls[0]
+	l.calls = slices.Clone(l.calls[1:])
+	return call
 }
 
-// answer carries a call out and answers it.
-func (l *stepLeader) answer(i int) {
-	c := l.take(i)
-	if c.load != nil {
-		c.load(l.r.records())
+// answer carries out the first call and answers it.
+func (l *stepLeader) answer() {
+	call := l.take()
+	if call.load != nil {
+		call.load(l.region.records())
 		return
 	}
-	status, result := l.r.commit(c.txn)
-	c.done(kv.ParseTxn(kv.Response{Number: status, Body: kv.Encode(result)}))
+	call.done(l.region.commit(call.txn))
 }
 
-// The ports of the manager.
+// answerAll carries out all calls, those included that the answers lead to.
+func (l *stepLeader) answerAll() {
+	for len(l.calls) > 0 {
+		l.answer()
+	}
+}
 
+// Load implements Store.
 func (l *stepLeader) Load(_ string, done func([]wire.Item)) {
 	l.calls = append(l.calls, stepCall{load: done})
 }
 
+// Commit implements Store.
 func (l *stepLeader) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	copied := *txn
 	l.calls = append(l.calls, stepCall{txn: &copied, done: done})
 }
 
-func (l *stepLeader) Now() time.Duration     { return l.r.w.now }
-func (l *stepLeader) NewIncarnation() uint64 { l.r.w.runs++; return l.r.w.runs }
-func (l *stepLeader) Term() wire.Condition   { return l.term }
-func (l *stepLeader) SharesChanged()         {}
-func (l *stepLeader) TermChanged()           { l.ended = true }
+// Now implements Host.
+func (l *stepLeader) Now() time.Duration { return l.region.steps.now }
+
+// NewIncarnation implements Host.
+func (l *stepLeader) NewIncarnation() uint64 {
+	l.region.steps.incarnations++
+	return l.region.steps.incarnations
+}
 
+// Term implements Host.
+func (l *stepLeader) Term() wire.Condition { return l.term }
+
+// SharesChanged implements Host.
+func (l *stepLeader) SharesChanged() {}
+
+// TermChanged implements Host.
+func (l *stepLeader) TermChanged() { l.ended = true }
+
+// Demand implements Host.
 func (l *stepLeader) Demand(string) balance.Demand {
-	d := l.r.demand
-	d.Planned = amount.Of(0, float64(l.used))
-	return d
+	demand := l.region.demand
+	demand.Planned = amount.Of(0, float64(l.used))
+	return demand
 }
 
-func (l *stepLeader) Send(region string, m *wire.RegionMessage) {
-	to := l.r.w.plan.Index(region)
-	l.r.w.messages = append(l.r.w.messages, stepMessage{to, m})
-	if len(l.r.w.messages) > 60 {
-		l.r.w.messages = l.r.w.messages[1:]
+// Send implements Host.
+func (l *stepLeader) Send(region string, msg *wire.RegionMessage) {
+	steps := l.region.steps
+	steps.messages = append(steps.messages, stepMessage{steps.plan.Index(region), msg})
+	if len(steps.messages) > maxStepMessages {
+		steps.messages = steps.messages[1:]
 	}
 }
 
-// anyRegion and anyLeader draw who acts: mostly the one that leads.
-func (w *interleaving) anyRegion(t *rapid.T) *stepRegion {
-	return w.regions[rapid.IntRange(0, len(w.regions)-1).Draw(t, "region")]
+// drawRegion draws a region.
+func (s *interleaving) drawRegion(t *rapid.T) *stepRegion {
+	return s.regions[rapid.IntRange(0, len(s.regions)-1).Draw(t, "region")]
 }
 
-func (w *interleaving) anyLeader(t *rapid.T) *stepLeader {
-	r := w.anyRegion(t)
-	if back := rapid.IntRange(0, 5).Draw(t, "leader"); back > 0 && back < len(r.leaders) {
-		return r.leaders[len(r.leaders)-1-back]
+// drawLeader draws a leader: usually the one that leads its region, else an earlier one.
+func (s *interleaving) drawLeader(t *rapid.T) *stepLeader {
+	region := s.drawRegion(t)
+	if back := rapid.IntRange(0, 5).Draw(t, "leader"); back > 0 && back < len(region.leaders) {
+		return region.leaders[len(region.leaders)-1-back]
 	}
-	return r.leader()
+	return region.leader()
 }
 
-// actions are the steps that rapid draws from.
-func (w *interleaving) actions() map[string]func(*rapid.T) {
+// actions are the steps that rapid draws from. The one without a name checks the state after each.
+func (s *interleaving) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"tick": func(t *rapid.T) {
-			w.now += time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond
-			if l := w.anyLeader(t); !l.ended {
-				l.m.Tick()
-			}
-		},
-		"deliver": func(t *rapid.T) {
-			if len(w.messages) == 0 {
-				t.Skip()
-			}
-			i := rapid.IntRange(0, len(w.messages)-1).Draw(t, "message")
-			x := w.messages[i]
-			if rapid.IntRange(0, 3).Draw(t, "keep") > 0 {
-				w.messages = append(append([]stepMessage{}, w.messages[:i]...), w.messages[i+1:]...)
-			}
-			l := w.regions[x.to].leader()
-			if rapid.IntRange(0, 9).Draw(t, "to a leader before") == 0 {
-				l = w.regions[x.to].leaders[0]
-			}
-			if !l.ended {
-				l.m.Receive(x.msg)
-			}
-		},
-		"answer": func(t *rapid.T) {
-			if l := w.anyLeader(t); len(l.calls) > 0 && !l.ended {
-				l.answer(0)
-			}
-		},
-		"answer is lost": func(t *rapid.T) {
-			l := w.anyLeader(t)
-			if len(l.calls) == 0 || l.calls[0].txn == nil || l.ended {
-				t.Skip()
-			}
-			c := l.take(0)
-			if rapid.Bool().Draw(t, "late") {
-				w.lateTxns = append(w.lateTxns, stepTxn{l.r.index, c.txn})
-			} else {
-				l.r.commit(c.txn)
-			}
-			c.done(kv.TxnResult{Status: kv.Unanswered})
-		},
-		"late transaction": func(t *rapid.T) {
-			if len(w.lateTxns) == 0 {
-				t.Skip()
-			}
-			i := rapid.IntRange(0, len(w.lateTxns)-1).Draw(t, "transaction")
-			x := w.lateTxns[i]
-			w.lateTxns = append(append([]stepTxn{}, w.lateTxns[:i]...), w.lateTxns[i+1:]...)
-			w.regions[x.region].commit(x.txn)
-		},
-		"want": func(t *rapid.T) {
-			r := w.anyRegion(t)
-			r.demand = balance.Demand{Shortfall: amount.Of(0, float64(rapid.IntRange(0, 12).Draw(t, "short"))), Priority: rapid.IntRange(0, 1).Draw(t, "rank")}
-			r.leader().m.DemandChanged()
-		},
-		"start": func(t *rapid.T) {
-			l := w.anyLeader(t)
-			if n := rapid.IntRange(1, 4).Draw(t, "tasks"); !l.ended && l.m.Limit(stepTeam).Covers(amount.Of(0, float64(l.used+n))) {
-				// Its placement is recorded under its term before anything starts.
-				l.used += n
-				if status, _ := l.r.commit(&wire.Txn{Conditions: []wire.Condition{l.term}}); status == 200 {
-					l.r.used += n
-				}
-			}
-		},
-		"end": func(t *rapid.T) {
-			r := w.anyRegion(t)
-			n := rapid.IntRange(0, r.used).Draw(t, "tasks")
-			r.used -= n
-			r.leader().used -= n
-		},
-		"elect": func(t *rapid.T) { w.anyRegion(t).elect() },
-		"keep a copy": func(t *rapid.T) {
-			r := w.anyRegion(t)
-			if r.backup != nil {
-				t.Skip()
-			}
-			r.takeBackup()
-		},
-		"": w.check,
+		"tick":             s.drawTick,
+		"deliver":          s.drawDelivery,
+		"answer":           s.drawAnswer,
+		"lose an answer":   s.drawLostAnswer,
+		"late transaction": s.drawLateTxn,
+		"demand":           s.drawDemand,
+		"start tasks":      s.drawStart,
+		"end tasks":        s.drawEnd,
+		"elect":            func(t *rapid.T) { s.drawRegion(t).elect() },
+		"back a ledger up": s.drawBackup,
+		"":                 s.check,
 	}
 }
 
-// restore puts the copy that was kept of a region's ledger, or an empty one, in its place,
-// after all its controllers have ended.
-func (w *interleaving) restore(t *rapid.T) {
-	r := w.anyRegion(t)
-	if r.backup == nil || rapid.IntRange(0, 2).Draw(t, "restore") > 0 {
+func (s *interleaving) drawTick(t *rapid.T) {
+	s.now += time.Duration(rapid.IntRange(1, 800).Draw(t, "ms")) * time.Millisecond
+	if leader := s.drawLeader(t); !leader.ended {
+		leader.manager.Tick()
+	}
+}
+
+// drawDelivery delivers a message, which may stay to be delivered again, mostly to the leader.
+func (s *interleaving) drawDelivery(t *rapid.T) {
+	if len(s.messages) == 0 {
 		t.Skip()
 	}
-	r.restoreLedger()
-	var late []stepTxn
-	for _, x := range w.lateTxns {
-		if x.region != r.index { // the service that would have carried it out is gone
-			late = append(late, x)
-		}
+	i := rapid.IntRange(0, len(s.messages)-1).Draw(t, "message")
+	message := s.messages[i]
+	if rapid.IntRange(0, 3).Draw(t, "keep") > 0 {
+		s.messages = without(s.messages, i)
 	}
-	w.lateTxns = late
+	receiver := s.regions[message.to].leader()
+	if rapid.IntRange(0, 9).Draw(t, "to an earlier leader") == 0 {
+		receiver = s.regions[message.to].leaders[0]
+	}
+	if !receiver.ended {
+		receiver.manager.Receive(message.msg)
+	}
+}
+
+// without is a copy of a list without the element at an index.
+func without[T any](list []T, index int) []T {
+	return append(slices.Clone(list[:index]), list[index+1:]...)
+}
+
+func (s *interleaving) drawAnswer(t *rapid.T) {
+	if leader := s.drawLeader(t); len(leader.calls) > 0 && !leader.ended {
+		leader.answer()
+	}
+}
+
+// drawLostAnswer loses the answer to a transaction, which is carried out at once or later.
+func (s *interleaving) drawLostAnswer(t *rapid.T) {
+	leader := s.drawLeader(t)
+	if len(leader.calls) == 0 || leader.calls[0].txn == nil || leader.ended {
+		t.Skip()
+	}
+	call := leader.take()
+	if rapid.Bool().Draw(t, "late") {
+		s.lateTxns = append(s.lateTxns, stepTxn{leader.region.index, call.txn})
+	} else {
+		leader.region.commit(call.txn)
+	}
+	call.done(kv.TxnResult{Status: kv.Unanswered})
+}
+
+func (s *interleaving) drawLateTxn(t *rapid.T) {
+	if len(s.lateTxns) == 0 {
+		t.Skip()
+	}
+	i := rapid.IntRange(0, len(s.lateTxns)-1).Draw(t, "transaction")
+	late := s.lateTxns[i]
+	s.lateTxns = without(s.lateTxns, i)
+	s.regions[late.region].commit(late.txn)
+}
+
+func (s *interleaving) drawDemand(t *rapid.T) {
+	region := s.drawRegion(t)
+	region.demand = balance.Demand{
+		Shortfall: amount.Of(0, float64(rapid.IntRange(0, stepLimit).Draw(t, "shortfall"))),
+		Priority:  rapid.IntRange(0, 1).Draw(t, "priority"),
+	}
+	region.leader().manager.DemandChanged()
 }
 
-// replaceRecords puts the copy in place of the ledger, under the leader that there is.
+// drawStart starts tasks, whose placement is recorded under the leader's term before.
+func (s *interleaving) drawStart(t *rapid.T) {
+	leader := s.drawLeader(t)
+	tasks := rapid.IntRange(1, 4).Draw(t, "tasks")
+	if leader.ended || !leader.manager.Limit(stepTeam).Covers(amount.Of(0, float64(leader.used+tasks))) {
+		return
+	}
+	leader.used += tasks
+	placement := &wire.Txn{Conditions: []wire.Condition{leader.term}}
+	if leader.region.commit(placement).Committed() {
+		leader.region.used += tasks
+	}
+}
+
+func (s *interleaving) drawEnd(t *rapid.T) {
+	region := s.drawRegion(t)
+	tasks := rapid.IntRange(0, region.used).Draw(t, "tasks")
+	region.used -= tasks
+	region.leader().used -= tasks
+}
+
+func (s *interleaving) drawBackup(t *rapid.T) {
+	region := s.drawRegion(t)
+	if region.backup != nil {
+		t.Skip()
+	}
+	region.takeBackup()
+}
+
+// drawRestore replaces a region's ledger by its backup, after all its controllers have ended.
+func (s *interleaving) drawRestore(t *rapid.T) {
+	region := s.drawRegion(t)
+	if region.backup == nil || rapid.IntRange(0, 2).Draw(t, "restore") > 0 {
+		t.Skip()
+	}
+	region.restoreLedger()
+	// The store that would have carried out late transactions is gone.
+	s.lateTxns = slices.DeleteFunc(s.lateTxns, func(late stepTxn) bool { return late.region == region.index })
+}
+
+// replaceRecords replaces the ledger's records by the backup, under the present leader.
 func (r *stepRegion) replaceRecords() {
-	r.w.restored = true
+	r.steps.restored = true
 	r.applyBackup()
 }
 
-// restoreLedger puts the copy in place of the ledger after all controllers have ended.
+// restoreLedger replaces the ledger by the backup after all controllers have ended.
 func (r *stepRegion) restoreLedger() {
 	r.replaceRecords()
 	r.leaders, r.backup = nil, nil
 	r.elect()
 }
 
-// check holds what runs, and the shares on record, against the ceiling.
-func (w *interleaving) check(t *rapid.T) {
+// check compares what tasks use, and the recorded shares, with the limit.
+func (s *interleaving) check(t *rapid.T) {
 	used := 0
-	for _, r := range w.regions {
-		used += r.used
+	for _, region := range s.regions {
+		used += region.used
 	}
-	if used > 12 {
-		t.Fatalf("%d of 12 GPUs in use", used)
+	if used > stepLimit {
+		t.Fatalf("%d of %d GPUs in use", used, stepLimit)
 	}
-	if w.restored {
+	if s.restored {
 		return
 	}
-	var sum amount.Amount
-	ledgers := make([]*ledger.Ledger, len(w.regions))
-	for i, r := range w.regions {
-		l, err := ledger.Load(r.records())
+	ledgers := map[string]*ledger.Ledger{}
+	for i, region := range s.regions {
+		loaded, err := ledger.Load(region.records())
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.CheckInvariants(); err != nil {
+		if err := loaded.CheckInvariants(); err != nil {
 			t.Fatal(err)
 		}
-		ledgers[i] = l
-		s, _ := l.Share(stepTeam)
-		sum = sum.Add(s.Owned)
-	}
-	for i, from := range ledgers {
-		for k, to := range ledgers {
-			received := to.Link(w.plan.Regions[i].Name).Received
-			for _, x := range from.Link(w.plan.Regions[k].Name).Unacknowledged {
-				if x.Number > received {
-					sum = sum.Add(x.Parts[0].Amount)
-				}
-			}
-		}
+		ledgers[s.plan.Regions[i].Name] = loaded
 	}
-	if sum.GPUs != amount.Of(0, 12).GPUs {
-		t.Fatalf("shares add up to %v of 12 GPUs", sum)
+	if sum := sumOfShares(ledgers, stepTeam); sum.GPUs != amount.Of(0, stepLimit).GPUs {
+		t.Fatalf("shares add up to %v of %d GPUs", sum, stepLimit)
 	}
 }
 
 // TestInterleavings draws interleavings of the protocol.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newInterleaving(rapid.IntRange(2, 3).Draw(t, "regions"))
-		t.Repeat(w.actions())
+		s := newInterleaving(rapid.IntRange(2, 3).Draw(t, "regions"))
+		t.Repeat(s.actions())
 	})
 }
 
-// TestInterleavingsWithRestore draws interleavings in which ledgers are replaced by older copies.
-func TestInterleavingsWithRestore(t *testing.T) {
+// TestInterleavingsWithRestoredLedgers draws interleavings in which ledgers are replaced by older
+// copies.
+func TestInterleavingsWithRestoredLedgers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newInterleaving(rapid.IntRange(2, 3).Draw(t, "regions"))
-		actions := w.actions()
-		actions["restore"] = w.restore
+		s := newInterleaving(rapid.IntRange(2, 3).Draw(t, "regions"))
+		actions := s.actions()
+		actions["restore"] = s.drawRestore
 		t.Repeat(actions)
 	})
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,7 +12,7 @@
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
-// soak is how many random days are played in place of those of CI.
+// soak is the number of random days to run: that of CI, or what BROOKWALK_SOAK says.
 func soak(ci int) int {
 	if n, err := strconv.Atoi(os.Getenv("BROOKWALK_SOAK")); err == nil {
 		return n
@@ -20,201 +20,235 @@
 	return ci
 }
 
-// testPlan divides the ceilings of teams evenly among regions; a quarter of each region's part
-// is guaranteed there.
+// testPlan divides the limits of teams evenly among regions; a quarter of each region's share is
+// guaranteed.
 func testPlan(regions, teams int, gpus float64) *plan.Plan {
 	p := &plan.Plan{}
 	for i := range regions {
 		p.Regions = append(p.Regions, plan.Region{Name: fmt.Sprint("region-", i), Controllers: []string{fmt.Sprint("127.0.0.1:", 9000+i)}})
 	}
 	for i := range teams {
-		t := plan.Team{Name: fmt.Sprint("team-", i), GPUsMax: gpus}
-		for _, r := range p.Regions {
+		team := plan.Team{Name: fmt.Sprint("team-", i), GPUsMax: gpus}
+		for _, region := range p.Regions {
 			share := gpus / float64(regions)
-			t.Shares = append(t.Shares, plan.Share{Region: r.Name, GPUs: share / 4, GPUsOwned: share})
+			team.Shares = append(team.Shares, plan.Share{Region: region.Name, GPUs: share / 4, GPUsOwned: share})
 		}
-		p.Teams = append(p.Teams, t)
+		p.Teams = append(p.Teams, team)
 	}
 	return p
 }
 
-// injectFailures has things fail until a time, one after the other.
-func (w *simulation) injectFailures(until time.Duration) {
-	if w.now >= until {
+// partition drops the messages from one region to another for a random time up to a bound.
+func (s *simulation) partition(from, to *simRegion, bound time.Duration) {
+	s.partitions[from.name+">"+to.name] = s.now + s.randomDuration(bound)
+}
+
+func (s *simulation) randomRegion() *simRegion { return s.regions[s.rng.IntN(len(s.regions))] }
+
+// injectFailures causes one failure after the other until a time.
+func (s *simulation) injectFailures(until time.Duration) {
+	if s.now >= until {
 		return
 	}
-	region := w.regions[w.rng.IntN(len(w.regions))]
-	switch w.rng.IntN(8) {
+	region := s.randomRegion()
+	switch s.rng.IntN(8) {
 	case 0, 1:
-		region.crash(w.randomDuration(3 * time.Second))
+		region.crash(s.randomDuration(3 * time.Second))
 	case 2:
-		region.pause(time.Second + w.randomDuration(10*time.Second))
+		region.pause(time.Second + s.randomDuration(10*time.Second))
 	case 3, 4:
-		other := w.regions[w.rng.IntN(len(w.regions))]
-		w.cuts[region.name+">"+other.name] = w.now + w.randomDuration(20*time.Second)
-		if w.rng.IntN(2) == 0 {
-			w.cuts[other.name+">"+region.name] = w.now + w.randomDuration(20*time.Second)
+		other := s.randomRegion()
+		s.partition(region, other, 20*time.Second)
+		if s.rng.IntN(2) == 0 {
+			s.partition(other, region, 20*time.Second)
 		}
 	case 5:
-		region.outage = w.now + w.randomDuration(6*time.Second)
-	case 6: // two leaders end at the same moment
-		region.crash(w.randomDuration(time.Second))
-		w.regions[w.rng.IntN(len(w.regions))].crash(w.randomDuration(time.Second))
-	case 7: // three groups at once
-		for _, a := range w.regions {
-			for _, b := range w.regions {
-				if w.rng.IntN(3) > 0 {
-					w.cuts[a.name+">"+b.name] = w.now + w.randomDuration(15*time.Second)
-				}
+		region.outageUntil = s.now + s.randomDuration(6*time.Second)
+	case 6: // two leaders at the same moment
+		region.crash(s.randomDuration(time.Second))
+		s.randomRegion().crash(s.randomDuration(time.Second))
+	case 7:
+		s.partitionManyLinks()
+	}
+	s.after(200*time.Millisecond+s.randomDuration(4*time.Second), func() { s.injectFailures(until) })
+}
+
+// partitionManyLinks partitions two thirds of all links.
+func (s *simulation) partitionManyLinks() {
+	for _, from := range s.regions {
+		for _, to := range s.regions {
+			if s.rng.IntN(3) > 0 {
+				s.partition(from, to, 15*time.Second)
 			}
 		}
 	}
-	w.after(200*time.Millisecond+w.randomDuration(4*time.Second), func() { w.injectFailures(until) })
 }
 
-// submitBursts has work come to every region in the same millisecond, again and again.
-func (w *simulation) submitBursts(until time.Duration) {
-	if w.now >= until {
+// submitBursts submits work to all regions in the same moment, repeatedly until a time.
+func (s *simulation) submitBursts(until time.Duration) {
+	if s.now >= until {
 		return
 	}
-	for _, t := range w.plan.Teams {
-		for _, r := range w.regions {
-			d := r.demands[t.Name]
-			d.Shortfall = d.Shortfall.Add(amount.Of(0, float64(w.rng.IntN(int(t.GPUsMax)/2)))).Min(amount.Of(0, t.GPUsMax))
-			if d.Gang.IsZero() && w.rng.IntN(6) == 0 {
-				d.Gang, d.GangPriority = amount.Of(0, t.GPUsMax/2), w.rng.IntN(4)
-			}
-			d.Priority = w.rng.IntN(4)
-			r.demands[t.Name] = d
-			if l := r.leader; l != nil {
-				l.whenRunning(func() { l.m.DemandChanged(); l.grantAll() })
+	for _, team := range s.plan.Teams {
+		for _, region := range s.regions {
+			region.demands[team.Name] = s.raiseDemand(region.demands[team.Name], team.GPUsMax)
+			if leader := region.leader; leader != nil {
+				leader.whenRunning(func() { leader.manager.DemandChanged(); leader.grantAll() })
 			}
 		}
 	}
-	w.after(w.randomDuration(5*time.Second), func() { w.submitBursts(until) })
+	s.after(s.randomDuration(5*time.Second), func() { s.submitBursts(until) })
+}
+
+// raiseDemand adds single tasks to a demand, and now and then a gang.
+func (s *simulation) raiseDemand(demand balance.Demand, limit float64) balance.Demand {
+	more := amount.Of(0, float64(s.rng.IntN(int(limit)/2)))
+	demand.Shortfall = demand.Shortfall.Add(more).Min(amount.Of(0, limit))
+	if demand.Gang.IsZero() && s.rng.IntN(6) == 0 {
+		demand.Gang, demand.GangPriority = amount.Of(0, limit/2), s.rng.IntN(4)
+	}
+	demand.Priority = s.rng.IntN(4)
+	return demand
+}
+
+// loseMessages sets the rates at which messages and answers are lost, repeated and delayed.
+func (s *simulation) loseMessages() {
+	s.lossRate, s.repeatRate, s.delayRate, s.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
+}
+
+// loseNothing ends the losses.
+func (s *simulation) loseNothing() {
+	s.lossRate, s.repeatRate, s.delayRate, s.lostAnswerRate = 0, 0, 0, 0
 }
 
-// runRandomDay plays a day of collisions and failures.
+// runRandomDay simulates a day with bursts of work and failures.
 func runRandomDay(seed uint64, optimistic bool) *simulation {
-	w := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
-	w.optimistic = optimistic
-	w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
-	w.after(3*time.Second, func() { w.submitBursts(100 * time.Second) })
-	w.after(5*time.Second, func() { w.injectFailures(90 * time.Second) })
-	w.run(110 * time.Second)
-	return w
+	s := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
+	s.optimistic = optimistic
+	s.loseMessages()
+	s.after(3*time.Second, func() { s.submitBursts(100 * time.Second) })
+	s.after(5*time.Second, func() { s.injectFailures(90 * time.Second) })
+	s.run(110 * time.Second)
+	return s
+}
+
+// checkViolations fails the test for each violation of a simulation.
+func checkViolations(t *testing.T, s *simulation, seed uint64) {
+	t.Helper()
+	for _, violation := range s.violations {
+		t.Errorf("seed %d: %s", seed, violation)
+	}
 }
 
-// TestLimitHolds collides decisions of regions with failures of every kind: the ceiling is
-// never exceeded, and the shares on record add up at every change.
+// TestLimitHolds combines concurrent decisions of regions with failures of every kind: no limit is
+// exceeded, and the recorded shares add up after every change.
 func TestLimitHolds(t *testing.T) {
 	grants := 0
 	for seed := range uint64(soak(40)) {
-		w := runRandomDay(seed, false)
-		for _, f := range w.violations {
-			t.Errorf("seed %d: %s", seed, f)
-		}
-		grants += w.grants
-		if w.grants == 0 {
+		s := runRandomDay(seed, false)
+		checkViolations(t, s, seed)
+		grants += s.grants
+		if s.grants == 0 {
 			t.Errorf("seed %d: nothing was granted", seed)
 		}
 	}
 	t.Logf("%d grants", grants)
 }
 
-// TestBaselineOvershoots plays the same days with counts that regions gossip: the checker sees
-// ceilings exceeded.
+// TestBaselineOvershoots simulates the same days with gossiped counts: the checks find limits
+// exceeded.
 func TestBaselineOvershoots(t *testing.T) {
-	days, most := 0, 0.0
-	n := soak(40)
-	for seed := range uint64(n) {
-		w := runRandomDay(seed, true)
-		if len(w.violations) > 0 {
-			days++
+	exceeded, most := 0, 0.0
+	days := soak(40)
+	for seed := range uint64(days) {
+		s := runRandomDay(seed, true)
+		if len(s.violations) > 0 {
+			exceeded++
 		}
-		for _, team := range w.plan.Teams {
-			_, gpus := w.peakUse[team.Name].Units()
+		for _, team := range s.plan.Teams {
+			_, gpus := s.peakUse[team.Name].Units()
 			most = max(most, gpus/team.GPUsMax)
 		}
 	}
-	t.Logf("exceeded on %d of %d days, at the most %.2f times the ceiling", days, n, most)
-	if days == 0 {
-		t.Error("the baseline never exceeded a ceiling: the days cannot show that")
+	t.Logf("exceeded on %d of %d days, at the most %.2f times the limit", exceeded, days, most)
+	if exceeded == 0 {
+		t.Error("the baseline never exceeded a limit: the days cannot show that")
 	}
 }
 
-// TestSharesRecover has the failures end: whoever wants all that nobody uses gets it.
+// TestSharesRecover ends the failures: a region that wants all shares that nobody uses gets them.
 func TestSharesRecover(t *testing.T) {
 	for seed := range uint64(soak(20)) {
-		w := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
-		w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
-		w.after(3*time.Second, func() { w.submitBursts(60 * time.Second) })
-		w.after(5*time.Second, func() { w.injectFailures(60 * time.Second) })
-		w.run(100 * time.Second)
-		w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0, 0, 0, 0
-		w.noNewWork = true
-		w.run(150 * time.Second) // what ran has ended
-		last := w.regions[len(w.regions)-1]
-		for _, r := range w.regions {
-			clear(r.demands)
-		}
-		for _, team := range w.plan.Teams {
-			last.demands[team.Name] = balance.Demand{Shortfall: amount.Of(0, team.GPUsMax), Priority: 1}
-		}
-		last.leader.m.DemandChanged()
-		w.run(160 * time.Second)
-		for _, team := range w.plan.Teams {
+		s := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
+		s.loseMessages()
+		s.after(3*time.Second, func() { s.submitBursts(60 * time.Second) })
+		s.after(5*time.Second, func() { s.injectFailures(60 * time.Second) })
+		s.run(100 * time.Second)
+		s.loseNothing()
+		s.noNewWork = true
+		s.run(150 * time.Second) // what ran has ended
+		last := s.regions[len(s.regions)-1]
+		s.demandOnlyIn(last)
+		s.run(160 * time.Second)
+		for _, team := range s.plan.Teams {
 			want := amount.Of(0, team.GPUsMax)
-			for _, r := range w.regions[:len(w.regions)-1] {
-				s, _ := r.leader.m.ledger.Share(team.Name)
-				want = want.Sub(s.Guarantee)
+			for _, other := range s.regions[:len(s.regions)-1] {
+				share, _ := other.leader.manager.ledger.Share(team.Name)
+				want = want.Sub(share.Guarantee)
 			}
-			if got := last.leader.m.Limit(team.Name); got.GPUs < want.GPUs {
+			if got := last.leader.manager.Limit(team.Name); got.GPUs < want.GPUs {
 				t.Errorf("seed %d: %s gets %v in %s, want %v", seed, team.Name, got, last.name, want)
 			}
 		}
-		for _, f := range w.violations {
-			t.Errorf("seed %d: %s", seed, f)
-		}
+		checkViolations(t, s, seed)
+	}
+}
+
+// demandOnlyIn demands the whole limit of every team in one region, and nothing elsewhere.
+func (s *simulation) demandOnlyIn(region *simRegion) {
+	for _, other := range s.regions {
+		clear(other.demands)
+	}
+	for _, team := range s.plan.Teams {
+		region.demands[team.Name] = balance.Demand{Shortfall: amount.Of(0, team.GPUsMax), Priority: 1}
 	}
+	region.leader.manager.DemandChanged()
 }
 
-// TestRestoredStore replaces a region's state service by an older copy, or by an empty
-// one, in the middle of transfers: what runs goes on, and the ceiling holds.
+// TestRestoredStore replaces a region's records by an older copy, or by none, in the middle of
+// transfers: tasks go on, and no limit is exceeded.
 func TestRestoredStore(t *testing.T) {
 	fenced := 0
 	for seed := range uint64(soak(60)) {
-		w := newSimulation(seed, testPlan(2+int(seed%3), 2, 48))
-		w.lossRate, w.repeatRate, w.delayRate, w.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
-		w.after(3*time.Second, func() { w.submitBursts(100 * time.Second) })
-		r := w.regions[w.rng.IntN(len(w.regions))]
-		w.after(6*time.Second+w.randomDuration(25*time.Second), func() {
-			if r.takeBackup(); seed%2 == 0 {
-				r.backup = nil // nothing is left at all
+		s := newSimulation(seed, testPlan(2+int(seed%3), 2, 48))
+		s.loseMessages()
+		s.after(3*time.Second, func() { s.submitBursts(100 * time.Second) })
+		region := s.randomRegion()
+		s.after(6*time.Second+s.randomDuration(25*time.Second), func() {
+			if region.takeBackup(); seed%2 == 0 {
+				region.backup = nil // no records are left
 			}
 		})
-		w.after(32*time.Second+w.randomDuration(10*time.Second), r.restoreBackup)
+		s.after(32*time.Second+s.randomDuration(10*time.Second), region.restoreBackup)
 		if seed%3 == 0 {
-			w.after(20*time.Second, func() { w.injectFailures(80 * time.Second) })
-		}
-		w.run(110 * time.Second)
-		for _, f := range w.violations {
-			t.Errorf("seed %d: %s", seed, f)
+			s.after(20*time.Second, func() { s.injectFailures(80 * time.Second) })
 		}
-		if r.leader != nil && (r.leader.m.fenced() || !r.leader.m.complete()) {
+		s.run(110 * time.Second)
+		checkViolations(t, s, seed)
+		if leader := region.leader; leader != nil && (leader.manager.fenced() || !leader.manager.complete()) {
 			fenced++
 		}
 	}
 	t.Logf("%d regions were fenced or have no ledger", fenced)
 	if fenced == 0 {
-		t.Error("no region noticed that its ledger had gone back")
+		t.Error("no region noticed that its ledger is an older copy")
 	}
 }
 
-// restoreBackup has all controllers of the region end, as its page asks, and puts the copy in
-// place of the ledger.
+// restoreBackup stops all controllers of the region, as docs/quota.md demands, and replaces the
+// ledger by the backup.
 func (r *simRegion) restoreBackup() {
-	r.w.restored = true
+	r.sim.restored = true
 	r.crash(500 * time.Millisecond)
-	r.w.after(100*time.Millisecond, r.applyBackup)
+	r.sim.after(100*time.Millisecond, r.applyBackup)
 }
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -4,6 +4,7 @@
 	"container/heap"
 	"fmt"
 	"log/slog"
+	"maps"
 	"math/rand/v2"
 	"time"
 
@@ -15,444 +16,308 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// The world plays managers of several regions in virtual time: leaders that end, stand still
-// and go on, state services that answer late or not at all, links that lose, repeat and hold
-// messages back. The checker adds up what tasks really use, outside of the code under test.
+const (
+	testInterval     = 500 * time.Millisecond
+	testTickInterval = 75 * time.Millisecond
+	testMaxWrites    = 12
+	testMaxValue     = 4096 // bytes
+)
 
+// newTestManager makes a manager with the limits of the tests' stores.
+func newTestManager(region string, p *plan.Plan, store Store, host Host) *Manager {
+	return New(Config{
+		Region:          region,
+		Plan:            p,
+		MessageInterval: testInterval,
+		MaxWrites:       testMaxWrites,
+		MaxValueBytes:   testMaxValue,
+		Log:             slog.New(slog.DiscardHandler),
+	}, store, host)
+}
+
+// event is a function that is called at a time of the simulation; events of the same time are
+// called in the order in which they were made.
 type event struct {
-	at  time.Duration
-	seq int
-	run func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
+// eventHeap is a heap.Interface: the next event first.
 type eventHeap []event
 
 func (e eventHeap) Len() int { return len(e) }
 func (e eventHeap) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].seq < e[j].seq
+	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
 }
 func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
 func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
 func (e *eventHeap) Pop() any {
 	old := *e
-	x := old[len(old)-1]
+	last := old[len(old)-1]
 	*e = old[:len(old)-1]
-	return x
+	return last
 }
 
-const (
-	testInterval     = 500 * time.Millisecond
-	testTickInterval = 75 * time.Millisecond
-	testMaxWrites    = 12
-)
-
+// simulation runs managers of several regions in virtual time: leaders that crash, pause and
+// resume, stores that answer late or not at all, links that lose, repeat and delay messages. The
+// checks add up what tasks really use, outside of the code under test.
 type simulation struct {
-	now          time.Duration
-	queue        eventHeap
-	seq          int
-	rng          *rand.Rand
-	plan         *plan.Plan
-	regions      []*simRegion
-	incarnations uint64
-	violations   []string
-	restored     bool // a state service was replaced: its shares need not add up any more
-
-	// optimistic has leaders grant by gossiped counts, without a ledger: the baseline.
+	now           time.Duration
+	queue         eventHeap
+	eventSequence int
+	rng           *rand.Rand
+	plan          *plan.Plan
+	regions       []*simRegion
+	incarnations  uint64
+	violations    []string // the first ones, see maxViolations
+	restored      bool     // a store was replaced: its shares need not add up any more
+
+	// optimistic makes leaders grant by gossiped counts, without a ledger: the baseline.
 	optimistic bool
 
-	cuts                 map[string]time.Duration // "from>to": until when nothing passes
-	lossRate, repeatRate float64                  // shares of messages
-	delayRate            float64                  // share that comes seconds to minutes late
-	lostAnswerRate       float64                  // share of transactions without an answer, half of them late
-	grants, rejections   int
+	partitions           map[string]time.Duration // "from>to": until when no message passes
+	lossRate, repeatRate float64                  // of messages
+	delayRate            float64                  // of messages that arrive seconds to minutes late
+	lostAnswerRate       float64                  // of transactions without an answer, half of them late
+	grants, rejections   int                      // of placements
 	messages             int
 	writes               int
-	peakUse              map[string]amount.Amount // used at a time, by team
+	peakUse              map[string]amount.Amount // by team, over all regions
 	noNewWork            bool
 	endDetectionDelay    time.Duration // until a leader knows for certain that a task has ended
-	workload             *workload     // work that comes steadily; nil for none
+	workload             *workload     // work that arrives steadily; nil for none
 }
 
-// simRegion is a place with a state service and workers.
+// maxViolations bounds the violations that are kept.
+const maxViolations = 5
+
+// simRegion is a region with its store and its tasks.
 type simRegion struct {
-	w    *simulation
+	sim  *simulation
 	name string
 	testStore
-	term     uint64
-	outage   time.Duration
-	leader   *leaderProcess
-	used     map[string]amount.Amount // by tasks that run
-	demands  map[string]balance.Demand
-	gossiped map[string]map[string]amount.Amount // of other regions' use, for the baseline
+	term        uint64
+	outageUntil time.Duration // of the store
+	leader      *leaderProcess
+	used        map[string]amount.Amount // by tasks that run, by team
+	demands     map[string]balance.Demand
+	gossiped    map[string]map[string]amount.Amount // other regions' use, for the baseline
 }
 
-// leaderProcess is a leader's process.
-type leaderProcess struct {
-	r           *simRegion
-	m           *Manager
-	term        wire.Condition
-	ended       bool // it has ended
-	pausedUntil time.Duration
-	deferred    []func()
-	used        map[string]amount.Amount // counted by this leader: placed and not certainly gone
-	incarnation uint64
+func newSimulation(seed uint64, p *plan.Plan) *simulation {
+	s := &simulation{
+		rng:               rand.New(rand.NewPCG(seed, 7)),
+		plan:              p,
+		endDetectionDelay: 2 * time.Second,
+		partitions:        map[string]time.Duration{},
+		peakUse:           map[string]amount.Amount{},
+	}
+	for _, region := range p.Regions {
+		s.regions = append(s.regions, newSimRegion(s, region.Name))
+	}
+	for _, region := range s.regions {
+		s.after(s.randomDuration(time.Second), region.elect)
+	}
+	return s
 }
 
-func newSimulation(seed uint64, regions *plan.Plan) *simulation {
-	w := &simulation{rng: rand.New(rand.NewPCG(seed, 7)), plan: regions, endDetectionDelay: 2 * time.Second, cuts: map[string]time.Duration{}, peakUse: map[string]amount.Amount{}}
-	for _, r := range regions.Regions {
-		w.regions = append(w.regions, newSimRegion(w, r.Name))
-	}
-	for _, r := range w.regions {
-		w.after(w.randomDuration(time.Second), r.elect)
+func newSimRegion(s *simulation, name string) *simRegion {
+	return &simRegion{
+		sim:       s,
+		name:      name,
+		testStore: newTestStore(),
+		used:      map[string]amount.Amount{},
+		demands:   map[string]balance.Demand{},
+		gossiped:  map[string]map[string]amount.Amount{},
 	}
-	return w
 }
 
-func newSimRegion(w *simulation, name string) *simRegion {
-	return &simRegion{w: w, name: name, testStore: newTestStore(),
-		used: map[string]amount.Amount{}, demands: map[string]balance.Demand{}, gossiped: map[string]map[string]amount.Amount{}}
+// after schedules a function.
+func (s *simulation) after(delay time.Duration, f func()) {
+	s.eventSequence++
+	heap.Push(&s.queue, event{s.now + delay, s.eventSequence, f})
 }
 
-func (w *simulation) after(d time.Duration, f func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now + d, w.seq, f})
+// randomDuration draws a duration below a bound.
+func (s *simulation) randomDuration(bound time.Duration) time.Duration {
+	return time.Duration(s.rng.Int64N(int64(bound)))
 }
 
-func (w *simulation) randomDuration(d time.Duration) time.Duration {
-	return time.Duration(w.rng.Int64N(int64(d)))
+// run advances the time.
+func (s *simulation) run(until time.Duration) {
+	for len(s.queue) > 0 && s.queue[0].at <= until {
+		next := heap.Pop(&s.queue).(event)
+		s.now = next.at
+		next.run()
+	}
+	s.now = until
 }
 
-func (w *simulation) run(until time.Duration) {
-	for len(w.queue) > 0 && w.queue[0].at <= until {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
-		e.run()
+func (s *simulation) addViolation(format string, args ...any) {
+	if len(s.violations) < maxViolations {
+		s.violations = append(s.violations, fmt.Sprintf("%.3f s: ", s.now.Seconds())+fmt.Sprintf(format, args...))
 	}
-	w.now = until
 }
 
-func (w *simulation) violation(format string, a ...any) {
-	if len(w.violations) < 5 {
-		w.violations = append(w.violations, fmt.Sprintf("%.3f s: ", w.now.Seconds())+fmt.Sprintf(format, a...))
+// teamLimit is a team's limit over all regions.
+func (s *simulation) teamLimit(name string) amount.Amount {
+	for i := range s.plan.Teams {
+		if team := &s.plan.Teams[i]; team.Name == name {
+			return team.InitialShare("").Limit
+		}
 	}
+	panic("no team " + name)
 }
 
-// checkUse holds what runs over all regions against the ceiling.
-func (w *simulation) checkUse(team string) {
+// checkUse compares what a team's tasks use over all regions with its limit.
+func (s *simulation) checkUse(team string) {
 	var sum amount.Amount
-	for _, r := range w.regions {
-		sum = sum.Add(r.used[team])
+	for _, region := range s.regions {
+		sum = sum.Add(region.used[team])
 	}
-	w.peakUse[team] = w.peakUse[team].Max(sum)
-	for i := range w.plan.Teams {
-		if t := &w.plan.Teams[i]; t.Name == team && !t.InitialShare("").Limit.Covers(sum) {
-			w.violation("%s uses %v of %v", team, sum, t.InitialShare("").Limit)
-		}
+	s.peakUse[team] = s.peakUse[team].Max(sum)
+	if limit := s.teamLimit(team); !limit.Covers(sum) {
+		s.addViolation("%s uses %v of %v", team, sum, limit)
 	}
 }
 
-// checkSum holds the shares on record against the ceiling, to the thousandth.
-func (w *simulation) checkSum() {
-	if w.restored || w.optimistic {
+// checkShares compares the recorded shares with the limits, to the thousandth.
+func (s *simulation) checkShares() {
+	if s.restored || s.optimistic {
 		return
 	}
 	ledgers := map[string]*ledger.Ledger{}
-	for _, r := range w.regions {
-		l, err := ledger.Load(r.records())
-		if err != nil || l.Epoch() == 0 {
+	for _, region := range s.regions {
+		loaded, err := ledger.Load(region.records())
+		if err != nil || loaded.Epoch() == 0 {
 			return
 		}
-		if err := l.CheckInvariants(); err != nil {
-			w.violation("%s: %v", r.name, err)
+		if err := loaded.CheckInvariants(); err != nil {
+			s.addViolation("%s: %v", region.name, err)
 		}
-		ledgers[r.name] = l
+		ledgers[region.name] = loaded
 	}
-	for i := range w.plan.Teams {
-		t := &w.plan.Teams[i]
-		var sum amount.Amount
-		for _, r := range w.regions {
-			l := ledgers[r.name]
-			s, _ := l.Share(t.Name)
-			sum = sum.Add(s.Owned)
-			for _, to := range w.regions {
-				for _, transfer := range l.Link(to.name).Unacknowledged {
-					if transfer.Number <= ledgers[to.name].Link(r.name).Received {
-						continue
-					}
-					for _, p := range transfer.Parts {
-						if p.Team == t.Name {
-							sum = sum.Add(p.Amount)
-						}
-					}
-				}
-			}
+	for i := range s.plan.Teams {
+		team := &s.plan.Teams[i]
+		sum, limit := sumOfShares(ledgers, team.Name), team.InitialShare("").Limit
+		if sum.GPUs != limit.GPUs {
+			s.addViolation("shares of %s add up to %v of %v", team.Name, sum, limit)
 		}
-		if ceiling := t.InitialShare("").Limit; sum.GPUs != ceiling.GPUs {
-			w.violation("shares of %s add up to %v of %v", t.Name, sum, ceiling)
+	}
+}
+
+// sumOfShares adds up what regions own of a team and what is in transit between them.
+func sumOfShares(ledgers map[string]*ledger.Ledger, team string) amount.Amount {
+	var sum amount.Amount
+	for from, sender := range ledgers {
+		share, _ := sender.Share(team)
+		sum = sum.Add(share.Owned)
+		for to, receiver := range ledgers {
+			link := sender.Link(to)
+			sum = sum.Add(link.InTransit(team, receiver.Link(from).Received))
 		}
 	}
+	return sum
 }
 
-// commit carries a transaction out if its conditions hold.
-func (r *simRegion) commit(txn *wire.Txn) (int, wire.TxnResult) {
+// commit carries out a transaction if its conditions hold, and checks the shares after it.
+func (r *simRegion) commit(txn *wire.Txn) kv.TxnResult {
 	if len(txn.Writes) > testMaxWrites || len(txn.Conditions) > 4*testMaxWrites {
-		r.w.violation("a transaction of %d writes", len(txn.Writes))
+		r.sim.addViolation("a transaction of %d writes", len(txn.Writes))
 	}
-	status, result := r.testStore.commit(txn)
-	if status == 200 && len(txn.Writes) > 0 {
-		r.w.writes += len(txn.Writes)
-		r.w.checkSum()
+	result := r.testStore.commit(txn)
+	if result.Committed() && len(txn.Writes) > 0 {
+		r.sim.writes += len(txn.Writes)
+		r.sim.checkShares()
 	}
-	return status, result
+	return result
 }
 
-// elect begins the next term. The leader before goes on, unaware, unless it has ended.
+// elect begins the next term. The previous leader does not know and goes on, unless it crashed.
 func (r *simRegion) elect() {
 	r.term++
-	r.w.incarnations++
-	p := &leaderProcess{r: r, term: r.beginTerm(), used: map[string]amount.Amount{}, incarnation: r.w.incarnations << 32}
-	for team, u := range r.used {
-		p.used[team] = u
+	r.sim.incarnations++
+	leader := &leaderProcess{
+		region:      r,
+		term:        r.beginTerm(),
+		used:        maps.Clone(r.used),
+		incarnation: r.sim.incarnations << 32,
 	}
-	r.leader = p
-	p.m = New(Config{Region: r.name, Plan: r.w.plan, MessageInterval: testInterval, MaxWrites: testMaxWrites, MaxValueBytes: 4096, Log: slog.New(slog.DiscardHandler)}, p, p)
-	p.tick()
+	r.leader = leader
+	leader.manager = newTestManager(r.name, r.sim.plan, leader, leader)
+	leader.tick()
 }
 
-// crash ends the leader's process; another leads after a while.
-func (r *simRegion) crash(back time.Duration) {
+// crash ends the leader's process; another one is elected after a time.
+func (r *simRegion) crash(election time.Duration) {
 	if r.leader == nil {
 		return
 	}
 	r.leader.ended = true
 	r.leader = nil
-	r.w.after(back, func() {
+	r.sim.after(election, func() {
 		if r.leader == nil {
 			r.elect()
 		}
 	})
 }
 
-// pause has the leader stand still; another one is elected meanwhile.
-func (r *simRegion) pause(d time.Duration) {
+// pause pauses the leader's process; another one is elected meanwhile.
+func (r *simRegion) pause(duration time.Duration) {
 	paused := r.leader
 	if paused == nil {
 		return
 	}
-	paused.pausedUntil = r.w.now + d
-	r.w.after(d/2, func() {
+	paused.pausedUntil = r.sim.now + duration
+	r.sim.after(duration/2, func() {
 		if r.leader == paused {
 			r.elect()
 		}
 	})
-	r.w.after(d, func() {
-		held := paused.deferred
-		paused.deferred = nil
-		for _, f := range held {
-			paused.whenRunning(f)
-		}
-	})
-}
-
-// whenRunning runs f in the process, once it does not stand still.
-func (p *leaderProcess) whenRunning(f func()) {
-	switch {
-	case p.ended:
-	case p.r.w.now < p.pausedUntil:
-		p.deferred = append(p.deferred, f)
-	default:
-		f()
-	}
-}
-
-func (p *leaderProcess) tick() {
-	if p.ended {
-		return
-	}
-	p.whenRunning(func() {
-		p.m.Tick()
-		p.grantAll()
-	})
-	p.r.w.after(testTickInterval, p.tick)
-}
-
-// taskSize is what one task of the world takes.
-var taskSize = amount.Of(0, 1)
-
-// grantAll starts the tasks that wait and fit, without any pause between them.
-func (p *leaderProcess) grantAll() {
-	if p.r.w.noNewWork {
-		return
-	}
-	if p.r.w.workload != nil {
-		p.r.w.workload.grantAll(p)
-		return
-	}
-	for _, t := range p.r.w.plan.Teams {
-		for d := p.r.demands[t.Name]; d.Shortfall.Covers(taskSize) && p.allows(t.Name, taskSize); d = p.r.demands[t.Name] {
-			d.Shortfall = d.Shortfall.Sub(taskSize)
-			p.r.demands[t.Name] = d
-			p.grant(t.Name, taskSize)
-		}
-		if d := p.r.demands[t.Name]; !d.Gang.IsZero() && p.allows(t.Name, d.Gang) {
-			p.r.demands[t.Name] = balance.Demand{Shortfall: d.Shortfall, Priority: d.Priority}
-			p.grant(t.Name, d.Gang)
-		}
-	}
-}
-
-// allows tells whether the team's limit has room, as this leader sees it.
-func (p *leaderProcess) allows(team string, size amount.Amount) bool {
-	if p.r.w.optimistic {
-		sum := p.used[team].Add(size)
-		for _, u := range p.r.gossiped {
-			sum = sum.Add(u[team])
-		}
-		i := 0
-		for p.r.w.plan.Teams[i].Name != team {
-			i++
-		}
-		return p.r.w.plan.Teams[i].InitialShare("").Limit.Covers(sum)
-	}
-	return p.m.Limit(team).Covers(p.used[team].Add(size))
-}
-
-// grant records a placement under the leader's term and has the tasks run.
-func (p *leaderProcess) grant(team string, size amount.Amount) {
-	w, r := p.r.w, p.r
-	p.used[team] = p.used[team].Add(size)
-	txn := &wire.Txn{Conditions: []wire.Condition{p.term}}
-	w.after(time.Millisecond+w.randomDuration(20*time.Millisecond), func() {
-		if status, _ := r.commit(txn); status != 200 {
-			w.rejections++
-			return // deposed: nothing was started
-		}
-		w.grants++
-		r.used[team] = r.used[team].Add(size)
-		w.checkUse(team)
-		runs := time.Second + w.randomDuration(20*time.Second)
-		if w.workload != nil {
-			runs = w.workload.runtime(w)
-		}
-		w.after(runs, func() { r.end(team, size) })
-	})
+	r.sim.after(duration, paused.resume)
 }
 
-// end has tasks end; the leader of that moment knows it for certain some time later.
+// end ends tasks; the leader of that moment knows it for certain some time later.
 func (r *simRegion) end(team string, size amount.Amount) {
 	r.used[team] = r.used[team].Sub(size)
-	for _, other := range r.w.regions {
-		if other != r && r.w.optimistic {
-			r.gossip(other)
-		}
+	if r.sim.optimistic {
+		r.gossip()
 	}
 	term := r.term
-	r.w.after(r.w.randomDuration(r.w.endDetectionDelay), func() {
-		if r.w.workload != nil {
-			r.w.workload.ended(team, size)
+	r.sim.after(r.sim.randomDuration(r.sim.endDetectionDelay), func() {
+		if r.sim.workload != nil {
+			r.sim.workload.ended(team, size)
 		}
-		// A leader elected meanwhile has never counted it.
+		// A leader that was elected meanwhile has never counted them.
 		if r.term == term && r.leader != nil {
 			r.leader.used[team] = r.leader.used[team].Sub(size)
 		}
 	})
 }
 
-// gossip tells another region what is used here, for the baseline.
-func (r *simRegion) gossip(to *simRegion) {
-	used := map[string]amount.Amount{}
-	for team, u := range r.used {
-		used[team] = u
+// gossip tells the other regions what is used here, for the baseline.
+func (r *simRegion) gossip() {
+	for _, other := range r.sim.regions {
+		if other != r {
+			used := maps.Clone(r.used)
+			r.sim.deliver(r.name, other.name, func() { other.gossiped[r.name] = used })
+		}
 	}
-	r.w.deliver(r.name, to.name, func() { to.gossiped[r.name] = used })
 }
 
 // deliver carries a message between regions.
-func (w *simulation) deliver(from, to string, f func()) {
-	w.messages++
-	if w.cuts[from+">"+to] > w.now || w.rng.Float64() < w.lossRate {
+func (s *simulation) deliver(from, to string, receive func()) {
+	s.messages++
+	if s.partitions[from+">"+to] > s.now || s.rng.Float64() < s.lossRate {
 		return
 	}
-	delay := time.Millisecond + w.randomDuration(60*time.Millisecond)
-	if w.rng.Float64() < w.delayRate {
-		delay += w.randomDuration(90 * time.Second)
+	delay := time.Millisecond + s.randomDuration(60*time.Millisecond)
+	if s.rng.Float64() < s.delayRate {
+		delay += s.randomDuration(90 * time.Second)
 	}
-	w.after(delay, f)
-	if w.rng.Float64() < w.repeatRate {
-		w.after(delay+w.randomDuration(30*time.Second), f)
+	s.after(delay, receive)
+	if s.rng.Float64() < s.repeatRate {
+		s.after(delay+s.randomDuration(30*time.Second), receive)
 	}
 }
-
-// The ports of the manager.
-
-func (p *leaderProcess) Load(prefix string, done func([]wire.Item)) {
-	r := p.r
-	r.w.after(time.Millisecond+r.w.randomDuration(30*time.Millisecond), func() {
-		if r.w.now < r.outage {
-			p.whenRunning(func() { r.w.after(200*time.Millisecond, func() { p.Load(prefix, done) }) })
-			return
-		}
-		items := r.records()
-		r.w.after(r.w.randomDuration(20*time.Millisecond), func() { p.whenRunning(func() { done(items) }) })
-	})
-}
-
-func (p *leaderProcess) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
-	r := p.r
-	answer := func(status int, result wire.TxnResult) {
-		response := kv.Response{Number: status, Body: kv.Encode(result)}
-		r.w.after(time.Millisecond+r.w.randomDuration(20*time.Millisecond), func() { p.whenRunning(func() { done(kv.ParseTxn(response)) }) })
-	}
-	copied := *txn
-	r.w.after(time.Millisecond+r.w.randomDuration(20*time.Millisecond), func() {
-		switch lost := r.w.rng.Float64() < r.w.lostAnswerRate; {
-		case r.w.now < r.outage:
-			answer(503, wire.TxnResult{})
-		case lost && r.w.rng.IntN(2) == 0: // carried out, the answer is lost
-			r.commit(&copied)
-			r.w.after(500*time.Millisecond, func() { p.whenRunning(func() { done(kv.TxnResult{Status: kv.Unanswered}) }) })
-		case lost: // carried out later
-			r.w.after(2*time.Second+r.w.randomDuration(10*time.Second), func() { r.commit(&copied) })
-			r.w.after(500*time.Millisecond, func() { p.whenRunning(func() { done(kv.TxnResult{Status: kv.Unanswered}) }) })
-		default:
-			status, result := r.commit(&copied)
-			answer(status, result)
-		}
-	})
-}
-
-func (p *leaderProcess) Now() time.Duration { return p.r.w.now }
-
-func (p *leaderProcess) NewIncarnation() uint64 {
-	p.incarnation++
-	return p.incarnation
-}
-
-func (p *leaderProcess) Term() wire.Condition { return p.term }
-
-func (p *leaderProcess) Send(to string, msg *wire.RegionMessage) {
-	for _, r := range p.r.w.regions {
-		if r.name != to {
-			continue
-		}
-		p.r.w.deliver(p.r.name, to, func() {
-			if l := r.leader; l != nil {
-				l.whenRunning(func() { l.m.Receive(msg) })
-			}
-		})
-	}
-}
-
-func (p *leaderProcess) Demand(team string) balance.Demand {
-	d := p.r.demands[team]
-	if p.r.w.workload != nil {
-		d.Shortfall = amount.Of(0, float64(len(p.r.w.workload.waiting[p.r.name][team])))
-	}
-	d.Planned = p.used[team]
-	return d
-}
-
-func (p *leaderProcess) SharesChanged() { p.grantAll() }
-
-func (p *leaderProcess) TermChanged() { p.ended = true }
--- a/internal/quota/store_test.go
+++ b/internal/quota/store_test.go
@@ -1,76 +1,75 @@
 package quota
 
 import (
+	"maps"
 	"sort"
 	"strings"
 
+	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/ledger"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// testStore is a region's state service: keys with versions, and transactions that are carried
-// out if their conditions hold.
+// testStore is a region's key-value store.
 type testStore struct {
-	keys      map[string]wire.Item
+	items     map[string]wire.Item
 	revision  uint64
-	maxWrites int                  // writes in a transaction that it takes, 0 for any number
+	maxWrites int                  // writes in a transaction that it takes; 0 for any number
 	backup    map[string]wire.Item // an older copy of the ledger's records; nil for none
 }
 
-func newTestStore() testStore { return testStore{keys: map[string]wire.Item{}, revision: 10} }
+func newTestStore() testStore { return testStore{items: map[string]wire.Item{}, revision: 10} }
 
-// beginTerm begins a term and returns the condition that it holds.
+// beginTerm begins a term and returns the condition that holds during it.
 func (s *testStore) beginTerm() wire.Condition {
 	s.revision++
-	s.keys["term"] = wire.Item{Key: "term", Version: s.revision}
+	s.items["term"] = wire.Item{Key: "term", Version: s.revision}
 	return wire.Condition{Key: "term", Version: s.revision}
 }
 
-// commit carries a transaction out if its conditions hold.
-func (s *testStore) commit(txn *wire.Txn) (int, wire.TxnResult) {
+// commit carries out a transaction if its conditions hold.
+func (s *testStore) commit(txn *wire.Txn) kv.TxnResult {
 	if s.maxWrites > 0 && len(txn.Writes) > s.maxWrites {
-		return 400, wire.TxnResult{}
+		return kv.TxnResult{Status: kv.Rejected}
 	}
-	for _, c := range txn.Conditions {
-		if s.keys[c.Key].Version != c.Version {
-			return 409, wire.TxnResult{Conflicts: []string{c.Key}, Revision: s.revision}
+	for _, condition := range txn.Conditions {
+		if s.items[condition.Key].Version != condition.Version {
+			return kv.TxnResult{Status: kv.Conflict, Revision: s.revision, Conflicts: []string{condition.Key}}
 		}
 	}
 	if len(txn.Writes) > 0 {
 		s.revision++
 	}
-	for _, x := range txn.Writes {
-		s.keys[x.Put] = wire.Item{Key: x.Put, Value: x.Value, Version: s.revision}
+	for _, write := range txn.Writes {
+		s.items[write.Put] = wire.Item{Key: write.Put, Value: write.Value, Version: s.revision}
 	}
-	return 200, wire.TxnResult{Revision: s.revision}
+	return kv.TxnResult{Status: kv.OK, Revision: s.revision}
 }
 
-// records lists the ledger's records.
+// records lists the ledger's records, in order.
 func (s *testStore) records() []wire.Item {
 	var items []wire.Item
-	for k, it := range s.keys {
-		if strings.HasPrefix(k, ledger.Prefix) {
-			items = append(items, it)
+	for key, item := range s.items {
+		if strings.HasPrefix(key, ledger.Prefix) {
+			items = append(items, item)
 		}
 	}
 	sort.Slice(items, func(i, j int) bool { return items[i].Key < items[j].Key })
 	return items
 }
 
-// takeBackup takes a copy of the ledger's records.
+// takeBackup copies the ledger's records.
 func (s *testStore) takeBackup() {
 	s.backup = map[string]wire.Item{}
-	for _, it := range s.records() {
-		s.backup[it.Key] = it
+	for _, item := range s.records() {
+		s.backup[item.Key] = item
 	}
 }
 
-// applyBackup puts the copy in place of the ledger's records.
+// applyBackup replaces the ledger's records by the copy.
 func (s *testStore) applyBackup() {
-	for _, it := range s.records() {
-		delete(s.keys, it.Key)
-	}
-	for k, it := range s.backup {
-		s.keys[k] = it
+	for _, item := range s.records() {
+		delete(s.items, item.Key)
 	}
+	maps.Copy(s.items, s.backup)
 }
--- a/internal/quota/workload_test.go
+++ b/internal/quota/workload_test.go
@@ -9,25 +9,26 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
+	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
-// workload is work that comes steadily: tasks of one GPU for teams and regions drawn at random.
+// workload is work that arrives steadily: tasks of one GPU for random teams and regions.
 type workload struct {
-	w            *simulation
-	perSecond    float64
-	shares       []float64 // of each region in the load
-	meanRuntime  time.Duration
-	waiting      map[string]map[string][]time.Duration // arrivals, by region and team
-	strategy     string
-	central      map[string]amount.Amount // granted by the one region that grants for all
-	measuredFrom time.Duration            // from when on is counted
-	waits        []time.Duration
-	idle         []float64 // parts of a ceiling that were idle while somebody waited for them
-	idleAbove    []float64 // the same of what lies above guaranteed parts
-	guarded      []float64 // guaranteed parts that their region did not use meanwhile
+	sim                 *simulation
+	strategy            string
+	perSecond           float64
+	loadShares          []float64 // of each region
+	meanRuntime         time.Duration
+	waiting             map[string]map[string][]time.Duration // arrivals, by region and team
+	granted             map[string]amount.Amount              // by the one region that grants for all, by team
+	measuredFrom        time.Duration
+	waits               []time.Duration // from arrivals to grants
+	idle                []float64       // parts of a limit that were idle while a task waited for it
+	idleAboveGuarantees []float64       // the same of what is not guaranteed
+	unusedGuarantees    []float64       // guarantees that their regions did not use meanwhile
 }
 
-// The ways that are compared.
+// The strategies that are compared.
 const (
 	strategyEscrow     = "escrow"
 	strategyFixed      = "fixed parts"
@@ -35,188 +36,202 @@
 	strategyOptimistic = "optimistic counters"
 )
 
-func newWorkload(w *simulation, strategy string, perSecond float64, mean time.Duration, shares []float64) *workload {
-	work := &workload{w: w, strategy: strategy, perSecond: perSecond, meanRuntime: mean, shares: shares, waiting: map[string]map[string][]time.Duration{}, central: map[string]amount.Amount{}}
-	for _, r := range w.regions {
-		work.waiting[r.name] = map[string][]time.Duration{}
+// newWorkload makes a workload of a simulation, with a mean runtime of tasks.
+func newWorkload(s *simulation, strategy string, perSecond float64, meanRuntime time.Duration, loadShares []float64) *workload {
+	w := &workload{
+		sim:         s,
+		strategy:    strategy,
+		perSecond:   perSecond,
+		loadShares:  loadShares,
+		meanRuntime: meanRuntime,
+		waiting:     map[string]map[string][]time.Duration{},
+		granted:     map[string]amount.Amount{},
 	}
-	w.workload, w.optimistic = work, strategy == strategyOptimistic
-	w.endDetectionDelay = 300 * time.Millisecond
-	return work
+	for _, region := range s.regions {
+		w.waiting[region.name] = map[string][]time.Duration{}
+	}
+	s.workload, s.optimistic = w, strategy == strategyOptimistic
+	s.endDetectionDelay = 300 * time.Millisecond
+	return w
 }
 
-// begin has work come from now on, and samples what is idle.
-func (l *workload) begin() {
-	l.arrive()
-	l.sample()
+// begin begins the arrivals, and the samples of what is idle.
+func (w *workload) begin() {
+	w.arrive()
+	w.sample()
 }
 
-func (l *workload) arrive() {
-	x, at := l.w.rng.Float64(), 0
-	for x > l.shares[at] && at < len(l.shares)-1 {
-		x -= l.shares[at]
-		at++
+// arrive adds a task to a region by the regions' load shares, and schedules the next arrival.
+func (w *workload) arrive() {
+	draw, index := w.sim.rng.Float64(), 0
+	for draw > w.loadShares[index] && index < len(w.loadShares)-1 {
+		draw -= w.loadShares[index]
+		index++
 	}
-	team := l.w.plan.Teams[l.w.rng.IntN(len(l.w.plan.Teams))].Name
-	q := l.waiting[l.w.regions[at].name]
-	q[team] = append(q[team], l.w.now)
-	gap := l.w.rng.ExpFloat64() / l.perSecond
-	l.w.after(time.Duration(gap*float64(time.Second)), l.arrive)
+	team := w.sim.plan.Teams[w.sim.rng.IntN(len(w.sim.plan.Teams))].Name
+	waiting := w.waiting[w.sim.regions[index].name]
+	waiting[team] = append(waiting[team], w.sim.now)
+	gap := w.sim.rng.ExpFloat64() / w.perSecond
+	w.sim.after(time.Duration(gap*float64(time.Second)), w.arrive)
 }
 
-// ended tells that a task has certainly ended: the region that grants for all learns of it as
+// ended is called when a task has certainly ended: the region that grants for all learns of it when
 // the task's own leader does.
-func (l *workload) ended(team string, size amount.Amount) {
-	l.central[team] = l.central[team].Sub(size)
+func (w *workload) ended(team string, size amount.Amount) {
+	w.granted[team] = w.granted[team].Sub(size)
 }
 
-func (l *workload) runtime(w *simulation) time.Duration {
-	return l.meanRuntime/2 + w.randomDuration(l.meanRuntime)
+// runtime draws how long a task runs.
+func (w *workload) runtime(s *simulation) time.Duration {
+	return w.meanRuntime/2 + s.randomDuration(w.meanRuntime)
 }
 
 // grantAll starts what waits and fits in a leader's region.
-func (l *workload) grantAll(p *leaderProcess) {
-	waits := false
-	for _, t := range l.w.plan.Teams {
-		q := l.waiting[p.r.name]
-		for len(q[t.Name]) > 0 && l.allows(p, t.Name) {
-			arrived := q[t.Name][0]
-			q[t.Name] = q[t.Name][1:]
-			l.grant(p, t.Name, arrived)
+func (w *workload) grantAll(leader *leaderProcess) {
+	blocked := false
+	waiting := w.waiting[leader.region.name]
+	for _, team := range w.sim.plan.Teams {
+		for len(waiting[team.Name]) > 0 && w.allows(leader, team.Name) {
+			arrived := waiting[team.Name][0]
+			waiting[team.Name] = waiting[team.Name][1:]
+			w.grant(leader, team.Name, arrived)
 		}
-		waits = waits || len(q[t.Name]) > 0
+		blocked = blocked || len(waiting[team.Name]) > 0
 	}
-	if l.strategy == strategyEscrow && waits {
-		p.m.DemandChanged()
+	if w.strategy == strategyEscrow && blocked {
+		leader.manager.DemandChanged()
 	}
 }
 
-func (l *workload) allows(p *leaderProcess, team string) bool {
-	if l.strategy != strategyCentral {
-		return p.allows(team, taskSize)
+func (w *workload) allows(leader *leaderProcess, team string) bool {
+	if w.strategy != strategyCentral {
+		return leader.allows(team, taskSize)
 	}
-	return amount.Of(0, l.w.plan.Teams[0].GPUsMax).Covers(l.central[team].Add(taskSize))
+	return amount.Of(0, w.sim.plan.Teams[0].GPUsMax).Covers(w.granted[team].Add(taskSize))
 }
 
 // grant starts a task; where one region grants for all, after a round trip to it.
-func (l *workload) grant(p *leaderProcess, team string, arrived time.Duration) {
-	var trip time.Duration
-	if l.strategy == strategyCentral {
-		l.central[team] = l.central[team].Add(taskSize)
-		if p.r != l.w.regions[0] {
-			trip = 2*time.Millisecond + l.w.randomDuration(60*time.Millisecond) + l.w.randomDuration(60*time.Millisecond)
+func (w *workload) grant(leader *leaderProcess, team string, arrived time.Duration) {
+	var roundTrip time.Duration
+	if w.strategy == strategyCentral {
+		w.granted[team] = w.granted[team].Add(taskSize)
+		if leader.region != w.sim.regions[0] {
+			roundTrip = 2*time.Millisecond + w.sim.randomDuration(60*time.Millisecond) + w.sim.randomDuration(60*time.Millisecond)
 		}
 	}
 	start := func() {
-		if l.w.now >= l.measuredFrom {
-			l.waits = append(l.waits, l.w.now-arrived)
+		if w.sim.now >= w.measuredFrom {
+			w.waits = append(w.waits, w.sim.now-arrived)
 		}
-		p.grant(team, taskSize)
+		leader.grant(team, taskSize)
 	}
-	if trip == 0 {
+	if roundTrip == 0 {
 		start()
 	} else {
-		l.w.after(trip, start)
+		w.sim.after(roundTrip, start)
 	}
-	if l.strategy == strategyOptimistic {
-		for _, other := range l.w.regions {
-			if other != p.r {
-				p.r.gossip(other)
-			}
-		}
+	if w.strategy == strategyOptimistic {
+		leader.region.gossip()
 	}
 }
 
-// sample notes what is idle of each team for which somebody waits.
-func (l *workload) sample() {
-	if l.w.now >= l.measuredFrom {
-		for _, t := range l.w.plan.Teams {
-			l.sampleTeam(t.Name, t.GPUsMax)
+// sample records what is idle of each team for which a task waits.
+func (w *workload) sample() {
+	if w.sim.now >= w.measuredFrom {
+		for i := range w.sim.plan.Teams {
+			w.sampleTeam(&w.sim.plan.Teams[i])
 		}
 	}
-	l.w.after(testTickInterval, l.sample)
+	w.sim.after(testTickInterval, w.sample)
 }
 
-func (l *workload) sampleTeam(team string, ceiling float64) {
-	waiting, used, guarded, guaranteed := 0, 0.0, 0.0, 0.0
-	for _, r := range l.w.regions {
-		n := len(l.waiting[r.name][team])
-		waiting += n
-		_, here := r.used[team].Units()
-		used += here
-		for _, t := range l.w.plan.Teams {
-			for _, s := range t.Shares {
-				if t.Name == team && s.Region == r.name {
-					guaranteed += s.GPUs
-					guarded += max(0, s.GPUs-here)
-				}
-			}
-		}
+func (w *workload) sampleTeam(team *plan.Team) {
+	waiting, used, unused, guaranteed := 0, 0.0, 0.0, 0.0
+	for _, region := range w.sim.regions {
+		waiting += len(w.waiting[region.name][team.Name])
+		_, usedHere := region.used[team.Name].Units()
+		used += usedHere
+		guarantee := team.Share(region.name).GPUs
+		guaranteed += guarantee
+		unused += max(0, guarantee-usedHere)
 	}
 	if waiting == 0 {
 		return
 	}
-	idle := max(0, min(float64(waiting), ceiling-used))
-	l.idle = append(l.idle, idle/ceiling)
-	l.guarded = append(l.guarded, guarded/ceiling)
-	l.idleAbove = append(l.idleAbove, max(0, min(float64(waiting), ceiling-used-guarded))/(ceiling-guaranteed))
+	limit := team.GPUsMax
+	idle := max(0, min(float64(waiting), limit-used))
+	idleAbove := max(0, min(float64(waiting), limit-used-unused))
+	w.idle = append(w.idle, idle/limit)
+	w.unusedGuarantees = append(w.unusedGuarantees, unused/limit)
+	w.idleAboveGuarantees = append(w.idleAboveGuarantees, idleAbove/(limit-guaranteed))
 }
 
-func mean(v []float64) float64 {
+func mean(values []float64) float64 {
 	sum := 0.0
-	for _, x := range v {
-		sum += x
+	for _, value := range values {
+		sum += value
 	}
-	return sum / float64(max(1, len(v)))
+	return sum / float64(max(1, len(values)))
 }
 
-func quantile(v []time.Duration, q float64) time.Duration {
-	if len(v) == 0 {
+func quantile(values []time.Duration, q float64) time.Duration {
+	if len(values) == 0 {
 		return 0
 	}
-	v = slices.Clone(v)
-	slices.Sort(v)
-	return v[int(q*float64(len(v)-1))]
+	sorted := slices.Sorted(slices.Values(values))
+	return sorted[int(q*float64(len(sorted)-1))]
 }
 
+// Shares of the load by region.
 var (
 	evenLoad     = []float64{0.2, 0.2, 0.2, 0.2, 0.2}
 	lopsidedLoad = []float64{0.6, 0.2, 0.1, 0.05, 0.05}
 )
 
-// measurement is a run of a load.
+// measurement is what a run of a workload has shown.
 type measurement struct {
 	work             *workload
-	messages, writes float64 // a second
+	messages, writes float64 // per second
 	grants           int
-	overshoot        int
+	violations       int
 }
 
-// measuredDuration is how long a load is measured, after a beginning of half that time.
+// measuredDuration is how long a workload is measured, after a beginning of half that time.
 const measuredDuration = 40 * time.Second
 
-// measure runs a load.
-func measure(strategy string, teams int, perSecond, gpus float64, shares []float64) measurement {
-	w := newSimulation(5, testPlan(5, teams, gpus))
-	work := newWorkload(w, strategy, perSecond, 10*time.Second, shares)
-	w.run(8 * time.Second)
+// measure runs a workload of five regions.
+func measure(strategy string, teams int, perSecond, gpus float64, loadShares []float64) measurement {
+	s := newSimulation(5, testPlan(5, teams, gpus))
+	w := newWorkload(s, strategy, perSecond, 10*time.Second, loadShares)
+	s.run(settleTime)
 	if strategy == strategyFixed {
-		for _, a := range w.regions {
-			for _, b := range w.regions {
-				w.cuts[a.name+">"+b.name] = time.Hour
-			}
+		s.partitionAllLinks()
+	}
+	w.measuredFrom = s.now + measuredDuration/2
+	w.begin()
+	s.run(w.measuredFrom)
+	messages, writes, grants := s.messages, s.writes, s.grants
+	s.run(w.measuredFrom + measuredDuration)
+	return measurement{
+		work:       w,
+		messages:   float64(s.messages-messages) / measuredDuration.Seconds(),
+		writes:     float64(s.writes-writes) / measuredDuration.Seconds(),
+		grants:     s.grants - grants,
+		violations: len(s.violations),
+	}
+}
+
+// partitionAllLinks keeps shares where they are.
+func (s *simulation) partitionAllLinks() {
+	for _, from := range s.regions {
+		for _, to := range s.regions {
+			s.partitions[from.name+">"+to.name] = time.Hour
 		}
 	}
-	work.measuredFrom = w.now + measuredDuration/2
-	work.begin()
-	w.run(work.measuredFrom)
-	messages, writes, grants := w.messages, w.writes, w.grants
-	w.run(work.measuredFrom + measuredDuration)
-	return measurement{work, float64(w.messages-messages) / measuredDuration.Seconds(), float64(w.writes-writes) / measuredDuration.Seconds(), w.grants - grants, len(w.violations)}
 }
 
-// TestMeasure prints what docs/quota.md and docs/CAPACITY.md tell. It takes minutes and is run by
-// hand: BROOKWALK_MEASURE=1 go test ./internal/quota -run TestMeasure -v
+// TestMeasure prints the measurements of docs/quota.md and docs/CAPACITY.md. It takes minutes and is
+// run by hand: BROOKWALK_MEASURE=1 go test ./internal/quota -run TestMeasure -v
 func TestMeasure(t *testing.T) {
 	if os.Getenv("BROOKWALK_MEASURE") == "" {
 		t.Skip("set BROOKWALK_MEASURE to measure")
@@ -224,17 +239,17 @@
 	const teams, starts = 82, 250.0
 	for _, c := range []struct {
 		name   string
-		gpus   float64 // of each team's ceiling; the load asks for starts*10/82 = 30.5
+		gpus   float64 // of each team's limit; the load asks for starts*10/82 = 30.5
 		shares []float64
 	}{
-		{"even, 0.76 of the ceilings", 40, evenLoad}, {"lopsided, 0.76 of the ceilings", 40, lopsidedLoad},
-		{"even, 1.27 of the ceilings", 24, evenLoad}, {"lopsided, 1.27 of the ceilings", 24, lopsidedLoad},
+		{"even, 0.76 of the limits", 40, evenLoad}, {"lopsided, 0.76 of the limits", 40, lopsidedLoad},
+		{"even, 1.27 of the limits", 24, evenLoad}, {"lopsided, 1.27 of the limits", 24, lopsidedLoad},
 	} {
-		for _, way := range []string{strategyEscrow, strategyFixed, strategyCentral, strategyOptimistic} {
-			m := measure(way, teams, starts, c.gpus, c.shares)
-			t.Logf("%s | %s | wait p50 %d ms, p99 %d ms | idle while somebody waits %.3f, guaranteed parts %.3f, above them %.3f | %.0f messages/s, %.0f writes/s | %d grants, %d above a ceiling",
-				c.name, way, quantile(m.work.waits, 0.5).Milliseconds(), quantile(m.work.waits, 0.99).Milliseconds(),
-				mean(m.work.idle), mean(m.work.guarded), mean(m.work.idleAbove), m.messages, m.writes, m.grants, m.overshoot)
+		for _, strategy := range []string{strategyEscrow, strategyFixed, strategyCentral, strategyOptimistic} {
+			m := measure(strategy, teams, starts, c.gpus, c.shares)
+			t.Logf("%s | %s | wait p50 %d ms, p99 %d ms | idle while a task waits %.3f, unused guarantees %.3f, idle above guarantees %.3f | %.0f messages/s, %.0f writes/s | %d grants, %d violations",
+				c.name, strategy, quantile(m.work.waits, 0.5).Milliseconds(), quantile(m.work.waits, 0.99).Milliseconds(),
+				mean(m.work.idle), mean(m.work.unusedGuarantees), mean(m.work.idleAboveGuarantees), m.messages, m.writes, m.grants, m.violations)
 		}
 	}
 	for _, rate := range []float64{50, 250, 1000} {
@@ -248,16 +263,16 @@
 	t.Log(memoryOf(82, 5))
 }
 
-// memoryOf tells what managers of that many teams and regions hold.
+// memoryOf measures the memory of managers of a number of teams and regions.
 func memoryOf(teams, regions int) string {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	w := newSimulation(1, testPlan(regions, teams, 40))
-	w.run(10 * time.Second)
+	s := newSimulation(1, testPlan(regions, teams, 40))
+	s.run(10 * time.Second)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	bytes := float64(after.HeapAlloc - before.HeapAlloc)
-	runtime.KeepAlive(w)
-	return fmt.Sprintf("%d regions of %d teams: %.0f bytes a team and region, stand-ins included", regions, teams, bytes/float64(teams*regions))
+	runtime.KeepAlive(s)
+	return fmt.Sprintf("%d regions of %d teams: %.0f bytes per team and region, stand-ins included", regions, teams, bytes/float64(teams*regions))
 }
