--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -7,13 +7,24 @@
 	"net"
 	"sync"
 	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 )
 
-// ErrNotSent marks a request of which no byte has left: it was certainly not
+// ErrNotSent marks a request of which no byte was sent: it was certainly not
 // executed.
 var ErrNotSent = errors.New("httpwire: request not sent")
 
-// Client sends requests to one address over a few kept connections.
+// Sizes of a client's buffers, in bytes.
+const (
+	requestHeaderBytes = 256      // room for the header of a request
+	clientReadBytes    = 2 << 10  // least room for a read
+	clientGrowBytes    = 4 << 10  // added to twice the buffer when it has less
+	maxKeptBufferBytes = 32 << 10 // larger buffers are not kept with an idle connection
+)
+
+// Client sends requests to one address over a few kept connections. It may be used by several
+// goroutines.
 type Client struct {
 	// Addr is the server's address.
 	Addr string
@@ -24,75 +35,57 @@
 	idle []*clientConn
 }
 
+// clientConn is a connection with what was read from it and not parsed yet.
 type clientConn struct {
 	net.Conn
 	buf []byte
 }
 
-// Do sends one request and waits for its response, at most until timeout. A
-// kept connection that turns out to be closed is not tried twice: whether the
-// request was executed is then unknown to the caller.
-func (c *Client) Do(method, path string, body []byte, timeout time.Duration) (*Response, error) {
+// Do sends one request and waits for its response, at most until timeout. It is not retried on
+// another connection if a kept one turns out to be closed: whether the request was executed is
+// then unknown to the caller.
+func (c *Client) Do(method, target string, body []byte, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
 	conn, err := c.getConn(deadline)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNotSent, err)
 	}
-	conn.SetDeadline(deadline)
-	msg := AppendRequest(make([]byte, 0, 256+len(body)), method, path, c.Addr, body)
-	if _, err := conn.Write(msg); err != nil {
+	request := AppendRequest(make([]byte, 0, requestHeaderBytes+len(body)), method, target, c.Addr, body)
+	if err := conn.send(request, deadline); err != nil {
 		conn.Close()
 		return nil, fmt.Errorf("send request: %w", err)
 	}
-	for {
-		if len(conn.buf) > 0 {
-			response, size, err := ParseResponse(conn.buf)
-			if err == nil {
-				if response.Status >= 100 && response.Status < 200 {
-					conn.buf = conn.buf[size:]
-					continue
-				}
-				if response.Close || size != len(conn.buf) {
-					conn.Close()
-				} else {
-					conn.buf = conn.buf[:0]
-					if cap(conn.buf) > 32<<10 {
-						conn.buf = nil
-					}
-					c.putConn(conn)
-				}
-				return response, nil
-			}
-			if err != ErrIncomplete {
-				conn.Close()
-				return nil, err
-			}
-		}
-		if cap(conn.buf)-len(conn.buf) < 2048 {
-			conn.buf = append(make([]byte, 0, 2*cap(conn.buf)+4096), conn.buf...)
-		}
-		size, err := conn.Read(conn.buf[len(conn.buf):cap(conn.buf)])
-		conn.buf = conn.buf[:len(conn.buf)+size]
-		if err != nil {
-			conn.Close()
-			return nil, fmt.Errorf("read response: %w", err)
-		}
+	response, drained, err := conn.readResponse()
+	if err != nil {
+		conn.Close()
+		return nil, err
 	}
+	if response.Close || !drained {
+		conn.Close()
+	} else {
+		c.putConn(conn)
+	}
+	return response, nil
 }
 
-func (c *Client) getConn(deadline time.Time) (*clientConn, error) {
+// CloseIdle closes the idle connections.
+func (c *Client) CloseIdle() {
 	c.mu.Lock()
-	for n := len(c.idle); n > 0; n = len(c.idle) {
-		conn := c.idle[n-1]
-		c.idle = c.idle[:n-1]
-		c.mu.Unlock()
+	defer c.mu.Unlock()
+	for _, conn := range c.idle {
+		conn.Close()
+	}
+	c.idle = nil
+}
+
+// getConn takes an idle connection, or dials a new one until the deadline.
+func (c *Client) getConn(deadline time.Time) (*clientConn, error) {
+	if conn := c.takeIdle(); conn != nil {
 		return conn, nil
 	}
-	c.mu.Unlock()
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	var dialer net.Dialer
-	dialer.KeepAlive = -1
+	dialer := net.Dialer{KeepAlive: -1}
 	conn, err := dialer.DialContext(ctx, "tcp4", c.Addr)
 	if err != nil {
 		return nil, err
@@ -100,7 +93,22 @@
 	return &clientConn{Conn: conn}, nil
 }
 
+// takeIdle takes the connection that was used last; nil if none is idle.
+func (c *Client) takeIdle() *clientConn {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	last := len(c.idle) - 1
+	if last < 0 {
+		return nil
+	}
+	conn := c.idle[last]
+	c.idle = c.idle[:last]
+	return conn
+}
+
+// putConn keeps an idle connection, or closes it if enough are kept.
 func (c *Client) putConn(conn *clientConn) {
+	conn.resetBuffer()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.idle) >= c.MaxIdle {
@@ -110,12 +118,49 @@
 	c.idle = append(c.idle, conn)
 }
 
-// CloseIdle closes the kept connections.
-func (c *Client) CloseIdle() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, conn := range c.idle {
-		conn.Close()
+// send writes a request; the deadline holds for its response too.
+func (c *clientConn) send(request []byte, deadline time.Time) error {
+	if err := c.SetDeadline(deadline); err != nil {
+		return err
+	}
+	_, err := c.Write(request)
+	return err
+}
+
+// readResponse reads a response, and skips informational ones (1xx) before it. drained
+// means that nothing else has been read.
+func (c *clientConn) readResponse() (response *Response, drained bool, err error) {
+	for {
+		response, size, err := ParseResponse(c.buf)
+		switch {
+		case errors.Is(err, ErrIncomplete):
+			if err := c.readMore(); err != nil {
+				return nil, false, fmt.Errorf("read response: %w", err)
+			}
+		case err != nil:
+			return nil, false, err
+		case response.Status < httpstatus.OK:
+			c.buf = c.buf[size:]
+		default:
+			return response, size == len(c.buf), nil
+		}
+	}
+}
+
+// readMore appends what has arrived to the buffer.
+func (c *clientConn) readMore() error {
+	if cap(c.buf)-len(c.buf) < clientReadBytes {
+		c.buf = append(make([]byte, 0, 2*cap(c.buf)+clientGrowBytes), c.buf...)
+	}
+	size, err := c.Read(c.buf[len(c.buf):cap(c.buf)])
+	c.buf = c.buf[:len(c.buf)+size]
+	return err
+}
+
+// resetBuffer empties the buffer for the next response.
+func (c *clientConn) resetBuffer() {
+	c.buf = c.buf[:0]
+	if cap(c.buf) > maxKeptBufferBytes {
+		c.buf = nil
 	}
-	c.idle = nil
 }
--- a/httpwire/httpstatus/httpstatus.go
+++ b/httpwire/httpstatus/httpstatus.go
@@ -9,6 +9,8 @@
 const (
 	OK                  = 200
 	Created             = 201
+	NoContent           = 204
+	NotModified         = 304
 	BadRequest          = 400
 	NotFound            = 404
 	MethodNotAllowed    = 405
--- a/httpwire/httpwire_test.go
+++ b/httpwire/httpwire_test.go
@@ -52,46 +52,60 @@
 }
 
 func TestResponseRoundTrip(t *testing.T) {
-	b := AppendResponse(nil, 503, []byte(`{"error":"not now"}`), 2, true)
-	r, n, err := ParseResponse(b)
-	if err != nil || n != len(b) {
-		t.Fatalf("parsed %d of %d bytes: %v", n, len(b), err)
+	data := AppendResponse(nil, Reply{Status: 503, Body: []byte(`{"error":"not now"}`), RetryAfter: 2, Close: true})
+	response, size, err := ParseResponse(data)
+	if err != nil || size != len(data) {
+		t.Fatalf("parsed %d of %d bytes: %v", size, len(data), err)
 	}
-	if r.Status != 503 || string(r.Body) != `{"error":"not now"}` || r.RetryAfter != "2" || !r.Close {
-		t.Errorf("got %+v", r)
+	if response.Status != 503 || string(response.Body) != `{"error":"not now"}` || response.RetryAfter != "2" || !response.Close {
+		t.Errorf("got %+v", response)
 	}
 }
 
-// A client's kept connection that the server has closed must fail the call
-// and not be used again.
+// serveOneRequestEach answers one request on each connection and closes it, although it did not
+// announce that. It ends with the listener.
+func serveOneRequestEach(listener net.Listener) error {
+	buf := make([]byte, 4096)
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return err
+		}
+		if _, err := conn.Read(buf); err != nil {
+			return err
+		}
+		if _, err := conn.Write(AppendResponse(nil, Reply{Status: 200, Body: []byte("{}")})); err != nil {
+			return err
+		}
+		if err := conn.Close(); err != nil {
+			return err
+		}
+	}
+}
+
+// TestClientDropsClosedConnection checks that a kept connection that the server has closed fails
+// the call and is not used again.
 func TestClientDropsClosedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer listener.Close()
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			buf := make([]byte, 4096)
-			conn.Read(buf)
-			conn.Write(AppendResponse(nil, 200, []byte("{}"), 0, false))
-			conn.Close()
-		}
-	}()
+	served := make(chan error, 1)
+	go func() { served <- serveOneRequestEach(listener) }()
 	client := &Client{Addr: listener.Addr().String(), MaxIdle: 1}
 	ok := 0
-	for i := 0; i < 4; i++ {
-		if r, err := client.Do("GET", "/", nil, 5*time.Second); err == nil && r.Status == 200 {
+	for range 4 {
+		if response, err := client.Do("GET", "/", nil, 5*time.Second); err == nil && response.Status == 200 {
 			ok++
 		}
 	}
 	if ok < 2 {
 		t.Errorf("%d of 4 calls succeeded, at least every second one should", ok)
 	}
+	listener.Close()
+	if err := <-served; !errors.Is(err, net.ErrClosed) {
+		t.Errorf("server: %v", err)
+	}
 }
 
 func FuzzParseRequest(f *testing.F) {
@@ -114,7 +128,7 @@
 }
 
 func FuzzParseResponse(f *testing.F) {
-	f.Add(AppendResponse(nil, 200, []byte("{}"), 0, false))
+	f.Add(AppendResponse(nil, Reply{Status: 200, Body: []byte("{}")}))
 	f.Add([]byte("HTTP/1.1 204 No Content\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r, n, err := ParseResponse(in)
--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -177,7 +177,7 @@
 		traffic = c.userTraffic
 	}
 	retry, _ := strconv.Atoi(response.RetryAfter)
-	traffic.Add(len(httpwire.AppendRequest(nil, method, path, c.listen, body)), len(httpwire.AppendResponse(nil, response.Status, response.Body, retry, response.Close)))
+	traffic.Add(len(httpwire.AppendRequest(nil, method, path, c.listen, body)), len(httpwire.AppendResponse(nil, httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: retry, Close: response.Close})))
 	return core.Answer{Status: response.Status, Body: response.Body, RetryAfter: retry}
 }
 
--- a/internal/httpserve/server.go
+++ b/internal/httpserve/server.go
@@ -171,7 +171,7 @@
 	defer timer.Stop()
 	select {
 	case response := <-done:
-		return httpwire.AppendResponse(nil, response.Status, response.Body, response.RetryAfter, false), true
+		return httpwire.AppendResponse(nil, httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter}), true
 	case <-timer.C:
 		return nil, false
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/cloud"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
@@ -147,12 +148,11 @@
 	}
 }
 
-// Status codes of answers that do not come from the core, and when to come back
-// after the latter, in seconds.
+// Answers that do not come from the core.
 const (
-	statusBadRequest  = 400
-	statusUnavailable = 503
-	busyRetryAfterS   = 1
+	malformedBody   = `{"error":"malformed request"}`
+	busyBody        = `{"error":"busy"}`
+	busyRetryAfterS = 1 // when to try again after the latter, in seconds
 )
 
 // shedRequest answers a request that cannot be taken now, with when to come back.
@@ -160,7 +160,9 @@
 	delete(n.pendingRequests, id)
 	conn.awaitingAnswer = false
 	if !conn.closed {
-		conn.output = httpwire.AppendResponse(conn.output, statusUnavailable, []byte(`{"error":"busy"}`), busyRetryAfterS, conn.closeAfterAnswer)
+		conn.output = httpwire.AppendResponse(conn.output, httpwire.Reply{
+			Status: httpstatus.ServiceUnavailable, Body: []byte(busyBody), RetryAfter: busyRetryAfterS, Close: conn.closeAfterAnswer,
+		})
 	}
 }
 
@@ -310,7 +312,9 @@
 	}
 	c.requestStarted = time.Time{}
 	if err != nil {
-		c.output = httpwire.AppendResponse(c.output, statusBadRequest, []byte(`{"error":"malformed request"}`), 0, true)
+		c.output = httpwire.AppendResponse(c.output, httpwire.Reply{
+			Status: httpstatus.BadRequest, Body: []byte(malformedBody), Close: true,
+		})
 		c.input, c.closeAfterAnswer = nil, true
 		return nil, false
 	}
@@ -352,7 +356,9 @@
 			continue
 		}
 		conn.awaitingAnswer = false
-		conn.output = httpwire.AppendResponse(conn.output, answer.Status, answer.Body, answer.RetryAfter, conn.closeAfterAnswer)
+		conn.output = httpwire.AppendResponse(conn.output, httpwire.Reply{
+			Status: answer.Status, Body: answer.Body, RetryAfter: answer.RetryAfter, Close: conn.closeAfterAnswer,
+		})
 		if conn != current {
 			conn.socket.Wake()
 		}
