--- /dev/null
+++ b/internal/node/data.go
@@ -0,0 +1,109 @@
+package node
+
+import (
+	"errors"
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/tidwall/evio"
+)
+
+// onData handles what has arrived on a connection, and returns what is to be written. evio also
+// calls it without input for a connection that was woken.
+func (n *Node) onData(socket evio.Conn, input []byte) ([]byte, evio.Action) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	conn, ok := socket.Context().(*connection)
+	switch {
+	case !ok:
+		return nil, evio.Close
+	case conn.peerDecoder != nil:
+		return nil, n.onPeerData(conn, input)
+	case conn.regionDecoder != nil:
+		return nil, n.onRegionData(conn, input)
+	default:
+		return n.onHTTPData(conn, input)
+	}
+}
+
+// onPeerData handles what a peer sends.
+func (n *Node) onPeerData(conn *connection, input []byte) evio.Action {
+	messages, err := conn.peerDecoder.Feed(input)
+	for _, m := range messages {
+		n.step(core.PeerInput{Message: m}, conn)
+	}
+	if err != nil {
+		n.log.Debug("peer stream broken", "error", err)
+		return evio.Close
+	}
+	return evio.None
+}
+
+// onHTTPData handles what a user or a worker sends. A connection's requests are handled one
+// after the other: the next one is parsed once the one before is answered.
+func (n *Node) onHTTPData(conn *connection, input []byte) ([]byte, evio.Action) {
+	if len(input) > 0 {
+		conn.lastActive = time.Now()
+	}
+	conn.input = append(conn.input, input...)
+	for !conn.awaitingAnswer && !conn.closeAfterAnswer && len(conn.input) > 0 {
+		request, ok := conn.nextRequest()
+		if !ok {
+			break
+		}
+		n.dispatchRequest(conn, request)
+	}
+	output := conn.output
+	conn.output = nil
+	if conn.closing || conn.closeAfterAnswer && !conn.awaitingAnswer {
+		return output, evio.Close
+	}
+	return output, evio.None
+}
+
+// Answers that do not come from the core.
+const (
+	malformedBody   = `{"error":"malformed request"}`
+	busyBody        = `{"error":"busy"}`
+	busyRetryAfterS = 1 // when to try again after the latter, in seconds
+)
+
+// nextRequest parses the next request of the input; false if it is incomplete, or malformed, in
+// which case the connection ends with an answer that says so.
+func (c *connection) nextRequest() (*httpwire.Request, bool) {
+	request, size, err := httpwire.ParseRequest(c.input)
+	if errors.Is(err, httpwire.ErrIncomplete) {
+		if c.requestStarted.IsZero() {
+			c.requestStarted = time.Now()
+		}
+		return nil, false
+	}
+	c.requestStarted = time.Time{}
+	if err != nil {
+		c.appendReply(httpwire.Reply{Status: httpstatus.BadRequest, Body: []byte(malformedBody), Close: true})
+		c.input, c.closeAfterAnswer = nil, true
+		return nil, false
+	}
+	c.input = c.input[size:]
+	if len(c.input) == 0 {
+		c.input = nil // frees the buffer of an idle connection
+	}
+	return request, true
+}
+
+// answer ends the request that waits, unless the connection is closed.
+func (c *connection) answer(reply httpwire.Reply) {
+	c.awaitingAnswer = false
+	if c.closed {
+		return
+	}
+	reply.Close = c.closeAfterAnswer
+	c.appendReply(reply)
+}
+
+// appendReply appends a response to the output.
+func (c *connection) appendReply(reply httpwire.Reply) {
+	c.output = httpwire.AppendResponse(c.output, reply)
+}
--- a/internal/node/regions.go
+++ b/internal/node/regions.go
@@ -9,44 +9,52 @@
 	"github.com/tidwall/evio"
 )
 
-// Bounds of what other regions may take here.
+// Bounds of what other regions may use here.
 const (
 	regionQueueLength    = 16 // messages that wait for one controller of another region
 	maxRegionConnections = 64 // from other regions; each of their controllers needs one
 )
 
-// regionLinks carry messages to and from other regions. Connections are guarded by Node.mu.
+// regionLinks carry messages to and from other regions. All fields but listen and byRegion, which
+// do not change, are guarded by Node.mu.
 type regionLinks struct {
 	listen          string
 	byRegion        map[string]*controllerLinks
-	connections     int
-	rejectionLogged bool // a stream that was not understood was logged
+	connections     int  // that are open from other regions
+	rejectionLogged bool // a stream of something else than a region was logged
 }
 
-// controllerLinks are the links to the controllers of one region, taken in turn: any of them takes
-// a message to its leader, and a message that meets one that is away is followed by another.
+// controllerLinks are the links to the controllers of one region, used in turn: each of them
+// forwards a message to its leader, and a message to one that is unreachable is followed by one
+// to another.
 type controllerLinks struct {
 	links []*peer.Link[wire.RegionMessage]
 	next  int
 }
 
 // JoinRegions turns on limits that are shared with other regions. It is called before Run.
-func (n *Node) JoinRegions(p *plan.Plan, op *config.Operator) {
-	n.core.JoinRegions(p, op.Region)
+func (n *Node) JoinRegions(regions *plan.Plan, op *config.Operator) {
+	n.core.JoinRegions(regions, op.Region)
 	n.regions = &regionLinks{listen: op.RegionListen, byRegion: map[string]*controllerLinks{}}
-	for _, r := range p.Regions {
-		if r.Name == op.Region || r.Lost {
+	for _, region := range regions.Regions {
+		if region.Name == op.Region || region.Lost {
 			continue
 		}
-		link := &controllerLinks{}
-		for _, addr := range r.Controllers {
-			link.links = append(link.links, peer.NewLink[wire.RegionMessage](addr, config.Seconds(n.cfg.Deployment.Workers.ReportS), regionQueueLength, n.log))
-		}
-		n.regions.byRegion[r.Name] = link
+		n.regions.byRegion[region.Name] = n.linkControllers(region.Controllers)
+	}
+}
+
+// linkControllers starts links to the controllers of another region.
+func (n *Node) linkControllers(addresses []string) *controllerLinks {
+	controllers := &controllerLinks{}
+	for _, address := range addresses {
+		link := peer.NewLink[wire.RegionMessage](address, heartbeatInterval(n.cfg), regionQueueLength, n.log)
+		controllers.links = append(controllers.links, link)
 	}
+	return controllers
 }
 
-// admit tells whether one more connection is taken, and counts it.
+// admit reports whether one more connection is accepted, and counts it.
 func (r *regionLinks) admit() bool {
 	if r.connections >= maxRegionConnections {
 		return false
@@ -56,17 +64,17 @@
 }
 
 // send hands a message to the next controller of its region.
-func (r *regionLinks) send(s core.RegionSend) {
-	link := r.byRegion[s.To]
-	if link == nil {
+func (r *regionLinks) send(send core.RegionSend) {
+	controllers := r.byRegion[send.To]
+	if controllers == nil {
 		return
 	}
-	link.links[link.next].Send(s.Message)
-	link.next = (link.next + 1) % len(link.links)
+	controllers.links[controllers.next].Send(send.Message)
+	controllers.next = (controllers.next + 1) % len(controllers.links)
 }
 
-// onRegionData takes what a controller of another region sends. A stream that is not one of
-// ours ends; the first is logged.
+// onRegionData handles what a controller of another region sends. A stream of anything else is
+// closed; the first one is logged.
 func (n *Node) onRegionData(conn *connection, input []byte) evio.Action {
 	messages, err := conn.regionDecoder.Feed(input)
 	for _, m := range messages {
@@ -77,7 +85,7 @@
 	}
 	if !n.regions.rejectionLogged {
 		n.regions.rejectionLogged = true
-		n.log.Warn("region stream refused", "from", conn.socket.RemoteAddr().String(), "err", err)
+		n.log.Warn("region stream refused", "address", conn.socket.RemoteAddr().String(), "error", err)
 	}
 	return evio.Close
 }
--- /dev/null
+++ b/internal/node/step.go
@@ -0,0 +1,87 @@
+package node
+
+import (
+	"fmt"
+	"log/slog"
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/internal/core"
+)
+
+// step gives the core an input and carries out what it asks for. The caller holds the lock;
+// current is the connection whose data is being handled, which need not be woken, or nil.
+func (n *Node) step(input core.Input, current *connection) {
+	now := time.Now()
+	output := n.core.Step(now.Sub(n.started), now, input)
+	n.slowSteps.record(input, now, time.Since(now))
+	n.answerRequests(output.Answers, current)
+	for _, send := range output.PeerSends {
+		if link := n.peerLinks[send.To]; link != nil {
+			link.Send(send.Message)
+		}
+	}
+	for _, send := range output.RegionSends {
+		n.regions.send(send)
+	}
+	for _, call := range output.Calls {
+		go n.execute(call)
+	}
+}
+
+// answerRequests writes the core's answers to their connections, except those that were closed.
+func (n *Node) answerRequests(answers []core.Answer, current *connection) {
+	for _, answer := range answers {
+		conn := n.pendingRequests[answer.ID]
+		delete(n.pendingRequests, answer.ID)
+		if conn == nil || conn.closed {
+			continue
+		}
+		conn.answer(httpwire.Reply{Status: answer.Status, Body: answer.Body, RetryAfter: answer.RetryAfter})
+		if conn != current {
+			conn.socket.Wake()
+		}
+	}
+}
+
+// execute makes a call and gives the core its result.
+func (n *Node) execute(call core.Call) {
+	var result core.Result
+	switch call.Destination {
+	case core.DestinationStore:
+		result = n.store.Do(call)
+	case core.DestinationCloud:
+		result = n.cloud.Do(call)
+	case core.DestinationWorker:
+		result = n.worker.Do(call)
+	}
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.step(result, nil)
+}
+
+// slowStepLog logs the longest step of each interval that is longer than the threshold, since
+// heartbeats wait meanwhile.
+type slowStepLog struct {
+	log       *slog.Logger
+	interval  time.Duration
+	threshold time.Duration
+
+	longest  time.Duration
+	input    string // of the longest step
+	loggedAt time.Time
+}
+
+// record counts a step that began at now.
+func (l *slowStepLog) record(input core.Input, now time.Time, duration time.Duration) {
+	if duration > l.longest {
+		l.longest, l.input = duration, fmt.Sprintf("%T", input)
+	}
+	if now.Sub(l.loggedAt) < l.interval {
+		return
+	}
+	if l.longest > l.threshold {
+		l.log.Info("slow step", "input", l.input, "took_ms", l.longest.Milliseconds())
+	}
+	l.longest, l.loggedAt = 0, now
+}
