--- a/internal/budget/bucket.go
+++ b/internal/budget/bucket.go
@@ -1,4 +1,6 @@
-// Package budget paces requests under a service's published rate.
+// Package budget limits the requests to a service, by a rate and by how many are under way at a
+// time. It knows no service: the clients of the key-value store, the cloud and workers, the
+// activator and the simulation's stand-ins each own their limits.
 package budget
 
 import (
@@ -6,12 +8,13 @@
 	"time"
 )
 
-// Bucket is a token bucket.
+// Bucket is a token bucket. It may be used by several goroutines.
 type Bucket struct {
+	rate  float64 // tokens a second
+	burst float64
+
 	mu      sync.Mutex
-	rate    float64
-	burst   float64
-	tokens  float64
+	tokens  float64 // negative if some were reserved in advance
 	updated time.Time
 }
 
@@ -20,28 +23,32 @@
 	return &Bucket{rate: rate, burst: burst, tokens: burst}
 }
 
-// Reserve takes n tokens and returns how long the caller must wait before it may
-// use them. A caller that would have to wait longer than limit gets nothing
-// and pays nothing: what is never used must not hold up the others. Urgent
-// takers never wait, but what they take is missing for the others.
-func (b *Bucket) Reserve(count float64, urgent bool, limit time.Duration) (time.Duration, bool) {
-	return b.ReserveAt(time.Now(), count, urgent, limit)
-}
-
-// ReserveAt is Take at a time of the caller's own clock.
-func (b *Bucket) ReserveAt(now time.Time, count float64, urgent bool, limit time.Duration) (time.Duration, bool) {
+// ReserveAt takes tokens at a time of the caller's clock, and returns how long the caller must
+// wait before it may use them. A caller that would have to wait longer than maxWait gets
+// none and pays nothing: what is never used must not delay the others.
+func (b *Bucket) ReserveAt(now time.Time, count float64, maxWait time.Duration) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(b.burst, b.tokens+now.Sub(b.updated).Seconds()*b.rate)
-	b.updated = now
-	if urgent {
-		b.tokens = max(b.tokens-count, -b.burst)
-		return 0, true
-	}
-	wait := max(0, time.Duration((count-b.tokens)/b.rate*float64(time.Second)))
-	if wait > limit {
+	b.refill(now)
+	wait = max(0, time.Duration((count-b.tokens)/b.rate*float64(time.Second)))
+	if wait > maxWait {
 		return 0, false
 	}
 	b.tokens -= count
 	return wait, true
 }
+
+// SpendAt takes tokens at a time of the caller's clock, for an urgent use without waiting: what
+// it takes is missing for the others.
+func (b *Bucket) SpendAt(now time.Time, count float64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.refill(now)
+	b.tokens = max(b.tokens-count, -b.burst)
+}
+
+// refill adds the tokens that came since the last call.
+func (b *Bucket) refill(now time.Time) {
+	b.tokens = min(b.burst, b.tokens+now.Sub(b.updated).Seconds()*b.rate)
+	b.updated = now
+}
--- a/internal/budget/semaphore.go
+++ b/internal/budget/semaphore.go
@@ -6,12 +6,12 @@
 // sockets they hold.
 type Semaphore chan struct{}
 
-// NewSemaphore makes n slots.
-func NewSemaphore(n int) Semaphore { return make(Semaphore, n) }
+// NewSemaphore makes a semaphore for that many calls.
+func NewSemaphore(calls int) Semaphore { return make(Semaphore, calls) }
 
-// Acquire takes a slot; false if none becomes free in time.
-func (s Semaphore) Acquire(limit time.Duration) bool {
-	timer := time.NewTimer(limit)
+// Acquire waits until a call may begin; false if none may within maxWait.
+func (s Semaphore) Acquire(maxWait time.Duration) bool {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	select {
 	case s <- struct{}{}:
@@ -21,5 +21,5 @@
 	}
 }
 
-// Release gives a slot back.
+// Release ends a call for which Acquire returned true.
 func (s Semaphore) Release() { <-s }
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,6 @@
-// Package cloud is the client of the cloud that rents machines.
+// Package cloud is the client of the cloud that rents machines. It keeps to the cloud's rate and
+// does not retry: the core repeats its requests. Package node calls it; the simulation uses the
+// rate limiter.
 package cloud
 
 import (
@@ -6,37 +8,35 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/budget"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// Client sends the core's calls to the cloud under its rate.
+// maxIdleConnections bounds how many idle connections to the cloud are kept.
+const maxIdleConnections = 4
+
+// Client sends the core's calls to the cloud.
 type Client struct {
 	http    httpwire.Client
-	limiter *budget.Bucket
+	limiter *RateLimiter
 }
 
 // New makes a client under the settings' limits.
 func New(settings *config.Settings) *Client {
 	return &Client{
-		http:    httpwire.Client{Addr: settings.External.Cloud, MaxIdle: 4},
+		http:    httpwire.Client{Addr: settings.External.Cloud, MaxIdle: maxIdleConnections},
 		limiter: NewRateLimiter(settings),
 	}
 }
 
-// NewRateLimiter makes the budget of a controller's calls to the cloud.
-func NewRateLimiter(settings *config.Settings) *budget.Bucket {
-	rps := settings.Deployment.Cloud.RPS
-	return budget.New(0.8*rps, rps)
-}
-
 // Do executes a call and blocks until it ends.
 func (c *Client) Do(call core.Call) core.Result {
 	deadline := time.Now().Add(call.Timeout)
-	wait, ok := c.limiter.Reserve(1, call.Urgent, call.Timeout/2)
+	wait, ok := c.limiter.Reserve(time.Now(), &call)
 	if !ok {
-		return core.Result{ID: call.ID, Status: 429, NotSent: true}
+		return core.Result{ID: call.ID, Status: httpstatus.TooManyRequests, NotSent: true}
 	}
 	time.Sleep(wait)
 	response, err := c.http.Do(call.Method, call.Path, call.Body, time.Until(deadline))
@@ -46,3 +46,28 @@
 	}
 	return core.Result{ID: call.ID, Status: response.Status, Body: response.Body}
 }
+
+// usedShare is the part of the cloud's rate that a controller uses. The rest is for the calls of
+// other controllers.
+const usedShare = 0.8
+
+// RateLimiter keeps a controller's calls under the cloud's rate.
+type RateLimiter struct {
+	requests *budget.Bucket
+}
+
+// NewRateLimiter makes a limiter for the settings' rate.
+func NewRateLimiter(settings *config.Settings) *RateLimiter {
+	rate := settings.Deployment.Cloud.RPS
+	return &RateLimiter{requests: budget.New(usedShare*rate, rate)}
+}
+
+// Reserve returns how long a call has to wait. It is not to be made if that is longer than half
+// of its timeout; urgent calls never wait.
+func (l *RateLimiter) Reserve(now time.Time, call *core.Call) (wait time.Duration, ok bool) {
+	if call.Urgent {
+		l.requests.SpendAt(now, 1)
+		return 0, true
+	}
+	return l.requests.ReserveAt(now, 1, call.Timeout/2)
+}
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -97,7 +97,7 @@
 		send(503, map[string]string{"error": "trouble"})
 		return
 	}
-	if _, ok := c.requestBudget.ReserveAt(c.world.wallClock(), 1, false, 0); !ok {
+	if _, ok := c.requestBudget.ReserveAt(c.world.wallClock(), 1, 0); !ok {
 		send(429, struct{}{})
 		return
 	}
--- a/internal/sim/key_value_store.go
+++ b/internal/sim/key_value_store.go
@@ -119,7 +119,7 @@
 		send(503, struct{}{})
 		return
 	}
-	if _, ok := s.requestBudget.ReserveAt(s.world.wallClock(), 1, false, 0); !ok {
+	if _, ok := s.requestBudget.ReserveAt(s.world.wallClock(), 1, 0); !ok {
 		s.throttled++
 		send(429, struct{}{})
 		return
@@ -221,7 +221,7 @@
 		send(400, map[string]string{"error": "too large"})
 		return
 	}
-	if _, ok := s.writeBudget.ReserveAt(s.world.wallClock(), float64(len(txn.Writes)), false, 0); !ok {
+	if _, ok := s.writeBudget.ReserveAt(s.world.wallClock(), float64(len(txn.Writes)), 0); !ok {
 		s.throttled++
 		send(429, struct{}{})
 		return
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -12,7 +12,6 @@
 	"strings"
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/budget"
 	"github.com/brookwalk/brookwalk/internal/cloud"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
@@ -215,7 +214,7 @@
 	// pausedAt is when it began to stand still.
 	pausedAt    time.Duration
 	storePace   *store.RateLimiter
-	cloudBudget *budget.Bucket
+	cloudBudget *cloud.RateLimiter
 }
 
 func (c *controller) settings() *config.Settings {
@@ -382,7 +381,7 @@
 	case core.DestinationStore:
 		c.callStore(call, world.now+call.Timeout, reply("state"), finish)
 	case core.DestinationCloud:
-		wait, ok := c.cloudBudget.ReserveAt(world.wallClock(), 1, call.Urgent, call.Timeout/2)
+		wait, ok := c.cloudBudget.Reserve(world.wallClock(), &call)
 		if !ok {
 			world.after(0, func() { finish(core.Result{Status: 429, NotSent: true}) })
 			return
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store is the client of the state service: it keeps to the budgets
-// for requests and writes, and retries what was certainly not executed.
+// Package store is the client of the key-value store. It keeps to the store's rates for requests
+// and writes, bounds the sockets that calls hold, and retries what was certainly not executed.
+// Package node calls it; the simulation uses the rate limiter and its times.
 package store
 
 import (
@@ -7,12 +8,30 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/budget"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// Client sends the core's calls to the state service.
+// Bounds of a client's connections.
+const (
+	maxIdleConnections = 8
+	// connectionsPerCall is how many of the controller's connections there are for each call
+	// under way that is not urgent: a store that does not answer holds each until its deadline.
+	connectionsPerCall = 48
+	// minCalls may be under way however few connections there are.
+	minCalls = 4
+)
+
+// A call that the store refused for its rate is made again after RetryDelay, if at least
+// MinTimeToRetry is left until its deadline.
+const (
+	RetryDelay     = 60 * time.Millisecond
+	MinTimeToRetry = 100 * time.Millisecond
+)
+
+// Client sends the core's calls to the key-value store.
 type Client struct {
 	http      httpwire.Client
 	watchHTTP httpwire.Client
@@ -20,50 +39,18 @@
 	semaphore budget.Semaphore // of calls that are not urgent
 }
 
-// connectionsPerCall is the part of the sockets that calls which are not urgent may take: a
-// state service that does not answer holds each until its deadline.
-const connectionsPerCall = 48
-
-// RateLimiter keeps calls under the service's published rates.
-type RateLimiter struct{ requests, writes *budget.Bucket }
-
-// NewRateLimiter makes a pace. A tenth of the rates is left unused, for what other
-// controllers send at the same time.
-func NewRateLimiter(settings *config.Settings) *RateLimiter {
-	limits := settings.Deployment.Store.Strictest()
-	return &RateLimiter{requests: budget.New(0.9*limits.RPS, 0.5*limits.RPS), writes: budget.New(0.9*limits.WriteRPS, 0.9*limits.WriteRPS)}
-}
-
-// Reserve returns how long a call has to wait; it is not to be made if that is
-// longer than left.
-func (p *RateLimiter) Reserve(now time.Time, call *core.Call, left time.Duration) (time.Duration, bool) {
-	wait, ok := p.requests.ReserveAt(now, 1, call.Urgent, left)
-	if ok && call.Writes > 0 {
-		var writeWait time.Duration
-		writeWait, ok = p.writes.ReserveAt(now, float64(call.Writes), call.Urgent, left)
-		wait = max(wait, writeWait)
-	}
-	return wait, ok
-}
-
-// A call that the service turned away for its rate is made again after Retry,
-// if Last is left until its deadline.
-const (
-	RetryDelay     = 60 * time.Millisecond
-	MinTimeToRetry = 100 * time.Millisecond
-)
-
 // New makes a client under the settings' limits.
 func New(settings *config.Settings) *Client {
+	calls := max(minCalls, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)
 	return &Client{
-		http:      httpwire.Client{Addr: settings.External.Store, MaxIdle: 8},
+		http:      httpwire.Client{Addr: settings.External.Store, MaxIdle: maxIdleConnections},
 		watchHTTP: httpwire.Client{Addr: settings.External.Store, MaxIdle: 1},
 		limiter:   NewRateLimiter(settings),
-		semaphore: budget.NewSemaphore(max(4, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)),
+		semaphore: budget.NewSemaphore(calls),
 	}
 }
 
-// Do executes a call and blocks until it ends.
+// Do executes a call and blocks until it ends. Watches have no limits.
 func (c *Client) Do(call core.Call) core.Result {
 	deadline := time.Now().Add(call.Timeout)
 	if call.Watch {
@@ -71,24 +58,36 @@
 	}
 	if !call.Urgent {
 		if !c.semaphore.Acquire(call.Timeout) {
-			return core.Result{ID: call.ID, NotSent: true, Status: 429}
+			return throttled(call)
 		}
 		defer c.semaphore.Release()
 	}
+	return c.executeLimited(call, deadline)
+}
+
+// executeLimited executes a call under the store's rates, again while the store refuses it for
+// them and time is left.
+func (c *Client) executeLimited(call core.Call, deadline time.Time) core.Result {
 	for {
 		wait, ok := c.limiter.Reserve(time.Now(), &call, time.Until(deadline))
 		if !ok {
-			return core.Result{ID: call.ID, NotSent: true, Status: 429}
+			return throttled(call)
 		}
 		time.Sleep(wait)
-		response := execute(call, &c.http, deadline)
-		if response.Status != 429 || time.Until(deadline) < MinTimeToRetry {
-			return response
+		result := execute(call, &c.http, deadline)
+		if result.Status != httpstatus.TooManyRequests || time.Until(deadline) < MinTimeToRetry {
+			return result
 		}
 		time.Sleep(RetryDelay)
 	}
 }
 
+// throttled is the result of a call that was not made because of the client's own limits.
+func throttled(call core.Call) core.Result {
+	return core.Result{ID: call.ID, NotSent: true, Status: httpstatus.TooManyRequests}
+}
+
+// execute makes a call.
 func execute(call core.Call, client *httpwire.Client, deadline time.Time) core.Result {
 	response, err := client.Do(call.Method, call.Path, call.Body, time.Until(deadline))
 	if err != nil && call.Method == "GET" && !call.Watch && time.Until(deadline) > 0 {
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,4 +1,5 @@
-// Package worker sends direct commands to workers.
+// Package worker is the client for direct commands to workers. It owns one connection to each
+// worker that was called lately, within a part of the controller's sockets. Package node calls it.
 package worker
 
 import (
@@ -13,29 +14,35 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// connectionsPerCall is the part of the sockets that direct commands may take.
+// connectionsPerCall is how many of the controller's connections there are for each direct
+// command under way.
 const connectionsPerCall = 8
 
-// Client keeps a connection to each worker that it has lately talked to, under
-// one bound for those in use and those that are idle.
+// Client keeps a connection to each worker that was called lately, under one bound for those in
+// use and those that are idle.
 type Client struct {
 	semaphore budget.Semaphore
 
 	mu           sync.Mutex
-	connections  map[string]*list.Element // of *link, by address
+	connections  map[string]*list.Element // of *connection, by address
 	recentlyUsed *list.List               // the latest use first
 }
 
+// connection is the link to one worker. activeCalls is guarded by Client.mu.
 type connection struct {
 	addr        string
 	http        httpwire.Client
-	activeCalls int // calls under way
+	activeCalls int
 }
 
-// New makes a client that keeps its sockets to a share of the limit.
+// New makes a client that keeps its sockets to a part of the settings' limit.
 func New(settings *config.Settings) *Client {
-	return &Client{semaphore: budget.NewSemaphore(max(1, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)),
-		connections: map[string]*list.Element{}, recentlyUsed: list.New()}
+	calls := max(1, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)
+	return &Client{
+		semaphore:    budget.NewSemaphore(calls),
+		connections:  map[string]*list.Element{},
+		recentlyUsed: list.New(),
+	}
 }
 
 // Do executes a call and blocks until it ends. A call that gets no socket in
@@ -56,34 +63,45 @@
 	return core.Result{ID: call.ID, Status: response.Status, Body: response.Body}
 }
 
-// acquire finds or makes the link to an address. Where the bound is reached the
-// link that has been idle for longest makes way, never all of them: a wave of
-// commands to many workers would else dial each of them anew.
+// acquire finds or makes the connection to an address, for one call.
 func (c *Client) acquire(addr string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	element := c.connections[addr]
 	if element == nil {
-		for candidate := c.recentlyUsed.Back(); candidate != nil && len(c.connections) >= cap(c.semaphore); {
-			evicted := candidate
-			candidate = candidate.Prev()
-			if conn := evicted.Value.(*connection); conn.activeCalls == 0 {
-				conn.http.CloseIdle()
-				delete(c.connections, conn.addr)
-				c.recentlyUsed.Remove(evicted)
-			}
-		}
+		c.evictIdle()
 		element = c.recentlyUsed.PushFront(&connection{addr: addr, http: httpwire.Client{Addr: addr, MaxIdle: 1}})
 		c.connections[addr] = element
 	}
 	c.recentlyUsed.MoveToFront(element)
-	conn := element.Value.(*connection)
+	conn := connectionOf(element)
 	conn.activeCalls++
 	return conn
 }
 
+// evictIdle makes room for one more connection: where the bound is reached the one that has been
+// idle for longest is closed, never all of them. A wave of commands to many workers would
+// otherwise dial each of them anew.
+func (c *Client) evictIdle() {
+	var previous *list.Element
+	for element := c.recentlyUsed.Back(); element != nil && len(c.connections) >= cap(c.semaphore); element = previous {
+		previous = element.Prev()
+		conn := connectionOf(element)
+		if conn.activeCalls > 0 {
+			continue
+		}
+		conn.http.CloseIdle()
+		delete(c.connections, conn.addr)
+		c.recentlyUsed.Remove(element)
+	}
+}
+
+// release ends a call on a connection.
 func (c *Client) release(conn *connection) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conn.activeCalls--
 }
+
+// connectionOf is the connection that an element of Client.recentlyUsed holds.
+func connectionOf(element *list.Element) *connection { return element.Value.(*connection) }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -9,78 +9,110 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// TestConnectionLimit sends commands to more workers than there are sockets for. The
-// client keeps to its share, drops the connection that is idle for longest, not
-// all of them, and does not send what gets no socket in time.
-func TestConnectionLimit(t *testing.T) {
-	const keep = 4
-	accepted := make(chan string, 100)
-	serve := func(answer bool) string {
-		ln, err := net.Listen("tcp4", "127.0.0.1:0")
+// response is what the fake workers answer.
+const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
+
+// fakeWorkers listen on loopback.
+type fakeWorkers struct {
+	accepted chan string // the addresses to which connections were made
+	respond  func(net.Conn) error
+}
+
+// listen starts a worker and returns its address.
+func (f *fakeWorkers) listen(t *testing.T) string {
+	t.Helper()
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	go f.accept(listener)
+	return listener.Addr().String()
+}
+
+// accept serves connections until the listener is closed.
+func (f *fakeWorkers) accept(listener net.Listener) {
+	for {
+		conn, err := listener.Accept()
 		if err != nil {
-			t.Fatal(err)
+			return
 		}
-		t.Cleanup(func() { ln.Close() })
-		go func() {
-			for {
-				conn, err := ln.Accept()
-				if err != nil {
-					return
-				}
-				accepted <- ln.Addr().String()
-				go func() {
-					buf := make([]byte, 4096)
-					for {
-						if _, err := conn.Read(buf); err != nil {
-							return
-						}
-						if answer {
-							conn.Write([]byte("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"))
-						}
-					}
-				}()
-			}
-		}()
-		return ln.Addr().String()
+		f.accepted <- listener.Addr().String()
+		go f.serve(conn)
 	}
-	client := New(&config.Settings{Deployment: config.Deployment{MachineLimits: config.MachineLimits{MaxConnections: keep * connectionsPerCall}}})
-	ask := func(addr string, timeout time.Duration) core.Result {
-		return client.Do(core.Call{Addr: addr, Method: "GET", Path: "/status", Timeout: timeout})
+}
+
+// serve responds to the requests of a connection until its client closes it.
+func (f *fakeWorkers) serve(conn net.Conn) {
+	defer conn.Close()
+	buf := make([]byte, 4096)
+	for {
+		if _, err := conn.Read(buf); err != nil {
+			return
+		}
+		if err := f.respond(conn); err != nil {
+			return
+		}
 	}
-	var addrs []string
-	for range keep + 1 {
-		addrs = append(addrs, serve(true))
+}
+
+// status asks a worker for its state.
+func status(client *Client, addr string, timeout time.Duration) core.Result {
+	return client.Do(core.Call{Addr: addr, Method: "GET", Path: "/status", Timeout: timeout})
+}
+
+// TestConnectionLimit sends commands to more workers than there are sockets for. The
+// client keeps to its part of them, closes the connection that is idle for longest, not
+// all of them, and does not send what gets no socket in time.
+func TestConnectionLimit(t *testing.T) {
+	const limit = 4
+	client := New(&config.Settings{Deployment: config.Deployment{
+		MachineLimits: config.MachineLimits{MaxConnections: limit * connectionsPerCall},
+	}})
+	accepted := make(chan string, 100)
+	workers := &fakeWorkers{accepted: accepted, respond: func(conn net.Conn) error {
+		_, err := conn.Write([]byte(response))
+		return err
+	}}
+	var addresses []string
+	for range limit + 1 {
+		addresses = append(addresses, workers.listen(t))
 	}
-	for _, a := range addrs {
-		if r := ask(a, time.Minute); r.Status != 200 {
-			t.Fatalf("status %d", r.Status)
+	for _, address := range addresses {
+		if result := status(client, address, time.Minute); result.Status != 200 {
+			t.Fatalf("status %d", result.Status)
 		}
 	}
-	if len(client.connections) != keep {
-		t.Errorf("%d connections are kept, %d allowed", len(client.connections), keep)
+	if len(client.connections) != limit {
+		t.Errorf("%d connections are kept, %d allowed", len(client.connections), limit)
 	}
-	for range addrs {
+	for range addresses {
 		<-accepted
 	}
-	for _, a := range addrs[1:] {
-		ask(a, time.Minute)
+	for _, address := range addresses[1:] {
+		status(client, address, time.Minute)
 	}
 	if len(accepted) != 0 {
 		t.Errorf("%d kept connections were dialled again", len(accepted))
 	}
-	if ask(addrs[0], time.Minute); len(accepted) != 1 {
-		t.Error("the oldest connection was kept beyond the bound")
+	if status(client, addresses[0], time.Minute); len(accepted) != 1 {
+		t.Error("the oldest connection was kept beyond the limit")
 	}
-	// Workers that hang hold all the sockets there are.
-	hung := serve(false)
-	done := make(chan core.Result)
-	for range keep {
-		go func() { done <- ask(hung, time.Minute) }()
+	hangingCalls(t, client, limit)
+	if result := status(client, addresses[1], time.Millisecond); !result.NotSent {
+		t.Errorf("a call without a socket: %+v", result)
 	}
-	for len(client.semaphore) < keep {
-		time.Sleep(time.Millisecond)
+}
+
+// hangingCalls makes calls to a worker that does not respond, and returns once all are under way.
+func hangingCalls(t *testing.T, client *Client, count int) {
+	t.Helper()
+	hanging := &fakeWorkers{accepted: make(chan string, count), respond: func(net.Conn) error { return nil }}
+	address := hanging.listen(t)
+	for range count {
+		go status(client, address, time.Minute)
 	}
-	if r := ask(addrs[1], time.Millisecond); !r.NotSent {
-		t.Errorf("a call without a socket: %+v", r)
+	for len(client.semaphore) < count {
+		time.Sleep(time.Millisecond)
 	}
 }
