--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"io"
 	"log/slog"
 	"net"
 	"testing"
@@ -11,14 +10,34 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestLinkDelivers sends messages over a real connection and feeds them in pieces.
+// readMessages reads from a connection in small pieces until there are that many messages.
+func readMessages(t *testing.T, conn net.Conn, count int) []*wire.PeerMessage {
+	t.Helper()
+	decoder := NewDecoder[wire.PeerMessage]()
+	var messages []*wire.PeerMessage
+	buf := make([]byte, 777)
+	for len(messages) < count {
+		size, err := conn.Read(buf)
+		if err != nil {
+			t.Fatal(err)
+		}
+		decoded, err := decoder.Feed(buf[:size])
+		if err != nil {
+			t.Fatal(err)
+		}
+		messages = append(messages, decoded...)
+	}
+	return messages
+}
+
+// TestLinkDelivers sends messages over a real connection, in order and whole.
 func TestLinkDelivers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	link := NewLink[wire.PeerMessage](listener.Addr().String(), 5*time.Second, 64, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	link := NewLink[wire.PeerMessage](listener.Addr().String(), 5*time.Second, 64, slog.New(slog.DiscardHandler))
 	body := bytes.Repeat([]byte("x"), 5000)
 	for i := uint64(1); i <= 20; i++ {
 		link.Send(&wire.PeerMessage{From: "a", Forward: &wire.Forward{ID: i, Body: body}})
@@ -29,21 +48,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	decoder := NewDecoder[wire.PeerMessage]()
-	var got []*wire.PeerMessage
-	buf := make([]byte, 777)
-	for len(got) < 40 {
-		n, err := conn.Read(buf)
-		if err != nil {
-			t.Fatal(err)
-		}
-		ms, err := decoder.Feed(buf[:n])
-		if err != nil {
-			t.Fatal(err)
-		}
-		got = append(got, ms...)
-	}
-	for i, m := range got {
+	for i, m := range readMessages(t, conn, 40) {
 		id := uint64(i/2 + 1)
 		if i%2 == 0 && (m.Forward == nil || m.Forward.ID != id || !bytes.Equal(m.Forward.Body, body)) {
 			t.Fatalf("message %d: %+v", i, m)
@@ -58,14 +63,14 @@
 	f.Add([]byte{0, 0, 0, 1, 3})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Add([]byte{0, 0, 0, 0})
-	f.Fuzz(func(t *testing.T, in []byte) {
+	f.Fuzz(func(_ *testing.T, input []byte) {
 		decoder := NewDecoder[wire.PeerMessage]()
-		for len(in) > 0 {
-			n := min(len(in), 3)
-			if _, err := decoder.Feed(in[:n]); err != nil {
+		for len(input) > 0 {
+			size := min(len(input), 3)
+			if _, err := decoder.Feed(input[:size]); err != nil {
 				return
 			}
-			in = in[n:]
+			input = input[size:]
 		}
 	})
 }
