--- a/internal/httpserve/server.go
+++ b/internal/httpserve/server.go
@@ -1,30 +1,17 @@
-// Package httpserve serves HTTP requests one after the other on each connection. It is for
-// services beside the controllers' own front end: the gate to models that sleep, and the
-// stand-ins of the scale run.
+// Package httpserve serves HTTP requests one after the other on each connection. It owns a
+// listener, its connections and a goroutine for each. It is for services beside the controllers'
+// own front end: the activator of sleeping models, and the stand-ins of the scale run.
 package httpserve
 
 import (
 	"errors"
 	"net"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire"
 )
 
-// Traffic counts requests, and the bytes of them and of their answers.
-type Traffic struct {
-	Requests, RequestBytes, ResponseBytes atomic.Int64
-}
-
-// Add counts a request and its answer.
-func (t *Traffic) Add(request, response int) {
-	t.Requests.Add(1)
-	t.RequestBytes.Add(int64(request))
-	t.ResponseBytes.Add(int64(response))
-}
-
 // Response is the answer to a request.
 type Response struct {
 	Status     int
@@ -45,7 +32,7 @@
 	conns map[net.Conn]bool // nil once all were closed
 }
 
-// Listen begins to serve an address; port 0 takes a free port. The traffic is counted in t.
+// Listen begins to serve an address; port 0 takes a free port. Requests are counted in traffic.
 func Listen(addr string, traffic *Traffic, handler Handler) (*Server, error) {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -63,37 +50,42 @@
 // Addr is the address that is served.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close ends the service of new connections.
+// Close stops accepting connections; those that are open are still served.
 func (s *Server) Close() error { return s.listener.Close() }
 
-// CloseAll ends the service of all connections, as the end of a process does.
+// CloseAll closes the listener and all connections, as the end of a process does.
 func (s *Server) CloseAll() {
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 	s.conns = nil
 }
 
-// trackConn notes a connection; false if all are closed.
-func (s *Server) trackConn(c net.Conn) bool {
+// trackConn records an open connection; false if all were closed.
+func (s *Server) trackConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.conns == nil {
 		return false
 	}
-	s.conns[c] = true
+	s.conns[conn] = true
 	return true
 }
 
-func (s *Server) untrackConn(c net.Conn) {
+// untrackConn forgets a connection that is closed.
+func (s *Server) untrackConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, c)
+	delete(s.conns, conn)
 }
 
+// acceptRetryDelay is the pause after a connection could not be accepted.
+const acceptRetryDelay = 20 * time.Millisecond
+
+// accept serves new connections until the listener is closed.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -108,17 +100,7 @@
 	}
 }
 
-// acceptRetryDelay is how long after a connection that could not be taken the next one is.
-const acceptRetryDelay = 20 * time.Millisecond
-
-// answerTimeout is longer than any request waits for its answer: a watch takes the
-// longest.
-const answerTimeout = 70 * time.Second
-
-// minReadBytes is how much room a read has at the least.
-const minReadBytes = 4 << 10
-
-// serve answers the requests of one connection, one after the other.
+// serve answers the requests of one connection until it is closed.
 func (s *Server) serve(conn net.Conn) {
 	defer conn.Close()
 	if !s.trackConn(conn) {
@@ -149,29 +131,36 @@
 	}
 }
 
-// readMore reads what has arrived behind what is there.
+// minReadBytes is how much room a read has at least.
+const minReadBytes = 4 << 10
+
+// readMore appends what has arrived to the input.
 func readMore(conn net.Conn, input []byte) ([]byte, error) {
 	if cap(input)-len(input) < minReadBytes {
 		input = append(make([]byte, 0, 2*cap(input)+minReadBytes), input...)
 	}
-	n, err := conn.Read(input[len(input):cap(input)])
-	return input[:len(input)+n], err
+	size, err := conn.Read(input[len(input):cap(input)])
+	return input[:len(input)+size], err
 }
 
-// respond is the response to a request; false if none comes.
+// answerTimeout is longer than any request waits for its answer: a watch takes the longest.
+const answerTimeout = 70 * time.Second
+
+// respond handles a request and returns its response; false if none comes.
 func (s *Server) respond(request *httpwire.Request) ([]byte, bool) {
-	done := make(chan Response, 1)
+	answered := make(chan Response, 1)
 	s.handler(request, func(response Response) {
 		select {
-		case done <- response:
+		case answered <- response:
 		default:
 		}
 	})
 	timer := time.NewTimer(answerTimeout)
 	defer timer.Stop()
 	select {
-	case response := <-done:
-		return httpwire.AppendResponse(nil, httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter}), true
+	case response := <-answered:
+		reply := httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: response.RetryAfter}
+		return httpwire.AppendResponse(nil, reply), true
 	case <-timer.C:
 		return nil, false
 	}
--- a/internal/httpserve/server_test.go
+++ b/internal/httpserve/server_test.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/httpwire"
 )
 
-// failingListener is a listener whose first connections cannot be taken.
+// failingListener is a listener whose first connections cannot be accepted.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int64
@@ -23,7 +23,8 @@
 	return l.Listener.Accept()
 }
 
-// A server that is out of file descriptors for a while serves again afterwards.
+// TestServesAfterAcceptErrors checks that a server that is out of file descriptors for a while
+// serves again afterwards.
 func TestServesAfterAcceptErrors(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -41,7 +42,20 @@
 	}
 }
 
-// The end of a server ends its connections.
+// awaitConnection returns once a server has a connection.
+func awaitConnection(server *Server) {
+	for {
+		server.mu.Lock()
+		open := len(server.conns)
+		server.mu.Unlock()
+		if open > 0 {
+			return
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// TestCloseAll checks that the end of a server closes its connections.
 func TestCloseAll(t *testing.T) {
 	server, err := Listen("127.0.0.1:0", &Traffic{}, func(*httpwire.Request, func(Response)) {})
 	if err != nil {
@@ -53,15 +67,7 @@
 		_, err := client.Do("GET", "/", nil, time.Minute)
 		ended <- err
 	}()
-	for { // until the request is there
-		server.mu.Lock()
-		n := len(server.conns)
-		server.mu.Unlock()
-		if n > 0 {
-			break
-		}
-		time.Sleep(time.Millisecond)
-	}
+	awaitConnection(server)
 	server.CloseAll()
 	if err := <-ended; err == nil {
 		t.Error("a request was answered by a server that has ended")
