--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"os"
 	"path/filepath"
 	"slices"
@@ -54,6 +55,18 @@
 max_connections = 800
 `
 
+// expectError parses the valid settings with one part replaced, and expects an error with a text.
+func expectError(t *testing.T, part, replacement, want string) {
+	t.Helper()
+	if !strings.Contains(validSettings, part) {
+		t.Fatalf("%q is not in the settings", part)
+	}
+	_, err := Parse(strings.Replace(validSettings, part, replacement, 1))
+	if err == nil || !strings.Contains(err.Error(), want) {
+		t.Errorf("with %q: error %v does not say %q", replacement, err, want)
+	}
+}
+
 func TestParse(t *testing.T) {
 	settings, err := Parse(validSettings)
 	if err != nil {
@@ -62,23 +75,20 @@
 	if !slices.Equal(settings.IgnoredFields, []string{"unknown_field"}) {
 		t.Errorf("ignored %q, want the unknown field", settings.IgnoredFields)
 	}
-	for _, tc := range []struct{ old, new, want string }{
-		{`host_name = "node-0"`, ``, "host_name"},
-		{`listen = "127.0.0.1:8080"`, `listen = "localhost"`, "listen"},
-		{`listen = "127.0.0.1:8080"`, `listen = "127.0.0.1:99999"`, "listen"},
-		{`lease_s = 10.0`, `lease_s = 0.0`, "lease_s"},
-		{`lease_s = 10.0`, `lease_s = "ten"`, "parse"},
-		{`host_name = "node-1"`, `host_name = "node-0"`, "repeated"},
-		{`txn_ops = 16`, ``, "txn_ops"},
+	for _, tc := range []struct{ name, old, new, want string }{
+		{"no name", `host_name = "node-0"`, ``, "host_name"},
+		{"an address without a port", `listen = "127.0.0.1:8080"`, `listen = "localhost"`, "listen"},
+		{"an address with a port that is too high", `listen = "127.0.0.1:8080"`, `listen = "127.0.0.1:99999"`, "listen"},
+		{"a lease of 0", `lease_s = 10.0`, `lease_s = 0.0`, "lease_s"},
+		{"a lease of another type", `lease_s = 10.0`, `lease_s = "ten"`, "parse"},
+		{"a name twice", `host_name = "node-1"`, `host_name = "node-0"`, "repeated"},
+		{"no limit of a transaction", `txn_ops = 16`, ``, "txn_ops"},
 	} {
-		_, err := Parse(strings.Replace(validSettings, tc.old, tc.new, 1))
-		if err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("with %q: error %v does not name %q", tc.new, err, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) { expectError(t, tc.old, tc.new, tc.want) })
 	}
 }
 
-// TestContradictorySettings has settings that no deployment can be served by. The
+// TestContradictorySettings parses settings with which no deployment can be served. The
 // error names the field and what is expected of it.
 func TestContradictorySettings(t *testing.T) {
 	const peer = `[[peers]]
@@ -128,13 +138,21 @@
 		{"a skew that is not a number", `skew_ms = 5.0`, `skew_ms = nan`, "deployment.skew_ms: must be 0 or greater, is NaN"},
 		{"a negative share of a core", `cpu = 0.18`, `cpu = -0.18`, "deployment.machine_limits.cpu: must be 0 or greater, is -0.18"},
 	} {
-		if !strings.Contains(validSettings, tc.old) {
-			t.Fatalf("%s: %q is not in the settings", tc.name, tc.old)
-		}
-		_, err := Parse(strings.Replace(validSettings, tc.old, tc.new, 1))
-		if err == nil || !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: error %v does not say %q", tc.name, err, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) { expectError(t, tc.old, tc.new, tc.want) })
+	}
+}
+
+// TestValidationError checks that all problems are named at once.
+func TestValidationError(t *testing.T) {
+	text := strings.Replace(validSettings, `lease_s = 10.0`, `lease_s = 0.0`, 1)
+	text = strings.Replace(text, `ram_mb = 98.0`, ``, 1)
+	_, err := Parse(text)
+	var invalid *ValidationError
+	if !errors.As(err, &invalid) {
+		t.Fatalf("error %v is no ValidationError", err)
+	}
+	if len(invalid.Problems) != 2 {
+		t.Errorf("problems %q, want one of the lease and one of the memory", invalid.Problems)
 	}
 }
 
@@ -150,18 +168,20 @@
 		{"region = \"north\"\nregion_listen = \"127.0.0.1:9301\"", "regions_file: missing"},
 		{"regions_file = \"r.toml\"\nregion = \"north\"\nregion_listen = \"here\"", "region_listen"},
 	} {
-		if err := os.WriteFile(path, []byte(tc.text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		_, err := LoadOperator(path)
-		if tc.want == "" && err != nil || tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)) {
-			t.Errorf("%q: error %v, want %q", tc.text, err, tc.want)
-		}
+		t.Run(tc.text, func(t *testing.T) {
+			if err := os.WriteFile(path, []byte(tc.text), 0o600); err != nil {
+				t.Fatal(err)
+			}
+			_, err := LoadOperator(path)
+			if tc.want == "" && err != nil || tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)) {
+				t.Errorf("error %v, want %q", err, tc.want)
+			}
+		})
 	}
 }
 
-// TestNextStoreLimits reads the limits that the state service will have: what is
-// written keeps to the smaller of both, and nonsense is named.
+// TestNextStoreLimits parses the limits that the key-value store will have: what is
+// written keeps to the lower of both, and impossible ones are named.
 func TestNextStoreLimits(t *testing.T) {
 	with := func(next string) string { return validSettings + "[deployment.state.next]\n" + next }
 	for _, tc := range []struct {
@@ -196,22 +216,19 @@
 		{"next = 1", StoreLimits{}, "deployment.state.next.next|expected table"},
 		{"[deployment.state.next.next]", StoreLimits{}, "deployment.state.next.next: unexpected"},
 	} {
-		settings, err := Parse(with(tc.next))
-		if tc.bad != "" {
-			for _, part := range strings.Split(tc.bad, "|") {
-				if err == nil || !strings.Contains(err.Error(), part) {
-					t.Errorf("%q: error %v, want one that names %s", tc.next, err, part)
-				}
+		t.Run(tc.next, func(t *testing.T) {
+			settings, err := Parse(with(tc.next))
+			if tc.bad != "" {
+				expectParts(t, err, tc.bad)
+				return
 			}
-			continue
-		}
-		if err != nil {
-			t.Errorf("%q: %v", tc.next, err)
-			continue
-		}
-		if got := settings.Deployment.Store.Strictest(); got != tc.want {
-			t.Errorf("%q: bound by %+v, want %+v", tc.next, got, tc.want)
-		}
+			if err != nil {
+				t.Fatal(err)
+			}
+			if got := settings.Deployment.Store.Strictest(); got != tc.want {
+				t.Errorf("bound by %+v, want %+v", got, tc.want)
+			}
+		})
 	}
 	for _, next := range []string{"5", "\"low\"", "[1]", "true"} {
 		_, err := Parse(strings.Replace(validSettings, "txn_ops = 16", "txn_ops = 16\nnext = "+next, 1))
@@ -224,3 +241,13 @@
 		t.Errorf("without next limits: %+v, %v", settings, err)
 	}
 }
+
+// expectParts expects an error with each of the texts that are separated by a bar.
+func expectParts(t *testing.T, err error, parts string) {
+	t.Helper()
+	for part := range strings.SplitSeq(parts, "|") {
+		if err == nil || !strings.Contains(err.Error(), part) {
+			t.Errorf("error %v, want one that names %s", err, part)
+		}
+	}
+}
--- /dev/null
+++ b/internal/config/problems.go
@@ -0,0 +1,73 @@
+package config
+
+import (
+	"fmt"
+	"math"
+	"net"
+	"strconv"
+	"strings"
+)
+
+// ValidationError says all that is wrong with settings.
+type ValidationError struct {
+	// Problems name the field and what is expected of it.
+	Problems []string
+}
+
+func (e *ValidationError) Error() string { return strings.Join(e.Problems, "; ") }
+
+// maxSeconds bounds times in seconds: a time.Duration holds some more.
+const maxSeconds = 1e9
+
+// maxPort is the highest port number.
+const maxPort = 65535
+
+// problems collects what is wrong with settings. Its checks add a problem if a field has not the
+// value that they are named after; NaN is none of them.
+type problems []string
+
+// addf adds a problem.
+func (p *problems) addf(format string, a ...any) { *p = append(*p, fmt.Sprintf(format, a...)) }
+
+// err is all problems as one error; nil if there are none.
+func (p *problems) err() error {
+	if len(*p) == 0 {
+		return nil
+	}
+	return &ValidationError{Problems: *p}
+}
+
+// address checks for an IP address with a port.
+func (p *problems) address(field, value string) {
+	host, port, err := net.SplitHostPort(value)
+	if err != nil || net.ParseIP(host) == nil {
+		p.addf("%s: %q is not an IP address with a port", field, value)
+		return
+	}
+	if number, err := strconv.Atoi(port); err != nil || number < 1 || number > maxPort {
+		p.addf("%s: %q has no usable port", field, value)
+	}
+}
+
+// positive checks for a number greater than 0.
+func (p *problems) positive(field string, value float64) {
+	if !(value > 0) {
+		p.addf("%s: must be greater than 0, is %v", field, value)
+	}
+}
+
+// notNegative checks for a finite number that is 0 or greater.
+func (p *problems) notNegative(field string, value float64) {
+	if !(value >= 0) || math.IsInf(value, 1) {
+		p.addf("%s: must be 0 or greater, is %v", field, value)
+	}
+}
+
+// duration checks for a finite number of seconds greater than 0, and reports whether it is one.
+func (p *problems) duration(field string, value float64) bool {
+	if !(value > 0) || value > maxSeconds {
+		p.addf("%s: must be greater than 0 and at most %v seconds, is %v", field, float64(maxSeconds), value)
+		return false
+	}
+	return true
+}
