--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -4,7 +4,6 @@
 package cloud
 
 import (
-	"errors"
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire"
@@ -12,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/budget"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/brookwalk/brookwalk/internal/httpcall"
 )
 
 // maxIdleConnections bounds how many idle connections to the cloud are kept.
@@ -39,12 +39,7 @@
 		return core.Result{ID: call.ID, Status: httpstatus.TooManyRequests, NotSent: true}
 	}
 	time.Sleep(wait)
-	response, err := c.http.Do(call.Method, call.Path, call.Body, time.Until(deadline))
-	if err != nil {
-		c.http.CloseIdle()
-		return core.Result{ID: call.ID, NotSent: errors.Is(err, httpwire.ErrNotSent)}
-	}
-	return core.Result{ID: call.ID, Status: response.Status, Body: response.Body}
+	return httpcall.Do(&c.http, &call, deadline)
 }
 
 // usedShare is the part of the cloud's rate that a controller uses. The rest is for the calls of
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -4,7 +4,6 @@
 package store
 
 import (
-	"errors"
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire"
@@ -12,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/budget"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/brookwalk/brookwalk/internal/httpcall"
 )
 
 // Bounds of a client's connections.
@@ -87,17 +87,12 @@
 	return core.Result{ID: call.ID, NotSent: true, Status: httpstatus.TooManyRequests}
 }
 
-// execute makes a call.
+// execute makes a call. A read without an answer is repeated once while time is left, since a kept
+// connection may have been reset.
 func execute(call core.Call, client *httpwire.Client, deadline time.Time) core.Result {
-	response, err := client.Do(call.Method, call.Path, call.Body, time.Until(deadline))
-	if err != nil && call.Method == "GET" && !call.Watch && time.Until(deadline) > 0 {
-		// A kept connection may have been reset; a read can be repeated.
-		client.CloseIdle()
-		response, err = client.Do(call.Method, call.Path, call.Body, time.Until(deadline))
+	result := httpcall.Do(client, &call, deadline)
+	if result.Status == httpstatus.NoAnswer && call.Method == "GET" && !call.Watch && time.Until(deadline) > 0 {
+		return httpcall.Do(client, &call, deadline)
 	}
-	if err != nil {
-		client.CloseIdle()
-		return core.Result{ID: call.ID, NotSent: errors.Is(err, httpwire.ErrNotSent)}
-	}
-	return core.Result{ID: call.ID, Status: response.Status, Body: response.Body}
+	return result
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -4,7 +4,6 @@
 
 import (
 	"container/list"
-	"errors"
 	"sync"
 	"time"
 
@@ -12,6 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/budget"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/brookwalk/brookwalk/internal/httpcall"
 )
 
 // connectionsPerCall is how many of the controller's connections there are for each direct
@@ -55,12 +55,7 @@
 	defer c.semaphore.Release()
 	conn := c.acquire(call.Addr)
 	defer c.release(conn)
-	response, err := conn.http.Do(call.Method, call.Path, call.Body, time.Until(deadline))
-	if err != nil {
-		conn.http.CloseIdle()
-		return core.Result{ID: call.ID, NotSent: errors.Is(err, httpwire.ErrNotSent)}
-	}
-	return core.Result{ID: call.ID, Status: response.Status, Body: response.Body}
+	return httpcall.Do(&conn.http, &call, deadline)
 }
 
 // acquire finds or makes the connection to an address, for one call.
