--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -96,7 +96,8 @@
 		if tc.answers {
 			l.handleDirectStatus(m, kv.Encode(wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: l.leadership.Term}))
 		}
-		if got := l.isDead(m, l.countSilentMachines()); got != tc.want {
+		check := l.healthCheck()
+		if got := check.IsDead(m, check.Survey(l.MachinesByName)); got != tc.want {
 			t.Errorf("%s: dead %v, want %v", tc.name, got, tc.want)
 		}
 	}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -1,106 +1,106 @@
 package core
 
 import (
-	"cmp"
-	"slices"
-	"strings"
-
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// handleHeartbeat takes a worker's report, which came by a controller, and returns
-// the answer.
-func (l *leader) handleHeartbeat(body []byte, via string) (int, []byte) {
+// reconcileTiming is the settings that reconciliation goes by.
+func (c *Core) reconcileTiming() reconcile.Timing {
+	return reconcile.Timing{
+		WorkerLease:       c.workerLease(),
+		HeartbeatInterval: c.heartbeatInterval(),
+		MaxLeaseExtension: c.maxExtensionTime(),
+	}
+}
+
+// handleHeartbeat handles a worker's heartbeat, which came by a controller, and returns the
+// answer.
+func (l *leader) handleHeartbeat(body []byte, controller string) (int, []byte) {
 	heartbeat, ok := decodeHeartbeat(body)
 	if !ok {
-		return 400, []byte(`{"error":"not a report"}`)
+		return httpstatus.BadRequest, []byte(`{"error":"not a report"}`)
 	}
 	if heartbeat.FencingToken > l.leadership.Term {
 		l.core.stepDown(stepDownWorkerHigherTerm)
-		return 503, []byte("{}")
+		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
 	if _, ok := l.returnedMachines[heartbeat.Machine]; ok {
-		// The cloud has confirmed that the machine is gone: a late copy.
-		return 503, []byte("{}")
+		// The cloud has confirmed the machine's return: a late copy.
+		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
 	machine := l.machineNamed(heartbeat.Machine)
 	if !heartbeat.NewerThan(machine.HeartbeatIncarnation, machine.HeartbeatSequence) {
 		// A late or repeated copy must not refresh anything.
-		l.core.log.Debug("old report", "machine", heartbeat.Machine, "session", heartbeat.Incarnation, "seq", heartbeat.Sequence)
-		return 503, []byte("{}")
-	}
-	machine.HeartbeatIncarnation, machine.HeartbeatSequence = heartbeat.Incarnation, heartbeat.Sequence
-	if machine.FirstHeartbeat == 0 {
-		machine.FirstHeartbeat = l.core.now
-		l.recordProvisioningLatency(machine)
-		l.core.log.Info("machine heard", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
-	}
-	if l.core.now-machine.LastHeartbeat > 3*l.core.heartbeatInterval() {
-		machine.RegularSince = l.core.now
-	}
-	machine.LastHeartbeat, machine.HeartbeatController = l.core.now, via
-	if via == l.core.settings.Name {
-		l.zoneReachedAt[heartbeat.Zone] = l.core.now
+		l.core.log.Debug("stale heartbeat", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence)
+		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
+	l.recordHeartbeat(machine, heartbeat, controller)
 	if heartbeat.NewerThan(machine.Incarnation, machine.Sequence) {
-		l.applyHeartbeat(machine, heartbeat)
+		l.applyStatus(machine, heartbeat)
 	}
-	orders := wire.CommandList{FencingToken: l.leadership.Term, Commands: []wire.Command{}}
+	answer := wire.CommandList{FencingToken: l.leadership.Term, Commands: []wire.Command{}}
 	if l.recordsLoaded && heartbeat.Incarnation == machine.Incarnation {
-		orders.Commands = l.commandsFor(machine)
+		answer.Commands = l.commandsFor(machine)
 	}
 	machine.LastAnswered = l.core.now
-	return 200, kv.Encode(orders)
+	return httpstatus.OK, kv.Encode(answer)
 }
 
-// applyHeartbeat takes in a worker's newest message.
-func (l *leader) applyHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat) {
-	if heartbeat.Incarnation != machine.Incarnation {
-		if machine.Incarnation != 0 && heartbeat.Incarnation > machine.Incarnation {
-			machine.LeaseExpiries++
-			l.core.log.Info("worker lost its lease", "machine", machine.Name, "session", heartbeat.Incarnation)
-		}
-		machine.UnconfirmedStarts = map[cluster.AttemptID]int{}
-		// The new session's lease began with it, at the latest now, whatever
-		// was last answered: a session that a direct answer showed must not
-		// seem to have run out by the clock of the one before.
-		machine.LastAnswered = l.core.now
-		machine.LeaseExpired = false
-		machine.UnreachableSince = 0
+// recordHeartbeat records that a heartbeat, which is newer than the machine's last one, arrived
+// by a controller.
+func (l *leader) recordHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, controller string) {
+	if machine.FirstHeartbeat == 0 {
+		l.recordProvisioningLatency(machine)
+		l.core.log.Info("first heartbeat", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
-	machine.Incarnation, machine.Sequence = heartbeat.Incarnation, heartbeat.Sequence
-	if machine.FencingToken < l.leadership.Term && heartbeat.FencingToken >= l.leadership.Term {
-		// Until it heard this term a deposed leader may have renewed its lease,
-		// whatever late copy of a report was answered here: the lease is counted
-		// from now. Counted from the copy it seemed to have run out, and its
-		// tasks ran twice.
-		machine.LastAnswered = l.core.now
+	reconcile.RecordHeartbeat(machine, heartbeat, controller, l.core.now, l.core.reconcileTiming())
+	if controller == l.core.settings.Name {
+		l.zoneReachedAt[heartbeat.Zone] = l.core.now
 	}
-	machine.FencingToken = max(machine.FencingToken, heartbeat.FencingToken)
-	l.describe(machine, heartbeat.Addr, heartbeat.Type, heartbeat.Zone, heartbeat.Spot)
-	if heartbeat.PreemptionNoticeS != nil {
-		if machine.PreemptionAt == 0 {
-			l.core.log.Info("machine will be taken", "machine", machine.Name, "in_s", *heartbeat.PreemptionNoticeS)
-			l.passes.requested = true
-		}
-		machine.PreemptionAt = l.core.now + config.Seconds(*heartbeat.PreemptionNoticeS)
+}
+
+// applyStatus applies a worker's newest message: a heartbeat, or its answer to a probe or a
+// direct command.
+func (l *leader) applyStatus(machine *cluster.Machine, status *wire.Heartbeat) {
+	if reconcile.RecordIncarnation(machine, status, l.core.now) {
+		l.core.log.Info("worker began a new incarnation after lease expiry", "machine", machine.Name, "incarnation", status.Incarnation)
 	}
-	machine.ReportedTasks, machine.ReportedEnded = heartbeat.Tasks, cluster.CountExited(heartbeat.Tasks)
-	slices.SortFunc(machine.ReportedTasks, func(a, b wire.TaskStatus) int {
-		return cmp.Or(strings.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
-	})
-	for _, t := range machine.ReportedTasks {
-		if t.State == wire.TaskRunning || t.State == wire.TaskWaiting {
-			if j := l.Jobs[cluster.JobIDOf(t.Task)]; j != nil {
-				l.recordPulled(machine, j.Image)
-				l.recordImageUse(machine, j.Image, j.ImageGB)
-			}
-		}
+	reconcile.RecordFencingToken(machine, status.FencingToken, l.leadership.Term, l.core.now)
+	l.describe(machine, status.Addr, status.Type, status.Zone, status.Spot)
+	if status.PreemptionNoticeS != nil {
+		l.recordPreemptionNotice(machine, *status.PreemptionNoticeS)
 	}
+	reconcile.RecordReportedTasks(machine, status.Tasks)
+	l.recordStartedImages(machine)
 	if l.recordsLoaded {
-		l.reconcileHeartbeat(machine, heartbeat.FencingToken >= l.leadership.Term)
+		l.reconcilePlacements(machine, status.FencingToken >= l.leadership.Term)
+	}
+}
+
+// recordPreemptionNotice records that the cloud takes a spot machine after a number of seconds.
+func (l *leader) recordPreemptionNotice(machine *cluster.Machine, afterS float64) {
+	if machine.PreemptionAt == 0 {
+		l.core.log.Info("preemption notice", "machine", machine.Name, "after_s", afterS)
+		l.passes.requested = true
+	}
+	machine.PreemptionAt = l.core.now + config.Seconds(afterS)
+}
+
+// recordStartedImages records that the machine holds the images of the tasks that have got past
+// their pull.
+func (l *leader) recordStartedImages(machine *cluster.Machine) {
+	for _, task := range machine.ReportedTasks {
+		if task.State != wire.TaskRunning && task.State != wire.TaskWaiting {
+			continue
+		}
+		if job := l.Jobs[cluster.JobIDOf(task.Task)]; job != nil {
+			l.recordPulled(machine, job.Image)
+			l.recordImageUse(machine, job.Image, job.ImageGB)
+		}
 	}
 }
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -7,98 +7,115 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// recordTaskFailure takes in that a task failed on a machine. Package faults tells which of the
-// two is the cause. After a first failure a machine is only avoided where there is a
-// choice; a job that fails on several waits longer and longer.
+// Bounds of the time for which a job whose tasks fail waits until the next one is placed.
+const (
+	maxRetryDoublings = 6
+	maxRetryLeases    = 2 // worker leases
+)
+
+// recordTaskFailure records that a task failed on a machine. Package outlier decides which of the
+// two is the cause. After a first failure a machine is only avoided where there is a choice; a
+// job that fails on several waits longer and longer (exponential backoff).
 func (l *leader) recordTaskFailure(job *cluster.Job, machine *cluster.Machine) {
-	faulty := l.outliers.JobFaulty(job.ID)
+	wasFaulty := l.outliers.JobFaulty(job.ID)
 	l.outliers.RecordFailure(job.ID, machine.Name)
-	if !faulty && l.outliers.JobFaulty(job.ID) {
+	if !wasFaulty && l.outliers.JobFaulty(job.ID) {
 		l.core.log.Info("job fails on every machine", "job", job.ID, "class", job.Class, "machines", l.outliers.FailedMachineCount(job.ID))
 	}
+	l.backOff(job)
+	l.evaluateMachine(machine)
+}
+
+// backOff sets when the next task of a job that has failed may be placed.
+func (l *leader) backOff(job *cluster.Job) {
 	if l.outliers.FailedMachineCount(job.ID) < 2 {
 		job.RetryAt = l.core.now + l.core.heartbeatInterval()/5
-	} else {
-		if l.core.now >= job.RetryAt { // tasks that fail together are one failure
-			job.ConsecutiveFailures++
-		}
-		job.RetryAt = l.core.now + min(time.Second<<min(job.ConsecutiveFailures, 6), 2*l.core.workerLease())
+		return
 	}
-	l.evaluateMachine(machine)
+	if l.core.now >= job.RetryAt { // tasks that fail together are one failure
+		job.ConsecutiveFailures++
+	}
+	wait := time.Second << min(job.ConsecutiveFailures, maxRetryDoublings)
+	job.RetryAt = l.core.now + min(wait, maxRetryLeases*l.core.workerLease())
 }
 
-// healthyAfterHeartbeats is for how long a task has to run, in reports, before its start counts as
-// one that went well: one that fails may be seen to run for a moment.
+// healthyAfterHeartbeats is for how long a task has to run, in heartbeat intervals, until its
+// start counts as healthy: one that fails may be seen running for a moment.
 const healthyAfterHeartbeats = 2
 
-// recordRunning takes in that a report shows a task running.
-func (l *leader) recordRunning(ref cluster.TaskReference) {
-	t := ref.Task()
-	if t.PlacedThisTerm && !t.StartedHealthy && l.core.now-t.RunningSince >= healthyAfterHeartbeats*l.core.heartbeatInterval() {
-		l.recordSuccess(ref)
+// recordRunning records that a heartbeat shows a task running.
+func (l *leader) recordRunning(placement cluster.TaskReference) {
+	task := placement.Task()
+	if !task.PlacedThisTerm || task.StartedHealthy {
+		return
+	}
+	if l.core.now-task.RunningSince >= healthyAfterHeartbeats*l.core.heartbeatInterval() {
+		l.recordSuccess(placement)
 	}
 }
 
-// recordSuccess notes that a task started well or is done.
-func (l *leader) recordSuccess(ref cluster.TaskReference) {
-	t := ref.Task()
-	t.StartedHealthy = true
-	if l.outliers.JobFaulty(ref.Job.ID) {
-		l.core.log.Info("job does well after all", "job", ref.Job.ID)
+// recordSuccess records that a task started healthy or is done.
+func (l *leader) recordSuccess(placement cluster.TaskReference) {
+	job, task := placement.Job, placement.Task()
+	task.StartedHealthy = true
+	if l.outliers.JobFaulty(job.ID) {
+		l.core.log.Info("job no longer considered faulty", "job", job.ID)
 	}
-	l.outliers.RecordSuccess(ref.Job.ID, t.Machine.Name)
-	ref.Job.ConsecutiveFailures = 0
+	l.outliers.RecordSuccess(job.ID, task.Machine.Name)
+	job.ConsecutiveFailures = 0
 }
 
-// tickOutliers judges the machines on which something failed: what their jobs do elsewhere
-// meanwhile speaks for or against them.
+// tickOutliers evaluates the machines on which a task failed again: what became of their jobs
+// elsewhere meanwhile is evidence for or against them.
 func (l *leader) tickOutliers() {
 	for _, name := range l.outliers.MachinesWithFailures() {
-		if m := l.Machines[name]; m != nil {
-			l.evaluateMachine(m)
+		if machine := l.Machines[name]; machine != nil {
+			l.evaluateMachine(machine)
 		}
 	}
 }
 
-// evaluateMachine cordons a machine that fails tasks, and takes that back where the jobs
-// turn out to be the cause.
-func (l *leader) evaluateMachine(m *cluster.Machine) {
-	switch faulty := l.outliers.MachineFaulty(m.Name); {
-	case faulty:
-		l.cordon(m, cluster.DrainOutlier)
-	case m.DrainReason == cluster.DrainOutlier && !m.Evicting && !m.Returning && !l.fleet.pendingReturns[m.Name]:
-		l.core.log.Info("machine uncordoned", "machine", m.Name, "why", "the jobs that failed there fail elsewhere")
-		m.DrainReason = ""
+// evaluateMachine cordons a machine that fails tasks, and uncordons it if the jobs turn out to be
+// the cause.
+func (l *leader) evaluateMachine(machine *cluster.Machine) {
+	if l.outliers.MachineFaulty(machine.Name) {
+		l.cordon(machine, cluster.DrainOutlier)
+		return
+	}
+	leaving := machine.Evicting || machine.Returning || l.fleet.pendingReturns[machine.Name]
+	if machine.DrainReason == cluster.DrainOutlier && !leaving {
+		l.core.log.Info("machine uncordoned", "machine", machine.Name, "reason", "the jobs that failed there fail elsewhere too")
+		machine.DrainReason = ""
 	}
 }
 
-// throttleFaultyJob is what of a faulty job may be tried now: one task at a time, so that it
-// holds next to nothing until its user cancels it, and is still found to do well if it
-// does.
-func (l *leader) throttleFaultyJob(j *cluster.Job, pending []int) []int {
-	if j.Shape == wire.ShapeGang {
+// throttleFaultyJob returns which of a faulty job's pending tasks may be placed now: one at a
+// time, so that the job holds next to nothing until its user cancels it, and is still found to be
+// healthy if it is. A gang is placed whole.
+func (l *leader) throttleFaultyJob(job *cluster.Job, pending []int) []int {
+	if job.Shape == wire.ShapeGang {
 		return pending
 	}
-	for i := range j.TaskStates {
-		if t := &j.TaskStates[i]; t.Machine != nil && !t.StartedHealthy {
+	for i := range job.TaskStates {
+		if task := &job.TaskStates[i]; task.Machine != nil && !task.StartedHealthy {
 			return nil
 		}
 	}
 	return pending[:1]
 }
 
-// cordon stops a machine from taking tasks; it is returned once empty. What
-// runs there goes on: a machine that fails new tasks may well serve old ones,
-// and stopping a replica before another place holds its image costs more.
-func (l *leader) cordon(m *cluster.Machine, reason cluster.DrainReason) {
-	if m.DrainReason == "" {
-		l.core.log.Info("machine cordoned", "machine", m.Name, "why", reason)
-		m.DrainReason, m.DrainedAt = reason, l.core.now
+// cordon stops a machine from taking tasks; it is returned once empty. What runs there goes on: a
+// machine that fails new tasks may well serve old ones, and stopping a replica before another
+// machine holds its image costs more.
+func (l *leader) cordon(machine *cluster.Machine, reason cluster.DrainReason) {
+	if machine.DrainReason == "" {
+		l.core.log.Info("machine cordoned", "machine", machine.Name, "reason", reason)
+		machine.DrainReason, machine.DrainedAt = reason, l.core.now
 	}
 }
 
-// mayBeHealthy tells whether a machine that fails tasks may still turn out to be sound: the
+// mayBeHealthy reports whether a machine that fails tasks may still turn out to be healthy: the
 // jobs are tried elsewhere meanwhile.
-func (l *leader) mayBeHealthy(m *cluster.Machine) bool {
-	return m.DrainReason == cluster.DrainOutlier && l.core.now-m.DrainedAt < 3*l.core.workerLease()
+func (l *leader) mayBeHealthy(machine *cluster.Machine) bool {
+	return machine.DrainReason == cluster.DrainOutlier && l.core.now-machine.DrainedAt < 3*l.core.workerLease()
 }
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -68,7 +68,7 @@
 
 // StartTasks starts tasks whose placements are on record now.
 func (h persistenceHost) StartTasks(job *cluster.Job, placed []records.PlacedTask) {
-	h.leader.sendStarts(job, placed)
+	h.leader.sendStarts(placed)
 }
 
 // OpenRecordRead is told of an open record, new or changed.
--- a/internal/core/pipeline_times_test.go
+++ b/internal/core/pipeline_times_test.go
@@ -93,7 +93,7 @@
 		`level=DEBUG msg="awaited job over" job=job-101 status=done`:              1,
 		`level=INFO msg="job goes on" job=job-102`:                                1,
 		`level=INFO msg="job goes on"`:                                            1,
-		`level=INFO msg="job cancelled" job=job-102 told=false`:                   1,
+		`level=INFO msg="job cancelled" job=job-102 acknowledged=false`:           1,
 		`level=INFO msg="job cancelled" job=job-103 with=job-102`:                 1,
 		`level=INFO msg="job cancelled" job=job-104 with=job-102`:                 1,
 		`level=INFO msg="job cancelled"`:                                          3,
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -1,34 +1,38 @@
 package core
 
 import (
-	"slices"
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
-	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// mayProbe tells whether a machine may be asked for its state now. Each probe of a
-// machine that hangs holds a socket: of those for direct commands no more than half
-// go to probes, however many are silent.
-func (l *leader) mayProbe(m *cluster.Machine) bool {
-	maxProbes := max(1, l.core.settings.Deployment.MachineLimits.MaxConnections/16)
-	return m.Address != "" && !m.ProbeOpen && l.core.now >= m.NextProbeAt && !m.Returning && l.openProbes < maxProbes
+// maxOpenProbes is how many probes may be open at a time. Each probe of a machine that hangs
+// holds a socket: of those for direct commands no more than half go to probes, however many
+// machines are silent.
+func (l *leader) maxOpenProbes() int {
+	return max(1, l.core.settings.Deployment.MachineLimits.MaxConnections/16)
 }
 
-// probe asks a silent worker for its state and shows it this term: it may
-// still report to a deposed leader that is cut off from us.
+// probe asks a silent worker for its state and announces this term to it: its heartbeats may
+// still go to a leader of an earlier term that is partitioned from this one.
 func (l *leader) probe(machine *cluster.Machine) {
-	if !l.mayProbe(machine) {
+	if !reconcile.CanProbe(machine, l.core.now) || l.openProbes >= l.maxOpenProbes() {
 		return
 	}
+	timing := l.core.reconcileTiming()
 	l.openProbes++
-	machine.ProbeOpen = true
+	reconcile.RecordProbeSent(machine, l.core.now, timing)
 	sentAt := l.core.now
-	machine.NextProbeAt = l.core.now + 2*l.core.heartbeatInterval()
-	l.core.call(Call{Destination: DestinationWorker, Addr: machine.Address, Method: "GET", Path: "/status", Timeout: l.probeTimeout()}, func(result Result) {
+	l.core.call(Call{
+		Destination: DestinationWorker,
+		Addr:        machine.Address,
+		Method:      "GET",
+		Path:        "/status",
+		Timeout:     timing.ProbeTimeout(),
+	}, func(result Result) {
 		l.openProbes--
 		machine.ProbeOpen = false
 		if !l.steppedDown {
@@ -37,16 +41,19 @@
 	})
 }
 
-// handleProbeResult takes in the answer to a probe that was sent at a time.
+// handleProbeResult handles the result of a probe that was sent at a time. Any status but OK
+// says nothing of the worker.
 func (l *leader) handleProbeResult(machine *cluster.Machine, sentAt time.Duration, result Result) {
-	switch {
-	case result.Status == httpstatus.NoAnswer:
+	switch result.Status {
+	case httpstatus.NoAnswer:
 		machine.LastProbeFailure = sentAt
-		l.probeReference(machine)
-	case result.Status != httpstatus.OK:
-	default:
-		if heartbeat, ok := decodeHeartbeat(result.Body); ok && heartbeat.Machine == machine.Name && heartbeat.FencingToken < l.leadership.Term {
-			l.announceTerm(machine, heartbeat.Incarnation)
+		if reference := l.healthCheck().ProbeReference(machine, l.MachinesByName); reference != nil {
+			l.probe(reference)
+		}
+	case httpstatus.OK:
+		status, ok := decodeHeartbeat(result.Body)
+		if ok && status.Machine == machine.Name && status.FencingToken < l.leadership.Term {
+			l.announceTerm(machine, status.Incarnation)
 			return
 		}
 		l.handleDirectStatus(machine, result.Body)
@@ -54,54 +61,12 @@
 }
 
 // announceTerm sends a worker that has not heard this term an empty list of commands.
-func (l *leader) announceTerm(machine *cluster.Machine, session uint64) {
+func (l *leader) announceTerm(machine *cluster.Machine, incarnation uint64) {
 	machine.ProbeOpen = true
-	body := kv.Encode(wire.CommandList{FencingToken: l.leadership.Term, Incarnation: session, Commands: []wire.Command{}})
-	l.core.call(Call{Destination: DestinationWorker, Addr: machine.Address, Method: "POST", Path: "/do", Body: body, Timeout: l.core.heartbeatInterval()}, func(result Result) {
+	l.callWorker(machine, incarnation, []wire.Command{}, func(result Result) {
 		machine.ProbeOpen = false
-		if !l.steppedDown && (result.Status == httpstatus.OK || result.Status == httpstatus.Conflict) {
+		if !l.steppedDown && commandsAnswered(result) {
 			l.handleDirectStatus(machine, result.Body)
 		}
 	})
 }
-
-// probeReference asks a machine that is heard for its state when another does not
-// answer: only if that one answers is the silent machine at fault, and not the
-// way from here to it. It is one of the same zone, or of any if that zone has no
-// other: the only machine of the leader's own zone was given up no sooner than
-// its lease where all others reported by other controllers, since nothing showed
-// that any way was open.
-func (l *leader) probeReference(silent *cluster.Machine) {
-	alone := !slices.ContainsFunc(l.MachinesByName, func(machine *cluster.Machine) bool {
-		return machine != silent && machine.Zone == silent.Zone && machine.HeartbeatExpected()
-	})
-	var reference *cluster.Machine
-	for _, machine := range l.MachinesByName {
-		if (alone || machine.Zone == silent.Zone) && !machine.ProbeOpen && l.core.now >= machine.NextProbeAt && !machine.Returning && machine.Address != "" && (reference == nil || machine.LastHeartbeat > reference.LastHeartbeat) {
-			reference = machine
-		}
-	}
-	if reference != nil && l.core.now-reference.LastHeartbeat < l.heartbeatOverdueAfter() && l.core.now-l.zoneReachedAt[reference.Zone] > l.probeTimeout()/2 {
-		l.probe(reference)
-	}
-}
-
-// pathVerified tells whether the way to a silent machine is open: another of
-// its zone has answered since it was asked in vain. Where it is the zone's only
-// one, a machine of any zone counts, unless the zone's controllers are gone
-// too.
-func (l *leader) pathVerified(machine *cluster.Machine, machinesInZone int) bool {
-	if machinesInZone > 1 {
-		return l.zoneReachedAt[machine.Zone] > machine.LastProbeFailure
-	}
-	for _, reachedAt := range l.zoneReachedAt {
-		if reachedAt > machine.LastProbeFailure {
-			return !l.core.zoneLost(machine.Zone)
-		}
-	}
-	return false
-}
-
-// probeTimeout is how long a worker that is asked for its state may take: an
-// answer takes milliseconds, or that of a lost packet sent again.
-func (l *leader) probeTimeout() time.Duration { return max(l.core.heartbeatInterval()/2, time.Second) }
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -2,32 +2,20 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/election"
 
-// stopReason tells why a task is stopped.
+// stopReason tells why a task is stopped. Its text is part of log lines.
 type stopReason string
 
+// Reasons to stop a task.
 const (
-	stopCancelled   stopReason = "cancelled"
-	stopJobEnded    stopReason = "over"
+	stopCancelled   stopReason = "job cancelled"
+	stopJobEnded    stopReason = "job ended"
 	stopPreempted   stopReason = "preempted"
-	stopGangAborted stopReason = "gang broken"
-	stopDrained     stopReason = "machine leaves"
-	stopRescheduled stopReason = "moves to another machine"
+	stopGangAborted stopReason = "gang attempt aborted"
+	stopDrained     stopReason = "machine drained"
+	stopRescheduled stopReason = "rescheduled to another machine"
 )
 
-// lossReason tells why a task is certainly gone without an end of its own, see
-// gone.go.
-type lossReason string
-
-const (
-	lossNewIncarnation    lossReason = "session"
-	lossNotInHeartbeat    lossReason = "vanished"
-	lossNeverStarted      lossReason = "never started"
-	lossLeaseExpired      lossReason = "lease"
-	lossMachineTerminated lossReason = "machine"
-)
-
-// Reasons for which a controller gives up its leadership, beside those that the
-// election finds.
+// Reasons for which a leader steps down, beside those that the election finds.
 const (
 	stepDownWorkerHigherTerm election.StepDownReason = "a worker has seen a higher term"
 	stepDownPeerHigherTerm   election.StepDownReason = "a peer knows a higher term"
--- /dev/null
+++ b/internal/core/reconcile/reconcile.go
@@ -0,0 +1,48 @@
+// Package reconcile compares what workers report with the leader's placements.
+//
+// It decides what a heartbeat means for each placement, when a task has certainly terminated,
+// which machines are unhealthy, whom to probe and which commands a worker is to get. It is the
+// only one to change a machine's cluster.HeartbeatState, and of a task what heartbeats show of
+// it. It calls nobody, logs nothing and keeps no time: package core hands it the time, and
+// carries out what it decides.
+package reconcile
+
+import "time"
+
+// Timing is the settings that reconciliation goes by.
+type Timing struct {
+	WorkerLease       time.Duration
+	HeartbeatInterval time.Duration
+	// MaxLeaseExtension is for how long controllers extend leases without the leader.
+	MaxLeaseExtension time.Duration
+}
+
+// LeaseExpiryBound is after how long without an answer the lease of a worker that has seen this
+// term has certainly expired: the lease itself, the drift of two steady clocks, and a margin for
+// the leader's own late timers.
+func (t Timing) LeaseExpiryBound() time.Duration { return t.WorkerLease + t.WorkerLease/20 }
+
+// HeartbeatOverdueAfter is after how long without a heartbeat one must have been missed: they
+// come up to a quarter of the interval early or late.
+func (t Timing) HeartbeatOverdueAfter() time.Duration {
+	return t.HeartbeatInterval + t.HeartbeatInterval*3/8
+}
+
+// silentAfter is after how long without a heartbeat a machine is silent, instead of a heartbeat
+// late.
+func (t Timing) silentAfter() time.Duration { return 3 * t.HeartbeatInterval }
+
+// workerFailoverTime is how long a worker takes to leave a controller that does not answer: by
+// the protocol 4 s until it gives up the answer, and 1 s until it tries the next one.
+const workerFailoverTime = 5 * time.Second
+
+// deadAfter is after how long a silent machine that answers no probe is considered dead, if
+// others of its zone and controller are heard: a worker had the time to change controllers with
+// a margin, and missed a heartbeat.
+func (t Timing) deadAfter() time.Duration {
+	return max(workerFailoverTime*8/5, 2*t.HeartbeatInterval)
+}
+
+// ProbeTimeout is how long a worker may take to answer a probe: the answer takes milliseconds,
+// or the time of one retransmission.
+func (t Timing) ProbeTimeout() time.Duration { return max(t.HeartbeatInterval/2, time.Second) }
--- /dev/null
+++ b/internal/core/reconcile/termination_test.go
@@ -0,0 +1,79 @@
+package reconcile
+
+import (
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// TestCheckPlacement checks what a message means for a task that counts on the machine.
+func TestCheckPlacement(t *testing.T) {
+	placed := cluster.Task{Attempt: 2, Incarnation: 3, Persisted: true, PlacedThisTerm: true}
+	observed, earlierTerm, stopped := placed, placed, placed
+	observed.Observed, observed.StartRetransmitted = true, true
+	earlierTerm.PlacedThisTerm = false
+	stopped.Stop = &cluster.StopRequest{}
+	stoppedAfterSend := stopped
+	stoppedAfterSend.StartRetransmitted = true
+	running := wire.TaskStatus{Task: "job-101/0", Attempt: 2, State: wire.TaskRunning}
+	earlierAttempt := wire.TaskStatus{Task: "job-101/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped}
+	for _, tc := range []struct {
+		name            string
+		task            cluster.Task
+		incarnation     uint64
+		listed          []wire.TaskStatus
+		workerKnowsTerm bool
+		want            Finding
+	}{
+		{"listed", observed, 3, []wire.TaskStatus{running}, true, Finding{Outcome: Listed, Status: running}},
+		{"listed beside an earlier attempt", observed, 3, []wire.TaskStatus{earlierAttempt, running}, true, Finding{Outcome: Listed, Status: running}},
+		{"listed by a later incarnation", observed, 4, []wire.TaskStatus{running}, true, Finding{Outcome: Lost, Loss: LossNewIncarnation}},
+		{"a later incarnation that has not heard this term", observed, 4, nil, false, Finding{Outcome: Lost, Loss: LossNewIncarnation}},
+		{"no longer listed", observed, 3, nil, true, Finding{Outcome: Lost, Loss: LossNotInHeartbeat}},
+		{"only an earlier attempt is listed", observed, 3, []wire.TaskStatus{earlierAttempt}, true, Finding{Outcome: Lost, Loss: LossNotInHeartbeat}},
+		{"no longer listed, by a worker that has not heard this term", observed, 3, nil, false, Finding{}},
+		{"never started, placed in an earlier term", earlierTerm, 3, nil, true, Finding{Outcome: Lost, Loss: LossNeverStarted}},
+		{"placed in an earlier term, whose commands may still take effect", earlierTerm, 3, nil, false, Finding{}},
+		{"not started yet", placed, 3, nil, true, Finding{}},
+		{"stopped before the start was sent", stopped, 3, nil, true, Finding{Outcome: NeverSent}},
+		{"stopped after the start was sent", stoppedAfterSend, 3, nil, true, Finding{}},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			machine := cluster.NewMachine("n-1", 0)
+			machine.Incarnation = tc.incarnation
+			machine.ReportedTasks = tc.listed
+			placement := placeTask(machine, newTestJob("job-101"), tc.task)
+			if got := CheckPlacement(machine, placement, tc.workerKnowsTerm); got != tc.want {
+				t.Errorf("found %+v, want %+v", got, tc.want)
+			}
+		})
+	}
+}
+
+// TestLeaseExpiryDue checks that a lease is only found to expire that this term's leader granted.
+func TestLeaseExpiryDue(t *testing.T) {
+	timing := Timing{WorkerLease: 20 * time.Second, HeartbeatInterval: 2 * time.Second}
+	for _, tc := range []struct {
+		name   string
+		change func(machine *cluster.Machine)
+		want   bool
+	}{
+		{"silent for long", func(*cluster.Machine) {}, true},
+		{"answered within the lease and its margin", func(m *cluster.Machine) { m.LastAnswered += timing.LeaseExpiryBound() }, false},
+		{"never answered in this term", func(m *cluster.Machine) { m.LastAnswered = 0 }, false},
+		{"it has not heard this term", func(m *cluster.Machine) { m.FencingToken = testTerm - 1 }, false},
+		{"known to have expired", func(m *cluster.Machine) { m.LeaseExpired = true }, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			machine := cluster.NewMachine("n-1", 0)
+			machine.FencingToken, machine.LastAnswered = testTerm, time.Minute
+			tc.change(machine)
+			now := time.Minute + timing.LeaseExpiryBound() + time.Millisecond
+			if got := LeaseExpiryDue(machine, testTerm, now, timing); got != tc.want {
+				t.Errorf("due %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
