--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -1,119 +1,123 @@
-// Package outlier tells faulty jobs from faulty machines. A job that was submitted with a
-// mistake fails on every machine; a faulty machine fails every job. Each failure speaks
-// against both, so the judgement weighs the two sides: a job that failed on more machines
-// than jobs failed there is the likelier cause, and so is a machine that failed several
-// jobs which do well elsewhere.
+// Package outlier finds faulty jobs and faulty machines among those that fail (outlier
+// detection). A job that was submitted with a mistake fails on every machine; a faulty machine
+// fails every job. Each failure is evidence against both, so the detector weighs the two sides: a
+// job that failed on more machines than jobs failed there is the likelier cause, and so is a
+// machine that failed several jobs which succeed elsewhere.
 //
-// The package does no I/O and keeps no time. Its judgements are not recorded: a new
-// leader begins without evidence.
+// Package core reports failures and successes to it, and decides what follows. The package calls
+// nobody and keeps no time. Its findings are not on record: a new leader begins without evidence.
 package outlier
 
-import "sort"
+import (
+	"maps"
+	"slices"
+)
 
-// MinFailedMachines is on how many machines a job has to fail before it may pass for faulty.
-const MinFailedMachines = 3
+// minFailedMachines is on how many machines a job has to fail before it may be found faulty.
+const minFailedMachines = 3
 
-// minFailedJobs is how many jobs have to fail on a machine before it may pass for faulty.
+// minFailedJobs is how many jobs have to fail on a machine before it may be found faulty.
 const minFailedJobs = 2
 
-// Detector is what is known of failures that nothing has refuted.
+// Detector holds the failures that no success has refuted. Jobs and machines go by their names.
 type Detector struct {
-	machinesOf map[string]map[string]bool // by job: where it failed since it last did well
-	jobsOf     map[string]map[string]bool // by machine: what failed there since a task last did well
+	machinesByJob map[string]nameSet // where a job failed since its last success
+	jobsByMachine map[string]nameSet // which jobs failed on a machine since the last success there
 }
 
-// New makes evidence of nothing.
+// nameSet is a set of names of jobs or machines.
+type nameSet map[string]struct{}
+
+// New makes a detector without evidence.
 func New() *Detector {
-	return &Detector{machinesOf: map[string]map[string]bool{}, jobsOf: map[string]map[string]bool{}}
+	return &Detector{machinesByJob: map[string]nameSet{}, jobsByMachine: map[string]nameSet{}}
 }
 
-// RecordFailure notes that a task of a job failed on a machine.
-func (e *Detector) RecordFailure(job, machine string) {
-	addMember(e.machinesOf, job, machine)
-	addMember(e.jobsOf, machine, job)
+// RecordFailure records that a task of a job failed on a machine.
+func (d *Detector) RecordFailure(job, machine string) {
+	addName(d.machinesByJob, job, machine)
+	addName(d.jobsByMachine, machine, job)
 }
 
-// addMember adds a member to the set of a key.
-func addMember(sets map[string]map[string]bool, key, member string) {
+// addName adds a name to the set of a key.
+func addName(sets map[string]nameSet, key, name string) {
 	if sets[key] == nil {
-		sets[key] = map[string]bool{}
+		sets[key] = nameSet{}
 	}
-	sets[key][member] = true
+	sets[key][name] = struct{}{}
 }
 
-// RecordSuccess notes that a task of a job did well on a machine: it is done, or has run for
-// longer than a start that fails. The job's failures elsewhere still speak against the
-// machines, those of other jobs on this machine still against the jobs.
-func (e *Detector) RecordSuccess(job, machine string) {
-	delete(e.machinesOf, job)
-	delete(e.jobsOf, machine)
+// RecordSuccess records that a task of a job succeeded on a machine: it is done, or has run for
+// longer than a start that fails. The job's failures elsewhere remain evidence against those
+// machines, and those of other jobs on this machine remain evidence against the jobs.
+func (d *Detector) RecordSuccess(job, machine string) {
+	delete(d.machinesByJob, job)
+	delete(d.jobsByMachine, machine)
 }
 
-// ForgetJob drops what is known of a job that is over.
-func (e *Detector) ForgetJob(job string) {
-	for machine := range e.machinesOf[job] {
-		e.removeJob(machine, job)
+// ForgetJob drops the evidence about a job that has ended.
+func (d *Detector) ForgetJob(job string) {
+	for machine := range d.machinesByJob[job] {
+		d.removeJob(machine, job)
 	}
-	delete(e.machinesOf, job)
+	delete(d.machinesByJob, job)
 }
 
-// removeJob takes a job out of what failed on a machine.
-func (e *Detector) removeJob(machine, job string) {
-	delete(e.jobsOf[machine], job)
-	if len(e.jobsOf[machine]) == 0 {
-		delete(e.jobsOf, machine)
+// removeJob removes a job from those that failed on a machine.
+func (d *Detector) removeJob(machine, job string) {
+	delete(d.jobsByMachine[machine], job)
+	if len(d.jobsByMachine[machine]) == 0 {
+		delete(d.jobsByMachine, machine)
 	}
 }
 
-// ForgetMachine drops what speaks against a machine that is gone. Its failures go on to
-// speak against the jobs.
-func (e *Detector) ForgetMachine(machine string) { delete(e.jobsOf, machine) }
+// ForgetMachine drops the evidence against a machine that has terminated. The failures there
+// remain evidence against the jobs.
+func (d *Detector) ForgetMachine(machine string) { delete(d.jobsByMachine, machine) }
 
-// FailedOn tells whether a job failed on a machine since it last did well.
-func (e *Detector) FailedOn(job, machine string) bool { return e.machinesOf[job][machine] }
+// FailedOn reports whether a job failed on a machine since the job's last success.
+func (d *Detector) FailedOn(job, machine string) bool {
+	_, failed := d.machinesByJob[job][machine]
+	return failed
+}
 
-// FailedMachineCount is on how many machines a job failed since it last did well.
-func (e *Detector) FailedMachineCount(job string) int { return len(e.machinesOf[job]) }
+// FailedMachineCount is on how many machines a job failed since its last success.
+func (d *Detector) FailedMachineCount(job string) int { return len(d.machinesByJob[job]) }
 
-// HasFailures tells whether anything failed on a machine since a task last did well there.
-func (e *Detector) HasFailures(machine string) bool { return len(e.jobsOf[machine]) > 0 }
+// HasFailures reports whether any task failed on a machine since the last success there.
+func (d *Detector) HasFailures(machine string) bool { return len(d.jobsByMachine[machine]) > 0 }
 
-// JobFaulty tells whether a job is the likelier cause of its failures: it failed on
-// several machines, on several of which fewer jobs failed than it failed on machines.
-func (e *Detector) JobFaulty(job string) bool {
-	machines := e.machinesOf[job]
-	if len(machines) < MinFailedMachines {
+// JobFaulty reports whether a job is the likelier cause of its failures: it failed on several
+// machines, on several of which fewer jobs failed than it failed on machines.
+func (d *Detector) JobFaulty(job string) bool {
+	machines := d.machinesByJob[job]
+	if len(machines) < minFailedMachines {
 		return false
 	}
-	soundMachines := 0
+	healthyMachines := 0
 	for machine := range machines { // in any order: they are counted
-		if len(e.jobsOf[machine]) < len(machines) {
-			soundMachines++
+		if len(d.jobsByMachine[machine]) < len(machines) {
+			healthyMachines++
 		}
 	}
-	return soundMachines >= MinFailedMachines
+	return healthyMachines >= minFailedMachines
 }
 
-// MachineFaulty tells whether a machine is the likelier cause of the failures on it:
-// several jobs failed there that are not faulty themselves. Whether they are may show only
-// as they are tried elsewhere, so the judgement may be taken back.
-func (e *Detector) MachineFaulty(machine string) bool {
+// MachineFaulty reports whether a machine is the likelier cause of the failures on it: several
+// jobs failed there that are not faulty themselves. Whether they are may show only as they are
+// tried elsewhere, so the finding may be withdrawn.
+func (d *Detector) MachineFaulty(machine string) bool {
 	jobs := 0
-	for job := range e.jobsOf[machine] { // in any order: they are counted
-		if !e.JobFaulty(job) {
+	for job := range d.jobsByMachine[machine] { // in any order: they are counted
+		if !d.JobFaulty(job) {
 			jobs++
 		}
 	}
 	return jobs >= minFailedJobs
 }
 
-// MachinesWithFailures lists the machines on which anything failed since a task last did
-// well there, in order.
-func (e *Detector) MachinesWithFailures() []string {
-	machines := make([]string, 0, len(e.jobsOf))
-	for machine := range e.jobsOf {
-		machines = append(machines, machine)
-	}
-	sort.Strings(machines)
-	return machines
+// MachinesWithFailures lists, by name, the machines on which any task failed since the last
+// success there.
+func (d *Detector) MachinesWithFailures() []string {
+	return slices.Sorted(maps.Keys(d.jobsByMachine))
 }
--- a/internal/core/outlier/detector_test.go
+++ b/internal/core/outlier/detector_test.go
@@ -5,19 +5,19 @@
 	"testing"
 )
 
-// recordEvents enters failures, written as job@machine, and tasks that did well, as job+machine.
-func recordEvents(e *Detector, events ...string) {
+// recordEvents records failures, written as job@machine, and successes, as job+machine.
+func recordEvents(detector *Detector, events ...string) {
 	for _, event := range events {
 		job, machine := event[:1], event[2:]
 		if event[1] == '+' {
-			e.RecordSuccess(job, machine)
+			detector.RecordSuccess(job, machine)
 		} else {
-			e.RecordFailure(job, machine)
+			detector.RecordFailure(job, machine)
 		}
 	}
 }
 
-// TestFaultyJobsAndMachines names, for the failures of a moment, who passes for the cause.
+// TestFaultyJobsAndMachines checks which jobs and machines are found to be the cause of failures.
 func TestFaultyJobsAndMachines(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -28,7 +28,7 @@
 		{"one failure", []string{"a@1"}, nil, nil},
 		{"a job on every machine", []string{"a@1", "a@2", "a@3", "a@4"}, []string{"a"}, nil},
 		{"not before three machines", []string{"a@1", "a@2"}, nil, nil},
-		{"a machine that fails jobs which do well elsewhere", []string{"a@1", "b@1", "a+2", "b+3"}, nil, []string{"1"}},
+		{"a machine that fails jobs which succeed elsewhere", []string{"a@1", "b@1", "a+2", "b+3"}, nil, []string{"1"}},
 		{"a machine that fails all there is", []string{"a@1", "b@1"}, nil, []string{"1"}},
 		{"two jobs with a mistake meet on the same machines",
 			[]string{"a@1", "b@1", "a@2", "b@2", "a@3", "b@3"}, []string{"a", "b"}, nil},
@@ -36,20 +36,20 @@
 			[]string{"a@1", "a@2", "a@3", "a@4", "b@1", "c@1", "b+5", "c+6"}, []string{"a"}, []string{"1"}},
 		{"three faulty machines, many jobs",
 			[]string{"a@1", "b@1", "c@1", "d@1", "a@2", "b@2", "c@2", "d@2", "a@3", "b@3", "c@3", "d@3"}, nil, []string{"1", "2", "3"}},
-		{"a job that does well after all", []string{"a@1", "a@2", "a@3", "a+4"}, nil, nil},
-		{"a machine on which a task does well", []string{"a@1", "b@1", "c@1", "d+1"}, nil, nil},
+		{"a job that succeeds after all", []string{"a@1", "a@2", "a@3", "a+4"}, nil, nil},
+		{"a machine on which a task succeeds", []string{"a@1", "b@1", "c@1", "d+1"}, nil, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			e := New()
-			recordEvents(e, test.events...)
+			detector := New()
+			recordEvents(detector, test.events...)
 			var jobs, machines []string
 			for _, job := range []string{"a", "b", "c", "d"} {
-				if e.JobFaulty(job) {
+				if detector.JobFaulty(job) {
 					jobs = append(jobs, job)
 				}
 			}
-			for _, machine := range e.MachinesWithFailures() {
-				if e.MachineFaulty(machine) {
+			for _, machine := range detector.MachinesWithFailures() {
+				if detector.MachineFaulty(machine) {
 					machines = append(machines, machine)
 				}
 			}
@@ -60,22 +60,22 @@
 	}
 }
 
-// TestForgetJob leaves nothing of a job that is over.
+// TestForgetJob checks that no evidence about a job that has ended is left.
 func TestForgetJob(t *testing.T) {
-	e := New()
-	recordEvents(e, "a@1", "a@2", "a@3", "b@1")
-	e.ForgetJob("a")
-	if e.JobFaulty("a") || e.FailedOn("a", "1") || e.HasFailures("2") || !e.HasFailures("1") {
-		t.Errorf("after the end of a: %+v", e)
+	detector := New()
+	recordEvents(detector, "a@1", "a@2", "a@3", "b@1")
+	detector.ForgetJob("a")
+	if detector.JobFaulty("a") || detector.FailedOn("a", "1") || detector.HasFailures("2") || !detector.HasFailures("1") {
+		t.Errorf("after the end of a: %+v", detector)
 	}
 }
 
-// TestForgetMachine keeps what a machine that is gone says of the job.
+// TestForgetMachine checks that failures on a machine that has terminated still count against the job.
 func TestForgetMachine(t *testing.T) {
-	e := New()
-	recordEvents(e, "a@1", "a@2", "a@3")
-	e.ForgetMachine("1")
-	if e.HasFailures("1") || !e.JobFaulty("a") || e.FailedMachineCount("a") != 3 {
-		t.Errorf("after the end of machine 1: %+v", e)
+	detector := New()
+	recordEvents(detector, "a@1", "a@2", "a@3")
+	detector.ForgetMachine("1")
+	if detector.HasFailures("1") || !detector.JobFaulty("a") || detector.FailedMachineCount("a") != 3 {
+		t.Errorf("after the end of machine 1: %+v", detector)
 	}
 }
