--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -29,38 +29,27 @@
 	}
 }
 
-// canCommand reports whether direct commands may be sent to a machine now.
-func (l *leader) canCommand(machine *cluster.Machine) bool {
-	reachable := machine.Address != "" && machine.FencingToken >= l.leadership.Term && !machine.Returning
-	return l.recordsLoaded && reachable && machine.OpenDirectCalls == 0 && l.core.now >= machine.DirectRetryAt
-}
-
 // sendCommands sends a worker its commands at once, instead of with the answer to its next
 // heartbeat.
 func (l *leader) sendCommands(machine *cluster.Machine) {
-	if !l.canCommand(machine) {
+	if !l.recordsLoaded || !reconcile.CanCallDirectly(machine, l.leadership.Term, l.core.now) {
 		return
 	}
 	commands := l.commandsFor(machine)
 	if len(commands) == 0 {
 		return
 	}
-	starts := reconcile.StartedAttempts(commands)
-	for _, attempt := range starts {
-		machine.UnconfirmedStarts[attempt]++
-	}
-	machine.OpenDirectCalls++
-	incarnation := machine.Incarnation
-	l.callWorker(machine, incarnation, commands, func(result Result) {
-		machine.OpenDirectCalls--
+	call := reconcile.BeginDirectCall(machine, commands)
+	l.callWorker(machine, machine.Incarnation, commands, func(result Result) {
+		call.End()
 		if l.steppedDown {
 			return
 		}
-		if machine.Incarnation == incarnation && outcomeKnown(result) {
-			machine.SettleDirectStarts(starts)
+		if outcomeKnown(result) {
+			call.SettleStarts()
 		}
 		if !commandsAnswered(result) {
-			machine.DirectRetryAt = l.core.now + l.core.workerLease()/2
+			call.Fail(l.core.now, l.core.reconcileTiming())
 			return
 		}
 		l.handleDirectStatus(machine, result.Body)
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -47,7 +47,7 @@
 	if l.recordsLoaded && heartbeat.Incarnation == machine.Incarnation {
 		answer.Commands = l.commandsFor(machine)
 	}
-	machine.LastAnswered = l.core.now
+	reconcile.RecordAnswer(machine, l.core.now)
 	return httpstatus.OK, kv.Encode(answer)
 }
 
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -24,7 +24,7 @@
 	}
 	timing := l.core.reconcileTiming()
 	l.openProbes++
-	reconcile.RecordProbeSent(machine, l.core.now, timing)
+	reconcile.BeginProbe(machine, l.core.now, timing)
 	sentAt := l.core.now
 	l.core.call(Call{
 		Destination: DestinationWorker,
@@ -34,7 +34,7 @@
 		Timeout:     timing.ProbeTimeout(),
 	}, func(result Result) {
 		l.openProbes--
-		machine.ProbeOpen = false
+		reconcile.EndProbe(machine)
 		if !l.steppedDown {
 			l.handleProbeResult(machine, sentAt, result)
 		}
@@ -46,7 +46,7 @@
 func (l *leader) handleProbeResult(machine *cluster.Machine, sentAt time.Duration, result Result) {
 	switch result.Status {
 	case httpstatus.NoAnswer:
-		machine.LastProbeFailure = sentAt
+		reconcile.RecordProbeFailure(machine, sentAt)
 		if reference := l.healthCheck().ProbeReference(machine, l.MachinesByName); reference != nil {
 			l.probe(reference)
 		}
@@ -62,9 +62,9 @@
 
 // announceTerm sends a worker that has not heard this term an empty list of commands.
 func (l *leader) announceTerm(machine *cluster.Machine, incarnation uint64) {
-	machine.ProbeOpen = true
+	reconcile.BeginAnnouncement(machine)
 	l.callWorker(machine, incarnation, []wire.Command{}, func(result Result) {
-		machine.ProbeOpen = false
+		reconcile.EndProbe(machine)
 		if !l.steppedDown && commandsAnswered(result) {
 			l.handleDirectStatus(machine, result.Body)
 		}
--- a/internal/core/reconcile/commands.go
+++ b/internal/core/reconcile/commands.go
@@ -90,8 +90,8 @@
 	return !job.EndWritePending
 }
 
-// StartedAttempts lists the attempts that commands start.
-func StartedAttempts(commands []wire.Command) []cluster.AttemptID {
+// startedAttempts lists the attempts that commands start.
+func startedAttempts(commands []wire.Command) []cluster.AttemptID {
 	var attempts []cluster.AttemptID
 	for _, command := range commands {
 		if command.Verb == wire.VerbStart {
--- /dev/null
+++ b/internal/core/reconcile/direct_call.go
@@ -0,0 +1,48 @@
+package reconcile
+
+import (
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// DirectCall is a call that sends commands to a worker's address, until it has returned.
+type DirectCall struct {
+	machine     *cluster.Machine
+	incarnation uint64 // of the worker, as the call begins
+	starts      []cluster.AttemptID
+}
+
+// CanCallDirectly reports whether the leader of a term may send commands to a worker directly now.
+func CanCallDirectly(machine *cluster.Machine, term uint64, now time.Duration) bool {
+	reachable := machine.Address != "" && machine.FencingToken >= term && !machine.Returning
+	return reachable && machine.OpenDirectCalls == 0 && now >= machine.DirectRetryAt
+}
+
+// BeginDirectCall records that commands are sent directly to the worker's present incarnation.
+func BeginDirectCall(machine *cluster.Machine, commands []wire.Command) *DirectCall {
+	starts := startedAttempts(commands)
+	for _, attempt := range starts {
+		machine.UnconfirmedStarts[attempt]++
+	}
+	machine.OpenDirectCalls++
+	return &DirectCall{machine: machine, incarnation: machine.Incarnation, starts: starts}
+}
+
+// End records that the call has returned, with whatever result.
+func (c *DirectCall) End() { c.machine.OpenDirectCalls-- }
+
+// SettleStarts records that the outcome of the commands is known: no copy of their starts can
+// arrive any more. Those of an earlier incarnation are forgotten already.
+func (c *DirectCall) SettleStarts() {
+	if c.machine.Incarnation == c.incarnation {
+		c.machine.SettleDirectStarts(c.starts)
+	}
+}
+
+// Fail records that the worker did not answer the call with its state. It is not called directly
+// for a while.
+func (c *DirectCall) Fail(now time.Duration, timing Timing) {
+	c.machine.DirectRetryAt = now + timing.WorkerLease/2
+}
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -23,6 +23,10 @@
 	machine.LastHeartbeat, machine.HeartbeatController = now, controller
 }
 
+// RecordAnswer records that a heartbeat is answered now in this term: the answer renews the
+// worker's lease.
+func RecordAnswer(machine *cluster.Machine, now time.Duration) { machine.LastAnswered = now }
+
 // RecordDirectStatus records that a worker answered a probe or a direct command now with its
 // state.
 func RecordDirectStatus(machine *cluster.Machine, status *wire.Heartbeat, now time.Duration) {
--- a/internal/core/reconcile/probes.go
+++ b/internal/core/reconcile/probes.go
@@ -12,12 +12,23 @@
 	return machine.Address != "" && !machine.ProbeOpen && now >= machine.NextProbeAt && !machine.Returning
 }
 
-// RecordProbeSent records that a probe is sent to a machine now.
-func RecordProbeSent(machine *cluster.Machine, now time.Duration, timing Timing) {
+// BeginProbe records that a probe is sent to a machine now.
+func BeginProbe(machine *cluster.Machine, now time.Duration, timing Timing) {
 	machine.ProbeOpen = true
 	machine.NextProbeAt = now + 2*timing.HeartbeatInterval
 }
 
+// BeginAnnouncement records that this term is announced to a worker; no probe is sent meanwhile.
+func BeginAnnouncement(machine *cluster.Machine) { machine.ProbeOpen = true }
+
+// EndProbe records that a probe or an announcement has returned.
+func EndProbe(machine *cluster.Machine) { machine.ProbeOpen = false }
+
+// RecordProbeFailure records that a probe which was sent at a time got no answer.
+func RecordProbeFailure(machine *cluster.Machine, sentAt time.Duration) {
+	machine.LastProbeFailure = sentAt
+}
+
 // ProbeReference finds a machine to probe when a silent one does not answer its probe; nil if
 // there is none to probe. Only if the reference, which was heard lately, does answer is the
 // silent machine at fault, and not the network path to it. The reference is of the same zone, or
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -2,9 +2,10 @@
 //
 // It decides what a heartbeat means for each placement, when a task has certainly terminated,
 // which machines are unhealthy, whom to probe and which commands a worker is to get. It is the
-// only one to change a machine's cluster.HeartbeatState, and of a task what heartbeats show of
-// it. It calls nobody, logs nothing and keeps no time: package core hands it the time, and
-// carries out what it decides.
+// only one to change a machine's cluster.HeartbeatState (but for the lease extensions that other
+// controllers report) and cluster.CommandState, and what heartbeats show of a task. It calls
+// nobody, logs nothing and keeps no time: package core hands it the time, and carries out what it
+// decides.
 package reconcile
 
 import "time"
--- a/internal/core/reconcile/stops.go
+++ b/internal/core/reconcile/stops.go
@@ -6,15 +6,22 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// MissesCommands reports whether commands do not reach a machine (an asymmetric partition): its
-// heartbeats arrive all the while, but the start of a task that was placed on it never shows in
-// them. Heartbeats that were held back and arrive all at once do not prove that.
-func MissesCommands(machine *cluster.Machine, task *cluster.Task, now time.Duration, timing Timing) bool {
-	if !task.PlacedThisTerm || !task.Persisted || task.Observed {
+// DetectUnreachable records that commands do not reach a machine (an asymmetric partition), if a
+// task on it shows so: the machine's heartbeats arrive all the while, but the start of the task
+// never shows in them. Heartbeats that were held back and arrive all at once do not prove that.
+// It reports whether that is news.
+func DetectUnreachable(machine *cluster.Machine, task *cluster.Task, now time.Duration, timing Timing) bool {
+	startAwaited := task.PlacedThisTerm && task.Persisted && !task.Observed
+	if task.Machine == nil || machine.UnreachableSince != 0 || !startAwaited {
 		return false
 	}
 	heartbeatsArrive := now-machine.LastHeartbeat < 2*timing.HeartbeatInterval
-	return heartbeatsArrive && now-max(task.PlacedAt, machine.RegularSince) > 4*timing.HeartbeatInterval
+	startOverdue := now-max(task.PlacedAt, machine.RegularSince) > 4*timing.HeartbeatInterval
+	if !heartbeatsArrive || !startOverdue {
+		return false
+	}
+	machine.UnreachableSince = now
+	return true
 }
 
 // CheckpointOverdue reports whether a task that is being stopped takes too long to save its
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -99,6 +99,9 @@
 		now-machine.LastAnswered > timing.LeaseExpiryBound()
 }
 
+// RecordLeaseExpiry records that the lease of a silent worker has certainly expired.
+func RecordLeaseExpiry(machine *cluster.Machine) { machine.LeaseExpired = true }
+
 // EndsWithLease reports whether a task ends as its machine's lease expires: case 4. One that was
 // placed for a later incarnation does not.
 func EndsWithLease(machine *cluster.Machine, task *cluster.Task) bool {
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -36,7 +36,9 @@
 
 // tickStops stops the tasks of jobs that have ended, kills tasks that take too long to save a
 // checkpoint, and returns machines on which the termination of cancelled tasks is not confirmed.
+// It detects machines that commands do not reach.
 func (l *leader) tickStops() {
+	timing := l.core.reconcileTiming()
 	for _, machine := range l.MachinesByName {
 		for _, placement := range machine.Placements {
 			task := placement.Task()
@@ -44,7 +46,9 @@
 			case task.Machine != machine: // unplaced on the way
 			case task.Stop == nil:
 				l.stopIfEnded(placement)
-				l.checkUnreachable(machine, task)
+				if reconcile.DetectUnreachable(machine, task, l.core.now, timing) {
+					l.core.log.Info("machine unreachable for commands", "machine", machine.Name)
+				}
 			default:
 				l.enforceStop(machine, placement)
 			}
@@ -73,17 +77,6 @@
 	}
 }
 
-// checkUnreachable records that commands do not reach a machine, if the start of a task shows so.
-func (l *leader) checkUnreachable(machine *cluster.Machine, task *cluster.Task) {
-	if task.Machine == nil || machine.UnreachableSince != 0 {
-		return
-	}
-	if reconcile.MissesCommands(machine, task, l.core.now, l.core.reconcileTiming()) {
-		l.core.log.Info("machine unreachable for commands", "machine", machine.Name)
-		machine.UnreachableSince = l.core.now
-	}
-}
-
 // enforceStop kills a task that takes too long to save its checkpoint, and returns the machine if
 // the termination of a cancelled task is not confirmed in time.
 func (l *leader) enforceStop(machine *cluster.Machine, placement cluster.TaskReference) {
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -48,7 +48,7 @@
 	if !reconcile.LeaseExpiryDue(machine, l.leadership.Term, l.core.now, l.core.reconcileTiming()) || !l.leaseExpired(machine) {
 		return
 	}
-	machine.LeaseExpired = true
+	reconcile.RecordLeaseExpiry(machine)
 	l.core.log.Info("worker lease expired", "machine", machine.Name, "tasks", len(machine.Placements))
 	for _, placement := range machine.Placements {
 		if reconcile.EndsWithLease(machine, placement.Task()) {
