--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -16,10 +16,10 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// During an upgrade controllers of two versions share the records of the state
-// service. The types below are frozen copies of those of the version in
-// production: what this version writes must lose nothing that they know. Those
-// that begin with "later" are of the later version that may run as well.
+// During a rolling upgrade controllers of two versions share the records in the key-value store.
+// The types below are frozen copies of those of the version in production: what this version
+// writes must lose nothing that they know. Those that begin with "later" are of the later version
+// that may run as well.
 
 type productionJob struct {
 	ID          string   `json:"nameId"`
@@ -116,8 +116,8 @@
 	return out
 }
 
-// TestProductionRecords reads every kind of record as the version in production
-// writes it, and has the frozen types read what this version makes of it.
+// TestProductionRecords decodes every kind of record as the version in production writes it, and
+// decodes what this version encodes it as into the frozen types.
 func TestProductionRecords(t *testing.T) {
 	due := 1234.5
 	zones := []string{"east", "north", "west"}
@@ -187,8 +187,8 @@
 	}
 }
 
-// TestLaterRecord reads an open record in which the later version has set every
-// field, and has both old layouts read what this version makes of it.
+// TestLaterRecord decodes an open record in which the later version has set every field, and
+// decodes what this version encodes it as into both old layouts.
 func TestLaterRecord(t *testing.T) {
 	data, err := os.ReadFile("testdata/chains/open_every_field.json")
 	if err != nil {
@@ -219,7 +219,7 @@
 	sameJSON(t, data, kv.Encode(got))
 }
 
-// sameJSON requires that this version writes what an old one wrote, name by name.
+// sameJSON requires that this version writes what an old one wrote, field by field.
 func sameJSON(t *testing.T, old, present []byte) {
 	t.Helper()
 	var a, b any
@@ -231,8 +231,8 @@
 	}
 }
 
-// kindOf names the kind of a key's record by the names that this version knows,
-// and makes an empty value of it.
+// kindOf names the kind of a key's record by the names that this version knows, and makes an
+// empty value of it.
 func kindOf(key string) (string, any) {
 	place, isPlace := records.ParsePlacementKey(key, 1)
 	switch {
@@ -254,8 +254,8 @@
 	return "", nil
 }
 
-// TestOldTransactions takes apart the transactions that the cores of old versions
-// sent, one of each kind: this version knows every key and would write the same.
+// TestOldTransactions decodes the transactions that the controllers of old versions sent, one of
+// each kind: this version knows every key and would write the same.
 func TestOldTransactions(t *testing.T) {
 	for dir, kinds := range map[string][]string{
 		"production": {"final", "leader", "numbered", "open", "term", "types"},
@@ -301,8 +301,8 @@
 	}
 }
 
-// TestOldElection reads the transaction by which an old version came to lead,
-// whose key is bound to a lease, and writes it again.
+// TestOldElection compares the transaction by which a controller of an old version became leader,
+// whose key is attached to a lease, with this version's.
 func TestOldElection(t *testing.T) {
 	want := wire.Txn{Conditions: []wire.Condition{{Key: election.KeyLeader}, {Key: election.KeyTerm, Version: 101}}, Writes: []wire.Write{
 		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)}}}
@@ -321,7 +321,7 @@
 	}
 }
 
-// TestProductionKeys holds the keys under which both versions look for records.
+// TestProductionKeys pins the keys under which both versions look for records.
 func TestProductionKeys(t *testing.T) {
 	for got, want := range map[string]string{election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
 		records.FinalKey("job-000001"): "f/job-000001", records.NumberedKey("job-000001", 1): "p/job-000001/1", records.RangeKey("job-000001", 12, 24): "p/job-000001/12-24"} {
--- a/internal/core/reconcile/termination_test.go
+++ b/internal/core/reconcile/termination_test.go
@@ -54,14 +54,14 @@
 
 // TestLeaseExpiryDue checks that a lease is only found to expire that this term's leader granted.
 func TestLeaseExpiryDue(t *testing.T) {
-	timing := Timing{WorkerLease: 20 * time.Second, HeartbeatInterval: 2 * time.Second}
+
 	for _, tc := range []struct {
 		name   string
 		change func(machine *cluster.Machine)
 		want   bool
 	}{
 		{"silent for long", func(*cluster.Machine) {}, true},
-		{"answered within the lease and its margin", func(m *cluster.Machine) { m.LastAnswered += timing.LeaseExpiryBound() }, false},
+		{"answered within the lease and its margin", func(m *cluster.Machine) { m.LastAnswered += testTiming.LeaseExpiryBound() }, false},
 		{"never answered in this term", func(m *cluster.Machine) { m.LastAnswered = 0 }, false},
 		{"it has not heard this term", func(m *cluster.Machine) { m.FencingToken = testTerm - 1 }, false},
 		{"known to have expired", func(m *cluster.Machine) { m.LeaseExpired = true }, false},
@@ -70,8 +70,8 @@
 			machine := cluster.NewMachine("n-1", 0)
 			machine.FencingToken, machine.LastAnswered = testTerm, time.Minute
 			tc.change(machine)
-			now := time.Minute + timing.LeaseExpiryBound() + time.Millisecond
-			if got := LeaseExpiryDue(machine, testTerm, now, timing); got != tc.want {
+			now := time.Minute + testTiming.LeaseExpiryBound() + time.Millisecond
+			if got := LeaseExpiryDue(machine, testTerm, now, testTiming); got != tc.want {
 				t.Errorf("due %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/core/submission_pacing_test.go
+++ b/internal/core/submission_pacing_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// submitAndCollectCommits feeds a request and returns the transactions that go out with it.
+// submitAndCollectCommits submits a job and returns the transactions that are sent along with it.
 func submitAndCollectCommits(b *harness, body string) []Call {
 	b.nextReq++
 	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), Request{ID: b.nextReq, Method: "POST", Path: "/submissions", Body: []byte(body)})
@@ -18,20 +18,20 @@
 	return commits
 }
 
-// A leader that has used up the rate of changes for its own records turned away
-// the submissions that came to it. A few go ahead of the pace, as its records do;
-// many at a time keep to it.
+// TestFewSubmissionsBypassPacing checks that a few submissions bypass the pacing of transactions,
+// as the leader's records do, and that many at a time keep to it. A leader that had used up the
+// rate of changes for its own records once turned away the submissions that came to it.
 func TestFewSubmissionsBypassPacing(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	submission := func(n int) string { return body("nameId", `"`+jobID(n)+`"`) }
 	first := submitAndCollectCommits(b, submission(1))
 	if len(first) != 1 || !first[0].Urgent {
-		t.Fatalf("a submission alone keeps to the pace: %+v", first)
+		t.Fatalf("a single submission is paced: %+v", first)
 	}
 	ops := b.core.store.MaxWrites()
 	for n := range ops {
 		if late := submitAndCollectCommits(b, submission(2+n)); len(late) != 0 {
-			t.Fatalf("a second transaction goes out beside the first: %+v", late)
+			t.Fatalf("a second transaction is sent beside the first: %+v", late)
 		}
 	}
 	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), Result{ID: first[0].ID, Status: 200, Body: []byte(`{"logline":2}`)})
--- a/internal/core/termination_test.go
+++ b/internal/core/termination_test.go
@@ -3,15 +3,16 @@
 import (
 	"testing"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestEarlierAttemptListed has a worker list an ended attempt at a task beside
-// the running one, in either order: the running one goes on counting. It once
-// passed for vanished, was started elsewhere, and ran twice.
+// TestEarlierAttemptListed sends heartbeats that list an exited attempt at a task beside the
+// running one, in either order: the running one goes on counting. It was once mistaken for lost,
+// started elsewhere, and ran twice.
 func TestEarlierAttemptListed(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	l := newLeader(b.core, testLeadership(5))
@@ -21,16 +22,19 @@
 	j, m := l.Jobs[job.ID], l.machineNamed("n-000001")
 	j.TaskStates[0] = cluster.Task{Attempt: 2, Zone: "a", Incarnation: 1, Persisted: true, PlacedThisTerm: true, StartRetransmitted: true}
 	l.place(j, 0, m)
-	j.PlacementRecords[0].Dirty = true // the end of the earlier attempt is not recorded yet
-	ended := wire.TaskStatus{Task: "job-000001/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped}
-	runs := wire.TaskStatus{Task: "job-000001/0", Attempt: 2, State: wire.TaskRunning}
-	for i, rows := range [][]wire.TaskStatus{{ended, runs}, {runs, ended}, {ended, runs}} {
-		r := wire.Heartbeat{Machine: "n-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 5, Tasks: rows}
-		if status, body := l.handleHeartbeat(kv.Encode(r), "n0"); status != 200 {
-			t.Fatalf("report %d: %d %s", i, status, body)
+	j.PlacementRecords[0].Dirty = true // the exit of the earlier attempt is not on record yet
+	exited := wire.TaskStatus{Task: "job-000001/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped}
+	running := wire.TaskStatus{Task: "job-000001/0", Attempt: 2, State: wire.TaskRunning}
+	for i, rows := range [][]wire.TaskStatus{{exited, running}, {running, exited}, {exited, running}} {
+		heartbeat := wire.Heartbeat{
+			Machine: "n-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "a",
+			Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 5, Tasks: rows,
 		}
-		if x := &j.TaskStates[0]; x.Machine != m || x.State != wire.TaskRunning {
-			t.Fatalf("after report %d the running task is taken for %q on %v", i, x.State, x.Machine)
+		if status, body := l.handleHeartbeat(kv.Encode(heartbeat), "n0"); status != httpstatus.OK {
+			t.Fatalf("heartbeat %d: %d %s", i, status, body)
+		}
+		if task := &j.TaskStates[0]; task.Machine != m || task.State != wire.TaskRunning {
+			t.Fatalf("after heartbeat %d the running task is %q on %v", i, task.State, task.Machine)
 		}
 	}
 }
