--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -91,9 +91,9 @@
 	task.State = status.State
 }
 
-// LeaseExpiryDue reports whether it has to be asked if a worker's lease has expired: the worker
-// has seen this term, and this leader has not answered it for longer than its lease lasts. That
-// other controllers have not extended the lease is not part of the answer.
+// LeaseExpiryDue reports whether a worker's lease may have expired, as far as this leader's own
+// answers go: the worker has seen this term, and was not answered for longer than its lease lasts.
+// Whether another controller has extended the lease is not part of the answer.
 func LeaseExpiryDue(machine *cluster.Machine, term uint64, now time.Duration, timing Timing) bool {
 	return machine.FencingToken >= term && machine.LastAnswered != 0 && !machine.LeaseExpired &&
 		now-machine.LastAnswered > timing.LeaseExpiryBound()
--- a/internal/core/reconcile/termination_test.go
+++ b/internal/core/reconcile/termination_test.go
@@ -54,7 +54,6 @@
 
 // TestLeaseExpiryDue checks that a lease is only found to expire that this term's leader granted.
 func TestLeaseExpiryDue(t *testing.T) {
-
 	for _, tc := range []struct {
 		name   string
 		change func(machine *cluster.Machine)
