--- /dev/null
+++ b/internal/core/reconcile/direct_call_test.go
@@ -0,0 +1,84 @@
+package reconcile
+
+import (
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// TestSettleStarts checks that a direct start counts as unconfirmed until its outcome is known, and
+// that the outcome of an earlier incarnation's call settles nothing of the present one.
+func TestSettleStarts(t *testing.T) {
+	attempt := cluster.AttemptID{Task: "job-101/0", Attempt: 2}
+	commands := []wire.Command{{Verb: wire.VerbStart, Task: attempt.Task, Attempt: attempt.Attempt}, immediateStop("job-101/1", 1)}
+	for _, tc := range []struct {
+		name  string
+		after func(machine *cluster.Machine, call *DirectCall)
+		want  int // unconfirmed starts of the attempt
+	}{
+		{"under way", func(*cluster.Machine, *DirectCall) {}, 1},
+		{"returned without a known outcome", func(_ *cluster.Machine, call *DirectCall) { call.End() }, 1},
+		{"settled", func(_ *cluster.Machine, call *DirectCall) { call.End(); call.SettleStarts() }, 0},
+		{"a new incarnation", func(machine *cluster.Machine, call *DirectCall) {
+			RecordIncarnation(machine, &wire.Heartbeat{Incarnation: 4}, time.Hour)
+		}, 0},
+		{"settled after the same start went to a new incarnation", func(machine *cluster.Machine, call *DirectCall) {
+			RecordIncarnation(machine, &wire.Heartbeat{Incarnation: 4}, time.Hour)
+			BeginDirectCall(machine, commands)
+			call.End()
+			call.SettleStarts()
+		}, 1},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			machine := cluster.NewMachine("n-1", 0)
+			machine.Incarnation = 3
+			tc.after(machine, BeginDirectCall(machine, commands))
+			if got := machine.UnconfirmedStarts[attempt]; got != tc.want {
+				t.Errorf("%d unconfirmed starts, want %d", got, tc.want)
+			}
+			for other := range machine.UnconfirmedStarts {
+				if other != attempt {
+					t.Errorf("unconfirmed start of %v", other)
+				}
+			}
+		})
+	}
+}
+
+// TestCanCallDirectly checks when commands may be sent directly.
+func TestCanCallDirectly(t *testing.T) {
+	now := time.Hour
+	for _, tc := range []struct {
+		name   string
+		change func(machine *cluster.Machine)
+		want   bool
+	}{
+		{"reachable", func(*cluster.Machine) {}, true},
+		{"its address is not known", func(machine *cluster.Machine) { machine.Address = "" }, false},
+		{"it has not heard this term", func(machine *cluster.Machine) { machine.FencingToken = testTerm - 1 }, false},
+		{"being returned", func(machine *cluster.Machine) { machine.Returning = true }, false},
+		{"a call is open", func(machine *cluster.Machine) { BeginDirectCall(machine, nil) }, false},
+		{"a call has ended", func(machine *cluster.Machine) { BeginDirectCall(machine, nil).End() }, true},
+		{"a call has failed", func(machine *cluster.Machine) {
+			call := BeginDirectCall(machine, nil)
+			call.End()
+			call.Fail(now-testTiming.WorkerLease/2+1, testTiming)
+		}, false},
+		{"a call failed half a lease ago", func(machine *cluster.Machine) {
+			call := BeginDirectCall(machine, nil)
+			call.End()
+			call.Fail(now-testTiming.WorkerLease/2, testTiming)
+		}, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			machine := cluster.NewMachine("n-1", 0)
+			machine.Address, machine.FencingToken = "10.1.0.1:9000", testTerm
+			tc.change(machine)
+			if got := CanCallDirectly(machine, testTerm, now); got != tc.want {
+				t.Errorf("can call %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
--- a/internal/core/reconcile/health_test.go
+++ b/internal/core/reconcile/health_test.go
@@ -125,6 +125,17 @@
 			machine.LastProbeFailure = check.Now - 2
 			check.ZoneReachedAt["a"] = check.Now - 2
 		}, ""},
+		{"its probe failed, while most machines of its zone miss a heartbeat", func(check *HealthCheck, machine *cluster.Machine) {
+			check.Now += testTiming.HeartbeatOverdueAfter() + 1 // the others' last heartbeats are as old
+			machine.LastHeartbeat = check.Now - testTiming.deadAfter() - 1
+			machine.LastProbeFailure = check.Now - 2
+			check.ZoneReachedAt["a"] = check.Now - 1
+		}, ""},
+		{"its probe failed before its last heartbeat", func(check *HealthCheck, machine *cluster.Machine) {
+			machine.LastHeartbeat = check.Now - testTiming.deadAfter() - 1
+			machine.LastProbeFailure = machine.LastHeartbeat
+			check.ZoneReachedAt["a"] = check.Now - 1
+		}, ""},
 		{"listed as failed", func(_ *HealthCheck, machine *cluster.Machine) {
 			machine.ListedAs = wire.MachineFailed
 		}, cluster.DrainListedFailed},
@@ -189,3 +200,63 @@
 		})
 	}
 }
+
+// TestDeadAmongOthers checks that a machine whose probe failed is not considered dead while its
+// silence may be that of its zone, of its controller or of this leader's network.
+func TestDeadAmongOthers(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		// change sets who else is silent: the machine is the first of zoneA.
+		change func(check *HealthCheck, zoneA, zoneB []*cluster.Machine)
+		want   bool
+	}{
+		{"it alone is silent", func(*HealthCheck, []*cluster.Machine, []*cluster.Machine) {}, true},
+		{"its zone misses heartbeats", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+			for i, machine := range zoneA {
+				machine.HeartbeatController = fmt.Sprintf("n%d", i)
+			}
+			missHeartbeat(check, zoneA[1:4])
+		}, false},
+		{"its controller's machines miss heartbeats", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+			for _, machine := range zoneB {
+				machine.HeartbeatController = "n1"
+			}
+			for _, machine := range zoneB[:6] {
+				machine.HeartbeatController = "n0"
+			}
+			missHeartbeat(check, zoneB[:6])
+		}, false},
+		{"another controller's machines miss heartbeats", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+			for _, machine := range zoneB {
+				machine.HeartbeatController = "n1"
+			}
+			missHeartbeat(check, zoneB[:6])
+		}, true},
+		{"most machines are silent", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+			for _, machine := range zoneB {
+				machine.HeartbeatController = "n1"
+				machine.LastHeartbeat = check.Now - testTiming.silentAfter() - 1
+			}
+		}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			check := newHealthCheck()
+			zoneA := newMachines(check, "a", 5, 1, testTiming.deadAfter()+1)
+			zoneB := newMachines(check, "b", 20, 0, 0)
+			zoneA[0].LastProbeFailure = check.Now - 2
+			check.ZoneReachedAt["a"] = check.Now - 1
+			tc.change(check, zoneA, zoneB)
+			survey := check.Survey(append(append([]*cluster.Machine{}, zoneA...), zoneB...))
+			if got := check.IsDead(zoneA[0], survey); got != tc.want {
+				t.Errorf("dead %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+// missHeartbeat makes machines miss one heartbeat.
+func missHeartbeat(check *HealthCheck, machines []*cluster.Machine) {
+	for _, machine := range machines {
+		machine.LastHeartbeat = check.Now - testTiming.HeartbeatOverdueAfter() - 1
+	}
+}
--- /dev/null
+++ b/internal/core/reconcile/heartbeat_test.go
@@ -0,0 +1,55 @@
+package reconcile
+
+import (
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// TestLeaseRestarts checks from when a worker's lease counts: not from the answer to an earlier
+// incarnation, and not from one that a leader of an earlier term may have followed by its own.
+func TestLeaseRestarts(t *testing.T) {
+	const answered, now = time.Minute, time.Hour
+	for _, tc := range []struct {
+		name                string
+		incarnation         uint64
+		token               uint64
+		wantAnswered        time.Duration
+		wantExpiries        int
+		wantToken           uint64
+		wantStartsForgotten bool
+	}{
+		{"the same incarnation and term", 3, testTerm, answered, 0, testTerm, false},
+		{"a later incarnation", 4, testTerm, now, 1, testTerm, true},
+		{"an earlier token", 3, testTerm - 2, answered, 0, testTerm - 1, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			machine := cluster.NewMachine("n-1", 0)
+			machine.Incarnation, machine.FencingToken, machine.LastAnswered = 3, tc.wantToken, answered
+			machine.UnconfirmedStarts[cluster.AttemptID{Task: "job-101/0", Attempt: 1}] = 1
+			message := &wire.Heartbeat{Incarnation: tc.incarnation, Sequence: 9, FencingToken: tc.token}
+			expired := RecordIncarnation(machine, message, now)
+			RecordFencingToken(machine, message.FencingToken, testTerm, now)
+			if machine.LastAnswered != tc.wantAnswered || machine.LeaseExpiries != tc.wantExpiries || machine.FencingToken != tc.wantToken {
+				t.Errorf("answered at %v, %d expiries, token %d; want %v, %d, %d", machine.LastAnswered,
+					machine.LeaseExpiries, machine.FencingToken, tc.wantAnswered, tc.wantExpiries, tc.wantToken)
+			}
+			if expired != (tc.wantExpiries > 0) {
+				t.Errorf("expired %v", expired)
+			}
+			if forgotten := len(machine.UnconfirmedStarts) == 0; forgotten != tc.wantStartsForgotten {
+				t.Errorf("unconfirmed starts forgotten %v, want %v", forgotten, tc.wantStartsForgotten)
+			}
+		})
+	}
+	t.Run("the worker hears this term", func(t *testing.T) {
+		machine := cluster.NewMachine("n-1", 0)
+		machine.FencingToken, machine.LastAnswered = testTerm-1, answered
+		RecordFencingToken(machine, testTerm, testTerm, now)
+		if machine.LastAnswered != now || machine.FencingToken != testTerm {
+			t.Errorf("answered at %v, token %d; want %v, %d", machine.LastAnswered, machine.FencingToken, now, testTerm)
+		}
+	})
+}
