--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -125,37 +125,52 @@
 		want   any // a value of this version's type
 		frozen any // one of the production version's, empty
 	}{
-		"open": {records.Open{Job: wire.Job{ID: "job-000001", Class: "web", Team: "t", Shape: "array", Priority: "normal",
+		"open": {records.Open{Job: wire.Job{
+			ID: "job-000001", Class: "web", Team: "t", Shape: "array", Priority: "normal",
 			Tasks: 12, CPUs: 2, MemGB: 1, Image: "img", ImageGB: 1, MachineTypes: []string{"small", "big"}, Zone: "east",
-			OneZone: true, AllowSpot: true, EstimatedRunS: 20, CheckpointIntervalS: 5, CheckpointDurationS: 3}, SubmittedAt: 1000000001004}, productionOpen{}},
-		"open_every_field": {records.Open{Job: wire.Job{ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
+			OneZone: true, AllowSpot: true, EstimatedRunS: 20, CheckpointIntervalS: 5, CheckpointDurationS: 3,
+		}, SubmittedAt: 1000000001004}, productionOpen{}},
+		"open_every_field": {records.Open{Job: wire.Job{
+			ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
 			Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
 			MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
-			CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due}, SubmittedAt: 1764640000123}, productionOpen{}},
-		"open_asked": {records.Open{Job: wire.Job{ID: "job-000002", Class: "web", Team: "t", Shape: "group",
+			CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due,
+		}, SubmittedAt: 1764640000123}, productionOpen{}},
+		"open_asked": {records.Open{Job: wire.Job{
+			ID: "job-000002", Class: "web", Team: "t", Shape: "group",
 			Priority: "urgent", Tasks: 3, CPUs: 2, GPUs: 2, MemGB: 16, Image: "img", ImageGB: 2, SpreadZones: true,
-			EstimatedRunS: 300}, SubmittedAt: 1000000001004, Cancelled: true, CancelRequestedAt: 1000000060010}, productionOpen{}},
-		"open_told": {records.Open{Job: wire.Job{ID: "job-000003", Class: "web", Team: "t", Shape: "daemon",
-			Priority: "critical", Tasks: 3, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2, SpreadZones: true},
-			SubmittedAt: 1000000001001, Cancelled: true, CancelRequestedAt: 1000000062006, CancelAcknowledgedAt: 1000000062132}, productionOpen{}},
+			EstimatedRunS: 300,
+		}, SubmittedAt: 1000000001004, Cancelled: true, CancelRequestedAt: 1000000060010}, productionOpen{}},
+		"open_told": {records.Open{
+			Job: wire.Job{
+				ID: "job-000003", Class: "web", Team: "t", Shape: "daemon",
+				Priority: "critical", Tasks: 3, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2, SpreadZones: true,
+			},
+			SubmittedAt: 1000000001001, Cancelled: true, CancelRequestedAt: 1000000062006, CancelAcknowledgedAt: 1000000062132,
+		}, productionOpen{}},
 		"final_done":      {records.Final{Status: "done", Tasks: 240}, productionFinal{}},
 		"final_cancelled": {records.Final{Status: "withdrawn", Tasks: 3}, productionFinal{}},
 		"place_tasks": {records.Placement{NextAttempt: 2, Tasks: []records.PlacedTask{
 			{Task: 0, Attempt: 1, Machine: "n-000018", Zone: "east", Incarnation: 1},
 			{Task: 1, Attempt: 1, Machine: "n-000018", Zone: "east", Incarnation: 1},
-			{Task: 2, Attempt: 1, Machine: "n-000017", Zone: "west", Incarnation: 1}}}, productionPlace{}},
+			{Task: 2, Attempt: 1, Machine: "n-000017", Zone: "west", Incarnation: 1},
+		}}, productionPlace{}},
 		"place_done_and_tasks": {records.Placement{NextAttempt: 13, Done: firstInts(8), Tasks: []records.PlacedTask{
 			{Task: 8, Attempt: 9, Machine: "n-000027", Zone: "east", Incarnation: 1},
 			{Task: 9, Attempt: 10, Machine: "n-000027", Zone: "east", Incarnation: 1},
 			{Task: 10, Attempt: 11, Machine: "n-000027", Zone: "east", Incarnation: 1},
-			{Task: 11, Attempt: 12, Machine: "n-000027", Zone: "east", Incarnation: 1}}}, productionPlace{}},
+			{Task: 11, Attempt: 12, Machine: "n-000027", Zone: "east", Incarnation: 1},
+		}}, productionPlace{}},
 		"place_done": {records.Placement{NextAttempt: 243, Done: firstInts(128)}, productionPlace{}},
 		"leader":     {election.LeaderValue{Name: "node-2", Term: 3}, productionLeader{}},
 		"term":       {uint64(3), uint64(0)},
 		"types": {wire.MachineTypes{Types: []wire.MachineType{
 			{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 200, PullGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones},
-			{Name: "big", CPUs: 32, GPUs: 8, MemGB: 256, CacheGB: 200, PullGBPerS: 4, Price: 10, SpotPrice: 3, BootS: 15,
-				Zones: zones}}}, productionMachineTypes{}},
+			{
+				Name: "big", CPUs: 32, GPUs: 8, MemGB: 256, CacheGB: 200, PullGBPerS: 4, Price: 10, SpotPrice: 3, BootS: 15,
+				Zones: zones,
+			},
+		}}, productionMachineTypes{}},
 	}
 	files, _ := filepath.Glob("testdata/production/*.json")
 	if len(files) != len(tests) {
@@ -195,11 +210,15 @@
 		t.Fatal(err)
 	}
 	due := 1234.5
-	want := records.Open{Job: wire.Job{ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
-		Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
-		MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
-		CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due, Dependencies: []string{"job-000005", "job-000006"}}, SubmittedAt: 1764640000123,
-		Cancelled: true, CancelRequestedAt: 1764640000124, CancelAcknowledgedAt: 1764640000125, HasDependents: true, ReadyAt: 1764640000126}
+	want := records.Open{
+		Job: wire.Job{
+			ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
+			Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
+			MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
+			CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due, Dependencies: []string{"job-000005", "job-000006"},
+		}, SubmittedAt: 1764640000123,
+		Cancelled: true, CancelRequestedAt: 1764640000124, CancelAcknowledgedAt: 1764640000125, HasDependents: true, ReadyAt: 1764640000126,
+	}
 	var got records.Open
 	if err := json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
@@ -305,7 +324,8 @@
 // whose key is attached to a lease, with this version's.
 func TestOldElection(t *testing.T) {
 	want := wire.Txn{Conditions: []wire.Condition{{Key: election.KeyLeader}, {Key: election.KeyTerm, Version: 101}}, Writes: []wire.Write{
-		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)}}}
+		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)},
+	}}
 	for _, dir := range []string{"production", "chains"} {
 		data, err := os.ReadFile("testdata/" + dir + "/transactions.jsonl")
 		if err != nil {
@@ -323,8 +343,10 @@
 
 // TestProductionKeys pins the keys under which both versions look for records.
 func TestProductionKeys(t *testing.T) {
-	for got, want := range map[string]string{election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
-		records.FinalKey("job-000001"): "f/job-000001", records.NumberedKey("job-000001", 1): "p/job-000001/1", records.RangeKey("job-000001", 12, 24): "p/job-000001/12-24"} {
+	for got, want := range map[string]string{
+		election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
+		records.FinalKey("job-000001"): "f/job-000001", records.NumberedKey("job-000001", 1): "p/job-000001/1", records.RangeKey("job-000001", 12, 24): "p/job-000001/12-24",
+	} {
 		if got != want {
 			t.Errorf("key %q, want %q", got, want)
 		}
