--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -16,10 +16,10 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// During an upgrade controllers of two versions share the records of the state
-// service. The types below are frozen copies of those of the version in
-// production: what this version writes must lose nothing that they know. Those
-// that begin with "later" are of the later version that may run as well.
+// During a rolling upgrade controllers of two versions share the records in the key-value store.
+// The types below are frozen copies of those of the version in production: what this version
+// writes must lose nothing that they know. Those that begin with "later" are of the later version
+// that may run as well.
 
 type productionJob struct {
 	ID          string   `json:"nameId"`
@@ -116,8 +116,8 @@
 	return out
 }
 
-// TestProductionRecords reads every kind of record as the version in production
-// writes it, and has the frozen types read what this version makes of it.
+// TestProductionRecords decodes every kind of record as the version in production writes it, and
+// decodes what this version encodes it as into the frozen types.
 func TestProductionRecords(t *testing.T) {
 	due := 1234.5
 	zones := []string{"east", "north", "west"}
@@ -125,37 +125,52 @@
 		want   any // a value of this version's type
 		frozen any // one of the production version's, empty
 	}{
-		"open": {records.Open{Job: wire.Job{ID: "job-000001", Class: "web", Team: "t", Shape: "array", Priority: "normal",
+		"open": {records.Open{Job: wire.Job{
+			ID: "job-000001", Class: "web", Team: "t", Shape: "array", Priority: "normal",
 			Tasks: 12, CPUs: 2, MemGB: 1, Image: "img", ImageGB: 1, MachineTypes: []string{"small", "big"}, Zone: "east",
-			OneZone: true, AllowSpot: true, EstimatedRunS: 20, CheckpointIntervalS: 5, CheckpointDurationS: 3}, SubmittedAt: 1000000001004}, productionOpen{}},
-		"open_every_field": {records.Open{Job: wire.Job{ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
+			OneZone: true, AllowSpot: true, EstimatedRunS: 20, CheckpointIntervalS: 5, CheckpointDurationS: 3,
+		}, SubmittedAt: 1000000001004}, productionOpen{}},
+		"open_every_field": {records.Open{Job: wire.Job{
+			ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
 			Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
 			MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
-			CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due}, SubmittedAt: 1764640000123}, productionOpen{}},
-		"open_asked": {records.Open{Job: wire.Job{ID: "job-000002", Class: "web", Team: "t", Shape: "group",
+			CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due,
+		}, SubmittedAt: 1764640000123}, productionOpen{}},
+		"open_asked": {records.Open{Job: wire.Job{
+			ID: "job-000002", Class: "web", Team: "t", Shape: "group",
 			Priority: "urgent", Tasks: 3, CPUs: 2, GPUs: 2, MemGB: 16, Image: "img", ImageGB: 2, SpreadZones: true,
-			EstimatedRunS: 300}, SubmittedAt: 1000000001004, Cancelled: true, CancelRequestedAt: 1000000060010}, productionOpen{}},
-		"open_told": {records.Open{Job: wire.Job{ID: "job-000003", Class: "web", Team: "t", Shape: "daemon",
-			Priority: "critical", Tasks: 3, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2, SpreadZones: true},
-			SubmittedAt: 1000000001001, Cancelled: true, CancelRequestedAt: 1000000062006, CancelAcknowledgedAt: 1000000062132}, productionOpen{}},
+			EstimatedRunS: 300,
+		}, SubmittedAt: 1000000001004, Cancelled: true, CancelRequestedAt: 1000000060010}, productionOpen{}},
+		"open_told": {records.Open{
+			Job: wire.Job{
+				ID: "job-000003", Class: "web", Team: "t", Shape: "daemon",
+				Priority: "critical", Tasks: 3, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 2, SpreadZones: true,
+			},
+			SubmittedAt: 1000000001001, Cancelled: true, CancelRequestedAt: 1000000062006, CancelAcknowledgedAt: 1000000062132,
+		}, productionOpen{}},
 		"final_done":      {records.Final{Status: "done", Tasks: 240}, productionFinal{}},
 		"final_cancelled": {records.Final{Status: "withdrawn", Tasks: 3}, productionFinal{}},
 		"place_tasks": {records.Placement{NextAttempt: 2, Tasks: []records.PlacedTask{
 			{Task: 0, Attempt: 1, Machine: "n-000018", Zone: "east", Incarnation: 1},
 			{Task: 1, Attempt: 1, Machine: "n-000018", Zone: "east", Incarnation: 1},
-			{Task: 2, Attempt: 1, Machine: "n-000017", Zone: "west", Incarnation: 1}}}, productionPlace{}},
+			{Task: 2, Attempt: 1, Machine: "n-000017", Zone: "west", Incarnation: 1},
+		}}, productionPlace{}},
 		"place_done_and_tasks": {records.Placement{NextAttempt: 13, Done: firstInts(8), Tasks: []records.PlacedTask{
 			{Task: 8, Attempt: 9, Machine: "n-000027", Zone: "east", Incarnation: 1},
 			{Task: 9, Attempt: 10, Machine: "n-000027", Zone: "east", Incarnation: 1},
 			{Task: 10, Attempt: 11, Machine: "n-000027", Zone: "east", Incarnation: 1},
-			{Task: 11, Attempt: 12, Machine: "n-000027", Zone: "east", Incarnation: 1}}}, productionPlace{}},
+			{Task: 11, Attempt: 12, Machine: "n-000027", Zone: "east", Incarnation: 1},
+		}}, productionPlace{}},
 		"place_done": {records.Placement{NextAttempt: 243, Done: firstInts(128)}, productionPlace{}},
 		"leader":     {election.LeaderValue{Name: "node-2", Term: 3}, productionLeader{}},
 		"term":       {uint64(3), uint64(0)},
 		"types": {wire.MachineTypes{Types: []wire.MachineType{
 			{Name: "small", CPUs: 8, MemGB: 32, CacheGB: 200, PullGBPerS: 1, Price: 1, SpotPrice: 0.3, BootS: 10, Zones: zones},
-			{Name: "big", CPUs: 32, GPUs: 8, MemGB: 256, CacheGB: 200, PullGBPerS: 4, Price: 10, SpotPrice: 3, BootS: 15,
-				Zones: zones}}}, productionMachineTypes{}},
+			{
+				Name: "big", CPUs: 32, GPUs: 8, MemGB: 256, CacheGB: 200, PullGBPerS: 4, Price: 10, SpotPrice: 3, BootS: 15,
+				Zones: zones,
+			},
+		}}, productionMachineTypes{}},
 	}
 	files, _ := filepath.Glob("testdata/production/*.json")
 	if len(files) != len(tests) {
@@ -187,19 +202,23 @@
 	}
 }
 
-// TestLaterRecord reads an open record in which the later version has set every
-// field, and has both old layouts read what this version makes of it.
+// TestLaterRecord decodes an open record in which the later version has set every field, and
+// decodes what this version encodes it as into both old layouts.
 func TestLaterRecord(t *testing.T) {
 	data, err := os.ReadFile("testdata/chains/open_every_field.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	due := 1234.5
-	want := records.Open{Job: wire.Job{ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
-		Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
-		MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
-		CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due, Dependencies: []string{"job-000005", "job-000006"}}, SubmittedAt: 1764640000123,
-		Cancelled: true, CancelRequestedAt: 1764640000124, CancelAcknowledgedAt: 1764640000125, HasDependents: true, ReadyAt: 1764640000126}
+	want := records.Open{
+		Job: wire.Job{
+			ID: "job-000007", Class: "train", Team: "vision", Shape: "group",
+			Priority: "urgent", Tasks: 4, CPUs: 6.5, GPUs: 2, MemGB: 48, Image: "img-7", ImageGB: 12.25,
+			MachineTypes: []string{"big", "small"}, Zone: "east", OneZone: true, SpreadZones: true, AllowSpot: true, EstimatedRunS: 600,
+			CheckpointIntervalS: 30, CheckpointDurationS: 4.5, DeadlineS: &due, Dependencies: []string{"job-000005", "job-000006"},
+		}, SubmittedAt: 1764640000123,
+		Cancelled: true, CancelRequestedAt: 1764640000124, CancelAcknowledgedAt: 1764640000125, HasDependents: true, ReadyAt: 1764640000126,
+	}
 	var got records.Open
 	if err := json.Unmarshal(data, &got); err != nil {
 		t.Fatal(err)
@@ -219,7 +238,7 @@
 	sameJSON(t, data, kv.Encode(got))
 }
 
-// sameJSON requires that this version writes what an old one wrote, name by name.
+// sameJSON requires that this version writes what an old one wrote, field by field.
 func sameJSON(t *testing.T, old, present []byte) {
 	t.Helper()
 	var a, b any
@@ -231,8 +250,8 @@
 	}
 }
 
-// kindOf names the kind of a key's record by the names that this version knows,
-// and makes an empty value of it.
+// kindOf names the kind of a key's record by the names that this version knows, and makes an
+// empty value of it.
 func kindOf(key string) (string, any) {
 	place, isPlace := records.ParsePlacementKey(key, 1)
 	switch {
@@ -254,8 +273,8 @@
 	return "", nil
 }
 
-// TestOldTransactions takes apart the transactions that the cores of old versions
-// sent, one of each kind: this version knows every key and would write the same.
+// TestOldTransactions decodes the transactions that the controllers of old versions sent, one of
+// each kind: this version knows every key and would write the same.
 func TestOldTransactions(t *testing.T) {
 	for dir, kinds := range map[string][]string{
 		"production": {"final", "leader", "numbered", "open", "term", "types"},
@@ -301,11 +320,12 @@
 	}
 }
 
-// TestOldElection reads the transaction by which an old version came to lead,
-// whose key is bound to a lease, and writes it again.
+// TestOldElection compares the transaction by which a controller of an old version became leader,
+// whose key is attached to a lease, with this version's.
 func TestOldElection(t *testing.T) {
 	want := wire.Txn{Conditions: []wire.Condition{{Key: election.KeyLeader}, {Key: election.KeyTerm, Version: 101}}, Writes: []wire.Write{
-		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)}}}
+		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)},
+	}}
 	for _, dir := range []string{"production", "chains"} {
 		data, err := os.ReadFile("testdata/" + dir + "/transactions.jsonl")
 		if err != nil {
@@ -321,10 +341,12 @@
 	}
 }
 
-// TestProductionKeys holds the keys under which both versions look for records.
+// TestProductionKeys pins the keys under which both versions look for records.
 func TestProductionKeys(t *testing.T) {
-	for got, want := range map[string]string{election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
-		records.FinalKey("job-000001"): "f/job-000001", records.NumberedKey("job-000001", 1): "p/job-000001/1", records.RangeKey("job-000001", 12, 24): "p/job-000001/12-24"} {
+	for got, want := range map[string]string{
+		election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
+		records.FinalKey("job-000001"): "f/job-000001", records.NumberedKey("job-000001", 1): "p/job-000001/1", records.RangeKey("job-000001", 12, 24): "p/job-000001/12-24",
+	} {
 		if got != want {
 			t.Errorf("key %q, want %q", got, want)
 		}
