--- a/internal/core/cancel_leader.go
+++ b/internal/core/cancel_leader.go
@@ -3,7 +3,9 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/frontend"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -81,7 +83,7 @@
 // appendJobEnd appends what has become of a cancelled job, which is nil if it is not known: its
 // end is on record, its tasks have terminated, or their termination is delayed.
 func (l *leader) appendJobEnd(ends *wire.Ends, id string, job *cluster.Job) {
-	final, ended := l.core.users.finalRecords[id]
+	final, ended := l.core.jobCache.Final(id)
 	switch {
 	case ended:
 		ends.Over = append(ends.Over, wire.JobEnd{ID: id, Status: string(final.Status), Tasks: final.Tasks})
@@ -149,5 +151,10 @@
 // cancellationOverdue reports whether a task of a cancelled job whose termination is not confirmed
 // has to be ended along with its machine.
 func (l *leader) cancellationOverdue(job *cluster.Job) bool {
-	return job.Cancellation.Overdue(l.core.now, l.core.cancelGracePeriod(), userRetryPeriod)
+	return job.Cancellation.Overdue(l.core.now, l.core.cancelGracePeriod(), frontend.UserRetryPeriod)
+}
+
+// cancelGracePeriod is cancel_s: how long tasks may run after their cancellation is acknowledged.
+func (c *Core) cancelGracePeriod() time.Duration {
+	return config.Seconds(c.settings.Deployment.Workers.CancelS)
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -18,6 +18,8 @@
 
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/core/frontend"
+	"github.com/brookwalk/brookwalk/internal/core/jobcache"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -32,9 +34,8 @@
 	wallClockMS      int64         // time of day of the present step, in ms
 	out              Output        // of the present step
 
-	pendingCalls       map[uint64]func(Result) // what handles the result, by the call's ID
-	nextCall           uint64
-	nextDependencyList uint64 // numbers the attempts to write a long list of dependencies
+	pendingCalls map[uint64]func(Result) // what handles the result, by the call's ID
+	nextCall     uint64
 
 	machineTypes            map[string]*wire.MachineType // by name, as the cloud last listed them
 	machineTypesRequestedAt time.Duration
@@ -42,7 +43,8 @@
 	machineTypesRequested   bool
 	machineTypesStored      string // the list as it was last written to the store
 
-	users    frontEnd
+	jobCache *jobcache.Cache
+	frontEnd *frontend.FrontEnd
 	election *election.Election
 	store    *kv.Client
 
@@ -94,7 +96,8 @@
 	}
 	c.store = kv.NewClient(storeTransport{c}, &settings.Deployment)
 	c.election = election.New(settings.Name, c.leaderLeaseDuration(), electionStore{c.store}, electionHost{c}, log)
-	c.initFrontEnd()
+	c.jobCache = jobcache.New(c.jobCacheCapacity())
+	c.frontEnd = frontend.New(frontEndHost{c}, c.store, c.jobCache, &settings.Deployment, incarnation)
 	return c
 }
 
@@ -130,8 +133,7 @@
 func (c *Core) onTick() {
 	c.election.Tick()
 	c.tickMachineTypes()
-	c.tickPreload()
-	c.tickFrontEnd()
+	c.frontEnd.Tick()
 	c.expireForwards()
 	if c.now >= c.digestDueAt {
 		c.digestDueAt = c.now + c.leaderLeaseDuration()/4
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -6,6 +6,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/depgraph"
+	"github.com/brookwalk/brookwalk/internal/core/frontend"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -85,22 +86,22 @@
 	if _, ok := l.lookups.dueAt[id]; ok || !l.dependencies.Needed(id) {
 		return
 	}
-	if l.lookups.running >= l.core.maxWaitingRequests()/8 {
+	if l.lookups.running >= l.core.frontEnd.MaxWaiting()/8 {
 		l.lookups.dueAt[id] = l.core.now // users' questions go the same way
 		return
 	}
 	l.lookups.running++
 	l.lookups.dueAt[id] = math.MaxInt64
-	l.core.lookupJob(id, func(result lookupResult) {
+	l.core.frontEnd.Lookup(id, func(result frontend.LookupResult) {
 		l.lookups.running--
 		switch {
 		case l.steppedDown:
-		case result.final != nil:
+		case result.Final != nil:
 			delete(l.lookups.dueAt, id)
-			l.dependencyEnded(id, result.final.Status)
-		case result.open != nil:
+			l.dependencyEnded(id, result.Final.Status)
+		case result.Open != nil:
 			delete(l.lookups.dueAt, id)
-			l.applyOpenRecord(id, result.open.version, result.open.record)
+			l.applyOpenRecord(id, result.Open.Version, result.Open.Record)
 		default:
 			l.lookups.dueAt[id] = l.core.now + l.core.leaderLeaseDuration()/8
 		}
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -9,6 +9,7 @@
 	stdjson "encoding/json"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/dependencylist"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
@@ -90,7 +91,7 @@
 	}
 	var got []string
 	for _, key := range ref.Keys() {
-		var record listRecord
+		var record dependencylist.Record
 		if err := stdjson.Unmarshal(b.store[key].Value, &record); err != nil {
 			t.Fatal(err)
 		}
@@ -206,7 +207,7 @@
 	for _, name := range names[1:] {
 		b.recordEnd(name, wire.StatusDone)
 	}
-	clear(b.core.users.openJobs)
+	b.core.jobCache.ForgetAllOpen()
 	l := leadWithRecords(b)
 	b.run(10 * time.Second)
 	j := l.Jobs[id]
@@ -290,7 +291,7 @@
 	id, _ := submitLongList(t, b)
 	accepted := len(b.listKeys())
 	record := func(key string, age time.Duration) {
-		b.write(key, "", kv.Encode(listRecord{At: b.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
+		b.write(key, "", kv.Encode(dependencylist.Record{StartedAtMS: b.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
 	}
 	old := time.Duration(0)
 	for _, key := range []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/10", "a/job-7/x-1/2", "a/job-7/x-1/3", "a/job-7/x-1/4", "a/job-7/x-1/5"} {
@@ -310,14 +311,47 @@
 	if !slices.Equal(left, []string{"a/job-7/x-2/0"}) || len(b.listKeys()) != accepted+1 {
 		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(b.listKeys())-len(left), accepted)
 	}
-	w := listWriter{ref: records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 12}, records: make([]listRecord, 12), written: 11, version: first}
-	late, _ := w.nextTxn(5)
-	if status, _ := b.commit(kv.Encode(late)); status != 409 {
+	list := dependencylist.NewWriter("job-7", "x-1", make([]dependencylist.Record, 12))
+	list.Committed(list.NextTxn(11), first)
+	if status, _ := b.commit(kv.Encode(list.NextTxn(5))); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
 	}
-	s := &pendingSubmission{record: records.Open{Job: wire.Job{ID: "job-7"}}, listWriter: &w}
-	p, _ := b.core.prepareSubmission(s)
-	if status, _ := b.commit(kv.Encode(wire.Txn{Conditions: p.conditions, Writes: p.writes})); status != 409 {
+}
+
+// TestLateAcceptanceOfAbandonedList delays the transaction that accepts a job until its list
+// is deleted as abandoned: it is not carried out then, or the job would lack its list.
+func TestLateAcceptanceOfAbandonedList(t *testing.T) {
+	b := newHarness(t, testMachineTypes)
+	smallLimits(b.core.settings)
+	names := openJobs(b, longListLength)
+	var acceptance []byte
+	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+		for _, w := range txn.Writes {
+			if w.Put == records.OpenKey(jobID(9)) {
+				acceptance = kv.Encode(txn)
+				return 503
+			}
+		}
+		return carryOut()
+	}
+	for range 20 {
+		if a := b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 503 {
+			t.Fatalf("answered %d %s", a.Status, a.Body)
+		}
+		if acceptance != nil {
+			break
+		}
+		b.run(time.Second)
+	}
+	if acceptance == nil || len(b.listKeys()) == 0 {
+		t.Fatal("no acceptance with a list was sent")
+	}
+	leadWithRecords(b)
+	b.run(b.core.listCleanupInterval() + b.core.abandonedListAge())
+	if left := b.listKeys(); len(left) != 0 {
+		t.Fatalf("left: %q", left)
+	}
+	if status, _ := b.commit(acceptance); status != 409 {
 		t.Errorf("a late acceptance is answered %d, want 409", status)
 	}
 }
@@ -331,14 +365,14 @@
 	accepted, begun := "a/job-7/x-1/", "a/job-8/y-1/"
 	for _, prefix := range []string{accepted, begun} {
 		for _, n := range []string{"0", "1"} {
-			b.write(prefix+n, "", kv.Encode(listRecord{Names: []string{jobID(1000)}}))
+			b.write(prefix+n, "", kv.Encode(dependencylist.Record{Names: []string{jobID(1000)}}))
 		}
 	}
 	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
 	l.loader.RetryWith(func() {
-		l.deleteAbandonedLists([]listAttempt{
-			{ref: records.DependencyListRef{Prefix: accepted}, job: "job-7", version: b.store[accepted+"0"].Version, keys: []string{accepted + "0", accepted + "1"}},
-			{ref: records.DependencyListRef{Prefix: begun}, job: "job-8", keys: []string{begun + "1"}},
+		l.deleteAbandonedLists([]dependencylist.Attempt{
+			{Ref: records.DependencyListRef{Prefix: accepted}, Job: "job-7", FirstVersion: b.store[accepted+"0"].Version, Keys: []string{accepted + "0", accepted + "1"}},
+			{Ref: records.DependencyListRef{Prefix: begun}, Job: "job-8", Keys: []string{begun + "1"}},
 		})
 	})
 	b.run(time.Second)
@@ -353,9 +387,9 @@
 	b := newHarness(t, testMachineTypes)
 	names := openJobs(b, longListLength)
 	b.core.settings.Deployment.MachineLimits.MaxConnections = 40
-	clear(b.core.users.openJobs)
+	b.core.jobCache.ForgetAllOpen()
 	longest := 0
-	b.afterStep = func() { longest = max(longest, len(b.core.users.lookupOrder)) }
+	b.afterStep = func() { longest = max(longest, b.core.frontEnd.WaitingLookups()) }
 	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
@@ -363,23 +397,3 @@
 		t.Errorf("%d questions at a time", longest)
 	}
 }
-
-// TestSplitList keeps every record within its limit and every name in order.
-func TestSplitList(t *testing.T) {
-	var names []string
-	for n := range 3000 {
-		names = append(names, "job-"+strings.Repeat("7", 1+n%40))
-	}
-	for _, limit := range []int{300, 1848, 16184} {
-		var got []string
-		for _, record := range splitList(names, 1_700_000_000_000, limit) {
-			if size := len(kv.Encode(record)); size > limit || len(record.Names) == 0 {
-				t.Errorf("limit %d: a record of %d bytes with %d names", limit, size, len(record.Names))
-			}
-			got = append(got, record.Names...)
-		}
-		if !slices.Equal(got, names) {
-			t.Errorf("limit %d: %d names, want %d", limit, len(got), len(names))
-		}
-	}
-}
--- /dev/null
+++ b/internal/core/dependencylist/dependencylist_test.go
@@ -0,0 +1,110 @@
+package dependencylist
+
+import (
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// TestSplit keeps every record within its limit and every name in order.
+func TestSplit(t *testing.T) {
+	var names []string
+	for n := range 3000 {
+		names = append(names, "job-"+strings.Repeat("7", 1+n%40))
+	}
+	for _, limit := range []int{300, 1848, 16184} {
+		var got []string
+		for _, record := range Split(names, 1_700_000_000_000, limit) {
+			if size := len(kv.Encode(record)); size > limit || len(record.Names) == 0 {
+				t.Errorf("limit %d: a record of %d bytes with %d names", limit, size, len(record.Names))
+			}
+			got = append(got, record.Names...)
+		}
+		if !slices.Equal(got, names) {
+			t.Errorf("limit %d: %d names, want %d", limit, len(got), len(names))
+		}
+	}
+}
+
+// TestWriter writes a list in transactions of bounded size, each of them conditional on the
+// first record.
+func TestWriter(t *testing.T) {
+	const revision = 70
+	list := NewWriter("job-7", "x-1", make([]Record, 7))
+	var keys []string
+	for version := uint64(0); !list.Complete(); version = revision {
+		txn := list.NextTxn(3)
+		if want := (wire.Condition{Key: "a/job-7/x-1/0", Version: version}); len(txn.Conditions) != 1 || txn.Conditions[0] != want {
+			t.Errorf("conditions %+v, want %+v", txn.Conditions, want)
+		}
+		if len(txn.Writes) > 3 {
+			t.Errorf("%d writes", len(txn.Writes))
+		}
+		for _, write := range txn.Writes {
+			keys = append(keys, write.Put)
+		}
+		list.Committed(txn, revision+uint64(len(keys)-len(txn.Writes)))
+	}
+	if !slices.Equal(keys, list.Ref().Keys()) {
+		t.Errorf("wrote %q, want %q", keys, list.Ref().Keys())
+	}
+}
+
+// TestAttempts groups list records by the attempts that they belong to.
+func TestAttempts(t *testing.T) {
+	var found []Attempt
+	for n, item := range []wire.Item{
+		{Key: "a/job-7/x-1/0", Value: kv.Encode(Record{StartedAtMS: 5})},
+		{Key: "a/job-7/x-1/1", Value: kv.Encode(Record{StartedAtMS: 5})},
+		{Key: "a/job-7/x-2/3", Value: kv.Encode(Record{StartedAtMS: 6})}, // its first record is deleted
+		{Key: "a/other"},
+	} {
+		item.Version = uint64(n + 1)
+		found = AddItem(found, item)
+	}
+	if len(found) != 2 {
+		t.Fatalf("%d attempts: %+v", len(found), found)
+	}
+	first, second := found[0], found[1]
+	if first.Job != "job-7" || first.FirstVersion != 1 || first.StartedAtMS != 5 || len(first.Keys) != 2 {
+		t.Errorf("first: %+v", first)
+	}
+	if second.FirstVersion != 0 || !slices.Equal(second.Keys, []string{"a/job-7/x-2/3"}) {
+		t.Errorf("second: %+v", second)
+	}
+}
+
+// TestDeletion deletes an attempt in transactions of bounded size, the first record first.
+func TestDeletion(t *testing.T) {
+	leader := wire.Condition{Key: "term", Version: 9}
+	attempt := Attempt{Ref: records.DependencyListRef{Prefix: "a/job-7/x-1/"}, Job: "job-7", FirstVersion: 4,
+		Keys: []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/2"}}
+	for _, want := range []struct {
+		version uint64
+		deleted []string
+	}{
+		{4, []string{"a/job-7/x-1/0", "a/job-7/x-1/1"}},
+		{0, []string{"a/job-7/x-1/2"}},
+	} {
+		txn := attempt.DeletionTxn(leader, 2)
+		conditions := []wire.Condition{leader, {Key: "o/job-7"}, {Key: "a/job-7/x-1/0", Version: want.version}}
+		if !slices.Equal(txn.Conditions, conditions) {
+			t.Errorf("conditions %+v, want %+v", txn.Conditions, conditions)
+		}
+		var deleted []string
+		for _, write := range txn.Writes {
+			deleted = append(deleted, write.Delete)
+		}
+		if !slices.Equal(deleted, want.deleted) {
+			t.Errorf("deletes %q, want %q", deleted, want.deleted)
+		}
+		attempt.Deleted(txn)
+	}
+	if len(attempt.Keys) != 0 {
+		t.Errorf("left: %q", attempt.Keys)
+	}
+}
--- /dev/null
+++ b/internal/core/frontend/cancel.go
@@ -0,0 +1,236 @@
+package frontend
+
+import (
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/core/jobcache"
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/core/submission"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// This file alone decides when a user is told that a job is cancelled. The answer is a promise
+// that none of its tasks starts any more and that all of them are gone within cancel_s,
+// whatever fails meanwhile: the leader, the store, machines, or several of them. So it is given
+// only when it has come true already:
+//
+//   - the cancellation request is recorded in the job's open record. From then on no placement
+//     can be recorded, since each is conditional on that record;
+//   - the leader stops the tasks, wherever they are reachable, and counts each of them until it
+//     is certainly gone (termination.go in internal/core);
+//   - the user is told when the job's end is recorded, or, where the store fails the leader
+//     alone, when the leader says that no task is left and its term is confirmed to be still
+//     the latest.
+//
+// Until then the user is asked to come back, at once where tasks are unreachable. Users were
+// once told as soon as the request was recorded: with the store gone a moment later, a new
+// leader could not learn of the jobs, and their tasks ran on for longer than cancel_s.
+
+// UserRetryPeriod is for how long a user repeats a request, by the protocol.
+const UserRetryPeriod = 60 * time.Second
+
+// maxCancellationRetries is how often recording a cancellation is retried after conflicts.
+const maxCancellationRetries = 4
+
+// cancellationTimeout is how long a cancellation may take before its user is asked to come back:
+// a stop goes out at once, or else with the worker's next heartbeat.
+func (f *FrontEnd) cancellationTimeout() time.Duration { return f.heartbeatInterval() * 5 / 4 }
+
+// Cancel cancels a job for a user.
+func (f *FrontEnd) Cancel(request RequestID, job string) {
+	if !submission.ValidJobID(job) {
+		f.host.Refuse(request, NoSuchJob)
+		return
+	}
+	f.cancel(cancelRequest{id: request, job: job})
+}
+
+// cancelRequest is a user's request to cancel a job.
+type cancelRequest struct {
+	id      RequestID
+	job     string
+	retries int
+}
+
+// cancel records the request, and lets it wait until the job's tasks are gone.
+func (f *FrontEnd) cancel(request cancelRequest) {
+	f.Lookup(request.job, func(result LookupResult) {
+		switch {
+		case result.Failed || request.retries > maxCancellationRetries:
+			f.host.Refuse(request.id, storeUnavailable)
+		case !result.found():
+			f.host.Refuse(request.id, NoSuchJob)
+		case result.Final != nil || result.Open.Record.Acknowledged():
+			f.host.Answer(request.id, httpstatus.OK, f.status(request.job, result))
+		case result.Open.Record.Cancelled:
+			f.awaitTermination(request, result.Open)
+		default:
+			f.recordCancellation(request, result.Open)
+		}
+	})
+}
+
+// recordCancellation records that a user wants a job cancelled. If the store no longer accepts
+// the job's whole description, it records the request with a reduced one.
+func (f *FrontEnd) recordCancellation(request cancelRequest, open *jobcache.OpenJob) {
+	record := f.cancelledRecord(open.Record)
+	if len(kv.Encode(record)) > f.store.MaxValue() {
+		f.recordReducedCancellation(request, open)
+		return
+	}
+	f.writeOpen(request.job, open.Version, record, nil, func(written *jobcache.OpenJob, status kv.Status) {
+		if written == nil && status == kv.Rejected {
+			f.recordReducedCancellation(request, open)
+			return
+		}
+		f.cancellationWritten(request, written, status)
+	})
+}
+
+// recordReducedCancellation is recordCancellation without the parts of the description that only
+// matter to a job that is to run.
+func (f *FrontEnd) recordReducedCancellation(request cancelRequest, open *jobcache.OpenJob) {
+	record := f.cancelledRecord(open.Record).Reduced()
+	f.writeOpen(request.job, open.Version, record, nil, func(written *jobcache.OpenJob, status kv.Status) {
+		f.cancellationWritten(request, written, status)
+	})
+}
+
+// cancelledRecord is an open record with the request to cancel the job now.
+func (f *FrontEnd) cancelledRecord(record records.Open) records.Open {
+	record.Cancelled, record.CancelRequestedAt = true, f.host.WallClockMS()
+	record.HasDependents = record.HasDependents || mayBeUnmarked(record)
+	return record
+}
+
+// cancellationWritten goes on with a request to cancel a job after an attempt to record it.
+func (f *FrontEnd) cancellationWritten(request cancelRequest, written *jobcache.OpenJob, status kv.Status) {
+	switch {
+	case written != nil:
+		f.awaitTermination(request, written)
+	case status == kv.Conflict:
+		request.retries++
+		f.cancel(request)
+	default:
+		f.host.Refuse(request.id, storeUnavailable)
+	}
+}
+
+// writeOpen replaces a job's open record if it has a version and further conditions hold. done
+// gets the job as it is known then, or nil and the reason.
+func (f *FrontEnd) writeOpen(job string, version uint64, record records.Open, conditions []wire.Condition,
+	done func(written *jobcache.OpenJob, status kv.Status)) {
+	txn := &wire.Txn{
+		Conditions: append([]wire.Condition{{Key: records.OpenKey(job), Version: version}}, conditions...),
+		Writes:     []wire.Write{{Put: records.OpenKey(job), Value: kv.Encode(record)}},
+	}
+	f.store.CommitUrgent(txn, func(r kv.TxnResult) {
+		if !r.Committed() {
+			if r.Status == kv.Conflict {
+				f.cache.ForgetOpen(job)
+			}
+			done(nil, r.Status)
+			return
+		}
+		written := &jobcache.OpenJob{Version: r.Revision, Record: record}
+		f.cache.PutOpen(job, written)
+		done(written, r.Status)
+	})
+}
+
+// awaitTermination lets a request wait for the end of a job whose cancellation is recorded.
+func (f *FrontEnd) awaitTermination(request cancelRequest, open *jobcache.OpenJob) {
+	if final, ended := f.cache.Final(request.job); ended {
+		f.host.Answer(request.id, httpstatus.OK, final.JobStatus(request.job))
+		return
+	}
+	f.cancellations.Add(request.job, open.Version, request.id, f.host.Now())
+	if delayed := f.host.StopTasks(request.job, open); delayed {
+		f.dismissCancellation(request.job)
+	}
+}
+
+// dismissCancellation asks those who wait for a job's cancellation to come back.
+func (f *FrontEnd) dismissCancellation(job string) { f.refuseStopping(f.cancellations.Dismiss(job)) }
+
+// refuseStopping asks users to come back, since tasks of their jobs are being stopped.
+func (f *FrontEnd) refuseStopping(requests []RequestID) {
+	for _, request := range requests {
+		f.host.Refuse(request, tasksStillStopping)
+	}
+}
+
+// answerEnded tells users that their job has ended.
+func (f *FrontEnd) answerEnded(requests []RequestID, status wire.JobStatus) {
+	for _, request := range requests {
+		f.host.Answer(request, httpstatus.OK, status)
+	}
+}
+
+// JobEnded records that a job's final record is written.
+func (f *FrontEnd) JobEnded(end wire.JobEnd) {
+	final := records.Final{Status: wire.JobState(end.Status), Tasks: end.Tasks}
+	f.cache.PutFinal(end.ID, final)
+	f.answerEnded(f.cancellations.End(end.ID), final.JobStatus(end.ID))
+}
+
+// HandleEnds handles what the leader, another controller, says of cancelled jobs.
+func (f *FrontEnd) HandleEnds(ends *wire.Ends) {
+	for _, end := range ends.Over {
+		f.JobEnded(end)
+	}
+	for _, job := range ends.Held {
+		f.dismissCancellation(job)
+	}
+	for _, job := range ends.Gone {
+		f.confirmTermination(job, ends.TermVersion)
+	}
+}
+
+// Cancellations lists the recorded cancellations whose users are not answered, in the order of
+// jobs.
+func (f *FrontEnd) Cancellations() []wire.Cancelled {
+	var cancelled []wire.Cancelled
+	for _, job := range f.cancellations.Jobs() {
+		cancelled = append(cancelled, wire.Cancelled{ID: job, Version: f.cancellations.Version(job)})
+	}
+	return cancelled
+}
+
+// confirmTermination records that a job's user is told, if the leader who says that no task is
+// left is still the latest one: a later one may have started some before the request was
+// recorded.
+func (f *FrontEnd) confirmTermination(job string, termVersion uint64) {
+	if !f.cancellations.NeedsConfirmation(job) {
+		return
+	}
+	open := f.cache.Open(job)
+	if open == nil || open.Version != f.cancellations.Version(job) || open.Record.HasDependents {
+		// Of a job with dependents, what the leader says does not suffice: while it cannot
+		// read, there may be more dependents.
+		f.dismissCancellation(job)
+		return
+	}
+	confirmation := f.cancellations.Confirm(job)
+	termUnchanged := []wire.Condition{{Key: election.KeyTerm, Version: termVersion}}
+	f.writeOpen(job, open.Version, f.acknowledgedRecord(open.Record), termUnchanged, func(written *jobcache.OpenJob, _ kv.Status) {
+		requests := f.cancellations.Settle(confirmation, written != nil)
+		if written == nil {
+			f.refuseStopping(requests)
+			return
+		}
+		f.answerEnded(requests, wire.JobStatus{ID: job, Status: wire.StatusCancelled})
+	})
+}
+
+// acknowledgedRecord is the open record of a cancelled job whose user is told now.
+func (f *FrontEnd) acknowledgedRecord(record records.Open) records.Open {
+	record.CancelAcknowledgedAt = f.host.WallClockMS()
+	if len(kv.Encode(record)) > f.store.MaxValue() {
+		return record.Reduced()
+	}
+	return record
+}
--- /dev/null
+++ b/internal/core/frontend/dependencies.go
@@ -0,0 +1,303 @@
+package frontend
+
+import (
+	"errors"
+	"maps"
+	"slices"
+
+	"github.com/brookwalk/brookwalk/internal/core/jobcache"
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/internal/core/submission"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// A submission with dependencies is accepted by one transaction on the condition that those
+// which have not ended are as they were read: so of a cancellation and a dependent that is
+// accepted meanwhile, one sees the other. The transaction marks them as having dependents,
+// which keeps a cancellation from being answered by a leader that cannot read new dependents.
+// A record that the store no longer accepts is left unmarked: its cancellation is recorded as
+// that of a job with dependents, see recordCancellation. Only what has not ended goes on
+// record, for an end never reverts; of a list that is longer than a transaction's conditions
+// the rest has been read before, and the leader reads it again. A list that does not fit into
+// the open record goes into records of its own first, see package dependencylist.
+
+// A dependencyError is a dependency that no job can have.
+type dependencyError struct {
+	job     string
+	problem string
+}
+
+func (e *dependencyError) Error() string { return "it awaits " + e.job + ", " + e.problem }
+
+// The problems of dependencies. The texts are part of an answer and never change.
+const (
+	problemNeverAccepted = "which was never accepted"
+	problemService       = "a service"
+)
+
+// errEvicted: a dependency was looked up, but is not remembered any more.
+var errEvicted = errors.New("dependency evicted from the cache")
+
+// prepare makes the conditions and writes of a submission; not ok if its dependencies have to be
+// resolved again.
+func (f *FrontEnd) prepare(s *pendingSubmission) (txn submissionTxn, ok bool) {
+	job := s.record.Job.ID
+	txn.conditions = []wire.Condition{{Key: records.OpenKey(job)}, {Key: records.FinalKey(job)}}
+	txn.marked = map[string]records.Open{}
+	if s.cancelled {
+		txn.put(records.FinalKey(job), kv.Encode(s.finalRecord()))
+		return txn, true
+	}
+	if s.list != nil {
+		txn.conditions = append(txn.conditions, s.list.FirstUnchanged())
+	}
+	for _, dependency := range s.unfinished {
+		if !f.prepareDependency(&txn, dependency) {
+			return txn, false
+		}
+	}
+	txn.put(records.OpenKey(job), kv.Encode(s.record))
+	return txn, len(txn.writes) <= f.store.MaxWrites()
+}
+
+// prepareDependency adds the condition that a dependency is as it is known, and its mark. It
+// reports whether the dependency is still known not to have ended.
+func (f *FrontEnd) prepareDependency(txn *submissionTxn, dependency string) bool {
+	open := f.cache.Open(dependency)
+	if _, ended := f.cache.Final(dependency); ended || open == nil || open.Record.Cancelled {
+		return false
+	}
+	if len(txn.conditions) < f.store.MaxConditions() {
+		txn.conditions = append(txn.conditions, wire.Condition{Key: records.OpenKey(dependency), Version: open.Version})
+	}
+	if f.canMark(open) {
+		txn.marked[dependency] = withDependents(open.Record)
+		txn.put(records.OpenKey(dependency), kv.Encode(txn.marked[dependency]))
+	}
+	return true
+}
+
+// withDependents is an open record with the mark that the job has dependents.
+func withDependents(record records.Open) records.Open {
+	record.HasDependents = true
+	return record
+}
+
+// canMark reports whether a job has yet to be marked as having dependents, and the store still
+// accepts a record of that size.
+func (f *FrontEnd) canMark(open *jobcache.OpenJob) bool {
+	if open.Record.HasDependents || open.TooLargeToWrite {
+		return false
+	}
+	return len(kv.Encode(withDependents(open.Record))) <= f.store.MaxValue()
+}
+
+// canRetryMarking records that the store rejected a transaction with marks, and reports whether
+// smaller transactions may do, or one with fewer marks.
+func (f *FrontEnd) canRetryMarking(writes int, marks map[string]records.Open) bool {
+	smaller := f.host.RejectedWrites(writes)
+	fewer := f.leaveLargeUnmarked(marks)
+	return smaller || fewer
+}
+
+// leaveLargeUnmarked takes the large ones among rejected marks for the cause of the rejection,
+// and reports whether there are any.
+func (f *FrontEnd) leaveLargeUnmarked(marks map[string]records.Open) bool {
+	found := false
+	for job, record := range marks {
+		if open := f.cache.Open(job); open != nil && mayBeUnmarked(record) {
+			open.TooLargeToWrite = true
+			found = true
+		}
+	}
+	return found
+}
+
+// mayBeUnmarked reports whether an open record is so large that the store may have rejected its
+// mark.
+func mayBeUnmarked(record records.Open) bool { return len(kv.Encode(record)) > kv.SmallValue }
+
+// cacheMarked remembers jobs that were marked.
+func (f *FrontEnd) cacheMarked(marks map[string]records.Open, revision uint64) {
+	for _, job := range sortedKeys(marks) {
+		f.cache.PutOpen(job, &jobcache.OpenJob{Version: revision, Record: marks[job]})
+	}
+}
+
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+
+// resolveDependencies looks up the dependencies of a submission that are not known, and enqueues
+// the submission if they allow it.
+func (f *FrontEnd) resolveDependencies(s *pendingSubmission) {
+	if f.host.Now() >= s.expiresAt {
+		f.host.Refuse(s.request, overloaded)
+		return
+	}
+	unknown := f.unknownJobs(s.dependencies)
+	if len(unknown) == 0 {
+		f.enqueueResolved(s)
+		return
+	}
+	// A long list leaves room for other lookups. What is found is remembered, so that the next
+	// round, or the user's next try, looks up the rest.
+	unknown = unknown[:min(len(unknown), f.MaxWaiting()/4)]
+	round := &dependencyLookups{remaining: len(unknown)}
+	for _, job := range unknown {
+		f.Lookup(job, func(result LookupResult) {
+			if round.add(job, result) {
+				f.finishLookups(s, round)
+			}
+		})
+	}
+}
+
+// unknownJobs returns those of the jobs of which nothing is remembered.
+func (f *FrontEnd) unknownJobs(jobs []string) []string {
+	var unknown []string
+	for _, job := range jobs {
+		if _, ended := f.cache.Final(job); !ended && f.cache.Open(job) == nil {
+			unknown = append(unknown, job)
+		}
+	}
+	return unknown
+}
+
+// dependencyLookups are the lookups of some dependencies of one submission.
+type dependencyLookups struct {
+	remaining     int
+	failed        bool
+	neverAccepted string // the last job that does not exist; empty for none
+}
+
+// add adds a result, and reports whether it was the last one.
+func (l *dependencyLookups) add(job string, result LookupResult) bool {
+	switch {
+	case result.Failed:
+		l.failed = true
+	case !result.found():
+		l.neverAccepted = job
+	}
+	l.remaining--
+	return l.remaining == 0
+}
+
+// finishLookups goes on with a submission some of whose dependencies were looked up.
+func (f *FrontEnd) finishLookups(s *pendingSubmission, round *dependencyLookups) {
+	switch {
+	case round.neverAccepted != "":
+		f.host.Refuse(s.request, infeasible(&dependencyError{round.neverAccepted, problemNeverAccepted}))
+	case round.failed:
+		f.host.Refuse(s.request, storeUnavailable)
+	default:
+		f.resolveDependencies(s)
+	}
+}
+
+// enqueueResolved records a submission all of whose dependencies are known.
+func (f *FrontEnd) enqueueResolved(s *pendingSubmission) {
+	unmarked, err := f.classifyDependencies(s)
+	switch {
+	case errors.Is(err, errEvicted):
+		f.host.Refuse(s.request, overloaded)
+		return
+	case err != nil:
+		f.host.Refuse(s.request, infeasible(err))
+		return
+	}
+	maxWrites := f.store.MaxWrites()
+	switch {
+	case s.cancelled:
+	case len(unmarked) >= maxWrites:
+		// More than go into one transaction beside the job itself.
+		f.markDependencies(s, unmarked[:maxWrites])
+		return
+	case !f.recordDependencies(s):
+		return
+	}
+	f.queue = append(f.queue, s)
+	f.startSubmissionBatch()
+}
+
+// classifyDependencies sets which dependencies of a submission are unfinished and whether one is
+// cancelled, and returns those that have to be marked. The error is a dependencyError or
+// errEvicted.
+func (f *FrontEnd) classifyDependencies(s *pendingSubmission) (unmarked []string, err error) {
+	s.unfinished, s.cancelled = nil, false
+	for _, job := range s.dependencies {
+		if final, ended := f.cache.Final(job); ended {
+			s.cancelled = s.cancelled || final.Status != wire.StatusDone
+			continue
+		}
+		open := f.cache.Open(job)
+		switch {
+		case open == nil:
+			return nil, errEvicted
+		case open.Record.Job.Shape == wire.ShapeService:
+			return nil, &dependencyError{job, problemService}
+		case open.Record.Cancelled:
+			s.cancelled = true
+		default:
+			s.unfinished = append(s.unfinished, job)
+			if f.canMark(open) {
+				unmarked = append(unmarked, job)
+			}
+		}
+	}
+	return unmarked, nil
+}
+
+// recordDependencies puts the unfinished dependencies of a submission into its record: the names,
+// or a reference to the list that holds them. If the list has to be written first, or cannot be,
+// it returns false, and the submission goes on later or is refused.
+func (f *FrontEnd) recordDependencies(s *pendingSubmission) bool {
+	s.record.Job.Dependencies = s.unfinished
+	if submission.FitsRecord(s.record, f.maxNewRecord()) {
+		s.list = nil
+		return true
+	}
+	switch {
+	case s.list != nil && s.list.Complete():
+		// It may name jobs that have ended meanwhile, but lacks none.
+		s.record.Job.Dependencies = []string{s.list.Ref().String()}
+		return true
+	case !f.host.AllPeersSupport(wire.PeerVersionLists):
+		f.host.Refuse(s.request, listsNotSupported)
+		return false
+	}
+	f.writeList(s)
+	return false
+}
+
+// markDependencies marks some of the dependencies of a submission, and then resolves them again.
+func (f *FrontEnd) markDependencies(s *pendingSubmission, jobs []string) {
+	txn := &wire.Txn{}
+	marks := map[string]records.Open{}
+	for _, job := range jobs {
+		open := f.cache.Open(job)
+		marks[job] = withDependents(open.Record)
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: records.OpenKey(job), Version: open.Version})
+		txn.Writes = append(txn.Writes, wire.Write{Put: records.OpenKey(job), Value: kv.Encode(marks[job])})
+	}
+	f.store.Commit(txn, func(r kv.TxnResult) {
+		switch r.Status {
+		case kv.OK:
+			for _, job := range jobs {
+				f.cache.PutOpen(job, &jobcache.OpenJob{Version: r.Revision, Record: marks[job]})
+			}
+		case kv.Conflict, kv.Unanswered:
+			for _, job := range jobs {
+				f.cache.ForgetOpen(job)
+			}
+		case kv.Rejected:
+			if !f.canRetryMarking(len(txn.Writes), marks) {
+				f.host.Refuse(s.request, storeUnavailable)
+				return
+			}
+		default:
+			f.host.Refuse(s.request, storeUnavailable)
+			return
+		}
+		f.resolveDependencies(s)
+	})
+}
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -143,7 +143,7 @@
 	for id := range c.forwardedHeartbeats {
 		ids = append(ids, id)
 	}
-	sortUint64(ids)
+	slices.Sort(ids)
 	return ids
 }
 
@@ -179,7 +179,7 @@
 	case m.Reply != nil:
 		c.onForwardReply(m.From, m.Reply)
 	case m.Ends != nil:
-		c.onEnds(m.Ends)
+		c.frontEnd.HandleEnds(m.Ends)
 	case m.Digest != nil:
 		c.onDigest(m.From, p, m.Digest)
 	case m.Region != nil && c.leader != nil:
@@ -247,9 +247,7 @@
 // sendDigests tells the other controllers of this one.
 func (c *Core) sendDigests() {
 	digest := wire.Digest{Version: wire.PeerVersion, Term: c.election.Term(), StoreOK: c.store.Available(), HearsLeader: c.hearsLeader(), Boot: c.incarnation, Clock: int64(c.now), Kept: c.extensions.list(c.now)}
-	for _, id := range c.users.cancellations.Jobs() {
-		digest.Cancelled = append(digest.Cancelled, wire.Cancelled{ID: id, Version: c.users.cancellations.Version(id)})
-	}
+	digest.Cancelled = c.frontEnd.Cancellations()
 	if c.leader != nil {
 		digest.Leader, digest.FetchesQueue = true, c.leader.pullStatistics.isSequential()
 		if c.now >= c.jobCountsDueAt {
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/jobcache"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -41,7 +42,7 @@
 
 // JobEnded is told that a job's end is on record.
 func (h persistenceHost) JobEnded(job *cluster.Job, end wire.JobEnd) {
-	h.leader.core.applyEnd(end)
+	h.leader.core.frontEnd.JobEnded(end)
 	h.leader.forget(job)
 	h.leader.dependencyEnded(job.ID, wire.JobState(end.Status))
 }
@@ -60,7 +61,7 @@
 
 // OpenRecordWritten is told that the leader has changed a job's open record.
 func (h persistenceHost) OpenRecordWritten(job *cluster.Job, record records.Open, version uint64) {
-	h.leader.core.cacheOpen(job.ID, &cachedJob{version: version, record: record})
+	h.leader.core.jobCache.PutOpen(job.ID, &jobcache.OpenJob{Version: version, Record: record})
 }
 
 // DependenciesMayBeReady is told that a job's open record has changed.
@@ -117,7 +118,7 @@
 func (l *leader) applyOpenRecord(id string, version uint64, record records.Open) {
 	job := l.Jobs[id]
 	if job == nil {
-		if final, ok := l.core.users.finalRecords[id]; ok && final.Status != "" {
+		if final, ok := l.core.jobCache.Final(id); ok && final.Status != "" {
 			return // an old event of a job that is over
 		}
 		job = l.addJob(id, version, record)
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -84,9 +84,9 @@
 				}
 				rec.Cancelled, rec.CancelRequestedAt = true, 1
 				b.write(records.OpenKey(asked), "", kv.Encode(rec))
-				delete(b.core.users.openJobs, asked)
+				b.core.jobCache.ForgetOpen(asked)
 				if !known {
-					clear(b.core.users.openJobs) // accepted by another controller
+					b.core.jobCache.ForgetAllOpen() // accepted by another controller
 				}
 				a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits))
 				if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
@@ -126,7 +126,7 @@
 		}
 		names = append(names, `"`+jobID(n)+`"`)
 	}
-	clear(b.core.users.openJobs)
+	b.core.jobCache.ForgetAllOpen()
 	if a := b.request("POST", "/submissions", submissionAwaiting(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
@@ -148,7 +148,7 @@
 	json.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
 	rec.Cancelled, rec.CancelRequestedAt = true, 1
 	b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec)) // by another controller
-	if b.core.users.openJobs[jobID(1)].record.Cancelled {
+	if b.core.jobCache.Open(jobID(1)).Record.Cancelled {
 		t.Fatal("known already")
 	}
 	a := b.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -439,7 +439,8 @@
 		if len(it.Value) > 16<<10 {
 			t.Fatalf("a record of %d bytes", len(it.Value))
 		}
-		if j := rec.Job; j.Tasks < 1 || j.Tasks > maxTasks || !amountInRange(j.CPUs) || !amountInRange(j.GPUs) || !amountInRange(j.MemGB) || !amountInRange(j.ImageGB) ||
+		amountInRange := func(amount float64) bool { return amount >= 0 && amount <= 1e9 }
+		if j := rec.Job; j.Tasks < 1 || j.Tasks > 100000 || !amountInRange(j.CPUs) || !amountInRange(j.GPUs) || !amountInRange(j.MemGB) || !amountInRange(j.ImageGB) ||
 			!amountInRange(j.EstimatedRunS) || !amountInRange(j.CheckpointIntervalS) || !amountInRange(j.CheckpointDurationS) || j.DeadlineS != nil && !amountInRange(*j.DeadlineS) {
 			t.Fatalf("recorded %s", it.Value)
 		}
--- a/internal/core/unreachable_test.go
+++ b/internal/core/unreachable_test.go
@@ -7,6 +7,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/frontend"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -22,7 +23,7 @@
 		l.place(j, 0, l.machineNamed("n-000001"))
 		j.TaskStates[0].Persisted, j.TaskStates[0].StartRetransmitted = true, true
 		l.markCancelled(j)
-		keep, last := userRetryPeriod*3/4, userRetryPeriod-2*l.core.heartbeatInterval()
+		keep, last := frontend.UserRetryPeriod*3/4, frontend.UserRetryPeriod-2*l.core.heartbeatInterval()
 		if told {
 			j.Cancellation.Acknowledge(b.now)
 			keep, last = l.core.cancelGracePeriod()/2, l.core.cancelGracePeriod()*3/4
@@ -53,7 +54,7 @@
 		m := l.machineNamed("n-000001")
 		l.place(j, 0, m)
 		l.markCancelled(j)
-		j.Cancellation.Request(b.core.now - userRetryPeriod)
+		j.Cancellation.Request(b.core.now - frontend.UserRetryPeriod)
 		if told {
 			j.Cancellation.Acknowledge(b.core.now - l.core.cancelGracePeriod())
 		}
