--- a/internal/core/cancellation/cancellation.go
+++ b/internal/core/cancellation/cancellation.go
@@ -1,153 +1,160 @@
-// Package cancellation keeps the requests of users who wait to be told that their job is
-// cancelled, from the moment at which the request is on record until the job's tasks are
-// known to be gone. It answers nobody itself: it says which requests are to be answered.
+// Package cancellation has the two halves of a cancellation.
+//
+// Registry keeps the requests of users who wait to be told that their job is cancelled, from
+// the moment at which the request is on record until the job's tasks are known to be gone. The
+// front end owns one. It answers nobody itself: it returns the requests that are to be
+// answered. Progress is how far the cancellation of one job has come for the leader, which
+// keeps one with each job.
+//
 // The package does no I/O and keeps no time.
 package cancellation
 
 import (
+	"maps"
 	"slices"
-	"sort"
 	"time"
 )
 
 // RequestID names a request that waits for its answer.
 type RequestID uint64
 
-// Registry are the cancellations that are on record while their users are not told.
+// Registry holds the cancellations that are on record while their users are not told.
 type Registry struct {
 	requestTimeout time.Duration
 	retention      time.Duration
-	pending        map[string]*pendingCancellation
+	pending        map[string]*pendingCancellation // by job
 }
 
 // pendingCancellation is the cancellation of one job.
 type pendingCancellation struct {
 	version         uint64        // of the open record with the request
 	lastRequestedAt time.Duration // when a user last asked
-	waiters         []waiter
-	confirming      bool
+	waiters         []waiter      // oldest first
+	confirming      bool          // a Confirmation is under way
 }
 
-// waiter is a request and until when it waits.
+// waiter is a request that waits.
 type waiter struct {
 	id        RequestID
 	expiresAt time.Duration
 }
 
-// New makes an empty set. A request waits for patience before its user is to be asked to
-// come back; a cancellation about which nobody asks is forgotten after memory.
+// New makes an empty registry. A request waits for requestTimeout before its user is to be
+// asked to come back; a cancellation about which nobody asks is forgotten after retention.
 func New(requestTimeout, retention time.Duration) *Registry {
 	return &Registry{requestTimeout: requestTimeout, retention: retention, pending: map[string]*pendingCancellation{}}
 }
 
-// Add has a request wait for the end of a job whose open record of that version holds the
-// request to cancel it.
-func (w *Registry) Add(job string, version uint64, id RequestID, now time.Duration) {
-	x := w.pending[job]
-	if x == nil {
-		x = &pendingCancellation{}
-		w.pending[job] = x
+// Add lets a request wait for the end of a job whose open record of that version has the request
+// to cancel it.
+func (r *Registry) Add(job string, version uint64, id RequestID, now time.Duration) {
+	pending := r.pending[job]
+	if pending == nil {
+		pending = &pendingCancellation{}
+		r.pending[job] = pending
 	}
-	x.version, x.lastRequestedAt = max(x.version, version), now
-	x.waiters = append(x.waiters, waiter{id, now + w.requestTimeout})
+	pending.version, pending.lastRequestedAt = max(pending.version, version), now
+	pending.waiters = append(pending.waiters, waiter{id: id, expiresAt: now + r.requestTimeout})
 }
 
-// Dismiss returns the requests about a job, which wait no longer: their users are to come
-// back. There are none while a confirmation is under way.
-func (w *Registry) Dismiss(job string) []RequestID {
-	x := w.pending[job]
-	if x == nil || x.confirming {
+// Dismiss removes and returns the requests about a job, whose users are to come back. There are
+// none while a confirmation is under way.
+func (r *Registry) Dismiss(job string) []RequestID {
+	pending := r.pending[job]
+	if pending == nil || pending.confirming {
 		return nil
 	}
-	ids := x.requestIDs()
-	x.waiters = nil
+	ids := pending.requestIDs()
+	pending.waiters = nil
 	return ids
 }
 
 // End forgets a job whose end is on record, and returns the requests that wait for it.
-func (w *Registry) End(job string) []RequestID {
-	x := w.pending[job]
-	if x == nil {
+func (r *Registry) End(job string) []RequestID {
+	pending := r.pending[job]
+	if pending == nil {
 		return nil
 	}
-	delete(w.pending, job)
-	return x.requestIDs()
+	delete(r.pending, job)
+	return pending.requestIDs()
 }
 
-// NeedsConfirmation tells whether somebody waits for a job whose end is not being confirmed yet.
-func (w *Registry) NeedsConfirmation(job string) bool {
-	x := w.pending[job]
-	return x != nil && !x.confirming && len(x.waiters) > 0
+// NeedsConfirmation reports whether a request waits for a job whose end is not being confirmed
+// yet.
+func (r *Registry) NeedsConfirmation(job string) bool {
+	pending := r.pending[job]
+	return pending != nil && !pending.confirming && len(pending.waiters) > 0
 }
 
-// Version is that of the open record with the request to cancel a job; 0 for a job that
-// nobody has asked about.
-func (w *Registry) Version(job string) uint64 {
-	if x := w.pending[job]; x != nil {
-		return x.version
+// Version is that of the open record with the request to cancel a job; 0 for a job about which
+// nobody has asked.
+func (r *Registry) Version(job string) uint64 {
+	if pending := r.pending[job]; pending != nil {
+		return pending.version
 	}
 	return 0
 }
 
-// Confirmation is the record of a job's users being told, while it is being written.
+// A Confirmation is under way while it is being recorded that a job's users are told.
 type Confirmation struct {
 	job     string
 	pending *pendingCancellation
 }
 
-// Confirm begins a confirmation for a job that is wanted. Its requests wait for the outcome.
-func (w *Registry) Confirm(job string) *Confirmation {
-	x := w.pending[job]
-	x.confirming = true
-	return &Confirmation{job, x}
+// Confirm begins a confirmation for a job that needs one. Its requests wait for the outcome.
+func (r *Registry) Confirm(job string) *Confirmation {
+	pending := r.pending[job]
+	pending.confirming = true
+	return &Confirmation{job: job, pending: pending}
 }
 
-// Settle ends a confirmation. If it succeeded, the job is forgotten and the requests that
-// are to be told so are returned, else those whose users are to come back. There are none
-// if the job's end came on record meanwhile.
-func (w *Registry) Settle(c *Confirmation, succeeded bool) []RequestID {
-	c.pending.confirming = false
-	if w.pending[c.job] != c.pending {
+// Settle ends a confirmation. If it succeeded, the job is forgotten and the requests whose users
+// are to be told are returned, otherwise those whose users are to come back. There are none if
+// the job's end came on record meanwhile.
+func (r *Registry) Settle(confirmation *Confirmation, succeeded bool) []RequestID {
+	confirmation.pending.confirming = false
+	if r.pending[confirmation.job] != confirmation.pending {
 		return nil
 	}
 	if succeeded {
-		return w.End(c.job)
+		return r.End(confirmation.job)
 	}
-	return w.Dismiss(c.job)
+	return r.Dismiss(confirmation.job)
 }
 
-// Expire returns the requests whose wait is over, by job, and forgets the cancellations
-// about which nobody has asked for long.
-func (w *Registry) Expire(now time.Duration) []RequestID {
+// Expire removes and returns the requests that have waited too long, by job, and forgets the
+// cancellations about which nobody has asked for long.
+func (r *Registry) Expire(now time.Duration) []RequestID {
 	var expired []RequestID
-	for _, job := range w.Jobs() {
-		x := w.pending[job]
-		for len(x.waiters) > 0 && now >= x.waiters[0].expiresAt && !x.confirming {
-			expired = append(expired, x.waiters[0].id)
-			x.waiters = x.waiters[1:]
-		}
-		if len(x.waiters) == 0 && now-x.lastRequestedAt > w.retention {
-			delete(w.pending, job)
+	for _, job := range r.Jobs() {
+		pending := r.pending[job]
+		expired = append(expired, pending.expire(now)...)
+		if len(pending.waiters) == 0 && now-pending.lastRequestedAt > r.retention {
+			delete(r.pending, job)
 		}
 	}
 	return expired
 }
 
 // Jobs lists the jobs whose cancellation is remembered, by name.
-func (w *Registry) Jobs() []string {
-	jobs := make([]string, 0, len(w.pending))
-	for job := range w.pending {
-		jobs = append(jobs, job)
+func (r *Registry) Jobs() []string { return slices.Sorted(maps.Keys(r.pending)) }
+
+// expire removes and returns the requests that have waited too long; none while a confirmation
+// is under way.
+func (p *pendingCancellation) expire(now time.Duration) []RequestID {
+	var expired []RequestID
+	for len(p.waiters) > 0 && now >= p.waiters[0].expiresAt && !p.confirming {
+		expired = append(expired, p.waiters[0].id)
+		p.waiters = p.waiters[1:]
 	}
-	sort.Strings(jobs)
-	return jobs
+	return expired
 }
 
-// requestIDs lists the requests in the order in which they came.
-func (x *pendingCancellation) requestIDs() []RequestID {
-	ids := make([]RequestID, 0, len(x.waiters))
-	for _, r := range x.waiters {
-		ids = append(ids, r.id)
+// requestIDs lists the requests, oldest first.
+func (p *pendingCancellation) requestIDs() []RequestID {
+	ids := make([]RequestID, 0, len(p.waiters))
+	for _, w := range p.waiters {
+		ids = append(ids, w.id)
 	}
-	return slices.Clip(ids)
+	return ids
 }
--- a/internal/core/cancellation/cancellation_test.go
+++ b/internal/core/cancellation/cancellation_test.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	patience = 2 * time.Second
-	memory   = 30 * time.Second
+	requestTimeout = 2 * time.Second
+	retention      = 30 * time.Second
 )
 
-// waitingFor is a set in which two requests wait for a job, a second apart.
+// waitingFor is a registry in which two requests wait for a job, a second apart.
 func waitingFor(job string) *Registry {
-	w := New(patience, memory)
-	w.Add(job, 7, 1, 10*time.Second)
-	w.Add(job, 5, 2, 11*time.Second)
-	return w
+	r := New(requestTimeout, retention)
+	r.Add(job, 7, 1, 10*time.Second)
+	r.Add(job, 5, 2, 11*time.Second)
+	return r
 }
 
 func expect(t *testing.T, what string, got []RequestID, want ...RequestID) {
@@ -27,44 +27,44 @@
 }
 
 func TestEndAnswersEachRequestOnce(t *testing.T) {
-	w := waitingFor("a")
-	w.Add("b", 1, 3, 10*time.Second)
-	if v := w.Version("a"); v != 7 {
+	r := waitingFor("a")
+	r.Add("b", 1, 3, 10*time.Second)
+	if v := r.Version("a"); v != 7 {
 		t.Errorf("version %d, want the highest", v)
 	}
-	expect(t, "end", w.End("a"), 1, 2)
-	expect(t, "second end", w.End("a"))
-	expect(t, "end of a job that nobody asked about", w.End("c"))
-	if jobs := w.Jobs(); !slices.Equal(jobs, []string{"b"}) || w.Version("a") != 0 {
+	expect(t, "end", r.End("a"), 1, 2)
+	expect(t, "second end", r.End("a"))
+	expect(t, "end of a job that nobody asked about", r.End("c"))
+	if jobs := r.Jobs(); !slices.Equal(jobs, []string{"b"}) || r.Version("a") != 0 {
 		t.Errorf("remembered: %v", jobs)
 	}
 }
 
 func TestDismissKeepsTheCancellation(t *testing.T) {
-	w := waitingFor("a")
-	expect(t, "dismissed", w.Dismiss("a"), 1, 2)
-	expect(t, "dismissed again", w.Dismiss("a"))
-	if w.NeedsConfirmation("a") || w.Version("a") != 7 {
-		t.Errorf("wanted %v, version %d", w.NeedsConfirmation("a"), w.Version("a"))
+	r := waitingFor("a")
+	expect(t, "dismissed", r.Dismiss("a"), 1, 2)
+	expect(t, "dismissed again", r.Dismiss("a"))
+	if r.NeedsConfirmation("a") || r.Version("a") != 7 {
+		t.Errorf("needs confirmation: %v, version %d", r.NeedsConfirmation("a"), r.Version("a"))
 	}
-	w.Add("a", 8, 3, 12*time.Second)
-	if !w.NeedsConfirmation("a") {
-		t.Error("not wanted by a user who came back")
+	r.Add("a", 8, 3, 12*time.Second)
+	if !r.NeedsConfirmation("a") {
+		t.Error("needs no confirmation for a user who came back")
 	}
-	expect(t, "end", w.End("a"), 3)
+	expect(t, "end", r.End("a"), 3)
 }
 
 func TestExpire(t *testing.T) {
-	w := waitingFor("a")
-	expect(t, "before", w.Expire(10*time.Second+patience-1))
-	expect(t, "first", w.Expire(10*time.Second+patience), 1)
-	expect(t, "second", w.Expire(11*time.Second+patience), 2)
-	w.Expire(11*time.Second + memory)
-	if len(w.Jobs()) != 1 {
+	r := waitingFor("a")
+	expect(t, "before", r.Expire(10*time.Second+requestTimeout-1))
+	expect(t, "first", r.Expire(10*time.Second+requestTimeout), 1)
+	expect(t, "second", r.Expire(11*time.Second+requestTimeout), 2)
+	r.Expire(11*time.Second + retention)
+	if len(r.Jobs()) != 1 {
 		t.Error("forgotten too early")
 	}
-	w.Expire(11*time.Second + memory + 1)
-	if len(w.Jobs()) != 0 {
+	r.Expire(11*time.Second + retention + 1)
+	if len(r.Jobs()) != 0 {
 		t.Error("not forgotten")
 	}
 }
@@ -72,7 +72,7 @@
 func TestConfirmation(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
-		meanwhile func(w *Registry) []RequestID
+		meanwhile func(r *Registry) []RequestID
 		answered  []RequestID // of them, meanwhile
 		succeeded bool
 		settled   []RequestID
@@ -80,32 +80,72 @@
 	}{
 		{"succeeds", nil, nil, true, []RequestID{1, 2}, 0},
 		{"fails", nil, nil, false, []RequestID{1, 2}, 1},
-		{"nobody is dismissed meanwhile", func(w *Registry) []RequestID { return w.Dismiss("a") }, nil, true, []RequestID{1, 2}, 0},
-		{"no wait is over meanwhile", func(w *Registry) []RequestID { return w.Expire(time.Hour) }, nil, true, []RequestID{1, 2}, 0},
-		{"the job's end comes first", func(w *Registry) []RequestID { return w.End("a") }, []RequestID{1, 2}, true, nil, 0},
-		{"the job's end comes first, then a question", func(w *Registry) []RequestID {
-			ids := w.End("a")
-			w.Add("a", 9, 3, time.Minute)
+		{"nobody is dismissed meanwhile", func(r *Registry) []RequestID { return r.Dismiss("a") }, nil, true, []RequestID{1, 2}, 0},
+		{"no wait is over meanwhile", func(r *Registry) []RequestID { return r.Expire(time.Hour) }, nil, true, []RequestID{1, 2}, 0},
+		{"the job's end comes first", func(r *Registry) []RequestID { return r.End("a") }, []RequestID{1, 2}, true, nil, 0},
+		{"the job's end comes first, then a question", func(r *Registry) []RequestID {
+			ids := r.End("a")
+			r.Add("a", 9, 3, time.Minute)
 			return ids
 		}, []RequestID{1, 2}, true, nil, 1},
-		{"another user asks meanwhile", func(w *Registry) []RequestID {
-			w.Add("a", 9, 3, time.Minute)
+		{"another user asks meanwhile", func(r *Registry) []RequestID {
+			r.Add("a", 9, 3, time.Minute)
 			return nil
 		}, nil, true, []RequestID{1, 2, 3}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := waitingFor("a")
-			c := w.Confirm("a")
-			if w.NeedsConfirmation("a") {
-				t.Error("wanted while it is being confirmed")
+			r := waitingFor("a")
+			confirmation := r.Confirm("a")
+			if r.NeedsConfirmation("a") {
+				t.Error("needs a confirmation while one is under way")
 			}
 			if tc.meanwhile != nil {
-				expect(t, "meanwhile", tc.meanwhile(w), tc.answered...)
+				expect(t, "meanwhile", tc.meanwhile(r), tc.answered...)
 			}
-			expect(t, "settled", w.Settle(c, tc.succeeded), tc.settled...)
-			if n := len(w.Jobs()); n != tc.left {
+			expect(t, "settled", r.Settle(confirmation, tc.succeeded), tc.settled...)
+			if n := len(r.Jobs()); n != tc.left {
 				t.Errorf("%d jobs remembered, want %d", n, tc.left)
 			}
 		})
 	}
 }
+
+// TestAcknowledgeOnce keeps the first time, from which the grace period counts.
+func TestAcknowledgeOnce(t *testing.T) {
+	const gracePeriod, userRetryPeriod = 30 * time.Second, 60 * time.Second
+	var p Progress
+	p.Acknowledge(10 * time.Second)
+	p.Acknowledge(20 * time.Second)
+	if p.Overdue(28*time.Second, gracePeriod, userRetryPeriod) {
+		t.Error("overdue at three fifths of the grace period")
+	}
+	if !p.Overdue(28*time.Second+1, gracePeriod, userRetryPeriod) {
+		t.Error("not overdue after three fifths of the grace period")
+	}
+}
+
+// TestTerminated counts from when the last task is gone, anew after one has turned up.
+func TestTerminated(t *testing.T) {
+	var p Progress
+	p.UpdateTasks(false, 10*time.Second)
+	p.UpdateTasks(false, 11*time.Second)
+	if !p.Terminated() || !p.TerminatedFor(time.Second, 11*time.Second+1) {
+		t.Error("not terminated since the first time that no task was left")
+	}
+	p.UpdateTasks(true, 12*time.Second)
+	if p.Terminated() {
+		t.Error("terminated with a task left")
+	}
+	p.UpdateTasks(false, 13*time.Second)
+	if p.TerminatedFor(time.Second, 14*time.Second) {
+		t.Error("terminated since before a task turned up")
+	}
+}
+
+// TestAnnounceOnce announces a termination once.
+func TestAnnounceOnce(t *testing.T) {
+	var p Progress
+	if !p.Announce() || p.Announce() {
+		t.Error("not announced exactly once")
+	}
+}
--- a/internal/core/cancellation/progress.go
+++ b/internal/core/cancellation/progress.go
@@ -13,24 +13,25 @@
 	announced      bool          // the other controllers were told that none is left
 }
 
-// Request notes that the job's user asked to cancel it.
+// Request records that the job's user asked to cancel it.
 func (p *Progress) Request(at time.Duration) { p.requested, p.requestedAt = true, at }
 
-// Requested tells whether the job is to be cancelled.
+// Requested reports whether the job is to be cancelled.
 func (p *Progress) Requested() bool { return p.requested }
 
-// Acknowledge notes that the user may have been told at a time. A later word changes nothing:
-// each of several leaders in a row would take its time anew, and the task run on beyond it.
+// Acknowledge records that the user may have been told at a time. A later call changes nothing:
+// each of several successive leaders would restart the clock, and the task would run on for
+// longer than promised.
 func (p *Progress) Acknowledge(at time.Duration) {
 	if !p.acknowledged {
 		p.acknowledged, p.acknowledgedAt = true, at
 	}
 }
 
-// Acknowledged tells whether the user may have been told.
+// Acknowledged reports whether the user may have been told.
 func (p *Progress) Acknowledged() bool { return p.acknowledged }
 
-// UpdateTasks takes in whether tasks are left.
+// UpdateTasks records whether tasks are left.
 func (p *Progress) UpdateTasks(left bool, now time.Duration) {
 	switch {
 	case left:
@@ -40,27 +41,27 @@
 	}
 }
 
-// TerminatedFor tells whether no task has been left for longer than a time.
+// TerminatedFor reports whether no task has been left for longer than a duration.
 func (p *Progress) TerminatedFor(d, now time.Duration) bool {
 	return p.terminatedAt != 0 && now-p.terminatedAt > d
 }
 
-// Terminated tells whether no task is left.
+// Terminated reports whether no task is left.
 func (p *Progress) Terminated() bool { return p.terminatedAt != 0 }
 
-// Announce tells whether the other controllers have yet to be told that no task is left, and
-// notes that they are.
+// Announce reports whether the other controllers have yet to be told that no task is left, and
+// records that they are.
 func (p *Progress) Announce() bool {
 	first := !p.announced
 	p.announced = true
 	return first
 }
 
-// Overdue tells whether a task that is not confirmed gone has to go with its machine. Where the
-// user was told already, as controllers of earlier versions do, what is left of the promised
-// time has to suffice for a change of leaders and for the cloud's answer. Else nothing was
-// promised, and a machine that runs other work is given the time to come back while the user
-// still asks, but for what the cloud's answer takes.
+// Overdue reports whether a task that is not confirmed gone has to be terminated with its
+// machine. Where the user was told already, as controllers of earlier versions do, what is left
+// of the grace period has to suffice for a failover and for the cloud's answer. Otherwise
+// nothing was promised, and a machine that runs other work is given the time to come back while
+// the user still retries, less the time that the cloud's answer takes.
 func (p *Progress) Overdue(now, gracePeriod, userRetryPeriod time.Duration) bool {
 	return p.acknowledged && now-p.acknowledgedAt > gracePeriod*3/5 ||
 		p.requested && now-p.requestedAt > userRetryPeriod*4/5
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -71,7 +71,8 @@
 }
 
 // New makes a front end. The incarnation has to differ from that of any other run of any
-// controller of the region.
+// controller of the region. Teams are not read from the deployment, see Host.TeamLimit: those
+// that share limits with other regions replace them later.
 func New(host Host, store *kv.Client, cache *jobcache.Cache, deployment *config.Deployment, incarnation uint64) *FrontEnd {
 	f := &FrontEnd{
 		host:        host,
@@ -87,7 +88,7 @@
 
 // Tick answers the requests that have waited too long, and goes on with the others.
 func (f *FrontEnd) Tick() {
-	f.preload()
+	f.startPreload()
 	f.expireSubmissions()
 	f.startSubmissionBatch()
 	f.expireLookups()
@@ -117,10 +118,10 @@
 // maxNewRecord is the largest open record of a new job, in bytes.
 func (f *FrontEnd) maxNewRecord() int { return f.store.MaxValue() - recordGrowth }
 
-// preload reads the open jobs once after the start, in pages. Otherwise the queries of every
+// startPreload reads the open jobs once after the start, in pages. Otherwise the queries of every
 // user, right after all controllers have restarted, would each cost a read of their own, and
 // exhaust the rate of requests to the store.
-func (f *FrontEnd) preload() {
+func (f *FrontEnd) startPreload() {
 	if !f.preloadStarted && f.host.Now() >= f.preloadAt {
 		f.preloadStarted = true
 		f.preloadPage("")
