--- a/internal/core/cancellation/cancellation.go
+++ b/internal/core/cancellation/cancellation.go
@@ -1,6 +1,6 @@
 // Package cancellation has the two halves of a cancellation.
 //
-// Registry keeps the requests of users who wait to be told that their job is cancelled, from
+// Registry keeps the requests of users who wait for the acknowledgement of a cancellation, from
 // the moment at which the request is on record until the job's tasks are known to be gone. The
 // front end owns one. It answers nobody itself: it returns the requests that are to be
 // answered. Progress is how far the cancellation of one job has come for the leader, which
@@ -18,7 +18,7 @@
 // RequestID names a request that waits for its answer.
 type RequestID uint64
 
-// Registry holds the cancellations that are on record while their users are not told.
+// Registry holds the cancellations that are on record and not acknowledged.
 type Registry struct {
 	requestTimeout time.Duration
 	retention      time.Duration
@@ -28,7 +28,7 @@
 // pendingCancellation is the cancellation of one job.
 type pendingCancellation struct {
 	version         uint64        // of the open record with the request
-	lastRequestedAt time.Duration // when a user last asked
+	lastRequestedAt time.Duration // by any user
 	waiters         []waiter      // oldest first
 	confirming      bool          // a Confirmation is under way
 }
@@ -40,7 +40,7 @@
 }
 
 // New makes an empty registry. A request waits for requestTimeout before its user is to be
-// asked to come back; a cancellation about which nobody asks is forgotten after retention.
+// asked to retry; a cancellation that nobody requests again is forgotten after retention.
 func New(requestTimeout, retention time.Duration) *Registry {
 	return &Registry{requestTimeout: requestTimeout, retention: retention, pending: map[string]*pendingCancellation{}}
 }
@@ -57,8 +57,8 @@
 	pending.waiters = append(pending.waiters, waiter{id: id, expiresAt: now + r.requestTimeout})
 }
 
-// Dismiss removes and returns the requests about a job, whose users are to come back. There are
-// none while a confirmation is under way.
+// Dismiss removes and returns the requests about a job, whose users are to retry. There are none
+// while a confirmation is under way.
 func (r *Registry) Dismiss(job string) []RequestID {
 	pending := r.pending[job]
 	if pending == nil || pending.confirming {
@@ -86,8 +86,8 @@
 	return pending != nil && !pending.confirming && len(pending.waiters) > 0
 }
 
-// Version is that of the open record with the request to cancel a job; 0 for a job about which
-// nobody has asked.
+// Version is that of the open record with the request to cancel a job; 0 for a job
+// whose cancellation nobody waits for.
 func (r *Registry) Version(job string) uint64 {
 	if pending := r.pending[job]; pending != nil {
 		return pending.version
@@ -95,7 +95,7 @@
 	return 0
 }
 
-// A Confirmation is under way while it is being recorded that a job's users are told.
+// A Confirmation is under way while an acknowledgement is being recorded.
 type Confirmation struct {
 	job     string
 	pending *pendingCancellation
@@ -108,9 +108,9 @@
 	return &Confirmation{job: job, pending: pending}
 }
 
-// Settle ends a confirmation. If it succeeded, the job is forgotten and the requests whose users
-// are to be told are returned, otherwise those whose users are to come back. There are none if
-// the job's end came on record meanwhile.
+// Settle ends a confirmation. If it succeeded, the job is forgotten and the requests that are to
+// be acknowledged are returned, otherwise those whose users are to retry. There are none if the
+// job's end was recorded meanwhile.
 func (r *Registry) Settle(confirmation *Confirmation, succeeded bool) []RequestID {
 	confirmation.pending.confirming = false
 	if r.pending[confirmation.job] != confirmation.pending {
@@ -123,7 +123,7 @@
 }
 
 // Expire removes and returns the requests that have waited too long, by job, and forgets the
-// cancellations about which nobody has asked for long.
+// cancellations that nobody has requested for long.
 func (r *Registry) Expire(now time.Duration) []RequestID {
 	var expired []RequestID
 	for _, job := range r.Jobs() {
--- a/internal/core/cancellation/progress.go
+++ b/internal/core/cancellation/progress.go
@@ -7,10 +7,10 @@
 type Progress struct {
 	requested      bool
 	requestedAt    time.Duration
-	acknowledged   bool // the user may have been told
+	acknowledged   bool // perhaps
 	acknowledgedAt time.Duration
 	terminatedAt   time.Duration // no task is left since then; 0 while there are some
-	announced      bool          // the other controllers were told that none is left
+	announced      bool          // to the other controllers, that none is left
 }
 
 // Request records that the job's user asked to cancel it.
@@ -19,16 +19,16 @@
 // Requested reports whether the job is to be cancelled.
 func (p *Progress) Requested() bool { return p.requested }
 
-// Acknowledge records that the user may have been told at a time. A later call changes nothing:
-// each of several successive leaders would restart the clock, and the task would run on for
-// longer than promised.
+// Acknowledge records that the cancellation may have been acknowledged to the user at a time. A
+// later call changes nothing: each of several successive leaders would restart the clock, and
+// the task would run on for longer than promised.
 func (p *Progress) Acknowledge(at time.Duration) {
 	if !p.acknowledged {
 		p.acknowledged, p.acknowledgedAt = true, at
 	}
 }
 
-// Acknowledged reports whether the user may have been told.
+// Acknowledged reports whether the cancellation may have been acknowledged to the user.
 func (p *Progress) Acknowledged() bool { return p.acknowledged }
 
 // UpdateTasks records whether tasks are left.
@@ -49,7 +49,7 @@
 // Terminated reports whether no task is left.
 func (p *Progress) Terminated() bool { return p.terminatedAt != 0 }
 
-// Announce reports whether the other controllers have yet to be told that no task is left, and
+// Announce reports whether the other controllers do not know yet that no task is left, and
 // records that they are.
 func (p *Progress) Announce() bool {
 	first := !p.announced
@@ -58,7 +58,7 @@
 }
 
 // Overdue reports whether a task that is not confirmed gone has to be terminated with its
-// machine. Where the user was told already, as controllers of earlier versions do, what is left
+// machine. Where it was acknowledged early, as controllers of earlier versions do, what is left
 // of the grace period has to suffice for a failover and for the cloud's answer. Otherwise
 // nothing was promised, and a machine that runs other work is given the time to come back while
 // the user still retries, less the time that the cloud's answer takes.
--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -11,17 +11,17 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestGoneIsConfirmed has a leader say that no task of a cancelled job is left.
-// The user is told so only while the term is still that leader's: a later one
-// may have started tasks that the first knows nothing of.
+// TestGoneIsConfirmed lets a leader say that no task of a cancelled job is left. The cancellation
+// is acknowledged only while the term is still that leader's: a later one may have started tasks
+// that the first knows nothing of.
 func TestGoneIsConfirmed(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		deposed bool
-		status  int
+		name       string
+		superseded bool
+		status     int
 	}{
 		{"the latest leader", false, 200},
-		{"a deposed leader", true, 503},
+		{"a superseded leader", true, 503},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := newHarness(t, testMachineTypes)
@@ -42,9 +42,9 @@
 			b.nextReq++
 			b.step(Request{ID: b.nextReq, Method: "POST", Path: "/submissions/" + id + "/cancel"})
 			if a, ok := b.answers[b.nextReq]; ok {
-				t.Fatalf("told before any word of its tasks: %d %s", a.Status, a.Body)
+				t.Fatalf("acknowledged before anything is known of its tasks: %d %s", a.Status, a.Body)
 			}
-			if tc.deposed {
+			if tc.superseded {
 				b.write(election.KeyTerm, "", []byte("6"))
 			}
 			b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Gone: []string{id}, TermVersion: termVersion}}})
@@ -53,11 +53,11 @@
 				t.Errorf("answered %d %s, want %d", a.Status, a.Body, tc.status)
 			}
 			if a.Status == 503 && a.RetryAfter == 0 {
-				t.Error("asked to come back without saying when")
+				t.Error("asked to retry without saying when")
 			}
-			told := strings.Contains(string(b.store[records.OpenKey(id)].Value), `"ca":`+strconv.FormatInt(b.core.wallClockMS, 10))
-			if told != (tc.status == 200) {
-				t.Errorf("on record as told: %v", told)
+			acknowledged := strings.Contains(string(b.store[records.OpenKey(id)].Value), `"ca":`+strconv.FormatInt(b.core.wallClockMS, 10))
+			if acknowledged != (tc.status == 200) {
+				t.Errorf("on record as acknowledged: %v", acknowledged)
 			}
 		})
 	}
--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -79,7 +79,7 @@
 	if len(batch.submissions) > 0 {
 		f.commitBatch(batch)
 	}
-	// Last, since they may come back here at once.
+	// Last, since they may get here again at once.
 	for _, s := range unresolved {
 		f.resolveDependencies(s)
 	}
@@ -139,7 +139,7 @@
 	case kv.Rejected:
 		f.batchRejected(batch)
 	default:
-		// Not carried out, as far as is known: the users come back.
+		// Not carried out, as far as is known: the users retry.
 		for _, s := range batch.submissions {
 			f.host.Refuse(s.request, storeUnavailable)
 		}
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -12,22 +12,22 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// This file alone decides when a user is told that a job is cancelled. The answer is a promise
-// that none of its tasks starts any more and that all of them are gone within cancel_s,
-// whatever fails meanwhile: the leader, the store, machines, or several of them. So it is given
-// only when it has come true already:
+// This file alone decides when a cancellation is acknowledged to its user. The acknowledgement is
+// a promise that no task of the job starts any more and that all of them are gone within
+// cancel_s, whatever fails meanwhile: the leader, the store, machines, or several of them. So it
+// is given only when it has come true already:
 //
 //   - the cancellation request is recorded in the job's open record. From then on no placement
 //     can be recorded, since each is conditional on that record;
 //   - the leader stops the tasks, wherever they are reachable, and counts each of them until it
 //     is certainly gone (termination.go in internal/core);
-//   - the user is told when the job's end is recorded, or, where the store fails the leader
+//   - it is acknowledged when the job's end is recorded, or, where the store fails the leader
 //     alone, when the leader says that no task is left and its term is confirmed to be still
 //     the latest.
 //
-// Until then the user is asked to come back, at once where tasks are unreachable. Users were
-// once told as soon as the request was recorded: with the store gone a moment later, a new
-// leader could not learn of the jobs, and their tasks ran on for longer than cancel_s.
+// Until then the user is asked to retry, at once where tasks are unreachable. Cancellations were
+// once acknowledged as soon as the request was recorded: with the store gone a moment later, a
+// new leader could not learn of the jobs, and their tasks ran on for longer than cancel_s.
 
 // UserRetryPeriod is for how long a user repeats a request, by the protocol.
 const UserRetryPeriod = 60 * time.Second
@@ -35,8 +35,8 @@
 // maxCancellationRetries is how often recording a cancellation is retried after conflicts.
 const maxCancellationRetries = 4
 
-// cancellationTimeout is how long a cancellation may take before its user is asked to come back:
-// a stop goes out at once, or else with the worker's next heartbeat.
+// cancellationTimeout is how long a cancellation may take before its user is asked to retry: a
+// stop is sent at once, or else with the worker's next heartbeat.
 func (f *FrontEnd) cancellationTimeout() time.Duration { return f.heartbeatInterval() * 5 / 4 }
 
 // Cancel cancels a job for a user.
@@ -153,17 +153,17 @@
 	}
 }
 
-// dismissCancellation asks those who wait for a job's cancellation to come back.
+// dismissCancellation asks those who wait for a job's cancellation to retry.
 func (f *FrontEnd) dismissCancellation(job string) { f.refuseStopping(f.cancellations.Dismiss(job)) }
 
-// refuseStopping asks users to come back, since tasks of their jobs are being stopped.
+// refuseStopping asks users to retry, since tasks of their jobs are being stopped.
 func (f *FrontEnd) refuseStopping(requests []RequestID) {
 	for _, request := range requests {
 		f.host.Refuse(request, tasksStillStopping)
 	}
 }
 
-// answerEnded tells users that their job has ended.
+// answerEnded answers users whose job has ended.
 func (f *FrontEnd) answerEnded(requests []RequestID, status wire.JobStatus) {
 	for _, request := range requests {
 		f.host.Answer(request, httpstatus.OK, status)
@@ -177,7 +177,7 @@
 	f.answerEnded(f.cancellations.End(end.ID), final.JobStatus(end.ID))
 }
 
-// HandleEnds handles what the leader, another controller, says of cancelled jobs.
+// HandleEnds handles what the leader, another controller, reports of cancelled jobs.
 func (f *FrontEnd) HandleEnds(ends *wire.Ends) {
 	for _, end := range ends.Over {
 		f.JobEnded(end)
@@ -200,9 +200,9 @@
 	return cancelled
 }
 
-// confirmTermination records that a job's user is told, if the leader who says that no task is
-// left is still the latest one: a later one may have started some before the request was
-// recorded.
+// confirmTermination acknowledges a cancellation, on record first, if the leader who says that no
+// task is left is still the latest one: a later one may have started some before the request
+// was recorded.
 func (f *FrontEnd) confirmTermination(job string, termVersion uint64) {
 	if !f.cancellations.NeedsConfirmation(job) {
 		return
@@ -226,7 +226,7 @@
 	})
 }
 
-// acknowledgedRecord is the open record of a cancelled job whose user is told now.
+// acknowledgedRecord is the open record of a job whose cancellation is acknowledged now.
 func (f *FrontEnd) acknowledgedRecord(record records.Open) records.Open {
 	record.CancelAcknowledgedAt = f.host.WallClockMS()
 	if len(kv.Encode(record)) > f.store.MaxValue() {
--- a/internal/core/frontend/frontend_test.go
+++ b/internal/core/frontend/frontend_test.go
@@ -237,7 +237,7 @@
 	}
 	f.Query(2, jobID(1))
 	if len(host.heldRequests) != 1 {
-		t.Fatal("not asked again")
+		t.Fatal("no lookup was sent")
 	}
 	host.next(t, httpstatus.ServiceUnavailable, nil)
 	host.now += 600 * time.Millisecond // more than a quarter of a call's timeout
@@ -276,8 +276,8 @@
 	}
 }
 
-// TestCancellationWaits answers a cancellation when the job's end is on record, and asks the user
-// to come back where that takes long.
+// TestCancellationWaits acknowledges a cancellation when the job's end is on record, and asks the
+// user to retry where that takes long.
 func TestCancellationWaits(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
--- a/internal/core/frontend/refusal.go
+++ b/internal/core/frontend/refusal.go
@@ -6,8 +6,8 @@
 type Refusal struct {
 	Status int    // HTTP status number
 	Reason string // for the user; other programs may know the texts, so they never change
-	// RetryAfterS is in how many seconds the user is asked to come back; 0 if the same
-	// request will be refused then as well.
+	// RetryAfterS is after how many seconds the user is asked to retry; 0 if the same request
+	// will be refused then as well.
 	RetryAfterS int
 }
 
--- a/internal/core/frontend/submit.go
+++ b/internal/core/frontend/submit.go
@@ -12,8 +12,7 @@
 
 // Users wait 5 s for an answer.
 const (
-	// submissionTimeout is how long a submission may take before its user is asked to come
-	// back.
+	// submissionTimeout is how long a submission may take before its user is asked to retry.
 	submissionTimeout = 2 * time.Second
 	// longSubmissionTimeout is submissionTimeout for a job with more dependencies than a
 	// transaction has writes.
@@ -64,7 +63,7 @@
 		return
 	}
 	if err := submission.CheckFeasible(job, f.constraints(job.Team)); err != nil {
-		// If it was accepted before, the user is told its status whatever holds now.
+		// If it was accepted before, the answer is its status, whatever holds now.
 		f.answerStatus(request, job.ID, infeasible(err))
 		return
 	}
--- /dev/null
+++ b/internal/core/harness_test.go
@@ -0,0 +1,254 @@
+package core
+
+import (
+	"fmt"
+	"net/url"
+	"strings"
+	"testing"
+	"time"
+
+	stdjson "encoding/json"
+
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// harness drives a core as its host would: the cloud answers with its machine types if there are
+// any, the key-value store from a map.
+type harness struct {
+	t           testing.TB
+	core        *Core
+	now         time.Duration
+	types       string
+	store       map[string]wire.Item
+	revision    uint64
+	storeDown   bool // the store answers 503
+	nextReq     uint64
+	answers     map[uint64]Answer
+	commits     []string // transactions, as they were sent
+	afterCommit func()   // called after each
+	afterStep   func()   // called after each step
+	// intercept determines the answer to a transaction: what carryOut returns, or another one,
+	// with the transaction carried out or not.
+	intercept func(txn *wire.Txn, carryOut func() int) int
+}
+
+// testMachineTypes has small in the zones a and b, large in b and c, lone in c.
+const testMachineTypes = `{"hulls":[
+	{"label":"small","cpus":8,"accelerators":0,"memGb":32,"berths":["a","b"]},
+	{"label":"large","cpus":96,"accelerators":8,"memGb":768,"berths":["b","c"]},
+	{"label":"lone","cpus":8,"accelerators":1,"memGb":32,"berths":["c"]}]}`
+
+func newHarness(t testing.TB, types string) *harness {
+	cfg := &config.Settings{Name: "n0", Deployment: config.Deployment{
+		Zones: []string{"a", "b", "c"},
+		Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 160, GPUsMax: 16}, {Name: "free"}},
+		Workers: config.WorkerTimings{ReportS: 1.5, LeaseS: 10, GangWaitS: 50, GangPeerS: 8,
+			CancelS: 35},
+		Store:         config.StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16},
+		Cloud:         config.CloudLimits{RPS: 8, ListLagS: 10},
+		MachineLimits: config.MachineLimits{CPU: 0.2, RAMMB: 98, MaxConnections: 800},
+	}}
+	b := &harness{t: t, core: New(cfg, nil, 1, nil), now: time.Second, types: types,
+		store: map[string]wire.Item{}, revision: 1, answers: map[uint64]Answer{}}
+	b.run(time.Second)
+	return b
+}
+
+// step feeds an input, and the result of every call that it leads to.
+func (b *harness) step(in Input) {
+	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), in)
+	if b.afterStep != nil {
+		b.afterStep()
+	}
+	for _, a := range out.Answers {
+		b.answers[a.ID] = a
+	}
+	for _, call := range out.Calls {
+		status, body := b.answerCall(call)
+		b.step(Result{ID: call.ID, Status: status, Body: body})
+	}
+}
+
+// answerCall is the answer to a call: 404 from everything that is not there.
+func (b *harness) answerCall(call Call) (status int, body []byte) {
+	switch {
+	case call.Destination == DestinationStore && b.storeDown:
+		return 503, []byte(`{}`)
+	case call.Destination == DestinationStore:
+		return b.answerStoreCall(call)
+	case call.Destination == DestinationCloud && call.Path == "/machine_types" && b.types != "":
+		return 200, []byte(b.types)
+	default:
+		return 404, []byte(`{}`)
+	}
+}
+
+// answerStoreCall is the store's answer to a call.
+func (b *harness) answerStoreCall(call Call) (status int, body []byte) {
+	switch {
+	case call.Path == "/commit":
+		b.commits = append(b.commits, string(call.Body))
+		status, body = b.commitAnswer(call.Body)
+		if b.afterCommit != nil {
+			b.afterCommit()
+		}
+		return status, body
+	case strings.HasSuffix(call.Path, "/extend"):
+		return 200, []byte(`{}`)
+	case strings.HasPrefix(call.Path, "/store?"):
+		return 200, b.page(call.Path)
+	}
+	key, isKey := strings.CutPrefix(call.Path, "/store/")
+	if item, exists := b.store[key]; isKey && exists {
+		return 200, kv.Encode(item)
+	}
+	return 404, []byte(`{}`)
+}
+
+// lead makes the core lead under the term that is in the store, which is 5. Its lease holds, and
+// no other controller runs.
+func (b *harness) lead() *leader {
+	b.core.election.ObserveLeader(5, b.core.settings.Name)
+	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
+	b.core.leader = l
+	return l
+}
+
+// commitAnswer is the answer to a transaction, as intercept changes it.
+func (b *harness) commitAnswer(body []byte) (status int, answer []byte) {
+	if b.intercept == nil {
+		return b.commit(body)
+	}
+	var txn wire.Txn
+	if err := stdjson.Unmarshal(body, &txn); err != nil {
+		b.t.Fatalf("transaction %s: %v", body, err)
+	}
+	status = b.intercept(&txn, func() int {
+		var carriedOut int
+		carriedOut, answer = b.commit(body)
+		return carriedOut
+	})
+	return status, answer
+}
+
+// commit carries out a transaction if its conditions hold.
+func (b *harness) commit(body []byte) (int, []byte) {
+	var txn wire.Txn
+	if err := stdjson.Unmarshal(body, &txn); err != nil {
+		b.t.Fatalf("transaction %s: %v", body, err)
+	}
+	if ops := b.core.settings.Deployment.Store.TxnOps; len(txn.Writes) > ops || len(txn.Conditions) > 4*ops {
+		b.t.Fatalf("a transaction of %d writes and %d conditions", len(txn.Writes), len(txn.Conditions))
+	}
+	tr := wire.TxnResult{Revision: b.revision}
+	for _, c := range txn.Conditions {
+		if b.store[c.Key].Version != c.Version {
+			tr.Conflicts = append(tr.Conflicts, c.Key)
+		}
+	}
+	if tr.Conflicts != nil {
+		return 409, kv.Encode(tr)
+	}
+	// All writes of a transaction have one revision.
+	at := b.revision
+	for _, w := range txn.Writes {
+		b.revision = at
+		b.write(w.Put, w.Delete, w.Value)
+	}
+	tr.Revision = b.revision
+	return 200, kv.Encode(tr)
+}
+
+// pageItems is the size of a page, smaller than the store's so that tests read several.
+const pageItems = 20
+
+// page is the answer to a listing.
+func (b *harness) page(path string) []byte {
+	u, err := url.Parse(path)
+	if err != nil {
+		b.t.Fatal(err)
+	}
+	page := wire.Page{Revision: b.revision}
+	for _, key := range sortedKeys(b.store) {
+		if !strings.HasPrefix(key, u.Query().Get("under")) || key <= u.Query().Get("since") {
+			continue
+		}
+		if page.More = len(page.Items) == pageItems; page.More {
+			break
+		}
+		page.Items = append(page.Items, b.store[key])
+	}
+	return kv.Encode(page)
+}
+
+// write changes the store as another controller would: it deletes a key and puts another one.
+func (b *harness) write(put, del string, v []byte) {
+	b.revision++
+	delete(b.store, del)
+	if put != "" {
+		b.store[put] = wire.Item{Key: put, Value: v, Version: b.revision}
+	}
+}
+
+// run lets time pass, with ticks.
+func (b *harness) run(d time.Duration) {
+	for end := b.now + d; b.now < end; b.now += 50 * time.Millisecond {
+		b.step(Tick{})
+	}
+}
+
+// request sends a request and returns its answer, which takes 5 s at most.
+func (b *harness) request(method, path, body string) Answer {
+	b.nextReq++
+	b.step(Request{ID: b.nextReq, Method: method, Path: path, Body: []byte(body)})
+	for range 5 {
+		if a, ok := b.answers[b.nextReq]; ok {
+			return a
+		}
+		b.run(time.Second)
+	}
+	b.t.Fatalf("%s %s with %s has no answer", method, path, body)
+	return Answer{}
+}
+
+// goodFields is a submission that is accepted, field by field.
+var goodFields = [][2]string{
+	{"nameId", `"job-000412"`}, {"jobclass", `"train"`}, {"crew", `"vision"`}, {"shape", `"group"`},
+	{"urgency", `"urgent"`}, {"shards", `2`}, {"cpus", `8.0`}, {"accelerators", `1.0`}, {"memGb", `16.0`},
+	{"bundle", `"img-07"`}, {"pullGb", `6.2`}, {"hulls", `["large"]`}, {"berth", `null`}, {"together", `true`},
+	{"apart", `false`}, {"standby", `true`}, {"guessS", `240.0`}, {"markS", `30.0`}, {"stowS", `4.0`}, {"dueS", `900.0`},
+}
+
+// missing leaves a field out.
+const missing = "-"
+
+// body is the good submission with some fields changed: name, value, name...
+func body(change ...string) string {
+	to := map[string]string{}
+	for i := 0; i < len(change); i += 2 {
+		to[change[i]] = change[i+1]
+	}
+	var parts []string
+	for _, f := range goodFields {
+		v := f[1]
+		if n, ok := to[f[0]]; ok {
+			v = n
+			delete(to, f[0])
+		}
+		if v != missing {
+			parts = append(parts, fmt.Sprintf("%q:%s", f[0], v))
+		}
+	}
+	for _, name := range sortedKeys(to) {
+		parts = append(parts, fmt.Sprintf("%q:%s", name, to[name]))
+	}
+	return "{" + strings.Join(parts, ",") + "}"
+}
+
+// testLeadership is that of a term, with version 1 of the term key.
+func testLeadership(term uint64) election.Leadership {
+	return election.Leadership{Term: term, TermVersion: 1, Lease: 1}
+}
--- a/internal/core/jobcache/jobcache.go
+++ b/internal/core/jobcache/jobcache.go
@@ -1,7 +1,7 @@
 // Package jobcache keeps what a controller knows of jobs: the open records of unfinished jobs
 // and the final records of ended ones, each up to a number of jobs. A final record never
-// changes; an open one may have changed since, so a user is told of it only after the store
-// has confirmed its version. The front end and the leader share a controller's cache. The
+// changes; an open one may have changed since, so users see it only after the store has
+// confirmed its version. The front end and the leader share a controller's cache. The
 // package does no I/O and keeps no time.
 package jobcache
 
@@ -58,7 +58,7 @@
 
 // PutNewer adds an open job that was read from the store and returns what is known of the job
 // then. What was learned while the answer was on its way is newer, and stays: a user may have
-// been told of it.
+// seen it.
 func (c *Cache) PutNewer(id string, read *OpenJob) (open *OpenJob, final *records.Final) {
 	if final, ended := c.final[id]; ended {
 		return nil, &final
--- a/internal/core/submission/fields.go
+++ b/internal/core/submission/fields.go
@@ -37,7 +37,7 @@
 	given bool
 }
 
-// errRepeatedField is only seen by the decoder; users are told ErrFields.
+// errRepeatedField is only seen by the decoder; Parse returns ErrFields.
 var errRepeatedField = errors.New("the field is given twice")
 
 // UnmarshalJSON decodes the only value of a field. Of two, nobody can tell which one is meant.
--- a/internal/core/submission/submission.go
+++ b/internal/core/submission/submission.go
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	job := &wire.Job{}
-	// The order decides which of several problems the user is told.
+	// The order decides which of several problems is reported.
 	for _, set := range []func(*wire.Job) error{
 		fields.setTexts, fields.setAmounts, fields.setFlags, checkID, fields.setTasks, checkKinds,
 		fields.setMachineTypes, fields.setZone, fields.setDeadline, fields.setDependencies,
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -21,7 +21,7 @@
 
 // TestAwaits submits jobs that await others in every state, well and badly named.
 func TestAwaits(t *testing.T) {
-	open, done, cancelled, service, asked := jobID(1), jobID(2), jobID(3), jobID(4), jobID(5)
+	open, done, cancelled, service, cancelling := jobID(1), jobID(2), jobID(3), jobID(4), jobID(5)
 	for _, tc := range []struct {
 		name, awaits string
 		status       int
@@ -35,7 +35,7 @@
 		{"a job that is done", `["` + done + `"]`, 201, "pending", ""},
 		{"an open one and one that is done", `["` + done + `","` + open + `"]`, 201, "pending", open},
 		{"a cancelled job", `["` + open + `","` + cancelled + `"]`, 201, "withdrawn", ""},
-		{"a job that is being cancelled", `["` + asked + `"]`, 201, "withdrawn", ""},
+		{"a job that is being cancelled", `["` + cancelling + `"]`, 201, "withdrawn", ""},
 		{"a service", `["` + service + `"]`, 422, "", ""},
 		{"itself", `["` + jobID(9) + `"]`, 422, "", ""},
 		{"never accepted", `["` + open + `","` + jobID(7) + `"]`, 422, "", ""},
@@ -79,12 +79,12 @@
 				b.write(records.FinalKey(done), "", []byte(`{"s":"done","n":16}`))
 				b.write(records.FinalKey(cancelled), "", []byte(`{"s":"withdrawn","n":16}`))
 				var rec records.Open
-				if err := json.Unmarshal(b.store[records.OpenKey(asked)].Value, &rec); err != nil {
+				if err := json.Unmarshal(b.store[records.OpenKey(cancelling)].Value, &rec); err != nil {
 					t.Fatal(err)
 				}
 				rec.Cancelled, rec.CancelRequestedAt = true, 1
-				b.write(records.OpenKey(asked), "", kv.Encode(rec))
-				b.core.jobCache.ForgetOpen(asked)
+				b.write(records.OpenKey(cancelling), "", kv.Encode(rec))
+				b.core.jobCache.ForgetOpen(cancelling)
 				if !known {
 					b.core.jobCache.ForgetAllOpen() // accepted by another controller
 				}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -2,233 +2,16 @@
 
 import (
 	"fmt"
-	"net/url"
 	"strings"
 	"testing"
-	"time"
 
 	stdjson "encoding/json"
 
-	"github.com/brookwalk/brookwalk/internal/config"
-	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// harness drives a core as its host would: the cloud answers with its machine
-// types if there are any, the state service from a map.
-type harness struct {
-	t           testing.TB
-	core        *Core
-	now         time.Duration
-	types       string
-	store       map[string]wire.Item
-	revision    uint64
-	storeDown   bool // the state service answers 503
-	nextReq     uint64
-	answers     map[uint64]Answer
-	commits     []string // transactions, as they were sent
-	afterCommit func()   // called after each
-	afterStep   func()   // called after each step
-	// intercept changes the answer to a transaction, carried out or, where it
-	// refuses it beforehand, not.
-	intercept func(txn *wire.Txn, carryOut func() int) int
-}
-
-// small is in the zones a and b, large in b and c, lone in c.
-const testMachineTypes = `{"hulls":[
-	{"label":"small","cpus":8,"accelerators":0,"memGb":32,"berths":["a","b"]},
-	{"label":"large","cpus":96,"accelerators":8,"memGb":768,"berths":["b","c"]},
-	{"label":"lone","cpus":8,"accelerators":1,"memGb":32,"berths":["c"]}]}`
-
-func newHarness(t testing.TB, types string) *harness {
-	cfg := &config.Settings{Name: "n0", Deployment: config.Deployment{
-		Zones: []string{"a", "b", "c"},
-		Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 160, GPUsMax: 16}, {Name: "free"}},
-		Workers: config.WorkerTimings{ReportS: 1.5, LeaseS: 10, GangWaitS: 50, GangPeerS: 8,
-			CancelS: 35},
-		Store:         config.StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16},
-		Cloud:         config.CloudLimits{RPS: 8, ListLagS: 10},
-		MachineLimits: config.MachineLimits{CPU: 0.2, RAMMB: 98, MaxConnections: 800},
-	}}
-	b := &harness{t: t, core: New(cfg, nil, 1, nil), now: time.Second, types: types,
-		store: map[string]wire.Item{}, revision: 1, answers: map[uint64]Answer{}}
-	b.run(time.Second)
-	return b
-}
-
-// step feeds an input, and the result of every call that it leads to.
-func (b *harness) step(in Input) {
-	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), in)
-	if b.afterStep != nil {
-		b.afterStep()
-	}
-	for _, a := range out.Answers {
-		b.answers[a.ID] = a
-	}
-	for _, k := range out.Calls {
-		r := Result{ID: k.ID, Status: 404, Body: []byte(`{}`)}
-		switch {
-		case k.Destination == DestinationStore && b.storeDown:
-			r.Status = 503
-		case k.Destination == DestinationCloud && k.Path == "/machine_types" && b.types != "":
-			r.Status, r.Body = 200, []byte(b.types)
-		case k.Destination == DestinationStore && k.Path == "/commit":
-			b.commits = append(b.commits, string(k.Body))
-			r.Status, r.Body = b.commitAnswer(k.Body)
-			if b.afterCommit != nil {
-				b.afterCommit()
-			}
-		case k.Destination == DestinationStore && strings.HasSuffix(k.Path, "/extend"):
-			r.Status = 200
-		case k.Destination == DestinationStore && strings.HasPrefix(k.Path, "/store?"):
-			r.Status, r.Body = 200, b.page(k.Path)
-		case k.Destination == DestinationStore && strings.HasPrefix(k.Path, "/store/"):
-			if it, ok := b.store[strings.TrimPrefix(k.Path, "/store/")]; ok {
-				r.Status, r.Body = 200, kv.Encode(it)
-			}
-		}
-		b.step(r)
-	}
-}
-
-// lead has the core lead under the term that is in the store, which is 5. Its lease
-// holds; nobody else runs.
-func (b *harness) lead() *leader {
-	b.core.election.ObserveLeader(5, b.core.settings.Name)
-	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
-	b.core.leader = l
-	return l
-}
-
-// commitAnswer is the answer to a transaction.
-func (b *harness) commitAnswer(body []byte) (status int, answer []byte) {
-	if b.intercept == nil {
-		return b.commit(body)
-	}
-	var txn wire.Txn
-	if err := stdjson.Unmarshal(body, &txn); err != nil {
-		b.t.Fatalf("transaction %s: %v", body, err)
-	}
-	status = b.intercept(&txn, func() int {
-		var carriedOut int
-		carriedOut, answer = b.commit(body)
-		return carriedOut
-	})
-	return status, answer
-}
-
-func (b *harness) commit(body []byte) (int, []byte) {
-	var txn wire.Txn
-	if err := stdjson.Unmarshal(body, &txn); err != nil {
-		b.t.Fatalf("transaction %s: %v", body, err)
-	}
-	if ops := b.core.settings.Deployment.Store.TxnOps; len(txn.Writes) > ops || len(txn.Conditions) > 4*ops {
-		b.t.Fatalf("a transaction of %d changes and %d conditions", len(txn.Writes), len(txn.Conditions))
-	}
-	tr := wire.TxnResult{Revision: b.revision}
-	for _, c := range txn.Conditions {
-		if b.store[c.Key].Version != c.Version {
-			tr.Conflicts = append(tr.Conflicts, c.Key)
-		}
-	}
-	if tr.Conflicts != nil {
-		return 409, kv.Encode(tr)
-	}
-	// All changes of a transaction have one revision.
-	at := b.revision
-	for _, w := range txn.Writes {
-		b.revision = at
-		b.write(w.Put, w.Delete, w.Value)
-	}
-	tr.Revision = b.revision
-	return 200, kv.Encode(tr)
-}
-
-// pageItems is the size of a page, smaller than the service's so that tests read
-// several.
-const pageItems = 20
-
-func (b *harness) page(path string) []byte {
-	u, err := url.Parse(path)
-	if err != nil {
-		b.t.Fatal(err)
-	}
-	page := wire.Page{Revision: b.revision}
-	for _, key := range sortedKeys(b.store) {
-		if !strings.HasPrefix(key, u.Query().Get("under")) || key <= u.Query().Get("since") {
-			continue
-		}
-		if page.More = len(page.Items) == pageItems; page.More {
-			break
-		}
-		page.Items = append(page.Items, b.store[key])
-	}
-	return kv.Encode(page)
-}
-
-func (b *harness) write(put, del string, v []byte) {
-	b.revision++
-	delete(b.store, del)
-	if put != "" {
-		b.store[put] = wire.Item{Key: put, Value: v, Version: b.revision}
-	}
-}
-
-func (b *harness) run(d time.Duration) {
-	for end := b.now + d; b.now < end; b.now += 50 * time.Millisecond {
-		b.step(Tick{})
-	}
-}
-
-func (b *harness) request(method, path, body string) Answer {
-	b.nextReq++
-	b.step(Request{ID: b.nextReq, Method: method, Path: path, Body: []byte(body)})
-	for i := 0; i < 5; i++ {
-		if a, ok := b.answers[b.nextReq]; ok {
-			return a
-		}
-		b.run(time.Second)
-	}
-	b.t.Fatalf("%s %s with %s has no answer", method, path, body)
-	return Answer{}
-}
-
-// goodFields is a submission that is accepted, field by field.
-var goodFields = [][2]string{
-	{"nameId", `"job-000412"`}, {"jobclass", `"train"`}, {"crew", `"vision"`}, {"shape", `"group"`},
-	{"urgency", `"urgent"`}, {"shards", `2`}, {"cpus", `8.0`}, {"accelerators", `1.0`}, {"memGb", `16.0`},
-	{"bundle", `"img-07"`}, {"pullGb", `6.2`}, {"hulls", `["large"]`}, {"berth", `null`}, {"together", `true`},
-	{"apart", `false`}, {"standby", `true`}, {"guessS", `240.0`}, {"markS", `30.0`}, {"stowS", `4.0`}, {"dueS", `900.0`},
-}
-
-// missing leaves a field out.
-const missing = "-"
-
-// body is the good submission with some fields changed: name, value, name...
-func body(change ...string) string {
-	to := map[string]string{}
-	for i := 0; i < len(change); i += 2 {
-		to[change[i]] = change[i+1]
-	}
-	var parts []string
-	for _, f := range goodFields {
-		v := f[1]
-		if n, ok := to[f[0]]; ok {
-			v = n
-			delete(to, f[0])
-		}
-		if v != missing {
-			parts = append(parts, fmt.Sprintf("%q:%s", f[0], v))
-		}
-	}
-	for _, name := range sortedKeys(to) {
-		parts = append(parts, fmt.Sprintf("%q:%s", name, to[name]))
-	}
-	return "{" + strings.Join(parts, ",") + "}"
-}
-
+// TestSubmissionFields changes one field of a good submission at a time.
 func TestSubmissionFields(t *testing.T) {
 	const (
 		text   = `"some"`
@@ -275,29 +58,36 @@
 		{"dueS", []string{missing, `null`, `0`, `0.5`, `1e9`}, badAmounts[2:], nil},
 	} {
 		for status, values := range map[int][]string{201: tc.accepted, 400: tc.bad, 422: tc.never} {
-			for _, v := range values {
-				b := newHarness(t, testMachineTypes)
-				if a := b.request("POST", "/submissions", body(tc.field, v)); a.Status != status {
-					t.Errorf("%s %.60s: %d %s, want %d", tc.field, v, a.Status, a.Body, status)
-				}
-				// A malformed body stays so; any other waits for the types.
-				b = newHarness(t, "")
-				want := 503
-				if status == 400 {
-					want = 400
-				}
-				if a := b.request("POST", "/submissions", body(tc.field, v)); a.Status != want || (want == 503) != (a.RetryAfter > 0) {
-					t.Errorf("%s %.60s without types: %d %s, Retry-After %d, want %d", tc.field, v, a.Status, a.Body, a.RetryAfter, want)
-				}
+			for _, value := range values {
+				t.Run(fmt.Sprintf("%s %.60s", tc.field, value), func(t *testing.T) {
+					expectSubmission(t, body(tc.field, value), status)
+				})
 			}
 		}
 	}
 }
 
+// expectSubmission submits a body to a controller that knows the machine types, and to one that
+// does not: a malformed body is refused by both, any other waits for the types.
+func expectSubmission(t *testing.T, body string, status int) {
+	t.Helper()
+	if a := newHarness(t, testMachineTypes).request("POST", "/submissions", body); a.Status != status {
+		t.Errorf("%d %s, want %d", a.Status, a.Body, status)
+	}
+	want := 503
+	if status == 400 {
+		want = 400
+	}
+	if a := newHarness(t, "").request("POST", "/submissions", body); a.Status != want || (want == 503) != (a.RetryAfter > 0) {
+		t.Errorf("without types: %d %s, Retry-After %d, want %d", a.Status, a.Body, a.RetryAfter, want)
+	}
+}
+
+// TestSubmissionBodies submits bodies that are JSON or not, and jobs that can run or not.
 func TestSubmissionBodies(t *testing.T) {
 	good := body()
 	for _, tc := range []struct {
-		what   string
+		name   string
 		body   string
 		status int
 	}{
@@ -348,9 +138,11 @@
 		{"an array apart and together runs in parts", body("shape", `"array"`, "apart", "true"), 201},
 		{"one task apart and together", body("apart", "true", "shards", "1", "berth", `"b"`), 201},
 	} {
-		if a := newHarness(t, testMachineTypes).request("POST", "/submissions", tc.body); a.Status != tc.status {
-			t.Errorf("%s: %d %s, want %d", tc.what, a.Status, a.Body, tc.status)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			if a := newHarness(t, testMachineTypes).request("POST", "/submissions", tc.body); a.Status != tc.status {
+				t.Errorf("%d %s, want %d", a.Status, a.Body, tc.status)
+			}
+		})
 	}
 }
 
@@ -367,36 +159,44 @@
 		{"done", `{"s":"done","n":2}`, wire.JobStatus{ID: id, Status: wire.StatusDone, Done: 2}},
 		{"cancelled", `{"s":"withdrawn","n":2}`, wire.JobStatus{ID: id, Status: wire.StatusCancelled}},
 	} {
-		b := newHarness(t, testMachineTypes)
-		if a := b.request("POST", "/submissions", body()); a.Status != 201 {
-			t.Fatalf("accepted: %d %s", a.Status, a.Body)
-		}
-		if tc.final != "" {
-			b.write(records.FinalKey(id), records.OpenKey(id), []byte(tc.final))
-		}
-		fresh := newHarness(t, testMachineTypes)
-		fresh.store, fresh.revision = b.store, b.revision
-		for _, at := range []*harness{b, fresh} {
-			// What cannot run any more, or never could, is a repeat as well.
-			for _, again := range []string{body(), body(), body("crew", `"gone"`), body("hulls", `[]`)} {
-				a := at.request("POST", "/submissions", again)
-				var got wire.JobStatus
-				if err := stdjson.Unmarshal(a.Body, &got); err != nil || a.Status != 200 || got != tc.want {
-					t.Errorf("%s: repeated: %d %s, want 200 %+v", tc.name, a.Status, a.Body, tc.want)
-				}
+		t.Run(tc.name, func(t *testing.T) {
+			b := newHarness(t, testMachineTypes)
+			if a := b.request("POST", "/submissions", body()); a.Status != 201 {
+				t.Fatalf("accepted: %d %s", a.Status, a.Body)
 			}
-			if a := at.request("POST", "/submissions", body("cpus", missing)); a.Status != 400 {
-				t.Errorf("%s: malformed with a known id: %d %s, want 400", tc.name, a.Status, a.Body)
+			if tc.final != "" {
+				b.write(records.FinalKey(id), records.OpenKey(id), []byte(tc.final))
 			}
-			if tc.final == "" {
-				continue
-			}
-			a := at.request("POST", "/submissions/"+id+"/cancel", "")
-			var got wire.JobStatus
-			if err := stdjson.Unmarshal(a.Body, &got); err != nil || a.Status != 200 || got != tc.want {
-				t.Errorf("%s: cancelled: %d %s, want 200 %+v", tc.name, a.Status, a.Body, tc.want)
+			fresh := newHarness(t, testMachineTypes)
+			fresh.store, fresh.revision = b.store, b.revision
+			for _, at := range []*harness{b, fresh} {
+				expectRepeats(t, at, tc.want)
+				if tc.final != "" {
+					expectStatus(t, "cancelled", at.request("POST", "/submissions/"+id+"/cancel", ""), tc.want)
+				}
 			}
-		}
+		})
+	}
+}
+
+// expectRepeats repeats the submission of a job with a status. What cannot run any more, or never
+// could, is a repeat as well.
+func expectRepeats(t *testing.T, at *harness, want wire.JobStatus) {
+	t.Helper()
+	for _, repeat := range []string{body(), body(), body("crew", `"gone"`), body("hulls", `[]`)} {
+		expectStatus(t, "repeated", at.request("POST", "/submissions", repeat), want)
+	}
+	if a := at.request("POST", "/submissions", body("cpus", missing)); a.Status != 400 {
+		t.Errorf("malformed with a known id: %d %s, want 400", a.Status, a.Body)
+	}
+}
+
+// expectStatus compares an answer with a job's status.
+func expectStatus(t *testing.T, what string, a Answer, want wire.JobStatus) {
+	t.Helper()
+	var got wire.JobStatus
+	if err := stdjson.Unmarshal(a.Body, &got); err != nil || a.Status != 200 || got != want {
+		t.Errorf("%s: %d %s, want 200 %+v", what, a.Status, a.Body, want)
 	}
 }
 
@@ -446,8 +246,3 @@
 		}
 	})
 }
-
-// testLeadership is what the winner of a term leads by, over a term key of that version.
-func testLeadership(term uint64) election.Leadership {
-	return election.Leadership{Term: term, TermVersion: 1, Lease: 1}
-}
