--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -7,35 +7,34 @@
 	"testing"
 	"time"
 
-	stdjson "encoding/json"
-
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// graph is what jobs await, by job, in the order in which they are submitted.
+// graph is the jobs of a test and their dependencies.
 type graph struct {
-	order  []string
-	awaits map[string][]string
+	order        []string // of submission
+	dependencies map[string][]string
 }
 
-func (g *graph) add(id string, awaits ...string) string {
-	if g.awaits == nil {
-		g.awaits = map[string][]string{}
+// add adds a job and returns its ID.
+func (g *graph) add(id string, dependencies ...string) string {
+	if g.dependencies == nil {
+		g.dependencies = map[string][]string{}
 	}
 	g.order = append(g.order, id)
-	g.awaits[id] = awaits
+	g.dependencies[id] = dependencies
 	return id
 }
 
+// edges counts the dependencies of all jobs.
 func (g *graph) edges() int {
 	n := 0
-	for _, a := range g.awaits {
-		n += len(a)
+	for _, dependencies := range g.dependencies {
+		n += len(dependencies)
 	}
 	return n
 }
@@ -43,17 +42,17 @@
 // costlyGraphs returns the shapes that cost the most: long, wide either way, and
 // layered, where the paths are many more than the jobs.
 func costlyGraphs() map[string]*graph {
-	chain, needed, needing, layers := &graph{}, &graph{}, &graph{}, &graph{}
+	chain, manyDependents, manyDependencies, layers := &graph{}, &graph{}, &graph{}, &graph{}
 	last := chain.add("job-1000")
-	root := needed.add("job-1000")
+	root := manyDependents.add("job-1000")
 	var all []string
 	for n := range 400 {
 		id := fmt.Sprintf("job-%d", 1001+n)
 		last = chain.add(id, last)
-		needed.add(id, root)
-		all = append(all, needing.add(id))
+		manyDependents.add(id, root)
+		all = append(all, manyDependencies.add(id))
 	}
-	needing.add("job-9999", all...)
+	manyDependencies.add("job-9999", all...)
 	before := []string{layers.add("job-1000")}
 	for n := range 100 {
 		var layer []string
@@ -63,19 +62,19 @@
 		before = layer
 	}
 	layers.add("job-9999", before...)
-	return map[string]*graph{"a chain": chain, "one that all need": needed, "one that needs all": needing, "layers": layers}
+	return map[string]*graph{"a chain": chain, "one that all need": manyDependents, "one that needs all": manyDependencies, "layers": layers}
 }
 
-// recordGraph has a leader learn of a graph's jobs, with estimates that differ.
+// recordGraph makes the jobs of a graph known to a leader, with estimates that differ.
 func recordGraph(b *harness, l *leader, g *graph) {
 	for n, id := range g.order {
-		addRecord(b, l, wire.Job{ID: id, Dependencies: g.awaits[id]}, func(r *records.Open) { r.Job.EstimatedRunS = float64(1 + n%3) })
+		addRecord(b, l, wire.Job{ID: id, Dependencies: g.dependencies[id]}, func(r *records.Open) { r.Job.EstimatedRunS = float64(1 + n%3) })
 	}
 }
 
-// TestClaimsCost submits a deadline and a priority behind large graphs, and takes
-// them away again. What it costs goes by the jobs and what they await, not by the
-// paths: of these, layers have more than can ever be followed.
+// TestClaimsCost submits a job with a deadline and a priority behind large graphs, and cancels it.
+// The cost of inheritance grows with the jobs and their dependencies, not with the paths: of
+// these, layers have more than can ever be followed.
 func TestClaimsCost(t *testing.T) {
 	due := 1e6
 	for name, g := range costlyGraphs() {
@@ -84,7 +83,7 @@
 			recordGraph(b, l, g)
 			before := l.dependencies.Steps()
 			if most := 20 * (len(g.order) + g.edges()); before > most {
-				t.Errorf("%d steps for %d jobs that await %d, want at most %d", before, len(g.order), g.edges(), most)
+				t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", before, len(g.order), g.edges(), most)
 			}
 			tail := g.order[len(g.order)-1]
 			addRecord(b, l, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) {
@@ -93,19 +92,19 @@
 			want := wantInherited(b, l, g, tail, due)
 			for _, id := range g.order {
 				j := l.Jobs[id]
-				w, claimed := want[id]
-				if claimed != (j.Level == cluster.PriorityLevel[wire.PriorityUrgent]) || claimed && math.Abs(j.Deadline-w) > 1e-3 {
-					t.Fatalf("%s: rank %d, due %f, want %v %f", id, j.Level, j.Deadline, claimed, w)
+				deadline, inherits := want[id]
+				if inherits != (j.Level == cluster.PriorityLevel[wire.PriorityUrgent]) || inherits && math.Abs(j.Deadline-deadline) > 1e-3 {
+					t.Fatalf("%s: level %d, deadline %f, want %v %f", id, j.Level, j.Deadline, inherits, deadline)
 				}
 			}
 			if steps, most := l.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
-				t.Errorf("the claim took %d steps, want at most %d", steps, most)
+				t.Errorf("inheritance took %d steps, want at most %d", steps, most)
 			}
 			before = l.dependencies.Steps()
 			addRecord(b, l, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
 			for _, id := range g.order {
 				if j := l.Jobs[id]; j.Level != 0 || !math.IsInf(j.Deadline, 1) {
-					t.Fatalf("%s without the claim: rank %d, due %f", id, j.Level, j.Deadline)
+					t.Fatalf("%s without the dependent: level %d, deadline %f", id, j.Level, j.Deadline)
 				}
 			}
 			if steps, most := l.dependencies.Steps()-before, 5*(len(g.order)+g.edges()); steps > most {
@@ -115,84 +114,104 @@
 	}
 }
 
-// wantInherited works out by when the jobs before a job have to be done.
+// wantInherited works out the deadlines that the dependencies of a job inherit.
 func wantInherited(b *harness, l *leader, g *graph, tail string, due float64) map[string]float64 {
 	want := map[string]float64{tail: float64(b.core.wallClockMS)/1000 + due - 20}
 	for n := len(g.order) - 1; n >= 0; n-- {
 		id := g.order[n]
-		if w, ok := want[id]; ok {
-			for _, a := range g.awaits[id] {
-				if have, ok := want[a]; !ok || w-l.Jobs[id].EstimatedRunS < have {
-					want[a] = w - l.Jobs[id].EstimatedRunS
-				}
+		deadline, ok := want[id]
+		if !ok {
+			continue
+		}
+		start := deadline - l.Jobs[id].EstimatedRunS
+		for _, dependency := range g.dependencies[id] {
+			if earliest, ok := want[dependency]; !ok || start < earliest {
+				want[dependency] = start
 			}
 		}
 	}
 	return want
 }
 
-// TestCancelCost cancels the root of large graphs, also under a leader that finds
-// the request on record. Every job that needs it is over before the root is, in as
-// few transactions as the ends fill: a chain that took one for each job would
-// take longer than cancel_s where the state service answers slowly.
+// TestCancelCost cancels the root of large graphs, also under a leader that finds the request on
+// record. Every dependent has ended before the root has, in as few transactions as the ends
+// fill: a chain with a transaction for each job would take longer than cancel_s where the store
+// answers slowly.
 func TestCancelCost(t *testing.T) {
 	for name, g := range costlyGraphs() {
 		for _, next := range []bool{false, true} {
-			for _, ops := range []int{16, 5, 2} {
-				t.Run(fmt.Sprintf("%s/%d changes/next leader %v", name, ops, next), func(t *testing.T) {
-					b, l := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: ops} })
-					recordGraph(b, l, g)
-					root := g.order[0]
-					before := l.dependencies.Steps()
-					needs := map[string]bool{root: true}
-					for _, id := range g.order {
-						for _, a := range g.awaits[id] {
-							needs[id] = needs[id] || needs[a]
-						}
-					}
-					b.afterCommit = func() {
-						if b.store[records.FinalKey(root)].Key == "" {
-							return
-						}
-						for id := range needs {
-							if b.store[records.FinalKey(id)].Key == "" {
-								t.Fatalf("%s is over before %s", root, id)
-							}
-						}
-					}
-					b.commits = nil
-					if next {
-						l = nextLeader(b, l, root)
-						before = 0
-					} else {
-						addRecord(b, l, wire.Job{ID: root}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
-					}
-					b.run(5 * time.Second)
-					for _, id := range g.order {
-						if over := b.store[records.FinalKey(id)].Key != ""; over != needs[id] {
-							t.Fatalf("%s is over: %v, want %v", id, over, needs[id])
-						}
-					}
-					ends := 0
-					for _, c := range b.commits {
-						if strings.Contains(c, `"put":"f/`) {
-							ends++
-						}
-					}
-					if most := (len(needs)+ops/2-1)/(ops/2) + 1; ends > most {
-						t.Errorf("%d transactions for %d ends, want at most %d", ends, len(needs), most)
-					}
-					if steps, most := l.dependencies.Steps()-before, 20*(len(g.order)+g.edges()); steps > most {
-						t.Errorf("%d steps for %d jobs that await %d, want at most %d", steps, len(g.order), g.edges(), most)
-					}
+			for _, maxWrites := range []int{16, 5, 2} {
+				t.Run(fmt.Sprintf("%s/%d writes/next leader %v", name, maxWrites, next), func(t *testing.T) {
+					testCancelCost(t, g, maxWrites, next)
 				})
 			}
 		}
 	}
 }
 
-// nextLeader has a new leader load the records, of which one tells that its user
-// wants it cancelled.
+func testCancelCost(t *testing.T, g *graph, maxWrites int, next bool) {
+	b, l := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites} })
+	recordGraph(b, l, g)
+	root := g.order[0]
+	before := l.dependencies.Steps()
+	cancelled := g.withDependents(root)
+	b.afterCommit = func() {
+		if !b.hasEnded(root) {
+			return
+		}
+		for id := range cancelled {
+			if !b.hasEnded(id) {
+				t.Fatalf("%s has ended before %s", root, id)
+			}
+		}
+	}
+	b.commits = nil
+	if next {
+		l = nextLeader(b, l, root)
+		before = 0
+	} else {
+		addRecord(b, l, wire.Job{ID: root}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
+	}
+	b.run(5 * time.Second)
+	for _, id := range g.order {
+		if b.hasEnded(id) != cancelled[id] {
+			t.Fatalf("%s has ended: %v, want %v", id, b.hasEnded(id), cancelled[id])
+		}
+	}
+	if ends, most := endTransactions(b), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
+		t.Errorf("%d transactions for %d ends, want at most %d", ends, len(cancelled), most)
+	}
+	if steps, most := l.dependencies.Steps()-before, 20*(len(g.order)+g.edges()); steps > most {
+		t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", steps, len(g.order), g.edges(), most)
+	}
+}
+
+// withDependents returns a job and all that depend on it.
+func (g *graph) withDependents(job string) map[string]bool {
+	found := map[string]bool{job: true}
+	for _, id := range g.order {
+		for _, dependency := range g.dependencies[id] {
+			if found[dependency] {
+				found[id] = true
+			}
+		}
+	}
+	return found
+}
+
+// endTransactions counts the transactions that were sent with a job's end.
+func endTransactions(b *harness) int {
+	count := 0
+	for _, commit := range b.commits {
+		if strings.Contains(commit, `"put":"f/`) {
+			count++
+		}
+	}
+	return count
+}
+
+// nextLeader makes a new leader load the records. The job that is named, if any, is cancelled
+// before.
 func nextLeader(b *harness, old *leader, cancelled string) *leader {
 	old.steppedDown = true
 	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
@@ -202,20 +221,17 @@
 		if !open {
 			continue
 		}
-		var rec records.Open
-		stdjson.Unmarshal(b.store[key].Value, &rec)
 		if id == cancelled {
-			rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
-			b.write(key, "", kv.Encode(rec))
+			b.requestCancellation(id, b.core.wallClockMS)
 		}
-		l.applyOpenRecord(id, b.store[key].Version, rec)
+		l.applyOpenRecord(id, b.store[key].Version, b.openRecord(id))
 	}
 	l.takeUpWork()
 	return l
 }
 
-// TestEndsCost has the jobs that one needs end one by one, and the one that many
-// need: each end costs what hangs on it.
+// TestEndsCost ends the dependencies of large graphs one by one: each end costs as much as it has
+// dependents.
 func TestEndsCost(t *testing.T) {
 	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
@@ -224,7 +240,7 @@
 			before := l.dependencies.Steps()
 			for _, id := range g.order {
 				if j := l.Jobs[id]; j.Waiting && !j.DependenciesDone {
-					t.Fatalf("%s still waits though all before it are done", id)
+					t.Fatalf("%s still waits though its dependencies are done", id)
 				}
 				j := l.Jobs[id]
 				j.Waiting, j.DependenciesDone = false, false // as when its record says that it goes on
@@ -236,15 +252,14 @@
 				t.Errorf("%d steps, want at most %d", steps, most)
 			}
 			if !l.dependencies.Empty() {
-				t.Error("entries are left behind")
+				t.Error("the graph is not empty")
 			}
 		})
 	}
 }
 
-// TestEndsAgain cancels a chain while the state service turns transactions away,
-// or carries them out without an answer: every job is over in the end, and none
-// before its dependents.
+// TestEndsAgain cancels a chain while the store refuses transactions, or carries them out without
+// an answer: every job ends, and none before its dependents.
 func TestEndsAgain(t *testing.T) {
 	for name, answer := range map[string]func(carryOut func() int) int{
 		"429":                  func(func() int) int { return 429 },
@@ -269,10 +284,10 @@
 				return carryOut()
 			}
 			b.afterCommit = func() {
-				for id, awaits := range g.awaits {
-					for _, a := range awaits {
-						if b.store[records.FinalKey(a)].Key != "" && b.store[records.FinalKey(id)].Key == "" {
-							t.Fatalf("%s is over before %s", a, id)
+				for id, dependencies := range g.dependencies {
+					for _, dependency := range dependencies {
+						if b.hasEnded(dependency) && !b.hasEnded(id) {
+							t.Fatalf("%s has ended before %s", dependency, id)
 						}
 					}
 				}
@@ -280,16 +295,16 @@
 			addRecord(b, l, wire.Job{ID: "job-1000"}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
 			b.run(30 * time.Second)
 			for _, id := range g.order {
-				if b.store[records.FinalKey(id)].Key == "" {
-					t.Fatalf("%s is not over", id)
+				if !b.hasEnded(id) {
+					t.Fatalf("%s has not ended", id)
 				}
 			}
 		})
 	}
 }
 
-// twoControllers are two of them at one state service: the first leads and the other
-// only serves users.
+// twoControllers are two controllers at one store: the first leads and the other only serves
+// users.
 func twoControllers(t *testing.T) (b *harness, l *leader, other *harness) {
 	b, l = newLeadingHarness(t, func(*config.Settings) {})
 	other = newHarness(t, testMachineTypes)
@@ -301,28 +316,24 @@
 // syncRevision lets one controller see what another has written.
 func syncRevision(to, from *harness) { to.revision = max(to.revision, from.revision) }
 
-// TestAcceptanceRaces has an awaited job end, or its user call it off, after
-// another controller has read it and before that one's acceptance is carried out.
-// Of the two, one sees the other; the repeat is answered as the first.
+// TestAcceptanceRaces ends or cancels a dependency after another controller has read it and before
+// that one's acceptance is carried out. Of the two, one sees the other; the repeated submission
+// is answered as the first.
 func TestAcceptanceRaces(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		happen func(b *harness)
 		status wire.JobState // of the answer
-		awaits string        // as recorded; "-" for no open record
+		// dependencies are those on record; "-" for no open record.
+		dependencies string
 	}{
 		{"done", func(b *harness) {
 			b.write(records.FinalKey(jobID(1)), records.OpenKey(jobID(1)), []byte(`{"s":"done","n":1}`))
 		}, "pending", ""},
-		{"cancelled and over", func(b *harness) {
+		{"cancelled and ended", func(b *harness) {
 			b.write(records.FinalKey(jobID(1)), records.OpenKey(jobID(1)), []byte(`{"s":"withdrawn","n":1}`))
 		}, "withdrawn", "-"},
-		{"called off", func(b *harness) {
-			var rec records.Open
-			stdjson.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
-			rec.Cancelled, rec.CancelRequestedAt = true, 1
-			b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec))
-		}, "withdrawn", "-"},
+		{"being cancelled", func(b *harness) { b.requestCancellation(jobID(1), 1) }, "withdrawn", "-"},
 		{"written for another reason", func(b *harness) {
 			b.write(records.OpenKey(jobID(1)), "", b.store[records.OpenKey(jobID(1))].Value)
 		}, "pending", jobID(1)},
@@ -354,19 +365,17 @@
 			if a := b.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
 				t.Errorf("the repeat elsewhere is answered %d %s", a.Status, a.Body)
 			}
-			it, open := b.store[records.OpenKey(jobID(2))]
-			var rec records.Open
-			stdjson.Unmarshal(it.Value, &rec)
-			if got := strings.Join(rec.Job.Dependencies, ","); open != (tc.awaits != "-") || open && got != tc.awaits {
-				t.Errorf("open %v, awaits %q", open, got)
+			_, open := b.store[records.OpenKey(jobID(2))]
+			got := strings.Join(b.openRecord(jobID(2)).Job.Dependencies, ",")
+			if open != (tc.dependencies != "-") || open && got != tc.dependencies {
+				t.Errorf("open %v, dependencies %q", open, got)
 			}
 		})
 	}
 }
 
-// TestEndRacesAcceptance has a leader about to record a job's end, or that its
-// user called it off, while another controller accepts a dependent. The one that
-// comes second fails and looks again.
+// TestEndRacesAcceptance lets another controller accept a dependent while a leader is about to
+// record a job's end or cancellation. The second one conflicts and reads again.
 func TestEndRacesAcceptance(t *testing.T) {
 	for name, cancelled := range map[string]bool{"done": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
@@ -391,40 +400,37 @@
 				l.markDone(l.Jobs[jobID(1)], 0)
 			}
 			b.run(time.Second)
-			if it := b.store[records.OpenKey(jobID(2))]; it.Key != "" { // as the watch tells
-				var rec records.Open
-				stdjson.Unmarshal(it.Value, &rec)
-				l.applyOpenRecord(jobID(2), it.Version, rec)
+			if item := b.store[records.OpenKey(jobID(2))]; item.Key != "" { // by the watch
+				l.applyOpenRecord(jobID(2), item.Version, b.openRecord(jobID(2)))
 			}
 			b.run(3 * time.Second)
-			f := string(b.store[records.FinalKey(jobID(1))].Value)
-			switch j := l.Jobs[jobID(2)]; {
-			case !accepted || f == "":
-				t.Errorf("accepted %v, the first is over: %q", accepted, f)
-			case cancelled && b.store[records.FinalKey(jobID(2))].Key == "":
-				t.Error("the dependent is not over")
-			case !cancelled && (j == nil || j.Waiting):
+			switch dependent := l.Jobs[jobID(2)]; {
+			case !accepted || !b.hasEnded(jobID(1)):
+				t.Errorf("accepted %v, the first has ended: %v", accepted, b.hasEnded(jobID(1)))
+			case cancelled && !b.hasEnded(jobID(2)):
+				t.Error("the dependent has not ended")
+			case !cancelled && (dependent == nil || dependent.Waiting):
 				t.Error("the dependent does not go on")
 			}
 		})
 	}
 }
 
-// runInStep runs a function as an input of the core, so that what it asks for is sent.
+// runInStep runs a function as an input of the core, so that its calls are sent.
 func runInStep(b *harness, f func()) {
 	b.core.nextCall++
 	b.core.pendingCalls[b.core.nextCall] = func(Result) { f() }
 	b.step(Result{ID: b.core.nextCall})
 }
 
-// TestAwaitsLongOver names jobs that were over long ago: of these only the final
-// record is left, and no controller remembers it.
+// TestAwaitsLongOver has dependencies that ended long ago: of these only the final record is left,
+// and no controller remembers it.
 func TestAwaitsLongOver(t *testing.T) {
 	b, l := newLeadingHarness(t, func(*config.Settings) {})
 	b.write(records.FinalKey(jobID(1)), "", []byte(`{"s":"done","n":1}`))
 	b.write(records.FinalKey(jobID(2)), "", []byte(`{"s":"withdrawn","n":1}`))
-	// A record that names them was written before they were over, and the leader
-	// that saw them end is not there any more.
+	// A record that names them was written before they ended, and the leader that recorded their
+	// ends is gone.
 	runInStep(b, func() {
 		addRecord(b, l, wire.Job{ID: jobID(3), Dependencies: []string{jobID(1)}}, nil)
 		addRecord(b, l, wire.Job{ID: jobID(4), Dependencies: []string{jobID(1), jobID(2)}}, nil)
@@ -432,11 +438,11 @@
 	})
 	b.run(3 * time.Second)
 	if l.Jobs[jobID(3)].Waiting {
-		t.Error("a job whose awaited one is done waits")
+		t.Error("a job whose dependency is done waits")
 	}
 	for _, n := range []int{4, 5} {
 		if !strings.Contains(string(b.store[records.FinalKey(jobID(n))].Value), "withdrawn") {
-			t.Errorf("%s is not cancelled with the job it needs", jobID(n))
+			t.Errorf("%s is not cancelled with its dependency", jobID(n))
 		}
 	}
 }
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -16,8 +17,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// longListLength is how many jobs are named in the tests below: several times what a
-// record holds under smallLimits.
+// longListLength is how many dependencies the tests below have: several times what a record holds
+// under smallLimits.
 const longListLength = 400
 
 func smallLimits(s *config.Settings) {
@@ -61,7 +62,7 @@
 	return a
 }
 
-// submitLongList has a job accepted that awaits longListLength others.
+// submitLongList submits a job with longListLength dependencies.
 func submitLongList(t *testing.T, b *harness) (id string, names []string) {
 	t.Helper()
 	smallLimits(b.core.settings)
@@ -73,18 +74,15 @@
 	return id, names
 }
 
-// TestLongListIsAccepted spreads a list over records within the limits of the
-// state service, marks all jobs that it names as needed, and knows a repeat.
+// TestLongListIsAccepted spreads a list over records within the store's limits, marks all
+// dependencies as having dependents, and recognizes a repeated submission.
 func TestLongListIsAccepted(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, b)
-	var rec records.Open
-	if err := stdjson.Unmarshal(b.store[records.OpenKey(id)].Value, &rec); err != nil {
-		t.Fatal(err)
-	}
-	ref, ok := records.ParseDependencyListRef(rec.Job.Dependencies)
+	recorded := b.openRecord(id).Job.Dependencies
+	ref, ok := records.ParseDependencyListRef(recorded)
 	if !ok {
-		t.Fatalf("recorded as %q", rec.Job.Dependencies)
+		t.Fatalf("recorded as %q", recorded)
 	}
 	if keys := b.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.Keys()))) {
 		t.Errorf("list records %q, the job refers to %q", keys, ref.Keys())
@@ -107,7 +105,7 @@
 	}
 	for _, name := range names {
 		if !strings.Contains(string(b.store[records.OpenKey(name)].Value), `"nd":true`) {
-			t.Fatalf("%s is not marked as needed", name)
+			t.Fatalf("%s is not marked as having dependents", name)
 		}
 	}
 	commits := len(b.commits)
@@ -119,50 +117,60 @@
 	}
 }
 
-// TestLongListMeetsLostAnswers loses the answer to each transaction in turn, once
-// carried out and once not: the job is accepted once, with its whole list.
+// TestLongListMeetsLostAnswers loses the answer to each transaction in turn, carried out or not:
+// the job is accepted once, with its whole list.
 func TestLongListMeetsLostAnswers(t *testing.T) {
 	for _, carriedOut := range []bool{true, false} {
 		for lost := range 4 { // three with list records, one with the job
-			b := newHarness(t, testMachineTypes)
-			b.core.settings.Deployment.Store.ValueKB, b.core.settings.Deployment.Store.TxnOps = 1, 2
-			names := openJobs(b, 300)
-			begun := false
-			b.intercept = func(txn *wire.Txn, carryOut func() int) int {
-				for _, w := range txn.Writes {
-					begun = begun || strings.HasPrefix(w.Put, records.PrefixDependencyList)
+			t.Run(fmt.Sprintf("transaction %d/carried out %v", lost, carriedOut), func(t *testing.T) {
+				b := newHarness(t, testMachineTypes)
+				b.core.settings.Deployment.Store.ValueKB, b.core.settings.Deployment.Store.TxnOps = 1, 2
+				names := openJobs(b, 300)
+				answersLost := loseAnswer(b, lost, carriedOut)
+				if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
+					t.Fatalf("answered %d %s", a.Status, a.Body)
 				}
-				if begun {
-					lost--
+				recorded := b.openRecord(jobID(9)).Job.Dependencies
+				ref, ok := records.ParseDependencyListRef(recorded)
+				for _, key := range ref.Keys() {
+					if b.store[key].Key == "" {
+						t.Errorf("%s is missing", key)
+					}
 				}
-				if !begun || lost != -1 {
-					return carryOut()
+				if !ok || *answersLost != 1 {
+					t.Errorf("recorded as %q, %d answers lost", recorded, *answersLost)
 				}
-				if carriedOut {
-					carryOut()
-				}
-				return 0
-			}
-			if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
-				t.Fatalf("answered %d %s", a.Status, a.Body)
-			}
-			var rec records.Open
-			stdjson.Unmarshal(b.store[records.OpenKey(jobID(9))].Value, &rec)
-			ref, ok := records.ParseDependencyListRef(rec.Job.Dependencies)
-			for _, key := range ref.Keys() {
-				if b.store[key].Key == "" {
-					t.Errorf("%s is missing", key)
-				}
-			}
-			if !ok || lost >= 0 {
-				t.Errorf("recorded as %q, %d answers left to lose", rec.Job.Dependencies, lost+1)
-			}
+			})
+		}
+	}
+}
+
+// loseAnswer loses the answer to a transaction, which is carried out or not, counted from the
+// first one that writes list records. It returns how many answers are lost so far.
+func loseAnswer(b *harness, number int, carriedOut bool) *int {
+	lost, next, begun := new(int), 0, false
+	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+		begun = begun || slices.ContainsFunc(txn.Writes, func(w wire.Write) bool {
+			return strings.HasPrefix(w.Put, records.PrefixDependencyList)
+		})
+		if !begun {
+			return carryOut()
+		}
+		next++
+		if next-1 != number {
+			return carryOut()
 		}
+		*lost++
+		if carriedOut {
+			carryOut()
+		}
+		return 0
 	}
+	return lost
 }
 
-// TestLongListWaitsForUpgrade asks the user to come back while a controller runs
-// a version that can't read lists spread over records, and writes none.
+// TestLongListWaitsForUpgrade asks the user to retry while a controller runs a version that cannot
+// read dependency lists, and writes none.
 func TestLongListWaitsForUpgrade(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	smallLimits(b.core.settings)
@@ -185,7 +193,7 @@
 	}
 }
 
-// leadWithRecords makes a core that leads over a harness's records.
+// leadWithRecords makes the core of a harness lead, with the records in the store.
 func leadWithRecords(b *harness) *leader {
 	b.write(election.KeyTerm, "", []byte("5"))
 	l := b.lead()
@@ -199,8 +207,8 @@
 	b.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
 }
 
-// TestLongListHoldsTheJob has a new leader read a list from its records: the job
-// goes on when the last of them is done, no earlier, and its end deletes the list.
+// TestLongListHoldsTheJob lets a new leader read a list from its records: the job goes on when the
+// last dependency is done, no earlier, and its end deletes the list.
 func TestLongListHoldsTheJob(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, b)
@@ -233,59 +241,50 @@
 // and after the leader has begun.
 func TestLongListIsCancelled(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		b := newHarness(t, testMachineTypes)
-		id, names := submitLongList(t, b)
-		last := names[len(names)-1]
-		cancel := func(l *leader) {
-			var rec records.Open
-			stdjson.Unmarshal(b.store[records.OpenKey(last)].Value, &rec)
-			rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
-			b.write(records.OpenKey(last), "", kv.Encode(rec))
-			if l != nil {
-				l.applyOpenRecord(last, b.store[records.OpenKey(last)].Version, rec)
+		t.Run(fmt.Sprintf("before the leader %v", before), func(t *testing.T) {
+			b := newHarness(t, testMachineTypes)
+			id, names := submitLongList(t, b)
+			last := names[len(names)-1]
+			b.afterCommit = func() {
+				if b.store[records.FinalKey(last)].Key != "" && b.store[records.OpenKey(id)].Key != "" {
+					t.Error("its end is on record before that of its dependent")
+				}
 			}
-		}
-		b.afterCommit = func() {
-			if b.store[records.FinalKey(last)].Key != "" && b.store[records.OpenKey(id)].Key != "" {
-				t.Error("its end is told before that of the job that needs it")
+			if before {
+				b.requestCancellation(last, b.core.wallClockMS)
 			}
-		}
-		if before {
-			cancel(nil)
-		}
-		l := leadWithRecords(b)
-		if !before {
-			cancel(l)
-		}
-		b.run(5 * time.Second)
-		if f := string(b.store[records.FinalKey(id)].Value); !strings.Contains(f, string(wire.StatusCancelled)) || len(b.listKeys()) > 0 {
-			t.Errorf("before %v: ended as %q, list records left: %d", before, f, len(b.listKeys()))
-		}
+			l := leadWithRecords(b)
+			if !before {
+				record := b.requestCancellation(last, b.core.wallClockMS)
+				l.applyOpenRecord(last, b.store[records.OpenKey(last)].Version, record)
+			}
+			b.run(5 * time.Second)
+			if final := string(b.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) || len(b.listKeys()) > 0 {
+				t.Errorf("ended as %q, list records left: %d", final, len(b.listKeys()))
+			}
+		})
 	}
 }
 
-// TestUnreadListHoldsEnds keeps a cancelled job that others need from ending
-// while a list is not read that may name it.
+// TestUnreadListHoldsEnds keeps a cancelled job with dependents from ending while a list is not
+// read that may name it.
 func TestUnreadListHoldsEnds(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, b)
 	l := leadWithRecords(b)
 	l.dependencyLists.unread[id] = noRetry
-	var rec records.Open
-	stdjson.Unmarshal(b.store[records.OpenKey(names[0])].Value, &rec)
-	rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
-	b.write(records.OpenKey(names[0]), "", kv.Encode(rec))
+	record := b.requestCancellation(names[0], b.core.wallClockMS)
 	l.dependencies.Drop(id)
-	l.applyOpenRecord(names[0], b.store[records.OpenKey(names[0])].Version, rec)
+	l.applyOpenRecord(names[0], b.store[records.OpenKey(names[0])].Version, record)
 	b.run(5 * time.Second)
 	if b.store[records.FinalKey(names[0])].Key != "" {
 		t.Error("its end is on record while a list that may name it is not read")
 	}
 }
 
-// TestAbandonedListsAreCleared clears what attempts have left that led to no job:
-// not those that may still lead to one, nor the list of an accepted job. What is
-// left of such an attempt has no effect when it is carried out late.
+// TestAbandonedListsAreCleared deletes the records of attempts that led to no job: not of those
+// that may still lead to one, nor the list of an accepted job. A transaction of such an attempt
+// that is carried out late has no effect.
 func TestAbandonedListsAreCleared(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, _ := submitLongList(t, b)
@@ -356,9 +355,8 @@
 	}
 }
 
-// TestClearingIsConditional clears on the word of a listing that is out of date: a
-// job has been accepted since, or the first record of an attempt written. Neither
-// loses a record.
+// TestClearingIsConditional deletes by a listing that is out of date: a job has been accepted
+// since, or the first record of an attempt written. Neither loses a record.
 func TestClearingIsConditional(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	l := leadWithRecords(b)
@@ -381,8 +379,8 @@
 	}
 }
 
-// TestManyUnknownNames asks about the jobs of a long list, none of which the
-// controller remembers, without taking all room for users' questions.
+// TestManyUnknownNames looks up the jobs of a long list, none of which the controller remembers,
+// without taking all room for users' queries.
 func TestManyUnknownNames(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	names := openJobs(b, longListLength)
@@ -394,6 +392,6 @@
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	if longest > 20 {
-		t.Errorf("%d questions at a time", longest)
+		t.Errorf("%d lookups at a time", longest)
 	}
 }
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -11,6 +11,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
+	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -193,6 +194,34 @@
 	}
 }
 
+// hasEnded reports whether a job's end is on record.
+func (b *harness) hasEnded(id string) bool { return b.store[records.FinalKey(id)].Key != "" }
+
+// openRecord is the open record of a job; the zero value if there is none.
+func (b *harness) openRecord(id string) records.Open {
+	b.t.Helper()
+	var record records.Open
+	if item, exists := b.store[records.OpenKey(id)]; exists {
+		if err := stdjson.Unmarshal(item.Value, &record); err != nil {
+			b.t.Fatalf("open record of %s: %v", id, err)
+		}
+	}
+	return record
+}
+
+// requestCancellation records that a user wants a job cancelled, as another controller would. It
+// returns the record.
+func (b *harness) requestCancellation(id string, at int64) records.Open {
+	b.t.Helper()
+	if b.store[records.OpenKey(id)].Key == "" {
+		b.t.Fatalf("%s has no open record", id)
+	}
+	record := b.openRecord(id)
+	record.Cancelled, record.CancelRequestedAt = true, at
+	b.write(records.OpenKey(id), "", kv.Encode(record))
+	return record
+}
+
 // run lets time pass, with ticks.
 func (b *harness) run(d time.Duration) {
 	for end := b.now + d; b.now < end; b.now += 50 * time.Millisecond {
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -17,18 +17,18 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// lowerLimits has the state service take no more than so many changes in a transaction
-// and bytes in a value from now on, and returns how often it refused one.
-func lowerLimits(b *harness, ops, bytes int) *int {
-	refused := new(int)
+// lowerLimits lowers what the store takes, to a number of writes in a transaction and of bytes in a
+// value. It returns how many transactions are rejected from now on.
+func lowerLimits(b *harness, maxWrites, maxValue int) *int {
+	rejected := new(int)
 	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
-		if len(txn.Writes) > ops || len(txn.Conditions) > 4*ops || largestValueBytes(txn) > bytes {
-			*refused++
+		if len(txn.Writes) > maxWrites || len(txn.Conditions) > 4*maxWrites || largestValueBytes(txn) > maxValue {
+			*rejected++
 			return 400
 		}
 		return carryOut()
 	}
-	return refused
+	return rejected
 }
 
 func largestValueBytes(txn *wire.Txn) int {
@@ -39,14 +39,14 @@
 	return n
 }
 
-// withAnnouncedLimits names limits to come in the settings.
+// withAnnouncedLimits announces lower limits in the settings.
 func withAnnouncedLimits(ops int, kb float64) func(*config.Settings) {
 	return func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: ops, ValueKB: kb} }
 }
 
 func withoutAnnouncement(*config.Settings) {}
 
-// placeAndRecord places tasks of a job on machines of its own and has them recorded.
+// placeAndRecord places tasks of a job on machines of its own and records them.
 func placeAndRecord(l *leader, j *cluster.Job, from, to int) {
 	for i := from; i < to; i++ {
 		j.TaskStates[i] = cluster.Task{Attempt: j.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
@@ -59,14 +59,14 @@
 // recordedTasks counts the tasks of a job that a next leader would find placed.
 func recordedTasks(b *harness, id string, tasks int) int {
 	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
-	var rec records.Open
-	stdjson.Unmarshal(b.store[records.OpenKey(id)].Value, &rec)
-	l.applyOpenRecord(id, b.store[records.OpenKey(id)].Version, rec)
+	l.applyOpenRecord(id, b.store[records.OpenKey(id)].Version, b.openRecord(id))
 	var found []persistence.LoadedPlacement
 	for _, key := range sortedKeys(b.store) {
 		if r, ok := records.ParsePlacementKey(key, l.writer.TasksPerNumberedRecord()); strings.HasPrefix(key, records.PrefixPlacement) && ok && r.Job == id {
 			var rec records.Placement
-			stdjson.Unmarshal(b.store[key].Value, &rec)
+			if err := stdjson.Unmarshal(b.store[key].Value, &rec); err != nil {
+				b.t.Fatalf("%s: %v", key, err)
+			}
 			found = append(found, persistence.LoadedPlacement{PlacementRange: r, Key: key, Version: b.store[key].Version, Record: rec})
 		}
 	}
@@ -80,15 +80,15 @@
 	return n
 }
 
-// TestLimitsFall lowers the limits under jobs with placement records of 10 KiB and
-// open records of many sizes. All is recorded in the end, and no transaction that
-// is beyond the limits is sent more than a few times.
+// TestLimitsFall lowers the limits under jobs with placement records of 10 KiB and open records of
+// many sizes. All is recorded in the end, and transactions beyond the limits are sent a few
+// times at most.
 func TestLimitsFall(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		settings   func(*config.Settings)
 		ops, bytes int
-		most       int // transactions refused
+		most       int // transactions rejected
 	}{
 		{"announced", withAnnouncedLimits(5, 2), 5, 2048, 1},
 		{"announced, two changes", withAnnouncedLimits(2, 2), 2, 2048, 1},
@@ -122,7 +122,7 @@
 			}
 			addRecord(b, l, wire.Job{ID: jobID(8)}, nil)
 			addRecord(b, l, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
-			refused := lowerLimits(b, tc.ops, tc.bytes)
+			rejected := lowerLimits(b, tc.ops, tc.bytes)
 			if b.core.settings.Deployment.Store.Next != nil {
 				l.writer.AllowNamedRanges() // as once every controller reads them
 			}
@@ -147,17 +147,17 @@
 					t.Errorf("a next leader finds %d tasks of %s placed", got, j.ID)
 				}
 			}
-			if b.store[records.FinalKey(jobID(8))].Key == "" || !strings.Contains(string(b.store[records.OpenKey(jobID(9))].Value), `"ra":`) {
-				t.Error("the job that is done is not over, or the next does not go on")
+			if !b.hasEnded(jobID(8)) || !strings.Contains(string(b.store[records.OpenKey(jobID(9))].Value), `"ra":`) {
+				t.Error("the job that is done has not ended, or its dependent does not go on")
 			}
-			if *refused > tc.most {
-				t.Errorf("%d transactions refused, want at most %d", *refused, tc.most)
+			if *rejected > tc.most {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
 			}
 			if tc.ops == 16 && b.core.store.MaxWrites() != 16 {
-				t.Errorf("transactions keep to %d changes, though only the values became smaller", b.core.store.MaxWrites())
+				t.Errorf("transactions keep to %d writes, though only the values became smaller", b.core.store.MaxWrites())
 			}
 			if tc.bytes < 16384 && b.core.settings.Deployment.Store.Next == nil {
-				// A controller that starts now finds out by the records.
+				// A controller that starts now learns it from the records.
 				b.core.store = kv.NewClient(storeTransport{b.core}, &b.core.settings.Deployment)
 				recordedTasks(b, jobID(0), 300)
 				if b.core.store.MaxPlacementValue() != kv.SmallValue {
@@ -178,9 +178,9 @@
 		Tasks: tasks, CPUs: 4, MemGB: 1, MachineTypes: append(types, "small")}
 }
 
-// TestLongDescriptionCancelled cancels a job whose open record is larger than the
-// service takes by now: the request is recorded without what only a job that is to
-// run needs, the job and what needs it end, and hardly a write is refused.
+// TestLongDescriptionCancelled cancels a job whose open record is larger than the store takes by
+// now: the request is recorded without what only a job that is to run needs, the job and its
+// dependents end, and hardly a write is rejected.
 func TestLongDescriptionCancelled(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -194,12 +194,11 @@
 			j := l.Jobs[jobID(1)]
 			placeAndRecord(l, j, 0, 1)
 			b.run(time.Second)
-			refused := lowerLimits(b, 5, 2048)
+			rejected := lowerLimits(b, 5, 2048)
 			var rec records.Open // with the request
 			b.afterCommit = func() {
-				if it := b.store[records.OpenKey(jobID(1))]; it.Key != "" {
-					rec = records.Open{}
-					stdjson.Unmarshal(it.Value, &rec)
+				if !b.hasEnded(jobID(1)) {
+					rec = b.openRecord(jobID(1))
 				}
 			}
 			b.nextReq++
@@ -208,22 +207,22 @@
 			if !rec.Cancelled || rec.Job.Tasks != 40 || rec.Job.Team != "vision" || rec.Job.CPUs != 4 || rec.Job.Class != "c" {
 				t.Fatalf("recorded %+v", rec)
 			}
-			if b.store[records.FinalKey(jobID(2))].Key == "" {
-				t.Error("its dependent is not over")
+			if !b.hasEnded(jobID(2)) {
+				t.Error("its dependent has not ended")
 			}
-			if b.store[records.FinalKey(jobID(1))].Key == "" || b.store[records.OpenKey(jobID(1))].Key != "" {
-				t.Error("the job is not over")
+			if !b.hasEnded(jobID(1)) || b.store[records.OpenKey(jobID(1))].Key != "" {
+				t.Error("the job has not ended")
 			}
-			if *refused > tc.most {
-				t.Errorf("%d transactions refused, want at most %d", *refused, tc.most)
+			if *rejected > tc.most {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
 			}
 		})
 	}
 }
 
-// TestLongDescriptionGoesOn has a job go on whose open record is larger than the
-// service takes by now: its tasks are placed and recorded, and other jobs'
-// records are not held up. So do jobs whose placement records change their layout.
+// TestLongDescriptionGoesOn lets a job go on whose open record is larger than the store takes by
+// now: its tasks are placed and recorded, and other jobs' records are not held up. So do jobs
+// whose placement records change their layout.
 func TestLongDescriptionGoesOn(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
@@ -240,7 +239,7 @@
 			other := l.Jobs[jobID(3)]
 			placeAndRecord(l, other, 0, 100)
 			b.run(time.Second)
-			refused := lowerLimits(b, 5, 2048)
+			rejected := lowerLimits(b, 5, 2048)
 			if b.core.settings.Deployment.Store.Next != nil {
 				l.writer.AllowNamedRanges() // as once every controller reads them
 			}
@@ -249,7 +248,7 @@
 			l.markDone(l.Jobs[jobID(1)], 0)
 			l.markDone(l.Jobs[jobID(4)], 0)
 			b.run(20 * time.Second)
-			if b.store[records.FinalKey(jobID(1))].Key == "" || b.store[records.FinalKey(jobID(4))].Key == "" {
+			if !b.hasEnded(jobID(1)) || !b.hasEnded(jobID(4)) {
 				t.Fatal("the ends of other jobs are not recorded")
 			}
 			j := l.Jobs[jobID(2)]
@@ -264,10 +263,10 @@
 			if got := recordedTasks(b, jobID(3), 100); got != 100 {
 				t.Errorf("a next leader finds %d tasks placed", got)
 			}
-			if *refused > tc.most {
-				t.Errorf("%d transactions refused, want at most %d", *refused, tc.most)
+			if *rejected > tc.most {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
 			}
-			// The next leader finds it out by itself.
+			// The next leader learns it by itself.
 			next := nextLeader(b, l, "")
 			if k := next.Jobs[jobID(2)]; k.Waiting && !k.DependenciesDone {
 				t.Error("it waits again under the next leader")
@@ -276,8 +275,8 @@
 	}
 }
 
-// TestLongDescriptionsGoOn has many such jobs go on together. Two of them in one
-// transaction, nobody can tell which one is refused.
+// TestLongDescriptionsGoOn lets many such jobs go on together. With two of them in one
+// transaction, nobody can tell which one is rejected.
 func TestLongDescriptionsGoOn(t *testing.T) {
 	b, l := newLeadingHarness(t, withoutAnnouncement)
 	addRecord(b, l, wire.Job{ID: jobID(0)}, nil)
@@ -289,7 +288,7 @@
 		long.Dependencies = []string{jobID(0)}
 		addRecord(b, l, long, nil)
 	}
-	refused := lowerLimits(b, 5, 2048)
+	rejected := lowerLimits(b, 5, 2048)
 	l.markDone(l.Jobs[jobID(0)], 0)
 	b.run(20 * time.Second)
 	for n := range 9 {
@@ -297,21 +296,21 @@
 			t.Errorf("%s does not go on", jobID(1+n))
 		}
 	}
-	if *refused > 70 {
-		t.Errorf("%d transactions refused", *refused)
+	if *rejected > 70 {
+		t.Errorf("%d transactions rejected", *rejected)
 	}
 }
 
-// TestPoisonedRecord has the state service refuse whatever concerns one job, for a
-// reason that this program knows nothing of: it is tried less and less often, and
-// the others' records are written.
+// TestPoisonedRecord makes the store reject whatever concerns one job, for a reason that this
+// program knows nothing of: it is retried less and less often, and the others' records are
+// written.
 func TestPoisonedRecord(t *testing.T) {
 	b, l := newLeadingHarness(t, withoutAnnouncement)
-	refused := 0
+	rejected := 0
 	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		for _, w := range txn.Writes {
 			if strings.Contains(w.Put+w.Delete, jobID(3)) {
-				refused++
+				rejected++
 				return 400
 			}
 		}
@@ -323,24 +322,23 @@
 	}
 	b.run(120 * time.Second)
 	for n := range 8 {
-		if over := b.store[records.FinalKey(jobID(n))].Key != ""; over != (n != 3) {
-			t.Errorf("%s is over: %v", jobID(n), over)
+		if b.hasEnded(jobID(n)) != (n != 3) {
+			t.Errorf("%s has ended: %v", jobID(n), b.hasEnded(jobID(n)))
 		}
 	}
-	if refused > 20 {
-		t.Errorf("%d transactions refused in 120 s", refused)
+	if rejected > 20 {
+		t.Errorf("%d transactions rejected in 120 s", rejected)
 	}
 }
 
-// TestLongDescriptionIsAwaited submits jobs that await one whose open record is
-// larger than the service takes by now. They are accepted though it cannot be marked
-// as needed. Its cancellation is recorded as that of a needed job, and takes them
-// along.
+// TestLongDescriptionIsAwaited submits dependents of a job whose open record is larger than the
+// store takes by now. They are accepted though it cannot be marked as having dependents. Its
+// cancellation is recorded as that of a job with dependents, and cancels them as well.
 func TestLongDescriptionIsAwaited(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		settings func(*config.Settings)
-		others   int  // unfinished jobs that are awaited beside it
+		others   int  // further unfinished dependencies
 		late     bool // the leader learns of the dependent after the job's end
 		most     int
 	}{
@@ -360,12 +358,11 @@
 				names = append(names, `"`+jobID(10+n)+`"`)
 			}
 			b.run(time.Second)
-			refused := lowerLimits(b, 5, 2048)
+			rejected := lowerLimits(b, 5, 2048)
 			var request records.Open
 			b.afterCommit = func() {
-				if it := b.store[records.OpenKey(jobID(1))]; it.Key != "" {
-					request = records.Open{}
-					stdjson.Unmarshal(it.Value, &request)
+				if !b.hasEnded(jobID(1)) {
+					request = b.openRecord(jobID(1))
 				}
 			}
 			dependent := jobID(2)
@@ -376,12 +373,11 @@
 				t.Error("a record that is too large was written")
 			}
 			learn := func() {
-				item := b.store[records.OpenKey(dependent)]
-				var rec records.Open
-				if err := stdjson.Unmarshal(item.Value, &rec); err != nil {
-					t.Fatal(err)
+				item, open := b.store[records.OpenKey(dependent)]
+				if !open {
+					t.Fatal("the dependent has no open record")
 				}
-				l.applyOpenRecord(dependent, item.Version, rec)
+				l.applyOpenRecord(dependent, item.Version, b.openRecord(dependent))
 			}
 			if !tc.late {
 				learn()
@@ -401,8 +397,8 @@
 					t.Errorf("%s ended as %q", id, final)
 				}
 			}
-			if *refused > tc.most {
-				t.Errorf("%d transactions refused, want at most %d", *refused, tc.most)
+			if *rejected > tc.most {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
 			}
 		})
 	}
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -5,21 +5,18 @@
 	"strings"
 	"testing"
 
-	"github.com/segmentio/encoding/json"
-
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
 func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
 
-// submissionAwaiting is a submission body of the job n that awaits others.
+// submissionAwaiting is a submission body of the job n with dependencies.
 func submissionAwaiting(n int, awaits string, change ...string) string {
 	b := body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)
 	return strings.TrimSuffix(b, "}") + `,"awaits":` + awaits + "}"
 }
 
-// TestAwaits submits jobs that await others in every state, well and badly named.
+// TestAwaits submits jobs with dependencies in every state, well and badly named.
 func TestAwaits(t *testing.T) {
 	open, done, cancelled, service, cancelling := jobID(1), jobID(2), jobID(3), jobID(4), jobID(5)
 	for _, tc := range []struct {
@@ -78,12 +75,7 @@
 				}
 				b.write(records.FinalKey(done), "", []byte(`{"s":"done","n":16}`))
 				b.write(records.FinalKey(cancelled), "", []byte(`{"s":"withdrawn","n":16}`))
-				var rec records.Open
-				if err := json.Unmarshal(b.store[records.OpenKey(cancelling)].Value, &rec); err != nil {
-					t.Fatal(err)
-				}
-				rec.Cancelled, rec.CancelRequestedAt = true, 1
-				b.write(records.OpenKey(cancelling), "", kv.Encode(rec))
+				b.requestCancellation(cancelling, 1)
 				b.core.jobCache.ForgetOpen(cancelling)
 				if !known {
 					b.core.jobCache.ForgetAllOpen() // accepted by another controller
@@ -92,18 +84,16 @@
 				if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
 				}
-				it, isOpen := b.store[records.OpenKey(jobID(9))]
+				_, isOpen := b.store[records.OpenKey(jobID(9))]
 				_, isFinal := b.store[records.FinalKey(jobID(9))]
 				if isOpen != (tc.state == "pending") || isFinal != (tc.state == "withdrawn") {
 					t.Errorf("open on record: %v, final: %v", isOpen, isFinal)
 				}
-				rec = records.Open{}
-				json.Unmarshal(it.Value, &rec)
-				if got := strings.Join(rec.Job.Dependencies, ","); got != tc.recorded {
-					t.Errorf("awaits %q on record, want %q", got, tc.recorded)
+				if got := strings.Join(b.openRecord(jobID(9)).Job.Dependencies, ","); got != tc.recorded {
+					t.Errorf("dependencies %q on record, want %q", got, tc.recorded)
 				}
 				if tc.recorded != "" && !strings.Contains(string(b.store[records.OpenKey(open)].Value), `"nd":true`) {
-					t.Error("the awaited job is not marked as needed")
+					t.Error("the dependency is not marked as having dependents")
 				}
 				if tc.status == 201 {
 					if a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits)); a.Status != 200 {
@@ -115,7 +105,7 @@
 	}
 }
 
-// TestAwaitsMany names more jobs than a transaction has conditions or changes.
+// TestAwaitsMany names more dependencies than a transaction has conditions or writes.
 func TestAwaitsMany(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	b.core.settings.Deployment.Store.TxnOps = 5
@@ -132,22 +122,19 @@
 	}
 	for n := range 50 {
 		if !strings.Contains(string(b.store[records.OpenKey(jobID(n))].Value), `"nd":true`) {
-			t.Errorf("%s is not marked as needed", jobID(n))
+			t.Errorf("%s is not marked as having dependents", jobID(n))
 		}
 	}
 }
 
-// TestAwaitsRace has an awaited job cancelled between the moment at which it is
-// read and the one at which its dependent is recorded.
+// TestAwaitsRace cancels a dependency between the moment at which it is read and the one at which
+// its dependent is recorded.
 func TestAwaitsRace(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
-	var rec records.Open
-	json.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
-	rec.Cancelled, rec.CancelRequestedAt = true, 1
-	b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec)) // by another controller
+	b.requestCancellation(jobID(1), 1)
 	if b.core.jobCache.Open(jobID(1)).Record.Cancelled {
 		t.Fatal("known already")
 	}
@@ -156,6 +143,6 @@
 		t.Errorf("answered %d %s, want 201 and withdrawn", a.Status, a.Body)
 	}
 	if _, ok := b.store[records.OpenKey(jobID(2))]; ok {
-		t.Error("open on record though the job before it is cancelled")
+		t.Error("open on record though its dependency is cancelled")
 	}
 }
