--- a/internal/core/cluster/job.go
+++ b/internal/core/cluster/job.go
@@ -47,7 +47,6 @@
 	Waiting          bool                      // for dependencies that are not done
 	DependenciesDone bool                      // all are, which has to be recorded
 	DependencyList   records.DependencyListRef // if the list is spread over records
-	ListRecordsRead  int                       // records of the list that were read
 }
 
 // RecordState is the state of a job's records in the key-value store. Persistence sets it.
--- a/internal/core/dependency_lists.go
+++ b/internal/core/dependency_lists.go
@@ -8,7 +8,6 @@
 	"github.com/brookwalk/brookwalk/internal/core/dependencylist"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
-	"github.com/segmentio/encoding/json"
 )
 
 // dependencyLists is the leader's state of reading dependency lists and of deleting abandoned
@@ -18,18 +17,18 @@
 	nextCleanupAt time.Duration            // when abandoned lists are deleted next
 }
 
-// readList reads the dependencies of a job from its list records.
-func (l *leader) readList(j *cluster.Job) {
-	l.dependencyLists.unread[j.ID] = noRetry
-	l.readListPage(j, "", nil)
-}
-
 // noRetry is the time of a retry that is not due while a call is under way.
 const noRetry = time.Duration(math.MaxInt64)
 
-// readListPage reads a page of the list records of a job, after those with some names.
-func (l *leader) readListPage(job *cluster.Job, after string, names []string) {
-	l.core.store.List(job.DependencyList.Prefix, after, func(r kv.ListResult) {
+// readList reads the dependencies of a job from its list records.
+func (l *leader) readList(job *cluster.Job) {
+	l.dependencyLists.unread[job.ID] = noRetry
+	l.readListPage(job, dependencylist.NewReader(job.DependencyList))
+}
+
+// readListPage reads the next page of a job's list records.
+func (l *leader) readListPage(job *cluster.Job, reader *dependencylist.Reader) {
+	l.core.store.List(reader.Prefix(), reader.After(), func(r kv.ListResult) {
 		if l.steppedDown || l.Jobs[job.ID] != job {
 			return
 		}
@@ -37,42 +36,34 @@
 			l.retryList(job)
 			return
 		}
-		for _, item := range r.Page.Items {
-			after = item.Key
-			var record dependencylist.Record
-			if err := json.Unmarshal(item.Value, &record); err != nil {
-				l.core.log.Error("dependency list record is not readable", "key", item.Key, "error", err)
-				l.retryList(job)
-				return
-			}
-			names = append(names, record.Names...)
-			job.ListRecordsRead++
+		if err := reader.AddPage(r.Page.Items); err != nil {
+			l.listUnreadable(job, err)
+			return
 		}
 		if r.Page.More {
-			l.readListPage(job, after, names)
+			l.readListPage(job, reader)
+			return
+		}
+		names, err := reader.Names()
+		if err != nil {
+			l.listUnreadable(job, err)
 			return
 		}
-		l.listRead(job, names)
+		delete(l.dependencyLists.unread, job.ID)
+		l.addDependencyNames(job, names)
+		l.writer.MarkDirty()
 	})
 }
 
-// listRead records the dependencies of a job once its list records are read.
-func (l *leader) listRead(job *cluster.Job, names []string) {
-	if job.ListRecordsRead < job.DependencyList.Records {
-		// Accepted with the whole list: read once more.
-		l.core.log.Error("dependency list records are missing", "job", job.ID, "read", job.ListRecordsRead, "expected", job.DependencyList.Records)
-		l.retryList(job)
-		return
-	}
-	delete(l.dependencyLists.unread, job.ID)
-	l.addDependencyNames(job, names)
-	l.writer.MarkDirty()
+// listUnreadable handles a list that was read and is not as it was written.
+func (l *leader) listUnreadable(job *cluster.Job, err error) {
+	l.core.log.Error("dependency list unreadable", "job", job.ID, "error", err)
+	l.retryList(job)
 }
 
 // retryList lets the list of a job be read again after a while.
-func (l *leader) retryList(j *cluster.Job) {
-	j.ListRecordsRead = 0
-	l.dependencyLists.unread[j.ID] = l.core.now + l.core.leaderLeaseDuration()/8
+func (l *leader) retryList(job *cluster.Job) {
+	l.dependencyLists.unread[job.ID] = l.core.now + l.core.leaderLeaseDuration()/8
 }
 
 // tickDependencyLists retries the reading of lists that failed, and deletes abandoned ones at
--- a/internal/core/dependencylist/dependencylist_test.go
+++ b/internal/core/dependencylist/dependencylist_test.go
@@ -1,6 +1,8 @@
 package dependencylist
 
 import (
+	"errors"
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -30,6 +32,48 @@
 	}
 }
 
+// TestRecordForm compares a record with its form in the store, which never changes.
+func TestRecordForm(t *testing.T) {
+	if got, want := string(kv.Encode(Record{StartedAtMS: 5, Names: []string{"job-1"}})), `{"at":5,"w":["job-1"]}`; got != want {
+		t.Errorf("encoded as %s, want %s", got, want)
+	}
+}
+
+// TestReader puts the pages of a list together, and reports what is wrong with it.
+func TestReader(t *testing.T) {
+	page := func(from, to int) []wire.Item {
+		var items []wire.Item
+		for n := from; n < to; n++ {
+			value := kv.Encode(Record{Names: []string{fmt.Sprintf("job-%d", n)}})
+			items = append(items, wire.Item{Key: fmt.Sprintf("a/job-7/x-1/%d", n), Value: value})
+		}
+		return items
+	}
+	r := NewReader(records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 5})
+	for _, items := range [][]wire.Item{page(0, 2), page(2, 4)} {
+		if err := r.AddPage(items); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if r.After() != "a/job-7/x-1/3" {
+		t.Errorf("the next page begins after %q", r.After())
+	}
+	var incomplete *IncompleteError
+	if _, err := r.Names(); !errors.As(err, &incomplete) || incomplete.Read != 4 || incomplete.Expected != 5 {
+		t.Errorf("with a record missing: %v", err)
+	}
+	var unreadable *UnreadableError
+	if err := r.AddPage([]wire.Item{{Key: "a/job-7/x-1/4", Value: []byte(`{`)}}); !errors.As(err, &unreadable) || unreadable.Key != "a/job-7/x-1/4" {
+		t.Errorf("a record that is not JSON: %v", err)
+	}
+	if err := r.AddPage(page(4, 5)); err != nil {
+		t.Fatal(err)
+	}
+	if names, err := r.Names(); err != nil || !slices.Equal(names, []string{"job-0", "job-1", "job-2", "job-3", "job-4"}) {
+		t.Errorf("%q, %v", names, err)
+	}
+}
+
 // TestWriter writes a list in transactions of bounded size, each of them conditional on the
 // first record.
 func TestWriter(t *testing.T) {
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -280,24 +280,31 @@
 		txn.Writes = append(txn.Writes, wire.Write{Put: records.OpenKey(job), Value: kv.Encode(marks[job])})
 	}
 	f.store.Commit(txn, func(r kv.TxnResult) {
-		switch r.Status {
-		case kv.OK:
-			for _, job := range jobs {
-				f.cache.PutOpen(job, &jobcache.OpenJob{Version: r.Revision, Record: marks[job]})
-			}
-		case kv.Conflict, kv.Unanswered:
-			for _, job := range jobs {
-				f.cache.ForgetOpen(job)
-			}
-		case kv.Rejected:
-			if !f.canRetryMarking(len(txn.Writes), marks) {
-				f.host.Refuse(s.request, storeUnavailable)
-				return
-			}
-		default:
+		if !f.marksAnswered(r, jobs, marks) {
 			f.host.Refuse(s.request, storeUnavailable)
 			return
 		}
 		f.resolveDependencies(s)
 	})
 }
+
+// marksAnswered records what became of a transaction that marks jobs and does nothing else. It
+// reports whether marking can go on, or be retried.
+func (f *FrontEnd) marksAnswered(r kv.TxnResult, jobs []string, marks map[string]records.Open) bool {
+	switch r.Status {
+	case kv.OK:
+		for _, job := range jobs {
+			f.cache.PutOpen(job, &jobcache.OpenJob{Version: r.Revision, Record: marks[job]})
+		}
+		return true
+	case kv.Conflict, kv.Unanswered:
+		for _, job := range jobs {
+			f.cache.ForgetOpen(job)
+		}
+		return true
+	case kv.Rejected:
+		return f.canRetryMarking(len(jobs), marks)
+	default:
+		return false
+	}
+}
