--- a/internal/core/cancellation/cancellation.go
+++ b/internal/core/cancellation/cancellation.go
@@ -108,20 +108,31 @@
 	return &Confirmation{job: job, pending: pending}
 }
 
-// Settle ends a confirmation. If it succeeded, the job is forgotten and the requests that are to
-// be acknowledged are returned, otherwise those whose users are to retry. There are none if the
-// job's end was recorded meanwhile.
-func (r *Registry) Settle(confirmation *Confirmation, succeeded bool) []RequestID {
-	confirmation.pending.confirming = false
-	if r.pending[confirmation.job] != confirmation.pending {
+// Confirmed ends a confirmation that succeeded: it forgets the job and returns the requests that
+// are to be acknowledged. There are none if the job's end was recorded meanwhile.
+func (r *Registry) Confirmed(confirmation *Confirmation) []RequestID {
+	if !r.finish(confirmation) {
 		return nil
 	}
-	if succeeded {
-		return r.End(confirmation.job)
+	return r.End(confirmation.job)
+}
+
+// NotConfirmed ends a confirmation that failed: it removes and returns the requests, whose users
+// are to retry. There are none if the job's end was recorded meanwhile.
+func (r *Registry) NotConfirmed(confirmation *Confirmation) []RequestID {
+	if !r.finish(confirmation) {
+		return nil
 	}
 	return r.Dismiss(confirmation.job)
 }
 
+// finish ends a confirmation, and reports whether the cancellation is still the one that it is
+// about.
+func (r *Registry) finish(confirmation *Confirmation) bool {
+	confirmation.pending.confirming = false
+	return r.pending[confirmation.job] == confirmation.pending
+}
+
 // Expire removes and returns the requests that have waited too long, by job, and forgets the
 // cancellations that nobody has requested for long.
 func (r *Registry) Expire(now time.Duration) []RequestID {
--- a/internal/core/cancellation/cancellation_test.go
+++ b/internal/core/cancellation/cancellation_test.go
@@ -11,11 +11,11 @@
 	retention      = 30 * time.Second
 )
 
-// waitingFor is a registry in which two requests wait for a job, a second apart.
-func waitingFor(job string) *Registry {
+// newTestRegistry makes a registry in which two requests wait for job "a", a second apart.
+func newTestRegistry() *Registry {
 	r := New(requestTimeout, retention)
-	r.Add(job, 7, 1, 10*time.Second)
-	r.Add(job, 5, 2, 11*time.Second)
+	r.Add("a", 7, 1, 10*time.Second)
+	r.Add("a", 5, 2, 11*time.Second)
 	return r
 }
 
@@ -27,7 +27,7 @@
 }
 
 func TestEndAnswersEachRequestOnce(t *testing.T) {
-	r := waitingFor("a")
+	r := newTestRegistry()
 	r.Add("b", 1, 3, 10*time.Second)
 	if v := r.Version("a"); v != 7 {
 		t.Errorf("version %d, want the highest", v)
@@ -41,7 +41,7 @@
 }
 
 func TestDismissKeepsTheCancellation(t *testing.T) {
-	r := waitingFor("a")
+	r := newTestRegistry()
 	expect(t, "dismissed", r.Dismiss("a"), 1, 2)
 	expect(t, "dismissed again", r.Dismiss("a"))
 	if r.NeedsConfirmation("a") || r.Version("a") != 7 {
@@ -55,7 +55,7 @@
 }
 
 func TestExpire(t *testing.T) {
-	r := waitingFor("a")
+	r := newTestRegistry()
 	expect(t, "before", r.Expire(10*time.Second+requestTimeout-1))
 	expect(t, "first", r.Expire(10*time.Second+requestTimeout), 1)
 	expect(t, "second", r.Expire(11*time.Second+requestTimeout), 2)
@@ -74,27 +74,27 @@
 		name      string
 		meanwhile func(r *Registry) []RequestID
 		answered  []RequestID // of them, meanwhile
-		succeeded bool
-		settled   []RequestID
+		finish    func(*Registry, *Confirmation) []RequestID
+		finished  []RequestID
 		left      int // jobs remembered afterwards
 	}{
-		{"succeeds", nil, nil, true, []RequestID{1, 2}, 0},
-		{"fails", nil, nil, false, []RequestID{1, 2}, 1},
-		{"nobody is dismissed meanwhile", func(r *Registry) []RequestID { return r.Dismiss("a") }, nil, true, []RequestID{1, 2}, 0},
-		{"no wait is over meanwhile", func(r *Registry) []RequestID { return r.Expire(time.Hour) }, nil, true, []RequestID{1, 2}, 0},
-		{"the job's end comes first", func(r *Registry) []RequestID { return r.End("a") }, []RequestID{1, 2}, true, nil, 0},
+		{"succeeds", nil, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
+		{"fails", nil, nil, (*Registry).NotConfirmed, []RequestID{1, 2}, 1},
+		{"nobody is dismissed meanwhile", func(r *Registry) []RequestID { return r.Dismiss("a") }, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
+		{"no wait is over meanwhile", func(r *Registry) []RequestID { return r.Expire(time.Hour) }, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
+		{"the job's end comes first", func(r *Registry) []RequestID { return r.End("a") }, []RequestID{1, 2}, (*Registry).Confirmed, nil, 0},
 		{"the job's end comes first, then a question", func(r *Registry) []RequestID {
 			ids := r.End("a")
 			r.Add("a", 9, 3, time.Minute)
 			return ids
-		}, []RequestID{1, 2}, true, nil, 1},
+		}, []RequestID{1, 2}, (*Registry).Confirmed, nil, 1},
 		{"another user asks meanwhile", func(r *Registry) []RequestID {
 			r.Add("a", 9, 3, time.Minute)
 			return nil
-		}, nil, true, []RequestID{1, 2, 3}, 0},
+		}, nil, (*Registry).Confirmed, []RequestID{1, 2, 3}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := waitingFor("a")
+			r := newTestRegistry()
 			confirmation := r.Confirm("a")
 			if r.NeedsConfirmation("a") {
 				t.Error("needs a confirmation while one is under way")
@@ -102,7 +102,7 @@
 			if tc.meanwhile != nil {
 				expect(t, "meanwhile", tc.meanwhile(r), tc.answered...)
 			}
-			expect(t, "settled", r.Settle(confirmation, tc.succeeded), tc.settled...)
+			expect(t, "finished", tc.finish(r, confirmation), tc.finished...)
 			if n := len(r.Jobs()); n != tc.left {
 				t.Errorf("%d jobs remembered, want %d", n, tc.left)
 			}
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -139,21 +139,31 @@
 // answers slowly.
 func TestCancelCost(t *testing.T) {
 	for name, g := range costlyGraphs() {
-		for _, next := range []bool{false, true} {
+		for leader, cancel := range map[string]func(*harness, *leader, string) *leader{
+			"present leader": cancelUnderLeader,
+			"next leader":    nextLeader,
+		} {
 			for _, maxWrites := range []int{16, 5, 2} {
-				t.Run(fmt.Sprintf("%s/%d writes/next leader %v", name, maxWrites, next), func(t *testing.T) {
-					testCancelCost(t, g, maxWrites, next)
+				t.Run(fmt.Sprintf("%s/%d writes/%s", name, maxWrites, leader), func(t *testing.T) {
+					testCancelCost(t, g, maxWrites, cancel)
 				})
 			}
 		}
 	}
 }
 
-func testCancelCost(t *testing.T, g *graph, maxWrites int, next bool) {
+// cancelUnderLeader makes a cancellation known to a leader.
+func cancelUnderLeader(b *harness, l *leader, job string) *leader {
+	addRecord(b, l, wire.Job{ID: job}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
+	return l
+}
+
+// testCancelCost cancels the root of a graph; cancel returns the leader that has to deal with it.
+func testCancelCost(t *testing.T, g *graph, maxWrites int, cancel func(b *harness, l *leader, job string) *leader) {
+	t.Helper()
 	b, l := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites} })
 	recordGraph(b, l, g)
 	root := g.order[0]
-	before := l.dependencies.Steps()
 	cancelled := g.withDependents(root)
 	b.afterCommit = func() {
 		if !b.hasEnded(root) {
@@ -166,12 +176,8 @@
 		}
 	}
 	b.commits = nil
-	if next {
-		l = nextLeader(b, l, root)
-		before = 0
-	} else {
-		addRecord(b, l, wire.Job{ID: root}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
-	}
+	stepsBefore := map[*leader]int{l: l.dependencies.Steps()} // a new leader begins with none
+	l = cancel(b, l, root)
 	b.run(5 * time.Second)
 	for _, id := range g.order {
 		if b.hasEnded(id) != cancelled[id] {
@@ -181,7 +187,7 @@
 	if ends, most := endTransactions(b), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
 		t.Errorf("%d transactions for %d ends, want at most %d", ends, len(cancelled), most)
 	}
-	if steps, most := l.dependencies.Steps()-before, 20*(len(g.order)+g.edges()); steps > most {
+	if steps, most := l.dependencies.Steps()-stepsBefore[l], 20*(len(g.order)+g.edges()); steps > most {
 		t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", steps, len(g.order), g.edges(), most)
 	}
 }
@@ -306,6 +312,7 @@
 // twoControllers are two controllers at one store: the first leads and the other only serves
 // users.
 func twoControllers(t *testing.T) (b *harness, l *leader, other *harness) {
+	t.Helper()
 	b, l = newLeadingHarness(t, func(*config.Settings) {})
 	other = newHarness(t, testMachineTypes)
 	other.core.settings.Name = "n1"
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -32,8 +32,10 @@
 func openJobs(b *harness, count int) []string {
 	var names []string
 	for n := range count {
-		rec := records.Open{SubmittedAt: b.core.wallClockMS, Job: wire.Job{ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
-			Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}}
+		rec := records.Open{SubmittedAt: b.core.wallClockMS, Job: wire.Job{
+			ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
+			Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1,
+		}}
 		b.write(records.OpenKey(rec.Job.ID), "", kv.Encode(rec))
 		names = append(names, rec.Job.ID)
 	}
@@ -120,13 +122,16 @@
 // TestLongListMeetsLostAnswers loses the answer to each transaction in turn, carried out or not:
 // the job is accepted once, with its whole list.
 func TestLongListMeetsLostAnswers(t *testing.T) {
-	for _, carriedOut := range []bool{true, false} {
+	for name, send := range map[string]func(carryOut func() int){
+		"carried out":     func(carryOut func() int) { carryOut() },
+		"not carried out": func(func() int) {},
+	} {
 		for lost := range 4 { // three with list records, one with the job
-			t.Run(fmt.Sprintf("transaction %d/carried out %v", lost, carriedOut), func(t *testing.T) {
+			t.Run(fmt.Sprintf("transaction %d/%s", lost, name), func(t *testing.T) {
 				b := newHarness(t, testMachineTypes)
 				b.core.settings.Deployment.Store.ValueKB, b.core.settings.Deployment.Store.TxnOps = 1, 2
 				names := openJobs(b, 300)
-				answersLost := loseAnswer(b, lost, carriedOut)
+				answersLost := loseAnswer(b, lost, send)
 				if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
 					t.Fatalf("answered %d %s", a.Status, a.Body)
 				}
@@ -145,9 +150,9 @@
 	}
 }
 
-// loseAnswer loses the answer to a transaction, which is carried out or not, counted from the
-// first one that writes list records. It returns how many answers are lost so far.
-func loseAnswer(b *harness, number int, carriedOut bool) *int {
+// loseAnswer loses the answer to a transaction, counted from the first one that writes list
+// records; send carries it out or not. It returns how many answers are lost so far.
+func loseAnswer(b *harness, number int, send func(carryOut func() int)) *int {
 	lost, next, begun := new(int), 0, false
 	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		begun = begun || slices.ContainsFunc(txn.Writes, func(w wire.Write) bool {
@@ -161,9 +166,7 @@
 			return carryOut()
 		}
 		*lost++
-		if carriedOut {
-			carryOut()
-		}
+		send(carryOut)
 		return 0
 	}
 	return lost
--- a/internal/core/dependencylist/dependencylist_test.go
+++ b/internal/core/dependencylist/dependencylist_test.go
@@ -39,18 +39,20 @@
 	}
 }
 
-// TestReader puts the pages of a list together, and reports what is wrong with it.
+// listPage is a page of list records of job-7, each with one name.
+func listPage(from, to int) []wire.Item {
+	var items []wire.Item
+	for n := from; n < to; n++ {
+		value := kv.Encode(Record{Names: []string{fmt.Sprintf("job-%d", n)}})
+		items = append(items, wire.Item{Key: fmt.Sprintf("a/job-7/x-1/%d", n), Value: value})
+	}
+	return items
+}
+
+// TestReader puts the pages of a list together.
 func TestReader(t *testing.T) {
-	page := func(from, to int) []wire.Item {
-		var items []wire.Item
-		for n := from; n < to; n++ {
-			value := kv.Encode(Record{Names: []string{fmt.Sprintf("job-%d", n)}})
-			items = append(items, wire.Item{Key: fmt.Sprintf("a/job-7/x-1/%d", n), Value: value})
-		}
-		return items
-	}
 	r := NewReader(records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 5})
-	for _, items := range [][]wire.Item{page(0, 2), page(2, 4)} {
+	for _, items := range [][]wire.Item{listPage(0, 2), listPage(2, 4)} {
 		if err := r.AddPage(items); err != nil {
 			t.Fatal(err)
 		}
@@ -58,6 +60,20 @@
 	if r.After() != "a/job-7/x-1/3" {
 		t.Errorf("the next page begins after %q", r.After())
 	}
+	if err := r.AddPage(listPage(4, 5)); err != nil {
+		t.Fatal(err)
+	}
+	if names, err := r.Names(); err != nil || !slices.Equal(names, []string{"job-0", "job-1", "job-2", "job-3", "job-4"}) {
+		t.Errorf("%q, %v", names, err)
+	}
+}
+
+// TestReaderErrors reports what is wrong with a list.
+func TestReaderErrors(t *testing.T) {
+	r := NewReader(records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 5})
+	if err := r.AddPage(listPage(0, 4)); err != nil {
+		t.Fatal(err)
+	}
 	var incomplete *IncompleteError
 	if _, err := r.Names(); !errors.As(err, &incomplete) || incomplete.Read != 4 || incomplete.Expected != 5 {
 		t.Errorf("with a record missing: %v", err)
@@ -66,12 +82,6 @@
 	if err := r.AddPage([]wire.Item{{Key: "a/job-7/x-1/4", Value: []byte(`{`)}}); !errors.As(err, &unreadable) || unreadable.Key != "a/job-7/x-1/4" {
 		t.Errorf("a record that is not JSON: %v", err)
 	}
-	if err := r.AddPage(page(4, 5)); err != nil {
-		t.Fatal(err)
-	}
-	if names, err := r.Names(); err != nil || !slices.Equal(names, []string{"job-0", "job-1", "job-2", "job-3", "job-4"}) {
-		t.Errorf("%q, %v", names, err)
-	}
 }
 
 // TestWriter writes a list in transactions of bounded size, each of them conditional on the
@@ -125,8 +135,10 @@
 // TestDeletion deletes an attempt in transactions of bounded size, the first record first.
 func TestDeletion(t *testing.T) {
 	leader := wire.Condition{Key: "term", Version: 9}
-	attempt := Attempt{Ref: records.DependencyListRef{Prefix: "a/job-7/x-1/"}, Job: "job-7", FirstVersion: 4,
-		Keys: []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/2"}}
+	attempt := Attempt{
+		Ref: records.DependencyListRef{Prefix: "a/job-7/x-1/"}, Job: "job-7", FirstVersion: 4,
+		Keys: []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/2"},
+	}
 	for _, want := range []struct {
 		version uint64
 		deleted []string
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -121,8 +121,10 @@
 
 // writeOpen replaces a job's open record if it has a version and further conditions hold. done
 // gets the job as it is known then, or nil and the reason.
-func (f *FrontEnd) writeOpen(job string, version uint64, record records.Open, conditions []wire.Condition,
-	done func(written *jobcache.OpenJob, status kv.Status)) {
+func (f *FrontEnd) writeOpen(
+	job string, version uint64, record records.Open, conditions []wire.Condition,
+	done func(written *jobcache.OpenJob, status kv.Status),
+) {
 	txn := &wire.Txn{
 		Conditions: append([]wire.Condition{{Key: records.OpenKey(job), Version: version}}, conditions...),
 		Writes:     []wire.Write{{Put: records.OpenKey(job), Value: kv.Encode(record)}},
@@ -217,12 +219,11 @@
 	confirmation := f.cancellations.Confirm(job)
 	termUnchanged := []wire.Condition{{Key: election.KeyTerm, Version: termVersion}}
 	f.writeOpen(job, open.Version, f.acknowledgedRecord(open.Record), termUnchanged, func(written *jobcache.OpenJob, _ kv.Status) {
-		requests := f.cancellations.Settle(confirmation, written != nil)
 		if written == nil {
-			f.refuseStopping(requests)
+			f.refuseStopping(f.cancellations.NotConfirmed(confirmation))
 			return
 		}
-		f.answerEnded(requests, wire.JobStatus{ID: job, Status: wire.StatusCancelled})
+		f.answerEnded(f.cancellations.Confirmed(confirmation), wire.JobStatus{ID: job, Status: wire.StatusCancelled})
 	})
 }
 
--- a/internal/core/frontend/dependencies_test.go
+++ b/internal/core/frontend/dependencies_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"slices"
 	"testing"
+	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core/jobcache"
@@ -12,16 +13,16 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// openJob is an unfinished job at a version.
-func openJob(n int, version uint64) *jobcache.OpenJob {
-	return &jobcache.OpenJob{Version: version, Record: records.Open{Job: wire.Job{ID: jobID(n), Shape: wire.ShapeArray, Tasks: 1}}}
+// dependency is the unfinished job 1 at a version.
+func dependency(version uint64) *jobcache.OpenJob {
+	return &jobcache.OpenJob{Version: version, Record: records.Open{Job: wire.Job{ID: jobID(1), Shape: wire.ShapeArray, Tasks: 1}}}
 }
 
 // TestAcceptanceConditions accepts a dependent on the condition that its dependency is as it is
 // known, and marks the dependency.
 func TestAcceptanceConditions(t *testing.T) {
 	f, host := newFrontEnd(t)
-	f.cache.PutOpen(jobID(1), openJob(1, 5))
+	f.cache.PutOpen(jobID(1), dependency(5))
 	f.Submit(9, submissionOf(9, 1))
 	txn := txnOf(t, host.next(t, httpstatus.OK, wire.TxnResult{Revision: 6}))
 	want := []wire.Condition{{Key: "o/job-9"}, {Key: "f/job-9"}, {Key: "o/job-1", Version: 5}}
@@ -40,10 +41,10 @@
 // dependent of a cancelled one.
 func TestDependencyChanged(t *testing.T) {
 	f, host := newFrontEnd(t)
-	f.cache.PutOpen(jobID(1), openJob(1, 5))
+	f.cache.PutOpen(jobID(1), dependency(5))
 	f.Submit(9, submissionOf(9, 1))
 	host.next(t, httpstatus.Conflict, wire.TxnResult{Conflicts: []string{"o/job-1"}})
-	cancelled := openJob(1, 6).Record
+	cancelled := dependency(6).Record
 	cancelled.Cancelled, cancelled.CancelRequestedAt = true, 1
 	host.next(t, httpstatus.OK, wire.Item{Version: 6, Value: kv.Encode(cancelled)})
 	txn := txnOf(t, host.next(t, httpstatus.OK, wire.TxnResult{Revision: 7}))
@@ -55,34 +56,48 @@
 	}
 }
 
+// storeAnswer is the store's answer to a read.
+type storeAnswer struct {
+	status int
+	body   any
+}
+
 // TestDependencyRefusals refuses dependencies that no job can have.
 func TestDependencyRefusals(t *testing.T) {
+	service := dependency(5)
+	service.Record.Job.Shape = wire.ShapeService
 	for _, tc := range []struct {
 		name    string
-		resolve func(t *testing.T, f *FrontEnd, host *fakeHost)
+		answers []storeAnswer
+		after   time.Duration
 		want    Refusal
 	}{
-		{"a service", func(t *testing.T, f *FrontEnd, host *fakeHost) {
-			service := openJob(1, 5)
-			service.Record.Job.Shape = wire.ShapeService
-			host.next(t, httpstatus.OK, wire.Item{Version: 5, Value: kv.Encode(service.Record)})
-		}, Refusal{Status: 422, Reason: "it awaits job-1, a service"}},
-		{"never accepted", func(t *testing.T, f *FrontEnd, host *fakeHost) {
-			host.next(t, httpstatus.NotFound, nil)
-			host.next(t, httpstatus.NotFound, nil)
-		}, Refusal{Status: 422, Reason: "it awaits job-1, which was never accepted"}},
-		{"the store does not answer", func(t *testing.T, f *FrontEnd, host *fakeHost) {
-			host.next(t, httpstatus.NoAnswer, nil)
-		}, storeUnavailable},
-		{"too late", func(t *testing.T, f *FrontEnd, host *fakeHost) {
-			host.now += submissionTimeout
-			host.next(t, httpstatus.OK, wire.Item{Version: 5, Value: kv.Encode(openJob(1, 5).Record)})
-		}, overloaded},
+		{
+			"a service",
+			[]storeAnswer{{httpstatus.OK, wire.Item{Version: 5, Value: kv.Encode(service.Record)}}},
+			0,
+			Refusal{Status: 422, Reason: "it awaits job-1, a service"},
+		},
+		{
+			"never accepted",
+			[]storeAnswer{{httpstatus.NotFound, nil}, {httpstatus.NotFound, nil}},
+			0,
+			Refusal{Status: 422, Reason: "it awaits job-1, which was never accepted"},
+		},
+		{"the store does not answer", []storeAnswer{{httpstatus.NoAnswer, nil}}, 0, storeUnavailable},
+		{
+			"too late",
+			[]storeAnswer{{httpstatus.OK, wire.Item{Version: 5, Value: kv.Encode(dependency(5).Record)}}},
+			submissionTimeout, overloaded,
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f, host := newFrontEnd(t)
 			f.Submit(9, submissionOf(9, 1))
-			tc.resolve(t, f, host)
+			host.now += tc.after
+			for _, answer := range tc.answers {
+				host.next(t, answer.status, answer.body)
+			}
 			if host.refusals[9] != tc.want {
 				t.Errorf("refused with %+v, want %+v", host.refusals[9], tc.want)
 			}
@@ -94,7 +109,7 @@
 // without the mark; the job's cancellation is recorded as that of a job with dependents.
 func TestUnwritableDependency(t *testing.T) {
 	f, host := newFrontEnd(t)
-	large := openJob(1, 5)
+	large := dependency(5)
 	large.Record.Job.MachineTypes = slices.Repeat([]string{"large"}, 200)
 	f.cache.PutOpen(jobID(1), large)
 	f.Submit(9, submissionOf(9, 1))
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -42,18 +42,23 @@
 	{"label":"large","cpus":96,"accelerators":8,"memGb":768,"berths":["b","c"]},
 	{"label":"lone","cpus":8,"accelerators":1,"memGb":32,"berths":["c"]}]}`
 
-func newHarness(t testing.TB, types string) *harness {
+func newHarness(tb testing.TB, types string) *harness {
+	tb.Helper()
 	cfg := &config.Settings{Name: "n0", Deployment: config.Deployment{
 		Zones: []string{"a", "b", "c"},
 		Teams: []config.Team{{Name: "vision", CPUs: 8, CPUsMax: 160, GPUsMax: 16}, {Name: "free"}},
-		Workers: config.WorkerTimings{ReportS: 1.5, LeaseS: 10, GangWaitS: 50, GangPeerS: 8,
-			CancelS: 35},
+		Workers: config.WorkerTimings{
+			ReportS: 1.5, LeaseS: 10, GangWaitS: 50, GangPeerS: 8,
+			CancelS: 35,
+		},
 		Store:         config.StoreLimits{RPS: 250, WriteRPS: 100, ValueKB: 16, TxnOps: 16},
 		Cloud:         config.CloudLimits{RPS: 8, ListLagS: 10},
 		MachineLimits: config.MachineLimits{CPU: 0.2, RAMMB: 98, MaxConnections: 800},
 	}}
-	b := &harness{t: t, core: New(cfg, nil, 1, nil), now: time.Second, types: types,
-		store: map[string]wire.Item{}, revision: 1, answers: map[uint64]Answer{}}
+	b := &harness{
+		t: tb, core: New(cfg, nil, 1, nil), now: time.Second, types: types,
+		store: map[string]wire.Item{}, revision: 1, answers: map[uint64]Answer{},
+	}
 	b.run(time.Second)
 	return b
 }
@@ -245,10 +250,26 @@
 
 // goodFields is a submission that is accepted, field by field.
 var goodFields = [][2]string{
-	{"nameId", `"job-000412"`}, {"jobclass", `"train"`}, {"crew", `"vision"`}, {"shape", `"group"`},
-	{"urgency", `"urgent"`}, {"shards", `2`}, {"cpus", `8.0`}, {"accelerators", `1.0`}, {"memGb", `16.0`},
-	{"bundle", `"img-07"`}, {"pullGb", `6.2`}, {"hulls", `["large"]`}, {"berth", `null`}, {"together", `true`},
-	{"apart", `false`}, {"standby", `true`}, {"guessS", `240.0`}, {"markS", `30.0`}, {"stowS", `4.0`}, {"dueS", `900.0`},
+	{"nameId", `"job-000412"`},
+	{"jobclass", `"train"`},
+	{"crew", `"vision"`},
+	{"shape", `"group"`},
+	{"urgency", `"urgent"`},
+	{"shards", `2`},
+	{"cpus", `8.0`},
+	{"accelerators", `1.0`},
+	{"memGb", `16.0`},
+	{"bundle", `"img-07"`},
+	{"pullGb", `6.2`},
+	{"hulls", `["large"]`},
+	{"berth", `null`},
+	{"together", `true`},
+	{"apart", `false`},
+	{"standby", `true`},
+	{"guessS", `240.0`},
+	{"markS", `30.0`},
+	{"stowS", `4.0`},
+	{"dueS", `900.0`},
 }
 
 // missing leaves a field out.
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -39,9 +39,12 @@
 	return n
 }
 
-// withAnnouncedLimits announces lower limits in the settings.
-func withAnnouncedLimits(ops int, kb float64) func(*config.Settings) {
-	return func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: ops, ValueKB: kb} }
+// withAnnouncedLimits announces lower limits in the settings: values of 2 KB, and a number of
+// writes in a transaction.
+func withAnnouncedLimits(maxWrites int) func(*config.Settings) {
+	return func(s *config.Settings) {
+		s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites, ValueKB: 2}
+	}
 }
 
 func withoutAnnouncement(*config.Settings) {}
@@ -90,8 +93,8 @@
 		ops, bytes int
 		most       int // transactions rejected
 	}{
-		{"announced", withAnnouncedLimits(5, 2), 5, 2048, 1},
-		{"announced, two changes", withAnnouncedLimits(2, 2), 2, 2048, 1},
+		{"announced", withAnnouncedLimits(5), 5, 2048, 1},
+		{"announced, two changes", withAnnouncedLimits(2), 2, 2048, 1},
 		{"silent, fewer changes", withoutAnnouncement, 5, 16384, 6},
 		{"silent, two changes", withoutAnnouncement, 2, 16384, 8},
 		{"silent, smaller values", withoutAnnouncement, 16, 2048, 12},
@@ -174,8 +177,10 @@
 	for n := range 300 {
 		types = append(types, fmt.Sprintf("type-%09d", n))
 	}
-	return wire.Job{ID: id, Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
-		Tasks: tasks, CPUs: 4, MemGB: 1, MachineTypes: append(types, "small")}
+	return wire.Job{
+		ID: id, Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
+		Tasks: tasks, CPUs: 4, MemGB: 1, MachineTypes: append(types, "small"),
+	}
 }
 
 // TestLongDescriptionCancelled cancels a job whose open record is larger than the store takes by
@@ -186,7 +191,7 @@
 		name     string
 		settings func(*config.Settings)
 		most     int
-	}{{"announced", withAnnouncedLimits(5, 2), 0}, {"silent", withoutAnnouncement, 1}} {
+	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncement, 1}} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, l := newLeadingHarness(t, tc.settings)
 			addRecord(b, l, longJob(jobID(1), 40), nil)
@@ -228,7 +233,7 @@
 		name     string
 		settings func(*config.Settings)
 		most     int
-	}{{"announced", withAnnouncedLimits(5, 2), 0}, {"silent", withoutAnnouncement, 16}} {
+	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncement, 16}} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, l := newLeadingHarness(t, tc.settings)
 			addRecord(b, l, wire.Job{ID: jobID(1)}, nil)
@@ -342,11 +347,11 @@
 		late     bool // the leader learns of the dependent after the job's end
 		most     int
 	}{
-		{"announced", withAnnouncedLimits(5, 2), 0, false, 0},
+		{"announced", withAnnouncedLimits(5), 0, false, 0},
 		{"silent", withoutAnnouncement, 0, false, 2},
-		{"among more than a transaction marks", withAnnouncedLimits(5, 2), 9, false, 0},
+		{"among more than a transaction marks", withAnnouncedLimits(5), 9, false, 0},
 		{"silent, among more than a transaction marks", withoutAnnouncement, 9, false, 6},
-		{"the leader learns of the dependent late", withAnnouncedLimits(5, 2), 0, true, 0},
+		{"the leader learns of the dependent late", withAnnouncedLimits(5), 0, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, l := newLeadingHarness(t, tc.settings)
--- a/internal/core/submission/submission.go
+++ b/internal/core/submission/submission.go
@@ -112,8 +112,12 @@
 		from field[string]
 		to   *string
 	}{
-		{"nameId", f.ID, &job.ID}, {"jobclass", f.Class, &job.Class}, {"crew", f.Team, &job.Team},
-		{"shape", f.Shape, &shape}, {"urgency", f.Priority, &priority}, {"bundle", f.Image, &job.Image},
+		{"nameId", f.ID, &job.ID},
+		{"jobclass", f.Class, &job.Class},
+		{"crew", f.Team, &job.Team},
+		{"shape", f.Shape, &shape},
+		{"urgency", f.Priority, &priority},
+		{"bundle", f.Image, &job.Image},
 	} {
 		if text.from.value == nil || *text.from.value == "" {
 			return &FieldError{text.name, ProblemMissing}
@@ -133,9 +137,14 @@
 		from field[float64]
 		to   *float64
 	}{
-		{"shards", f.Tasks, &tasks}, {"cpus", f.CPUs, &job.CPUs}, {"accelerators", f.GPUs, &job.GPUs},
-		{"memGb", f.MemGB, &job.MemGB}, {"pullGb", f.ImageGB, &job.ImageGB}, {"guessS", f.EstimatedRunS, &job.EstimatedRunS},
-		{"markS", f.CheckpointIntervalS, &job.CheckpointIntervalS}, {"stowS", f.CheckpointDurationS, &job.CheckpointDurationS},
+		{"shards", f.Tasks, &tasks},
+		{"cpus", f.CPUs, &job.CPUs},
+		{"accelerators", f.GPUs, &job.GPUs},
+		{"memGb", f.MemGB, &job.MemGB},
+		{"pullGb", f.ImageGB, &job.ImageGB},
+		{"guessS", f.EstimatedRunS, &job.EstimatedRunS},
+		{"markS", f.CheckpointIntervalS, &job.CheckpointIntervalS},
+		{"stowS", f.CheckpointDurationS, &job.CheckpointDurationS},
 	} {
 		if amount.from.value == nil {
 			return &FieldError{amount.name, ProblemMissing}
--- a/internal/core/submission/submission_test.go
+++ b/internal/core/submission/submission_test.go
@@ -16,10 +16,27 @@
 func body(field, value string) []byte {
 	var parts []string
 	for _, f := range [][2]string{
-		{"nameId", `"job-7"`}, {"jobclass", `"train"`}, {"crew", `"vision"`}, {"shape", `"group"`}, {"urgency", `"urgent"`},
-		{"shards", `2`}, {"cpus", `8`}, {"accelerators", `1`}, {"memGb", `16`}, {"bundle", `"img"`}, {"pullGb", `6.5`},
-		{"hulls", `["large"]`}, {"berth", `"b"`}, {"together", `true`}, {"apart", `false`}, {"standby", `true`},
-		{"guessS", `240`}, {"markS", `30`}, {"stowS", `4`}, {"dueS", `900`}, {"awaits", `["job-1","job-2","job-1"]`},
+		{"nameId", `"job-7"`},
+		{"jobclass", `"train"`},
+		{"crew", `"vision"`},
+		{"shape", `"group"`},
+		{"urgency", `"urgent"`},
+		{"shards", `2`},
+		{"cpus", `8`},
+		{"accelerators", `1`},
+		{"memGb", `16`},
+		{"bundle", `"img"`},
+		{"pullGb", `6.5`},
+		{"hulls", `["large"]`},
+		{"berth", `"b"`},
+		{"together", `true`},
+		{"apart", `false`},
+		{"standby", `true`},
+		{"guessS", `240`},
+		{"markS", `30`},
+		{"stowS", `4`},
+		{"dueS", `900`},
+		{"awaits", `["job-1","job-2","job-1"]`},
 	} {
 		if f[0] == field {
 			f[1] = value
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -11,9 +11,8 @@
 func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
 
 // submissionAwaiting is a submission body of the job n with dependencies.
-func submissionAwaiting(n int, awaits string, change ...string) string {
-	b := body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)
-	return strings.TrimSuffix(b, "}") + `,"awaits":` + awaits + "}"
+func submissionAwaiting(n int, awaits string) string {
+	return strings.TrimSuffix(body("nameId", `"`+jobID(n)+`"`), "}") + `,"awaits":` + awaits + "}"
 }
 
 // TestAwaits submits jobs with dependencies in every state, well and badly named.
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -21,8 +21,10 @@
 		object = `{}`
 		list   = `["large"]`
 	)
-	badAmounts := []string{missing, `null`, text, `"4.0"`, empty, truth, object, `[4]`, `-0.5`, `-1`, `-1e300`, `1e300`, `1e999`, `-1e999`,
-		`1000000001`, `NaN`, `Infinity`, `-Infinity`, `04`, `4.`, `.4`, `+4`, `0x4`, `1e`}
+	badAmounts := []string{
+		missing, `null`, text, `"4.0"`, empty, truth, object, `[4]`, `-0.5`, `-1`, `-1e300`, `1e300`, `1e999`, `-1e999`,
+		`1000000001`, `NaN`, `Infinity`, `-Infinity`, `04`, `4.`, `.4`, `+4`, `0x4`, `1e`,
+	}
 	badTexts := []string{missing, `null`, empty, number, truth, object, `["some"]`, "\"a\nb\"", "\"\xff\"", `"\x"`, `some`}
 	badTruths := []string{missing, `null`, `0`, `1`, `"true"`, empty, object, `[true]`, `True`, `truely`}
 	name := func(n int) string { return `"` + strings.Repeat("n", n) + `"` }
@@ -32,9 +34,14 @@
 		bad      []string // 400
 		never    []string // 422
 	}{
-		{"nameId", []string{`"job-0"`, `"job-000412"`, `"job-` + strings.Repeat("9", 40) + `"`, `"\u006aob-1"`},
-			append([]string{`"job-"`, `"job"`, `"412"`, `"Job-1"`, `"job-1a"`, `"job--1"`, `" job-1"`, `"job-1 "`, `"job-1/0"`, `"job-1\u0000"`, `"job-٣"`,
-				`"job-` + strings.Repeat("9", 41) + `"`}, badTexts...), nil},
+		{
+			"nameId",
+			[]string{`"job-0"`, `"job-000412"`, `"job-` + strings.Repeat("9", 40) + `"`, `"\u006aob-1"`},
+			append([]string{
+				`"job-"`, `"job"`, `"412"`, `"Job-1"`, `"job-1a"`, `"job--1"`, `" job-1"`, `"job-1 "`, `"job-1/0"`, `"job-1\u0000"`, `"job-٣"`,
+				`"job-` + strings.Repeat("9", 41) + `"`,
+			}, badTexts...), nil,
+		},
 		{"jobclass", []string{`"any"`, `"two words"`}, badTexts, []string{name(20000)}},
 		{"crew", []string{`"free"`}, badTexts, []string{`"none"`, `"Vision"`, `"vision "`, name(20000)}},
 		{"shape", []string{`"array"`, `"daemon"`}, append([]string{`"gang"`, `"Group"`, `"service"`}, badTexts...), nil},
@@ -45,9 +52,12 @@
 		{"memGb", []string{`0`, `768`}, badAmounts, []string{`769`, `1e9`}},
 		{"bundle", []string{`"i"`}, badTexts, []string{name(20000)}},
 		{"pullGb", []string{`0`, `100`}, badAmounts, nil},
-		{"hulls", []string{missing, `null`, `["small","large"]`, `["large","large"]`, `["none","large"]`},
+		{
+			"hulls",
+			[]string{missing, `null`, `["small","large"]`, `["large","large"]`, `["none","large"]`},
 			[]string{text, empty, number, truth, object, `[1]`, `[null]`, `["large",null]`, `["large",1]`, `[""]`, `["large",""]`, `[["large"]]`, `["large",]`, `[{}]`, `{"0":"large"}`},
-			[]string{`[]`, `["none"]`, `["Large"]`, `["small"]`, `["large` + strings.Repeat(`","large`, 3000) + `"]`}},
+			[]string{`[]`, `["none"]`, `["Large"]`, `["small"]`, `["large` + strings.Repeat(`","large`, 3000) + `"]`},
+		},
 		{"berth", []string{missing, `null`, `"b"`, `"c"`}, []string{empty, number, truth, object, `["b"]`}, []string{`"a"`, `"d"`, `"B"`}},
 		{"together", []string{`false`}, badTruths, nil},
 		{"apart", nil, badTruths, []string{`true`}}, // it is together
