--- a/internal/core/provisioning/bin_index.go
+++ b/internal/core/provisioning/bin_index.go
@@ -7,14 +7,14 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// binIndex holds the bins of one offer. Those with the same room are kept together and
-// looked at once.
+// binIndex finds bins of one offer by their free capacity. Bins with the same capacity are kept in
+// one group and evaluated once.
 type binIndex struct {
 	offer           Offer
-	groups          []*binGroup // with bins, by free room
+	groups          []*binGroup // none is empty; by free capacity once sorted is set
 	groupByCapacity map[binCapacity]*binGroup
-	binsAdded       int  // bins that were ever added
-	sorted          bool // the groups are in order: not before the first task is packed
+	binsAdded       int // also counts those that were removed
+	sorted          bool
 }
 
 // binCapacity is what bins of a group have in common.
@@ -23,47 +23,60 @@
 	preemptible [Ranks]topology.Resources
 }
 
-// binGroup is bins with the same room.
+func capacityOf(bin *Bin) binCapacity { return binCapacity{bin.Free, bin.Preemptible} }
+
+// binGroup is bins with the same capacity.
 type binGroup struct {
 	binCapacity
-	bins []*Bin // by number
+	bins []*Bin // by index
 }
 
-func newBinIndex(o Offer) *binIndex {
-	return &binIndex{offer: o, groupByCapacity: map[binCapacity]*binGroup{}}
+// position is where the group has, or would have, a bin.
+func (g *binGroup) position(bin *Bin) int {
+	return sort.Search(len(g.bins), func(i int) bool { return g.bins[i].index >= bin.index })
 }
 
-func capacityOf(b *Bin) binCapacity { return binCapacity{b.Free, b.Preemptible} }
+func (g *binGroup) insert(bin *Bin) { g.bins = slices.Insert(g.bins, g.position(bin), bin) }
+
+func (g *binGroup) remove(bin *Bin) {
+	i := g.position(bin)
+	if i == 0 {
+		g.bins = g.bins[1:] // nearly always: no other bin moves
+		return
+	}
+	g.bins = slices.Delete(g.bins, i, i+1)
+}
 
-// positionOf finds the place of a bin in a list.
-func positionOf(bins []*Bin, index int) int {
-	return sort.Search(len(bins), func(i int) bool { return bins[i].index >= index })
+func newBinIndex(offer Offer) *binIndex {
+	return &binIndex{offer: offer, groupByCapacity: map[binCapacity]*binGroup{}}
 }
 
-// insert puts a bin on the shelf.
-func (s *binIndex) insert(bin *Bin) {
-	capacity := capacityOf(bin)
-	group := s.groupByCapacity[capacity]
-	if group == nil {
-		group = &binGroup{binCapacity: capacity}
-		s.groupByCapacity[capacity] = group
-		at := len(s.groups)
-		if s.sorted {
-			at = sort.Search(len(s.groups), func(i int) bool { return capacity.free.Less(s.groups[i].free) })
-		}
-		s.groups = slices.Insert(s.groups, at, group)
+// insert adds a bin.
+func (x *binIndex) insert(bin *Bin) { x.group(capacityOf(bin)).insert(bin) }
+
+// group finds or makes the group of a capacity.
+func (x *binIndex) group(capacity binCapacity) *binGroup {
+	if group := x.groupByCapacity[capacity]; group != nil {
+		return group
+	}
+	group := &binGroup{binCapacity: capacity}
+	x.groupByCapacity[capacity] = group
+	i := len(x.groups)
+	if x.sorted {
+		i = sort.Search(len(x.groups), func(i int) bool { return capacity.free.Less(x.groups[i].free) })
 	}
-	group.bins = slices.Insert(group.bins, positionOf(group.bins, bin.index), bin)
+	x.groups = slices.Insert(x.groups, i, group)
+	return group
 }
 
-// sortGroups puts the groups in order. Done once for all machines it costs less than to put
-// each in its place.
-func (s *binIndex) sortGroups() {
-	if s.sorted {
+// sortGroups sorts the groups before the first search. Once for all machines it costs less than to
+// insert each in its place.
+func (x *binIndex) sortGroups() {
+	if x.sorted {
 		return
 	}
-	s.sorted = true
-	slices.SortStableFunc(s.groups, func(a, b *binGroup) int {
+	x.sorted = true
+	slices.SortStableFunc(x.groups, func(a, b *binGroup) int {
 		switch {
 		case a.free.Less(b.free):
 			return -1
@@ -74,56 +87,68 @@
 	})
 }
 
-// remove takes a bin off the shelf. Its room has to be as it was when it was put
-// there.
-func (s *binIndex) remove(bin *Bin) {
-	s.sortGroups()
-	group := s.groupByCapacity[capacityOf(bin)]
-	at := positionOf(group.bins, bin.index)
-	if at == 0 {
-		group.bins = group.bins[1:] // nearly always: no other bin moves
-	} else {
-		group.bins = slices.Delete(group.bins, at, at+1)
+// remove removes a bin, whose capacity must be as it was when it was inserted.
+func (x *binIndex) remove(bin *Bin) {
+	x.sortGroups()
+	group := x.groupByCapacity[capacityOf(bin)]
+	group.remove(bin)
+	if len(group.bins) == 0 {
+		x.removeGroup(group)
 	}
-	if len(group.bins) > 0 {
-		return
-	}
-	delete(s.groupByCapacity, group.binCapacity)
-	first := sort.Search(len(s.groups), func(i int) bool { return !s.groups[i].free.Less(group.free) })
-	for i := first; ; i++ {
-		if s.groups[i] == group {
-			s.groups = slices.Delete(s.groups, i, i+1)
-			return
-		}
+}
+
+func (x *binIndex) removeGroup(group *binGroup) {
+	delete(x.groupByCapacity, group.binCapacity)
+	i := sort.Search(len(x.groups), func(i int) bool { return !x.groups[i].free.Less(group.free) })
+	for x.groups[i] != group {
+		i++ // groups with the same free capacity differ in what is preemptible
 	}
+	x.groups = slices.Delete(x.groups, i, i+1)
 }
 
-// tightestBin finds the bin with the least free room that a task fits into, of equal ones
-// the first; nil if there is none. evaluations counts the groups looked at.
-func (s *binIndex) tightestBin(task *TaskSpec, evaluations *int) *Bin {
-	s.sortGroups()
+// tightestBin finds the bin with the least free capacity that a task fits into, of equal ones the
+// first; nil if there is none. evaluations counts the groups that were evaluated.
+func (x *binIndex) tightestBin(task *TaskSpec, evaluations *int) *Bin {
+	x.sortGroups()
 	var best *Bin
-	for _, group := range s.groups[s.searchStart(task):] {
+	for _, group := range x.groups[x.searchStart(task):] {
 		*evaluations++
 		bin := group.bins[0]
 		if best != nil && best.Free.Less(bin.Free) {
 			break
 		}
-		if bin.availableTo(task).Holds(task.Resources) && (best == nil || bin.index < best.index) {
+		if bin.fits(task) && (best == nil || bin.index < best.index) {
 			best = bin
 		}
 	}
 	return best
 }
 
-// searchStart is the first group that a task may fit into: groups are ordered by their free
-// GPUs first.
-func (s *binIndex) searchStart(task *TaskSpec) int {
+// searchStart is the index of the first group that a task may fit into: groups are ordered by
+// their free GPUs first.
+func (x *binIndex) searchStart(task *TaskSpec) int {
 	if task.Forecast {
-		return 0
+		return 0 // it may use more than what is free
 	}
-	least := topology.Resources{GPUs: task.Resources.GPUs}
-	return sort.Search(len(s.groups), func(i int) bool {
-		return topology.Resources{GPUs: s.groups[i].free.GPUs}.Holds(least)
+	required := topology.Resources{GPUs: task.Resources.GPUs}
+	return sort.Search(len(x.groups), func(i int) bool {
+		return topology.Resources{GPUs: x.groups[i].free.GPUs}.Holds(required)
 	})
 }
+
+// countFitting counts how many tasks fit into free capacity, at most limit. evaluations counts the
+// groups that were evaluated.
+func (x *binIndex) countFitting(task *TaskSpec, limit int, evaluations *int) int {
+	x.sortGroups()
+	count := 0
+	for _, group := range slices.Backward(x.groups) {
+		if count >= limit {
+			break
+		}
+		*evaluations++
+		if perBin := group.free.Fit(task.Resources, limit-count); perBin > 0 {
+			count += min(limit-count, perBin*len(group.bins))
+		}
+	}
+	return count
+}
--- a/internal/core/provisioning/plan_test.go
+++ b/internal/core/provisioning/plan_test.go
@@ -11,128 +11,143 @@
 
 func cpus(n float64) topology.Resources { return topology.Resources{CPUs: n, MemGB: n} }
 
-// offersOf offers a type in zones a and b at a price, ordinary machines only.
-func offersOf(typ string, capacity topology.Resources, price float64, limit int) []OfferDetails {
+// offersOf offers a machine type in zones a and b at a price, without spot machines.
+func offersOf(machineType string, capacity topology.Resources, price float64, available int) []OfferDetails {
 	var out []OfferDetails
 	for _, zone := range []string{"a", "b"} {
-		out = append(out, OfferDetails{Offer: Offer{Type: typ, Zone: zone}, Capacity: capacity, Price: price, Available: limit})
+		out = append(out, OfferDetails{Offer: Offer{Type: machineType, Zone: zone}, Capacity: capacity, Price: price, Available: available})
 	}
 	return out
 }
 
 func TestShortfalls(t *testing.T) {
-	cheap, dear := offersOf("cheap", cpus(4), 1, Unlimited), offersOf("dear", cpus(4), 2, Unlimited)
+	cheap, expensive := offersOf("cheap", cpus(4), 1, Unlimited), offersOf("expensive", cpus(4), 2, Unlimited)
 	for _, tc := range []struct {
-		name  string
-		terms []OfferDetails
-		need  TaskSpec
-		tasks int
-		want  []Shortfall
-		left  int // tasks without a bin
+		name     string
+		offers   []OfferDetails
+		task     TaskSpec
+		count    int
+		want     []Shortfall
+		unplaced int // tasks without a bin
 	}{
-		{"the cheapest, zones in turn", append(slices.Clone(dear), cheap...), TaskSpec{Resources: cpus(4)}, 3,
+		{"the cheapest offer, zones in turn", append(slices.Clone(expensive), cheap...), TaskSpec{Resources: cpus(4)}, 3,
 			[]Shortfall{{Offer{"cheap", "a", false}, 2, "x"}, {Offer{"cheap", "b", false}, 1, "x"}}, 0},
-		{"as many as may be counted on, then the next", append(offersOf("cheap", cpus(4), 1, 1), dear...), TaskSpec{Resources: cpus(2)}, 6,
-			[]Shortfall{{Offer{"cheap", "a", false}, 1, "x"}, {Offer{"cheap", "b", false}, 1, "x"}, {Offer{"dear", "a", false}, 1, "x"}}, 0},
-		{"the allowed type", append(slices.Clone(dear), cheap...), TaskSpec{Resources: cpus(4), MachineTypes: "other,dear"}, 1, []Shortfall{{Offer{"dear", "a", false}, 1, "x"}}, 0},
+		{"an offer with few machines, then the next one", append(offersOf("cheap", cpus(4), 1, 1), expensive...), TaskSpec{Resources: cpus(2)}, 6,
+			[]Shortfall{{Offer{"cheap", "a", false}, 1, "x"}, {Offer{"cheap", "b", false}, 1, "x"}, {Offer{"expensive", "a", false}, 1, "x"}}, 0},
+		{"the allowed machine type", append(slices.Clone(expensive), cheap...), TaskSpec{Resources: cpus(4), MachineTypes: "other,expensive"}, 1, []Shortfall{{Offer{"expensive", "a", false}, 1, "x"}}, 0},
 		{"the allowed zone", cheap, TaskSpec{Resources: cpus(4), Zone: "b"}, 2, []Shortfall{{Offer{"cheap", "b", false}, 2, "x"}}, 0},
-		{"no offer holds it", cheap, TaskSpec{Resources: cpus(5)}, 2, nil, 2},
-		{"no machines left", offersOf("cheap", cpus(4), 1, 1), TaskSpec{Resources: cpus(4)}, 5, []Shortfall{{Offer{"cheap", "a", false}, 1, "x"}, {Offer{"cheap", "b", false}, 1, "x"}}, 3},
+		{"no machine is large enough", cheap, TaskSpec{Resources: cpus(5)}, 2, nil, 2},
+		{"more tasks than machines", offersOf("cheap", cpus(4), 1, 1), TaskSpec{Resources: cpus(4)}, 5, []Shortfall{{Offer{"cheap", "a", false}, 1, "x"}, {Offer{"cheap", "b", false}, 1, "x"}}, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := New(slices.Clone(tc.terms))
-			left := 0
-			for range tc.tasks {
-				if p.Pack(&tc.need, nil, nil, "x") == nil {
-					left++
+			plan := New(slices.Clone(tc.offers))
+			unplaced := 0
+			for range tc.count {
+				if plan.Pack(&tc.task, nil, nil, "x") == nil {
+					unplaced++
 				}
 			}
-			if got := p.Shortfalls(); !slices.Equal(got, tc.want) || left != tc.left {
-				t.Errorf("wants %v, %d tasks left; want %v, %d", got, left, tc.want, tc.left)
+			if got := plan.Shortfalls(); !slices.Equal(got, tc.want) || unplaced != tc.unplaced {
+				t.Errorf("shortfalls %v, %d tasks unplaced; want %v, %d", got, unplaced, tc.want, tc.unplaced)
 			}
 		})
 	}
 }
 
-// An expected task counts on what makes way for it, a task that waits does not.
+// TestForecastTaskCountsOnPreemptible packs tasks into a machine that tasks of priority level 1
+// use: a forecast task of a higher level counts on their capacity, a pending one does not.
 func TestForecastTaskCountsOnPreemptible(t *testing.T) {
-	p := New(nil)
-	p.AddMachine("n-1", Offer{Type: "t", Zone: "a"}, cpus(1), [Ranks]topology.Resources{1: cpus(3)})
+	plan := New(nil)
+	plan.AddMachine("n-1", Offer{Type: "t", Zone: "a"}, cpus(1), [Ranks]topology.Resources{1: cpus(3)})
 	for _, tc := range []struct {
-		need TaskSpec
+		task TaskSpec
 		want bool
 	}{
 		{TaskSpec{Resources: cpus(2), Rank: 2}, false},
 		{TaskSpec{Resources: cpus(2), Rank: 1, Forecast: true}, false},
 		{TaskSpec{Resources: cpus(2), Rank: 2, Forecast: true}, true},
 	} {
-		if got := p.Pack(&tc.need, nil, nil, "") != nil; got != tc.want {
-			t.Errorf("%+v: packed %v, want %v", tc.need, got, tc.want)
+		if got := plan.Pack(&tc.task, nil, nil, "") != nil; got != tc.want {
+			t.Errorf("%+v: packed %v, want %v", tc.task, got, tc.want)
 		}
 	}
 }
 
 func TestChooseZone(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		terms []OfferDetails
-		inB   int // machines with room for two tasks each
-		want  string
+		name   string
+		offers []OfferDetails
+		inB    int // machines in zone b with capacity for two tasks each
+		want   string
 	}{
-		{"where most room is", nil, 1, "b"},
-		{"where the least has to be rented", offersOf("t", cpus(4), 1, Unlimited), 1, "b"},
-		{"the first of equal ones", offersOf("t", cpus(4), 1, Unlimited), 0, "a"},
-		{"not where too little may be rented", []OfferDetails{{Offer{"t", "a", false}, cpus(4), 1, 1}, {Offer{"t", "b", false}, cpus(4), 9, 2}}, 0, "b"},
-		{"nowhere", nil, 0, ""},
+		{"most free capacity", nil, 1, "b"},
+		{"least to provision", offersOf("t", cpus(4), 1, Unlimited), 1, "b"},
+		{"the first of equal zones", offersOf("t", cpus(4), 1, Unlimited), 0, "a"},
+		{"not where too few machines are available", []OfferDetails{{Offer{"t", "a", false}, cpus(4), 1, 1}, {Offer{"t", "b", false}, cpus(4), 9, 2}}, 0, "b"},
+		{"no capacity in any zone", nil, 0, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := New(tc.terms)
+			plan := New(tc.offers)
 			for i := range tc.inB {
-				p.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "b"}, cpus(4), [Ranks]topology.Resources{})
+				plan.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "b"}, cpus(4), [Ranks]topology.Resources{})
 			}
-			if got := p.ChooseZone(&TaskSpec{Resources: cpus(2)}, 4); got != tc.want {
+			if got := plan.ChooseZone(&TaskSpec{Resources: cpus(2)}, 4); got != tc.want {
 				t.Errorf("zone %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// packByScan packs a task as a walk over all bins does.
-func packByScan(bins []*Bin, n *TaskSpec, last *Bin) *Bin {
-	if last != nil && last.availableTo(n).Holds(n.Resources) {
+// packByScan is the bin that Pack is to choose, found by a scan of all bins.
+func packByScan(bins []*Bin, task *TaskSpec, last *Bin) *Bin {
+	if last != nil && last.fits(task) {
 		return last
 	}
 	var best *Bin
-	for _, b := range bins {
-		if n.Accepts(b.Offer) && b.availableTo(n).Holds(n.Resources) && (best == nil || b.Free.Less(best.Free)) {
-			best = b
+	for _, bin := range bins {
+		if task.Accepts(bin.Offer) && bin.fits(task) && (best == nil || bin.Free.Less(best.Free)) {
+			best = bin
 		}
 	}
 	return best
 }
 
-// TestPackMatchesLinearScan packs random tasks into random machines. Each has to go where a walk
-// over all of them would put it.
+// addRandomMachines adds 5 to 64 machines in use.
+func addRandomMachines(random *rand.Rand, plan *Plan) {
+	for i := range 5 + random.IntN(60) {
+		free := topology.Resources{CPUs: float64(random.IntN(9)) / 2, GPUs: float64(random.IntN(4)), MemGB: float64(1 + random.IntN(8))}
+		offer := Offer{Type: []string{"s", "t"}[random.IntN(2)], Zone: []string{"a", "b"}[random.IntN(2)], Spot: random.IntN(2) == 0}
+		var preemptible [Ranks]topology.Resources
+		preemptible[random.IntN(Ranks)] = cpus(float64(random.IntN(3)))
+		plan.AddMachine(fmt.Sprint(i), offer, free, preemptible)
+	}
+}
+
+func randomTask(random *rand.Rand) TaskSpec {
+	return TaskSpec{
+		Resources:    topology.Resources{CPUs: float64(1+random.IntN(4)) / 2, GPUs: float64(random.IntN(2)), MemGB: 0.5},
+		MachineTypes: []string{"", "s", "s,t"}[random.IntN(3)],
+		AllowSpot:    random.IntN(2) == 0,
+		Rank:         random.IntN(Ranks),
+		Forecast:     random.IntN(3) == 0,
+	}
+}
+
+// TestPackMatchesLinearScan packs random tasks into random machines. Each has to go where a scan
+// of all of them would put it.
 func TestPackMatchesLinearScan(t *testing.T) {
 	for seed := range uint64(60) {
-		r := rand.New(rand.NewPCG(seed, 3))
-		p := New(nil)
-		for i := range 5 + r.IntN(60) {
-			free := topology.Resources{CPUs: float64(r.IntN(9)) / 2, GPUs: float64(r.IntN(4)), MemGB: float64(1 + r.IntN(8))}
-			o := Offer{Type: []string{"s", "t"}[r.IntN(2)], Zone: []string{"a", "b"}[r.IntN(2)], Spot: r.IntN(2) == 0}
-			var held [Ranks]topology.Resources
-			held[r.IntN(Ranks)] = cpus(float64(r.IntN(3)))
-			p.AddMachine(fmt.Sprint(i), o, free, held)
-		}
+		random := rand.New(rand.NewPCG(seed, 3))
+		plan := New(nil)
+		addRandomMachines(random, plan)
 		for range 30 {
-			n := TaskSpec{Resources: topology.Resources{CPUs: float64(1+r.IntN(4)) / 2, GPUs: float64(r.IntN(2)), MemGB: 0.5},
-				MachineTypes: []string{"", "s", "s,t"}[r.IntN(3)], AllowSpot: r.IntN(2) == 0, Rank: r.IntN(Ranks), Forecast: r.IntN(3) == 0}
+			task := randomTask(random)
 			var last *Bin
-			for range 1 + r.IntN(5) {
-				want := packByScan(p.Bins(), &n, last)
-				got := p.Pack(&n, nil, last, "")
+			for range 1 + random.IntN(5) {
+				want := packByScan(plan.Bins(), &task, last)
+				got := plan.Pack(&task, nil, last, "")
 				if got != want {
-					t.Fatalf("seed %d: %+v goes into %+v, want %+v", seed, n, got, want)
+					t.Fatalf("seed %d: %+v goes into %+v, want %+v", seed, task, got, want)
 				}
 				if last = got; got == nil {
 					break
@@ -142,19 +157,19 @@
 	}
 }
 
-// TestCostGrowsWithKinds packs tasks of few kinds into fleets of two sizes. What a
-// task costs may not grow with the fleet.
+// TestCostGrowsWithKinds packs tasks of few kinds into fleets of two sizes. The cost of a task
+// may not grow with the fleet.
 func TestCostGrowsWithKinds(t *testing.T) {
 	cost := func(machines int) float64 {
-		p := New(offersOf("t", cpus(32), 1, Unlimited))
+		plan := New(offersOf("t", cpus(32), 1, Unlimited))
 		for i := range machines {
-			p.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "a"}, cpus(float64(i%8)), [Ranks]topology.Resources{})
+			plan.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "a"}, cpus(float64(i%8)), [Ranks]topology.Resources{})
 		}
 		tasks := 8 * machines
 		for i := range tasks {
-			p.Pack(&TaskSpec{Resources: cpus(float64(1 + i%3))}, nil, nil, "")
+			plan.Pack(&TaskSpec{Resources: cpus(float64(1 + i%3))}, nil, nil, "")
 		}
-		return float64(p.Evaluations()) / float64(tasks)
+		return float64(plan.Evaluations()) / float64(tasks)
 	}
 	if small, large := cost(100), cost(3000); large > 1.5*small {
 		t.Errorf("%.1f evaluations a task among 3,000 machines, %.1f among 100", large, small)
