--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -16,6 +16,7 @@
 	"sort"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/cloudapi"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/kv"
@@ -45,6 +46,7 @@
 	users    frontEnd
 	election *election.Election
 	store    *kv.Client
+	cloud    *cloudapi.Client
 
 	peers  map[string]*peerState
 	leader *leader // nil on a follower
@@ -93,6 +95,7 @@
 		c.peers[p.Name] = &peerState{}
 	}
 	c.store = kv.NewClient(storeTransport{c}, &settings.Deployment)
+	c.cloud = cloudapi.NewClient(cloudTransport{c})
 	c.election = election.New(settings.Name, c.leaderLeaseDuration(), electionStore{c.store}, electionHost{c}, log)
 	c.initFrontEnd()
 	return c
--- a/internal/core/expensive_machines_test.go
+++ b/internal/core/expensive_machines_test.go
@@ -9,9 +9,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leaderWithExpensiveMachines leads for a guest and a team with a guarantee of GPUs, where work
+// leaderWithExpensiveMachines leads for a best-effort team and one with a guarantee of GPUs. A task
 // without GPUs costs 0.1 an hour on a small machine, 0.6 on one with GPUs.
 func leaderWithExpensiveMachines(t *testing.T) *leader {
+	t.Helper()
 	_, l := bestEffortLeader(t)
 	l.core.machineTypes = map[string]*wire.MachineType{
 		"small": {Name: "small", CPUs: 10, MemGB: 100, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 1, SpotPrice: 0.3, Zones: []string{"a"}},
@@ -27,10 +28,10 @@
 		types []string
 		want  []string
 	}{
-		{"one type six times as dear as the other", 0, nil, []string{"small"}},
-		{"the only type that holds it", 1, nil, []string{"g4"}},
+		{"one type six times as expensive as the other", 0, nil, []string{"small"}},
+		{"the only type that is large enough", 1, nil, []string{"g4"}},
 		{"the only allowed type", 0, []string{"g4"}, []string{"g4"}},
-		{"no type holds it", 9, nil, nil},
+		{"no type is large enough", 9, nil, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := leaderWithExpensiveMachines(t)
@@ -43,24 +44,23 @@
 	}
 }
 
-// Guests' work that waits has no dear machine rented, that of others has.
+// TestBestEffortTeamsGetNoExpensiveMachine plans for pending tasks while only the expensive type is
+// available: it is provisioned for the team with a guarantee alone.
 func TestBestEffortTeamsGetNoExpensiveMachine(t *testing.T) {
 	for _, team := range []string{"guest", "vision"} {
 		l := leaderWithExpensiveMachines(t)
-		refuseZone(l, "a")
-		for _, spot := range []bool{false, true} {
-			delete(l.fleet.refusedUntil, offer("g4", "a", spot))
-		}
+		refuseType(l, "small", "a")
 		addArray(l, "job-1", team, "scan", 4, 0)
 		l.planScaleOut(l.candidates(), l.refreshUsage())
-		if rents := len(l.fleet.scaleOuts); (rents > 0) != (team == "vision") {
-			t.Errorf("%d rental requests for team %s", rents, team)
+		if requests := len(l.fleet.requests.Open()); (requests > 0) != (team == "vision") {
+			t.Errorf("%d provisioning requests for team %s", requests, team)
 		}
 	}
 }
 
-// A dear machine is emptied once nothing but guests' work has run on it for as long as a
-// machine may be idle, unless work is expected that needs it.
+// TestExpensiveMachineIsDrainedOfBestEffortWork drains an expensive machine once nothing but
+// best-effort work has run on it for as long as a machine may be idle, unless forecast work needs
+// it.
 func TestExpensiveMachineIsDrainedOfBestEffortWork(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -69,14 +69,14 @@
 		setUp func(l *leader, m *cluster.Machine)
 		want  bool
 	}{
-		{"a dear machine", "g4", 4, nil, true},
-		{"a cheap one", "small", 4, nil, false},
+		{"an expensive machine", "g4", 4, nil, true},
+		{"a cheap machine", "small", 4, nil, false},
 		{"not long enough", "g4", 2, nil, false},
-		{"needed by work to come", "g4", 4, func(l *leader, m *cluster.Machine) { l.fleet.keptIdle[m.Name] = true }, false},
-		{"another team's task on it", "g4", 4, func(l *leader, m *cluster.Machine) {
+		{"needed by forecast work", "g4", 4, func(l *leader, m *cluster.Machine) { l.fleet.keptIdle[m.Name] = true }, false},
+		{"a task of a team with a guarantee on it", "g4", 4, func(l *leader, m *cluster.Machine) {
 			l.bindTasks(addArray(l, "job-9", "vision", "sweep", 1, 0), []int{0}, []*cluster.Machine{m})
 		}, false},
-		{"work beside it that fits nowhere else", "g4", 4, func(l *leader, m *cluster.Machine) {
+		{"best-effort work beside it that fits on no cheap machine", "g4", 4, func(l *leader, m *cluster.Machine) {
 			l.bindTasks(addArray(l, "job-9", "guest", "scan", 1, 1), []int{0}, []*cluster.Machine{m})
 		}, false},
 	} {
@@ -100,10 +100,10 @@
 			l.releaseFromBestEffort(m)
 			l.evictTasks(m)
 			if stopped := guest.TaskStates[0].Stop != nil; m.Evicting != tc.want || stopped != tc.want {
-				t.Errorf("emptied: %v, tasks stopped: %v, want %v", m.Evicting, stopped, tc.want)
+				t.Errorf("evicting: %v, tasks stopped: %v, want %v", m.Evicting, stopped, tc.want)
 			}
 			if tc.want && guest.TaskStates[0].Stop != nil && guest.TaskStates[0].Stop.GracePeriodS != guest.CheckpointDurationS {
-				t.Errorf("%v s to save", guest.TaskStates[0].Stop.GracePeriodS)
+				t.Errorf("grace period of %v s", guest.TaskStates[0].Stop.GracePeriodS)
 			}
 		})
 	}
--- a/internal/core/fleet_size.go
+++ b/internal/core/fleet_size.go
@@ -1,18 +1,20 @@
 package core
 
-// failoverWorkerCapacity is how many workers can report while one controller is away.
+// failoverWorkerCapacity is how many workers the controllers serve while one of them is down.
 func (c *Core) failoverWorkerCapacity() int {
-	d := &c.settings.Deployment
-	return d.MaxWorkers(d.Size - 1)
+	deployment := &c.settings.Deployment
+	return deployment.MaxWorkers(deployment.Size - 1)
 }
 
-// checkFleetSize warns, once for each time, when the fleet outgrows the sockets that the
-// controllers have while one of them is away: workers beyond them would lose their leases.
+// checkFleetSize warns, once each time, when the fleet outgrows the sockets that the controllers
+// have while one of them is down: the leases of the workers beyond them would expire.
 func (l *leader) checkFleetSize() {
-	outgrown := len(l.MachinesByName) > l.core.failoverWorkerCapacity()
+	machines, capacity := len(l.MachinesByName), l.core.failoverWorkerCapacity()
+	outgrown := machines > capacity
 	if outgrown && !l.controllersOutgrown {
-		l.core.log.Warn("fleet outgrows the controllers' sockets", "machines", len(l.MachinesByName), "carried_with_one_away", l.core.failoverWorkerCapacity(),
-			"max_connections", l.core.settings.Deployment.MachineLimits.MaxConnections, "controllers", l.core.settings.Deployment.Size)
+		deployment := &l.core.settings.Deployment
+		l.core.log.Warn("fleet outgrows the controllers' sockets", "machines", machines, "capacity_with_one_down", capacity,
+			"max_connections", deployment.MachineLimits.MaxConnections, "controllers", deployment.Size)
 	}
 	l.controllersOutgrown = outgrown
 }
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -11,8 +11,8 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// A fleet that outgrows the sockets of the controllers is told of once, and again once it
-// has been smaller.
+// TestFleetOutgrowsSockets lets a fleet outgrow the sockets of the controllers: that is logged once,
+// and again once the fleet has been smaller.
 func TestFleetOutgrowsSockets(t *testing.T) {
 	_, l := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Size, s.Deployment.MachineLimits.MaxConnections = 3, 12 // 10 workers each
@@ -29,7 +29,7 @@
 	}
 	l.checkFleetSize()
 	l.checkFleetSize()
-	if n := strings.Count(logged.String(), "machines=21 carried_with_one_away=20"); n != 1 {
+	if n := strings.Count(logged.String(), "machines=21 capacity_with_one_down=20"); n != 1 {
 		t.Errorf("%d lines: %s", n, logged.String())
 	}
 	l.dropMachine(last)
--- a/internal/core/forecast_objectives_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -9,10 +9,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Room is kept for the work to come of a class whose work is within a guarantee
-// that names a wait, though the class names none: for whole arrays, since one has
-// begun with its last task. Work beyond the guarantee, or of nothing that is
-// guaranteed, and a guarantee without a wait get none.
+// TestCapacityForGuaranteedWork provisions for future jobs of a class whose jobs are within the
+// guarantee, by the guarantee's waiting time, though the class has no objective of its own: for
+// whole arrays, since the objective counts up to the start of the last task. Jobs beyond the
+// guarantee or of resources without one, and a guarantee without a waiting time, get nothing.
 func TestCapacityForGuaranteedWork(t *testing.T) {
 	const types = `{"hulls":[{"label":"g8","cpus":96,"accelerators":8,"memGb":768,"fetchGbPerS":1,"rate":12,"lowPrice":4,"bootS":40,"berths":["a"]}]}`
 	wait := []config.Objective{{Kind: "guarantee", WithinS: 20, Share: 0.85}}
@@ -23,10 +23,10 @@
 		tasks      int
 		want       bool
 	}{
-		{"within", wait, 1, 6, true},
-		{"beyond", wait, 1, 12, false},
-		{"not of what is guaranteed", wait, 0, 6, false},
-		{"no wait", nil, 1, 6, false},
+		{"within the guarantee", wait, 1, 6, true},
+		{"beyond the guarantee", wait, 1, 12, false},
+		{"of resources without a guarantee", wait, 0, 6, false},
+		{"no objective", nil, 1, 6, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b, l := newLeadingHarness(t, func(s *config.Settings) {
@@ -34,29 +34,29 @@
 				s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 8, GPUsMax: 16}}
 			})
 			if !b.core.setMachineTypes([]byte(types)) {
-				t.Fatal("the machine types are not read")
+				t.Fatal("the machine types were not decoded")
 			}
 			addRecord(b, l, wire.Job{ID: "job-1", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 				CPUs: 1, GPUs: tc.gpus, MemGB: 1, Tasks: tc.tasks, ImageGB: 10}, nil)
-			l.fleet.scaleOuts, l.fleet.nextScaleOutAt = nil, 0
+			l.fleet.requests = newFleet(&l.core.settings.Deployment, l.leadership.Term).requests
 			l.markWithinQuota()
 			l.planScaleOut(nil, map[string]topology.Resources{})
 			provisioned := 0.0
-			for _, r := range l.fleet.scaleOuts {
-				provisioned += 8 * float64(r.message.Count)
+			for _, request := range l.fleet.requests.Open() {
+				provisioned += 8 * float64(request.Count)
 			}
 			if (provisioned > 0) != tc.want || tc.want && provisioned < 2*float64(tc.tasks) {
-				t.Errorf("room for %v GPUs is rented, two arrays of %d tasks may come", provisioned, tc.tasks)
+				t.Errorf("%v GPUs are provisioned, two arrays of %d tasks may be submitted", provisioned, tc.tasks)
 			}
 		})
 	}
 }
 
-// A huge array is one event, not the size of those to come.
+// TestHugeArrayIsNotForecast submits a huge array: it is one event, not the size of future ones.
 func TestHugeArrayIsNotForecast(t *testing.T) {
 	b, l := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(b, l, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxTasksPerJob}, nil)
 	if size := l.arrivalsByClass["c"].JobSize(); size > forecast.MaxTasksPerJob {
-		t.Errorf("arrays of %v tasks are foreseen", size)
+		t.Errorf("arrays of %v tasks are forecast", size)
 	}
 }
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -10,14 +10,13 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// forecastTypes are two types of machine; a task of 2 CPUs fits only the second.
+// forecastTypes are two machine types; a task of 2 CPUs fits only the second.
 var forecastTypes = map[string]*wire.MachineType{
 	"small": {Name: "small", CPUs: 1, MemGB: 8, BootS: 10, PullGBPerS: 1, Price: 1, SpotPrice: 0.5, Zones: []string{"a", "b"}},
 	"large": {Name: "large", CPUs: 4, MemGB: 32, BootS: 60, PullGBPerS: 0.5, Price: 3, SpotPrice: 1.5, Zones: []string{"a", "b"}},
 }
 
-// newForecastLeader makes a leader that knows forecastTypes, 1000 s after its
-// start.
+// newForecastLeader makes a leader that knows forecastTypes, 1000 s after its start.
 func newForecastLeader(t *testing.T) *leader {
 	t.Helper()
 	b := newHarness(t, testMachineTypes)
@@ -33,10 +32,10 @@
 		usual, slow float64
 		ok          bool
 	}{
-		{"the fastest type that holds a task", wire.Job{CPUs: 1, MemGB: 1, ImageGB: 4}, 14, 19, true},
+		{"the fastest type that is large enough", wire.Job{CPUs: 1, MemGB: 1, ImageGB: 4}, 14, 19, true},
 		{"a larger task boots longer", wire.Job{CPUs: 2, MemGB: 1, ImageGB: 4}, 68, 98, true},
-		{"the job's types", wire.Job{CPUs: 1, MemGB: 1, MachineTypes: []string{"large"}}, 60, 90, true},
-		{"no type holds a task", wire.Job{CPUs: 5, MemGB: 1}, 0, 0, false},
+		{"the job's machine types", wire.Job{CPUs: 1, MemGB: 1, MachineTypes: []string{"large"}}, 60, 90, true},
+		{"no type is large enough", wire.Job{CPUs: 5, MemGB: 1}, 0, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
@@ -51,34 +50,34 @@
 func TestExpectedTasks(t *testing.T) {
 	two := 2
 	for _, tc := range []struct {
-		name   string
-		cpus   float64
-		recent int // arrivals within the window
-		old    int // arrivals before it
-		o      config.Objective
-		warm   *int
-		want   int
+		name      string
+		cpus      float64
+		recent    int // arrivals within the window
+		old       int // arrivals before it
+		objective config.Objective
+		warm      *int
+		want      int
 	}{
 		{"a slow boot is soon enough", 1, 24, 0, config.Objective{WithinS: 15, Share: 0.9}, nil, 0},
-		{"half an arrival a second, evens", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, nil, 30},
-		{"a larger share has more room", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.95}, nil, 40},
-		{"a share below the least", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.1}, nil, 30},
-		{"a share of all", 2, 60, 0, config.Objective{WithinS: 15, Share: 1}, nil, 43},
+		{"half an arrival a second, an even chance", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, nil, 30},
+		{"a larger share needs more", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.95}, nil, 40},
+		{"a share below the lowest probability", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.1}, nil, 30},
+		{"a share above the highest probability", 2, 60, 0, config.Objective{WithinS: 15, Share: 1}, nil, 43},
 		{"old arrivals do not count", 2, 4, 60, config.Objective{WithinS: 15, Share: 0.5}, nil, 2},
-		{"never without room", 2, 0, 60, config.Objective{WithinS: 15, Share: 0.5}, nil, 1},
-		{"the operators' bound", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, &two, 2},
+		{"at least one", 2, 0, 60, config.Objective{WithinS: 15, Share: 0.5}, nil, 1},
+		{"the operators' limit", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, &two, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
 			l.core.operatorSettings = &config.Operator{WarmMachines: tc.warm}
-			a := &classArrivals{lastJob: &cluster.Job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
+			arrivals := &classArrivals{lastJob: &cluster.Job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
 			for range tc.old {
-				a.Record(l.core.now-forecast.Window-time.Second, l.core.now, 1, 1)
+				arrivals.Record(l.core.now-forecast.Window-time.Second, l.core.now, 1, 1)
 			}
 			for range tc.recent {
-				a.Record(l.core.now-forecast.Window, l.core.now, 1, 1)
+				arrivals.Record(l.core.now-forecast.Window, l.core.now, 1, 1)
 			}
-			if got := l.expectedTasks(a, tc.o); got != tc.want {
+			if got := l.expectedTasks(arrivals, tc.objective); got != tc.want {
 				t.Errorf("%d tasks, want %d", got, tc.want)
 			}
 		})
@@ -93,10 +92,10 @@
 		ageS  int64
 		want  int
 	}{
-		{"an array is one", wire.ShapeArray, 10, 0, 1},
+		{"an array is one arrival", wire.ShapeArray, 10, 0, 1},
 		{"a service's tasks", wire.ShapeService, 10, 0, 10},
 		{"a huge job is bounded", wire.ShapeService, 1000, 0, forecast.MaxTasksPerJob},
-		{"an old record is out of the window", wire.ShapeService, 10, 121, 0},
+		{"an old submission is out of the window", wire.ShapeService, 10, 121, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -1,135 +1,141 @@
 package core
 
 import (
-	"strconv"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/cloudapi"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
-	"github.com/segmentio/encoding/json"
 )
 
 const (
-	listPeriod    = 2 * time.Second // between two readings of the list, at least
-	listPageSize  = 500             // machines in a page
-	listCallShare = 4               // of the cloud's calls, one in so many may read the list
+	minListInterval = 2 * time.Second // between two readings of the machine list
+	listCallShare   = 4               // at most one in so many calls to the cloud reads the list
 )
 
-// listInterval is the time between two readings of the list: the more pages it has, the
-// longer, so that rentals and returns find room beside them.
+// inventory is the state of reading the cloud's machine list, which shows machines that came or
+// went unnoticed. This file changes it.
+type inventory struct {
+	listInFlight   bool
+	nextListAt     time.Duration
+	listedMachines map[string]bool // by the present or the last reading
+}
+
+// listInterval is the time between two readings of the list: the more pages it has, the longer, to
+// leave calls for provisioning and returns.
 func (l *leader) listInterval() time.Duration {
-	pages := (len(l.fleet.listedMachines) + listPageSize - 1) / listPageSize
-	return max(listPeriod, config.Seconds(float64(pages*listCallShare)/l.core.settings.Deployment.Cloud.RPS))
+	pages := (len(l.fleet.listedMachines) + cloudapi.ListPageSize - 1) / cloudapi.ListPageSize
+	return max(minListInterval, config.Seconds(float64(pages*listCallShare)/l.core.settings.Deployment.Cloud.RPS))
+}
+
+// listLag is how old the list may be.
+func (l *leader) listLag() time.Duration {
+	return time.Duration(l.core.settings.Deployment.Cloud.ListLagS * float64(time.Second))
 }
 
-// startListing reads the cloud's list, for machines that came or went unnoticed.
+// startListing begins to read the list when it is due.
 func (l *leader) startListing() {
-	f := &l.fleet
-	if f.listInFlight || l.core.now < f.nextListAt {
+	if l.fleet.listInFlight || l.core.now < l.fleet.nextListAt {
 		return
 	}
-	f.listInFlight = true
-	f.listedMachines = map[string]bool{}
+	l.fleet.listInFlight = true
+	l.fleet.listedMachines = map[string]bool{}
 	l.listPage("")
 }
 
-// listPage reads the page of the list that follows a machine's name.
+// listPage reads the page of the list that begins after a machine's name.
 func (l *leader) listPage(after string) {
-	f := &l.fleet
-	path := "/machines?limit=" + strconv.Itoa(listPageSize)
-	if after != "" {
-		path += "&since=" + after
-	}
-	l.core.call(Call{Destination: DestinationCloud, Method: "GET", Path: path, Timeout: cloudTimeout}, func(r Result) {
-		if l.steppedDown {
-			return
-		}
-		page, ok := parseMachineList(r.Body)
-		if r.Status != 200 || !ok {
-			f.listInFlight = false
-			f.nextListAt = l.core.now + cloudRetryDelay
-			return
-		}
-		for i := range page.Machines {
-			row := &page.Machines[i]
-			after = row.Name
-			f.listedMachines[row.Name] = true
-			l.recordListed(row)
+	l.core.cloud.ListMachines(after, func(result cloudapi.ListResult) {
+		switch {
+		case l.steppedDown:
+		case result.Status == cloudapi.Done:
+			l.recordListPage(&result.Page)
+		default:
+			l.fleet.listInFlight = false
+			l.fleet.nextListAt = l.core.now + cloudRetryDelay
 		}
-		if page.More && len(page.Machines) > 0 {
-			l.listPage(after)
-			return
-		}
-		f.listInFlight = false
-		f.nextListAt = l.core.now + l.listInterval()
-		l.returnUnlisted()
 	})
 }
 
-// listLag is how old the cloud's list may be.
-func (l *leader) listLag() time.Duration {
-	return time.Duration(l.core.settings.Deployment.Cloud.ListLagS * float64(time.Second))
+// recordListPage records the machines of a page, and reads the next one if there is one.
+func (l *leader) recordListPage(page *wire.MachineList) {
+	for i := range page.Machines {
+		listed := &page.Machines[i]
+		l.fleet.listedMachines[listed.Name] = true
+		l.recordListed(listed)
+	}
+	if count := len(page.Machines); page.More && count > 0 {
+		l.listPage(page.Machines[count-1].Name)
+		return
+	}
+	l.fleet.listInFlight = false
+	l.fleet.nextListAt = l.core.now + l.listInterval()
+	l.returnUnlisted()
 }
 
-// returnUnlisted returns machines that a whole reading of the list did not
-// name. A machine stays listed until it is gone, but lists may be old. Its
-// absence proves nothing, so the return makes it certain.
+// returnUnlisted returns machines that a whole reading of the list did not show. A machine is
+// listed until it is terminated, but lists may be old: its absence proves nothing, and the return
+// makes it certain.
 func (l *leader) returnUnlisted() {
-	for _, m := range l.MachinesByName {
-		if l.fleet.listedMachines[m.Name] {
-			m.ListedAt = l.core.now
+	for _, machine := range l.MachinesByName {
+		if l.fleet.listedMachines[machine.Name] {
+			machine.ListedAt = l.core.now
 			continue
 		}
-		// One that only the records know was there before this leader: an
-		// earlier one may have returned it when it could not record the ends
-		// of its tasks. Taken for cut off, it held up those for minutes.
-		listed := m.ListedAt
-		if listed == 0 && m.LastHeartbeat == 0 && len(m.Placements) > 0 {
-			listed = l.recordsLoadedAt
-		}
-		if listed != 0 && l.core.now-listed > 3*l.listLag() && l.core.now-m.LastHeartbeat > 3*l.core.heartbeatInterval() && !m.Returning {
-			l.returnMachine(m, cluster.DrainUnlisted)
+		if !machine.Returning && l.unlistedTooLong(machine) {
+			l.returnMachine(machine, cluster.DrainUnlisted)
 		}
 	}
 }
 
-// recordListed takes in a machine that the cloud lists.
-func (l *leader) recordListed(row *wire.Machine) {
-	if at, ok := l.returnedMachines[row.Name]; ok {
-		// Listed long after its return was confirmed: return it again.
-		if l.core.now-at > 4*l.listLag() {
-			l.returnedMachines[row.Name] = l.core.now
-			l.fleet.pendingReturns[row.Name] = true
-		}
+// unlistedTooLong reports whether a machine that is silent has not been listed for longer than a
+// list may lag.
+func (l *leader) unlistedTooLong(machine *cluster.Machine) bool {
+	listedAt := machine.ListedAt
+	if listedAt == 0 && machine.LastHeartbeat == 0 && len(machine.Placements) > 0 {
+		// One that only the records know existed before this leader: an earlier one may have
+		// returned it when it could not record the ends of its tasks. Mistaken for a
+		// partitioned one, it held up those tasks for minutes.
+		listedAt = l.recordsLoadedAt
+	}
+	if listedAt == 0 {
+		return false
+	}
+	return l.core.now-listedAt > 3*l.listLag() && l.core.now-machine.LastHeartbeat > 3*l.core.heartbeatInterval()
+}
+
+// recordListed records a machine that the cloud lists.
+func (l *leader) recordListed(listed *wire.Machine) {
+	if returnedAt, ok := l.returnedMachines[listed.Name]; ok {
+		l.returnAgain(listed.Name, returnedAt)
 		return
 	}
-	m := l.Machines[row.Name]
-	isNew := m == nil
-	if isNew {
-		m = l.machineNamed(row.Name)
-		l.core.log.Info("machine listed", "machine", row.Name, "type", row.Type, "zone", row.Zone, "status", row.Status)
+	machine, known := l.Machines[listed.Name]
+	if !known {
+		machine = l.machineNamed(listed.Name)
+		l.core.log.Info("machine listed", "machine", listed.Name, "type", listed.Type, "zone", listed.Zone, "status", listed.Status)
 	}
-	// A machine known from records or reports counted from when this leader learned
-	// of it, and was kept for the least time that is charged once more. One known
-	// from records that has not reported yet would pass for one that boots for too
-	// long, and its room would be rented a second time.
-	if isNew || m.LastHeartbeat != 0 {
-		m.CreatedAt = min(m.CreatedAt, l.core.now-time.Duration(row.AgeS*float64(time.Second)))
+	// Without its listed age, a machine that is known from records or heartbeats was as old as
+	// this leader's knowledge of it, and was kept for the least billed time once more. One that
+	// is known from records and has not sent a heartbeat yet keeps that age: by the listed one it
+	// would count as late in booting, and a second machine would be provisioned for its work.
+	if !known || machine.LastHeartbeat != 0 {
+		machine.CreatedAt = min(machine.CreatedAt, l.core.now-config.Seconds(listed.AgeS))
 	}
-	if !m.Described {
-		l.describe(m, row.Addr, row.Type, row.Zone, row.Spot)
-	} else if m.Address == "" {
-		m.Address = row.Addr
+	if !machine.Described {
+		l.describe(machine, listed.Addr, listed.Type, listed.Zone, listed.Spot)
+	} else if machine.Address == "" {
+		machine.Address = listed.Addr
 	}
-	m.ListedAs = row.Status
+	machine.ListedAs = listed.Status
 }
 
-// parseMachineList decodes a page of the cloud's list.
-func parseMachineList(body []byte) (*wire.MachineList, bool) {
-	var list wire.MachineList
-	if json.Unmarshal(body, &list) != nil {
-		return nil, false
+// returnAgain returns a machine once more if it is still listed long after its return was
+// confirmed.
+func (l *leader) returnAgain(name string, returnedAt time.Duration) {
+	if l.core.now-returnedAt > 4*l.listLag() {
+		l.returnedMachines[name] = l.core.now
+		l.fleet.pendingReturns[name] = true
 	}
-	return &list, true
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -78,7 +78,7 @@
 		bestEffortTeams:       c.bestEffortTeams(),
 		arrivalsByClass:       map[string]*classArrivals{},
 		runTimesByClass:       map[string]*forecast.RunTimes{},
-		fleet:                 newFleet(),
+		fleet:                 newFleet(&c.settings.Deployment, leadership.Term),
 		pullStatistics:        pullEvidence{inherited: c.pullsAreSequential},
 		outliers:              outlier.New(),
 		provisioningLatencies: bootlatency.New(),
--- /dev/null
+++ b/internal/core/offers.go
@@ -0,0 +1,95 @@
+package core
+
+import (
+	"iter"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/provisioning"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// machinePrice is the price of a machine, an hour.
+func (l *leader) machinePrice(machine *cluster.Machine) float64 {
+	return hourlyPrice(l.typeOf(machine), machine.Spot)
+}
+
+// hourlyPrice is the price of a machine type; 0 if it is nil, that is, not known.
+func hourlyPrice(machineType *wire.MachineType, spot bool) float64 {
+	switch {
+	case machineType == nil:
+		return 0
+	case spot:
+		return machineType.SpotPrice
+	default:
+		return machineType.Price
+	}
+}
+
+// offersOf is what the cloud offers of a machine type in zones that are not partitioned: by zone,
+// spot machines first.
+func (l *leader) offersOf(machineType *wire.MachineType) iter.Seq[provisioning.Offer] {
+	return func(yield func(provisioning.Offer) bool) {
+		for _, zone := range machineType.Zones {
+			if l.zonePartitioned(zone) {
+				continue
+			}
+			for _, spot := range []bool{true, false} {
+				if !yield(provisioning.Offer{Type: machineType.Name, Zone: zone, Spot: spot}) {
+					return
+				}
+			}
+		}
+	}
+}
+
+// availableOffers lists the offers of which machines may be requested now, by type.
+func (l *leader) availableOffers() []provisioning.OfferDetails {
+	var available []provisioning.OfferDetails
+	for _, name := range sortedKeys(l.core.machineTypes) {
+		machineType := l.core.machineTypes[name]
+		for offer := range l.offersOf(machineType) {
+			machines := l.fleet.availability.Machines(offer, l.core.now, l.fleet.requests.Requested(offer))
+			if machines <= 0 {
+				continue
+			}
+			available = append(available, provisioning.OfferDetails{
+				Offer:     offer,
+				Capacity:  cluster.TypeCapacity(machineType),
+				Price:     hourlyPrice(machineType, offer.Spot),
+				Available: machines,
+			})
+		}
+	}
+	return available
+}
+
+// anyOfferFor reports whether the cloud may grant a machine for a job now.
+func (l *leader) anyOfferFor(job *wire.Job) bool {
+	for _, machineType := range l.core.machineTypes { // in any order: one is enough
+		if !cluster.TypeCapacity(machineType).Holds(cluster.TaskSize(job)) {
+			continue
+		}
+		for offer := range l.offersOf(machineType) {
+			if eligible(job, offer.Type, offer.Zone, offer.Spot) && !l.fleet.availability.Refused(offer, l.core.now) {
+				return true
+			}
+		}
+	}
+	return false
+}
+
+// zonePartitioned reports whether a zone is, or was a moment ago, partitioned from this controller:
+// a machine that is provisioned there is of no use before the partition ends.
+func (l *leader) zonePartitioned(zone string) bool {
+	at, ok := l.fleet.partitionedAt[zone]
+	return ok && l.core.now-at < l.core.heartbeatInterval()
+}
+
+// backOffOffer records that the cloud has no more machines of an offer. The next plan takes
+// another one.
+func (l *leader) backOffOffer(offer provisioning.Offer, backoff time.Duration) {
+	l.fleet.availability.Refuse(offer, l.core.now+backoff)
+	l.fleet.requests.Drop(offer)
+	l.passes.requested = true
+}
--- a/internal/core/provisioning/offer.go
+++ b/internal/core/provisioning/offer.go
@@ -1,8 +1,6 @@
 package provisioning
 
 import (
-	"math"
-
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
@@ -21,9 +19,6 @@
 	Available int
 }
 
-// Unlimited is the Available of an offer that was not refused lately.
-const Unlimited = math.MaxInt
-
 // reserve counts a machine that the plan wants.
 func (d *OfferDetails) reserve() {
 	if d.Available != Unlimited {
--- /dev/null
+++ b/internal/core/provisioning/queue_test.go
@@ -0,0 +1,84 @@
+package provisioning
+
+import (
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+const requestInterval = 250 * time.Millisecond
+
+// TestQueueNext requests more machines than one request may ask for, and a second offer.
+func TestQueueNext(t *testing.T) {
+	queue := NewQueue(7, requestInterval)
+	queue.Replace([]Shortfall{
+		{Offer: Offer{"small", "a", true}, Count: MaxMachinesPerRequest + 1, Purpose: "job-1"},
+		{Offer: Offer{"large", "b", false}, Count: 2, Purpose: "job-2"},
+	})
+	for i, want := range []wire.ProvisionRequest{
+		{ID: "r-7-1", Type: "small", Zone: "a", Spot: true, Count: MaxMachinesPerRequest},
+		{ID: "r-7-2", Type: "small", Zone: "a", Spot: true, Count: 1},
+		{ID: "r-7-3", Type: "large", Zone: "b", Count: 2},
+	} {
+		now := time.Duration(i) * requestInterval
+		if !queue.Waiting() {
+			t.Fatalf("nothing is waiting before %+v", want)
+		}
+		if got := queue.Next(now); got == nil || got.ProvisionRequest != want {
+			t.Errorf("got %+v, want %+v", got, want)
+		}
+		if got := queue.Next(now + requestInterval - 1); got != nil {
+			t.Errorf("%+v within the interval", got)
+		}
+	}
+	if queue.Waiting() || queue.Next(time.Hour) != nil {
+		t.Error("something is left")
+	}
+}
+
+// TestQueueOpen opens as many requests as may be without an answer, and closes one.
+func TestQueueOpen(t *testing.T) {
+	offer := Offer{Type: "small", Zone: "a"}
+	queue := NewQueue(7, requestInterval)
+	now := time.Duration(0)
+	open := func() *Request {
+		now += requestInterval
+		queue.Replace([]Shortfall{{Offer: offer, Count: 2}})
+		return queue.Next(now)
+	}
+	first := open()
+	for range 2 * MaxOpenRequests {
+		open()
+	}
+	if got := len(queue.Open()); got != MaxOpenRequests {
+		t.Fatalf("%d open requests, want %d", got, MaxOpenRequests)
+	}
+	if got := queue.Requested(offer); got != 2*MaxOpenRequests {
+		t.Errorf("%d machines requested, want %d", got, 2*MaxOpenRequests)
+	}
+	if got := queue.Requested(Offer{Type: "small", Zone: "b"}); got != 0 {
+		t.Errorf("%d machines of another offer requested", got)
+	}
+	queue.Close(first)
+	if got := queue.Requested(offer); got != 2*(MaxOpenRequests-1) {
+		t.Errorf("%d machines requested after a request was closed", got)
+	}
+	if open() == nil {
+		t.Error("no request in place of the closed one")
+	}
+}
+
+// TestQueueDrop drops the shortfalls of an offer without capacity.
+func TestQueueDrop(t *testing.T) {
+	refused, other := Offer{Type: "small", Zone: "a"}, Offer{Type: "small", Zone: "b"}
+	queue := NewQueue(7, requestInterval)
+	queue.Replace([]Shortfall{{Offer: refused, Count: 1}, {Offer: other, Count: 1}})
+	queue.Drop(refused)
+	if got := queue.Next(0); got == nil || got.Offer() != other {
+		t.Errorf("requested %+v, want %+v", got, other)
+	}
+	if queue.Waiting() {
+		t.Error("the dropped shortfall is waiting")
+	}
+}
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -3,148 +3,157 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/cloudapi"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// returnMachine returns a machine to the cloud. Whatever was on it is gone once
-// the cloud has confirmed.
-func (l *leader) returnMachine(m *cluster.Machine, reason cluster.DrainReason) {
-	if m.DrainReason == "" {
-		m.DrainReason = reason
-		l.core.log.Info("return machine", "machine", m.Name, "why", reason, "tasks", len(m.Placements))
+// scaleIn is the state of returning machines. This file and inventory.go change it.
+type scaleIn struct {
+	pendingReturns map[string]bool // machines to return; kept until the cloud confirms it
+	returnInFlight bool            // a return, or the check of the term before it
+	returnRetryAt  time.Duration   // no machine is returned before
+}
+
+// returnMachine requests the return of a machine to the cloud. Whatever runs on it has terminated
+// once the cloud confirms.
+func (l *leader) returnMachine(machine *cluster.Machine, reason cluster.DrainReason) {
+	if machine.DrainReason == "" {
+		machine.DrainReason = reason
+		l.core.log.Info("machine return requested", "machine", machine.Name, "reason", reason, "tasks", len(machine.Placements))
 	}
-	l.fleet.pendingReturns[m.Name] = true
+	l.fleet.pendingReturns[machine.Name] = true
 }
 
-// returnPending returns machines, once it is sure that this term still holds: a
-// deposed leader that is cut off sees every machine silent, and would take the
-// fleet from its successor.
+// returnPending returns machines, once it is certain that this term still holds: a partitioned
+// leader that others have replaced sees every machine silent, and would return the fleet of its
+// successor.
 func (l *leader) returnPending() {
-	f := &l.fleet
-	if f.returnInFlight || len(f.pendingReturns) == 0 || l.core.now < f.returnRetryAt {
+	fleet := &l.fleet
+	if fleet.returnInFlight || len(fleet.pendingReturns) == 0 || l.core.now < fleet.returnRetryAt {
 		return
 	}
-	f.returnInFlight = true
-	l.core.store.CommitUrgent(&wire.Txn{Conditions: []wire.Condition{l.termCondition()}}, func(r kv.TxnResult) {
-		f.returnInFlight = false
+	fleet.returnInFlight = true
+	checkTerm := &wire.Txn{Conditions: []wire.Condition{l.termCondition()}}
+	l.core.store.CommitUrgent(checkTerm, func(result kv.TxnResult) {
+		fleet.returnInFlight = false
 		switch {
 		case l.steppedDown:
-		case r.Status == kv.Conflict:
+		case result.Status == kv.Conflict:
 			l.core.stepDown(stepDownTermChanged)
-		case r.Status == kv.OK, l.core.hearsPeer():
-			// During a general outage of the state service nobody is elected;
-			// a peer that knew of a higher term would have told us.
+		case result.Committed(), l.core.hearsPeer():
+			// During a general outage of the store nobody is elected; a peer that knew of a
+			// higher term would have told this controller.
 			l.sendReturns()
 		default:
-			f.returnRetryAt = l.core.now + cloudRetryDelay
+			fleet.returnRetryAt = l.core.now + cloudRetryDelay
 		}
 	})
 }
 
-// maxMachinesPerReturn is how many machines go into one return.
-const maxMachinesPerReturn = 100
-
-// sendReturns asks the cloud to take machines back.
+// sendReturns asks the cloud to take pending machines back, as many as one request may name.
 func (l *leader) sendReturns() {
-	f := &l.fleet
-	names := sortedKeys(f.pendingReturns)
-	if len(names) > maxMachinesPerReturn {
-		names = names[:maxMachinesPerReturn]
+	names := sortedKeys(l.fleet.pendingReturns)
+	if len(names) > cloudapi.MaxMachinesPerReturn {
+		names = names[:cloudapi.MaxMachinesPerReturn]
 	}
-	for _, n := range names {
-		if m := l.Machines[n]; m != nil {
-			m.Returning = true
+	for _, name := range names {
+		if machine := l.Machines[name]; machine != nil {
+			machine.Returning = true
 		}
 	}
-	f.returnInFlight = true
-	l.core.call(Call{Destination: DestinationCloud, Method: "POST", Path: "/machines/return", Body: kv.Encode(wire.MachineNames{Machines: names}), Timeout: cloudTimeout, Urgent: true}, func(r Result) {
-		f.returnInFlight = false
-		if l.steppedDown {
-			return
-		}
-		if r.Status != 200 {
-			f.returnRetryAt = l.core.now + cloudRetryDelay
-			return
-		}
-		for _, n := range names {
-			delete(f.pendingReturns, n)
-			l.returnedMachines[n] = l.core.now
-			if m := l.Machines[n]; m != nil {
-				l.recordMachineTerminated(m)
-			}
+	l.fleet.returnInFlight = true
+	l.core.cloud.Return(names, func(status cloudapi.Status) {
+		l.fleet.returnInFlight = false
+		switch {
+		case l.steppedDown:
+		case status == cloudapi.Done:
+			l.recordReturned(names)
+		default:
+			l.fleet.returnRetryAt = l.core.now + cloudRetryDelay
 		}
 	})
 }
 
-// evictTasks moves work off a machine that the cloud is about to take, in
-// time for the slowest save.
-func (l *leader) evictTasks(m *cluster.Machine) {
-	if m.PreemptionAt == 0 && !m.Evicting || len(m.Placements) == 0 {
+// recordReturned records that the cloud has taken machines back.
+func (l *leader) recordReturned(names []string) {
+	for _, name := range names {
+		delete(l.fleet.pendingReturns, name)
+		l.returnedMachines[name] = l.core.now
+		if machine := l.Machines[name]; machine != nil {
+			l.recordMachineTerminated(machine)
+		}
+	}
+}
+
+// evictTasks stops the tasks of a machine with a preemption notice or of one that is being
+// drained, with the grace period that their checkpoints take.
+func (l *leader) evictTasks(machine *cluster.Machine) {
+	if machine.PreemptionAt == 0 && !machine.Evicting || len(machine.Placements) == 0 {
 		return
 	}
-	for _, p := range m.Placements {
-		if t := p.Task(); t.Machine != m || t.Stop != nil {
-			continue
+	for _, placed := range machine.Placements {
+		if task := placed.Task(); task.Machine != machine || task.Stop != nil {
+			continue // unplaced or stopped meanwhile, with its gang
 		}
-		grace := 0.0
-		if p.Job.CheckpointIntervalS > 0 {
-			grace = p.Job.CheckpointDurationS
-		}
-		if p.Job.Shape == wire.ShapeGang {
-			l.stopGang(p.Job, grace, stopDrained)
-			continue
-		}
-		l.stopTask(p.Job, p.Index, grace, stopDrained)
+		l.evictTask(placed)
+	}
+}
+
+// evictTask stops a task, or the gang that it is of, to start again on another machine.
+func (l *leader) evictTask(placed cluster.TaskReference) {
+	job := placed.Job
+	gracePeriodS := 0.0
+	if job.CheckpointIntervalS > 0 {
+		gracePeriodS = job.CheckpointDurationS
+	}
+	if job.Shape == wire.ShapeGang {
+		l.stopGang(job, gracePeriodS, stopDrained)
+		return
 	}
+	l.stopTask(job, placed.Index, gracePeriodS, stopDrained)
 }
 
-// minBilledTime is the least time the cloud charges for a machine.
+// minBilledTime is the least time that the cloud charges for a machine.
 const minBilledTime = 60 * time.Second
 
-// returnUnneeded gives back a machine that nothing needs.
-func (l *leader) returnUnneeded(m *cluster.Machine) {
-	if m.Returning || l.fleet.pendingReturns[m.Name] {
+// returnUnneeded returns a machine that nothing needs.
+func (l *leader) returnUnneeded(machine *cluster.Machine) {
+	if machine.Returning || l.fleet.pendingReturns[machine.Name] {
 		return
 	}
-	if reason := l.returnReason(m); reason != "" {
-		l.returnMachine(m, reason)
+	if reason := l.returnReason(machine); reason != "" {
+		l.returnMachine(machine, reason)
 	}
 }
 
-// returnReason tells why a machine is not needed any more; empty if it is.
-func (l *leader) returnReason(m *cluster.Machine) cluster.DrainReason {
-	switch {
-	case m.LastHeartbeat == 0:
-		if l.bootFailed(m) {
+// returnReason is why a machine is not needed any more; empty if it is.
+func (l *leader) returnReason(machine *cluster.Machine) cluster.DrainReason {
+	if machine.LastHeartbeat == 0 {
+		if l.bootFailed(machine) {
 			return cluster.DrainBootTimeout
 		}
 		return ""
-	case len(m.Placements) > 0:
+	}
+	switch {
+	case len(machine.Placements) > 0:
 		return ""
-	case m.DrainReason != "" && !l.mayBeHealthy(m):
-		return m.DrainReason
-	case m.PreemptionAt != 0:
+	case machine.DrainReason != "" && !l.mayBeHealthy(machine):
+		return machine.DrainReason
+	case machine.PreemptionAt != 0:
 		return cluster.DrainPreemptionNotice
-	case m.DrainReason == "" && l.idleTooLong(m):
+	case machine.DrainReason == "" && l.idleTooLong(machine):
 		return cluster.DrainIdle
 	}
 	return ""
 }
 
-// bootFailed tells whether a machine that has not reported is given up. A new leader
-// has to give one that came up under an earlier term the time to report first. One
-// that has placements did come up: another controller may have its reports.
-func (l *leader) bootFailed(m *cluster.Machine) bool {
-	return l.bootTimeRatio(m) > failedBootFactor && l.core.now-l.recordsLoadedAt > l.core.workerLease() && len(m.Placements) == 0 && m.LastContact == 0
-}
-
-// idleTooLong tells whether an empty machine has had no use for long enough.
-func (l *leader) idleTooLong(m *cluster.Machine) bool {
+// idleTooLong reports whether an empty machine has had no use for long enough to be returned.
+func (l *leader) idleTooLong(machine *cluster.Machine) bool {
 	limit := l.maxIdleTime()
-	if l.fleet.keptIdle[m.Name] || l.core.now-l.recordsLoadedAt < limit {
+	if l.fleet.keptIdle[machine.Name] || l.core.now-l.recordsLoadedAt < limit {
 		return false
 	}
-	return l.core.now-m.IdleSince >= limit && l.core.now-m.CreatedAt >= minBilledTime
+	return l.core.now-machine.IdleSince >= limit && l.core.now-machine.CreatedAt >= minBilledTime
 }
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -3,96 +3,33 @@
 import (
 	"maps"
 	"math"
-	"slices"
-	"strconv"
 	"strings"
-	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
+	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// taskSpecOf is what a task of a job asks of a machine that is to be rented.
-func taskSpecOf(j *cluster.Job, expected bool) provisioning.TaskSpec {
-	return provisioning.TaskSpec{Resources: cluster.TaskSize(&j.Job), MachineTypes: strings.Join(j.MachineTypes, ","), Zone: j.Zone, AllowSpot: j.AllowSpot, Rank: j.Level, Forecast: expected}
-}
-
-// candidateTaskSpec is what a waiting task of a candidate asks of a machine. Guests' tasks
-// have no dear machine rented or kept.
-func (l *leader) candidateTaskSpec(c *candidate) provisioning.TaskSpec {
-	spec := taskSpecOf(c.job, false)
-	if c.bestEffort {
-		spec.MachineTypes = strings.Join(l.cheapTypes(&c.job.Job), ",")
-	}
-	return spec
-}
-
-// binPurpose tells what room for a task is for.
-func binPurpose(j *cluster.Job, expected bool) string {
-	if expected {
-		return "expected " + j.Class
-	}
-	return j.ID
-}
-
-// willBeUsable tells whether a machine is, or is about to be, of use. One that
-// has just reported and will hear this term with its next report counts:
-// leaving it out for that moment rented a second machine for the same work.
-func (l *leader) willBeUsable(m *cluster.Machine) bool {
-	if m.LastHeartbeat == 0 {
-		return l.bootTimeRatio(m) <= lateBootFactor
-	}
-	return l.usable(m) || m.FencingToken < l.leadership.Term && l.core.now-m.LastHeartbeat < 3*l.core.heartbeatInterval()
-}
-
-// scaleOutPlan packs the tasks that found no room, and those that are expected
-// while a machine boots, into the machines there are, those asked for and those
-// to be rented, see package rental.
+// scaleOutPlan packs the tasks that were not placed, and those that are forecast while a machine
+// boots, into the machines of the fleet, those that are requested and those that may be
+// provisioned, see package provisioning.
 type scaleOutPlan struct {
-	leader *leader
 	*provisioning.Plan
-	preemptible map[teamRank]topology.Resources // see preemptibleUsage
-	demand      *regionDemand                   // nil if limits are not shared with other regions
+	leader      *leader
+	preemptible map[teamLevel]topology.Resources // see preemptibleUsage
+	demand      *regionDemand                    // nil if limits are not shared with other regions
 }
 
-// teamRank names the work of a team below a rank.
-type teamRank struct {
-	team string
-	rank int
+// teamLevel names the work of a team below a priority level.
+type teamLevel struct {
+	team  string
+	level int
 }
 
-const (
-	maxOpenScaleOuts      = 4  // rental requests without an answer
-	maxMachinesPerRequest = 50 // machines in one rental request
-)
-
-// Of an array's tasks a plan rents for all that take longer together than bootsOfWorkPerSlot
-// times a boot on one seat each, and for minPlannedTasks in any case: tens of thousands of
-// tasks of a second or two are over before the machines for all of them are up.
-const (
-	bootsOfWorkPerSlot = 4
-	minPlannedTasks    = 500
-)
-
-// plannedTasks is for how many of a candidate's waiting tasks a plan rents: all of a
-// service or a gang, as large as the fleet may be.
-func (l *leader) plannedTasks(c *candidate) int {
-	pending := len(c.pending)
-	if c.job.Shape != wire.ShapeArray || pending <= minPlannedTasks {
-		return pending
-	}
-	boot, _, ok := l.leadTime(c.job)
-	if !ok || boot <= 0 {
-		return pending
-	}
-	slots := math.Ceil(float64(pending) * l.runEstimate(c.job) / (bootsOfWorkPerSlot * boot))
-	return min(pending, max(minPlannedTasks, int(slots)))
-}
-
-// planScaleOut rents for the tasks that found no room, and keeps or rents some room
-// for the work that goes on or is expected while a machine boots.
+// planScaleOut provisions machines for the tasks that were not placed, and keeps or provisions
+// some capacity for dependent jobs and for those that are forecast while a machine boots.
 func (l *leader) planScaleOut(candidates []*candidate, usage map[string]topology.Resources) {
 	plan := newScaleOutPlan(l)
 	planned := maps.Clone(usage)
@@ -107,198 +44,281 @@
 	l.requestShortfalls(plan.Shortfalls())
 }
 
-// newScaleOutPlan starts a plan with the machines that are, or are about to be,
-// of use, and with those that have been asked for.
+// newScaleOutPlan begins a plan with the machines that are usable or about to be, and with those
+// that are requested.
 func newScaleOutPlan(l *leader) *scaleOutPlan {
-	plan := &scaleOutPlan{leader: l, Plan: provisioning.New(l.availableOffers()), preemptible: map[teamRank]topology.Resources{}, demand: l.newRegionDemand()}
+	plan := &scaleOutPlan{
+		Plan:        provisioning.New(l.availableOffers()),
+		leader:      l,
+		preemptible: map[teamLevel]topology.Resources{},
+		demand:      l.newRegionDemand(),
+	}
+	plan.addMachines()
+	plan.addRequested()
+	return plan
+}
+
+// addMachines adds the machines that take tasks now or soon. Of those that boot for too long, some
+// are expected nevertheless, see package bootlatency.
+func (p *scaleOutPlan) addMachines() {
+	l := p.leader
 	late := l.provisioningLatencies.NewLateCounter(l.core.now)
-	for _, m := range l.MachinesByName {
-		total, ok := l.capacityOf(m)
-		if !ok || m.Returning || l.fleet.pendingReturns[m.Name] || m.DrainReason != "" || m.PreemptionAt != 0 {
+	for _, machine := range l.MachinesByName {
+		capacity, known := l.capacityOf(machine)
+		if !known || l.leavesFleet(machine) {
 			continue
 		}
-		if !l.willBeUsable(m) && !(m.LastHeartbeat == 0 && late.Expect(m.ProvisioningKind())) {
-			continue
+		booting := machine.LastHeartbeat == 0
+		if l.willBeUsable(machine) || booting && late.Expect(machine.ProvisioningKind()) {
+			p.AddMachine(machine.Name, machine.Offer(), capacity.Sub(machine.Used), machine.UsedByLevel)
 		}
-		plan.AddMachine(m.Name, m.Offer(), total.Sub(m.Used), m.UsedByLevel)
 	}
-	for _, r := range l.fleet.scaleOuts {
-		if t := l.core.machineTypes[r.message.Type]; t != nil {
-			plan.AddRequested(r.offer(), cluster.TypeCapacity(t), r.message.Count)
+}
+
+// leavesFleet reports whether a machine is cordoned, is being returned or will be preempted.
+func (l *leader) leavesFleet(machine *cluster.Machine) bool {
+	return machine.Returning || l.fleet.pendingReturns[machine.Name] || machine.DrainReason != "" || machine.PreemptionAt != 0
+}
+
+// addRequested adds the machines of provisioning requests without an answer.
+func (p *scaleOutPlan) addRequested() {
+	for _, request := range p.leader.fleet.requests.Open() {
+		if machineType := p.leader.core.machineTypes[request.Type]; machineType != nil {
+			p.AddRequested(request.Offer(), cluster.TypeCapacity(machineType), request.Count)
 		}
 	}
-	return plan
 }
 
-// packPending packs the candidates' tasks, within their teams' limits, and adds
-// them to the teams' usage.
+// taskSpec is what a pending task of a job requires of a machine.
+func taskSpec(job *cluster.Job) provisioning.TaskSpec {
+	return provisioning.TaskSpec{
+		Resources:    cluster.TaskSize(&job.Job),
+		MachineTypes: strings.Join(job.MachineTypes, ","),
+		Zone:         job.Zone,
+		AllowSpot:    job.AllowSpot,
+		Rank:         job.Level,
+	}
+}
+
+// forecastTaskSpec is what a task like a job's, not yet submitted, requires of a machine.
+func forecastTaskSpec(job *cluster.Job) provisioning.TaskSpec {
+	spec := taskSpec(job)
+	spec.Forecast = true
+	return spec
+}
+
+// candidateTaskSpec is what a pending task of a candidate requires of a machine. No expensive
+// machine is provisioned or kept for best-effort work.
+func (l *leader) candidateTaskSpec(candidate *candidate) provisioning.TaskSpec {
+	spec := taskSpec(candidate.job)
+	if candidate.bestEffort {
+		spec.MachineTypes = strings.Join(l.cheapTypes(&candidate.job.Job), ",")
+	}
+	return spec
+}
+
+// Of an array, a plan provisions for the tasks that together run longer than bootsOfWorkPerSlot
+// boots on a slot each, and for minPlannedTasks in any case: tens of thousands of tasks of a second
+// or two are done before machines for all of them have booted.
+const (
+	bootsOfWorkPerSlot = 4
+	minPlannedTasks    = 500
+)
+
+// plannedTasks is for how many of a candidate's pending tasks a plan provisions: all of a service
+// or a gang, which cannot be larger than the fleet may be.
+func (l *leader) plannedTasks(candidate *candidate) int {
+	pending := len(candidate.pending)
+	if candidate.job.Shape != wire.ShapeArray || pending <= minPlannedTasks {
+		return pending
+	}
+	bootS, _, ok := l.leadTime(candidate.job)
+	if !ok || bootS <= 0 {
+		return pending
+	}
+	slots := math.Ceil(float64(pending) * l.runEstimate(candidate.job) / (bootsOfWorkPerSlot * bootS))
+	return min(pending, max(minPlannedTasks, int(slots)))
+}
+
+// packPending packs the candidates' tasks, within their teams' limits, and adds them to the teams'
+// usage.
 func (p *scaleOutPlan) packPending(candidates []*candidate, usage map[string]topology.Resources) {
-	for _, c := range candidates {
-		if c.faulty {
-			p.leader.logWait(c.job, cluster.WaitFaulty)
+	for _, candidate := range candidates {
+		if candidate.faulty {
+			p.leader.logWait(candidate.job, cluster.WaitFaulty)
 			continue
 		}
-		p.packCandidate(c, usage)
+		p.packCandidate(candidate, usage)
 	}
 }
 
-// packCandidate packs a candidate's tasks and adds them to their team's usage.
-func (p *scaleOutPlan) packCandidate(c *candidate, usage map[string]topology.Resources) {
-	l, j := p.leader, c.job
-	// Room that is being made for it is not rented as well, also where the
-	// pass did not come to it.
-	c.reserved = max(c.reserved, l.reservedTasks(j))
-	packed := map[string]int{} // by zone
-	spec, purpose := l.candidateTaskSpec(c), binPurpose(j, false)
-	zoneAllowed := p.allowedZones(c, &spec, packed)
-	var last *provisioning.Bin
-	limit := l.limit(j.Team)
-	used := usage[j.Team]
-	defer func() { usage[j.Team] = used }()
-	var preemptible topology.Resources
-	if c.preemptionPriority > 0 && !limit.Allows(used, spec.Resources, len(c.pending)) {
-		// What its team runs of lower priorities makes way within the limit, but
-		// only where there is a machine to start on.
-		preemptible = p.preemptibleUsage(j.Team, c.preemptionPriority)
+// packCandidate packs a candidate's tasks, adds them to their team's usage and logs why they wait.
+func (p *scaleOutPlan) packCandidate(candidate *candidate, usage map[string]topology.Resources) {
+	// Capacity that is being preempted for it is not provisioned as well, also where the
+	// placement pass did not come to it.
+	candidate.reserved = max(candidate.reserved, p.leader.reservedTasks(candidate.job))
+	packing := p.newCandidatePacking(candidate, usage[candidate.job.Team])
+	reason := packing.packTasks()
+	usage[candidate.job.Team] = packing.used
+	if reason != "" {
+		p.leader.logWait(candidate.job, reason)
+	}
+}
+
+// candidatePacking is the packing of one candidate's tasks.
+type candidatePacking struct {
+	plan        *scaleOutPlan
+	candidate   *candidate
+	spec        provisioning.TaskSpec
+	zones       provisioning.ZoneFilter
+	tasksByZone map[string]int // that were packed
+	last        *provisioning.Bin
+
+	limit       teamlimit.Limit
+	used        topology.Resources // by the team, with what was packed
+	preemptible topology.Resources // of it, what the team's limit does not count for this candidate
+}
+
+func (p *scaleOutPlan) newCandidatePacking(candidate *candidate, used topology.Resources) *candidatePacking {
+	l, job := p.leader, candidate.job
+	packing := &candidatePacking{
+		plan:        p,
+		candidate:   candidate,
+		spec:        l.candidateTaskSpec(candidate),
+		tasksByZone: map[string]int{},
+		limit:       l.limit(job.Team),
+		used:        used,
 	}
-	wanted := l.plannedTasks(c) - c.reserved
-	if p.demand != nil && j.Shape == wire.ShapeGang && !limit.Allows(used.Sub(preemptible), spec.Resources, wanted) {
-		// A part of it would keep shares from others without any use.
-		p.demand.recordShortage(c, wanted)
-		l.logWait(j, l.limitReason(j))
-		return
+	packing.zones = packing.allowedZones()
+	if candidate.preemptionPriority > 0 && !packing.allows(len(candidate.pending)) {
+		// Within the limit, the team's tasks of lower priorities are preempted, but only where
+		// there is a machine to start on.
+		packing.preemptible = p.preemptibleUsage(job.Team, candidate.preemptionPriority)
 	}
-	for k := range wanted {
-		if !limit.Allows(used.Sub(preemptible), spec.Resources, 1) {
-			p.demand.recordShortage(c, wanted-k)
-			l.logWait(j, l.limitReason(j))
-			return
+	return packing
+}
+
+// allows reports whether the team's limit allows a number of tasks more.
+func (c *candidatePacking) allows(tasks int) bool {
+	return c.limit.Allows(c.used.Sub(c.preemptible), c.spec.Resources, tasks)
+}
+
+// packTasks packs the candidate's tasks and returns why they wait; empty if there are none.
+func (c *candidatePacking) packTasks() cluster.WaitReason {
+	l, demand := c.plan.leader, c.plan.demand
+	wanted := l.plannedTasks(c.candidate) - c.candidate.reserved
+	if demand != nil && c.candidate.job.Shape == wire.ShapeGang && !c.allows(wanted) {
+		// A part of it would take a share from other regions in vain.
+		demand.recordShortage(c.candidate, wanted)
+		return l.limitReason(c.candidate.job)
+	}
+	for packed := range wanted {
+		if !c.allows(1) {
+			demand.recordShortage(c.candidate, wanted-packed)
+			return l.limitReason(c.candidate.job)
 		}
-		if last = p.Pack(&spec, zoneAllowed, last, purpose); last == nil {
-			l.logWait(j, cluster.WaitNoOffer)
-			return
+		if !c.packNext() {
+			return cluster.WaitNoOffer
 		}
-		packed[last.Offer.Zone]++
-		used = used.Add(spec.Resources)
 	}
 	switch {
-	case last != nil:
-		l.logWait(j, cluster.WaitForMachines)
-	case c.reserved > 0:
-		l.logWait(j, cluster.WaitForPreemption)
+	case c.last != nil:
+		return cluster.WaitForMachines
+	case c.candidate.reserved > 0:
+		return cluster.WaitForPreemption
 	}
+	return ""
 }
 
-// preemptibleUsage is the leader's, found once in a plan.
-func (p *scaleOutPlan) preemptibleUsage(team string, rank int) topology.Resources {
-	key := teamRank{team, rank}
-	sum, ok := p.preemptible[key]
-	if !ok {
-		sum = p.leader.preemptibleUsage(team, rank)
-		p.preemptible[key] = sum
+// packNext packs one task and reports whether there is a machine for it.
+func (c *candidatePacking) packNext() bool {
+	c.last = c.plan.Pack(&c.spec, c.zones, c.last, c.candidate.job.ID)
+	if c.last == nil {
+		return false
 	}
-	return sum
+	c.tasksByZone[c.last.Offer.Zone]++
+	c.used = c.used.Add(c.spec.Resources)
+	return true
 }
 
-// allowedZones tells in which zones the next task of a candidate may be packed, by
-// how many of its tasks the plan has packed in each zone; nil for all zones.
-func (p *scaleOutPlan) allowedZones(c *candidate, spec *provisioning.TaskSpec, packed map[string]int) func(string) bool {
-	j := c.job
-	if j.OneZone && j.TasksPlaced == 0 && c.reserved == 0 {
-		only := p.ChooseZone(spec, len(c.pending))
+// allowedZones is the filter for the next task's zone, by how many tasks were packed in each zone.
+func (c *candidatePacking) allowedZones() provisioning.ZoneFilter {
+	job := c.candidate.job
+	if job.OneZone && job.TasksPlaced == 0 && c.candidate.reserved == 0 {
+		only := c.plan.ChooseZone(&c.spec, len(c.candidate.pending))
 		return func(zone string) bool { return zone == only }
 	}
-	zoneRoom := p.leader.zoneBound(j)
-	if zoneRoom == nil {
+	bound := c.plan.leader.zoneBound(job)
+	if bound == nil {
 		return nil
 	}
 	return func(zone string) bool {
-		if j.OneZone && len(packed) > 0 {
-			return packed[zone] > 0
+		if job.OneZone && len(c.tasksByZone) > 0 {
+			return c.tasksByZone[zone] > 0
 		}
-		return packed[zone] < zoneRoom(zone)
+		return c.tasksByZone[zone] < bound(zone)
+	}
+}
+
+// preemptibleUsage is the leader's preemptibleUsage, found once in a plan.
+func (p *scaleOutPlan) preemptibleUsage(team string, level int) topology.Resources {
+	key := teamLevel{team, level}
+	usage, ok := p.preemptible[key]
+	if !ok {
+		usage = p.leader.preemptibleUsage(team, level)
+		p.preemptible[key] = usage
 	}
+	return usage
 }
 
-// packForecast packs the tasks that are expected of the classes which may wait
-// only so long.
+// packForecast packs the tasks that are forecast of classes with an objective for their waiting
+// time.
 func (p *scaleOutPlan) packForecast() {
-	l := p.leader
-	for _, o := range l.forecastObjectives() {
-		a := l.arrivalsByClass[o.Class]
-		if a == nil || a.lastJob == nil {
+	for _, objective := range p.leader.forecastObjectives() {
+		arrivals := p.leader.arrivalsByClass[objective.Class]
+		if arrivals == nil || arrivals.lastJob == nil {
 			continue
 		}
-		need, purpose := taskSpecOf(a.lastJob, true), binPurpose(a.lastJob, true)
-		var last *provisioning.Bin
-		for range l.expectedTasks(a, o) {
-			if last = p.Pack(&need, nil, last, purpose); last == nil {
-				break
-			}
+		spec := forecastTaskSpec(arrivals.lastJob)
+		p.packEqual(&spec, p.leader.expectedTasks(arrivals, objective), "forecast "+objective.Class)
+	}
+}
+
+// packEqual packs equal tasks, until there is no machine for one.
+func (p *scaleOutPlan) packEqual(spec *provisioning.TaskSpec, count int, purpose string) {
+	var last *provisioning.Bin
+	for range count {
+		last = p.Pack(spec, nil, last, purpose)
+		if last == nil {
+			return
 		}
 	}
 }
 
-// usedMachines are the existing machines that the plan has a use for.
+// usedMachines names the machines of the fleet that the plan uses.
 func (p *scaleOutPlan) usedMachines() map[string]bool {
 	used := map[string]bool{}
-	for _, b := range p.Bins() {
-		if b.Used && b.Machine != "" {
-			used[b.Machine] = true
+	for _, bin := range p.Bins() {
+		if bin.Used && bin.Machine != "" {
+			used[bin.Machine] = true
 		}
 	}
 	return used
 }
 
-// logKeptMachines logs what empty machines are kept for, whenever that changes.
+// logKeptMachines logs for what empty machines are kept, whenever that changes.
 func (p *scaleOutPlan) logKeptMachines() {
+	fleet := &p.leader.fleet
 	kept := map[string]string{}
-	for _, b := range p.Bins() {
-		if m := p.leader.Machines[b.Machine]; m != nil && b.Used && len(m.Placements) == 0 && m.LastHeartbeat != 0 {
-			kept[b.Machine] = b.Purpose
-			if p.leader.fleet.keptPurpose[b.Machine] != b.Purpose {
-				p.leader.core.log.Debug("empty machine kept", "machine", b.Machine, "for", b.Purpose)
-			}
+	for _, bin := range p.Bins() {
+		machine := p.leader.Machines[bin.Machine]
+		if machine == nil || !bin.Used || len(machine.Placements) > 0 || machine.LastHeartbeat == 0 {
+			continue
 		}
-	}
-	p.leader.fleet.keptPurpose = kept
-}
-
-// requestShortfalls takes over what a plan wants rented. The cloud takes few calls: what is
-// wanted gathers until the next one, the most urgent first, instead of going out
-// machine by machine.
-func (l *leader) requestShortfalls(shortfalls []provisioning.Shortfall) {
-	l.fleet.shortfalls = slices.Clone(shortfalls)
-	l.sendScaleOuts()
-	if len(l.fleet.shortfalls) > 0 {
-		l.passes.requested = true
-	}
-}
-
-// sendScaleOuts sends the rental requests that the cloud's rate allows now. What is left
-// goes out as time allows, until the next plan says otherwise: plans of a large
-// fleet are too far apart for one request each.
-func (l *leader) sendScaleOuts() {
-	f := &l.fleet
-	for len(f.shortfalls) > 0 && l.core.now >= f.nextScaleOutAt && len(f.scaleOuts) < maxOpenScaleOuts {
-		shortfall := &f.shortfalls[0]
-		f.nextScaleOutAt = l.core.now + time.Duration(2/l.core.settings.Deployment.Cloud.RPS*float64(time.Second))
-		f.scaleOutSequence++
-		request := &scaleOutRequest{message: wire.ProvisionRequest{
-			ID:   "r-" + strconv.FormatUint(l.leadership.Term, 10) + "-" + strconv.Itoa(f.scaleOutSequence),
-			Type: shortfall.Offer.Type, Zone: shortfall.Offer.Zone, Spot: shortfall.Offer.Spot, Count: min(shortfall.Count, maxMachinesPerRequest),
-		}}
-		f.scaleOuts = append(f.scaleOuts, request)
-		l.core.log.Info("rent", "type", request.message.Type, "zone", request.message.Zone, "spot", request.message.Spot, "count", request.message.Count, "for", shortfall.Purpose)
-		if shortfall.Count -= request.message.Count; shortfall.Count == 0 {
-			f.shortfalls = f.shortfalls[1:]
+		kept[bin.Machine] = bin.Purpose
+		if fleet.keptPurpose[bin.Machine] != bin.Purpose {
+			p.leader.core.log.Debug("idle machine kept", "machine", bin.Machine, "purpose", bin.Purpose)
 		}
-		l.sendScaleOut(request)
 	}
-}
-
-// dropShortfalls forgets what is wanted of an offer that has no more machines: the next
-// plan looks elsewhere.
-func (l *leader) dropShortfalls(o provisioning.Offer) {
-	l.fleet.shortfalls = slices.DeleteFunc(l.fleet.shortfalls, func(w provisioning.Shortfall) bool { return w.Offer == o })
+	fleet.keptPurpose = kept
 }
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -79,7 +79,7 @@
 	for range 2 {
 		leader.planScaleOut([]*candidate{c, other}, map[string]topology.Resources{})
 	}
-	for _, want := range []string{`msg="empty machine kept" machine=n-1 for=job-000007`, `msg=rent type=large zone=a spot=false count=1 for=job-000008`} {
+	for _, want := range []string{`msg="idle machine kept" machine=n-1 purpose=job-000007`, `msg="provisioning requested" type=large zone=a spot=false count=1 purpose=job-000008`} {
 		if n := strings.Count(out.String(), want); n != 1 {
 			t.Errorf("%d lines %s in\n%s", n, want, out.String())
 		}
