--- a/internal/core/bootlatency/boots.go
+++ b/internal/core/bootlatency/bootlatency.go
@@ -1,15 +1,16 @@
-// Package bootlatency learns from the machines that come up, or do not, whether machines of a
-// kind that take too long to boot may be counted on.
+// Package bootlatency learns from the machines that boot, or do not, whether machines that take too
+// long to boot are to be expected nevertheless.
 //
-// A single late machine is replaced: others come up in time, so its replacement will.
-// Where all machines of a kind are late, a replacement would be late as well, and its
-// replacement too; half of the late ones are counted on then, which bounds what is rented
-// for the same work to twice of it. The package does no I/O and is given the time.
+// A single late machine is replaced: others boot in time, so its replacement will. Where all
+// machines of a kind are late, a replacement would be late as well, and its replacement too; half
+// of the late ones are expected then, which bounds what is provisioned for the same work to twice
+// of it. The package owns this history only, does no I/O and is given the time. The leader of
+// package core records boots, and asks when it plans provisioning.
 package bootlatency
 
 import "time"
 
-// Kind names machines that are alike in how they boot.
+// Kind names machines whose boot times are alike.
 type Kind struct{ Type, Zone string }
 
 // LateFactor is from how many times its type's boot time on a machine is late. Boot times are
@@ -19,19 +20,20 @@
 // windowBootTimes is for how many boot times of the type an observation counts.
 const windowBootTimes = 8
 
-// observations is when machines of a kind were last seen to come up.
+// observations is when machines of a kind last booted.
 type observations struct {
-	lastOnTime, lastLate time.Duration // the last time; 0 for never
-	window               time.Duration // for how long that counts
+	lastOnTime, lastLate time.Duration // 0 for never
+	window               time.Duration // for how long they count
 }
 
-// History is what was seen of the machines of all kinds.
+// History is what was observed of the machines of all kinds.
 type History struct{ byKind map[Kind]*observations }
 
-// New makes a history in which nothing was seen.
+// New makes a history without observations.
 func New() *History { return &History{byKind: map[Kind]*observations{}} }
 
-// RecordBoot notes that a machine came up after a time, where its type usually takes usual.
+// RecordBoot records that a machine has booted now, and how long it and its type's machines usually
+// take.
 func (h *History) RecordBoot(kind Kind, now, took, usual time.Duration) {
 	observed := h.byKind[kind]
 	if observed == nil {
@@ -46,9 +48,8 @@
 	}
 }
 
-// BootsOnTime tells whether machines of a kind were lately seen to come up in time and
-// none was seen to come up late: one that is late is an exception, and may well never
-// come up.
+// BootsOnTime reports whether machines of a kind were lately observed to boot in time and none to
+// boot late: one that is late is an exception, and may well never boot.
 func (h *History) BootsOnTime(kind Kind, now time.Duration) bool {
 	observed := h.byKind[kind]
 	if observed == nil {
@@ -58,7 +59,7 @@
 	return recent(observed.lastOnTime) && !recent(observed.lastLate)
 }
 
-// LateCounter decides, machine by machine, which of the late ones are counted on.
+// LateCounter decides, machine by machine, which of the late ones are expected.
 type LateCounter struct {
 	history *History
 	now     time.Duration
@@ -70,8 +71,8 @@
 	return &LateCounter{history: h, now: now, counted: map[Kind]int{}}
 }
 
-// Expect tells whether one more late machine of a kind is counted on: every second one,
-// unless others of its kind come up in time.
+// Expect counts one more late machine of a kind and reports whether it is expected to boot: every
+// second one is, unless others of its kind boot in time.
 func (c *LateCounter) Expect(kind Kind) bool {
 	c.counted[kind]++
 	return c.counted[kind]%2 == 0 && !c.history.BootsOnTime(kind, c.now)
