--- a/internal/core/cluster/priority.go
+++ b/internal/core/cluster/priority.go
@@ -6,7 +6,7 @@
 )
 
 // PriorityLevels is the number of priority levels.
-const PriorityLevels = provisioning.Ranks
+const PriorityLevels = provisioning.PriorityLevels
 
 // PriorityLevel maps the priorities of the protocol to levels; a higher one may preempt a
 // lower one.
--- a/internal/core/provisioning/bin.go
+++ b/internal/core/provisioning/bin.go
@@ -9,7 +9,7 @@
 	Offer   Offer
 	Free    topology.Resources
 	// Preemptible is what tasks of each priority level hold.
-	Preemptible [Ranks]topology.Resources
+	Preemptible [PriorityLevels]topology.Resources
 	Used        bool   // a task was packed into it
 	ToProvision bool   // the plan wants it provisioned
 	Purpose     string // of the first task that was packed into it
@@ -22,7 +22,7 @@
 func (b *Bin) availableTo(task *TaskSpec) topology.Resources {
 	available := b.Free
 	if task.Forecast {
-		for _, preemptible := range b.Preemptible[:task.Rank] {
+		for _, preemptible := range b.Preemptible[:task.PriorityLevel] {
 			available = available.Add(preemptible)
 		}
 	}
@@ -36,7 +36,7 @@
 func (b *Bin) pack(task *TaskSpec, purpose string) {
 	b.Free = b.Free.Sub(task.Resources)
 	if !task.Forecast {
-		b.Preemptible[task.Rank] = b.Preemptible[task.Rank].Add(task.Resources)
+		b.Preemptible[task.PriorityLevel] = b.Preemptible[task.PriorityLevel].Add(task.Resources)
 	}
 	if !b.Used {
 		b.Used, b.Purpose = true, purpose
--- a/internal/core/provisioning/bin_index.go
+++ b/internal/core/provisioning/bin_index.go
@@ -20,7 +20,7 @@
 // binCapacity is what bins of a group have in common.
 type binCapacity struct {
 	free        topology.Resources
-	preemptible [Ranks]topology.Resources
+	preemptible [PriorityLevels]topology.Resources
 }
 
 func capacityOf(bin *Bin) binCapacity { return binCapacity{bin.Free, bin.Preemptible} }
--- a/internal/core/provisioning/plan.go
+++ b/internal/core/provisioning/plan.go
@@ -48,7 +48,7 @@
 }
 
 // AddMachine adds a machine with its free capacity and what tasks of each priority level hold.
-func (p *Plan) AddMachine(name string, offer Offer, free topology.Resources, preemptible [Ranks]topology.Resources) {
+func (p *Plan) AddMachine(name string, offer Offer, free topology.Resources, preemptible [PriorityLevels]topology.Resources) {
 	bin := p.arena.allocate()
 	bin.Machine, bin.Offer, bin.Free, bin.Preemptible = name, offer, free, preemptible
 	p.addBin(bin)
--- a/internal/core/provisioning/plan_test.go
+++ b/internal/core/provisioning/plan_test.go
@@ -58,14 +58,14 @@
 // use: a forecast task of a higher level counts on their capacity, a pending one does not.
 func TestForecastTaskCountsOnPreemptible(t *testing.T) {
 	plan := New(nil)
-	plan.AddMachine("n-1", Offer{Type: "t", Zone: "a"}, cpus(1), [Ranks]topology.Resources{1: cpus(3)})
+	plan.AddMachine("n-1", Offer{Type: "t", Zone: "a"}, cpus(1), [PriorityLevels]topology.Resources{1: cpus(3)})
 	for _, tc := range []struct {
 		task TaskSpec
 		want bool
 	}{
-		{TaskSpec{Resources: cpus(2), Rank: 2}, false},
-		{TaskSpec{Resources: cpus(2), Rank: 1, Forecast: true}, false},
-		{TaskSpec{Resources: cpus(2), Rank: 2, Forecast: true}, true},
+		{TaskSpec{Resources: cpus(2), PriorityLevel: 2}, false},
+		{TaskSpec{Resources: cpus(2), PriorityLevel: 1, Forecast: true}, false},
+		{TaskSpec{Resources: cpus(2), PriorityLevel: 2, Forecast: true}, true},
 	} {
 		if got := plan.Pack(&tc.task, nil, nil, "") != nil; got != tc.want {
 			t.Errorf("%+v: packed %v, want %v", tc.task, got, tc.want)
@@ -89,7 +89,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			plan := New(tc.offers)
 			for i := range tc.inB {
-				plan.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "b"}, cpus(4), [Ranks]topology.Resources{})
+				plan.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "b"}, cpus(4), [PriorityLevels]topology.Resources{})
 			}
 			if got := plan.ChooseZone(&TaskSpec{Resources: cpus(2)}, 4); got != tc.want {
 				t.Errorf("zone %q, want %q", got, tc.want)
@@ -117,19 +117,19 @@
 	for i := range 5 + random.IntN(60) {
 		free := topology.Resources{CPUs: float64(random.IntN(9)) / 2, GPUs: float64(random.IntN(4)), MemGB: float64(1 + random.IntN(8))}
 		offer := Offer{Type: []string{"s", "t"}[random.IntN(2)], Zone: []string{"a", "b"}[random.IntN(2)], Spot: random.IntN(2) == 0}
-		var preemptible [Ranks]topology.Resources
-		preemptible[random.IntN(Ranks)] = cpus(float64(random.IntN(3)))
+		var preemptible [PriorityLevels]topology.Resources
+		preemptible[random.IntN(PriorityLevels)] = cpus(float64(random.IntN(3)))
 		plan.AddMachine(fmt.Sprint(i), offer, free, preemptible)
 	}
 }
 
 func randomTask(random *rand.Rand) TaskSpec {
 	return TaskSpec{
-		Resources:    topology.Resources{CPUs: float64(1+random.IntN(4)) / 2, GPUs: float64(random.IntN(2)), MemGB: 0.5},
-		MachineTypes: []string{"", "s", "s,t"}[random.IntN(3)],
-		AllowSpot:    random.IntN(2) == 0,
-		Rank:         random.IntN(Ranks),
-		Forecast:     random.IntN(3) == 0,
+		Resources:     topology.Resources{CPUs: float64(1+random.IntN(4)) / 2, GPUs: float64(random.IntN(2)), MemGB: 0.5},
+		MachineTypes:  []string{"", "s", "s,t"}[random.IntN(3)],
+		AllowSpot:     random.IntN(2) == 0,
+		PriorityLevel: random.IntN(PriorityLevels),
+		Forecast:      random.IntN(3) == 0,
 	}
 }
 
@@ -163,7 +163,7 @@
 	cost := func(machines int) float64 {
 		plan := New(offersOf("t", cpus(32), 1, Unlimited))
 		for i := range machines {
-			plan.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "a"}, cpus(float64(i%8)), [Ranks]topology.Resources{})
+			plan.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "a"}, cpus(float64(i%8)), [PriorityLevels]topology.Resources{})
 		}
 		tasks := 8 * machines
 		for i := range tasks {
--- a/internal/core/provisioning/task_spec.go
+++ b/internal/core/provisioning/task_spec.go
@@ -7,8 +7,8 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// Ranks is the number of priority levels.
-const Ranks = 4
+// PriorityLevels is the number of priority levels.
+const PriorityLevels = 4
 
 // MaxTasksPerMachine bounds how many tasks a machine's price is divided by.
 const MaxTasksPerMachine = 1 << 20
@@ -16,11 +16,11 @@
 // TaskSpec is what one task requires of a machine. Tasks with equal specs are interchangeable to a
 // plan.
 type TaskSpec struct {
-	Resources    topology.Resources
-	MachineTypes string // the allowed types, separated by commas; empty for all
-	Zone         string // the only allowed zone; empty for all
-	AllowSpot    bool
-	Rank         int // priority level, less than Ranks
+	Resources     topology.Resources
+	MachineTypes  string // the allowed types, separated by commas; empty for all
+	Zone          string // the only allowed zone; empty for all
+	AllowSpot     bool
+	PriorityLevel int // less than PriorityLevels
 	// Forecast is set for a task that has not been submitted yet. It may count on capacity that
 	// tasks of lower priority levels hold, since it would preempt them.
 	Forecast bool
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -92,11 +92,11 @@
 // taskSpec is what a pending task of a job requires of a machine.
 func taskSpec(job *cluster.Job) provisioning.TaskSpec {
 	return provisioning.TaskSpec{
-		Resources:    cluster.TaskSize(&job.Job),
-		MachineTypes: strings.Join(job.MachineTypes, ","),
-		Zone:         job.Zone,
-		AllowSpot:    job.AllowSpot,
-		Rank:         job.Level,
+		Resources:     cluster.TaskSize(&job.Job),
+		MachineTypes:  strings.Join(job.MachineTypes, ","),
+		Zone:          job.Zone,
+		AllowSpot:     job.AllowSpot,
+		PriorityLevel: job.Level,
 	}
 }
 
