--- a/internal/core/boot_time.go
+++ b/internal/core/boot_time.go
@@ -8,11 +8,10 @@
 
 // Boot times are usually 0.6 to 1.5 times the type's. A machine that takes longer may take several
 // times as long: at lateBootFactor it is no longer counted on, so that another is provisioned in
-// time, and at failedBootFactor it is returned.
+// time, and much later it is returned, see package scalein.
 const (
-	slowBootFactor   = 1.5
-	lateBootFactor   = bootlatency.LateFactor
-	failedBootFactor = 4
+	slowBootFactor = 1.5
+	lateBootFactor = bootlatency.LateFactor
 )
 
 // recordProvisioningLatency records the first heartbeat of a machine, if this leader requested it.
@@ -35,15 +34,6 @@
 	return (l.core.now - machine.CreatedAt).Seconds() / machineType.BootS
 }
 
-// bootFailed reports whether a machine without a heartbeat is given up. A new leader has to give
-// one that came up in an earlier term the time to send the first heartbeat. One that has
-// placements did come up: another controller may have its heartbeats.
-func (l *leader) bootFailed(machine *cluster.Machine) bool {
-	return l.bootTimeRatio(machine) > failedBootFactor &&
-		l.core.now-l.recordsLoadedAt > l.core.workerLease() &&
-		len(machine.Placements) == 0 && machine.LastContact == 0
-}
-
 // willBeUsable reports whether a machine is usable or about to be. One that has just sent a
 // heartbeat and will hear of this term by the answer to its next one counts: without it for that
 // moment, a second machine was provisioned for the same work.
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -48,9 +48,10 @@
 	l.startListing()
 	l.retryScaleOuts()
 	l.sendScaleOuts()
+	policy := l.scaleInPolicy()
 	for _, machine := range l.MachinesByName {
 		l.releaseFromBestEffort(machine)
 		l.evictTasks(machine)
-		l.returnUnneeded(machine)
+		l.returnUnneeded(policy, machine)
 	}
 }
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -74,37 +74,21 @@
 	l.returnUnlisted()
 }
 
-// returnUnlisted returns machines that a whole reading of the list did not show. A machine is
-// listed until it is terminated, but lists may be old: its absence proves nothing, and the return
-// makes it certain.
+// returnUnlisted returns machines that a whole reading of the list did not show, if that is not
+// due to its lag.
 func (l *leader) returnUnlisted() {
+	policy := l.scaleInPolicy()
 	for _, machine := range l.MachinesByName {
 		if l.fleet.listedMachines[machine.Name] {
 			machine.ListedAt = l.core.now
 			continue
 		}
-		if !machine.Returning && l.unlistedTooLong(machine) {
+		if policy.UnlistedTooLong(machine) {
 			l.returnMachine(machine, cluster.DrainUnlisted)
 		}
 	}
 }
 
-// unlistedTooLong reports whether a machine that is silent has not been listed for longer than a
-// list may lag.
-func (l *leader) unlistedTooLong(machine *cluster.Machine) bool {
-	listedAt := machine.ListedAt
-	if listedAt == 0 && machine.LastHeartbeat == 0 && len(machine.Placements) > 0 {
-		// One that only the records know existed before this leader: an earlier one may have
-		// returned it when it could not record the ends of its tasks. Mistaken for a
-		// partitioned one, it held up those tasks for minutes.
-		listedAt = l.recordsLoadedAt
-	}
-	if listedAt == 0 {
-		return false
-	}
-	return l.core.now-listedAt > 3*l.listLag() && l.core.now-machine.LastHeartbeat > 3*l.core.heartbeatInterval()
-}
-
 // recordListed records a machine that the cloud lists.
 func (l *leader) recordListed(listed *wire.Machine) {
 	if returnedAt, ok := l.returnedMachines[listed.Name]; ok {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -5,6 +5,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/cloudapi"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/scalein"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -116,44 +117,45 @@
 }
 
 // minBilledTime is the least time that the cloud charges for a machine.
-const minBilledTime = 60 * time.Second
+const minBilledTime = scalein.MinBilledTime
 
-// returnUnneeded returns a machine that nothing needs.
-func (l *leader) returnUnneeded(machine *cluster.Machine) {
-	if machine.Returning || l.fleet.pendingReturns[machine.Name] {
-		return
-	}
-	if reason := l.returnReason(machine); reason != "" {
-		l.returnMachine(machine, reason)
+// scaleInPolicy decides at this moment which machines are not needed.
+func (l *leader) scaleInPolicy() *scalein.Policy {
+	return &scalein.Policy{
+		Host:              scaleInHost{l},
+		Now:               l.core.now,
+		RecordsLoadedAt:   l.recordsLoadedAt,
+		WorkerLease:       l.core.workerLease(),
+		HeartbeatInterval: l.core.heartbeatInterval(),
+		ListLag:           l.listLag(),
+		MaxIdleTime:       l.maxIdleTime(),
 	}
 }
 
-// returnReason is why a machine is not needed any more; empty if it is.
-func (l *leader) returnReason(machine *cluster.Machine) cluster.DrainReason {
-	if machine.LastHeartbeat == 0 {
-		if l.bootFailed(machine) {
-			return cluster.DrainBootTimeout
-		}
-		return ""
-	}
-	switch {
-	case len(machine.Placements) > 0:
-		return ""
-	case machine.DrainReason != "" && !l.mayBeHealthy(machine):
-		return machine.DrainReason
-	case machine.PreemptionAt != 0:
-		return cluster.DrainPreemptionNotice
-	case machine.DrainReason == "" && l.idleTooLong(machine):
-		return cluster.DrainIdle
-	}
-	return ""
+// scaleInHost answers the policy's questions.
+type scaleInHost struct{ leader *leader }
+
+// BootTimeRatio is how many times its type's boot time a booting machine has taken.
+func (h scaleInHost) BootTimeRatio(machine *cluster.Machine) float64 {
+	return h.leader.bootTimeRatio(machine)
 }
 
-// idleTooLong reports whether an empty machine has had no use for long enough to be returned.
-func (l *leader) idleTooLong(machine *cluster.Machine) bool {
-	limit := l.maxIdleTime()
-	if l.fleet.keptIdle[machine.Name] || l.core.now-l.recordsLoadedAt < limit {
-		return false
+// MayBeHealthy reports whether a machine that failures were attributed to may be healthy.
+func (h scaleInHost) MayBeHealthy(machine *cluster.Machine) bool {
+	return h.leader.mayBeHealthy(machine)
+}
+
+// Planned reports whether the last scale-out plan uses a machine.
+func (h scaleInHost) Planned(machine *cluster.Machine) bool {
+	return h.leader.fleet.keptIdle[machine.Name]
+}
+
+// returnUnneeded returns a machine that nothing needs.
+func (l *leader) returnUnneeded(policy *scalein.Policy, machine *cluster.Machine) {
+	if machine.Returning || l.fleet.pendingReturns[machine.Name] {
+		return
+	}
+	if reason := policy.ReturnReason(machine); reason != "" {
+		l.returnMachine(machine, reason)
 	}
-	return l.core.now-machine.IdleSince >= limit && l.core.now-machine.CreatedAt >= minBilledTime
 }
