--- a/internal/core/expensive_machines_test.go
+++ b/internal/core/expensive_machines_test.go
@@ -82,28 +82,28 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := leaderWithExpensiveMachines(t)
-			m := idleMachine(l, "n-1", tc.typ, "a")
-			m.CreatedAt -= minBilledTime
-			owner := addArray(l, "job-1", "vision", "sweep", 1, 0)
-			guest := addArray(l, "job-2", "guest", "scan", 3, 0)
-			l.bindTasks(owner, []int{0}, []*cluster.Machine{m})
-			l.bindTasks(guest, []int{0, 1, 2}, []*cluster.Machine{m, m, m})
-			for i := range guest.TaskStates {
-				guest.TaskStates[i].Persisted, guest.TaskStates[i].StartRetransmitted = true, true
+			machine := idleMachine(l, "n-1", tc.typ, "a")
+			machine.CreatedAt -= minBilledTime
+			guaranteed := addArray(l, "job-1", "vision", "sweep", 1, 0)
+			bestEffort := addArray(l, "job-2", "guest", "scan", 3, 0)
+			l.bindTasks(guaranteed, []int{0}, []*cluster.Machine{machine})
+			l.bindTasks(bestEffort, []int{0, 1, 2}, []*cluster.Machine{machine, machine, machine})
+			for i := range bestEffort.TaskStates {
+				bestEffort.TaskStates[i].Persisted, bestEffort.TaskStates[i].StartRetransmitted = true, true
 			}
-			l.unplace(owner, 0)
+			l.unplace(guaranteed, 0)
 			l.core.now += tc.alone * l.core.workerLease()
-			m.LastHeartbeat = l.core.now
+			machine.LastHeartbeat = l.core.now
 			if tc.setUp != nil {
-				tc.setUp(l, m)
+				tc.setUp(l, machine)
 			}
-			l.releaseFromBestEffort(m)
-			l.evictTasks(m)
-			if stopped := guest.TaskStates[0].Stop != nil; m.Evicting != tc.want || stopped != tc.want {
-				t.Errorf("evicting: %v, tasks stopped: %v, want %v", m.Evicting, stopped, tc.want)
+			l.releaseFromBestEffort(machine)
+			l.evictTasks(machine)
+			if stopped := bestEffort.TaskStates[0].Stop != nil; machine.Evicting != tc.want || stopped != tc.want {
+				t.Errorf("evicting: %v, tasks stopped: %v, want %v", machine.Evicting, stopped, tc.want)
 			}
-			if tc.want && guest.TaskStates[0].Stop != nil && guest.TaskStates[0].Stop.GracePeriodS != guest.CheckpointDurationS {
-				t.Errorf("grace period of %v s", guest.TaskStates[0].Stop.GracePeriodS)
+			if tc.want && bestEffort.TaskStates[0].Stop != nil && bestEffort.TaskStates[0].Stop.GracePeriodS != bestEffort.CheckpointDurationS {
+				t.Errorf("grace period of %v s", bestEffort.TaskStates[0].Stop.GracePeriodS)
 			}
 		})
 	}
