--- a/internal/cloudapi/cloudapi_test.go
+++ b/internal/cloudapi/cloudapi_test.go
@@ -29,14 +29,23 @@
 				request := wire.ProvisionRequest{ID: "r-5-1", Type: "small", Zone: "a", Spot: true, Count: 3}
 				c.Provision(request, func(ProvisionResult) {})
 			},
-			Request{Method: "POST", Path: "/machines", Timeout: 4 * time.Second,
-				Body: []byte(`{"charter":"r-5-1","hull":"small","berth":"a","standby":true,"count":3}`)},
+			Request{
+				Method:  "POST",
+				Path:    "/machines",
+				Body:    []byte(`{"charter":"r-5-1","hull":"small","berth":"a","standby":true,"count":3}`),
+				Timeout: 4 * time.Second,
+			},
 		},
 		{
 			"return, urgent",
 			func(c *Client) { c.Return([]string{"n-1", "n-2"}, func(Status) {}) },
-			Request{Method: "POST", Path: "/machines/return", Timeout: 4 * time.Second, Urgent: true,
-				Body: []byte(`{"hosts":["n-1","n-2"]}`)},
+			Request{
+				Method:  "POST",
+				Path:    "/machines/return",
+				Body:    []byte(`{"hosts":["n-1","n-2"]}`),
+				Timeout: 4 * time.Second,
+				Urgent:  true,
+			},
 		},
 		{
 			"list",
--- a/internal/core/forecast_objectives_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -36,8 +36,10 @@
 			if !b.core.setMachineTypes([]byte(types)) {
 				t.Fatal("the machine types were not decoded")
 			}
-			addRecord(b, l, wire.Job{ID: "job-1", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
-				CPUs: 1, GPUs: tc.gpus, MemGB: 1, Tasks: tc.tasks, ImageGB: 10}, nil)
+			addRecord(b, l, wire.Job{
+				ID: "job-1", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
+				CPUs: 1, GPUs: tc.gpus, MemGB: 1, Tasks: tc.tasks, ImageGB: 10,
+			}, nil)
 			l.fleet.requests = newFleet(&l.core.settings.Deployment, l.leadership.Term).requests
 			l.markWithinQuota()
 			l.planScaleOut(nil, map[string]topology.Resources{})
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -11,15 +11,16 @@
 
 // machinePrice is the price of a machine, an hour.
 func (l *leader) machinePrice(machine *cluster.Machine) float64 {
-	return hourlyPrice(l.typeOf(machine), machine.Spot)
+	return offerPrice(l.typeOf(machine), machine.Offer())
 }
 
-// hourlyPrice is the price of a machine type; 0 if it is nil, that is, not known.
-func hourlyPrice(machineType *wire.MachineType, spot bool) float64 {
+// offerPrice is the price of an offer's machines, an hour; 0 if their type is nil, that is, not
+// known.
+func offerPrice(machineType *wire.MachineType, offer provisioning.Offer) float64 {
 	switch {
 	case machineType == nil:
 		return 0
-	case spot:
+	case offer.Spot:
 		return machineType.SpotPrice
 	default:
 		return machineType.Price
@@ -56,7 +57,7 @@
 			available = append(available, provisioning.OfferDetails{
 				Offer:     offer,
 				Capacity:  cluster.TypeCapacity(machineType),
-				Price:     hourlyPrice(machineType, offer.Spot),
+				Price:     offerPrice(machineType, offer),
 				Available: machines,
 			})
 		}
--- a/internal/core/provisioning/plan_test.go
+++ b/internal/core/provisioning/plan_test.go
@@ -30,14 +30,53 @@
 		want     []Shortfall
 		unplaced int // tasks without a bin
 	}{
-		{"the cheapest offer, zones in turn", append(slices.Clone(expensive), cheap...), TaskSpec{Resources: cpus(4)}, 3,
-			[]Shortfall{{Offer{"cheap", "a", false}, 2, "x"}, {Offer{"cheap", "b", false}, 1, "x"}}, 0},
-		{"an offer with few machines, then the next one", append(offersOf("cheap", cpus(4), 1, 1), expensive...), TaskSpec{Resources: cpus(2)}, 6,
-			[]Shortfall{{Offer{"cheap", "a", false}, 1, "x"}, {Offer{"cheap", "b", false}, 1, "x"}, {Offer{"expensive", "a", false}, 1, "x"}}, 0},
-		{"the allowed machine type", append(slices.Clone(expensive), cheap...), TaskSpec{Resources: cpus(4), MachineTypes: "other,expensive"}, 1, []Shortfall{{Offer{"expensive", "a", false}, 1, "x"}}, 0},
-		{"the allowed zone", cheap, TaskSpec{Resources: cpus(4), Zone: "b"}, 2, []Shortfall{{Offer{"cheap", "b", false}, 2, "x"}}, 0},
-		{"no machine is large enough", cheap, TaskSpec{Resources: cpus(5)}, 2, nil, 2},
-		{"more tasks than machines", offersOf("cheap", cpus(4), 1, 1), TaskSpec{Resources: cpus(4)}, 5, []Shortfall{{Offer{"cheap", "a", false}, 1, "x"}, {Offer{"cheap", "b", false}, 1, "x"}}, 3},
+		{
+			name:   "the cheapest offer, zones in turn",
+			offers: append(slices.Clone(expensive), cheap...),
+			task:   TaskSpec{Resources: cpus(4)},
+			count:  3,
+			want:   []Shortfall{{Offer{"cheap", "a", false}, 2, "x"}, {Offer{"cheap", "b", false}, 1, "x"}},
+		},
+		{
+			name:   "an offer with few machines, then the next one",
+			offers: append(offersOf("cheap", cpus(4), 1, 1), expensive...),
+			task:   TaskSpec{Resources: cpus(2)},
+			count:  6,
+			want: []Shortfall{
+				{Offer{"cheap", "a", false}, 1, "x"},
+				{Offer{"cheap", "b", false}, 1, "x"},
+				{Offer{"expensive", "a", false}, 1, "x"},
+			},
+		},
+		{
+			name:   "the allowed machine type",
+			offers: append(slices.Clone(expensive), cheap...),
+			task:   TaskSpec{Resources: cpus(4), MachineTypes: "other,expensive"},
+			count:  1,
+			want:   []Shortfall{{Offer{"expensive", "a", false}, 1, "x"}},
+		},
+		{
+			name:   "the allowed zone",
+			offers: cheap,
+			task:   TaskSpec{Resources: cpus(4), Zone: "b"},
+			count:  2,
+			want:   []Shortfall{{Offer{"cheap", "b", false}, 2, "x"}},
+		},
+		{
+			name:     "no machine is large enough",
+			offers:   cheap,
+			task:     TaskSpec{Resources: cpus(5)},
+			count:    2,
+			unplaced: 2,
+		},
+		{
+			name:     "more tasks than machines",
+			offers:   offersOf("cheap", cpus(4), 1, 1),
+			task:     TaskSpec{Resources: cpus(4)},
+			count:    5,
+			want:     []Shortfall{{Offer{"cheap", "a", false}, 1, "x"}, {Offer{"cheap", "b", false}, 1, "x"}},
+			unplaced: 3,
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			plan := New(slices.Clone(tc.offers))
