--- /dev/null
+++ b/internal/core/inventory_test.go
@@ -0,0 +1,103 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// TestListPages reads a list of two pages. Of the machines that it does not show, one that has not
+// been listed for long is returned. The machines of a list that could not be read in whole are not
+// compared.
+func TestListPages(t *testing.T) {
+	const first, last = `{"hosts":[{"nameId":"n-1"},{"nameId":"n-2"}],"truncated":true}`, `{"hosts":[{"nameId":"n-3"}]}`
+	for _, tc := range []struct {
+		name     string
+		number   int // of the second page
+		body     string
+		returned bool
+		nextIn   time.Duration
+	}{
+		{"read in whole", httpstatus.OK, last, true, 2 * time.Second},
+		{"second page unanswered", httpstatus.NoAnswer, ``, false, time.Second},
+		{"second page not decodable", httpstatus.OK, `{"hosts":[`, false, time.Second},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l := newForecastLeader(t)
+			vanished := l.machineNamed("n-0")
+			vanished.ListedAt = l.core.now - 10*l.listLag()
+			l.startListing()
+			if got := lastCall(t, l).Path; got != "/machines?limit=500" {
+				t.Errorf("first page: %s", got)
+			}
+			answerLastCall(t, l, httpstatus.OK, first)
+			if got := lastCall(t, l).Path; got != "/machines?limit=500&since=n-2" {
+				t.Errorf("second page: %s", got)
+			}
+			answerLastCall(t, l, tc.number, tc.body)
+			if got := l.fleet.pendingReturns["n-0"]; got != tc.returned {
+				t.Errorf("machine that is not listed returned: %v, want %v", got, tc.returned)
+			}
+			if l.fleet.listInFlight || l.fleet.nextListAt != l.core.now+tc.nextIn {
+				t.Errorf("next list at %v, now is %v", l.fleet.nextListAt, l.core.now)
+			}
+		})
+	}
+}
+
+// TestRecordListedAge estimates when a listed machine was provisioned.
+func TestRecordListedAge(t *testing.T) {
+	const ageS = 100
+	for _, tc := range []struct {
+		name          string
+		known         bool
+		lastHeartbeat time.Duration
+		want          time.Duration // age afterwards; a machine that is known was created now
+	}{
+		{"new", false, 0, ageS * time.Second},
+		{"known by heartbeats", true, time.Second, ageS * time.Second},
+		{"known from records, without a heartbeat", true, 0, 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l := newForecastLeader(t)
+			if tc.known {
+				l.machineNamed("n-1").LastHeartbeat = tc.lastHeartbeat
+			}
+			l.recordListed(&wire.Machine{Name: "n-1", Addr: "10.0.0.1:1", Type: "small", Zone: "b", Spot: true, AgeS: ageS, Status: wire.MachineBooting})
+			machine := l.Machines["n-1"]
+			if got := l.core.now - machine.CreatedAt; got != tc.want {
+				t.Errorf("age %v, want %v", got, tc.want)
+			}
+			if machine.Offer() != offer("small", "b", true) || machine.Address != "10.0.0.1:1" || machine.ListedAs != wire.MachineBooting {
+				t.Errorf("machine %+v", machine.Identity)
+			}
+		})
+	}
+}
+
+// TestRecordListedReturned lists a machine whose return was confirmed: long after that, it is
+// returned again.
+func TestRecordListedReturned(t *testing.T) {
+	for _, tc := range []struct {
+		name string
+		ago  time.Duration // since the return, beyond four lags of the list
+		want bool
+	}{
+		{"the list may be old", 0, false},
+		{"the list is newer", 1, true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l := newForecastLeader(t)
+			l.returnedMachines["n-1"] = l.core.now - 4*l.listLag() - tc.ago
+			l.recordListed(&wire.Machine{Name: "n-1", Type: "small", Zone: "b"})
+			if got := l.fleet.pendingReturns["n-1"]; got != tc.want {
+				t.Errorf("returned again: %v, want %v", got, tc.want)
+			}
+			if l.Machines["n-1"] != nil {
+				t.Error("the machine is known again")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/internal/core/scale_in_test.go
@@ -0,0 +1,90 @@
+package core
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+)
+
+// answerLastCall ends the last call of the core with a status number and a body.
+func answerLastCall(t *testing.T, l *leader, number int, body string) {
+	t.Helper()
+	Result{ID: lastCall(t, l).ID, Status: number, Body: []byte(body)}.apply(l.core)
+}
+
+// TestReturnPendingChecksTerm returns a machine only once the store has confirmed the term. Without
+// an answer and without a peer, the check is repeated.
+func TestReturnPendingChecksTerm(t *testing.T) {
+	for _, tc := range []struct {
+		name        string
+		number      int
+		body        string
+		returned    bool
+		steppedDown bool
+		retryIn     time.Duration // 0 for no retry
+	}{
+		{"the term holds", httpstatus.OK, `{"logline":7}`, true, false, 0},
+		{"there is a higher term", httpstatus.Conflict, `{"failed":["term"],"logline":7}`, false, true, 0},
+		{"unanswered", httpstatus.NoAnswer, ``, false, false, time.Second},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			_, l := newLeadingHarness(t, func(*config.Settings) {})
+			machine := l.machineNamed("n-1")
+			l.returnMachine(machine, cluster.DrainIdle)
+			l.returnPending()
+			if machine.Returning {
+				t.Fatal("returned before the check")
+			}
+			answerLastCall(t, l, tc.number, tc.body)
+			if sent := lastCall(t, l).Path == "/machines/return"; sent != tc.returned || machine.Returning != tc.returned {
+				t.Errorf("return sent: %v, machine returning: %v, want %v", sent, machine.Returning, tc.returned)
+			}
+			if l.steppedDown != tc.steppedDown {
+				t.Errorf("stepped down: %v, want %v", l.steppedDown, tc.steppedDown)
+			}
+			if tc.retryIn != 0 && l.fleet.returnRetryAt != l.core.now+tc.retryIn {
+				t.Errorf("retried at %v, now is %v", l.fleet.returnRetryAt, l.core.now)
+			}
+		})
+	}
+}
+
+// TestSendReturns returns more machines than one request may name. Those whose return is confirmed
+// are terminated; after a failure all stay pending.
+func TestSendReturns(t *testing.T) {
+	const machines, perRequest = 101, 100
+	for _, tc := range []struct {
+		name    string
+		number  int
+		pending int
+	}{
+		{"done", httpstatus.OK, machines - perRequest},
+		{"unavailable", httpstatus.ServiceUnavailable, machines},
+		{"unanswered", httpstatus.NoAnswer, machines},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			l := newForecastLeader(t)
+			for i := range machines {
+				l.returnMachine(l.machineNamed(fmt.Sprintf("n-%03d", i)), cluster.DrainIdle)
+			}
+			l.sendReturns()
+			answerLastCall(t, l, tc.number, `{}`)
+			if got := len(l.fleet.pendingReturns); got != tc.pending {
+				t.Errorf("%d machines pending, want %d", got, tc.pending)
+			}
+			if got := len(l.Machines); got != tc.pending {
+				t.Errorf("%d machines known, want %d", got, tc.pending)
+			}
+			if got := len(l.returnedMachines); got != machines-tc.pending {
+				t.Errorf("%d machines returned, want %d", got, machines-tc.pending)
+			}
+			if failed := tc.pending == machines; failed != (l.fleet.returnRetryAt == l.core.now+time.Second) {
+				t.Errorf("retried at %v, now is %v", l.fleet.returnRetryAt, l.core.now)
+			}
+		})
+	}
+}
