--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -14,15 +14,15 @@
 	scaleOut
 	scaleIn
 	inventory
-	consolidation
+	consolidationState
 
 	partitionedAt  map[string]time.Duration // when a zone was last seen partitioned; health.go
 	urgentCommands map[string]bool          // machines to send commands to at once; stops.go
 }
 
-// consolidation is the state of emptying machines whose replicas fit on others, see
+// consolidationState is the state of emptying machines whose replicas fit on others, see
 // consolidation.go.
-type consolidation struct {
+type consolidationState struct {
 	consolidateFrom     string        // the machine to begin with, if the last search was cut short
 	nextConsolidationAt time.Duration // no machine is consolidated before
 }
