--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -3,18 +3,17 @@
 import (
 	"time"
 
-	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/cloudapi"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/segmentio/encoding/json"
 )
 
-// How often the cloud is asked for its machine types, and how long it may take to answer.
+// How often the cloud is asked for its machine types.
 const (
 	machineTypesPeriod        = 20 * time.Second
 	machineTypesInitialPeriod = time.Second // while none are known
-	machineTypesTimeout       = 3 * time.Second
 )
 
 // tickMachineTypes asks the cloud for its machine types periodically, and stores the last answer
@@ -29,10 +28,9 @@
 	}
 	c.machineTypesRequested = true
 	c.machineTypesRequestedAt = c.now
-	request := Call{Destination: DestinationCloud, Method: "GET", Path: "/machine_types", Timeout: machineTypesTimeout}
-	c.call(request, func(result Result) {
+	c.cloud.MachineTypes(func(result cloudapi.MachineTypesResult) {
 		c.machineTypesRequested = false
-		if result.Status == httpstatus.OK && c.setMachineTypes(result.Body) {
+		if result.Status == cloudapi.Done && c.setMachineTypes(result.Body) {
 			c.storeMachineTypes(result.Body)
 		} else if len(c.machineTypes) == 0 {
 			c.loadMachineTypes()
