--- a/internal/quota/ledger/ledger_test.go
+++ b/internal/quota/ledger/ledger_test.go
@@ -198,10 +198,14 @@
 		want  string
 	}{
 		{"negative", func(s *Share, _ *Link) { s.Owned = amount.Of(0, -1) }, "ledger: vision: owned 0 CPUs, -1 GPUs is below 0"},
-		{"guarantee", func(s *Share, _ *Link) { s.Owned = amount.Of(0, 1) },
-			"ledger: vision: owned 0 CPUs, 1 GPUs is less than the guaranteed 0 CPUs, 2 GPUs"},
-		{"limit", func(s *Share, _ *Link) { s.Owned = amount.Of(0, 17) },
-			"ledger: vision: owned 0 CPUs, 17 GPUs is more than the ceiling 0 CPUs, 16 GPUs"},
+		{
+			"guarantee", func(s *Share, _ *Link) { s.Owned = amount.Of(0, 1) },
+			"ledger: vision: owned 0 CPUs, 1 GPUs is less than the guaranteed 0 CPUs, 2 GPUs",
+		},
+		{
+			"limit", func(s *Share, _ *Link) { s.Owned = amount.Of(0, 17) },
+			"ledger: vision: owned 0 CPUs, 17 GPUs is more than the ceiling 0 CPUs, 16 GPUs",
+		},
 		{"order", func(_ *Share, l *Link) { l.Sent, l.Unacknowledged = 3, []Transfer{{Number: 1}} }, "ledger: south: transfer 1 out of order"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/quota/plan/plan.go
+++ b/internal/quota/plan/plan.go
@@ -10,6 +10,7 @@
 	"fmt"
 	"hash/fnv"
 	"math"
+	"strings"
 
 	"github.com/BurntSushi/toml"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
@@ -127,17 +128,19 @@
 // regions. Addresses and lost regions do not count. It is in stored records and in messages
 // between regions, so the text that it hashes never changes.
 func (p *Plan) Fingerprint() uint64 {
-	hash := fnv.New64a()
+	var text strings.Builder
 	for _, region := range p.Regions {
-		fmt.Fprintf(hash, "region %s\n", region.Name)
+		fmt.Fprintf(&text, "region %s\n", region.Name)
 	}
 	for i := range p.Teams {
 		team := &p.Teams[i]
-		fmt.Fprintf(hash, "team %s %x %x\n", team.Name, math.Float64bits(team.CPUsMax), math.Float64bits(team.GPUsMax))
+		fmt.Fprintf(&text, "team %s %x %x\n", team.Name, math.Float64bits(team.CPUsMax), math.Float64bits(team.GPUsMax))
 		for _, region := range p.Regions {
 			share := team.InitialShare(region.Name)
-			fmt.Fprintf(hash, "{Ceiling:%v Floor:%v Owned:%v}\n", share.Limit, share.Guarantee, share.Owned)
+			fmt.Fprintf(&text, "{Ceiling:%v Floor:%v Owned:%v}\n", share.Limit, share.Guarantee, share.Owned)
 		}
 	}
+	hash := fnv.New64a()
+	hash.Write([]byte(text.String())) // never fails
 	return hash.Sum64()
 }
--- a/internal/quota/report/report_test.go
+++ b/internal/quota/report/report_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { server.Close() })
+	t.Cleanup(server.CloseAll)
 	return server.Addr()
 }
 
--- a/internal/quota/workload_test.go
+++ b/internal/quota/workload_test.go
@@ -242,8 +242,10 @@
 		gpus   float64 // of each team's limit; the load asks for starts*10/82 = 30.5
 		shares []float64
 	}{
-		{"even, 0.76 of the limits", 40, evenLoad}, {"lopsided, 0.76 of the limits", 40, lopsidedLoad},
-		{"even, 1.27 of the limits", 24, evenLoad}, {"lopsided, 1.27 of the limits", 24, lopsidedLoad},
+		{"even, 0.76 of the limits", 40, evenLoad},
+		{"lopsided, 0.76 of the limits", 40, lopsidedLoad},
+		{"even, 1.27 of the limits", 24, evenLoad},
+		{"lopsided, 1.27 of the limits", 24, lopsidedLoad},
 	} {
 		for _, strategy := range []string{strategyEscrow, strategyFixed, strategyCentral, strategyOptimistic} {
 			m := measure(strategy, teams, starts, c.gpus, c.shares)
--- a/internal/wake/activator/process_test.go
+++ b/internal/wake/activator/process_test.go
@@ -1,6 +1,7 @@
 package activator
 
 import (
+	"bytes"
 	"fmt"
 	"os"
 	"os/exec"
@@ -51,17 +52,23 @@
 
 func writeTOML(t *testing.T, path string, value any) string {
 	t.Helper()
-	file, err := os.Create(path)
-	if err != nil {
+	var text bytes.Buffer
+	if err := toml.NewEncoder(&text).Encode(value); err != nil {
 		t.Fatal(err)
 	}
-	defer file.Close()
-	if err := toml.NewEncoder(file).Encode(value); err != nil {
+	if err := os.WriteFile(path, text.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	return path
 }
 
+func kill(t *testing.T, process *exec.Cmd) {
+	t.Helper()
+	if err := process.Process.Kill(); err != nil {
+		t.Error(err)
+	}
+}
+
 // TestWakeByProcesses runs the command wake as three processes, two of which are killed while the
 // replica loads: the one replica that was started serves all requests.
 func TestWakeByProcesses(t *testing.T) {
@@ -79,8 +86,8 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() {
-			process.Process.Kill() // it may have been killed already
-			process.Wait()
+			_ = process.Process.Kill() // it may have been killed already
+			_ = process.Wait()         // it was killed, which is an error
 		})
 		processes = append(processes, process)
 	}
@@ -97,9 +104,9 @@
 		time.Sleep(5 * time.Millisecond)
 	}
 	// Whichever owns the replica, two of three are killed one after the other while it loads.
-	processes[0].Process.Kill()
+	kill(t, processes[0])
 	time.Sleep(300 * time.Millisecond)
-	processes[1].Process.Kill()
+	kill(t, processes[1])
 	clients.Wait()
 	if n := cluster.replicaStarts(); n != 1 {
 		t.Errorf("%d replicas were started", n)
