--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -71,9 +71,11 @@
 	if len(j.Class) > maxReducedClassName {
 		j.Class = ""
 	}
-	r.Job = wire.Job{ID: j.ID, Class: j.Class, Team: j.Team, Shape: j.Shape, Priority: j.Priority, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs,
+	r.Job = wire.Job{
+		ID: j.ID, Class: j.Class, Team: j.Team, Shape: j.Shape, Priority: j.Priority, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs,
 		MemGB: j.MemGB, OneZone: j.OneZone, SpreadZones: j.SpreadZones, AllowSpot: j.AllowSpot, EstimatedRunS: j.EstimatedRunS, CheckpointIntervalS: j.CheckpointIntervalS,
-		CheckpointDurationS: j.CheckpointDurationS, DeadlineS: j.DeadlineS}
+		CheckpointDurationS: j.CheckpointDurationS, DeadlineS: j.DeadlineS,
+	}
 	return r
 }
 
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -71,22 +71,38 @@
 		call func(c *Client)
 		want Request
 	}{
-		{"get", func(c *Client) { c.Get("o/job-1", func(GetResult) {}) },
-			Request{Method: "GET", Path: "/store/o/job-1", Timeout: 2 * time.Second}},
-		{"list", func(c *Client) { c.List("o/", "", func(ListResult) {}) },
-			Request{Method: "GET", Path: "/store?under=o/&limit=500", Timeout: 4 * time.Second}},
-		{"next page, urgent", func(c *Client) { c.ListUrgent("o/", "o/a", func(ListResult) {}) },
-			Request{Method: "GET", Path: "/store?under=o/&limit=500&since=o/a", Timeout: 4 * time.Second, Urgent: true}},
-		{"commit", func(c *Client) { c.Commit(&wire.Txn{}, func(TxnResult) {}) },
-			Request{Method: "POST", Path: "/commit", Body: []byte(`{"if":[],"writes":[]}`), Timeout: 500 * time.Millisecond}},
-		{"commit, urgent", func(c *Client) { c.CommitUrgent(&wire.Txn{Writes: []wire.Write{{Delete: "a"}}}, func(TxnResult) {}) },
-			Request{Method: "POST", Path: "/commit", Body: []byte(`{"if":[],"writes":[{"delete":"a"}]}`), Timeout: 500 * time.Millisecond, Writes: 1, Urgent: true}},
-		{"grant", func(c *Client) { c.Grant(2*time.Second, func(GrantResult) {}) },
-			Request{Method: "POST", Path: "/grants", Body: []byte(`{"ttlMs":2000}`), Timeout: 2 * time.Second, Urgent: true}},
-		{"renew", func(c *Client) { c.Renew(9, time.Second, func(Status) {}) },
-			Request{Method: "POST", Path: "/grants/9/extend", Body: []byte("{}"), Timeout: time.Second, Urgent: true}},
-		{"watch", func(c *Client) { c.Watch("o/", 5, 20*time.Second, func(WatchResult) {}) },
-			Request{Method: "GET", Path: "/changes?under=o/&since=5&holdMs=20000", Timeout: 25 * time.Second, Watch: true}},
+		{
+			"get", func(c *Client) { c.Get("o/job-1", func(GetResult) {}) },
+			Request{Method: "GET", Path: "/store/o/job-1", Timeout: 2 * time.Second},
+		},
+		{
+			"list", func(c *Client) { c.List("o/", "", func(ListResult) {}) },
+			Request{Method: "GET", Path: "/store?under=o/&limit=500", Timeout: 4 * time.Second},
+		},
+		{
+			"next page, urgent", func(c *Client) { c.ListUrgent("o/", "o/a", func(ListResult) {}) },
+			Request{Method: "GET", Path: "/store?under=o/&limit=500&since=o/a", Timeout: 4 * time.Second, Urgent: true},
+		},
+		{
+			"commit", func(c *Client) { c.Commit(&wire.Txn{}, func(TxnResult) {}) },
+			Request{Method: "POST", Path: "/commit", Body: []byte(`{"if":[],"writes":[]}`), Timeout: 500 * time.Millisecond},
+		},
+		{
+			"commit, urgent", func(c *Client) { c.CommitUrgent(&wire.Txn{Writes: []wire.Write{{Delete: "a"}}}, func(TxnResult) {}) },
+			Request{Method: "POST", Path: "/commit", Body: []byte(`{"if":[],"writes":[{"delete":"a"}]}`), Timeout: 500 * time.Millisecond, Writes: 1, Urgent: true},
+		},
+		{
+			"grant", func(c *Client) { c.Grant(2*time.Second, func(GrantResult) {}) },
+			Request{Method: "POST", Path: "/grants", Body: []byte(`{"ttlMs":2000}`), Timeout: 2 * time.Second, Urgent: true},
+		},
+		{
+			"renew", func(c *Client) { c.Renew(9, time.Second, func(Status) {}) },
+			Request{Method: "POST", Path: "/grants/9/extend", Body: []byte("{}"), Timeout: time.Second, Urgent: true},
+		},
+		{
+			"watch", func(c *Client) { c.Watch("o/", 5, 20*time.Second, func(WatchResult) {}) },
+			Request{Method: "GET", Path: "/changes?under=o/&since=5&holdMs=20000", Timeout: 25 * time.Second, Watch: true},
+		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			client, transport := newTestClient()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -1,6 +1,7 @@
 package loopback
 
 import (
+	"errors"
 	"net"
 	"testing"
 )
@@ -11,7 +12,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
+	t.Cleanup(func() {
+		if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+			t.Error(err)
+		}
+	})
 	return c
 }
 
--- a/internal/loopback/loopbacktest/loopbacktest.go
+++ b/internal/loopback/loopbacktest/loopbacktest.go
@@ -8,21 +8,21 @@
 )
 
 // Addresses returns addresses on which nothing listens. They belong to the test until it ends.
-func Addresses(t testing.TB, count int) []string {
-	t.Helper()
+func Addresses(tb testing.TB, count int) []string {
+	tb.Helper()
 	claim, err := loopback.NewClaim()
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	t.Cleanup(func() {
+	tb.Cleanup(func() {
 		if err := claim.Close(); err != nil {
-			t.Error(err)
+			tb.Error(err)
 		}
 	})
 	addresses := make([]string, count)
 	for i := range addresses {
 		if addresses[i], err = claim.Address(); err != nil {
-			t.Fatal(err)
+			tb.Fatal(err)
 		}
 	}
 	return addresses
--- a/wire/compat_test.go
+++ b/wire/compat_test.go
@@ -85,14 +85,17 @@
 var present = []wire.PeerMessage{
 	{From: "node-0", Forward: &wire.Forward{ID: 41, Body: []byte(`{"host":"n-000001","watch":3}`)}},
 	{From: "node-1", Reply: &wire.Reply{ID: 41, Status: 200, Body: []byte(`{"helm":7,"orders":[]}`)}},
-	{From: "node-1", Digest: &wire.Digest{Term: 7, Leader: true, HearsLeader: true, StoreOK: true, HasJobs: true,
+	{From: "node-1", Digest: &wire.Digest{
+		Term: 7, Leader: true, HearsLeader: true, StoreOK: true, HasJobs: true,
 		Jobs: []wire.JobCount{{ID: "job-000001", Done: 2, Running: 3}, {ID: "job-000002", Running: 1}}, More: true,
 		Boot: 1<<40 + 1, EchoBoot: 1<<41 + 5, Clock: 123456789012, Echo: 98765432109,
 		Kept:      []wire.Kept{{Machine: "n-000004", AgeMS: 2500}, {Machine: "n-000009", AgeMS: 1}},
-		Cancelled: []wire.Cancelled{{ID: "job-000003", Version: 911}, {ID: "job-000004", Version: 912}}}},
+		Cancelled: []wire.Cancelled{{ID: "job-000003", Version: 911}, {ID: "job-000004", Version: 912}},
+	}},
 	{From: "node-2", Ends: &wire.Ends{
 		Over: []wire.JobEnd{{ID: "job-000005", Status: "done", Tasks: 240}, {ID: "job-000006", Status: "withdrawn", Tasks: 3}},
-		Gone: []string{"job-000003"}, TermVersion: 707, Held: []string{"job-000004"}}},
+		Gone: []string{"job-000003"}, TermVersion: 707, Held: []string{"job-000004"},
+	}},
 	{From: "node-2", Digest: &wire.Digest{Term: 8, Boot: 9, Clock: 10}},
 }
 
@@ -100,14 +103,17 @@
 var frozen = []PeerMessage{
 	{From: "node-0", Forward: &Forward{ID: 41, Body: []byte(`{"host":"n-000001","watch":3}`)}},
 	{From: "node-1", Reply: &Reply{ID: 41, Status: 200, Body: []byte(`{"helm":7,"orders":[]}`)}},
-	{From: "node-1", Digest: &Digest{Term: 7, Leader: true, HearsLeader: true, StoreOK: true, HasJobs: true,
+	{From: "node-1", Digest: &Digest{
+		Term: 7, Leader: true, HearsLeader: true, StoreOK: true, HasJobs: true,
 		Jobs: []JobCount{{ID: "job-000001", Done: 2, Running: 3}, {ID: "job-000002", Running: 1}}, More: true,
 		Boot: 1<<40 + 1, EchoBoot: 1<<41 + 5, Clock: 123456789012, Echo: 98765432109,
 		Kept:      []Kept{{Machine: "n-000004", AgeMS: 2500}, {Machine: "n-000009", AgeMS: 1}},
-		Cancelled: []Cancelled{{ID: "job-000003", Version: 911}, {ID: "job-000004", Version: 912}}}},
+		Cancelled: []Cancelled{{ID: "job-000003", Version: 911}, {ID: "job-000004", Version: 912}},
+	}},
 	{From: "node-2", Ends: &Ends{
 		Over: []JobEnd{{ID: "job-000005", Status: "done", Tasks: 240}, {ID: "job-000006", Status: "withdrawn", Tasks: 3}},
-		Gone: []string{"job-000003"}, TermVersion: 707, Held: []string{"job-000004"}}},
+		Gone: []string{"job-000003"}, TermVersion: 707, Held: []string{"job-000004"},
+	}},
 	{From: "node-2", Digest: &Digest{Term: 8, Boot: 9, Clock: 10}},
 }
 
@@ -155,9 +161,11 @@
 	for _, m := range frozen {
 		x := LaterMessage{From: m.From, Forward: m.Forward, Reply: m.Reply, Ends: m.Ends}
 		if d := m.Digest; d != nil {
-			x.Digest = &LaterDigest{Version: 1, Term: d.Term, Leader: d.Leader, HearsLeader: d.HearsLeader, StoreOK: d.StoreOK,
+			x.Digest = &LaterDigest{
+				Version: 1, Term: d.Term, Leader: d.Leader, HearsLeader: d.HearsLeader, StoreOK: d.StoreOK,
 				HasJobs: d.HasJobs, Jobs: d.Jobs, More: d.More, Boot: d.Boot, EchoBoot: d.EchoBoot, Clock: d.Clock,
-				Echo: d.Echo, Kept: d.Kept, Cancelled: d.Cancelled}
+				Echo: d.Echo, Kept: d.Kept, Cancelled: d.Cancelled,
+			}
 		}
 		out = append(out, x)
 	}
