--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -25,8 +25,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := newHarness(t, testMachineTypes)
-			b.core.settings.Peers = append(b.core.settings.Peers, config.Peer{Name: "n1", Zone: "b"})
-			b.core.peers["n1"] = &peerState{}
+			setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
 			b.write(election.KeyTerm, "", []byte("5"))
 			termVersion := b.store[election.KeyTerm].Version
 			b.write(election.KeyLeader, "", []byte(`{"name":"n1","term":5}`))
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -21,6 +21,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/frontend"
 	"github.com/brookwalk/brookwalk/internal/core/jobcache"
+	"github.com/brookwalk/brookwalk/internal/core/membership"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -50,13 +51,11 @@
 	store    *kv.Client
 	cloud    *cloudapi.Client
 
-	peers  map[string]*peerState
-	leader *leader // nil on a follower
+	membership *membership.Membership
+	leader     *leader // nil on a follower
 
 	forwardedHeartbeats map[uint64]*forwardedHeartbeat
 	nextForwardID       uint64
-	extensions          leaseExtensions
-	reporters           map[string]*connectedWorker // workers that report here
 	digestDueAt         time.Duration
 	jobCountsDueAt      time.Duration
 	jobCounts           map[string]wire.JobCount // last digest of the leader
@@ -65,15 +64,6 @@
 	pullsAreSequential bool
 }
 
-type peerState struct {
-	heard time.Duration
-	extensionTestimony
-	storeOK     bool
-	hearsLeader bool
-	ever        bool
-	version     int // highest PeerVersion that it has said
-}
-
 // New makes the core of a controller. The operators' settings and the logger may be nil. The
 // incarnation has to differ from that of any other run of the program.
 func New(settings *config.Settings, operatorSettings *config.Operator, incarnation uint64, log *slog.Logger) *Core {
@@ -90,15 +80,12 @@
 		incarnation:         incarnation,
 		pendingCalls:        map[uint64]func(Result){},
 		machineTypes:        map[string]*wire.MachineType{},
-		peers:               map[string]*peerState{},
-		forwardedHeartbeats: map[uint64]*forwardedHeartbeat{}, reporters: map[string]*connectedWorker{},
-	}
-	for _, p := range settings.Peers {
-		c.peers[p.Name] = &peerState{}
+		forwardedHeartbeats: map[uint64]*forwardedHeartbeat{},
 	}
 	c.store = kv.NewClient(storeTransport{c}, &settings.Deployment)
 	c.cloud = cloudapi.NewClient(cloudTransport{c})
 	c.election = election.New(settings.Name, c.leaderLeaseDuration(), electionStore{c.store}, electionHost{c}, log)
+	c.membership = c.newMembership()
 	c.jobCache = jobcache.New(c.jobCacheCapacity())
 	c.frontEnd = frontend.New(frontEndHost{c}, c.store, c.jobCache, &settings.Deployment, incarnation)
 	return c
@@ -141,7 +128,7 @@
 	if c.now >= c.digestDueAt {
 		c.digestDueAt = c.now + c.leaderLeaseDuration()/4
 		c.sendDigests()
-		c.forgetSilentWorkers()
+		c.membership.ForgetSilentWorkers()
 	}
 	if c.leader != nil {
 		c.leader.tick()
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -139,8 +139,7 @@
 	if a := harness.request("POST", "/submissions", submissionAwaiting(9, `["`+id+`"]`)); a.Status != 201 {
 		t.Fatalf("%d %s", a.Status, a.Body)
 	}
-	harness.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	harness.core.peers["n1"] = &peerState{}
+	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 5, Leader: true, HearsLeader: true, StoreOK: true}}})
 	harness.nextReq++
 	harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + id + "/cancel"})
@@ -188,10 +187,9 @@
 // must fail: it would bring back what the new records have overtaken.
 func TestLayoutChanges(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
-		s.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
 		s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1}
 	})
-	harness.core.peers["n1"] = &peerState{}
+	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
 	job := leader.Jobs["job-1"]
 	for i := range job.TaskStates[:60] {
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -178,8 +178,7 @@
 	b := newHarness(t, testMachineTypes)
 	smallLimits(b.core.settings)
 	names := openJobs(b, 150)
-	b.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	b.core.peers["n1"] = &peerState{}
+	setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
 	b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists - 1}}})
 	b.run(3 * time.Second)
 	var a Answer
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -47,10 +47,10 @@
 func (h electionHost) ObserveStore(status kv.Status) { h.c.store.Observe(status) }
 
 // HearsPeer tells whether any other controller is heard.
-func (h electionHost) HearsPeer() bool { return h.c.hearsPeer() }
+func (h electionHost) HearsPeer() bool { return h.c.membership.HearsPeer() }
 
 // LeaderLost tells whether others agree that the leader is out of reach.
-func (h electionHost) LeaderLost() bool { return h.c.leaderLost() }
+func (h electionHost) LeaderLost() bool { return h.c.membership.LeaderLost() }
 
 // LeaderKnown passes on the reports that wait for a leader.
 func (h electionHost) LeaderKnown() { h.c.forwardPending() }
--- a/internal/core/frontend_host.go
+++ b/internal/core/frontend_host.go
@@ -46,7 +46,7 @@
 
 // AllPeersSupport reports whether every controller runs a version or a later one.
 func (h frontEndHost) AllPeersSupport(peerVersion int) bool {
-	return h.core.allPeersSupport(peerVersion)
+	return h.core.membership.AllPeersSupport(peerVersion)
 }
 
 // RejectedWrites records that the store rejected a transaction with a number of writes.
@@ -59,7 +59,7 @@
 	case h.core.leader != nil:
 		h.core.leader.applyOpenRecord(job, open.Version, open.Record)
 		return h.core.leader.terminationDelayed(job)
-	case h.core.hearsLeader():
+	case h.core.membership.HearsLeader():
 		// The leader learns of it by its watch, or, should the store be unavailable to it just
 		// now, from the digest.
 		h.core.sendDigests()
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -23,7 +23,7 @@
 		RecordsLoadedAt: l.recordsLoadedAt,
 		PartitionedAt:   l.fleet.partitionedAt,
 		ZoneReachedAt:   l.zoneReachedAt,
-		ZoneLost:        l.core.zoneLost,
+		ZoneLost:        l.core.membership.ZoneLost,
 		LeaseExpired:    l.leaseExpired,
 	}
 }
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -27,8 +27,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := newHarness(t, testMachineTypes)
-			b.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-			b.core.peers["n1"] = &peerState{}
+			setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
 			heardFrom(b, true)
 			b.storeDown = true
 			for end := b.now + 2*b.core.leaderLeaseDuration(); b.now < end; {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -14,7 +14,7 @@
 	return reconcile.Timing{
 		WorkerLease:       c.workerLease(),
 		HeartbeatInterval: c.heartbeatInterval(),
-		MaxLeaseExtension: c.maxExtensionTime(),
+		MaxLeaseExtension: c.membership.MaxExtensionTime(),
 	}
 }
 
--- a/internal/core/peers_test.go
+++ b/internal/core/heartbeat_forwarding_test.go
@@ -10,10 +10,17 @@
 	"testing"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/membership"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
+// setPeers gives a controller peers that it has not heard yet.
+func setPeers(c *Core, peers ...config.Peer) {
+	c.settings.Peers = peers
+	c.membership = c.newMembership()
+}
+
 // productionTask is how a leader of the version in production finds a task in
 // a report.
 func productionTask(r *wire.Heartbeat, name string) wire.TaskStatus {
@@ -87,8 +94,8 @@
 	for version, want := range map[int][]byte{0: newestAttemptFirst(body), wire.PeerVersion: body} {
 		c := New(&config.Settings{Name: "n0", Peers: []config.Peer{{Name: "n1", Zone: "b"}}}, nil, 1, nil)
 		c.election.ObserveLeader(1, "n1")
-		c.peers["n1"].version = version
-		c.forwardedHeartbeats[7] = &forwardedHeartbeat{requestID: 1, worker: &connectedWorker{}, body: body}
+		c.onPeerMessage(&wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: version}})
+		c.forwardedHeartbeats[7] = &forwardedHeartbeat{requestID: 1, worker: &membership.Worker{}, body: body}
 		c.forwardToLeader(7)
 		if len(c.out.PeerSends) != 1 || !bytes.Equal(c.out.PeerSends[0].Message.Forward.Body, want) {
 			t.Errorf("to a leader of version %d: %+v", version, c.out.PeerSends)
--- a/internal/core/heartbeat_size.go
+++ /dev/null
@@ -1,1 +0,0 @@
-package core
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -97,8 +97,7 @@
 		}
 	}
 	b := newHarness(t, testMachineTypes)
-	b.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	b.core.peers["n1"] = &peerState{}
+	setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
 	for _, told := range []bool{true, false, true} {
 		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: told}}})
 		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !told}}})
@@ -112,8 +111,7 @@
 func TestPullEvidenceIsShared(t *testing.T) {
 	leader, _, _ := pullingLeader(t)
 	leader.core.leader = leader
-	leader.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	leader.core.peers["n1"] = &peerState{}
+	setPeers(leader.core, config.Peer{Name: "n1", Zone: "b"})
 	for _, queued := range []int{0, 1} {
 		leader.pullStatistics.sequential = queued
 		leader.core.out = Output{}
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -27,7 +27,7 @@
 
 // PeersReadNamedRanges reports whether every peer reads placement records that name their range.
 func (h persistenceHost) PeersReadNamedRanges() bool {
-	return h.leader.core.allPeersSupport(wire.PeerVersionRanges)
+	return h.leader.core.membership.AllPeersSupport(wire.PeerVersionRanges)
 }
 
 // AddCancelledEnds adds the ends of cancelled jobs to a batch.
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -17,7 +17,7 @@
 //  3. the cloud has confirmed the machine's return;
 //  4. the worker has seen this term, and its lease has certainly expired since the last answer
 //     that this term, or a controller that could not reach its leader, gave it (see
-//     lease_extension.go of package core). A worker that has not seen this term may still have
+//     package membership). A worker that has not seen this term may still have
 //     its lease renewed by a leader of an earlier one.
 
 // LossReason tells why a task has certainly terminated though no exit of it was reported. Its
--- a/internal/core/routes.go
+++ b/internal/core/routes.go
@@ -62,8 +62,8 @@
 // controller unhealthy.
 func (c *Core) onHealth(r Request) {
 	unavailable := c.store.UnavailableFor()
-	othersReachStore := unavailable > c.leaderLeaseDuration()/2 && c.peerReachesStore()
-	cutOff := unavailable > c.leaderLeaseDuration() && c.lostAllPeers()
+	othersReachStore := unavailable > c.leaderLeaseDuration()/2 && c.membership.PeerReachesStore()
+	cutOff := unavailable > c.leaderLeaseDuration() && c.membership.LostAllPeers()
 	if othersReachStore || cutOff {
 		c.refuse(r.ID, frontend.Unhealthy)
 		return
