--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -1,11 +1,11 @@
 package election
 
 import (
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
 	"net/http"
+	"slices"
 	"testing"
 	"time"
 
@@ -13,111 +13,111 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// ttl of the leaders' leases in these tests.
-const ttl = 2 * time.Second
+// leaseDuration of the leader key in these tests.
+const leaseDuration = 2 * time.Second
 
-// store is a state service whose answers come late, in any order or not at all.
-type store struct {
-	rng         *rand.Rand
+// fakeStore is a key-value store whose answers come late, in any order or not at all.
+type fakeStore struct {
+	random      *rand.Rand
 	now         time.Duration
 	revision    uint64
 	keys        map[string]wire.Item
-	leases      map[uint64]time.Duration // end
-	pending     []func()
-	lostAnswers float64 // share of answers that do not come
+	leases      map[uint64]time.Duration // when they expire
+	pending     []func()                 // answers under way
+	lostAnswers float64                  // probability that an answer is lost
 }
 
-// answerLater gives an answer some time, or none.
-func (s *store) answerLater(done func(kv.Response), number int, v any) {
+// answerLater sends an answer that deliver delivers, or loses it.
+func (s *fakeStore) answerLater(done func(kv.Response), number int, v any) {
 	response := kv.Response{Number: number, Body: kv.Encode(v)}
-	if s.rng.Float64() < s.lostAnswers {
+	if s.random.Float64() < s.lostAnswers {
 		response = kv.Response{}
 	}
 	s.pending = append(s.pending, func() { done(response) })
 }
 
-// deliver gives the answers that wait, in a random order.
-func (s *store) deliver() {
+// deliver delivers the answers under way, in a random order.
+func (s *fakeStore) deliver() {
 	pending := s.pending
 	s.pending = nil
-	s.rng.Shuffle(len(pending), func(a, b int) { pending[a], pending[b] = pending[b], pending[a] })
-	for _, f := range pending {
-		f()
+	s.random.Shuffle(len(pending), func(a, b int) { pending[a], pending[b] = pending[b], pending[a] })
+	for _, answer := range pending {
+		answer()
 	}
 }
 
-// advance lets time pass: leases end, and the keys with them.
-func (s *store) advance(d time.Duration) {
+// advance lets time pass: leases expire, and the keys attached to them are deleted.
+func (s *fakeStore) advance(d time.Duration) {
 	s.now += d
-	for id, end := range s.leases {
-		if s.now <= end {
+	for lease, expiry := range s.leases {
+		if s.now <= expiry {
 			continue
 		}
-		delete(s.leases, id)
-		for key, it := range s.keys {
-			if it.Lease == id {
+		delete(s.leases, lease)
+		for key, item := range s.keys {
+			if item.Lease == lease {
 				delete(s.keys, key)
 			}
 		}
 	}
 }
 
-func (s *store) Get(key string, done func(kv.GetResult)) {
+func (s *fakeStore) Get(key string, done func(kv.GetResult)) {
 	answer := func(r kv.Response) { done(kv.ParseGet(r)) }
-	if it, ok := s.keys[key]; ok {
-		s.answerLater(answer, http.StatusOK, it)
+	if item, ok := s.keys[key]; ok {
+		s.answerLater(answer, http.StatusOK, item)
 		return
 	}
 	s.answerLater(answer, http.StatusNotFound, struct{}{})
 }
 
-func (s *store) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
+func (s *fakeStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	answer := func(r kv.Response) { done(kv.ParseTxn(r)) }
-	for _, c := range txn.Conditions {
-		if s.keys[c.Key].Version != c.Version {
+	for _, condition := range txn.Conditions {
+		if s.keys[condition.Key].Version != condition.Version {
 			s.answerLater(answer, http.StatusConflict, struct{}{})
 			return
 		}
 	}
 	s.revision++
-	for _, w := range txn.Writes {
-		s.keys[w.Put] = wire.Item{Key: w.Put, Value: w.Value, Version: s.revision, Lease: w.Lease}
+	for _, write := range txn.Writes {
+		s.keys[write.Put] = wire.Item{Key: write.Put, Value: write.Value, Version: s.revision, Lease: write.Lease}
 	}
 	s.answerLater(answer, http.StatusOK, wire.TxnResult{Revision: s.revision})
 }
 
-func (s *store) Grant(ttl time.Duration, done func(kv.GrantResult)) {
+func (s *fakeStore) Grant(duration time.Duration, done func(kv.GrantResult)) {
 	s.revision++
-	s.leases[s.revision] = s.now + ttl
+	s.leases[s.revision] = s.now + duration
 	s.answerLater(func(r kv.Response) { done(kv.ParseGrant(r)) }, http.StatusOK, wire.Grant{Lease: s.revision})
 }
 
-func (s *store) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
+func (s *fakeStore) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
 	answer := func(r kv.Response) { done(kv.StatusOf(r.Number)) }
 	if _, ok := s.leases[lease]; !ok {
 		s.answerLater(answer, http.StatusNotFound, struct{}{})
 		return
 	}
-	s.leases[lease] = s.now + ttl
+	s.leases[lease] = s.now + leaseDuration
 	s.answerLater(answer, http.StatusOK, struct{}{})
 }
 
 // controller takes part in elections.
 type controller struct {
 	*Election
-	store      *store
+	store      *fakeStore
 	name       string
 	leadership *Leadership
 	stepDowns  []StepDownReason
-	leaderLost bool // others agree that the leader is out of reach
-	hearsPeer  bool // hears a peer
-	down       bool
+	leaderLost bool // what LeaderLost returns
+	hearsPeer  bool // what HearsPeer returns
+	down       bool // the process has ended
 	restarts   int
 }
 
-func newController(s *store, name string) *controller {
+func newController(s *fakeStore, name string) *controller {
 	c := &controller{store: s, name: name, hearsPeer: true}
-	c.Election = New(name, ttl, s, c, slog.New(slog.DiscardHandler))
+	c.Election = New(name, leaseDuration, s, c, slog.New(slog.DiscardHandler))
 	return c
 }
 
@@ -130,11 +130,11 @@
 	return *c.leadership, true
 }
 
-func (c *controller) Lead(m Leadership) { c.leadership = &m }
+func (c *controller) Lead(won Leadership) { c.leadership = &won }
 
-func (c *controller) StepDown(why StepDownReason) {
+func (c *controller) StepDown(reason StepDownReason) {
 	c.leadership = nil
-	c.stepDowns = append(c.stepDowns, why)
+	c.stepDowns = append(c.stepDowns, reason)
 	c.SteppedDown()
 }
 
@@ -146,16 +146,21 @@
 
 func (c *controller) LeaderKnown() {}
 
-func newStore(seed uint64) *store {
-	return &store{rng: rand.New(rand.NewPCG(seed, 1)), keys: map[string]wire.Item{}, leases: map[uint64]time.Duration{}}
+func newFakeStore(seed uint64) *fakeStore {
+	return &fakeStore{random: rand.New(rand.NewPCG(seed, 1)), keys: map[string]wire.Item{}, leases: map[uint64]time.Duration{}}
 }
 
-// run plays some time in which all controllers tick.
-func run(s *store, d time.Duration, cs ...*controller) {
+// newControllers makes controllers a, b and c.
+func newControllers(s *fakeStore) []*controller {
+	return []*controller{newController(s, "a"), newController(s, "b"), newController(s, "c")}
+}
+
+// run simulates some time in which all controllers tick.
+func run(s *fakeStore, duration time.Duration, controllers ...*controller) {
 	const step = 100 * time.Millisecond
-	for end := s.now + d; s.now < end; {
+	for end := s.now + duration; s.now < end; {
 		s.advance(step)
-		for _, c := range cs {
+		for _, c := range controllers {
 			if !c.down {
 				c.Tick()
 			}
@@ -165,123 +170,142 @@
 }
 
 // leaders lists the controllers that lead.
-func leaders(cs ...*controller) []*controller {
-	var out []*controller
-	for _, c := range cs {
+func leaders(controllers []*controller) []*controller {
+	var leading []*controller
+	for _, c := range controllers {
 		if c.leadership != nil && !c.down {
-			out = append(out, c)
+			leading = append(leading, c)
 		}
 	}
-	return out
+	return leading
 }
 
-// TestOneLeader has three controllers begin together, then ends the leader. One leads
-// each time, by a higher term, and the others know it.
+// TestOneLeader starts three controllers at once, then ends the leader, and the next one. One
+// leads each time, under a higher term, and the others know it.
 func TestOneLeader(t *testing.T) {
 	for seed := range uint64(50) {
-		s := newStore(seed)
-		cs := []*controller{newController(s, "a"), newController(s, "b"), newController(s, "c")}
+		s := newFakeStore(seed)
+		controllers := newControllers(s)
 		term := uint64(0)
-		for len(cs) > 0 {
-			run(s, 4*ttl, cs...)
-			lead := leaders(cs...)
-			if len(lead) != 1 || lead[0].leadership.Term <= term {
-				t.Fatalf("seed %d: %d lead after term %d", seed, len(lead), term)
+		for len(controllers) > 0 {
+			run(s, 4*leaseDuration, controllers...)
+			leading := leaders(controllers)
+			if len(leading) != 1 || leading[0].leadership.Term <= term {
+				t.Fatalf("seed %d: %d lead after term %d", seed, len(leading), term)
 			}
-			term = lead[0].leadership.Term
-			var rest []*controller
-			for _, c := range cs {
-				if c.Leader() != lead[0].name || c.Term() != term {
-					t.Errorf("seed %d: %s takes %q for the leader of term %d", seed, c.name, c.Leader(), c.Term())
-				}
-				if c != lead[0] {
-					rest = append(rest, c)
+			leader := leading[0]
+			term = leader.leadership.Term
+			for _, c := range controllers {
+				if c.Leader() != leader.name || c.Term() != term {
+					t.Errorf("seed %d: %s believes that %q leads under term %d", seed, c.name, c.Leader(), c.Term())
 				}
 			}
-			cs = rest
+			controllers = slices.DeleteFunc(controllers, func(c *controller) bool { return c == leader })
 		}
 	}
 }
 
-// TestTermsAreNeverShared plays random ends, restarts, lost answers and take-overs. No
-// two controllers may ever be given the same term.
+// TestTermsAreNeverShared simulates random ends, restarts, lost answers and failovers. No two
+// processes may ever win the same term.
 func TestTermsAreNeverShared(t *testing.T) {
 	for seed := range uint64(100) {
-		s := newStore(seed)
+		s := newFakeStore(seed)
 		s.lostAnswers = 0.1
-		cs := []*controller{newController(s, "a"), newController(s, "b"), newController(s, "c")}
-		holder := map[uint64]string{}
+		controllers := newControllers(s)
+		winners := map[uint64]string{} // by term
 		for range 300 {
-			run(s, ttl/4, cs...)
-			for i, c := range cs {
-				if m := c.leadership; m != nil {
-					who := fmt.Sprint(c.name, c.restarts)
-					if h, ok := holder[m.Term]; ok && h != who {
-						t.Fatalf("seed %d: term %d is that of %s and %s", seed, m.Term, h, who)
-					}
-					holder[m.Term] = who
-				}
-				c.leaderLost = s.rng.IntN(10) == 0
-				switch s.rng.IntN(20) {
-				case 0:
-					c.down = true
-				case 1, 2:
-					if c.down {
-						cs[i] = newController(s, c.name)
-						cs[i].restarts = c.restarts + 1
-					}
-				}
+			run(s, leaseDuration/4, controllers...)
+			for i, c := range controllers {
+				recordWinner(t, seed, winners, c)
+				c.leaderLost = s.random.IntN(10) == 0
+				controllers[i] = endOrRestart(s, c)
 			}
 		}
-		if len(holder) < 5 {
-			t.Errorf("seed %d: %d terms only", seed, len(holder))
+		if len(winners) < 5 {
+			t.Errorf("seed %d: %d terms only", seed, len(winners))
 		}
 	}
 }
 
-// TestStepsDown gives a leader a reason to step down.
+// recordWinner records that a controller leads under its term, unless another process did.
+func recordWinner(t *testing.T, seed uint64, winners map[uint64]string, c *controller) {
+	t.Helper()
+	if c.leadership == nil {
+		return
+	}
+	term, process := c.leadership.Term, fmt.Sprint(c.name, c.restarts)
+	if winner, known := winners[term]; known && winner != process {
+		t.Fatalf("seed %d: term %d was won by %s and by %s", seed, term, winner, process)
+	}
+	winners[term] = process
+}
+
+// endOrRestart ends a controller now and then, and restarts one that has ended.
+func endOrRestart(s *fakeStore, c *controller) *controller {
+	switch s.random.IntN(20) {
+	case 0:
+		c.down = true
+	case 1, 2:
+		if c.down {
+			restarted := newController(s, c.name)
+			restarted.restarts = c.restarts + 1
+			return restarted
+		}
+	}
+	return c
+}
+
+// TestStepsDown gives a leader a reason to step down, or none.
 func TestStepsDown(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		happen func(s *store, c *controller)
-		want   StepDownReason
+		change func(s *fakeStore, c *controller)
+		want   StepDownReason // empty if it goes on
 	}{
-		{"its lease has ended", func(s *store, c *controller) { s.advance(2 * ttl) }, ReasonLeaseExpired},
-		{"a peer leads by a higher term", func(_ *store, c *controller) { c.ObserveLeader(c.leadership.Term+1, "b") }, ReasonHigherTerm},
-		{"hearing nobody it reads that another one leads", func(s *store, c *controller) {
+		{"its lease has expired", func(s *fakeStore, _ *controller) { s.advance(2 * leaseDuration) }, ReasonLeaseExpired},
+		{"a peer leads under a higher term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term+1, "b") }, ReasonHigherTerm},
+		{"it hears nobody and reads that another one leads", func(s *fakeStore, c *controller) {
 			c.hearsPeer = false
-			value, _ := json.Marshal(LeaderValue{"b", c.leadership.Term + 1})
+			value := kv.Encode(LeaderValue{"b", c.leadership.Term + 1})
 			s.keys[KeyLeader] = wire.Item{Key: KeyLeader, Value: value, Version: 99}
 		}, ReasonHigherTerm},
-		{"nothing", func(*store, *controller) {}, ""},
-		{"a peer names a lower term", func(_ *store, c *controller) { c.ObserveLeader(c.leadership.Term-1, "b") }, ""},
+		{"nothing", func(*fakeStore, *controller) {}, ""},
+		{"a peer names a lower term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term-1, "b") }, ""},
 	} {
-		s := newStore(1)
-		c := newController(s, "a")
-		run(s, ttl, c)
-		if c.leadership == nil {
-			t.Fatal("nobody leads")
-		}
-		tc.happen(s, c)
-		run(s, ttl/2, c)
-		if got := fmt.Sprint(c.stepDowns); tc.want == "" && len(c.stepDowns) > 0 || tc.want != "" && (len(c.stepDowns) == 0 || c.stepDowns[0] != tc.want) {
-			t.Errorf("%s: steps down for %s, want %q", tc.name, got, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			s := newFakeStore(1)
+			c := newController(s, "a")
+			run(s, leaseDuration, c)
+			if c.leadership == nil {
+				t.Fatal("nobody leads")
+			}
+			tc.change(s, c)
+			run(s, leaseDuration/2, c)
+			var first StepDownReason
+			if len(c.stepDowns) > 0 {
+				first = c.stepDowns[0]
+			}
+			if first != tc.want {
+				t.Errorf("stepped down for %q, want %q", c.stepDowns, tc.want)
+			}
+		})
 	}
 }
 
-// TestFailover has a leader hold its key while nobody hears it. A controller whose peers
-// agree takes over; one that is alone with that does not.
+// TestFailover keeps a leader that nobody hears renewing its key. A controller whose peers
+// agree replaces it; one that is alone with that does not.
 func TestFailover(t *testing.T) {
-	for _, agreed := range []bool{true, false} {
-		s := newStore(1)
-		a, b := newController(s, "a"), newController(s, "b")
-		run(s, ttl, a)
-		first := a.leadership.Term
-		b.leaderLost = agreed
-		run(s, ttl, a, b)
-		if took := b.leadership != nil && b.leadership.Term > first; took != agreed {
-			t.Errorf("peers agree %v: takes over %v", agreed, took)
-		}
+	for _, peersAgree := range []bool{true, false} {
+		t.Run(fmt.Sprintf("peers agree %v", peersAgree), func(t *testing.T) {
+			s := newFakeStore(1)
+			a, b := newController(s, "a"), newController(s, "b")
+			run(s, leaseDuration, a)
+			first := a.leadership.Term
+			b.leaderLost = peersAgree
+			run(s, leaseDuration, a, b)
+			if replaced := b.leadership != nil && b.leadership.Term > first; replaced != peersAgree {
+				t.Errorf("replaced the leader: %v", replaced)
+			}
+		})
 	}
 }
