--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -8,9 +8,15 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leaderLeaseDuration is the time to live of the leader's lease: a crash, the election and the
-// workers' move to another controller must all fit within one worker lease.
-func (c *Core) leaderLeaseDuration() time.Duration { return c.workerLease() / 5 }
+// leaderLeasesPerWorkerLease is how often the duration of the leader's lease fits into that of
+// a worker's.
+const leaderLeasesPerWorkerLease = 5
+
+// leaderLeaseDuration is the duration of the leader's lease: a crash, the election and the
+// workers' change to another controller must all fit within one worker lease.
+func (c *Core) leaderLeaseDuration() time.Duration {
+	return c.workerLease() / leaderLeasesPerWorkerLease
+}
 
 // electionStore is the key-value store as elections use it.
 type electionStore struct{ *kv.Client }
@@ -18,46 +24,47 @@
 // Commit carries out a transaction ahead of other calls.
 func (s electionStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) { s.CommitUrgent(txn, done) }
 
-// electionHost is this controller as elections see it.
-type electionHost struct{ c *Core }
+// electionHost is this controller as package election sees it.
+type electionHost struct{ core *Core }
 
 // Now is the steady time.
-func (h electionHost) Now() time.Duration { return h.c.now }
+func (h electionHost) Now() time.Duration { return h.core.now }
 
-// Leading returns the mandate by which this controller leads.
+// Leading returns this controller's leadership; false if it does not lead.
 func (h electionHost) Leading() (election.Leadership, bool) {
-	if h.c.leader == nil {
+	if h.core.leader == nil {
 		return election.Leadership{}, false
 	}
-	return h.c.leader.leadership, true
+	return h.core.leader.leadership, true
 }
 
-// Lead begins to lead.
-func (h electionHost) Lead(m election.Leadership) {
-	h.c.leader = newLeader(h.c, m)
-	h.c.leader.loader.Load()
-	h.c.sendDigests()
-	h.c.forwardPending()
+// Lead begins to lead: it loads the records, and tells peers and waiting workers at once.
+func (h electionHost) Lead(won election.Leadership) {
+	h.core.leader = newLeader(h.core, won)
+	h.core.leader.loader.Load()
+	h.core.sendDigests()
+	h.core.forwardPending()
 }
 
 // StepDown ends this controller's leadership.
-func (h electionHost) StepDown(why election.StepDownReason) { h.c.stepDown(why) }
+func (h electionHost) StepDown(reason election.StepDownReason) { h.core.stepDown(reason) }
 
-// ObserveStore is told whether the store answers.
-func (h electionHost) ObserveStore(status kv.Status) { h.c.store.Observe(status) }
+// ObserveStore receives the status of calls that show whether the store answers.
+func (h electionHost) ObserveStore(status kv.Status) { h.core.store.Observe(status) }
 
-// HearsPeer tells whether any other controller is heard.
-func (h electionHost) HearsPeer() bool { return h.c.membership.HearsPeer() }
+// HearsPeer reports whether any other controller is heard.
+func (h electionHost) HearsPeer() bool { return h.core.membership.HearsPeer() }
 
-// LeaderLost tells whether others agree that the leader is out of reach.
-func (h electionHost) LeaderLost() bool { return h.c.membership.LeaderLost() }
+// LeaderLost reports whether the leader is lost although it may hold its key.
+func (h electionHost) LeaderLost() bool { return h.core.membership.LeaderLost() }
 
-// LeaderKnown passes on the reports that wait for a leader.
-func (h electionHost) LeaderKnown() { h.c.forwardPending() }
+// LeaderKnown forwards the heartbeats that wait for a leader.
+func (h electionHost) LeaderKnown() { h.core.forwardPending() }
 
-// stepDown ends this controller's leadership.
-func (c *Core) stepDown(why election.StepDownReason) {
-	c.log.Info("step down", "term", c.leader.leadership.Term, "why", why)
+// stepDown ends this controller's leadership. Results of calls that the leader has sent are
+// ignored from then on.
+func (c *Core) stepDown(reason election.StepDownReason) {
+	c.log.Info("step down", "term", c.leader.leadership.Term, "reason", reason)
 	c.leader.steppedDown = true
 	c.leader = nil
 	c.election.SteppedDown()
