--- a/internal/core/membership/lease_extension_test.go
+++ b/internal/core/membership/lease_extension_test.go
@@ -124,6 +124,34 @@
 	}
 }
 
+// TestUnnamedIncarnation believes no peer that does not name its incarnation: restarts of it
+// would not be seen.
+func TestUnnamedIncarnation(t *testing.T) {
+	c := newTestController("n0", 1)
+	c.leads = true
+	lastRenewal := c.now
+	c.now += time.Hour
+	for incarnation, name := range []string{"n3", "n1", "n2"} {
+		c.hear(name, wire.Digest{Boot: uint64(incarnation), EchoBoot: 1, Echo: int64(c.now)})
+	}
+	// The digests just heard are the first of n1 and n2.
+	c.now += 2 * workerLease
+	for incarnation, name := range []string{"n3", "n1", "n2"} {
+		c.hear(name, wire.Digest{Boot: uint64(incarnation), EchoBoot: 1, Echo: int64(c.now)})
+	}
+	if c.LeaseExpired(lastRenewal, expiryBound) {
+		t.Error("expired by the word of n3, which names no incarnation")
+	}
+	c.hear("n3", wire.Digest{Boot: 3})
+	c.now += 2 * workerLease
+	for incarnation, name := range map[uint64]string{1: "n1", 2: "n2", 3: "n3"} {
+		c.hear(name, wire.Digest{Boot: incarnation, EchoBoot: 1, Echo: int64(c.now)})
+	}
+	if !c.LeaseExpired(lastRenewal, expiryBound) {
+		t.Error("not expired though all testify")
+	}
+}
+
 // TestExpiryIsCertain plays random extensions, losses of digests and restarts. The leader may
 // never find a lease expired that the worker still holds, and has to find it expired once all
 // controllers are heard again.
@@ -177,26 +205,34 @@
 	return newTestController(name, w.incarnations)
 }
 
-// step lets a digest's interval pass: controllers extend, restart, and send digests, some of
-// which are lost.
+// step lets the interval between two digests pass: controllers restart, extend the lease, and
+// send digests, some of which are lost.
 func (w *extensionWorld) step() {
 	w.clock += leaderLease / 4
 	w.holdsLease = w.holdsLease && w.clock-w.lastExtended < workerLease
-	for i, c := range w.controllers {
-		if i > 0 && w.random.Float64() < w.restarts {
-			c = w.newController(c.name)
-			w.controllers[i] = c
+	for i := range w.controllers {
+		if i > 0 && w.happens(w.restarts) {
+			w.controllers[i] = w.newController(w.controllers[i].name)
 			w.offsets[i] = time.Duration(w.random.Int64N(int64(time.Hour)))
 		}
+		c := w.controllers[i]
 		c.now = time.Minute + w.offsets[i] + w.clock
 		c.leader, c.leaderHeard = "n0", c.now
-		if i > 0 && w.holdsLease && w.random.Float64() < w.extensions && c.ExtendLease("m", 5) {
+		if i > 0 && w.holdsLease && w.happens(w.extensions) && c.ExtendLease("m", 5) {
 			w.lastExtended = w.clock
 		}
 	}
+	w.exchangeDigests()
+}
+
+// happens decides by chance.
+func (w *extensionWorld) happens(probability float64) bool { return w.random.Float64() < probability }
+
+// exchangeDigests sends a digest of each controller to each other one.
+func (w *extensionWorld) exchangeDigests() {
 	for _, from := range w.controllers {
 		for _, to := range w.controllers {
-			if from != to && w.random.Float64() >= w.loss {
+			if from != to && !w.happens(w.loss) {
 				w.deliver(from, to)
 			}
 		}
