--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -5,6 +5,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/membership"
+	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -103,7 +104,7 @@
 	for _, extension := range extensions {
 		if machine := l.Machines[extension.Machine]; machine != nil {
 			age := time.Duration(extension.AgeMS) * time.Millisecond
-			machine.LeaseExtendedAt = max(machine.LeaseExtendedAt, l.core.now-age)
+			reconcile.RecordLeaseExtension(machine, l.core.now-age)
 		}
 	}
 }
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -27,6 +27,12 @@
 // worker's lease.
 func RecordAnswer(machine *cluster.Machine, now time.Duration) { machine.LastAnswered = now }
 
+// RecordLeaseExtension records that another controller extended the worker's lease at a time.
+// The word of it may be older than that of a later extension.
+func RecordLeaseExtension(machine *cluster.Machine, at time.Duration) {
+	machine.LeaseExtendedAt = max(machine.LeaseExtendedAt, at)
+}
+
 // RecordDirectStatus records that a worker answered a probe or a direct command now with its
 // state.
 func RecordDirectStatus(machine *cluster.Machine, status *wire.Heartbeat, now time.Duration) {
