--- a/internal/core/heartbeat_forwarding_test.go
+++ b/internal/core/heartbeat_forwarding_test.go
@@ -154,8 +154,10 @@
 
 // heartbeat feeds a heartbeat of a worker with one task, under a fencing token.
 func (f *follower) heartbeat(requestID, fencingToken uint64) []Answer {
-	body := kv.Encode(&wire.Heartbeat{Machine: "n-000001", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: fencingToken,
-		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}}})
+	body := kv.Encode(&wire.Heartbeat{
+		Machine: "n-000001", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: fencingToken,
+		Tasks: []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, State: wire.TaskRunning}},
+	})
 	return f.step(Request{ID: requestID, Method: "POST", Path: "/checkin", Body: body})
 }
 
