--- /dev/null
+++ b/internal/eventqueue/eventqueue.go
@@ -0,0 +1,66 @@
+// Package eventqueue keeps the events of a discrete-event simulation in the order of their
+// times. It keeps no clock and uses no randomness, so that a simulation is reproducible.
+package eventqueue
+
+import (
+	"container/heap"
+	"time"
+)
+
+// An Event is a function that is due at a time of the simulation.
+type Event struct {
+	At  time.Duration
+	Run func()
+	// sequence orders events of the same time as they were added.
+	sequence int
+}
+
+// A Queue holds events. Its zero value is empty and ready to use.
+type Queue struct {
+	events eventHeap
+	added  int
+}
+
+// Add adds an event.
+func (q *Queue) Add(at time.Duration, run func()) {
+	q.added++
+	heap.Push(&q.events, Event{At: at, Run: run, sequence: q.added})
+}
+
+// NextTime returns the time of the first event; false if there is none.
+func (q *Queue) NextTime() (time.Duration, bool) {
+	if len(q.events) == 0 {
+		return 0, false
+	}
+	return q.events[0].At, true
+}
+
+// TakeUntil removes and returns the first event if it is due by a time; false if there is none.
+func (q *Queue) TakeUntil(until time.Duration) (Event, bool) {
+	if at, ok := q.NextTime(); !ok || at > until {
+		return Event{}, false
+	}
+	return heap.Pop(&q.events).(Event), true
+}
+
+// eventHeap implements heap.Interface.
+type eventHeap []Event
+
+func (h eventHeap) Len() int      { return len(h) }
+func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+
+func (h eventHeap) Less(i, j int) bool {
+	if h[i].At != h[j].At {
+		return h[i].At < h[j].At
+	}
+	return h[i].sequence < h[j].sequence
+}
+
+func (h *eventHeap) Push(x any) { *h = append(*h, x.(Event)) }
+
+func (h *eventHeap) Pop() any {
+	last := len(*h) - 1
+	event := (*h)[last]
+	*h = (*h)[:last]
+	return event
+}
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -86,9 +86,6 @@
 	}
 }
 
-// amountTolerance makes up for the rounding of sums.
-const amountTolerance = 1e-6
-
 // exceedsLimit tells whether amounts are more than a team may use.
 func (c *checker) exceedsLimit(name string, gpus, cpus float64) bool {
 	for _, team := range c.world.settings.Deployment.Teams {
--- /dev/null
+++ b/internal/sim/controller.go
@@ -0,0 +1,295 @@
+package sim
+
+import (
+	"time"
+
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/cloud"
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/brookwalk/brookwalk/internal/store"
+)
+
+// controller stands in for the process of a controller around its core.
+type controller struct {
+	world *World
+	index int
+	name  string
+	alive bool
+	// incarnation counts starts and crashes: a callback of an earlier one is dropped.
+	incarnation int
+
+	// process, if set, is a real process of a controller. The fields below are not used then.
+	process Process
+
+	core            stepper
+	startedAt       time.Duration
+	pendingRequests map[uint64]func(core.Answer)
+	lastRequestID   uint64
+	storeRate       *store.RateLimiter
+	cloudRate       *cloud.RateLimiter
+
+	pausedAt    time.Duration
+	pausedUntil time.Duration
+	heldInputs  []core.Input // that came during the pause
+}
+
+// settings are those of the deployment with the controller's own name, zone and peers.
+func (c *controller) settings() *config.Settings {
+	s := *c.world.settings
+	s.Name, s.Zone = c.name, c.world.zoneOf(c.name)
+	s.Peers = nil
+	for _, other := range c.world.controllers {
+		if other != c {
+			s.Peers = append(s.Peers, config.Peer{Name: other.name, Zone: c.world.zoneOf(other.name)})
+		}
+	}
+	return &s
+}
+
+// start starts the process, without any state of an earlier one.
+func (c *controller) start() {
+	c.alive = true
+	c.incarnation++
+	c.startedAt = c.world.now
+	if c.process != nil {
+		c.process.Start()
+		return
+	}
+	c.pendingRequests = map[uint64]func(core.Answer){}
+	c.pausedUntil, c.heldInputs = 0, nil
+	c.storeRate, c.cloudRate = store.NewRateLimiter(c.world.settings), cloud.NewRateLimiter(c.world.settings)
+	incarnation := uint64(c.index+1)<<32 + uint64(c.incarnation)
+	if c.world.newCore != nil {
+		c.core = c.world.newCore(c, incarnation)
+	} else {
+		c.core = core.New(c.settings(), nil, incarnation, c.world.log.With("controller", c.name))
+	}
+	c.tick(c.incarnation)
+}
+
+// crash ends the process without notice and starts it again after a while.
+func (c *controller) crash(restartAfter time.Duration) {
+	c.alive = false
+	c.incarnation++
+	if c.process != nil {
+		c.process.Kill()
+	}
+	incarnation := c.incarnation
+	c.world.after(restartAfter, func() {
+		if !c.alive && c.incarnation == incarnation {
+			c.start()
+		}
+	})
+}
+
+// tickInterval is the time between two ticks of a core.
+const tickInterval = 75 * time.Millisecond
+
+func (c *controller) tick(incarnation int) {
+	if !c.alive || c.incarnation != incarnation {
+		return
+	}
+	if c.world.now >= c.pausedUntil {
+		c.step(core.Tick{})
+	}
+	c.world.after(tickInterval, func() { c.tick(incarnation) })
+}
+
+// pause pauses the process. Inputs that come meanwhile are handled when it goes on.
+func (c *controller) pause(duration time.Duration) {
+	c.pausedAt, c.pausedUntil = c.world.now, c.world.now+duration
+	incarnation := c.incarnation
+	c.world.after(duration, func() {
+		if c.incarnation != incarnation || c.world.now < c.pausedUntil {
+			return
+		}
+		held := c.heldInputs
+		c.heldInputs = nil
+		for _, in := range held {
+			c.step(in)
+		}
+	})
+}
+
+// clockDrift is by which part the monotonic clock of each controller runs faster than that of
+// the one before; the protocol allows it.
+const clockDrift = 4000
+
+// step hands an input to the core and carries out what it asks for.
+func (c *controller) step(in core.Input) {
+	if c.world.now < c.pausedUntil {
+		c.heldInputs = append(c.heldInputs, in)
+		return
+	}
+	now := c.world.now - c.startedAt + time.Millisecond
+	now += now * time.Duration(c.index) / clockDrift
+	out := c.core.Step(now, c.world.wallClock(), in)
+	if c.world.mutate != nil {
+		c.world.mutate(c, &out)
+	}
+	for _, answer := range out.Answers {
+		if done := c.pendingRequests[answer.ID]; done != nil {
+			delete(c.pendingRequests, answer.ID)
+			done(answer)
+		}
+	}
+	for _, send := range out.PeerSends {
+		c.sendToPeer(send)
+	}
+	for _, send := range out.RegionSends {
+		if c.world.sendToRegion != nil {
+			c.world.sendToRegion(c, send)
+		}
+	}
+	for _, call := range out.Calls {
+		c.call(call)
+	}
+}
+
+func (c *controller) sendToPeer(send core.Send) {
+	c.world.deliver(c.name, send.To, func() {
+		for _, other := range c.world.controllers {
+			if other.name == send.To && other.alive {
+				other.step(core.PeerInput{Message: send.Message})
+			}
+		}
+	})
+}
+
+// request sends an HTTP request to the controller. done gets the answer, or status 0 after the
+// timeout.
+func (c *controller) request(from, method, path string, body []byte, timeout time.Duration, done func(status int, body []byte)) {
+	c.requestAnswer(from, method, path, body, timeout, func(a core.Answer) { done(a.Status, a.Body) })
+}
+
+// requestAnswer is request for those who need more of the answer than status and body.
+func (c *controller) requestAnswer(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
+	if c.process != nil {
+		c.process.Ask(from, method, path, body, timeout, done)
+		return
+	}
+	finished := false
+	finish := func(a core.Answer) {
+		if !finished {
+			finished = true
+			done(a)
+		}
+	}
+	c.world.after(timeout, func() { finish(core.Answer{}) })
+	c.world.deliver(from, c.name, func() {
+		if !c.alive {
+			// The connection is refused, which the caller learns soon.
+			c.world.deliver(c.name, from, func() { finish(core.Answer{}) })
+			return
+		}
+		c.lastRequestID++
+		c.pendingRequests[c.lastRequestID] = func(a core.Answer) {
+			c.world.deliver(c.name, from, func() { finish(a) })
+		}
+		c.step(core.Request{ID: c.lastRequestID, Method: method, Path: path, Body: body})
+	})
+}
+
+// pendingCall is a call of a core to another service.
+type pendingCall struct {
+	core.Call
+	controller  *controller
+	incarnation int // of the controller at the time of the call
+	deadline    time.Duration
+	finished    bool
+}
+
+// call carries out a call of the core. The core gets one result: the answer, or an empty one
+// after the timeout.
+func (c *controller) call(call core.Call) {
+	p := &pendingCall{Call: call, controller: c, incarnation: c.incarnation, deadline: c.world.now + call.Timeout}
+	c.world.after(call.Timeout, func() { p.finish(core.Result{}) })
+	switch call.Destination {
+	case core.DestinationStore:
+		p.callStore()
+	case core.DestinationCloud:
+		p.callCloud()
+	case core.DestinationWorker:
+		p.callWorker()
+	}
+}
+
+// finish hands the result to the core, unless it has one or its process has ended.
+func (p *pendingCall) finish(result core.Result) {
+	c := p.controller
+	if p.finished || !c.alive || c.incarnation != p.incarnation {
+		return
+	}
+	p.finished = true
+	result.ID = p.ID
+	c.step(result)
+}
+
+// finishThrottled reports that the call was not sent, since it would exceed a rate limit.
+func (p *pendingCall) finishThrottled() {
+	p.controller.world.after(0, func() { p.finish(core.Result{Status: httpstatus.TooManyRequests, NotSent: true}) })
+}
+
+// replyFrom returns what carries an answer from an endpoint back.
+func (p *pendingCall) replyFrom(endpoint string) func(status int, body []byte) {
+	return func(status int, body []byte) {
+		p.controller.world.deliver(endpoint, p.controller.name, func() { p.finish(core.Result{Status: status, Body: body}) })
+	}
+}
+
+func (p *pendingCall) callCloud() {
+	world := p.controller.world
+	wait, ok := p.controller.cloudRate.Reserve(world.wallClock(), &p.Call)
+	if !ok {
+		p.finishThrottled()
+		return
+	}
+	world.after(wait, func() {
+		world.deliver(p.controller.name, cloudEndpoint, func() {
+			world.cloud.handle(p.Method, p.Path, p.Body, p.replyFrom(cloudEndpoint))
+		})
+	})
+}
+
+func (p *pendingCall) callWorker() {
+	world := p.controller.world
+	m := world.cloud.byAddress[p.Addr]
+	if m == nil {
+		return
+	}
+	world.deliver(p.controller.name, m.name, func() { m.handleDirect(p.Method, p.Path, p.Body, p.replyFrom(m.name)) })
+}
+
+// callStore calls the key-value store as package store's client does: at the rate of its
+// limits, and again while the store throttles the call.
+func (p *pendingCall) callStore() {
+	world := p.controller.world
+	if p.Watch {
+		world.deliver(p.controller.name, storeEndpoint, func() { p.handleAtStore(p.replyFrom(storeEndpoint)) })
+		return
+	}
+	wait, ok := p.controller.storeRate.Reserve(world.wallClock(), &p.Call, p.deadline-world.now)
+	if !ok {
+		p.finishThrottled()
+		return
+	}
+	world.after(wait, func() {
+		world.deliver(p.controller.name, storeEndpoint, func() {
+			world.store.withLatency(func() { p.handleAtStore(p.retryIfThrottled) })
+		})
+	})
+}
+
+func (p *pendingCall) handleAtStore(reply func(status int, body []byte)) {
+	p.controller.world.store.handle(p.controller.name, p.Method, p.Path, p.Body, reply)
+}
+
+func (p *pendingCall) retryIfThrottled(status int, body []byte) {
+	world := p.controller.world
+	if status == httpstatus.TooManyRequests && p.deadline-world.now >= store.MinTimeToRetry {
+		world.after(store.RetryDelay, p.callStore)
+		return
+	}
+	p.replyFrom(storeEndpoint)(status, body)
+}
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"log/slog"
-	"math"
 	"net/url"
 	"strings"
 	"sync"
@@ -11,6 +10,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/brookwalk/brookwalk/internal/eventqueue"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -77,13 +77,10 @@
 	startedAt time.Time
 }
 
-// never is a time that no run reaches.
-const never = time.Duration(math.MaxInt64)
-
 // NewLive makes a live world. Its time begins with Run.
 func NewLive(c LiveConfig) *Live {
 	world := newWorld(c.Settings, c.Seed, c.Log)
-	world.queue = nil // the controllers are processes
+	world.events = eventqueue.Queue{} // without the starts of simulated controllers
 	world.faultsEnd = never
 	world.observer = c.Observer
 	world.usageChanged = c.UsageChanged
@@ -166,7 +163,9 @@
 // Submit has a user submit a job and ask for it until it is over. It is called with
 // the world locked, as are the methods below.
 func (l *Live) Submit(j LiveJob) {
-	l.world.users.submit(&groundTruth{Job: j.Job, runS: j.RunS, doneTasks: map[int]bool{}, savedProgress: map[int]float64{}}, submitAtOnce)
+	truth := newGroundTruth(j.Job)
+	truth.runS = j.RunS
+	l.world.users.submit(truth, submitAtOnce)
 }
 
 // Cancel has a job's user cancel it.
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -157,7 +157,7 @@
 	tell := func(id string, status wire.JobState, faults int) {
 		t.Helper()
 		body, _ := json.Marshal(wire.JobStatus{ID: id, Status: status})
-		world.users.recordStatus(world.users.jobs[id], body)
+		world.users.recordStatus(world.users.jobs[id], body, world.now)
 		if len(world.checker.violations) != faults {
 			t.Errorf("%s %s: %d faults, want %d: %v", id, status, len(world.checker.violations), faults, world.checker.violations)
 		}
--- a/internal/sim/regions_test.go
+++ b/internal/sim/regions_test.go
@@ -84,20 +84,25 @@
 	return regions
 }
 
+// nextEvent returns the world with the first event, and the event's time; nil if there is none.
+func (g *regionWorlds) nextEvent() (next *World, first time.Duration) {
+	for _, world := range g.worlds {
+		if at, ok := world.events.NextTime(); ok && (next == nil || at < first) {
+			next, first = world, at
+		}
+	}
+	return next, first
+}
+
 // run plays all worlds in the order of their events.
 func (g *regionWorlds) run(until time.Duration) {
 	for {
-		var next *World
-		for _, world := range g.worlds {
-			if len(world.queue) > 0 && (next == nil || world.queue[0].at < next.queue[0].at) {
-				next = world
-			}
-		}
-		if next == nil || next.queue[0].at > until {
+		next, at := g.nextEvent()
+		if next == nil || at > until {
 			break
 		}
-		g.now = next.queue[0].at
-		next.run(g.now)
+		g.now = at
+		next.run(at)
 	}
 	g.now = until
 	for _, world := range g.worlds {
@@ -180,7 +185,9 @@
 	j.ID = fmt.Sprintf("job-%06d", g.jobCount)
 	j.Class, j.Image, j.ImageGB, j.CPUs, j.MemGB, j.EstimatedRunS = "web", "img", 0.1, 1, 1, runS
 	world := g.world(region)
-	world.users.submit(&groundTruth{Job: j, runS: runS, doneTasks: map[int]bool{}, savedProgress: map[int]float64{}}, submitAtOnce)
+	truth := newGroundTruth(j)
+	truth.runS = runS
+	world.users.submit(truth, submitAtOnce)
 	return j.ID
 }
 
--- a/internal/sim/scenario_actions.go
+++ b/internal/sim/scenario_actions.go
@@ -2,273 +2,223 @@
 
 import (
 	"fmt"
-	"strings"
 	"time"
-
-	"github.com/brookwalk/brookwalk/wire"
 )
 
-// controllersNamed names controllers: a name, "leader", "follower" or "all".
-func (w *World) controllersNamed(what string) []*controller {
-	lead := w.leader()
-	switch what {
-	case "all":
-		return w.controllers
-	case "leader":
-		if lead == nil {
-			return w.controllers[:1]
-		}
-		return []*controller{lead}
-	case "follower":
-		for _, candidate := range w.controllers {
-			if candidate != lead {
-				return []*controller{candidate}
-			}
-		}
-	}
-	for _, candidate := range w.controllers {
-		if candidate.name == what {
-			return []*controller{candidate}
-		}
-	}
-	panic("no such node: " + what)
-}
-
-// endpointName turns the names of a scenario into those of the network.
-func (w *World) endpointName(what string) string {
-	switch what {
-	case "leader", "follower":
-		return w.controllersNamed(what)[0].name
-	case "busy":
-		if m := w.busiestMachine(); m != nil {
-			return m.name
-		}
-	}
-	return what
-}
-
-// busiestMachine is the machine with the most tasks.
-func (w *World) busiestMachine() *machine {
-	var best *machine
-	n := -1
-	for _, name := range w.cloud.machineNames() {
-		m := w.cloud.machines[name]
-		on := 0
-		for _, t := range m.tasks {
-			if t.state != wire.TaskExited {
-				on++
-			}
-		}
-		if !m.removed && on > n {
-			best, n = m, on
-		}
-	}
-	return best
-}
-
-func (w *World) machineNamed(what string) *machine {
-	if what == "busy" {
-		return w.busiestMachine()
-	}
-	if m := w.cloud.machines[what]; m != nil {
-		return m
+// actions are what the words of timed lines do.
+var actions map[string]func(w *World, line scenarioLine)
+
+func init() {
+	actions = map[string]func(w *World, line scenarioLine){
+		// Requests of users.
+		"submit":        (*World).submitJob,
+		"cancel":        func(w *World, line scenarioLine) { w.users.cancel(line.arg(0)) },
+		"cancel_now":    (*World).cancelRunning,
+		"cancel_at_end": (*World).cancelAtEnd,
+		"odd_requests":  func(w *World, line scenarioLine) { w.users.sendInvalidRequests(w.now + line.duration()) },
+		"poll_storm":    (*World).startPollStorm,
+
+		// Faults of controllers and the network.
+		"crash":   (*World).crashControllers,
+		"pause":   (*World).pauseControllers,
+		"cut":     (*World).cutConnections,
+		"isolate": (*World).isolateControllers,
+
+		// Faults of the key-value store and the cloud.
+		"outage":      (*World).beginOutage,
+		"slow":        (*World).slowStore,
+		"refuse":      (*World).refuseController,
+		"late_writes": (*World).delayCommits,
+		"limits":      func(w *World, line scenarioLine) { w.store.reduceLimits(line.storeLimits(w.settings.Deployment.Store)) },
+		"noboot":      func(w *World, line scenarioLine) { w.cloud.failedBoots = line.bootFault(w.now + line.duration()) },
+		"lateboot":    func(w *World, line scenarioLine) { w.cloud.delayedBoots = line.bootFault(w.now + line.duration()) },
+
+		// Faults of machines and their heartbeats.
+		"kill":         machineFault((*machine).kill),
+		"take":         machineFault((*machine).preempt),
+		"hang":         machineFault((*machine).hang),
+		"faulty":       machineFault((*machine).failTasks),
+		"deaf":         machineFault((*machine).blockInbound),
+		"mute":         machineFault((*machine).blockOutbound),
+		"late_reports": (*World).duplicateSomeHeartbeats,
+		"copies":       (*World).duplicateAllHeartbeats,
 	}
-	panic("no such machine: " + what)
 }
 
-// injectMachineFault has a trouble befall a machine.
-func (w *World) injectMachineFault(what string, machine *machine, duration time.Duration) {
-	switch what {
-	case "kill": // gone without notice
-		w.cloud.removeMachine(machine.name)
-	case "take": // the cloud takes it back after a notice
-		machine.preemptionAt = w.now + duration
-		machine.statusChanged = true
-		w.after(duration, func() { w.cloud.removeMachine(machine.name) })
-	case "hang":
-		machine.hangUntil = w.now + duration
-	case "faulty":
-		machine.faulty = true
-	case "deaf": // its reports arrive, answers and commands don't reach it
-		w.partitions = append(w.partitions, &partition{"nodes", machine.name, w.now + duration, false})
-	case "mute": // it reaches no controller, direct commands reach it
-		machine.outboundBlockedUntil = w.now + duration
-	}
-}
-
-// selectMachines names the machines of a trouble: one, or of all that are up
-// ("some") or of those in a zone ("zone:Z") a count or a share: a tenth of all
-// and the whole of a zone unless said.
-func (w *World) selectMachines(line scenarioLine) []*machine {
-	zone, inZone := strings.CutPrefix(line.arg(0), "zone:")
-	if line.arg(0) != "some" && !inZone {
-		return []*machine{w.machineNamed(line.arg(0))}
-	}
-	var up []*machine
-	for _, name := range w.cloud.machineNames() {
-		if m := w.cloud.machines[name]; !m.removed && m.upAt <= w.now && (!inZone || m.zone == zone) {
-			up = append(up, m)
-		}
-	}
-	w.rng.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
-	share := 0.1
-	if inZone {
-		share = 1
+// perform carries out the action of a line.
+func (w *World) perform(line scenarioLine) {
+	if line.hasFlag(busyTarget) && w.busiestMachine() == nil {
+		return // no machine is up
 	}
-	n := int(line.number("share", share) * float64(len(up)))
-	if line.options["count"] != "" {
-		n = min(len(up), int(line.number("count", 0)))
+	w.debugf("action %s %v", line.word, line.args)
+	action := actions[line.word]
+	if action == nil {
+		panic(fmt.Sprintf("line %d: unknown action %q", line.lineNumber, line.word))
 	}
-	return up[:n]
+	action(w, line)
 }
 
-// longestBootSeconds is about the longest time, in seconds, that a machine of a scenario
-// usually takes to boot.
-const longestBootSeconds = 60
+// longestBootS is about the longest time in seconds that a machine of a scenario usually takes
+// to boot.
+const longestBootS = 60
 
-// faultDuration tells how long after it began the trouble of a line may be felt;
-// false for what is none.
+// faultDuration is for how long after its beginning the fault of a line may have effects; false
+// if the line is none.
 func (l *scenarioLine) faultDuration(lease time.Duration) (time.Duration, bool) {
-	duration := seconds(l.number("for", 10))
+	duration := l.duration()
 	switch l.word {
 	case "submit", "cancel":
 		return 0, false
 	case "late_writes":
-		duration += 12 * time.Second
+		duration += minCommitDelay + commitDelayRange
 	case "late_reports":
-		duration += 2*time.Second + lease + lease/2
+		duration += minDuplicateDelay + lease + lease/2
 	case "copies":
-		duration += seconds(l.number("delay", 15))
+		duration += l.duplicateDelay()
 	case "cancel_now":
 		duration = seconds(l.number("hang", 0))
 	case "lateboot":
-		duration += seconds(longestBootSeconds * l.number("factor", 3))
+		duration += seconds(longestBootS * l.number("factor", defaultBootFactor))
 	}
 	return duration, true
 }
 
-// perform brings about what a line says.
-func (w *World) perform(line scenarioLine) {
-	if line.hasFlag("busy") && w.busiestMachine() == nil {
-		return // no machine is up to suffer it
+func (w *World) submitJob(line scenarioLine) {
+	when := submitWhenAccepted
+	if line.hasFlag("early") {
+		when = submitAtOnce
+	} else if line.hasFlag("after") {
+		when = submitWhenFinished
 	}
-	d := seconds(line.number("for", 10))
-	w.debugf("act %s %v", line.word, line.args)
-	if !w.performUserAction(line, d) && !w.injectControllerFault(line, d) && !w.injectServiceFault(line, d) && !w.injectMachineFaults(line, d) {
-		panic(fmt.Sprintf("line %d: unknown act %q", line.lineNumber, line.word))
+	w.users.submit(line.job(), when)
+}
+
+func (w *World) cancelRunning(line scenarioLine) {
+	w.users.cancelRunningJobs(int(line.number("count", 1)), seconds(line.number("hang", 0)))
+}
+
+func (w *World) cancelAtEnd(line scenarioLine) {
+	w.cancellationsAtEnd = randomFault{line.number("share", 0.5), w.now + line.duration()}
+}
+
+func (w *World) startPollStorm(line scenarioLine) {
+	w.users.pollStormUntil = w.now + line.duration()
+	w.users.pollStormFactor = line.number("factor", 8)
+}
+
+func (w *World) crashControllers(line scenarioLine) {
+	for _, c := range w.controllersNamed(line.arg(0)) {
+		c.crash(seconds(line.number("for", 3)))
 	}
 }
 
-// performUserAction has users do something; false if the line is of another kind.
-func (w *World) performUserAction(line scenarioLine, duration time.Duration) bool {
-	switch line.word {
-	case "submit":
-		when := submitWhenAccepted
-		if line.hasFlag("early") {
-			when = submitAtOnce
-		} else if line.hasFlag("after") {
-			when = submitWhenFinished
-		}
-		w.users.submit(w.parseJob(line), when)
-	case "cancel":
-		w.users.cancel(line.arg(0))
-	case "cancel_now":
-		w.users.cancelRunningJobs(int(line.number("count", 1)), seconds(line.number("hang", 0)))
-	case "cancel_at_end":
-		w.cancellationsAtEnd = randomFault{line.number("share", 0.5), w.now + duration}
-	case "odd_requests":
-		w.users.sendInvalidRequests(w.now + duration)
-	case "poll_storm":
-		w.users.pollStorm, w.users.pollStormFactor = randomFault{1, w.now + duration}, line.number("factor", 8)
-	default:
-		return false
+func (w *World) pauseControllers(line scenarioLine) {
+	for _, c := range w.controllersNamed(line.arg(0)) {
+		c.pause(line.duration())
+	}
+	if line.arg(0) == "all" {
+		w.pauses = append(w.pauses, interval{w.now, w.now + line.duration()})
 	}
-	return true
 }
 
-// injectControllerFault ends controllers or cuts connections; false if the line is of
-// another kind.
-func (w *World) injectControllerFault(line scenarioLine, duration time.Duration) bool {
-	switch line.word {
-	case "crash":
-		for _, controller := range w.controllersNamed(line.arg(0)) {
-			controller.crash(seconds(line.number("for", 3)))
-		}
-	case "cut": // both ways, or only the first to the second
-		a, b := w.endpointName(line.arg(0)), w.endpointName(line.arg(1))
-		w.partitions = append(w.partitions, &partition{a, b, w.now + duration, line.hasFlag("hold")})
-		if !line.hasFlag("oneway") {
-			w.partitions = append(w.partitions, &partition{b, a, w.now + duration, line.hasFlag("hold")})
-		}
-	case "pause": // a controller stands still and goes on as if nothing had been
-		for _, controller := range w.controllersNamed(line.arg(0)) {
-			controller.pause(duration)
-		}
-		if line.arg(0) == "all" {
-			w.pauses = append(w.pauses, interval{w.now, w.now + duration})
-		}
-	case "isolate": // a controller loses state service and peers, both ways
-		for _, controller := range w.controllersNamed(line.arg(0)) {
-			for _, other := range []string{"state", "nodes"} {
-				w.partitions = append(w.partitions, &partition{controller.name, other, w.now + duration, false}, &partition{other, controller.name, w.now + duration, false})
-			}
-		}
-	default:
-		return false
+// cutConnections blocks messages between two targets, or from the first to the second only.
+func (w *World) cutConnections(line scenarioLine) {
+	from, to := w.endpointName(line.arg(0)), w.endpointName(line.arg(1))
+	if line.hasFlag("oneway") {
+		w.partition(from, to, line.duration(), line.hasFlag("hold"))
+		return
 	}
-	return true
+	w.partitionBothWays(from, to, line.duration(), line.hasFlag("hold"))
 }
 
-// injectServiceFault troubles the state service or the cloud; false if the line is of
-// another kind.
-func (w *World) injectServiceFault(line scenarioLine, duration time.Duration) bool {
-	switch line.word {
-	case "outage":
-		if line.arg(0) == "state" {
-			w.store.beginOutage(duration)
-		} else {
-			w.cloud.outageUntil = w.now + duration
-		}
-	case "slow": // the state service takes its time over every request but watches
-		w.store.latency, w.store.slowUntil = seconds(line.number("by", 0.3)), w.now+duration
-	case "refuse": // the state service refuses one controller
-		w.store.refusedUntil[w.endpointName(line.arg(0))] = w.now + duration
-	case "late_writes": // transactions without an answer, carried out late
-		w.store.delayedCommits = randomFault{line.number("share", 0.1), w.now + duration}
-	case "limits": // the state service has lower limits from now on
-		w.store.reduceLimits(line.storeLimits(w.settings.Deployment.Store))
-	case "noboot":
-		w.cloud.failedBoots = line.bootFault(w.now + duration)
-	case "lateboot":
-		w.cloud.delayedBoots = line.bootFault(w.now + duration)
-	default:
-		return false
+// isolateControllers cuts controllers off from the key-value store and their peers.
+func (w *World) isolateControllers(line scenarioLine) {
+	for _, c := range w.controllersNamed(line.arg(0)) {
+		w.partitionBothWays(c.name, storeEndpoint, line.duration(), false)
+		w.partitionBothWays(c.name, controllersPattern, line.duration(), false)
 	}
-	return true
 }
 
-// bootFault is the trouble that the line describes, until a time.
+func (w *World) beginOutage(line scenarioLine) {
+	if line.arg(0) == storeEndpoint {
+		w.store.beginOutage(line.duration())
+		return
+	}
+	w.cloud.outageUntil = w.now + line.duration()
+}
+
+// slowStore delays every request to the key-value store but watches.
+func (w *World) slowStore(line scenarioLine) {
+	w.store.latency, w.store.slowUntil = seconds(line.number("by", 0.3)), w.now+line.duration()
+}
+
+// refuseController makes the key-value store refuse the requests of one controller.
+func (w *World) refuseController(line scenarioLine) {
+	w.store.refusedUntil[w.endpointName(line.arg(0))] = w.now + line.duration()
+}
+
+// delayCommits leaves a share of transactions unanswered and carries them out later.
+func (w *World) delayCommits(line scenarioLine) {
+	w.store.delayedCommits = randomFault{line.number("share", 0.1), w.now + line.duration()}
+}
+
+// defaultBootFactor is how many times as long a machine takes to boot while boots are delayed.
+const defaultBootFactor = 3
+
+// bootFault is the fault of boots that the line describes, until a time.
 func (l *scenarioLine) bootFault(until time.Duration) bootFault {
-	return bootFault{randomFault: randomFault{l.number("share", 1), until}, machineType: l.options["type"], zone: l.options["zone"], factor: l.number("factor", 3)}
+	return bootFault{randomFault: randomFault{l.number("share", 1), until}, machineType: l.options["type"], zone: l.options["zone"],
+		factor: l.number("factor", defaultBootFactor)}
 }
 
-// injectMachineFaults troubles machines or their reports; false if the line is of another
-// kind.
-func (w *World) injectMachineFaults(line scenarioLine, duration time.Duration) bool {
-	switch line.word {
-	case "kill", "take", "hang", "faulty", "deaf", "mute":
+// machineFault makes an action of a fault that affects the machines that a line means.
+func machineFault(inject func(m *machine, duration time.Duration)) func(*World, scenarioLine) {
+	return func(w *World, line scenarioLine) {
 		for _, m := range w.selectMachines(line) {
-			w.injectMachineFault(line.word, m, duration)
-		}
-	case "late_reports": // copies of reports that come again
-		w.duplicateHeartbeats = randomFault{line.number("share", 0.1), w.now + duration}
-	case "copies": // late copies of a machine's reports
-		for _, name := range w.cloud.machineNames() {
-			m := w.cloud.machines[name]
-			m.duplicateUntil, m.duplicateDelay = w.now+duration, seconds(line.number("delay", 15))
+			inject(m, line.duration())
 		}
-	default:
-		return false
 	}
-	return true
 }
+
+// kill ends the machine without notice.
+func (m *machine) kill(time.Duration) { m.world.cloud.removeMachine(m.name) }
+
+// preempt gives a preemption notice and takes the machine back when it ends.
+func (m *machine) preempt(notice time.Duration) {
+	m.preemptionAt = m.world.now + notice
+	m.statusChanged = true
+	m.world.after(notice, func() { m.world.cloud.removeMachine(m.name) })
+}
+
+// hang pauses the worker and its tasks' progress in its eyes; its lease goes on.
+func (m *machine) hang(duration time.Duration) { m.hangUntil = m.world.now + duration }
+
+// failTasks makes every task exit with an error, for good.
+func (m *machine) failTasks(time.Duration) { m.faulty = true }
+
+// blockInbound is an asymmetric partition: heartbeats arrive, answers and direct commands do
+// not reach the worker.
+func (m *machine) blockInbound(duration time.Duration) {
+	m.world.partition(controllersPattern, m.name, duration, false)
+}
+
+// blockOutbound is an asymmetric partition: the worker reaches no controller, direct commands
+// reach the worker.
+func (m *machine) blockOutbound(duration time.Duration) {
+	m.outboundBlockedUntil = m.world.now + duration
+}
+
+// duplicateSomeHeartbeats sends a share of heartbeats a second time, after a random delay.
+func (w *World) duplicateSomeHeartbeats(line scenarioLine) {
+	w.duplicateHeartbeats = randomFault{line.number("share", 0.1), w.now + line.duration()}
+}
+
+// duplicateAllHeartbeats sends all heartbeats of the present machines a second time, after a
+// fixed delay.
+func (w *World) duplicateAllHeartbeats(line scenarioLine) {
+	for _, m := range w.cloud.machines {
+		m.duplicateUntil, m.duplicateDelay = w.now+line.duration(), line.duplicateDelay()
+	}
+}
+
+func (l *scenarioLine) duplicateDelay() time.Duration { return seconds(l.number("delay", 15)) }
--- a/internal/sim/starvation.go
+++ b/internal/sim/starvation.go
@@ -20,7 +20,7 @@
 	for _, name := range c.world.cloud.machineNames() {
 		machine := c.world.cloud.machines[name]
 		if c.isServing(machine) {
-			snapshot.free = append(snapshot.free, c.freeCapacityOf(machine))
+			snapshot.free = append(snapshot.free, c.world.cloud.freeCapacityOf(machine))
 		}
 		for _, task := range machine.tasks {
 			if task.state == wire.TaskExited {
@@ -161,7 +161,7 @@
 // roomBesideOthers is how many tasks of a job a machine has room for, given how many of
 // them each zone holds.
 func (c *checker) roomBesideOthers(f *freeCapacity, truth *groundTruth, zones map[string]int) int {
-	machine, n := f.machine, f.roomFor(truth)
+	machine, n := f.machine, f.tasksThatFit(truth)
 	if n == 0 {
 		return 0
 	}
@@ -192,37 +192,6 @@
 	return all
 }
 
-// freeCapacity is what is free on a machine that serves.
-type freeCapacity struct {
-	machine            *machine
-	cpus, gpus, memory float64
-}
-
-func (c *checker) freeCapacityOf(m *machine) freeCapacity {
-	typ := c.world.cloud.machineType(m.machineType)
-	f := freeCapacity{m, typ.CPUs, typ.GPUs, typ.MemGB}
-	for _, other := range m.sortedTasks() {
-		if other.state != wire.TaskExited {
-			f.cpus, f.gpus, f.memory = f.cpus-other.job.CPUs, f.gpus-other.job.GPUs, f.memory-other.job.MemGB
-		}
-	}
-	return f
-}
-
-// roomFor is how many tasks of the job the machine has room for.
-func (f *freeCapacity) roomFor(truth *groundTruth) int {
-	n := truth.Tasks
-	for _, r := range [][2]float64{{f.cpus, truth.CPUs}, {f.gpus, truth.GPUs}, {f.memory, truth.MemGB}} {
-		if r[1] > 0 {
-			n = min(n, int((r[0]+amountTolerance)/r[1]))
-		}
-	}
-	if n <= 0 || !truth.eligibleOn(f.machine) {
-		return 0
-	}
-	return n
-}
-
 // isServing tells whether a machine is up and well, and heard by the controllers.
 func (c *checker) isServing(m *machine) bool {
 	now := c.world.now
