--- a/internal/sim/checker_test.go
+++ b/internal/sim/checker_test.go
@@ -50,7 +50,7 @@
 			world.jobs[job.ID] = job
 			for i, where := range tc.on {
 				zone, spot := strings.CutSuffix(where, " spot")
-				m := &machine{world: world, name: fmt.Sprintf("n-%06d", i), machineType: typ, zone: zone, spot: spot, tasks: map[string]*task{}}
+				m := &machine{world: world, name: fmt.Sprintf("n-%06d", i), offer: offer{typ, zone, spot}, tasks: map[string]*task{}}
 				world.cloud.machines[m.name] = m
 				x := &task{name: fmt.Sprintf("%s/%d", job.ID, i), job: job, index: i, state: wire.TaskRunning}
 				m.tasks[x.name] = x
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -1,14 +1,15 @@
 package sim
 
 import (
-	"encoding/json"
 	"fmt"
+	"maps"
 	"net/url"
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/budget"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -17,67 +18,67 @@
 type cloudService struct {
 	world         *World
 	types         []wire.MachineType
-	capacity      map[string]int // by type, zone, kind
+	capacity      map[offer]int // machines that can still be rented
 	machines      map[string]*machine
-	sortedCache   []string // of machines, see names
+	sortedCache   []string // see machineNames
 	byAddress     map[string]*machine
-	rentals       map[string][]string
-	rentedTotal   int
-	outageUntil   time.Duration
+	rentals       map[string][]string // machines by the request that rented them
+	rentedTotal   int                 // machines that were ever rented
 	requestBudget *budget.Bucket
-	failedBoots   bootFault // machines that never come up
-	delayedBoots  bootFault // machines that come up late
 
-	workerAddress  func(machine string) string // if not nil, gives a worker\'s address
-	machineRemoved func(machine string)        // if not nil, is told of machines that are gone
+	outageUntil  time.Duration
+	failedBoots  bootFault // machines that never come up
+	delayedBoots bootFault // machines that come up late
+
+	workerAddress  func(machine string) string // if not nil, chooses a worker's address
+	machineRemoved func(machine string)        // if not nil, gets machines that are removed for good
+}
+
+// offer is a kind of machine that the cloud rents.
+type offer struct {
+	machineType, zone string
+	spot              bool
 }
 
-// bootFault befalls machines that are rented while it lasts.
+// bootFault affects machines that are rented while it lasts.
 type bootFault struct {
 	randomFault
 	machineType, zone string  // only machines of these; all if empty
-	factor            float64 // how many times as long a late machine takes
+	factor            float64 // how many times as long a delayed machine takes to boot
 }
 
-// affects tells by chance whether the trouble befalls a machine that is rented now.
-func (b bootFault) affects(m *machine) bool {
-	if b.machineType != "" && b.machineType != m.machineType || b.zone != "" && b.zone != m.zone {
+// affects reports at random whether the fault affects a machine that is rented now.
+func (f bootFault) affects(m *machine) bool {
+	if f.machineType != "" && f.machineType != m.machineType || f.zone != "" && f.zone != m.zone {
 		return false
 	}
-	return b.occurs(m.world)
+	return f.occurs(m.world)
 }
 
 func newCloud(world *World) *cloudService {
-	return &cloudService{world: world, capacity: map[string]int{}, machines: map[string]*machine{}, byAddress: map[string]*machine{}, rentals: map[string][]string{},
-		requestBudget: budget.New(world.settings.Deployment.Cloud.RPS, 2*world.settings.Deployment.Cloud.RPS)}
+	rate := world.settings.Deployment.Cloud.RPS
+	return &cloudService{world: world, capacity: map[offer]int{}, machines: map[string]*machine{},
+		byAddress: map[string]*machine{}, rentals: map[string][]string{}, requestBudget: budget.New(rate, 2*rate)}
 }
 
-func offerKey(typ, zone string, spot bool) string { return fmt.Sprint(typ, "/", zone, "/", spot) }
-
 // rentedMachines is how many machines of a type, or of all if it is empty, are rented now.
-func (c *cloudService) rentedMachines(typ string) int {
-	n := 0
+func (c *cloudService) rentedMachines(machineType string) int {
+	count := 0
 	for _, m := range c.machines {
-		if !m.removed && (typ == "" || typ == m.machineType) {
-			n++
+		if !m.removed && (machineType == "" || machineType == m.machineType) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// machineNames lists all machines that were ever rented, by name. The list is shared:
-// callers leave it as it is.
+// machineNames lists all machines that were ever rented, by name. The list is shared: callers
+// do not change it.
 func (c *cloudService) machineNames() []string {
-	if len(c.sortedCache) == len(c.machines) {
-		return c.sortedCache
-	}
-	names := make([]string, 0, len(c.machines))
-	for n := range c.machines {
-		names = append(names, n)
+	if len(c.sortedCache) != len(c.machines) {
+		c.sortedCache = slices.Sorted(maps.Keys(c.machines))
 	}
-	sort.Strings(names)
-	c.sortedCache = names
-	return names
+	return c.sortedCache
 }
 
 // The most machines that a rental, a return or a page of the list may name.
@@ -87,49 +88,56 @@
 	maxListed         = 500
 )
 
+// cloudLatency is how long the cloud takes over a request.
+const cloudLatency = 100 * time.Millisecond
+
+// cloudError is the body of an answer to a request that the cloud does not carry out.
+type cloudError struct {
+	Error string `json:"error"`
+}
+
 // handle serves a request of a controller.
 func (c *cloudService) handle(method, path string, body []byte, reply func(int, []byte)) {
-	send := func(status int, v any) {
-		b, _ := json.Marshal(v)
-		c.world.after(100*time.Millisecond, func() { reply(status, b) })
+	send := func(status int, message any) {
+		encoded := encode(message)
+		c.world.after(cloudLatency, func() { reply(status, encoded) })
 	}
 	if c.world.now < c.outageUntil {
-		send(503, map[string]string{"error": "trouble"})
+		send(httpstatus.ServiceUnavailable, cloudError{"trouble"})
 		return
 	}
 	if _, ok := c.requestBudget.ReserveAt(c.world.wallClock(), 1, 0); !ok {
-		send(429, struct{}{})
+		send(httpstatus.TooManyRequests, noMessage)
 		return
 	}
 	switch {
 	case path == "/machine_types":
-		send(200, wire.MachineTypes{Types: c.types})
+		send(httpstatus.OK, wire.MachineTypes{Types: c.types})
 	case path == "/machines/return":
 		c.returnMachines(body)
-		send(200, struct{}{})
+		send(httpstatus.OK, noMessage)
 	case method == "POST":
-		var request wire.ProvisionRequest
-		json.Unmarshal(body, &request)
-		if request.Count > maxRentedAtOnce {
-			c.world.checker.addViolation("limits", "a rental of %d machines", request.Count)
-		}
-		c.rentMachines(&request, send)
+		c.rentMachines(body, send)
 	case strings.HasPrefix(path, "/machines"):
-		target, _ := url.Parse(path)
-		send(200, c.listMachines(target.Query()))
+		target, err := url.Parse(path)
+		if err != nil {
+			send(httpstatus.BadRequest, noMessage)
+			return
+		}
+		send(httpstatus.OK, c.listMachines(target.Query()))
 	default:
-		send(400, struct{}{})
+		send(httpstatus.BadRequest, noMessage)
 	}
 }
 
-// returnMachines takes returned machines away.
+// returnMachines takes back the machines that a controller returns.
 func (c *cloudService) returnMachines(body []byte) {
-	var r wire.MachineNames
-	json.Unmarshal(body, &r)
-	if len(r.Machines) > maxReturnedAtOnce {
-		c.world.checker.addViolation("limits", "a return of %d machines", len(r.Machines))
+	var request wire.MachineNames
+	decode(body, &request)
+	if len(request.Machines) > maxReturnedAtOnce {
+		c.world.checker.addViolation("limits", "a return of %d machines", len(request.Machines))
 	}
-	for _, name := range r.Machines {
+	for _, name := range request.Machines {
 		c.removeMachine(name)
 	}
 }
@@ -137,8 +145,8 @@
 // listMachines is a page of the machines as they were a while ago.
 func (c *cloudService) listMachines(query url.Values) wire.MachineList {
 	then := c.world.now - seconds(c.world.settings.Deployment.Cloud.ListLagS)
-	limit, _ := strconv.Atoi(query.Get("limit"))
-	if limit < 1 || limit > maxListed {
+	limit, err := strconv.Atoi(query.Get("limit"))
+	if err != nil || limit < 1 || limit > maxListed {
 		c.world.checker.addViolation("limits", "a list of %d machines", limit)
 	}
 	list := wire.MachineList{Machines: []wire.Machine{}}
@@ -150,68 +158,76 @@
 			list.More = true
 			break
 		}
-		machine := c.machines[name]
-		if machine.rentedAt > then || machine.removed && machine.removedAt <= then {
+		m := c.machines[name]
+		if m.rentedAt > then || m.removed && m.removedAt <= then {
 			continue
 		}
 		status := wire.MachineBooting
-		if machine.upAt <= then {
+		if m.upAt <= then {
 			status = wire.MachineRunning
 		}
-		list.Machines = append(list.Machines, wire.Machine{Name: name, Addr: machine.address, Type: machine.machineType, Zone: machine.zone, Spot: machine.spot,
-			Status: status, AgeS: (then - machine.rentedAt).Seconds()})
+		list.Machines = append(list.Machines, wire.Machine{Name: name, Addr: m.address, Type: m.machineType, Zone: m.zone, Spot: m.spot,
+			Status: status, AgeS: (then - m.rentedAt).Seconds()})
 	}
 	return list
 }
 
-func (c *cloudService) rentMachines(request *wire.ProvisionRequest, send func(int, any)) {
-	if names, ok := c.rentals[request.ID]; ok {
-		send(200, wire.MachineNames{Machines: names})
+// rentMachines rents as many machines as the capacity allows. A repeated request gets the
+// machines of the first one.
+func (c *cloudService) rentMachines(body []byte, send responder) {
+	var request wire.ProvisionRequest
+	decode(body, &request)
+	if request.Count > maxRentedAtOnce {
+		c.world.checker.addViolation("limits", "a rental of %d machines", request.Count)
+	}
+	if names, repeated := c.rentals[request.ID]; repeated {
+		send(httpstatus.OK, wire.MachineNames{Machines: names})
 		return
 	}
-	k := offerKey(request.Type, request.Zone, request.Spot)
-	n := min(request.Count, c.capacity[k])
-	if n == 0 {
-		send(503, map[string]string{"error": "no capacity"})
+	wanted := offer{request.Type, request.Zone, request.Spot}
+	count := min(request.Count, c.capacity[wanted])
+	if count == 0 {
+		send(httpstatus.ServiceUnavailable, cloudError{"no capacity"})
 		return
 	}
-	c.capacity[k] -= n
+	c.capacity[wanted] -= count
 	var names []string
-	for ; n > 0; n-- {
-		m := c.addMachine(request.Type, request.Zone, request.Spot)
+	for range count {
+		m := c.addMachine(wanted)
 		m.boot()
 		names = append(names, m.name)
 	}
 	c.rentals[request.ID] = names
-	send(200, wire.MachineNames{Machines: names})
+	send(httpstatus.OK, wire.MachineNames{Machines: names})
 }
 
 // addMachine adds a machine that is not up yet.
-func (c *cloudService) addMachine(typ, zone string, spot bool) *machine {
+func (c *cloudService) addMachine(kind offer) *machine {
 	c.rentedTotal++
-	m := newMachine(c.world, fmt.Sprintf("n-%06d", c.rentedTotal), typ, zone, spot)
+	m := newMachine(c.world, fmt.Sprintf("%s%06d", machinePrefix, c.rentedTotal), kind)
 	c.machines[m.name] = m
 	c.byAddress[m.address] = m
 	return m
 }
 
-// removeMachine takes a machine away, with all that is on it.
+// removeMachine removes a machine with all that is on it.
 func (c *cloudService) removeMachine(name string) {
-	machine := c.machines[name]
-	if machine == nil || machine.removed {
+	m := c.machines[name]
+	if m == nil || m.removed {
 		return
 	}
-	machine.removed, machine.removedAt = true, c.world.now
-	c.capacity[offerKey(machine.machineType, machine.zone, machine.spot)]++
-	for _, t := range machine.sortedTasks() {
-		machine.terminate(t)
+	m.removed, m.removedAt = true, c.world.now
+	c.capacity[m.offer]++
+	for _, t := range m.sortedTasks() {
+		m.terminate(t)
 	}
-	machine.clearTasks()
+	m.clearTasks()
 	if c.machineRemoved != nil {
 		c.machineRemoved(name)
 	}
 }
 
+// machineType describes a type of machine; nil if there is none of the name.
 func (c *cloudService) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -4,7 +4,6 @@
 	"context"
 	"log/slog"
 	"net/url"
-	"strings"
 	"sync"
 	"time"
 
@@ -14,41 +13,40 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Process is a controller that runs as a process of its own and is reached over
-// the network. Its methods are called with the world locked and do not block.
+// Process is a controller that runs as a process of its own and is reached over the network.
+// Its methods are called with the world locked and do not block.
 type Process interface {
 	// Start starts the process.
 	Start()
 	// Kill ends the process without notice.
 	Kill()
-	// Ask sends a request of a user ("user") or of a worker (its machine's name).
-	// done is called once, by Live.Do, with the answer; its status is 0 if none
-	// came within the timeout.
+	// Ask sends a request of a user ("user") or of a worker (its machine's name). done is
+	// called once, by Live.Do, with the answer; its status is 0 if none came within the
+	// timeout.
 	Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer))
 }
 
-// TaskStart is the begin of a task's run.
+// TaskStart is the beginning of a task's run.
 type TaskStart struct {
 	Class        string
 	Priority     wire.Priority
 	Waited       time.Duration // since the first attempt to submit the job
-	FencingToken uint64        // highest token that the worker has seen
-	At           time.Duration // since the run began
+	FencingToken uint64        // the highest one that the worker has seen
+	At           time.Duration // since the beginning of Live.Run
 	First        bool          // the task has not run before
 }
 
-// Observer is told what happens in a live world, with the world locked.
+// Observer follows a live world. Its methods are called with the world locked.
 type Observer interface {
 	Started(TaskStart)
 }
 
-// Stock is how many machines of an offer the cloud has.
+// Stock is how many machines of a type the cloud has in a zone.
 type Stock struct {
 	Type, Zone string
 	Spot       bool
 	Count      int
-	// Up is how many of them are rented and up from the beginning.
-	Up int
+	Up         int // how many of them are rented and up from the beginning
 }
 
 // LiveConfig describes a live world.
@@ -59,18 +57,19 @@
 	Seed     uint64
 	Observer Observer // may be nil
 	Log      *slog.Logger
-	// WorkerAddress gives the address that a machine's worker listens on.
+	// WorkerAddress chooses the address on which a machine's worker listens.
 	WorkerAddress func(machine string) string
-	// UsageChanged is told, with the world locked, by how many CPUs and GPUs the use of a team
+	// UsageChanged gets, with the world locked, by how many CPUs and GPUs the usage of a team
 	// changes; it may be nil.
 	UsageChanged func(team string, cpus, gpus float64)
-	// MachineRemoved is told of a machine that is gone for good; it may be nil.
+	// MachineRemoved gets, with the world locked, a machine that is removed for good; it may
+	// be nil.
 	MachineRemoved func(machine string)
 }
 
-// Live plays a world by the real clock, around controllers that are processes of
-// their own. The rules are judged as in virtual time; whether a job is left waiting
-// or unanswered is not, since that takes a walk over all machines for every job.
+// Live plays a world by the real clock, around controllers that are processes of their own. Its
+// checker checks the rules as in virtual time, except for those about unanswered users and
+// waiting jobs, whose checks look at all machines for every job.
 type Live struct {
 	mu        sync.Mutex
 	world     *World
@@ -80,18 +79,20 @@
 // NewLive makes a live world. Its time begins with Run.
 func NewLive(c LiveConfig) *Live {
 	world := newWorld(c.Settings, c.Seed, c.Log)
-	world.events = eventqueue.Queue{} // without the starts of simulated controllers
-	world.faultsEnd = never
+	world.events = eventqueue.Queue{} // drops the starts of simulated controllers
+	world.faultsEnd = never           // so that some rules are not checked, see Live
 	world.observer = c.Observer
 	world.usageChanged = c.UsageChanged
 	world.cloud.types = c.Types
 	world.cloud.workerAddress, world.cloud.machineRemoved = c.WorkerAddress, c.MachineRemoved
 	world.after(0, world.store.expireLeases)
-	world.after(time.Second, world.checker.sweep)
-	for _, s := range c.Stock {
-		world.cloud.capacity[offerKey(s.Type, s.Zone, s.Spot)] = s.Count - s.Up
-		for range s.Up {
-			world.cloud.addMachine(s.Type, s.Zone, s.Spot).startWorkerAfter(time.Duration(world.rng.Int64N(int64(seconds(c.Settings.Deployment.Workers.ReportS)))))
+	world.after(sweepInterval, world.checker.sweep)
+	heartbeatInterval := seconds(c.Settings.Deployment.Workers.ReportS)
+	for _, stock := range c.Stock {
+		kind := offer{stock.Type, stock.Zone, stock.Spot}
+		world.cloud.capacity[kind] = stock.Count - stock.Up
+		for range stock.Up {
+			world.cloud.addMachine(kind).startWorkerAfter(world.randomDuration(heartbeatInterval))
 		}
 	}
 	return &Live{world: world}
@@ -100,15 +101,13 @@
 // Attach sets the process of a controller. Run starts it.
 func (l *Live) Attach(controller int, p Process) { l.world.controllers[controller].process = p }
 
-// Name is the name of a controller.
+// Name returns the name of a controller.
 func (l *Live) Name(controller int) string { return l.world.controllers[controller].name }
 
-// Zone is the zone of a controller.
-func (l *Live) Zone(controller int) string {
-	return l.world.zoneOf(l.world.controllers[controller].name)
-}
+// Zone returns the zone of a controller.
+func (l *Live) Zone(controller int) string { return l.world.zoneOf(l.Name(controller)) }
 
-// Do calls f with the world locked and its time brought up to the clock.
+// Do calls a function with the world locked and its time brought up to the clock.
 func (l *Live) Do(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,28 +115,27 @@
 	f()
 }
 
-// catchUp carries out what has become due.
+// catchUp carries out the events that are due.
 func (l *Live) catchUp() {
 	if !l.startedAt.IsZero() {
 		l.world.run(time.Since(l.startedAt))
 	}
 }
 
-// livePollInterval is how often a live world looks for what has become due.
+// livePollInterval is how often a live world looks for events that are due.
 const livePollInterval = 2 * time.Millisecond
 
-// Run starts the controllers and plays the world until the context ends or the
-// time is over.
-func (l *Live) Run(ctx context.Context, until time.Duration) {
+// Run starts the controllers and plays the world until the context ends or the time is over.
+func (l *Live) Run(ctx context.Context, duration time.Duration) {
 	l.mu.Lock()
 	l.startedAt = time.Now()
-	for _, controller := range l.world.controllers {
-		controller.start()
+	for _, c := range l.world.controllers {
+		c.start()
 	}
 	l.mu.Unlock()
 	tick := time.NewTicker(livePollInterval)
 	defer tick.Stop()
-	for time.Since(l.startedAt) < until {
+	for time.Since(l.startedAt) < duration {
 		select {
 		case <-ctx.Done():
 			return
@@ -147,20 +145,20 @@
 	}
 }
 
-// Now is how long the world has run. It is called with the world locked.
+// Now returns how long the world has run. It is called with the world locked.
 func (l *Live) Now() time.Duration { return l.world.now }
 
-// After calls f with the world locked, a while from now. It is itself called so, or
-// before Run.
-func (l *Live) After(d time.Duration, f func()) { l.world.after(d, f) }
+// After calls a function with the world locked, a while from now. It is itself called with the
+// world locked, or before Run.
+func (l *Live) After(delay time.Duration, f func()) { l.world.after(delay, f) }
 
 // LiveJob is a job of a live world.
 type LiveJob struct {
 	wire.Job
-	RunS float64 // a task's run time; not of services
+	RunS float64 // a task's run time in seconds; not of services
 }
 
-// Submit has a user submit a job and ask for it until it is over. It is called with
+// Submit makes a user submit a job and poll its status until it is finished. It is called with
 // the world locked, as are the methods below.
 func (l *Live) Submit(j LiveJob) {
 	truth := newGroundTruth(j.Job)
@@ -168,19 +166,19 @@
 	l.world.users.submit(truth, submitAtOnce)
 }
 
-// Cancel has a job's user cancel it.
+// Cancel makes a job's user cancel it.
 func (l *Live) Cancel(id string) { l.world.users.cancel(id) }
 
-// Leader is the index of the controller that holds the leader's key; false if none
-// does.
+// Leader returns the index of the controller that holds the leader's key; false if none does.
 func (l *Live) Leader() (int, bool) {
-	if controller := l.world.leader(); controller != nil {
-		return controller.index, true
+	leader := l.world.leader()
+	if leader == nil {
+		return 0, false
 	}
-	return 0, false
+	return leader.index, true
 }
 
-// Term is the highest term so far; 0 before the first.
+// Term returns the highest term that a worker has heard of; 0 before the first.
 func (l *Live) Term() uint64 {
 	var term uint64
 	for _, m := range l.world.cloud.machines {
@@ -189,56 +187,51 @@
 	return term
 }
 
-// KillController ends a controller without notice; it is started again after a
-// while.
-func (l *Live) KillController(i int, back time.Duration) { l.world.controllers[i].crash(back) }
+// KillController ends a controller without notice and starts it again after a while.
+func (l *Live) KillController(i int, restartAfter time.Duration) {
+	l.world.controllers[i].crash(restartAfter)
+}
 
-// RemoveWorkers has a share of the machines that are up stop at once, of one zone or,
-// if it is empty, of all. It returns how many.
+// RemoveWorkers removes a share of the machines that are up, at once, of one zone or, if it is
+// empty, of all. It returns how many.
 func (l *Live) RemoveWorkers(share float64, zone string) int {
-	world := l.world
-	var up []*machine
-	for _, name := range world.cloud.machineNames() {
-		if m := world.cloud.machines[name]; !m.removed && m.upAt <= world.now && (zone == "" || m.zone == zone) {
-			up = append(up, m)
-		}
-	}
-	world.rng.Shuffle(len(up), func(a, b int) { up[a], up[b] = up[b], up[a] })
-	up = up[:int(share*float64(len(up)))]
-	for _, m := range up {
-		world.cloud.removeMachine(m.name)
+	up := l.world.machinesUp(zone)
+	count := int(share * float64(len(up)))
+	for _, m := range up[:count] {
+		l.world.cloud.removeMachine(m.name)
 	}
-	return len(up)
+	return count
 }
 
-// RemoveZone has all machines and controllers of a zone stop; the controllers are
-// started again after a while, and the cloud has no machines there until then.
-func (l *Live) RemoveZone(zone string, back time.Duration) int {
+// RemoveZone removes all machines of a zone and kills its controllers. After a while the
+// controllers are started again, and the cloud has machines there again. It returns how many
+// machines it removed.
+func (l *Live) RemoveZone(zone string, restoreAfter time.Duration) int {
 	world := l.world
-	for _, n := range world.controllers {
-		if world.zoneOf(n.name) == zone {
-			n.crash(back)
+	for _, c := range world.controllers {
+		if world.zoneOf(c.name) == zone {
+			c.crash(restoreAfter)
 		}
 	}
-	gone := l.RemoveWorkers(1, zone)
-	kept := map[string]int{}
-	for k, n := range world.cloud.capacity {
-		if strings.Contains(k, "/"+zone+"/") {
-			kept[k], world.cloud.capacity[k] = n, 0
+	removed := l.RemoveWorkers(1, zone)
+	withheld := map[offer]int{}
+	for kind, count := range world.cloud.capacity {
+		if kind.zone == zone {
+			withheld[kind], world.cloud.capacity[kind] = count, 0
 		}
 	}
-	world.after(back, func() {
-		for k, n := range kept {
-			world.cloud.capacity[k] += n
+	world.after(restoreAfter, func() {
+		for kind, count := range withheld {
+			world.cloud.capacity[kind] += count
 		}
 	})
-	return gone
+	return removed
 }
 
-// StopStore has the state service refuse every request for a while.
-func (l *Live) StopStore(d time.Duration) { l.world.store.beginOutage(d) }
+// StopStore makes the key-value store refuse every request for a while.
+func (l *Live) StopStore(duration time.Duration) { l.world.store.beginOutage(duration) }
 
-// ServeStore answers a controller's request to the state service, now or later.
+// ServeStore answers a controller's request to the key-value store, now or later.
 func (l *Live) ServeStore(method, path string, body []byte, reply func(int, []byte)) {
 	l.world.store.handle("", method, path, body, reply)
 }
@@ -248,51 +241,52 @@
 	l.world.cloud.handle(method, path, body, reply)
 }
 
-// ServeWorker answers a controller's request to a worker. One that is gone does not
-// answer.
+// ServeWorker answers a controller's request to a worker. A removed one does not answer.
 func (l *Live) ServeWorker(machine, method, path string, body []byte, reply func(int, []byte)) {
 	if m := l.world.cloud.machines[machine]; m != nil {
 		m.handleDirect(method, path, body, reply)
 	}
 }
 
-// Records lists the keys of the state service below a prefix, in order.
+// Records lists the keys of the key-value store below a prefix, in order.
 func (l *Live) Records(prefix string) []wire.Item {
 	return l.world.store.page(url.Values{"under": {prefix}}).Items
 }
 
-// Counts is what a live world holds, for reports.
+// Counts are figures of a live world, for reports.
 type Counts struct {
 	Workers        int // up
 	Tasks          int // on machines
-	Jobs           int // accepted and not over
+	Jobs           int // accepted and not finished
 	Accepted       int // jobs in all
 	Starts         int // start commands that workers have carried out
-	ExpiredTasks   int // tasks that a worker dropped for want of an answer
-	StoreKeys      int // of the state service
-	StoreChanges   int // puts and deletes that the state service has carried out
-	StoreThrottled int // requests that the state service turned away for its rates
+	ExpiredTasks   int // tasks that a worker killed at its lease expiry
+	StoreKeys      int
+	StoreChanges   int // puts and deletes that the key-value store has carried out
+	StoreThrottled int // requests that the key-value store refused for its rates
 	Violations     []string
 }
 
 // Counts counts what the world holds.
 func (l *Live) Counts() Counts {
 	world := l.world
-	counts := Counts{Starts: world.taskStarts, ExpiredTasks: world.expiredTasks, StoreKeys: len(world.store.keys), StoreChanges: world.store.changeCount, StoreThrottled: world.store.throttled, Violations: world.checker.violations}
+	counts := Counts{Starts: world.taskStarts, ExpiredTasks: world.expiredTasks, StoreKeys: len(world.store.keys),
+		StoreChanges: world.store.changeCount, StoreThrottled: world.store.throttled, Violations: world.checker.violations}
 	for _, m := range world.cloud.machines {
 		if !m.removed && m.upAt <= world.now {
 			counts.Workers++
 		}
 	}
-	for _, tasks := range world.placementsByJob {
-		counts.Tasks += len(tasks.machines)
+	for _, placements := range world.placementsByJob {
+		counts.Tasks += len(placements.machines)
 	}
-	for _, j := range world.users.jobs {
-		if j.accepted {
-			counts.Accepted++
-			if j.finalStatus == "" {
-				counts.Jobs++
-			}
+	for _, job := range world.users.jobs {
+		if !job.accepted {
+			continue
+		}
+		counts.Accepted++
+		if job.finalStatus == "" {
+			counts.Jobs++
 		}
 	}
 	return counts
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -17,10 +17,8 @@
 type machine struct {
 	world        *World
 	name         string
+	offer               // its type, zone and whether it is a spot machine
 	address      string // of the worker, for direct commands
-	machineType  string
-	zone         string
-	spot         bool
 	rentedAt     time.Duration
 	upAt         time.Duration
 	removed      bool
@@ -51,14 +49,14 @@
 	heldCommands         []func()      // that came while it hung
 }
 
-func newMachine(world *World, name, typ, zone string, spot bool) *machine {
-	m := &machine{world: world, name: name, machineType: typ, zone: zone, spot: spot, rentedAt: world.now, incarnation: 1,
+func newMachine(world *World, name string, kind offer) *machine {
+	m := &machine{world: world, name: name, offer: kind, rentedAt: world.now, incarnation: 1,
 		tasks: map[string]*task{}, cachedImages: map[string]bool{}}
 	if world.cloud.workerAddress != nil {
 		m.address = world.cloud.workerAddress(name)
 		return m
 	}
-	number, _ := strconv.Atoi(strings.TrimPrefix(name, machinePrefix)) // 0 for machines that tests name freely
+	number, _ := strconv.Atoi(strings.TrimPrefix(name, machinePrefix)) // addMachine names machines by number
 	m.address = "10.1." + strconv.Itoa(number/250) + "." + strconv.Itoa(number%250+1) + ":9000"
 	return m
 }
--- a/internal/sim/placements.go
+++ b/internal/sim/placements.go
@@ -12,105 +12,105 @@
 	machine *machine
 }
 
-// jobPlacements are the tasks of a job that are on machines. Judging a start beside the
-// job's other tasks takes a look at those of its index and at the zones' counts, however
-// many there are.
+// jobPlacements are the tasks of a job that are on machines. To check a start against the job's
+// other tasks, the checker looks at those of its index and at the zones' counts, however many
+// tasks there are.
 type jobPlacements struct {
 	machines map[*task]*machine
-	byIndex  map[int][]placement // in the order in which they came
+	byIndex  map[int][]placement // in the order in which they were added
 	byZone   map[string]int
 }
 
-// addPlacement notes that a task has come onto a machine.
+// addPlacement records that a task is on a machine from now on.
 func (w *World) addPlacement(m *machine, t *task) {
 	t.placed = true
-	on := w.placementsByJob[t.job]
-	if on == nil {
-		on = &jobPlacements{machines: map[*task]*machine{}, byIndex: map[int][]placement{}, byZone: map[string]int{}}
-		w.placementsByJob[t.job] = on
+	placed := w.placementsByJob[t.job]
+	if placed == nil {
+		placed = &jobPlacements{machines: map[*task]*machine{}, byIndex: map[int][]placement{}, byZone: map[string]int{}}
+		w.placementsByJob[t.job] = placed
 		if w.jobsByTeam[t.job.Team] == nil {
 			w.jobsByTeam[t.job.Team] = map[*groundTruth]bool{}
 		}
 		w.jobsByTeam[t.job.Team][t.job] = true
 	}
-	on.machines[t] = m
-	on.byIndex[t.index] = append(on.byIndex[t.index], placement{t, m})
-	on.byZone[m.zone]++
+	placed.machines[t] = m
+	placed.byIndex[t.index] = append(placed.byIndex[t.index], placement{t, m})
+	placed.byZone[m.zone]++
 	w.reportUsage(t.job, 1)
 }
 
-// removePlacement notes that a task is on no machine any more.
-func (w *World) removePlacement(task *task) {
-	task.placed = false
-	on := w.placementsByJob[task.job]
-	if on == nil || on.machines[task] == nil {
+// removePlacement records that a task is on no machine any more.
+func (w *World) removePlacement(t *task) {
+	t.placed = false
+	placed := w.placementsByJob[t.job]
+	if placed == nil || placed.machines[t] == nil {
 		return
 	}
-	on.byZone[on.machines[task].zone]--
-	delete(on.machines, task)
-	w.reportUsage(task.job, -1)
-	on.byIndex[task.index] = slices.DeleteFunc(on.byIndex[task.index], func(p placement) bool { return p.task == task })
-	if len(on.byIndex[task.index]) == 0 {
-		delete(on.byIndex, task.index)
+	placed.byZone[placed.machines[t].zone]--
+	delete(placed.machines, t)
+	w.reportUsage(t.job, -1)
+	placed.byIndex[t.index] = slices.DeleteFunc(placed.byIndex[t.index], func(p placement) bool { return p.task == t })
+	if len(placed.byIndex[t.index]) == 0 {
+		delete(placed.byIndex, t.index)
 	}
-	if len(on.machines) == 0 {
-		delete(w.placementsByJob, task.job)
-		delete(w.jobsByTeam[task.job.Team], task.job)
+	if len(placed.machines) == 0 {
+		delete(w.placementsByJob, t.job)
+		delete(w.jobsByTeam[t.job.Team], t.job)
 	}
 }
 
-// reportUsage tells of tasks of a job that came onto machines or left them.
-func (w *World) reportUsage(truth *groundTruth, tasks int) {
+// reportUsage passes a change of a team's usage on: tasks of a job that were added, or removed
+// if negative.
+func (w *World) reportUsage(job *groundTruth, tasks int) {
 	if w.usageChanged != nil {
-		w.usageChanged(truth.Team, float64(tasks)*truth.CPUs, float64(tasks)*truth.GPUs)
+		w.usageChanged(job.Team, float64(tasks)*job.CPUs, float64(tasks)*job.GPUs)
 	}
 }
 
 // placedTaskCount is how many tasks of a job are on machines.
-func (w *World) placedTaskCount(truth *groundTruth) int {
-	if on := w.placementsByJob[truth]; on != nil {
-		return len(on.machines)
+func (w *World) placedTaskCount(job *groundTruth) int {
+	if placed := w.placementsByJob[job]; placed != nil {
+		return len(placed.machines)
 	}
 	return 0
 }
 
-// sortedPlacements lists the tasks of a job that are on machines, by machine and name.
-func (w *World) sortedPlacements(truth *groundTruth) []placement {
-	on := w.placementsByJob[truth]
-	if on == nil {
+// sortedPlacements lists the tasks of a job that are on machines, by machine, name and attempt.
+func (w *World) sortedPlacements(job *groundTruth) []placement {
+	placed := w.placementsByJob[job]
+	if placed == nil {
 		return nil
 	}
-	out := make([]placement, 0, len(on.machines))
-	for t, m := range on.machines {
-		out = append(out, placement{t, m})
+	sorted := make([]placement, 0, len(placed.machines))
+	for t, m := range placed.machines {
+		sorted = append(sorted, placement{t, m})
 	}
-	slices.SortFunc(out, func(a, b placement) int {
-		return cmp.Or(strings.Compare(a.machine.name, b.machine.name), strings.Compare(a.task.name, b.task.name),
-			cmp.Compare(a.task.attempt, b.task.attempt))
+	slices.SortFunc(sorted, func(a, b placement) int {
+		return cmp.Or(strings.Compare(a.machine.name, b.machine.name), compareTasks(a.task, b.task))
 	})
-	return out
+	return sorted
 }
 
-// teamUsage adds up what the tasks of a team use that are on machines.
+// teamUsage is what the tasks of a team that are on machines use.
 func (w *World) teamUsage(team string) (gpus, cpus float64) {
-	for truth := range w.jobsByTeam[team] {
-		n := float64(w.placedTaskCount(truth))
-		gpus += n * truth.GPUs
-		cpus += n * truth.CPUs
+	for job := range w.jobsByTeam[team] {
+		count := float64(w.placedTaskCount(job))
+		gpus += count * job.GPUs
+		cpus += count * job.CPUs
 	}
 	return gpus, cpus
 }
 
-// observeStart tells the observer of a task that begins to run. Only the first
-// run of each task counts.
-func (w *World) observeStart(machine *machine, task *task) {
+// observeStart reports a task that begins to run to the observer.
+func (w *World) observeStart(m *machine, t *task) {
 	if w.observer == nil {
 		return
 	}
-	if task.job.startedTasks == nil {
-		task.job.startedTasks = map[int]bool{}
+	job := t.job
+	if job.startedTasks == nil {
+		job.startedTasks = map[int]bool{}
 	}
-	first := !task.job.startedTasks[task.index]
-	task.job.startedTasks[task.index] = true
-	w.observer.Started(TaskStart{At: w.now, Class: task.job.Class, Priority: task.job.Priority, Waited: w.now - task.job.submittedAt, FencingToken: machine.fencingToken, First: first})
+	first := !job.startedTasks[t.index]
+	job.startedTasks[t.index] = true
+	w.observer.Started(TaskStart{At: w.now, Class: job.Class, Priority: job.Priority, Waited: w.now - job.submittedAt, FencingToken: m.fencingToken, First: first})
 }
--- a/internal/sim/regions_test.go
+++ b/internal/sim/regions_test.go
@@ -314,7 +314,7 @@
 		regions := newRegionWorlds(t, seed, p, slog.New(slog.DiscardHandler))
 		world := regions.world("region-0")
 		for _, z := range world.settings.Deployment.Zones {
-			world.cloud.capacity[offerKey("gpu", z, false)] = 1 // 24 GPUs in all
+			world.cloud.capacity[offer{"gpu", z, false}] = 1 // 24 GPUs in all
 		}
 		regions.schedule(10*time.Second, func() {
 			regions.submit("region-0", wire.Job{Team: "team-0", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 24, GPUs: 1}, 600)
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -151,8 +151,8 @@
 		MemGB: line.number("mem", 64), CacheGB: line.number("cache", 200), PullGBPerS: line.number("fetch", 1), Price: line.number("price", 1),
 		SpotPrice: line.number("spot_price", 0.4), BootS: line.number("boot", 20), Zones: zones})
 	for _, zone := range zones {
-		c.capacity[offerKey(name, zone, false)] = int(line.number("cap", 10))
-		c.capacity[offerKey(name, zone, true)] = int(line.number("spot", 0))
+		c.capacity[offer{name, zone, false}] = int(line.number("cap", 10))
+		c.capacity[offer{name, zone, true}] = int(line.number("spot", 0))
 	}
 }
 
--- a/internal/sim/starvation.go
+++ b/internal/sim/starvation.go
@@ -6,7 +6,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// fleetSnapshot is what the machines hold of jobs and teams.
+// fleetSnapshot is what the machines hold of jobs and teams at a moment.
 type fleetSnapshot struct {
 	free        []freeCapacity     // of the machines that serve
 	gpus, cpus  map[string]float64 // by team
@@ -18,31 +18,46 @@
 	snapshot := &fleetSnapshot{gpus: map[string]float64{}, cpus: map[string]float64{},
 		placedTasks: map[*groundTruth]map[int]bool{}, tasksByZone: map[*groundTruth]map[string]int{}}
 	for _, name := range c.world.cloud.machineNames() {
-		machine := c.world.cloud.machines[name]
-		if c.isServing(machine) {
-			snapshot.free = append(snapshot.free, c.world.cloud.freeCapacityOf(machine))
+		m := c.world.cloud.machines[name]
+		if c.isServing(m) {
+			snapshot.free = append(snapshot.free, c.world.cloud.freeCapacityOf(m))
 		}
-		for _, task := range machine.tasks {
-			if task.state == wire.TaskExited {
-				continue
+		for _, t := range m.tasks {
+			if t.state != wire.TaskExited {
+				snapshot.addTask(t, m.zone)
 			}
-			if snapshot.placedTasks[task.job] == nil {
-				snapshot.placedTasks[task.job], snapshot.tasksByZone[task.job] = map[int]bool{}, map[string]int{}
-			}
-			snapshot.gpus[task.job.Team] += task.job.GPUs
-			snapshot.cpus[task.job.Team] += task.job.CPUs
-			snapshot.placedTasks[task.job][task.index] = true
-			snapshot.tasksByZone[task.job][machine.zone]++
 		}
 	}
 	return snapshot
 }
 
-// waitingJob is a job that waits although there is room.
+func (s *fleetSnapshot) addTask(t *task, zone string) {
+	job := t.job
+	if s.placedTasks[job] == nil {
+		s.placedTasks[job], s.tasksByZone[job] = map[int]bool{}, map[string]int{}
+	}
+	s.gpus[job.Team] += job.GPUs
+	s.cpus[job.Team] += job.CPUs
+	s.placedTasks[job][t.index] = true
+	s.tasksByZone[job][zone]++
+}
+
+// missingTasks lists a job's tasks that are neither done nor on a machine.
+func (s *fleetSnapshot) missingTasks(job *groundTruth) map[int]bool {
+	missing := map[int]bool{}
+	for i := range job.Tasks {
+		if !job.doneTasks[i] && !s.placedTasks[job][i] {
+			missing[i] = true
+		}
+	}
+	return missing
+}
+
+// waitingJob is a job with tasks that are on no machine.
 type waitingJob struct {
 	missing         map[int]bool             // tasks neither done nor on a machine
 	roomSince       map[string]time.Duration // by machine with room, or wholeGang
-	steadyRoomSince time.Duration            // since when there is always room on one
+	steadyRoomSince time.Duration            // since when there has been steady room at all times; 0 if there is none
 	reported        bool
 }
 
@@ -52,14 +67,15 @@
 const (
 	// starvationLimit is how long a job may wait although there is room.
 	starvationLimit = 90 * time.Second
-	// steadyRoomTime is from when on room counts: others may take it again at once.
+	// steadyRoomTime is how long a machine has to have room before the room counts: others
+	// may take it at once.
 	steadyRoomTime = 6 * time.Second
 )
 
-// checkStarvation judges that no job waits for 90 s while there is room for it: for
-// one more task on some machine, or for all that a gang lacks.
-// A job of which a task has begun meanwhile isn't left, nor is one that awaits
-// others or is to be cancelled with one of them.
+// checkStarvation checks that no job waits for longer than starvationLimit while there is room
+// for it: for one more task on some machine, or for all tasks that a gang lacks. A job of which
+// a task was started meanwhile does not starve, nor does one that waits for dependencies or is
+// to be cancelled with one of them.
 func (c *checker) checkStarvation(job *userJob, snapshot *fleetSnapshot) {
 	truth := c.world.jobs[job.id]
 	missing := map[int]bool{}
@@ -83,19 +99,8 @@
 	}
 }
 
-// missingTasks lists a job's tasks that are neither done nor on a machine.
-func (s *fleetSnapshot) missingTasks(truth *groundTruth) map[int]bool {
-	missing := map[int]bool{}
-	for i := range truth.Tasks {
-		if !truth.doneTasks[i] && !s.placedTasks[truth][i] {
-			missing[i] = true
-		}
-	}
-	return missing
-}
-
-// updateMissing takes in which tasks are missing now. If one of those that were has
-// begun, the job is not left.
+// updateMissing records which tasks are missing now. If one of those that were missing has
+// started, the times of room begin anew.
 func (j *waitingJob) updateMissing(missing map[int]bool) {
 	for i := range j.missing {
 		if !missing[i] {
@@ -106,93 +111,93 @@
 	j.missing = missing
 }
 
-// updateRoom takes in where there is room now.
+// updateRoom records where there is room now.
 func (j *waitingJob) updateRoom(room map[string]bool, now time.Duration) {
 	for name := range j.roomSince {
 		if !room[name] {
 			delete(j.roomSince, name)
 		}
 	}
-	for name, ok := range room {
-		if ok && j.roomSince[name] == 0 {
+	for name, hasRoom := range room {
+		if hasRoom && j.roomSince[name] == 0 {
 			j.roomSince[name] = now
 		}
 	}
-	steady := false
+	isSteady := false
 	for name, since := range j.roomSince {
-		steady = steady || name == wholeGang || now-since >= steadyRoomTime
+		isSteady = isSteady || name == wholeGang || now-since >= steadyRoomTime
 	}
-	if !steady {
+	if !isSteady {
 		j.steadyRoomSince = 0
 	} else if j.steadyRoomSince == 0 {
 		j.steadyRoomSince = now
 	}
 }
 
-// roomFor tells which machines have room for a task of a job that lacks some, or
-// whether there is room for all that a gang lacks.
-func (c *checker) roomFor(truth *groundTruth, missing int, snapshot *fleetSnapshot) map[string]bool {
-	need := 1
-	if truth.Shape == wire.ShapeGang {
-		need = missing
-	}
-	k := float64(need)
-	gpus, cpus := snapshot.gpus[truth.Team], snapshot.cpus[truth.Team]
+// roomFor returns the machines with room for a task of a job that lacks some; for a gang,
+// whether there is room for all that it lacks.
+func (c *checker) roomFor(job *groundTruth, missing int, snapshot *fleetSnapshot) map[string]bool {
+	needed := 1
+	if job.Shape == wire.ShapeGang {
+		needed = missing
+	}
+	gpus, cpus := snapshot.gpus[job.Team], snapshot.cpus[job.Team]
 	if c.world.reservedElsewhere != nil {
-		gpus += c.world.reservedElsewhere(truth.Team)
+		gpus += c.world.reservedElsewhere(job.Team)
 	}
-	if c.exceedsLimit(truth.Team, gpus+k*truth.GPUs, cpus+k*truth.CPUs) {
+	if c.exceedsLimit(job.Team, gpus+float64(needed)*job.GPUs, cpus+float64(needed)*job.CPUs) {
 		return nil
 	}
-	room, inZone := map[string]bool{}, map[string]int{}
-	for i := range snapshot.free {
-		f := &snapshot.free[i]
-		if n := c.roomBesideOthers(f, truth, snapshot.tasksByZone[truth]); n > 0 {
-			inZone[f.machine.zone] += n
-			room[f.machine.name] = true
+	onMachine, inZone := map[string]bool{}, map[string]int{}
+	for _, free := range snapshot.free {
+		if count := roomBesideOthers(free, job, snapshot.tasksByZone[job]); count > 0 {
+			inZone[free.machine.zone] += count
+			onMachine[free.machine.name] = true
 		}
 	}
-	if truth.Shape != wire.ShapeGang {
-		return room
+	if job.Shape != wire.ShapeGang {
+		return onMachine
 	}
-	return map[string]bool{wholeGang: gangRoom(truth, inZone, snapshot.tasksByZone[truth]) >= need}
+	return map[string]bool{wholeGang: gangRoom(job, inZone, snapshot.tasksByZone[job]) >= needed}
 }
 
-// roomBesideOthers is how many tasks of a job a machine has room for, given how many of
-// them each zone holds.
-func (c *checker) roomBesideOthers(f *freeCapacity, truth *groundTruth, zones map[string]int) int {
-	machine, n := f.machine, f.tasksThatFit(truth)
-	if n == 0 {
+// roomBesideOthers is for how many tasks of a job a machine has room, given how many of them
+// each zone holds.
+func roomBesideOthers(free freeCapacity, job *groundTruth, tasksByZone map[string]int) int {
+	count := free.tasksThatFit(job)
+	if count == 0 {
 		return 0
 	}
-	for zone, on := range zones {
-		if truth.OneZone && on > 0 && zone != machine.zone {
-			n = 0
+	zone := free.machine.zone
+	for other, tasks := range tasksByZone {
+		if job.OneZone && tasks > 0 && other != zone {
+			count = 0
 		}
 	}
-	if truth.SpreadZones {
-		n = min(n, spreadLimit(truth)-zones[machine.zone])
+	if job.SpreadZones {
+		count = min(count, spreadLimit(job)-tasksByZone[zone])
 	}
-	return n
+	return count
 }
 
-// gangRoom is how many tasks of a gang there is room for, given the room in each
-// zone and how many of its tasks each zone holds.
-func gangRoom(truth *groundTruth, inZone, zones map[string]int) int {
-	all, most := 0, 0
-	for zone, n := range inZone {
-		if truth.SpreadZones {
-			n = min(n, spreadLimit(truth)-zones[zone])
+// gangRoom is for how many tasks of a gang there is room, given the room in each zone and how
+// many of its tasks each zone holds.
+func gangRoom(job *groundTruth, roomByZone, tasksByZone map[string]int) int {
+	sum, largest := 0, 0
+	for zone, room := range roomByZone {
+		if job.SpreadZones {
+			room = min(room, spreadLimit(job)-tasksByZone[zone])
 		}
-		all, most = all+n, max(most, n)
+		sum, largest = sum+room, max(largest, room)
 	}
-	if truth.OneZone {
-		return most
+	if job.OneZone {
+		return largest
 	}
-	return all
+	return sum
 }
 
-// isServing tells whether a machine is up and well, and heard by the controllers.
+// isServing reports whether a machine is up, without a fault, and in contact with the
+// controllers.
 func (c *checker) isServing(m *machine) bool {
 	now := c.world.now
 	switch {
--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -245,7 +245,7 @@
 		w.after(50*time.Millisecond, func() { w.serve(server, request, reply, done) })
 		return
 	}
-	w.executions[fmt.Sprint(request.IdempotencyKey, " on copy ", s.CopyNumber(request.Model, w.now), " of ", server)]++
+	w.executions[fmt.Sprint(request.IdempotencyKey, " on copy ", s.ReplicaNumber(request.Model, w.now), " of ", server)]++
 	w.after(time.Duration(50+w.rng.IntN(400))*time.Millisecond, func() {
 		if w.serverIncarnations[server] == boot && s.Finish(request.Model, request.IdempotencyKey, []byte(request.IdempotencyKey), w.now) {
 			reply(func() { done(wake.OutcomeServed, []byte(request.IdempotencyKey)) })
@@ -300,7 +300,7 @@
 	for _, m := range w.registry.Models {
 		live := []string{}
 		for _, s := range m.Servers {
-			if w.servers[s].HasCopy(m.Name, w.now) {
+			if w.servers[s].HasReplica(m.Name, w.now) {
 				live = append(live, s)
 			}
 		}
@@ -379,7 +379,7 @@
 		if n := world.copiesStarted(); n > 2 || world.servedRequests() != 2 {
 			t.Errorf("offset %d: %d copies started, %d of 2 requests served", offset, n, world.servedRequests())
 		}
-		if world.servers["gpu-1"].HasCopy("b", world.now) {
+		if world.servers["gpu-1"].HasReplica("b", world.now) {
 			t.Errorf("offset %d: the copy does not sleep at the end", offset)
 		}
 	}
@@ -483,7 +483,7 @@
 		loading := 0
 		for _, s := range world.servers {
 			for _, m := range s.models {
-				if m.copy != nil && world.now < m.copy.readyAt {
+				if m.replica != nil && world.now < m.replica.readyAt {
 					loading++
 				}
 			}
--- a/internal/wake/activator/activator_test.go
+++ b/internal/wake/activator/activator_test.go
@@ -234,7 +234,7 @@
 func (p *testCluster) checkReplicas(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
-		p.duplicateReplica = p.duplicateReplica || p.models[0].HasCopy("m", p.now()) && p.models[1].HasCopy("m", p.now())
+		p.duplicateReplica = p.duplicateReplica || p.models[0].HasReplica("m", p.now()) && p.models[1].HasReplica("m", p.now())
 		p.mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
 	}
