--- /dev/null
+++ b/internal/sim/wake_activator_test.go
@@ -0,0 +1,186 @@
+package sim
+
+import (
+	"fmt"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/kv"
+	"github.com/brookwalk/brookwalk/internal/wake"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// activator is a process with a wake.Controller. It implements the controller's ports: the key-value
+// store, the model servers and the process around it.
+type activator struct {
+	world           *wakeWorld
+	name            string
+	controller      *wake.Controller
+	incarnation     int
+	alive           bool
+	pausedUntil     time.Duration
+	heldCalls       []func()
+	pendingRequests map[uint64]bool // requests whose clients wait for an answer of this process
+}
+
+// start starts the process, without any state of an earlier one.
+func (a *activator) start() {
+	a.alive, a.pausedUntil, a.heldCalls, a.pendingRequests = true, 0, nil, map[uint64]bool{}
+	a.incarnation++
+	a.controller = wake.New(a.name, uint64(a.incarnation), a.world.registry, a, a, a, a.world.log)
+	a.tick(a.incarnation)
+}
+
+// crash ends the process without notice and starts it again after a while.
+func (a *activator) crash(restartAfter time.Duration) {
+	if !a.alive {
+		return
+	}
+	a.alive = false
+	a.incarnation++
+	for id := range a.pendingRequests { // their clients see the connection close
+		delete(a.world.requests, id)
+	}
+	a.world.after(restartAfter, a.start)
+}
+
+func (a *activator) tick(incarnation int) {
+	if a.incarnation != incarnation || !a.alive {
+		return
+	}
+	if a.world.now >= a.pausedUntil {
+		a.controller.Tick()
+	}
+	a.world.after(activatorTickInterval, func() { a.tick(incarnation) })
+}
+
+// pause pauses the process. Calls that come meanwhile are handled when it goes on.
+func (a *activator) pause(duration time.Duration) {
+	a.pausedUntil = a.world.now + duration
+	incarnation := a.incarnation
+	a.world.after(duration, func() {
+		if a.incarnation != incarnation {
+			return
+		}
+		held := a.heldCalls
+		a.heldCalls = nil
+		for _, run := range held {
+			run()
+		}
+	})
+}
+
+// runUnlessPaused runs a function in an incarnation of the process, once it is not paused.
+func (a *activator) runUnlessPaused(incarnation int, run func()) {
+	switch {
+	case a.incarnation != incarnation || !a.alive:
+	case a.world.now < a.pausedUntil:
+		a.heldCalls = append(a.heldCalls, func() { a.runUnlessPaused(incarnation, run) })
+	default:
+		run()
+	}
+}
+
+// Times of activators.
+const (
+	activatorTickInterval = 100 * time.Millisecond
+	callTimeout           = 2 * time.Second
+	watchHold             = 20 * time.Second // how long the store keeps a watch open
+	watchTimeout          = watchHold + callTimeout
+)
+
+// call carries a request to a service. serve runs there and hands a function to reply, which runs
+// in the process; lost runs there after the timeout. Only one of the two runs.
+func (a *activator) call(to string, timeout time.Duration, serve func(reply func(run func())), lost func()) {
+	incarnation, finished := a.incarnation, false
+	finish := func(run func()) func() {
+		return func() {
+			a.runUnlessPaused(incarnation, func() {
+				if !finished {
+					finished = true
+					run()
+				}
+			})
+		}
+	}
+	a.world.after(timeout, finish(lost))
+	a.world.deliver(a.name, to, func() {
+		serve(func(run func()) { a.world.deliver(to, a.name, finish(run)) })
+	})
+}
+
+// recordAction passes what the controller does to the recorder of the world.
+func (a *activator) recordAction(values ...any) {
+	if a.world.record != nil {
+		a.world.record(append([]any{a.world.now, a.name}, values...)...)
+	}
+}
+
+// storeCall sends a request to the key-value store. done gets an empty response after the timeout.
+func (a *activator) storeCall(method, path string, body []byte, timeout time.Duration, done func(kv.Response)) {
+	a.world.storeCalls++
+	a.recordAction(method, path, string(body), timeout)
+	a.call(storeEndpoint, timeout, func(reply func(func())) {
+		a.world.store.handle(a.name, method, path, body, func(status int, answer []byte) {
+			reply(func() { done(kv.Response{Number: status, Body: answer}) })
+		})
+	}, func() { done(kv.Response{}) })
+}
+
+func (a *activator) List(prefix string, done func(kv.ListResult)) {
+	a.storeCall("GET", "/store?under="+prefix, nil, callTimeout, func(r kv.Response) { done(kv.ParseList(r)) })
+}
+
+func (a *activator) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
+	a.storeCall("POST", "/commit", encode(txn), callTimeout, func(r kv.Response) { done(kv.ParseTxn(r)) })
+}
+
+func (a *activator) Grant(ttl time.Duration, done func(kv.GrantResult)) {
+	body := encode(wire.GrantRequest{TTLMs: int(ttl / time.Millisecond)})
+	a.storeCall("POST", "/grants", body, callTimeout, func(r kv.Response) { done(kv.ParseGrant(r)) })
+}
+
+func (a *activator) Renew(lease uint64, done func(kv.Status)) {
+	path := fmt.Sprintf("/grants/%d/extend", lease)
+	a.storeCall("POST", path, nil, callTimeout, func(r kv.Response) { done(kv.StatusOf(r.Number)) })
+}
+
+func (a *activator) Watch(prefix string, since uint64, done func(kv.WatchResult)) {
+	path := fmt.Sprintf("/changes?under=%s&since=%d&holdMs=%d", prefix, since, watchHold.Milliseconds())
+	a.storeCall("GET", path, nil, watchTimeout, func(r kv.Response) { done(kv.ParseWatch(r)) })
+}
+
+func (a *activator) Command(server string, c wake.Command, done func(wake.ReplicaStatus)) {
+	a.recordAction("command", server, c)
+	a.call(server, callTimeout, func(reply func(func())) {
+		report := a.world.servers[server].Command(c, a.world.now)
+		reply(func() { done(report) })
+	}, func() { done(wake.ReplicaStatus{}) })
+}
+
+func (a *activator) Forward(server string, r *wake.Request, done func(wake.Outcome, []byte)) {
+	a.recordAction("ask", server, *r)
+	a.call(server, callTimeout, func(reply func(func())) { a.world.serve(server, r, reply, done) }, func() { done(wake.OutcomeUnknown, nil) })
+}
+
+func (a *activator) Now() time.Duration { return a.world.now }
+
+// Reply checks the one answer that a request gets.
+func (a *activator) Reply(id uint64, r wake.Reply) {
+	a.recordAction("reply", id, r)
+	delete(a.pendingRequests, id)
+	request := a.world.requests[id]
+	if request == nil {
+		return // its client was connected to an earlier incarnation
+	}
+	request.answers++
+	request.status, request.latency = r.Status, a.world.now-request.askedAt
+	if request.answers > 1 {
+		a.world.addViolation("request %d (%s) got %d answers", id, request.key, request.answers)
+	}
+	if r.Status == wake.StatusServed && string(r.Body) != request.key {
+		a.world.addViolation("request %d (%s) got the answer to %s", id, request.key, r.Body)
+	}
+	if r.Status == wake.StatusUnavailable && r.RetryAfterSeconds < 1 {
+		a.world.addViolation("request %d was refused without a time after which to retry", id)
+	}
+}
--- a/internal/sim/wake_cost_test.go
+++ b/internal/sim/wake_cost_test.go
@@ -14,7 +14,7 @@
 type wakeCost struct {
 	stateRequests           int           // of all controllers, from the first request to the last answer
 	firstAnswer, lastAnswer time.Duration // answers, after the first request
-	copiesStarted           int
+	replicasStarted         int
 	loadTime                time.Duration // the load itself
 }
 
@@ -56,7 +56,7 @@
 	}
 	judge()
 	world.run(40 * time.Second)
-	cost.copiesStarted, cost.loadTime = world.copiesStarted(), loaded
+	cost.replicasStarted, cost.loadTime = world.replicasStarted(), loaded
 	return cost
 }
 
@@ -69,8 +69,8 @@
 			var overheads []float64
 			for seed := range uint64(5) {
 				many = measureWake(seed+1, controllers, requests)
-				if many.copiesStarted != 1 {
-					t.Errorf("%d controllers, %d requests: %d starts", controllers, requests, many.copiesStarted)
+				if many.replicasStarted != 1 {
+					t.Errorf("%d controllers, %d requests: %d starts", controllers, requests, many.replicasStarted)
 				}
 				overheads = append(overheads, float64(many.firstAnswer)/float64(many.loadTime))
 			}
