--- a/internal/sim/wake_cost_test.go
+++ b/internal/sim/wake_cost_test.go
@@ -10,24 +10,23 @@
 	"github.com/brookwalk/brookwalk/internal/wake"
 )
 
-// wakeCost is what one wake takes.
+// wakeCost is what one wake costs.
 type wakeCost struct {
-	stateRequests           int           // of all controllers, from the first request to the last answer
-	firstAnswer, lastAnswer time.Duration // answers, after the first request
+	storeRequests           int           // of all activators, from the first request to the last answer
+	firstAnswer, lastAnswer time.Duration // since the requests
 	replicasStarted         int
-	loadTime                time.Duration // the load itself
+	loadTime                time.Duration
 }
 
-// measureWake wakes a model once for some requests, spread evenly over the controllers.
+// measureWake wakes a model once for some requests, spread evenly over the activators.
 func measureWake(seed uint64, controllers, requests int) wakeCost {
 	world := newWakeWorld(seed, controllers, wakeRegistry)
-	var loaded time.Duration
-	for _, s := range world.servers {
-		draw := s.Load
-		s.Load = func() (time.Duration, bool) {
-			d, fails := draw()
-			loaded = d
-			return d, fails
+	var cost wakeCost
+	for _, server := range world.servers {
+		draw := server.Load
+		server.Load = func() (loadTime time.Duration, fails bool) {
+			cost.loadTime, fails = draw()
+			return cost.loadTime, fails
 		}
 	}
 	world.run(5 * time.Second)
@@ -35,33 +34,33 @@
 	for i := range requests {
 		world.sendRequest(world.activators[i%controllers], "c", fmt.Sprint("k", i), 60*time.Second)
 	}
-	cost := wakeCost{firstAnswer: never}
-	var judge func()
-	judge = func() {
+	cost.firstAnswer = never
+	var countAnswers func()
+	countAnswers = func() {
 		answered := 0
 		for _, request := range world.requests {
 			if request.answers == 0 {
 				continue
 			}
 			answered++
-			if request.status == wake.StatusServed { // beyond max_waiting they are refused at once
+			if request.status == wake.StatusServed { // those beyond max_waiting are refused at once
 				cost.firstAnswer, cost.lastAnswer = min(cost.firstAnswer, request.latency), max(cost.lastAnswer, request.latency)
 			}
 		}
 		if answered < requests {
-			world.after(100*time.Millisecond, judge)
+			world.after(100*time.Millisecond, countAnswers)
 			return
 		}
-		cost.stateRequests = world.storeCalls - before
+		cost.storeRequests = world.storeCalls - before
 	}
-	judge()
+	countAnswers()
 	world.run(40 * time.Second)
-	cost.replicasStarted, cost.loadTime = world.replicasStarted(), loaded
+	cost.replicasStarted = world.replicasStarted()
 	return cost
 }
 
-// What a wake asks of the state service does not grow with the requests that wait, and the
-// first answer comes soon after the copy is ready.
+// TestWakeCost wakes a model for 10 to 10,000 requests. The load on the key-value store does not
+// grow with them, and the first answer comes soon after the replica is ready.
 func TestWakeCost(t *testing.T) {
 	for _, controllers := range []int{1, 3, 5, 17} {
 		var few, many wakeCost
@@ -78,20 +77,20 @@
 			if requests == 10 {
 				few = many
 			}
-			t.Logf("%d controllers, %d requests: %d requests to the state service, first answer after %.2f load times at the median, the last after %v",
-				controllers, requests, many.stateRequests, overheads[2], many.lastAnswer)
+			t.Logf("%d controllers, %d requests: %d requests to the key-value store, first answer after %.2f load times at the median, the last after %v",
+				controllers, requests, many.storeRequests, overheads[2], many.lastAnswer)
 			if overheads[2] > 1.2 {
 				t.Errorf("%d controllers, %d requests: the first answer came after %.2f load times", controllers, requests, overheads[2])
 			}
 		}
-		if many.stateRequests > few.stateRequests+few.stateRequests/2+controllers {
-			t.Errorf("%d controllers: %d requests to the state service for 10 that wait, %d for 10,000", controllers, few.stateRequests, many.stateRequests)
+		if many.storeRequests > few.storeRequests+few.storeRequests/2+controllers {
+			t.Errorf("%d controllers: %d requests to the key-value store for 10 that wait, %d for 10,000", controllers, few.storeRequests, many.storeRequests)
 		}
 	}
 }
 
-// The driver ends while the copy loads: another one drives it within two leases, so the answers come
-// no later than that after the load.
+// TestDriverFailoverTime crashes the driver while the replica loads. Another one drives it within
+// two leases, so the answers come no later than that after the load.
 func TestDriverFailoverTime(t *testing.T) {
 	var worst time.Duration
 	for seed := range uint64(40) {
@@ -108,7 +107,7 @@
 			t.Errorf("seed %d: answered %d", seed, request.status)
 		}
 	}
-	// The load takes 9.6 s at the most, the driver ends 8.2 s after the request at the latest.
+	// The load takes 9.6 s at the most, the driver crashes 8.2 s after the request at the latest.
 	lease := seconds(4)
 	t.Logf("the last answer came after %v", worst)
 	if worst > 10*time.Second+2*lease {
@@ -116,7 +115,8 @@
 	}
 }
 
-// Without agreement each controller that is asked wakes a copy of its own: the checker sees it.
+// TestBaselineWakesTwice lets each activator wake a replica of its own, without consensus. The
+// checker reports it.
 func TestBaselineWakesTwice(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	world.run(3 * time.Second)
@@ -128,11 +128,11 @@
 	}
 	world.run(5 * time.Second)
 	if len(world.violations) == 0 {
-		t.Error("two copies at a time were not noticed")
+		t.Error("two replicas at a time were not reported")
 	}
 }
 
-// A waiting request takes little memory.
+// TestWaitingMemory bounds the memory of a waiting request.
 func TestWaitingMemory(t *testing.T) {
 	const requests = 5000
 	world := newWakeWorld(1, 1, wakeRegistry)
