--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"os"
-	"strconv"
 	"strings"
 	"testing"
 
@@ -139,15 +137,6 @@
 	}
 }
 
-// soakDays is how many random days a soak plays: a sample, or what
-// BROOKWALK_SOAK says.
-func soakDays(sample int) int {
-	if v, err := strconv.Atoi(os.Getenv("BROOKWALK_SOAK")); err == nil {
-		return v
-	}
-	return sample
-}
-
 // TestSoakGrown plays random days of a larger fleet with five controllers and
 // wide gangs.
 func TestSoakGrown(t *testing.T) {
--- a/internal/sim/huge_array_test.go
+++ b/internal/sim/huge_array_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// hugeArray is an array of as many tasks as the protocol allows, beside a service, on
-// some 1,400 machines; the leader ends while it runs.
+// hugeArray is an array of as many tasks as the protocol allows, beside a service, on some 1,400
+// machines; the leader crashes while it runs.
 const hugeArray = `
 seed 1
 team t
@@ -20,18 +20,11 @@
 expect expired most=0
 `
 
-// TestHugeArray plays an array of 100,000 tasks whole. The stand-ins once sorted all of a
-// job's tasks at each start, and took 505 s for it.
+// TestHugeArray plays an array of 100,000 tasks to its end. The stand-ins once sorted all of a job's
+// tasks at each start, and took 505 s for it.
 func TestHugeArray(t *testing.T) {
 	t.Parallel()
-	s, err := ParseScenario(hugeArray)
-	if err != nil {
-		t.Fatal(err)
-	}
-	world, faults := s.Run(testLog())
-	for _, fault := range faults {
-		t.Error(fault)
-	}
+	world := playScenario(t, hugeArray)
 	if world.cloud.rentedTotal < 1000 {
 		t.Errorf("%d machines were rented", world.cloud.rentedTotal)
 	}
--- a/internal/sim/one_type_test.go
+++ b/internal/sim/one_type_test.go
@@ -7,11 +7,10 @@
 	"testing"
 )
 
-// oneTypeDay writes a random day of a place with one type of machine: gangs that take
-// whole machines of one zone beside small services that are spread, teams with
-// guarantees beyond the machines that are not spot ones, and more images than a
-// machine's cache holds. The settings differ from day to day as well, so that no
-// time or limit is what the code happens to be used to.
+// oneTypeDay writes a random day of a deployment with one type of machine: gangs that take whole
+// machines of one zone beside small services that are spread over zones, teams with guarantees beyond
+// the on-demand machines, and more images than a machine's cache holds. The settings differ from day
+// to day as well, so that the code depends on none of their values.
 func oneTypeDay(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	var text strings.Builder
@@ -60,18 +59,9 @@
 	return text.String()
 }
 
-// TestOneType plays random days of such a place with settings of all kinds.
+// TestOneType plays random days of such a deployment.
 func TestOneType(t *testing.T) {
-	// On seed 474 a gang of whole machines once never began: replicas lay scattered
-	// over all that the cloud had.
-	seeds := []uint64{474}
-	for seed := uint64(1); seed <= uint64(soakDays(25)); seed++ {
-		seeds = append(seeds, seed)
-	}
-	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			playDay(t, oneTypeDay(seed))
-		})
-	}
+	// On seed 474 a gang of whole machines once never began: replicas were scattered over all
+	// machines that the cloud had.
+	playSeeds(t, soakSeeds(25, 474), oneTypeDay)
 }
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -13,96 +13,109 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pipelinesDay writes a scenario of chains, diamonds and long lists of jobs, with
-// cancellations and the troubles of meetings.
+// pipelinesDay writes a scenario of chains, diamonds and long lists of dependent jobs, with
+// cancellations, overlapping faults and limits of the key-value store that may fall.
 func pipelinesDay(seed uint64) string {
-	rng := rand.New(rand.NewPCG(seed, 13))
-	var text strings.Builder
-	fmt.Fprintf(&text, "seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[rng.IntN(2)], soakSetup)
-	if rng.IntN(2) == 0 {
-		fmt.Fprintf(&text, "next value_kb=2 txn_ops=%d write_rps=40\nat %d limits value_kb=2 txn_ops=5 write_rps=40\n", 5+rng.IntN(2), 20+rng.IntN(100))
+	d := &dayWriter{rng: rand.New(rand.NewPCG(seed, 13))}
+	fmt.Fprintf(d, "seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[d.rng.IntN(2)], soakSetup)
+	if d.rng.IntN(2) == 0 {
+		fmt.Fprintf(d, "next value_kb=2 txn_ops=%d write_rps=40\nat %d limits value_kb=2 txn_ops=5 write_rps=40\n", 5+d.rng.IntN(2), 20+d.rng.IntN(100))
 	}
-	k := 0
-	// stage writes the submission of a job that awaits others.
-	stage := func(at float64, awaits []string, last bool) string {
-		k++
-		id := fmt.Sprintf("job-%06d", k)
-		fmt.Fprintf(&text, "at %.2f submit %s team=%s image=i%d image_gb=%d", at, id, []string{"t", "u"}[rng.IntN(2)], rng.IntN(4), []int{0, 2}[rng.IntN(2)])
-		switch rng.IntN(5) {
-		case 0:
-			fmt.Fprintf(&text, " priority=idle tasks=%d cpus=1 run=%d spot", 1+rng.IntN(40), 3+rng.IntN(10))
-		case 1, 2:
-			fmt.Fprintf(&text, " tasks=%d cpus=2 run=%d", 1+rng.IntN(6), 2+rng.IntN(20))
-		case 3:
-			fmt.Fprintf(&text, " shape=gang tasks=%d cpus=2 run=%d checkpoint=10 save=2 together", 1+rng.IntN(4), 5+rng.IntN(20))
-		case 4:
-			fmt.Fprintf(&text, " priority=idle tasks=%d cpus=1 gpus=1 run=%d checkpoint=5 save=1 spot", 1+rng.IntN(8), 5+rng.IntN(15))
-		}
-		if awaits != nil {
-			fmt.Fprintf(&text, " awaits=%s", strings.Join(awaits, ","))
-		}
-		if last {
-			fmt.Fprintf(&text, " priority=urgent due=%d%s", 30+rng.IntN(200), []string{"", "", " after"}[rng.IntN(3)])
-		}
-		text.WriteByte('\n')
-		if rng.IntN(10) == 0 {
-			fmt.Fprintf(&text, "at %.2f cancel %s\n", at+1+80*rng.Float64(), id)
-		}
-		return id
-	}
-	var old []string // of earlier pipelines
+	var earlier []string // jobs of earlier pipelines
 	for range 7 {
-		at := 1 + 120*rng.Float64()
-		ids := []string{stage(at, nil, false)}
-		if old != nil && rng.IntN(3) == 0 { // needs what another pipeline makes
-			ids = append(ids, old[rng.IntN(len(old))])
-		}
-		if rng.IntN(2) == 0 {
-			at += 40 * rng.Float64()
+		earlier = append(earlier, d.pipeline(earlier)...)
+	}
+	fmt.Fprintf(d, "at 1 submit job-000900 shape=service priority=critical tasks=4 cpus=1 apart\n")
+	writeOverlappingFaults(&d.Builder, d.rng)
+	d.WriteString("until 540\n")
+	return d.String()
+}
+
+// pipeline writes a pipeline of jobs and returns their IDs, and that of an earlier job that it
+// depends on.
+func (d *dayWriter) pipeline(earlier []string) []string {
+	at := 1 + 120*d.rng.Float64()
+	ids := []string{d.stage(at, nil)}
+	if earlier != nil && d.rng.IntN(3) == 0 {
+		ids = append(ids, earlier[d.rng.IntN(len(earlier))])
+	}
+	if d.rng.IntN(2) == 0 {
+		at += 40 * d.rng.Float64()
+	}
+	switch d.rng.IntN(3) {
+	case 0: // a chain
+		for range d.rng.IntN(3) {
+			ids = append(ids, d.stage(at, ids[len(ids)-1:]))
 		}
-		switch rng.IntN(3) {
-		case 0: // a chain
-			for range rng.IntN(3) {
-				ids = append(ids, stage(at, ids[len(ids)-1:], false))
-			}
-			ids = append(ids, stage(at, ids[len(ids)-1:], true))
-		case 1: // a diamond
-			x, y := stage(at, ids, false), stage(at, ids[:1], false)
-			ids = append(ids, x, y, stage(at, []string{x, y}, true))
-		case 2: // many before one
-			for range 1 + rng.IntN(5) {
-				ids = append(ids, stage(at, ids[:rng.IntN(2)], false))
-			}
-			ids = append(ids, stage(at, append(ids, ids[0]), true))
+		return append(ids, d.lastStage(at, ids[len(ids)-1:]))
+	case 1: // a diamond
+		left, right := d.stage(at, ids), d.stage(at, ids[:1])
+		return append(ids, left, right, d.lastStage(at, []string{left, right}))
+	default: // a job with many dependencies
+		for range 1 + d.rng.IntN(5) {
+			ids = append(ids, d.stage(at, ids[:d.rng.IntN(2)]))
 		}
-		old = append(old, ids...)
+		return append(ids, d.lastStage(at, append(ids, ids[0])))
 	}
-	fmt.Fprintf(&text, "at 1 submit job-000900 shape=service priority=critical tasks=4 cpus=1 apart\n")
-	writeOverlappingFaults(&text, rng)
-	text.WriteString("until 540\n")
-	return text.String()
 }
 
-// TestPipelines plays random days on which jobs await others and troubles meet.
+// stage writes the submission of a job with dependencies, and returns its ID.
+func (d *dayWriter) stage(at float64, dependencies []string) string {
+	id := d.newJobID()
+	d.event(at, "%s", d.stageText(id, dependencies))
+	d.maybeCancel(at, id)
+	return id
+}
+
+// lastStage writes the submission of a pipeline's last job, which has a deadline.
+func (d *dayWriter) lastStage(at float64, dependencies []string) string {
+	id := d.newJobID()
+	text := d.stageText(id, dependencies)
+	d.event(at, "%s priority=urgent due=%d%s", text, 30+d.rng.IntN(200), []string{"", "", " after"}[d.rng.IntN(3)])
+	d.maybeCancel(at, id)
+	return id
+}
+
+func (d *dayWriter) stageText(id string, dependencies []string) string {
+	text := fmt.Sprintf("submit %s team=%s image=i%d image_gb=%d", id, d.pick("t", "u"), d.rng.IntN(4), []int{0, 2}[d.rng.IntN(2)])
+	switch d.rng.IntN(5) {
+	case 0:
+		text += fmt.Sprintf(" priority=idle tasks=%d cpus=1 run=%d spot", 1+d.rng.IntN(40), 3+d.rng.IntN(10))
+	case 1, 2:
+		text += fmt.Sprintf(" tasks=%d cpus=2 run=%d", 1+d.rng.IntN(6), 2+d.rng.IntN(20))
+	case 3:
+		text += fmt.Sprintf(" shape=gang tasks=%d cpus=2 run=%d checkpoint=10 save=2 together", 1+d.rng.IntN(4), 5+d.rng.IntN(20))
+	case 4:
+		text += fmt.Sprintf(" priority=idle tasks=%d cpus=1 gpus=1 run=%d checkpoint=5 save=1 spot", 1+d.rng.IntN(8), 5+d.rng.IntN(15))
+	}
+	if dependencies != nil {
+		text += " awaits=" + strings.Join(dependencies, ",")
+	}
+	return text
+}
+
+// maybeCancel writes the cancellation of every tenth job.
+func (d *dayWriter) maybeCancel(at float64, id string) {
+	if d.rng.IntN(10) == 0 {
+		d.event(at+1+80*d.rng.Float64(), "cancel %s", id)
+	}
+}
+
+// TestPipelines plays random days on which jobs depend on others and faults overlap.
 func TestPipelines(t *testing.T) {
-	// On day 58 a leader returned machines whose last ends it could not record;
-	// the next one held up the jobs, and all that awaited them, for minutes.
+	// On day 58 a leader returned machines whose last exits it could not record; the next
+	// leader held up the jobs, and all their dependents, for minutes.
 	seeds := []uint64{58}
-	for seed := uint64(1); seed <= uint64(soakDays(15)); seed++ {
+	for _, seed := range soakSeeds(15) {
 		if seed != 58 {
 			seeds = append(seeds, seed)
 		}
 	}
-	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			t.Parallel()
-			playDay(t, pipelinesDay(seed))
-		})
-	}
+	playSeeds(t, seeds, pipelinesDay)
 }
 
-// TestLoweredLimits has the state service turn away what is beyond its new
-// limits and keep what it has.
+// TestLoweredLimits lowers the limits of the key-value store. It rejects what is beyond them and
+// keeps what it has stored.
 func TestLoweredLimits(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
 	commit := func(writes, conditions, size int) int {
@@ -145,8 +158,8 @@
 	}
 }
 
-// TestCancelledWithDone has a job called cancelled with one that then is called
-// done: only in that order is the first answer right when it is given.
+// TestCancelledWithDone tells users that a job is cancelled with a dependency that is then said to be
+// done. The first answer is right when it is given, so the second one is the violation.
 func TestCancelledWithDone(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
 	for i, awaits := range [][]string{nil, {"job-000000"}, {"job-000001"}} {
--- a/internal/sim/rental_test.go
+++ b/internal/sim/rental_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestExpensiveTypeIsRented has thousands of tasks wait while the cheap type has no machine
-// and a dearer one plenty. The plan has to ask for the dearer one as fast as the cloud
-// allows. Plans that looked at each machine for each task were so far apart that the
-// cheap type's refusal was forgotten before each, so it was asked for again and again
-// and of the other one next to nothing was rented for minutes.
+// TestExpensiveTypeIsRented submits thousands of tasks while the cloud has no machine of the cheap
+// type and plenty of an expensive one. The plan has to rent the expensive one as fast as the cloud
+// allows. Plans that looked at each machine for each task once came so rarely that the refusal of
+// the cheap type was forgotten before each of them, so that it was requested again and again and
+// nearly nothing was rented of the other one for minutes.
 func TestExpensiveTypeIsRented(t *testing.T) {
 	const jobs, tasksOfJob, tasksOfMachine = 100, 100, 8
 	var text strings.Builder
@@ -20,14 +20,7 @@
 	for i := range jobs {
 		fmt.Fprintf(&text, "at 1 submit job-%06d tasks=%d run=300 image=i%d\n", i, tasksOfJob, i%4)
 	}
-	s, err := ParseScenario(text.String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	world, faults := s.Run(testLog())
-	for _, f := range faults {
-		t.Error(f)
-	}
+	world := playScenario(t, text.String())
 	if want := jobs * tasksOfJob / tasksOfMachine; world.cloud.rentedTotal < want {
 		t.Errorf("%d machines rented within 30 s, %d wanted", world.cloud.rentedTotal, want)
 	}
