--- a/internal/sim/dependency_graph_test.go
+++ b/internal/sim/dependency_graph_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// graphSetup is a fleet that runs what the graphs below need at a time.
+// graphSetup is a fleet that is large enough for the graphs below.
 const graphSetup = `
 seed %d
 workers report=1.5 lease=10 cancel=35
@@ -14,72 +14,82 @@
 type small cpus=8 mem=32 boot=10 cap=6
 `
 
-// writeSubmissions writes the submissions of a graph: one after the other, each as soon
-// as those that it awaits are accepted.
-func writeSubmissions(text *strings.Builder, at float64, first int, awaits [][]int, rest string) {
-	for n, list := range awaits {
-		fmt.Fprintf(text, "at %.2f submit job-%06d tasks=1 image_gb=0 run=%d", at, first+n, 2+n%3)
+// writeSubmissions writes the submissions of a graph, each as soon as the dependencies are accepted.
+// rootOptions are options of the first job. Jobs are numbered from 1.
+func writeSubmissions(text *strings.Builder, graph dependencyGraph, rootOptions string) {
+	for n, list := range graph {
+		fmt.Fprintf(text, "at 1 submit job-%06d tasks=1 image_gb=0 run=%d", n+1, 2+n%3)
 		if n == 0 {
-			fmt.Fprintf(text, " %s", rest)
+			fmt.Fprintf(text, " %s", rootOptions)
 		}
-		for k, a := range list {
-			fmt.Fprintf(text, "%s%06d", []string{" awaits=job-", ",job-"}[min(k, 1)], first+a)
+		for i, dependency := range list {
+			fmt.Fprintf(text, "%s%06d", []string{" awaits=job-", ",job-"}[min(i, 1)], dependency+1)
 		}
 		text.WriteByte('\n')
 	}
 }
 
-// longDependencyList is more names than an open record holds where values are small.
+// longDependencyList is more dependencies than an open record holds where values are small.
 const longDependencyList = 180
 
-// dependencyGraphs are graphs of jobs by number: what each awaits.
-func dependencyGraphs(n int) map[string][][]int {
-	chain, needed, layers := make([][]int, n), make([][]int, n), make([][]int, n)
-	needing := make([][]int, longDependencyList+1)
-	for k := 1; k < n; k++ {
+// dependencyGraph lists the dependencies of each job by number.
+type dependencyGraph [][]int
+
+// dependencyGraphs are graphs of several kinds with a number of jobs; one of them has more.
+func dependencyGraphs(jobs int) map[string]dependencyGraph {
+	chain, oneForAll, layers := make(dependencyGraph, jobs), make(dependencyGraph, jobs), make(dependencyGraph, jobs)
+	allForOne := make(dependencyGraph, longDependencyList+1)
+	for k := 1; k < jobs; k++ {
 		chain[k] = []int{k - 1}
-		needed[k] = []int{0}
+		oneForAll[k] = []int{0}
 		layer := (k - 1) / 3
 		for i := max(0, 3*layer-2); i <= 3*layer && i < k; i++ {
 			layers[k] = append(layers[k], i)
 		}
 	}
 	for k := range longDependencyList {
-		needing[longDependencyList] = append(needing[longDependencyList], k)
+		allForOne[longDependencyList] = append(allForOne[longDependencyList], k)
+	}
+	return map[string]dependencyGraph{"chain": chain, "one dependency of all": oneForAll, "layers": layers, "one with all dependencies": allForOne}
+}
+
+// dependentsOfRoot reports for each job whether it is the first one or depends on it.
+func (g dependencyGraph) dependentsOfRoot() []bool {
+	isDependent := make([]bool, len(g))
+	isDependent[0] = true
+	for n, list := range g {
+		for _, dependency := range list {
+			isDependent[n] = isDependent[n] || isDependent[dependency]
+		}
 	}
-	return map[string][][]int{"a chain": chain, "one that all need": needed, "layers": layers, "one that needs all": needing}
+	return isDependent
 }
 
-// TestCancelledGraphs cancels the root of large graphs while its task runs and a
-// trouble goes on. Every job that needs it is withdrawn at the end, and the rules
-// hold throughout: none starts early, none is called running too long after its
-// user was told of the root. What is beyond the limits that fall without notice
-// is sent only a few times.
+// TestCancelledGraphs cancels the root of large graphs while its task runs and faults are injected.
+// Every job that depends on it is cancelled at the end, and the rules hold throughout: no job starts
+// early, no job is said to run too long after its user was told of the root. Transactions beyond limits
+// that fall without notice are sent only a few times.
 func TestCancelledGraphs(t *testing.T) {
-	troubles := map[string]string{
-		"none":              "",
-		"the leader ends":   "at 60.3 crash leader for=3\nat 66 crash leader for=3\n",
-		"a slow service":    "at 55 slow for=60 by=0.3\n",
-		"announced limits":  "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\n",
-		"unannounced":       "at 40 limits value_kb=4 txn_ops=4 write_rps=30\nat 61 crash leader for=3\n",
-		"all of it at once": "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\nat 58 slow for=40 by=0.25\nat 60.5 crash leader for=3\n",
+	faults := map[string]string{
+		"none":               "",
+		"leader crashes":     "at 60.3 crash leader for=3\nat 66 crash leader for=3\n",
+		"slow store":         "at 55 slow for=60 by=0.3\n",
+		"announced limits":   "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\n",
+		"unannounced limits": "at 40 limits value_kb=4 txn_ops=4 write_rps=30\nat 61 crash leader for=3\n",
+		"several at once":    "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\nat 58 slow for=40 by=0.25\nat 60.5 crash leader for=3\n",
 	}
-	for shape, awaits := range dependencyGraphs(240) {
-		for trouble, lines := range troubles {
-			t.Run(shape+"/"+trouble, func(t *testing.T) {
+	for kind, graph := range dependencyGraphs(240) {
+		for fault, lines := range faults {
+			t.Run(kind+"/"+fault, func(t *testing.T) {
 				t.Parallel()
 				var text strings.Builder
 				fmt.Fprintf(&text, graphSetup, 1)
 				text.WriteString(lines)
-				writeSubmissions(&text, 1, 1, awaits, "run=400")
+				writeSubmissions(&text, graph, "run=400")
 				text.WriteString("at 60 cancel job-000001\nuntil 108\n")
-				needs := map[int]bool{0: true}
-				for n, list := range awaits {
-					for _, a := range list {
-						needs[n] = needs[n] || needs[a]
-					}
+				for n, isCancelled := range graph.dependentsOfRoot() {
 					status := "over"
-					if needs[n] {
+					if isCancelled {
 						status = "withdrawn"
 					}
 					fmt.Fprintf(&text, "expect job-%06d %s\n", n+1, status)
@@ -90,27 +100,27 @@
 	}
 }
 
-// TestFinishedGraphs runs large graphs to their ends under troubles.
+// TestFinishedGraphs runs large graphs to their ends under faults.
 func TestFinishedGraphs(t *testing.T) {
-	troubles := map[string]string{
-		"none":            "",
-		"leaders end":     "at 40 crash leader for=3\nat 80 crash all for=2\nat 120 crash leader for=3\n",
-		"a slow service":  "at 30 slow for=60 by=0.3\n",
-		"limits fall":     "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\n",
-		"unannounced":     "at 40 limits value_kb=4 txn_ops=4 write_rps=30\n",
-		"late, cut, late": "at 30 late_writes share=0.3 for=30\nat 70 cut leader state for=12\nat 90 late_reports share=0.5 for=20\n",
+	faults := map[string]string{
+		"none":               "",
+		"leaders crash":      "at 40 crash leader for=3\nat 80 crash all for=2\nat 120 crash leader for=3\n",
+		"slow store":         "at 30 slow for=60 by=0.3\n",
+		"announced limits":   "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\n",
+		"unannounced limits": "at 40 limits value_kb=4 txn_ops=4 write_rps=30\n",
+		"delayed commits, partition, duplicate heartbeats": "at 30 late_writes share=0.3 for=30\nat 70 cut leader state for=12\nat 90 late_reports share=0.5 for=20\n",
 	}
-	for shape, awaits := range dependencyGraphs(31) {
-		for trouble, lines := range troubles {
-			t.Run(shape+"/"+trouble, func(t *testing.T) {
+	for kind, graph := range dependencyGraphs(31) {
+		for fault, lines := range faults {
+			t.Run(kind+"/"+fault, func(t *testing.T) {
 				t.Parallel()
 				var text strings.Builder
 				fmt.Fprintf(&text, graphSetup, 1)
 				text.WriteString(lines)
-				writeSubmissions(&text, 1, 1, awaits, "")
-				fmt.Fprintf(&text, "at 2 submit job-000900 priority=urgent tasks=2 run=3 due=300 awaits=job-%06d\n", len(awaits))
+				writeSubmissions(&text, graph, "")
+				fmt.Fprintf(&text, "at 2 submit job-000900 priority=urgent tasks=2 run=3 due=300 awaits=job-%06d\n", len(graph))
 				text.WriteString("until 420\n")
-				for n := range awaits {
+				for n := range graph {
 					fmt.Fprintf(&text, "expect job-%06d done\n", n+1)
 				}
 				text.WriteString("expect job-000900 done\n")
@@ -120,22 +130,19 @@
 	}
 }
 
-// maxRejected is how many transactions beyond limits that fell without notice may
-// be sent: a few by each controller until it has found out.
+// maxRejected is how many transactions beyond limits that fell without notice may be sent: a few by
+// each controller until it has detected the limits.
 const maxRejected = 40
 
-// playGraph plays a scenario and counts what the state service turned away.
+// maxReported is how many faults of a graph are reported.
+const maxReported = 6
+
+// playGraph plays a scenario and checks how many transactions the key-value store rejected.
 func playGraph(t *testing.T, text string) {
 	t.Helper()
-	s, err := ParseScenario(text)
-	if err != nil {
-		t.Fatal(err)
-	}
-	world, faults := s.Run(testLog())
-	for k, fault := range faults {
-		if k < 6 {
-			t.Error(fault)
-		}
+	world, faults := parseScenario(t, text).Run(testLog())
+	for _, fault := range faults[:min(len(faults), maxReported)] {
+		t.Error(fault)
 	}
 	if world.store.rejected > maxRejected {
 		t.Errorf("%d transactions beyond the limits, want at most %d", world.store.rejected, maxRejected)
--- a/internal/sim/fault_pairs_test.go
+++ b/internal/sim/fault_pairs_test.go
@@ -3,11 +3,10 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"strings"
 	"testing"
 )
 
-// faultPairSetup is a place in which two teams have a guarantee and one has none.
+// faultPairSetup has two teams with a guarantee and a best-effort team.
 const faultPairSetup = `
 team t gpus=8 gpus_max=24
 team u gpus=8 gpus_max=16
@@ -17,120 +16,96 @@
 wait web within=2
 `
 
-// When the two troubles of a day of pairs begin, in seconds, and when it ends.
+// When the two faults of a faultPairDay begin, in seconds, and when the day ends.
 const (
 	firstFaultAt      = 40
-	secondFaultAt     = 50 // of the second at the least, up to secondFaultSpread later
+	secondFaultAt     = 50 // at the earliest, at the latest by secondFaultSpread later
 	secondFaultSpread = 50
 	faultPairEnd      = 480
 )
 
-// dayWriter is a day that is being written.
-type dayWriter struct {
-	strings.Builder
-	rng     *rand.Rand
-	lastJob int
-}
-
-// event writes a line of something that happens.
-func (d *dayWriter) event(at float64, format string, args ...any) {
-	fmt.Fprintf(d, "at %.2f %s\n", at, fmt.Sprintf(format, args...))
-}
-
-// newJobID is the name of a further job.
-func (d *dayWriter) newJobID() string {
-	d.lastJob++
-	return fmt.Sprintf("job-%06d", d.lastJob)
-}
-
-// pick chooses one of some words.
-func (d *dayWriter) pick(of ...string) string { return of[d.rng.IntN(len(of))] }
-
-// between is a number from a span.
-func (d *dayWriter) between(least, most int) int { return least + d.rng.IntN(most-least+1) }
-
-// faultKind writes a trouble that begins at a time.
+// faultKind writes a fault that begins at a time in seconds.
 type faultKind struct {
 	name  string
 	write func(d *dayWriter, at float64)
 }
 
-// faultKinds are the troubles that operators met, each with those that the days of
-// meetings hold as well.
+// faultKinds are the faults that operators met, and those of overlappingFaultsDay that they met with
+// them.
 var faultKinds = []faultKind{
-	{"machines of a type late", func(d *dayWriter, at float64) {
+	{"delayed boots of a type", func(d *dayWriter, at float64) {
 		d.event(at, "lateboot type=%s factor=%d for=%d", d.pick("small", "big"), d.between(2, 5), d.between(40, 120))
 	}},
-	{"machines of a zone never up", func(d *dayWriter, at float64) {
+	{"failed boots in a zone", func(d *dayWriter, at float64) {
 		d.event(at, "noboot zone=%s share=%g for=%d", d.pick("east", "north", "west"), []float64{0.6, 1}[d.rng.IntN(2)], d.between(30, 90))
 	}},
-	{"machines never up", func(d *dayWriter, at float64) {
+	{"failed boots", func(d *dayWriter, at float64) {
 		d.event(at, "noboot share=%g for=%d", []float64{0.3, 0.7, 1}[d.rng.IntN(3)], d.between(20, 60))
 	}},
 	{"poll storm", func(d *dayWriter, at float64) {
 		d.event(at, "poll_storm factor=%d for=%d", d.between(8, 20), d.between(60, 120))
 	}},
-	{"leader silent", func(d *dayWriter, at float64) {
+	{"leader paused", func(d *dayWriter, at float64) {
 		d.event(at, "pause leader for=%d", d.between(60, 120))
 	}},
-	{"controllers silent in turn", func(d *dayWriter, at float64) {
+	{"controllers paused in turn", func(d *dayWriter, at float64) {
 		first := d.between(20, 70)
 		d.event(at, "pause %s for=%d", d.pick("leader", "follower"), first)
 		d.event(at+float64(first)*(0.8+0.4*d.rng.Float64()), "pause %s for=%d", d.pick("leader", "follower"), d.between(20, 70))
 	}},
-	{"workers lost alone", func(d *dayWriter, at float64) {
+	{"controller partitioned from workers", func(d *dayWriter, at float64) {
 		d.event(at, "cut %s workers for=%d %s", d.pick("leader", "follower"), d.between(20, 60), d.pick("", "hold"))
 	}},
-	{"state service lost alone", func(d *dayWriter, at float64) {
+	{"controller partitioned from the store", func(d *dayWriter, at float64) {
 		d.event(at, "cut %s state for=%d %s", d.pick("leader", "follower"), d.between(20, 60), d.pick("", "hold"))
 	}},
-	{"controllers lost alone", func(d *dayWriter, at float64) {
+	{"controller partitioned from its peers", func(d *dayWriter, at float64) {
 		d.event(at, "cut %s nodes for=%d %s", d.pick("leader", "follower"), d.between(20, 60), d.pick("", "hold"))
 	}},
-	{"refused alone", func(d *dayWriter, at float64) {
+	{"controller refused by the store", func(d *dayWriter, at float64) {
 		d.event(at, "refuse %s for=%d", d.pick("leader", "follower"), d.between(20, 60))
 		d.event(at+2, "cancel_now count=%d", d.between(1, 4))
 	}},
-	{"guest's huge array", func(d *dayWriter, at float64) {
+	{"huge array of a best-effort team", func(d *dayWriter, at float64) {
 		d.event(at, "submit %s team=g priority=idle tasks=%d cpus=0.5 mem=0.2 run=2 image=g", d.newJobID(), d.between(600, 1500))
 	}},
-	{"guest's idle-time arrays", func(d *dayWriter, at float64) {
+	{"idle arrays of a best-effort team", func(d *dayWriter, at float64) {
 		for range 3 {
 			d.event(at, "submit %s team=g priority=idle tasks=%d cpus=2 run=%d checkpoint=10 save=3 image=g spot", d.newJobID(), d.between(10, 30), d.between(20, 50))
 		}
 	}},
-	{"guest's swarm", func(d *dayWriter, at float64) {
+	{"many small jobs of a best-effort team", func(d *dayWriter, at float64) {
 		for range 80 {
 			at += 0.25
 			d.event(at, "submit %s team=g priority=idle tasks=1 cpus=0.5 run=%d image=h", d.newJobID(), d.between(1, 8))
 		}
 	}},
-	{"jobs with a mistake", func(d *dayWriter, at float64) {
+	{"jobs whose tasks fail", func(d *dayWriter, at float64) {
 		for _, shape := range []string{"array tasks=1", "gang tasks=3 together", "array tasks=12", "service tasks=3"} {
 			job := d.newJobID()
 			d.event(at, "submit %s shape=%s team=%s priority=%s cpus=2 image=f fail", job, shape, d.pick("t", "g"), d.pick("critical", "urgent", "idle"))
 			d.event(at+float64(d.between(30, 160)), "cancel %s", job)
 		}
 	}},
-	{"a machine that fails everything", func(d *dayWriter, at float64) {
+	{"machine that fails every task", func(d *dayWriter, at float64) {
 		d.event(at, "faulty busy")
 		d.event(at+1, "submit %s team=t tasks=8 cpus=2 run=10", d.newJobID())
 	}},
-	{"state service down for longer than a cancellation may take", func(d *dayWriter, at float64) {
+	{"store down for longer than a cancellation may take", func(d *dayWriter, at float64) {
 		d.event(at-1, "cancel_now count=%d", d.between(1, 4))
 		d.event(at, "outage state for=%d", d.between(31, 45))
 		d.event(at+5, "cancel_now count=%d", d.between(1, 4))
 	}},
-	{"a zone's machines end", func(d *dayWriter, at float64) {
+	{"machines of a zone lost", func(d *dayWriter, at float64) {
 		d.event(at, "kill zone:%s share=1", d.pick("east", "north", "west"))
 	}},
-	{"leader ends", func(d *dayWriter, at float64) {
+	{"leader crashes", func(d *dayWriter, at float64) {
 		for range d.between(1, 3) {
 			d.event(at, "crash leader for=%g", []float64{0.3, 3, 12}[d.rng.IntN(3)])
 			at += 5 + 10*d.rng.Float64()
 		}
 	}},
-	{"all controllers end", func(d *dayWriter, at float64) {
+	{"all controllers crash", func(d *dayWriter, at float64) {
 		d.event(at, "crash all for=%g", []float64{0.3, 3, 12}[d.rng.IntN(3)])
 	}},
 	{"cancellations at the end of jobs", func(d *dayWriter, at float64) {
@@ -138,7 +113,8 @@
 	}},
 }
 
-// faultPair numbers the pairs of troubles: each with itself and every later one, over and over.
+// faultPair returns the pair of faults of a number: each fault with itself and every later one. The
+// numbers begin anew after the last pair.
 func faultPair(number uint64) (first, second faultKind) {
 	n := number % uint64(len(faultKinds)*(len(faultKinds)+1)/2)
 	for i := range faultKinds {
@@ -151,7 +127,7 @@
 	panic("no such pair")
 }
 
-// faultPairDay writes a day on which two troubles meet: the second begins a while after the first.
+// faultPairDay writes a day on which two faults overlap: the second begins a while after the first.
 func faultPairDay(seed uint64) (name, text string) {
 	first, second := faultPair(seed)
 	day := &dayWriter{rng: rand.New(rand.NewPCG(seed, 17))}
@@ -165,32 +141,32 @@
 	return first.name + ", " + second.name, day.String()
 }
 
-// writeUsualWork submits jobs of all shapes, of which users call off a few.
+// writeUsualWork submits jobs of all shapes, of which users cancel a few.
 func (d *dayWriter) writeUsualWork() {
 	for range 24 {
-		at, job := 150*d.rng.Float64(), d.newJobID()
+		at, id := 150*d.rng.Float64(), d.newJobID()
 		image := fmt.Sprintf("image=i%d image_gb=%d", d.rng.IntN(4), []int{0, 2, 8}[d.rng.IntN(3)])
 		team := d.pick("t", "u")
 		switch d.rng.IntN(5) {
 		case 0:
-			d.event(at, "submit %s shape=service class=web team=%s priority=critical tasks=%d cpus=1 %s apart", job, team, d.between(1, 5), image)
+			d.event(at, "submit %s shape=service class=web team=%s priority=critical tasks=%d cpus=1 %s apart", id, team, d.between(1, 5), image)
 		case 1:
-			d.event(at, "submit %s team=%s priority=idle tasks=%d cpus=4 gpus=1 mem=16 run=%d checkpoint=5 save=3 %s spot", job, team, d.between(1, 12), d.between(10, 50), image)
+			d.event(at, "submit %s team=%s priority=idle tasks=%d cpus=4 gpus=1 mem=16 run=%d checkpoint=5 save=3 %s spot", id, team, d.between(1, 12), d.between(10, 50), image)
 		case 2:
-			d.event(at, "submit %s shape=gang team=%s priority=urgent tasks=%d cpus=6 gpus=2 mem=16 run=%d checkpoint=5 save=2 %s together", job, team, d.between(1, 3), d.between(10, 60), image)
+			d.event(at, "submit %s shape=gang team=%s priority=urgent tasks=%d cpus=6 gpus=2 mem=16 run=%d checkpoint=5 save=2 %s together", id, team, d.between(1, 3), d.between(10, 60), image)
 		case 3:
-			d.event(at, "submit %s team=%s tasks=%d cpus=2 run=%d %s together", job, team, d.between(1, 6), d.between(5, 60), image)
+			d.event(at, "submit %s team=%s tasks=%d cpus=2 run=%d %s together", id, team, d.between(1, 6), d.between(5, 60), image)
 		case 4:
-			d.event(at, "submit %s shape=gang team=%s tasks=%d cpus=3 run=%d %s apart", job, team, d.between(2, 5), d.between(10, 60), image)
+			d.event(at, "submit %s shape=gang team=%s tasks=%d cpus=3 run=%d %s apart", id, team, d.between(2, 5), d.between(10, 60), image)
 		}
 		if d.rng.IntN(6) == 0 {
-			d.event(at+float64(d.between(5, 60)), "cancel %s", job)
+			d.event(at+float64(d.between(5, 60)), "cancel %s", id)
 		}
 	}
 }
 
-// TestFaultPairs plays days on which two of the troubles that operators met meet: a sample of
-// the pairs, or as many days as BROOKWALK_SOAK says, each pair with other numbers.
+// TestFaultPairs plays days on which two of the faults that operators met overlap: a sample of the
+// pairs, or as many days as BROOKWALK_SOAK says, each pair with other random numbers.
 func TestFaultPairs(t *testing.T) {
 	days := uint64(soakDays(42))
 	step := max(1, uint64(len(faultKinds)*(len(faultKinds)+1)/2)/days)
--- /dev/null
+++ b/internal/sim/fleet_scenarios_test.go
@@ -0,0 +1,157 @@
+package sim
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+)
+
+// grownFleetScenario writes a scenario of a fleet of a number of machines: services, arrays and wide
+// gangs of several teams, in proportion to the fleet.
+func grownFleetScenario(machines int, seed uint64, until int, faults ...string) string {
+	rng := rand.New(rand.NewPCG(seed, 11))
+	var text strings.Builder
+	perOffer := (machines + 11) / 12 // machines of a type and zone, spot or not
+	gpus := float64(machines)
+	fmt.Fprintf(&text, "seed %d\nuntil %d\n", seed, until)
+	fmt.Fprintf(&text, "team t gpus=%g gpus_max=%g\nteam u gpus=%g gpus_max=%g\n", 1.5*gpus, 4*gpus, 1.5*gpus, 4*gpus)
+	fmt.Fprintf(&text, "type small cpus=48 gpus=4 mem=192 price=14 spot_price=6 boot=20 fetch=9 cache=300 cap=%d spot=%d\n", perOffer, perOffer)
+	fmt.Fprintf(&text, "type big cpus=96 gpus=8 mem=384 price=20 spot_price=8 boot=15 fetch=5 cache=600 cap=%d spot=%d\n", perOffer, perOffer)
+	text.WriteString("wait web within=20\nwait train within=10\nfinished sweep within=300\n")
+	team := func() string { return []string{"t", "u"}[rng.IntN(2)] }
+	n := 0
+	submit := func(at int, format string, a ...any) {
+		n++
+		fmt.Fprintf(&text, "at %d submit job-%06d team=%s %s\n", at, n, team(), fmt.Sprintf(format, a...))
+	}
+	add := func(at int) {
+		switch rng.IntN(6) {
+		case 0:
+			submit(at, "shape=service class=big priority=critical tasks=%d cpus=33 gpus=4 mem=100 image=b%d image_gb=70 apart", 1+rng.IntN(3), rng.IntN(6))
+		case 1, 2:
+			submit(at, "shape=service class=web priority=critical tasks=%d cpus=8 gpus=1 mem=25 image=w%d image_gb=16 apart", 2+rng.IntN(7), rng.IntN(10))
+		case 3, 4:
+			submit(at, "shape=gang class=train priority=urgent tasks=%d cpus=43 gpus=4 mem=150 run=%d checkpoint=15 save=3 image=t%d image_gb=16 together spot", 1<<rng.IntN(3), 60+rng.IntN(120), rng.IntN(8))
+		case 5:
+			submit(at, "class=sweep priority=idle tasks=%d cpus=8 gpus=1 mem=25 run=%d checkpoint=10 save=4 image=s%d image_gb=34 spot", 8+rng.IntN(60), 30+rng.IntN(60), rng.IntN(4))
+		}
+	}
+	for i := 0; i < machines/3; i++ {
+		add(1 + i%5)
+	}
+	for at := 10; at < until*3/4; at++ {
+		for k := 0; k < machines/50; k++ {
+			if rng.IntN(10) == 0 {
+				add(at)
+			}
+		}
+	}
+	for _, line := range faults {
+		text.WriteString(line + "\n")
+	}
+	return text.String()
+}
+
+// randomFleetFaults writes random faults that overlap, for a fleet.
+func randomFleetFaults(rng *rand.Rand, from, to int) []string {
+	var lines []string
+	who := func() string { return []string{"leader", "follower", "all", "leader"}[rng.IntN(4)] }
+	zone := func() string { return "zone:" + []string{"east", "north", "west"}[rng.IntN(3)] }
+	for range 7 {
+		at, duration := from+rng.IntN(to-from), 5+rng.IntN(45)
+		mode := []string{"hold", ""}[rng.IntN(2)]
+		add := func(format string, args ...any) {
+			lines = append(lines, fmt.Sprintf("at %d ", at)+fmt.Sprintf(format, args...))
+		}
+		switch rng.IntN(8) {
+		case 0:
+			add("crash %s for=%g", who(), []float64{0.2, 3, 10}[rng.IntN(3)])
+		case 1, 2:
+			isolated := zone()
+			for _, other := range []string{"zone:east", "zone:north", "zone:west", "state", "cloud"} {
+				if other != isolated {
+					add("cut %s %s for=%d %s", isolated, other, duration, mode)
+				}
+			}
+		case 3:
+			add("cut zone:east zone:west for=%d %s", duration, mode)
+		case 4:
+			add("cut %s %s for=%d %s", []string{"leader", "follower"}[rng.IntN(2)], []string{"state", "workers", "nodes"}[rng.IntN(3)], duration, mode)
+		case 5:
+			add("cut follower state for=%d", duration)
+			add("cut follower nodes for=%d", duration)
+		case 6:
+			add("copies for=%d delay=%d", duration, 1+rng.IntN(30))
+		case 7:
+			for range 4 {
+				add("%s busy for=%d", []string{"kill", "hang", "take", "faulty"}[rng.IntN(4)], duration)
+			}
+		}
+	}
+	return lines
+}
+
+// massMachineFaults writes faults of hundreds of machines at once.
+func massMachineFaults(rng *rand.Rand, from, to int) []string {
+	var lines []string
+	for range 3 {
+		lines = append(lines, fmt.Sprintf("at %d %s some share=%.2f for=%d", from+rng.IntN(to-from),
+			[]string{"kill", "hang", "take", "faulty", "deaf", "hang"}[rng.IntN(6)], 0.1+0.4*rng.Float64(), 5+rng.IntN(40)))
+	}
+	return lines
+}
+
+// startupWaveScenario writes a scenario of the start of a large fleet: hundreds of small services
+// spread over zones, for which all machines are rented at once. At scale 1 there are some 1,000
+// machines at the most.
+func startupWaveScenario(scale float64, until int, faults ...string) string {
+	rng := rand.New(rand.NewPCG(1, 11))
+	var text strings.Builder
+	n := func(k float64) int { return int(k * scale) }
+	fmt.Fprintf(&text, "seed 1\nuntil %d\nworkers report=4 lease=22 cancel=42\n", until)
+	for _, team := range []string{"t", "u"} {
+		fmt.Fprintf(&text, "team %s gpus=%d gpus_max=%d\n", team, n(1200), n(4000))
+	}
+	fmt.Fprintf(&text, "type small cpus=16 mem=32 price=1 spot_price=0.3 boot=40 fetch=1 cap=%d spot=%d\n", n(145), n(56))
+	fmt.Fprintf(&text, "type big cpus=64 gpus=8 mem=512 price=25 spot_price=7 boot=30 fetch=2.3 cap=%d spot=%d\n", n(79), n(56))
+	text.WriteString("wait gate within=1\nwait chat within=30\nwait wide within=100\n")
+	k := 0
+	submit := func(at float64, format string, a ...any) {
+		k++
+		fmt.Fprintf(&text, "at %.2f submit job-%06d team=%s %s\n", at, k, []string{"t", "u"}[rng.IntN(2)], fmt.Sprintf(format, a...))
+		if rng.IntN(8) == 0 {
+			fmt.Fprintf(&text, "at %.2f cancel job-%06d\n", at+float64(until)*(0.2+0.8*rng.Float64()), k)
+		}
+	}
+	first := func() float64 { return 1 + 3*rng.Float64() }
+	gate := func(at float64) {
+		submit(at, "shape=service class=gate priority=critical tasks=%d cpus=1 mem=1.8 image=g%d image_gb=1.8 apart", []int{3, 4, 9}[rng.IntN(3)], rng.IntN(16))
+	}
+	sweep := func(at float64) {
+		submit(at, "class=sweep tasks=%d cpus=5 gpus=1 mem=35 run=80 checkpoint=10 save=4 image=s%d image_gb=42 spot", 5+rng.IntN(20), rng.IntN(10))
+	}
+	for range n(650) {
+		gate(first())
+	}
+	for range n(60) {
+		submit(first(), "shape=service class=chat priority=critical tasks=%d cpus=22 gpus=4 mem=150 image=c%d image_gb=68 apart", 1+rng.IntN(3), rng.IntN(6))
+	}
+	for range n(33) {
+		sweep(first())
+	}
+	for range n(10) {
+		submit(first(), "shape=gang class=wide priority=urgent tasks=2 cpus=57 gpus=8 mem=410 run=250 checkpoint=15 save=2 image=w%d image_gb=118 together types=big", rng.IntN(6))
+	}
+	for at := 5; at < until-10; at++ {
+		if rng.Float64() < 0.68*scale {
+			gate(float64(at))
+		}
+		if rng.Float64() < 0.25*scale {
+			sweep(float64(at))
+		}
+	}
+	for _, line := range faults {
+		text.WriteString(line + "\n")
+	}
+	return text.String()
+}
--- a/internal/sim/large_fleet_test.go
+++ b/internal/sim/large_fleet_test.go
@@ -9,9 +9,9 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// TestFourThousandMachines boots a fleet of 4,200 machines, on which users ask many times
-// as often, the leader stands still for 90 s, most of a zone dies and the next leader ends.
-// No rule may break and the fleet has to serve again.
+// TestFourThousandMachines boots a fleet of 4,200 machines, on which users poll many times as often,
+// the leader is paused for 90 s, most machines of a zone are lost and the next leader crashes. No rule
+// may be violated and the fleet has to serve again.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	const replicas, services = 100, 42
@@ -27,17 +27,14 @@
 	for i := range 40 {
 		fmt.Fprintf(&text, "at %d submit job-9%05d tasks=20 cpus=2 run=10\n", 60+3*i, i)
 	}
-	scenario, err := ParseScenario(text.String())
-	if err != nil {
-		t.Fatal(err)
-	}
+	scenario := parseScenario(t, text.String())
 	world := scenario.newWorld(slog.New(slog.DiscardHandler))
-	longest, machines := 0, 0
-	evaluations := map[*controller]int{}                          // of each controller's decisions, at its last step
-	world.mutate = func(controller *controller, _ *core.Output) { // watches, changes nothing
-		now := controller.core.(*core.Core).Evaluations()
-		longest = max(longest, now-evaluations[controller])
-		evaluations[controller] = now
+	longestStep, machines := 0, 0
+	evaluations := map[*controller]int{}                 // of each controller, at its last step
+	world.mutate = func(c *controller, _ *core.Output) { // changes nothing
+		now := c.core.(*core.Core).Evaluations()
+		longestStep = max(longestStep, now-evaluations[c])
+		evaluations[c] = now
 	}
 	world.after(seconds(100), func() { machines = world.cloud.rentedMachines("") })
 	for _, fault := range scenario.finish(world) {
@@ -47,7 +44,7 @@
 	for i := range services {
 		running += world.runningTasks(fmt.Sprintf("job-%06d", i+1))
 	}
-	t.Logf("%d machines, %d evaluations in the longest step, %d replicas run at the end", machines, longest, running)
+	t.Logf("%d machines, %d evaluations in the longest step, %d replicas run at the end", machines, longestStep, running)
 	if machines < replicas*services {
 		t.Errorf("%d machines", machines)
 	}
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
-	"fmt"
 	"log/slog"
 	"strings"
 	"testing"
@@ -13,8 +11,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// misbehavingController is a controller that accepts every job and has every worker start the
-// first task of each.
+// misbehavingController is a controller that accepts every job and makes every worker start the first
+// task of each.
 type misbehavingController struct {
 	live *Live
 	jobs []string
@@ -26,45 +24,45 @@
 // Ask answers from another goroutine, as a process does.
 func (c *misbehavingController) Ask(from, method, path string, body []byte, _ time.Duration, done func(core.Answer)) {
 	answer := core.Answer{Status: 200}
-	if path == "/checkin" {
-		orders := wire.CommandList{FencingToken: 1}
+	if path == heartbeatPath {
+		list := wire.CommandList{FencingToken: 1}
 		for _, id := range c.jobs {
-			orders.Commands = append(orders.Commands, wire.Command{Verb: wire.VerbStart, Task: id + "/0", Attempt: 1})
+			list.Commands = append(list.Commands, wire.Command{Verb: wire.VerbStart, Task: id + "/0", Attempt: 1})
 		}
-		answer.Body, _ = json.Marshal(orders)
+		answer.Body = encode(list)
 	} else if method == "POST" {
-		var j wire.Job
-		json.Unmarshal(body, &j)
-		c.jobs = append(c.jobs, j.ID)
-		answer.Body, _ = json.Marshal(wire.JobStatus{ID: j.ID, Status: wire.StatusPending})
+		var job wire.Job
+		decode(body, &job)
+		c.jobs = append(c.jobs, job.ID)
+		answer.Body = encode(wire.JobStatus{ID: job.ID, Status: wire.StatusPending})
 	}
 	go c.live.Do(func() { done(answer) })
 }
 
-// TestLiveChecksRules plays a live world around a controller that has two workers run
-// one task. The judge has to find it.
+// TestLiveChecksRules plays a live world around a controller that makes two workers run one task. The
+// checker has to report it.
 func TestLiveChecksRules(t *testing.T) {
-	cfg := defaultSettings()
-	cfg.Deployment.Size = 1
-	cfg.Deployment.Workers.ReportS = 0.05
-	live := NewLive(LiveConfig{Settings: cfg, Log: slog.New(slog.DiscardHandler),
-		Types:         []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 8, PullGBPerS: 100, Zones: cfg.Deployment.Zones}},
+	settings := defaultSettings()
+	settings.Deployment.Size = 1
+	settings.Deployment.Workers.ReportS = 0.05
+	live := NewLive(LiveConfig{Settings: settings, Log: slog.New(slog.DiscardHandler),
+		Types:         []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 8, PullGBPerS: 100, Zones: settings.Deployment.Zones}},
 		Stock:         []Stock{{Type: "small", Zone: "east", Count: 2, Up: 2}},
 		WorkerAddress: func(machine string) string { return machine }})
 	live.Attach(0, &misbehavingController{live: live})
 	live.Submit(LiveJob{Job: wire.Job{ID: "job-000001", Team: "t", Shape: wire.ShapeService, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img"}})
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	var broken []string
 	live.After(0, func() { stopOnViolation(live, stop) })
 	live.Run(ctx, time.Minute)
-	live.Do(func() { broken = live.Counts().Violations })
-	if len(broken) == 0 || !strings.HasPrefix(broken[0], "ran_twice") {
-		t.Errorf("found %v, want ran_twice", fmt.Sprint(broken))
+	var violations []string
+	live.Do(func() { violations = live.Counts().Violations })
+	if len(violations) == 0 || !strings.HasPrefix(violations[0], "ran_twice") {
+		t.Errorf("found %v, want ran_twice", violations)
 	}
 }
 
-// stopOnViolation ends a run as soon as a rule is broken.
+// stopOnViolation ends a run as soon as a rule is violated.
 func stopOnViolation(l *Live, stop func()) {
 	if len(l.Counts().Violations) > 0 {
 		stop()
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -1,7 +1,6 @@
 package sim
 
 import (
-	"encoding/json"
 	"fmt"
 	"log/slog"
 	"math/rand/v2"
@@ -9,6 +8,7 @@
 	"testing"
 	"time"
 
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -114,42 +114,52 @@
 	playSeeds(t, seeds, pipelinesDay)
 }
 
+// commitStatus commits a transaction of writes, with values of a size in bytes, and conditions that
+// hold, a second later. It returns the status of the answer.
+func commitStatus(world *World, writes, conditions, size int) int {
+	var txn wire.Txn
+	for i := range writes {
+		value := encode(strings.Repeat("x", size-2)) // with its quotes
+		txn.Writes = append(txn.Writes, wire.Write{Put: fmt.Sprintf("a/%d", i), Value: value})
+	}
+	for i := range conditions {
+		txn.Conditions = append(txn.Conditions, wire.Condition{Key: fmt.Sprintf("none/%d", i)})
+	}
+	world.now += time.Second
+	got := httpstatus.NoAnswer
+	world.store.handle("node-0", "POST", "/commit", encode(txn), func(status int, _ []byte) { got = status })
+	return got
+}
+
 // TestLoweredLimits lowers the limits of the key-value store. It rejects what is beyond them and
 // keeps what it has stored.
 func TestLoweredLimits(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
-	commit := func(writes, conditions, size int) int {
-		var txn wire.Txn
-		for i := range writes {
-			value, _ := json.Marshal(strings.Repeat("x", size-2))
-			txn.Writes = append(txn.Writes, wire.Write{Put: fmt.Sprintf("a/%d", i), Value: value})
-		}
-		for i := range conditions {
-			txn.Conditions = append(txn.Conditions, wire.Condition{Key: fmt.Sprintf("none/%d", i)})
-		}
-		body, _ := json.Marshal(txn)
-		world.now += time.Second
-		got := 0
-		world.store.handle("node-0", "POST", "/commit", body, func(status int, _ []byte) { got = status })
-		return got
+	if got := commitStatus(world, 6, 24, 8192); got != httpstatus.OK {
+		t.Errorf("before the limits fall: %d", got)
 	}
-	check := func(writes, conditions, size, want int) {
-		t.Helper()
-		if got := commit(writes, conditions, size); got != want {
-			t.Errorf("%d writes of %d bytes, %d conditions: %d, want %d", writes, size, conditions, got, want)
-		}
-	}
-	check(6, 24, 8192, 200)
 	world.store.reduceLimits(config.StoreLimits{RPS: 200, WriteRPS: 4, ValueKB: 2, TxnOps: 5})
-	check(1, 0, 2048, 200)
-	check(1, 0, 2049, 400)
-	check(6, 0, 10, 400)
-	check(1, 20, 10, 200)
-	check(1, 21, 10, 400)
-	check(5, 0, 10, 429) // more than a second's worth
-	check(4, 0, 10, 200)
+	for _, tc := range []struct {
+		name                     string
+		writes, conditions, size int
+		want                     int
+	}{
+		{"largest value", 1, 0, 2048, httpstatus.OK},
+		{"value too large", 1, 0, 2049, httpstatus.BadRequest},
+		{"too many writes", 6, 0, 10, httpstatus.BadRequest},
+		{"most conditions", 1, 20, 10, httpstatus.OK},
+		{"too many conditions", 1, 21, 10, httpstatus.BadRequest},
+		{"more writes than a second allows", 5, 0, 10, httpstatus.TooManyRequests},
+		{"as many writes as a second allows", 4, 0, 10, httpstatus.OK},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := commitStatus(world, tc.writes, tc.conditions, tc.size); got != tc.want {
+				t.Errorf("status %d, want %d", got, tc.want)
+			}
+		})
+	}
 	world.store.handle("node-0", "GET", "/store/a/5", nil, func(status int, body []byte) {
-		if status != 200 || len(body) < 8192 {
+		if status != httpstatus.OK || len(body) < 8192 {
 			t.Errorf("a stored value: %d, %d bytes", status, len(body))
 		}
 	})
@@ -162,17 +172,18 @@
 // done. The first answer is right when it is given, so the second one is the violation.
 func TestCancelledWithDone(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
-	for i, awaits := range [][]string{nil, {"job-000000"}, {"job-000001"}} {
+	for i, dependencies := range [][]string{nil, {"job-000000"}, {"job-000001"}} {
 		id := fmt.Sprintf("job-%06d", i)
-		world.jobs[id] = &groundTruth{Job: wire.Job{ID: id, Tasks: 1, Dependencies: awaits}, doneTasks: map[int]bool{0: i == 0}}
+		truth := newGroundTruth(wire.Job{ID: id, Tasks: 1, Dependencies: dependencies})
+		truth.doneTasks[0] = i == 0
+		world.jobs[id] = truth
 		world.users.jobs[id] = &userJob{id: id, accepted: true}
 	}
-	tell := func(id string, status wire.JobState, faults int) {
+	tell := func(id string, status wire.JobState, wantViolations int) {
 		t.Helper()
-		body, _ := json.Marshal(wire.JobStatus{ID: id, Status: status})
-		world.users.recordStatus(world.users.jobs[id], body, world.now)
-		if len(world.checker.violations) != faults {
-			t.Errorf("%s %s: %d faults, want %d: %v", id, status, len(world.checker.violations), faults, world.checker.violations)
+		world.users.recordStatus(world.users.jobs[id], encode(wire.JobStatus{ID: id, Status: status}), world.now)
+		if found := world.checker.violations; len(found) != wantViolations {
+			t.Errorf("%s %s: %d violations, want %d: %v", id, status, len(found), wantViolations, found)
 		}
 	}
 	world.users.jobs["job-000000"].cancelRequestedAt = time.Second
