--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -1,7 +1,6 @@
 package hollow
 
 import (
-	"io"
 	"log/slog"
 	"os"
 	"os/exec"
@@ -11,21 +10,22 @@
 	"sync"
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/httpserve"
-
 	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/brookwalk/brookwalk/internal/httpserve"
 )
 
-// controllerProcess is one controller: a process of the program under test.
+// controllerProcess is a controller: a process of the program under test, which is started again
+// after failures. It implements sim.Process.
 type controllerProcess struct {
 	name    string
-	listen  string
+	listen  string // address for workers and users
 	command []string
-	// operator is the path of the operators' own settings; empty if there are none.
-	operator string
-	output   io.Writer // what it writes to standard error
-	log      *slog.Logger
+	// operatorPath is the path of the operators' own settings; empty if there are none.
+	operatorPath string
+	output       *os.File // what the process writes to standard error
+	log          *slog.Logger
 
 	// withWorld calls a function with the world locked.
 	withWorld     func(func())
@@ -33,51 +33,57 @@
 	workerTraffic *httpserve.Traffic
 	usage         processMeter
 
+	exits sync.WaitGroup // one for each process that was started
+
 	mu             sync.Mutex
+	closed         bool
 	process        *os.Process // nil while there is none
 	starts         int
-	unexpectedEnds int // ends that nobody asked for
-	clients        map[string]*httpwire.Client
+	unexpectedEnds int                         // exits without a Kill
+	clients        map[string]*httpwire.Client // by sender
 }
 
-// Start starts the process.
+// Start starts the process, unless the run has ended: late answers to requests may still carry out
+// a scheduled start.
 func (c *controllerProcess) Start() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closed {
+		return
+	}
 	cmd := exec.Command(c.command[0], c.command[1:]...)
 	cmd.Stderr = c.output
 	cmd.Env = c.environment()
 	if err := cmd.Start(); err != nil {
-		c.log.Error("controller not started", "name", c.name, "err", err)
+		c.log.Error("controller not started", "controller", c.name, "error", err)
 		return
 	}
-	c.mu.Lock()
 	c.process = cmd.Process
 	c.starts++
 	c.clients = map[string]*httpwire.Client{}
-	c.mu.Unlock()
-	c.log.Info("controller started", "name", c.name, "pid", cmd.Process.Pid)
-	go c.awaitExit(cmd)
+	c.log.Info("controller started", "controller", c.name, "pid", cmd.Process.Pid)
+	c.exits.Go(func() { c.awaitExit(cmd) })
 }
 
-// The program's variables.
+// Environment variables of the program.
 const (
 	logLevelVariable = "LOG_LEVEL"
 	operatorVariable = "BROOKWALK_OPERATOR"
 )
 
-// environment is this process's own, with the program's variables as the experiment
-// says.
+// environment is that of this process, with the program's own variables set by the experiment.
 func (c *controllerProcess) environment() []string {
-	env := slices.DeleteFunc(os.Environ(), func(v string) bool {
-		return strings.HasPrefix(v, logLevelVariable+"=") || strings.HasPrefix(v, operatorVariable+"=")
+	environment := slices.DeleteFunc(os.Environ(), func(variable string) bool {
+		return strings.HasPrefix(variable, logLevelVariable+"=") || strings.HasPrefix(variable, operatorVariable+"=")
 	})
-	env = append(env, logLevelVariable+"=info")
-	if c.operator != "" {
-		env = append(env, operatorVariable+"="+c.operator)
+	environment = append(environment, logLevelVariable+"=info")
+	if c.operatorPath != "" {
+		environment = append(environment, operatorVariable+"="+c.operatorPath)
 	}
-	return env
+	return environment
 }
 
-// awaitExit notes the end of a process.
+// awaitExit waits for the end of a process and records it if nobody killed the process.
 func (c *controllerProcess) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	c.mu.Lock()
@@ -85,21 +91,41 @@
 	if c.process == cmd.Process {
 		c.process = nil
 		c.unexpectedEnds++
-		c.log.Error("controller ended by itself", "name", c.name, "err", err)
+		c.log.Error("controller exited unexpectedly", "controller", c.name, "error", err)
 	}
 }
 
-// Kill ends the process without notice.
+// Kill ends the process without notice. It does not wait for its end.
 func (c *controllerProcess) Kill() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.process != nil {
-		c.process.Kill()
-		c.process = nil
+	if c.process == nil {
+		return
+	}
+	if err := c.process.Kill(); err != nil {
+		c.log.Error("controller not killed", "controller", c.name, "error", err)
 	}
+	c.process = nil
+}
+
+// close kills the process, waits for its end and closes its log.
+func (c *controllerProcess) close() {
+	c.mu.Lock()
+	c.closed = true
+	c.mu.Unlock()
+	c.Kill()
+	c.exits.Wait()
+	closeLogged(c.log, c.output.Name(), c.output)
+}
+
+// startsAndEnds returns how often the process was started, and how often it exited unexpectedly.
+func (c *controllerProcess) startsAndEnds() (starts, unexpectedEnds int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.starts, c.unexpectedEnds
 }
 
-// pid is the process's id; 0 if there is none.
+// pid returns the process's ID; 0 if there is no process.
 func (c *controllerProcess) pid() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,10 +135,7 @@
 	return c.process.Pid
 }
 
-// statusMisdirected redirects a worker to another controller.
-const statusMisdirected = 421
-
-// userSender is the sender of users' requests.
+// userSender is the sender of users' requests; other senders are machines.
 const userSender = "user"
 
 // Connections that a worker, and all users together, keep open to a controller.
@@ -121,7 +144,7 @@
 	userConnections   = 16
 )
 
-// client finds the client that a sender's requests take.
+// client returns the client for a sender's requests; nil if there is no process.
 func (c *controllerProcess) client(from string) *httpwire.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -139,7 +162,7 @@
 	return client
 }
 
-// closeClient closes the connections of a worker that is gone.
+// closeClient closes the connections of a worker that was removed.
 func (c *controllerProcess) closeClient(worker string) {
 	c.mu.Lock()
 	client := c.clients[worker]
@@ -153,8 +176,8 @@
 // Ask sends a request of a user or a worker.
 func (c *controllerProcess) Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	go func() {
-		a := c.request(from, method, path, body, timeout)
-		c.withWorld(func() { done(a) })
+		answer := c.request(from, method, path, body, timeout)
+		c.withWorld(func() { done(answer) })
 	}()
 }
 
@@ -169,23 +192,34 @@
 		client.CloseIdle()
 		return core.Answer{}
 	}
-	if response.Status == statusMisdirected {
+	if response.Status == httpstatus.MisdirectedRequest {
 		client.CloseIdle() // the worker goes to another controller
 	}
+	retryAfter, err := strconv.Atoi(response.RetryAfter)
+	if err != nil {
+		retryAfter = 0 // the answer has no such header
+	}
+	c.countTraffic(from, httpwire.AppendRequest(nil, method, path, c.listen, body),
+		httpwire.AppendResponse(nil, httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: retryAfter, Close: response.Close}))
+	return core.Answer{Status: response.Status, Body: response.Body, RetryAfter: retryAfter}
+}
+
+// countTraffic counts a request with its response.
+func (c *controllerProcess) countTraffic(from string, request, response []byte) {
 	traffic := c.workerTraffic
 	if from == userSender {
 		traffic = c.userTraffic
 	}
-	retry, _ := strconv.Atoi(response.RetryAfter)
-	traffic.Add(len(httpwire.AppendRequest(nil, method, path, c.listen, body)), len(httpwire.AppendResponse(nil, httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: retry, Close: response.Close})))
-	return core.Answer{Status: response.Status, Body: response.Body, RetryAfter: retry}
+	traffic.Add(len(request), len(response))
 }
 
-// sampleUsage reads the process's use of the machine.
-func (c *controllerProcess) sampleUsage() {
-	if pid := c.pid(); pid != 0 {
-		if used, err := readUsage(pid); err == nil {
-			c.usage.addSample(pid, used, time.Now())
-		}
+// sampleUsage samples what the process uses, in the steady part of the run or before.
+func (c *controllerProcess) sampleUsage(isSteady bool) {
+	pid := c.pid()
+	if pid == 0 {
+		return
+	}
+	if used, err := readUsage(pid); err == nil { // else the process has just ended
+		c.usage.addSample(pid, used, time.Now(), isSteady)
 	}
 }
--- a/internal/hollow/experiment.go
+++ b/internal/hollow/experiment.go
@@ -1,7 +1,10 @@
-// Package hollow runs real controller processes among stand-ins that speak the real
-// protocol over loopback: thousands of hollow workers, users, a cloud and a state
-// service in one process, by the real clock. The stand-ins and the judge of the
-// rules are those of package sim.
+// Package hollow runs real controller processes among stand-ins that speak the real protocol over
+// loopback: thousands of hollow workers, users, a cloud and a key-value store in one process, by the
+// real clock. A hollow worker is a simulated worker in front of a real controller, as the hollow nodes
+// of Kubernetes' load tests are. The stand-ins and the checker of rules are those of package sim.
+//
+// The package starts and ends processes, listens on loopback addresses and writes files to the
+// directory of a run. The command brookwalk-hollow calls it.
 package hollow
 
 import (
@@ -9,22 +12,19 @@
 	"fmt"
 	"math"
 	"os"
-	"slices"
-	"strings"
 
 	"github.com/BurntSushi/toml"
 	"github.com/brookwalk/brookwalk/internal/config"
-	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Experiment is what an experiment file says. Times are in seconds.
+// Experiment is the content of an experiment file. Times are in seconds.
 type Experiment struct {
 	Name        string               `toml:"name"`
 	Seconds     float64              `toml:"seconds"` // how long it runs
 	Seed        uint64               `toml:"seed"`
 	Controllers int                  `toml:"controllers"`
 	Zones       []string             `toml:"zones"`
-	RestartS    float64              `toml:"restart_s"` // from a controller's end to its next start
+	RestartS    float64              `toml:"restart_s"` // from the kill of a controller to its next start
 	Workers     config.WorkerTimings `toml:"workers"`
 	State       config.StoreLimits   `toml:"state"`
 	Cloud       config.CloudLimits   `toml:"cloud"`
@@ -35,16 +35,17 @@
 	Objectives  []ClassObjective     `toml:"objectives"`
 	Jobs        []JobClass           `toml:"jobs"`
 	Failures    []Failure            `toml:"failures"`
-	// Regions, if there are any, are that many deployments of this kind which share the limits.
+	// Regions are deployments of this kind that share the teams' limits; none for a single
+	// deployment.
 	Regions []Region `toml:"regions"`
 }
 
-// Operator is what the operators' own settings say in the experiment.
+// Operator has the operators' own settings.
 type Operator struct {
-	IdleReturnS float64 `toml:"idle_return_s"` // when idle machines are returned; 0 for the program's own time
+	IdleReturnS float64 `toml:"idle_return_s"` // after which idle machines are returned; 0 for the program's default
 }
 
-// MachineType is a type of machine, and how many of it the cloud has.
+// MachineType is a type of machine, and how many the cloud has.
 type MachineType struct {
 	Name          string  `toml:"name"`
 	CPUs          float64 `toml:"cpus"`
@@ -55,12 +56,12 @@
 	Price         float64 `toml:"price"`
 	SpotPrice     float64 `toml:"spot_price"`
 	BootS         float64 `toml:"boot_s"`
-	OnDemandCount int     `toml:"count"`    // ordinary machines over all zones
+	OnDemandCount int     `toml:"count"`    // on-demand machines over all zones
 	SpotCount     int     `toml:"spot"`     // spot machines over all zones
-	UpShare       float64 `toml:"up_share"` // of the ordinary ones, up from the beginning
+	UpShare       float64 `toml:"up_share"` // of the on-demand machines, up from the beginning
 }
 
-// Teams are that many teams which share guarantee and limit evenly.
+// Teams are a number of teams that share a guarantee and a limit evenly.
 type Teams struct {
 	Count   int     `toml:"count"`
 	CPUs    float64 `toml:"cpus"`
@@ -69,13 +70,13 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// teamLimit is what each team is guaranteed and limited to.
+// teamLimit is the guarantee and the limit of each team.
 func (e *Experiment) teamLimit() config.Team {
-	t, n := e.Teams, float64(e.Teams.Count)
-	return config.Team{CPUs: t.CPUs / n, CPUsMax: t.CPUsMax / n, GPUs: t.GPUs / n, GPUsMax: t.GPUsMax / n}
+	teams, count := e.Teams, float64(e.Teams.Count)
+	return config.Team{CPUs: teams.CPUs / count, CPUsMax: teams.CPUsMax / count, GPUs: teams.GPUs / count, GPUsMax: teams.GPUsMax / count}
 }
 
-// ClassObjective is what is expected of a class.
+// ClassObjective is the service-level objective of a class.
 type ClassObjective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -88,19 +89,19 @@
 	Class          string  `toml:"class"`
 	Shape          string  `toml:"shape"` // array, gang or service
 	Priority       string  `toml:"priority"`
-	Tasks          []int   `toml:"tasks"` // the sizes of its jobs, one after the other
+	Tasks          []int   `toml:"tasks"` // sizes of its jobs, in turn
 	CPUs           float64 `toml:"cpus"`
 	GPUs           float64 `toml:"gpus"`
 	MemoryGB       float64 `toml:"memory_gb"`
-	RunS           float64 `toml:"run_s"` // on average; half to one and a half times it
+	RunS           float64 `toml:"run_s"` // mean run time of a task
 	CheckpointS    float64 `toml:"checkpoint_s"`
 	SaveS          float64 `toml:"save_s"`
 	Images         int     `toml:"images"`
 	ImageGB        float64 `toml:"image_gb"`
 	InitialTasks   int     `toml:"initial"`         // tasks submitted at the start
-	InitialS       float64 `toml:"initial_s"`       // over which time
-	TasksPerSecond float64 `toml:"starts_per_s"`    // tasks submitted a second after that
-	FromS          float64 `toml:"from_s"`          // from when on
+	InitialS       float64 `toml:"initial_s"`       // time over which they are submitted
+	TasksPerSecond float64 `toml:"starts_per_s"`    // tasks submitted a second from then on
+	FromS          float64 `toml:"from_s"`          // when the steady load begins
 	CancelledShare float64 `toml:"cancelled_share"` // share of the jobs that their users cancel
 	OneZone        bool    `toml:"one_zone"`
 	Spread         bool    `toml:"spread"`
@@ -119,22 +120,21 @@
 
 var failureKinds = []string{FailLeader, FailAll, FailWorkers, FailZone, FailStore, FailRegionLink}
 
-// Failure is something that fails at a time.
+// Failure is a fault that is injected at a time.
 type Failure struct {
 	AtS   float64 `toml:"at_s"`
 	Kind  string  `toml:"kind"`
 	Share float64 `toml:"share"` // of the workers
 	Zone  string  `toml:"zone"`
 	ForS  float64 `toml:"for_s"`
-	// Region is where it happens; empty for all. A cut is from it to the region To, or to all
-	// others, and if Both also back.
+	// Region is where it happens; empty for all. A partition is from it to the region To, or to all
+	// others, and with BothWays also back.
 	Region   string `toml:"region"`
 	To       string `toml:"to"`
 	BothWays bool   `toml:"both"`
 }
 
-// Load reads and checks an experiment file. An error names the file, the field and
-// the reason.
+// Load reads and validates an experiment file. An error names the file, the field and the reason.
 func Load(path string) (*Experiment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -147,198 +147,34 @@
 	return experiment, nil
 }
 
-// Parse reads and checks an experiment.
+// Parse reads and validates an experiment.
 func Parse(text string) (*Experiment, error) {
 	experiment := &Experiment{Seed: 1, RestartS: 3}
-	md, err := toml.Decode(text, experiment)
+	metadata, err := toml.Decode(text, experiment)
 	if err != nil {
 		return nil, err
 	}
 	var errs fieldErrors
-	for _, key := range md.Undecoded() {
+	for _, key := range metadata.Undecoded() {
 		errs.add(key.String(), "unknown field")
 	}
 	experiment.validate(&errs)
 	return experiment, errors.Join(errs...)
 }
 
-// FieldError is a field with a wrong value.
-type FieldError struct{ Field, Reason string }
-
-func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
-
-// fieldErrors collects what is wrong with an experiment.
-type fieldErrors []error
-
-func (e *fieldErrors) add(field, format string, a ...any) {
-	*e = append(*e, &FieldError{field, fmt.Sprintf(format, a...)})
-}
-
-func (e *fieldErrors) positive(field string, v float64) {
-	if !(v > 0) || math.IsInf(v, 0) {
-		e.add(field, "must be above 0, is %v", v)
-	}
-}
-
-func (e *fieldErrors) share(field string, v float64) {
-	if !(v >= 0 && v <= 1) {
-		e.add(field, "must be from 0 to 1, is %v", v)
-	}
-}
-
-func (e *fieldErrors) oneOf(field, v string, allowed []string) {
-	if !slices.Contains(allowed, v) {
-		e.add(field, "must be one of %s, is %q", strings.Join(allowed, ", "), v)
-	}
-}
-
-// The sizes that one machine can play.
-const (
-	maxControllers = 9
-	maxWorkers     = 10000
-)
-
-func (e *Experiment) validate(errs *fieldErrors) {
-	errs.positive("seconds", e.Seconds)
-	errs.positive("restart_s", e.RestartS)
-	if e.Controllers < 1 || e.Controllers > maxControllers {
-		errs.add("controllers", "must be from 1 to %d, is %d", maxControllers, e.Controllers)
-	}
-	if len(e.Zones) == 0 {
-		errs.add("zones", "missing")
-	}
-	errs.positive("workers.report_s", e.Workers.ReportS)
-	errs.positive("workers.lease_s", e.Workers.LeaseS)
-	errs.positive("workers.cancel_s", e.Workers.CancelS)
-	errs.positive("state.rps", e.State.RPS)
-	errs.positive("state.write_rps", e.State.WriteRPS)
-	errs.positive("state.value_kb", e.State.ValueKB)
-	errs.positive("state.txn_ops", float64(e.State.TxnOps))
-	errs.positive("cloud.rps", e.Cloud.RPS)
-	errs.positive("controller.ram_mb", e.Limits.RAMMB)
-	if e.Operator.IdleReturnS < 0 {
-		errs.add("operator.idle_return_s", "must not be below 0, is %v", e.Operator.IdleReturnS)
-	}
-	errs.positive("controller.max_connections", float64(e.Limits.MaxConnections))
-	if e.Teams.Count < 1 {
-		errs.add("teams.count", "must be above 0, is %d", e.Teams.Count)
-	}
-	e.validateTypes(errs)
-	e.validateJobs(errs)
-	e.validateFailures(errs)
-	e.validateRegions(errs)
-}
-
-func (e *Experiment) hasRegion(name string) bool {
-	return slices.ContainsFunc(e.Regions, func(region Region) bool { return region.Name == name })
-}
-
-func (e *Experiment) validateRegions(errs *fieldErrors) {
-	owned := 0.0
-	for i, region := range e.Regions {
-		at := fmt.Sprintf("regions[%d].", i)
-		if region.Name == "" {
-			errs.add(at+"name", "missing")
-		}
-		if region.Load < 0 {
-			errs.add(at+"load", "must not be below 0, is %v", region.Load)
-		}
-		errs.share(at+"owned", region.Owned)
-		owned += region.Owned
-	}
-	if len(e.Regions) == 1 || len(e.Regions) > 1 && math.Abs(owned-1) > 1e-9 {
-		errs.add("regions", "must be two or more that own 1 together, are %d that own %v", len(e.Regions), owned)
-	}
-}
-
-func (e *Experiment) validateTypes(errs *fieldErrors) {
-	if len(e.Types) == 0 {
-		errs.add("types", "missing")
-	}
-	workers := 0
-	for i, machineType := range e.Types {
-		at := fmt.Sprintf("types[%d].", i)
-		if machineType.Name == "" {
-			errs.add(at+"name", "missing")
-		}
-		errs.positive(at+"cpus", machineType.CPUs)
-		errs.positive(at+"memory_gb", machineType.MemoryGB)
-		errs.positive(at+"fetch_gb_per_s", machineType.FetchGBPS)
-		errs.positive(at+"price", machineType.Price)
-		errs.positive(at+"boot_s", machineType.BootS)
-		errs.share(at+"up_share", machineType.UpShare)
-		if machineType.OnDemandCount < 0 || machineType.SpotCount < 0 || machineType.OnDemandCount+machineType.SpotCount == 0 {
-			errs.add(at+"count", "no machine of this type: %d and %d spot", machineType.OnDemandCount, machineType.SpotCount)
-		}
-		workers += machineType.OnDemandCount + machineType.SpotCount
-	}
-	if workers > maxWorkers {
-		errs.add("types", "%d machines, at most %d", workers, maxWorkers)
-	}
-}
-
-// jobShapes names the shapes of jobs as experiment files do.
-var jobShapes = map[string]wire.Shape{"array": wire.ShapeArray, "gang": wire.ShapeGang, "service": wire.ShapeService}
-
-func (e *Experiment) validateJobs(errs *fieldErrors) {
-	if len(e.Jobs) == 0 {
-		errs.add("jobs", "missing")
-	}
-	for i, job := range e.Jobs {
-		at := fmt.Sprintf("jobs[%d].", i)
-		if job.Class == "" {
-			errs.add(at+"class", "missing")
-		}
-		errs.oneOf(at+"shape", job.Shape, []string{"array", "gang", "service"})
-		errs.oneOf(at+"priority", job.Priority, []string{"critical", "urgent", "normal", "idle"})
-		if len(job.Tasks) == 0 || slices.Min(job.Tasks) < 1 {
-			errs.add(at+"tasks", "must name sizes above 0, is %v", job.Tasks)
-		}
-		errs.positive(at+"cpus", job.CPUs)
-		errs.positive(at+"memory_gb", job.MemoryGB)
-		errs.positive(at+"images", float64(job.Images))
-		if job.Shape != "service" {
-			errs.positive(at+"run_s", job.RunS)
-		}
-		errs.share(at+"cancelled_share", job.CancelledShare)
-		if job.InitialTasks < 0 || job.TasksPerSecond < 0 || job.InitialS < 0 || job.FromS < 0 {
-			errs.add(at+"initial", "initial, initial_s, starts_per_s and from_s must not be below 0")
-		}
-	}
-}
-
-func (e *Experiment) validateFailures(errs *fieldErrors) {
-	for i, failure := range e.Failures {
-		at := fmt.Sprintf("failures[%d].", i)
-		errs.oneOf(at+"kind", failure.Kind, failureKinds)
-		errs.share(at+"share", failure.Share)
-		if failure.AtS < 0 || failure.AtS >= e.Seconds {
-			errs.add(at+"at_s", "must be within the %v s of the run, is %v", e.Seconds, failure.AtS)
-		}
-		if failure.Region != "" && !e.hasRegion(failure.Region) || failure.Kind == FailRegionLink && failure.Region == "" {
-			errs.add(at+"region", "%q is none of the regions", failure.Region)
-		}
-		if failure.To != "" && !e.hasRegion(failure.To) {
-			errs.add(at+"to", "%q is none of the regions", failure.To)
-		}
-		if failure.Kind == FailZone && !slices.Contains(e.Zones, failure.Zone) {
-			errs.add(at+"zone", "%q is none of the zones", failure.Zone)
-		}
-	}
-}
-
-// Scale multiplies the fleet and its load: machines, teams' limits and jobs, not
-// the controllers, the services' limits or the times.
+// Scale multiplies the fleet and its load: machines, teams' limits and jobs. Controllers, the services'
+// limits and times stay.
 func (e *Experiment) Scale(factor float64) {
-	scaled := func(v int) int { return int(math.Round(float64(v) * factor)) }
+	scaled := func(count int) int { return int(math.Round(float64(count) * factor)) }
 	for i := range e.Types {
-		t := &e.Types[i]
-		t.OnDemandCount, t.SpotCount = scaled(t.OnDemandCount), scaled(t.SpotCount)
+		machineType := &e.Types[i]
+		machineType.OnDemandCount, machineType.SpotCount = scaled(machineType.OnDemandCount), scaled(machineType.SpotCount)
 	}
 	for i := range e.Jobs {
-		job := &e.Jobs[i]
-		job.InitialTasks, job.TasksPerSecond = scaled(job.InitialTasks), job.TasksPerSecond*factor
+		class := &e.Jobs[i]
+		class.InitialTasks, class.TasksPerSecond = scaled(class.InitialTasks), class.TasksPerSecond*factor
 	}
-	t := &e.Teams
-	t.CPUs, t.CPUsMax, t.GPUs, t.GPUsMax = t.CPUs*factor, t.CPUsMax*factor, t.GPUs*factor, t.GPUsMax*factor
+	teams := &e.Teams
+	teams.CPUs, teams.CPUsMax = teams.CPUs*factor, teams.CPUsMax*factor
+	teams.GPUs, teams.GPUsMax = teams.GPUs*factor, teams.GPUsMax*factor
 }
--- /dev/null
+++ b/internal/hollow/failures.go
@@ -0,0 +1,59 @@
+package hollow
+
+// scheduleFailures schedules the failures of the experiment.
+func (r *runner) scheduleFailures() {
+	for _, failure := range r.experiment.Failures {
+		r.live.After(seconds(failure.AtS), func() { r.injectFailure(failure) })
+	}
+}
+
+// markFailure marks a failure in the history.
+func (r *runner) markFailure(failure Failure) {
+	if r.region != nil {
+		r.region.run.usage.history.AddMark(r.live.Now(), failure.Kind+" in "+r.region.name)
+		return
+	}
+	r.history.AddMark(r.live.Now(), failure.Kind)
+}
+
+// injectFailure makes something fail. A leader is killed as soon as there is one.
+func (r *runner) injectFailure(failure Failure) {
+	r.markFailure(failure)
+	log := r.options.Log.With("kind", failure.Kind, "at_s", failure.AtS)
+	switch failure.Kind {
+	case FailLeader:
+		leader, ok := r.live.Leader()
+		if !ok {
+			log.Warn("failure delayed", "reason", "no leader")
+			r.live.After(sampleInterval, func() { r.injectFailure(failure) })
+			return
+		}
+		r.killLeader(leader)
+		log.Info("failure injected", "controller", r.live.Name(leader))
+	case FailAll:
+		r.killAllControllers()
+		log.Info("failure injected", "controllers", len(r.controllers))
+	case FailWorkers:
+		log.Info("failure injected", "machines", r.live.RemoveWorkers(failure.Share, failure.Zone))
+	case FailZone:
+		if leader, ok := r.live.Leader(); ok && r.live.Zone(leader) == failure.Zone {
+			r.observer.recordLeaderKill(r.live.Now(), r.live.Term())
+		}
+		log.Info("failure injected", "zone", failure.Zone, "machines", r.live.RemoveZone(failure.Zone, seconds(failure.ForS)))
+	case FailStore:
+		r.live.StopStore(seconds(failure.ForS))
+		log.Info("failure injected", "for_s", failure.ForS)
+	}
+}
+
+func (r *runner) killLeader(leader int) {
+	r.observer.recordLeaderKill(r.live.Now(), r.live.Term())
+	r.live.KillController(leader, seconds(r.experiment.RestartS))
+}
+
+func (r *runner) killAllControllers() {
+	r.observer.recordLeaderKill(r.live.Now(), r.live.Term())
+	for i := range r.controllers {
+		r.live.KillController(i, seconds(r.experiment.RestartS))
+	}
+}
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,7 +15,7 @@
 
 const smallExperiment = "../../experiments/small.toml"
 
-// TestExperimentFiles checks every experiment that comes with the project.
+// TestExperimentFiles validates every experiment file of the project.
 func TestExperimentFiles(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
@@ -28,14 +28,13 @@
 	}
 }
 
-// TestParseNamesField changes a good experiment in one place. The error has to name
-// the field.
+// TestParseNamesField makes a valid experiment invalid in one place. The error has to name the field.
 func TestParseNamesField(t *testing.T) {
 	data, err := os.ReadFile(smallExperiment)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, tc := range []struct{ old, with, field string }{
+	for _, tc := range []struct{ valid, invalid, field string }{
 		{"seconds = 20", "seconds = -1", "seconds"},
 		{"seed = 1", "sede = 1", "sede"},
 		{"controllers = 3", "controllers = 30", "controllers"},
@@ -49,19 +48,21 @@
 		{`kind = "kill_leader"`, `kind = "kill_zone"`, "failures[0].kind"},
 		{"at_s = 10", "at_s = 100", "failures[0].at_s"},
 	} {
-		text := strings.Replace(string(data), tc.old, tc.with, 1)
-		if text == string(data) {
-			t.Fatalf("%q is not in the file", tc.old)
-		}
-		_, err := Parse(text)
-		var wrong *FieldError
-		if !errors.As(err, &wrong) || wrong.Field != tc.field {
-			t.Errorf("%s: error %v, want one of field %s", tc.with, err, tc.field)
-		}
+		t.Run(tc.field, func(t *testing.T) {
+			text := strings.Replace(string(data), tc.valid, tc.invalid, 1)
+			if text == string(data) {
+				t.Fatalf("%q is not in the file", tc.valid)
+			}
+			_, err := Parse(text)
+			var fieldError *FieldError
+			if !errors.As(err, &fieldError) || fieldError.Field != tc.field {
+				t.Errorf("%s: error %v, want one of field %s", tc.invalid, err, tc.field)
+			}
+		})
 	}
 }
 
-// buildProgram builds the controllers' program.
+// buildProgram builds the program of the controllers.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "brookwalk")
@@ -72,9 +73,9 @@
 	return path
 }
 
-// runSmall runs the small experiment with a hundred workers, with other failures, until
-// enough was seen.
-func runSmall(t *testing.T, ctx context.Context, enough func(*observer) bool, failures ...Failure) (*Report, string) {
+// runSmall runs the small experiment with a hundred workers and other failures until a condition holds.
+// It returns the report and the directory of the run.
+func runSmall(ctx context.Context, t *testing.T, stopWhen func(*observer) bool, failures ...Failure) (*Report, string) {
 	t.Helper()
 	experiment, err := Load(smallExperiment)
 	if err != nil {
@@ -83,43 +84,42 @@
 	experiment.Scale(0.65)
 	experiment.Seconds, experiment.Failures = 100, failures
 	dir := t.TempDir()
-	rep, err := Run(ctx, experiment, Options{Command: []string{buildProgram(t), "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler), stopWhen: enough})
+	rep, err := Run(ctx, experiment, Options{Command: []string{buildProgram(t), "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler), stopWhen: stopWhen})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range rep.Violations {
-		t.Error(b)
+	for _, violation := range rep.Violations {
+		t.Error(violation)
 	}
 	return rep, dir
 }
 
-// TestRunSurvivesFailures kills the leader while a fifth of the workers is lost, and
-// after that a zone. Tasks have to start again under another leader, and no rule may
-// be broken.
+// TestRunSurvivesFailures kills the leader while a fifth of the workers is lost, and after that a zone.
+// Tasks have to start again under another leader, and no rule may be violated.
 func TestRunSurvivesFailures(t *testing.T) {
-	atZone := 0
-	enough := func(o *observer) bool {
+	startsAtZoneLoss := 0
+	recovered := func(o *observer) bool {
 		if len(o.startsPerSecond) == 8 {
-			atZone = o.starts
+			startsAtZoneLoss = o.starts
 		}
-		return len(o.startsPerSecond) > 9 && len(o.failoverTimes) > 0 && o.killedTerm == 0 && o.starts > atZone
+		return len(o.startsPerSecond) > 9 && len(o.failoverTimes) > 0 && o.killedTerm == 0 && o.starts > startsAtZoneLoss
 	}
-	rep, dir := runSmall(t, t.Context(), enough, Failure{AtS: 3, Kind: FailWorkers, Share: 0.2},
+	rep, dir := runSmall(t.Context(), t, recovered, Failure{AtS: 3, Kind: FailWorkers, Share: 0.2},
 		Failure{AtS: 3, Kind: FailLeader}, Failure{AtS: 7, Kind: FailZone, Zone: "west", ForS: 1})
 	if len(rep.FailoverStartS) == 0 {
-		t.Error("no task started after the leader's end")
+		t.Error("no task started after the leader was killed")
 	}
 	if rep.Tasks == 0 || rep.Urgent.Count == 0 {
 		t.Errorf("%d tasks on machines, %d urgent ones started", rep.Tasks, rep.Urgent.Count)
 	}
 	leaders := 0
-	for _, r := range rep.Processes {
-		if r.Role == "leader" {
+	for _, process := range rep.Processes {
+		if process.Role == roleLeader {
 			leaders++
 		}
-		if r.UnexpectedEnds > 0 {
-			log, _ := os.ReadFile(filepath.Join(dir, r.Name+".log"))
-			t.Errorf("%s ended by itself:\n%s", r.Name, log)
+		if process.UnexpectedEnds > 0 {
+			log, err := os.ReadFile(filepath.Join(dir, process.Name+".log"))
+			t.Errorf("%s exited unexpectedly:\n%s%v", process.Name, log, err)
 		}
 	}
 	if leaders != 1 {
@@ -127,15 +127,15 @@
 	}
 }
 
-// TestRunKillsItsProcesses interrupts a run. It has to report what it saw, and none of
-// its controllers may be left.
+// TestRunKillsItsProcesses interrupts a run. It has to return a report, and none of its controllers may
+// be left.
 func TestRunKillsItsProcesses(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	time.AfterFunc(2*time.Second, stop)
-	rep, dir := runSmall(t, ctx, nil)
+	rep, dir := runSmall(ctx, t, nil)
 	if !rep.Interrupted {
-		t.Error("the report does not tell of the interruption")
+		t.Error("the report does not mention the interruption")
 	}
 	for deadline := time.Now().Add(time.Minute); processesRunning(t, dir); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
@@ -144,20 +144,19 @@
 	}
 }
 
-// processesRunning tells whether a process has a settings file of a directory among its
-// arguments.
+// processesRunning reports whether a process has a file of a directory among its arguments.
 func processesRunning(t *testing.T, dir string) bool {
 	t.Helper()
 	entries, err := os.ReadDir("/proc")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, e := range entries {
-		if _, err := strconv.Atoi(e.Name()); err != nil {
+	for _, entry := range entries {
+		if _, err := strconv.Atoi(entry.Name()); err != nil {
 			continue
 		}
-		line, _ := os.ReadFile("/proc/" + e.Name() + "/cmdline")
-		if strings.Contains(string(line), dir) {
+		commandLine, err := os.ReadFile("/proc/" + entry.Name() + "/cmdline")
+		if err == nil && strings.Contains(string(commandLine), dir) { // else it has just ended
 			return true
 		}
 	}
--- a/internal/hollow/load_generator.go
+++ b/internal/hollow/load_generator.go
@@ -14,7 +14,7 @@
 	experiment *Experiment
 	live       *sim.Live
 	rng        *rand.Rand
-	lastJob    int // number of the next job
+	lastJob    int // number of the last job
 }
 
 func newLoadGenerator(experiment *Experiment, live *sim.Live) *loadGenerator {
@@ -23,55 +23,63 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// schedule plans the load of all classes.
+// schedule schedules the load of all classes.
 func (l *loadGenerator) schedule() {
 	for i := range l.experiment.Jobs {
 		class := &l.experiment.Jobs[i]
 		l.submitInitial(class)
 		if class.TasksPerSecond > 0 {
-			sizes := 0
-			l.live.After(seconds(class.FromS), func() { l.submitNext(class, &sizes) })
+			l.live.After(seconds(class.FromS), func() { l.submitNext(class, 0) })
 		}
 	}
 }
 
-// submitInitial submits a class's first tasks, spread evenly over their time.
+// submitInitial submits a class's initial tasks, spread evenly over their time. Only a gang may have
+// more tasks than are left.
 func (l *loadGenerator) submitInitial(class *JobClass) {
-	at, index := 0, 0
-	for at < class.InitialTasks {
-		tasks := min(class.Tasks[index%len(class.Tasks)], class.InitialTasks-at)
-		if class.Shape == "gang" {
-			tasks = class.Tasks[index%len(class.Tasks)]
+	submitted := 0
+	for i := 0; submitted < class.InitialTasks; i++ {
+		tasks := class.jobSize(i)
+		if class.Shape != shapeGang {
+			tasks = min(tasks, class.InitialTasks-submitted)
 		}
-		when := seconds(class.InitialS * float64(at) / float64(class.InitialTasks))
-		l.live.After(when, func() { l.submit(class, tasks) })
-		at, index = at+tasks, index+1
+		at := seconds(class.InitialS * float64(submitted) / float64(class.InitialTasks))
+		l.live.After(at, func() { l.submit(class, tasks) })
+		submitted += tasks
 	}
 }
 
-// submitNext submits a class's next job, and the one behind it after the time that
-// the job's tasks take of the class's rate.
-func (l *loadGenerator) submitNext(class *JobClass, sizes *int) {
-	tasks := class.Tasks[*sizes%len(class.Tasks)]
-	*sizes++
+// jobSize is how many tasks the job of a number has.
+func (c *JobClass) jobSize(i int) int { return c.Tasks[i%len(c.Tasks)] }
+
+// Bounds of the time between two jobs, as parts of its mean.
+const (
+	minIntervalFactor   = 0.5
+	intervalFactorRange = 1.0
+)
+
+// submitNext submits the class's job of a number, and schedules the next one by the class's rate of
+// tasks.
+func (l *loadGenerator) submitNext(class *JobClass, i int) {
+	tasks := class.jobSize(i)
 	l.submit(class, tasks)
 	mean := float64(tasks) / class.TasksPerSecond
-	l.live.After(seconds(mean*(0.5+l.rng.Float64())), func() { l.submitNext(class, sizes) })
+	interval := mean * (minIntervalFactor + intervalFactorRange*l.rng.Float64())
+	l.live.After(seconds(interval), func() { l.submitNext(class, i+1) })
 }
 
-// Bounds of a job's run time and of the time after which it is cancelled, as parts
-// of the mean run time.
+// Bounds of a job's run time, as parts of its mean.
 const (
 	minRunFactor   = 0.5
 	runFactorRange = 1.0
 )
 
-// submit submits a job of a class, and plans its cancellation if it is one of those
-// that are cancelled.
+// submit submits a job of a class, and schedules the cancellation of the share of jobs that are
+// cancelled.
 func (l *loadGenerator) submit(class *JobClass, tasks int) {
 	l.lastJob++
-	run := class.RunS * (minRunFactor + runFactorRange*l.rng.Float64())
-	job := sim.LiveJob{RunS: run, Job: wire.Job{
+	runS := class.RunS * (minRunFactor + runFactorRange*l.rng.Float64())
+	job := sim.LiveJob{RunS: runS, Job: wire.Job{
 		ID: fmt.Sprintf("job-%06d", l.lastJob), Class: class.Class, Team: teamName(l.rng.IntN(l.experiment.Teams.Count)),
 		Shape: jobShapes[class.Shape], Priority: wire.Priority(class.Priority), Tasks: tasks,
 		CPUs: class.CPUs, GPUs: class.GPUs, MemGB: class.MemoryGB,
--- a/internal/hollow/observer.go
+++ b/internal/hollow/observer.go
@@ -8,24 +8,24 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Waits are counted in milliseconds up to an hour, to three digits.
+// Waits are counted in milliseconds up to an hour, with three significant digits.
 const (
 	longestWait   = int64(time.Hour / time.Millisecond)
 	waitPrecision = 3
 )
 
-// observer counts the starts of tasks and how long they waited. It is used with the
-// world locked.
+// observer records the starts of tasks and how long the tasks waited. It implements sim.Observer and is
+// used with the world locked.
 type observer struct {
 	waits                 map[string]*hdrhistogram.Histogram // of first starts, by class
-	urgentWaits           *hdrhistogram.Histogram            // of classes of priority critical and urgent
+	urgentWaits           *hdrhistogram.Histogram            // of tasks of priority critical and urgent
 	starts                int
-	startsPerSecond       []int // starts in each second of the run
-	startsBefore          int
-	killedAt              time.Duration // the last end of a leader that no start has followed
-	killedTerm            uint64
-	failoverTimes         []time.Duration // from each leader's end to the next start
-	failoversWithoutStart int             // ends of leaders that no start followed
+	startsPerSecond       []int           // starts in each second of the run
+	startsBefore          int             // before the current second
+	killedAt              time.Duration   // when a leader was killed
+	killedTerm            uint64          // of that leader; 0 once a start by a later one has followed
+	failoverTimes         []time.Duration // from the kill of a leader to the next start by a later one
+	failoversWithoutStart int             // kills that another one followed before a start
 }
 
 func newObserver() *observer {
@@ -50,13 +50,20 @@
 	if o.waits[start.Class] == nil {
 		o.waits[start.Class] = newHistogram()
 	}
-	o.waits[start.Class].RecordValue(wait)
+	record(o.waits[start.Class], wait)
 	if start.Priority == wire.PriorityCritical || start.Priority == wire.PriorityUrgent {
-		o.urgentWaits.RecordValue(wait)
+		record(o.urgentWaits, wait)
 	}
 }
 
-// recordLeaderKill notes the end of a leader that led by a term at the most.
+// record adds a wait that is within the histogram's range.
+func record(histogram *hdrhistogram.Histogram, wait int64) {
+	if err := histogram.RecordValue(wait); err != nil {
+		panic(err)
+	}
+}
+
+// recordLeaderKill records that a leader was killed, whose term was at most the given one.
 func (o *observer) recordLeaderKill(at time.Duration, term uint64) {
 	if o.killedTerm != 0 {
 		o.failoversWithoutStart++
@@ -64,24 +71,24 @@
 	o.killedAt, o.killedTerm = at, max(term, 1)
 }
 
-// endSecond notes the starts of one more second.
+// endSecond records the starts of one more second.
 func (o *observer) endSecond() {
 	o.startsPerSecond = append(o.startsPerSecond, o.starts-o.startsBefore)
 	o.startsBefore = o.starts
 }
 
-// peakWindow is over how many seconds the peak rate of starts is averaged.
+// peakWindow is the number of seconds over which the peak rate of starts is averaged.
 const peakWindow = 5
 
 // peakStarts is the highest rate of starts over a few seconds.
 func (o *observer) peakStarts() float64 {
-	best := 0
+	highest := 0
 	for i := range o.startsPerSecond {
 		sum := 0
-		for _, n := range o.startsPerSecond[i:min(i+peakWindow, len(o.startsPerSecond))] {
-			sum += n
+		for _, starts := range o.startsPerSecond[i:min(i+peakWindow, len(o.startsPerSecond))] {
+			sum += starts
 		}
-		best = max(best, sum)
+		highest = max(highest, sum)
 	}
-	return float64(best) / peakWindow
+	return float64(highest) / peakWindow
 }
--- a/internal/hollow/region_link.go
+++ b/internal/hollow/region_link.go
@@ -1,93 +1,114 @@
 package hollow
 
 import (
+	"errors"
 	"io"
+	"log/slog"
 	"net"
 	"sync"
 	"time"
 )
 
-// regionLink forwards connections from one region to another, and can be cut: connections end
-// and none are taken for a while.
+// regionLink forwards connections from one region to the controllers of another. It can be
+// partitioned: its connections are closed and no new ones accepted for a while.
 type regionLink struct {
+	log *slog.Logger
+
 	mu               sync.Mutex
 	listeners        []net.Listener
-	connections      map[net.Conn]bool
+	connections      map[net.Conn]bool // open ones
 	partitionedUntil time.Time
 }
 
-// listen forwards to an address and returns its own.
-func (c *regionLink) listen(target string) (string, error) {
+func newRegionLink(log *slog.Logger) *regionLink {
+	return &regionLink{log: log, connections: map[net.Conn]bool{}}
+}
+
+// dialTimeout is how long a link waits for a connection to a controller.
+const dialTimeout = time.Second
+
+// listen forwards to an address, and returns the link's own address for it.
+func (l *regionLink) listen(target string) (string, error) {
 	listener, err := net.Listen("tcp4", serviceHost+":0")
 	if err != nil {
 		return "", err
 	}
-	c.mu.Lock()
-	c.listeners = append(c.listeners, listener)
-	c.mu.Unlock()
-	go func() {
-		for {
-			conn, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			go c.forward(conn, target)
-		}
-	}()
+	l.mu.Lock()
+	l.listeners = append(l.listeners, listener)
+	l.mu.Unlock()
+	go l.accept(listener, target)
 	return listener.Addr().String(), nil
 }
 
-// forward carries what one side sends; the other direction has connections of its own.
-func (c *regionLink) forward(from net.Conn, address string) {
-	defer from.Close()
-	if !c.track(from) {
+// accept forwards connections until the listener is closed.
+func (l *regionLink) accept(listener net.Listener, target string) {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			return
+		}
+		go l.forward(conn, target)
+	}
+}
+
+// forward passes on what the opening side sends, until either side or the link closes the
+// connection. The other direction has connections of its own.
+func (l *regionLink) forward(from net.Conn, target string) {
+	defer l.closeConnection(from)
+	if !l.track(from) {
 		return
 	}
-	defer c.untrack(from)
-	target, err := net.DialTimeout("tcp4", address, time.Second)
+	defer l.untrack(from)
+	to, err := net.DialTimeout("tcp4", target, dialTimeout)
 	if err != nil {
-		return
+		return // the opening side sees its connection close
+	}
+	defer l.closeConnection(to)
+	if _, err := io.Copy(to, from); err != nil {
+		l.log.Debug("region link connection ended", "error", err)
 	}
-	defer target.Close()
-	io.Copy(target, from)
 }
 
-// track notes an open connection; false while the link is cut.
-func (c *regionLink) track(conn net.Conn) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if time.Now().Before(c.partitionedUntil) {
-		return false
+// closeConnection closes a connection that a partition may have closed already.
+func (l *regionLink) closeConnection(conn net.Conn) {
+	if err := conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		l.log.Debug("region link connection not closed", "error", err)
 	}
-	if c.connections == nil {
-		c.connections = map[net.Conn]bool{}
+}
+
+// track records an open connection; false during a partition.
+func (l *regionLink) track(conn net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if time.Now().Before(l.partitionedUntil) {
+		return false
 	}
-	c.connections[conn] = true
+	l.connections[conn] = true
 	return true
 }
 
-func (c *regionLink) untrack(conn net.Conn) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	delete(c.connections, conn)
+func (l *regionLink) untrack(conn net.Conn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.connections, conn)
 }
 
-// partition ends all connections and takes none for a while.
-func (c *regionLink) partition(d time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.partitionedUntil = time.Now().Add(d)
-	for conn := range c.connections {
-		conn.Close()
+// partition closes all connections and accepts none for a while.
+func (l *regionLink) partition(duration time.Duration) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.partitionedUntil = time.Now().Add(duration)
+	for conn := range l.connections {
+		l.closeConnection(conn)
 	}
 }
 
-// close ends the link.
-func (c *regionLink) close() {
-	c.partition(time.Hour)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, l := range c.listeners {
-		l.Close()
+// close closes the link for good.
+func (l *regionLink) close() {
+	l.partition(time.Hour) // longer than any run
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for _, listener := range l.listeners {
+		closeLogged(l.log, listener.Addr().String(), listener)
 	}
 }
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -2,26 +2,23 @@
 
 import (
 	"context"
-	"errors"
-	"fmt"
-	"io"
+	"math"
 	"os"
 	"path/filepath"
 	"slices"
 	"sync"
 	"time"
 
-	"github.com/BurntSushi/toml"
 	"github.com/brookwalk/brookwalk/internal/loopback"
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
-// Region is a region of an experiment with several: a deployment of its own, with all that the
-// file says of one. The teams' limits and guarantees are those over all regions.
+// Region is a region of an experiment with several: a deployment of its own, with all that the file
+// says of one. The teams' limits and guarantees hold over all regions.
 type Region struct {
-	Name string `toml:"name"`
-	// Load multiplies its jobs, Owned is the part of each limit that it owns at first.
-	Load  float64 `toml:"load"`
+	Name string  `toml:"name"`
+	Load float64 `toml:"load"` // factor of its jobs
+	// Owned is the part of each limit that it owns at first.
 	Owned float64 `toml:"owned"`
 }
 
@@ -32,34 +29,34 @@
 	usage      *usageMeter
 	runners    []*runner
 	plan       *plan.Plan
-	links      map[string]*regionLink // by "from>to"
-
-	addresses *loopback.Claim // for the controllers of all regions
+	links      map[regionPair]*regionLink
+	addresses  *loopback.Claim // of the controllers of all regions
 }
 
-// regionMember is what a runner needs to know to play one region of several.
+// regionPair names the direction of a link between two regions.
+type regionPair struct{ from, to string }
+
+// regionMember is what a runner needs to play one region of several.
 type regionMember struct {
 	run      *regionRun
 	name     string
-	listen   []string // addresses for other regions, one for each controller
-	planPath string   // path of its regions file
+	listen   []string // address of each controller for other regions
+	planPath string   // of the regions file
 }
 
-// runRegions runs an experiment with several regions and reports on each and on the teams'
-// use over all of them.
+// runRegions runs an experiment with several regions. Its report has the report of each region and the
+// teams' usage over all of them.
 func runRegions(ctx context.Context, experiment *Experiment, options Options) (*Report, error) {
 	claim, err := loopback.NewClaim()
 	if err != nil {
 		return nil, err
 	}
-	defer claim.Close() // after the processes have ended
-	run := &regionRun{experiment: experiment, options: options, usage: newUsageMeter(experiment), links: map[string]*regionLink{}, addresses: claim}
+	defer closeLogged(options.Log, "address claim", claim) // after the processes have ended
+	run := &regionRun{experiment: experiment, options: options, usage: newUsageMeter(experiment), links: map[regionPair]*regionLink{}, addresses: claim}
 	defer run.close()
 	if err := run.prepare(); err != nil {
 		return nil, err
 	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
 	run.scheduleFailures()
 	reports := make([]*Report, len(run.runners))
 	var playing sync.WaitGroup
@@ -83,20 +80,20 @@
 	}
 	g.plan = g.newPlan(addresses)
 	for i, region := range g.experiment.Regions {
-		part := &regionMember{run: g, name: region.Name, listen: addresses[i]}
+		member := &regionMember{run: g, name: region.Name, listen: addresses[i]}
 		dir := filepath.Join(g.options.Dir, region.Name)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
 		var err error
-		if part.planPath, err = g.writePlan(i, dir); err != nil {
+		if member.planPath, err = g.writePlan(i, dir); err != nil {
 			return err
 		}
 		options := g.options
 		options.Dir, options.Log = dir, options.Log.With("region", region.Name)
 		options.Progress = nil
 		runner := newRunner(g.regionExperiment(i), options, g.addresses)
-		runner.region = part
+		runner.region = member
 		g.runners = append(g.runners, runner)
 		if err := runner.prepare(); err != nil {
 			return err
@@ -105,14 +102,15 @@
 	return nil
 }
 
-// regionExperiment is what one region plays.
+// regionExperiment is the experiment of one region. Its failures are injected by the regionRun.
 func (g *regionRun) regionExperiment(i int) *Experiment {
-	e := *g.experiment
-	e.Name, e.Seed, e.Failures = g.experiment.Regions[i].Name, g.experiment.Seed+uint64(i), nil
-	e.Jobs = slices.Clone(g.experiment.Jobs)
+	e, region := *g.experiment, g.experiment.Regions[i]
+	e.Name, e.Seed, e.Failures = region.Name, e.Seed+uint64(i), nil
+	e.Jobs = slices.Clone(e.Jobs)
 	for k := range e.Jobs {
-		e.Jobs[k].InitialTasks = int(float64(e.Jobs[k].InitialTasks) * g.experiment.Regions[i].Load)
-		e.Jobs[k].TasksPerSecond *= g.experiment.Regions[i].Load
+		class := &e.Jobs[k]
+		class.InitialTasks = int(float64(class.InitialTasks) * region.Load)
+		class.TasksPerSecond *= region.Load
 	}
 	return &e
 }
@@ -124,25 +122,31 @@
 		quotaPlan.Regions = append(quotaPlan.Regions, plan.Region{Name: region.Name, Controllers: addresses[i]})
 	}
 	for i := range g.experiment.Teams.Count {
-		limit := g.experiment.teamLimit()
-		team := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
-		cpus, gpus := limit.CPUsMax, limit.GPUsMax
-		for k, region := range g.experiment.Regions {
-			share := plan.Share{Region: region.Name, CPUsOwned: float64(int(limit.CPUsMax * region.Owned)), GPUsOwned: float64(int(limit.GPUsMax * region.Owned))}
-			if k == len(g.experiment.Regions)-1 {
-				share.CPUsOwned, share.GPUsOwned = cpus, gpus // what is left
-			}
-			cpus, gpus = cpus-share.CPUsOwned, gpus-share.GPUsOwned
-			share.CPUs, share.GPUs = float64(int(min(share.CPUsOwned, limit.CPUs*region.Owned))), float64(int(min(share.GPUsOwned, limit.GPUs*region.Owned)))
-			team.Shares = append(team.Shares, share)
-		}
-		quotaPlan.Teams = append(quotaPlan.Teams, team)
+		quotaPlan.Teams = append(quotaPlan.Teams, g.teamPlan(i))
 	}
 	return quotaPlan
 }
 
-// writePlan writes a region's file. Other regions' controllers stand in it with the addresses
-// of links that can be cut.
+// teamPlan divides the limits of a team. The last region owns what the others leave.
+func (g *regionRun) teamPlan(i int) plan.Team {
+	limit := g.experiment.teamLimit()
+	team := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
+	cpusLeft, gpusLeft := limit.CPUsMax, limit.GPUsMax
+	for k, region := range g.experiment.Regions {
+		share := plan.Share{Region: region.Name, CPUsOwned: math.Trunc(limit.CPUsMax * region.Owned), GPUsOwned: math.Trunc(limit.GPUsMax * region.Owned)}
+		if k == len(g.experiment.Regions)-1 {
+			share.CPUsOwned, share.GPUsOwned = cpusLeft, gpusLeft
+		}
+		cpusLeft, gpusLeft = cpusLeft-share.CPUsOwned, gpusLeft-share.GPUsOwned
+		share.CPUs = math.Trunc(min(share.CPUsOwned, limit.CPUs*region.Owned))
+		share.GPUs = math.Trunc(min(share.GPUsOwned, limit.GPUs*region.Owned))
+		team.Shares = append(team.Shares, share)
+	}
+	return team
+}
+
+// writePlan writes a region's regions file and returns its path. The other regions' controllers have
+// the addresses of links there, which can be partitioned.
 func (g *regionRun) writePlan(i int, dir string) (string, error) {
 	own := *g.plan
 	own.Regions = slices.Clone(g.plan.Regions)
@@ -150,27 +154,23 @@
 		if other == i {
 			continue
 		}
-		link := &regionLink{}
-		g.links[own.Regions[i].Name+">"+own.Regions[other].Name] = link
-		var through []string
-		for _, addr := range g.plan.Regions[other].Controllers {
-			at, err := link.listen(addr)
+		link := newRegionLink(g.options.Log)
+		g.links[regionPair{own.Regions[i].Name, own.Regions[other].Name}] = link
+		var linked []string
+		for _, address := range g.plan.Regions[other].Controllers {
+			linkAddress, err := link.listen(address)
 			if err != nil {
 				return "", err
 			}
-			through = append(through, at)
+			linked = append(linked, linkAddress)
 		}
-		own.Regions[other].Controllers = through
+		own.Regions[other].Controllers = linked
 	}
 	path := filepath.Join(dir, "regions.toml")
-	f, err := os.Create(path)
-	if err != nil {
-		return "", err
-	}
-	return path, errors.Join(toml.NewEncoder(f).Encode(own), f.Close())
+	return path, writeTOML(path, own)
 }
 
-// scheduleFailures brings about the failures, in the region that each names.
+// scheduleFailures schedules the failures in the regions that they name.
 func (g *regionRun) scheduleFailures() {
 	for _, failure := range g.experiment.Failures {
 		for i, runner := range g.runners {
@@ -185,16 +185,17 @@
 	}
 }
 
-// partition has nothing pass from a region to another, or to all others, for a while.
+// partition blocks the links from a region to another, or to all others, for a while.
 func (g *regionRun) partition(failure Failure) {
-	g.options.Log.Info("failure", "kind", failure.Kind, "region", failure.Region, "to", failure.To, "both", failure.BothWays, "for_s", failure.ForS)
+	g.options.Log.Info("failure injected", "kind", failure.Kind, "at_s", failure.AtS, "region", failure.Region, "to", failure.To,
+		"both", failure.BothWays, "for_s", failure.ForS)
 	for _, region := range g.experiment.Regions {
 		if region.Name == failure.Region || failure.To != "" && failure.To != region.Name {
 			continue
 		}
-		g.links[failure.Region+">"+region.Name].partition(seconds(failure.ForS))
+		g.links[regionPair{failure.Region, region.Name}].partition(seconds(failure.ForS))
 		if failure.BothWays {
-			g.links[region.Name+">"+failure.Region].partition(seconds(failure.ForS))
+			g.links[regionPair{region.Name, failure.Region}].partition(seconds(failure.ForS))
 		}
 	}
 }
@@ -209,54 +210,49 @@
 	}
 }
 
-// combineReports gathers the regions' reports and the teams' use.
+// combineReports combines the regions' reports with the teams' usage.
 func (g *regionRun) combineReports(reports []*Report) *Report {
-	rep := &Report{Experiment: g.experiment.Name, Regions: reports, Teams: g.usage.report(), History: g.usage.history}
-	for _, r := range reports {
-		rep.Seconds = max(rep.Seconds, r.Seconds)
-		rep.Interrupted = rep.Interrupted || r.Interrupted
-		for _, b := range r.Violations {
-			rep.Violations = append(rep.Violations, r.Experiment+": "+b)
+	combined := &Report{Experiment: g.experiment.Name, Regions: reports, Teams: g.usage.report(), History: g.usage.history}
+	for _, report := range reports {
+		combined.Seconds = max(combined.Seconds, report.Seconds)
+		combined.Interrupted = combined.Interrupted || report.Interrupted
+		for _, violation := range report.Violations {
+			combined.Violations = append(combined.Violations, report.Experiment+": "+violation)
 		}
 	}
-	rep.Violations = append(rep.Violations, g.usage.limitViolations()...)
-	return rep
+	combined.Violations = append(combined.Violations, g.usage.limitViolations()...)
+	return combined
 }
 
-// historyInterval is the time between two points of a history.
+// historyInterval is the time between two points of the history.
 const historyInterval = 250 * time.Millisecond
 
-// recordHistory notes what teams use and regions own, until the function that it returns is called.
+// recordHistory records what teams use and regions own until the function that it returns is
+// called.
 func (g *regionRun) recordHistory() (stop func()) {
-	done, ended := make(chan struct{}), make(chan struct{})
-	began, told := time.Now(), time.Now()
-	go func() {
-		defer close(ended)
-		tick := time.NewTicker(historyInterval)
-		defer tick.Stop()
-		for {
-			select {
-			case <-done:
-				return
-			case <-tick.C:
-			}
-			g.usage.sample(time.Since(began), g.runners)
-			if g.options.Progress != nil && time.Since(told) >= g.options.ProgressEvery {
-				told = time.Now()
-				g.usage.writeProgress(g.options.Progress, time.Since(began), g.experiment.Seconds)
-			}
-		}
-	}()
+	done := make(chan struct{})
+	var recorder sync.WaitGroup
+	recorder.Go(func() { g.recordUntil(done) })
 	return func() {
 		close(done)
-		<-ended
+		recorder.Wait()
 	}
 }
 
-// WriteTeams writes what teams used over all regions.
-func (rep *Report) writeTeamTable(w io.Writer) {
-	fmt.Fprintln(w, "team over all regions\tGPUs most used\tceiling\tCPUs most used\tceiling")
-	for _, t := range rep.Teams {
-		fmt.Fprintf(w, "%s\t%g\t%g\t%g\t%g\n", t.Name, t.PeakGPUs, t.GPULimit, t.PeakCPUs, t.CPULimit)
+func (g *regionRun) recordUntil(done <-chan struct{}) {
+	startedAt, lastProgress := time.Now(), time.Now()
+	tick := time.NewTicker(historyInterval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-done:
+			return
+		case <-tick.C:
+		}
+		g.usage.sample(time.Since(startedAt), g.runners)
+		if g.options.Progress != nil && time.Since(lastProgress) >= g.options.ProgressEvery {
+			lastProgress = time.Now()
+			g.usage.writeProgress(g.options.Progress, time.Since(startedAt), g.experiment.Seconds)
+		}
 	}
 }
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -1,7 +1,6 @@
 package hollow
 
 import (
-	"context"
 	"log/slog"
 	"os/exec"
 	"path/filepath"
@@ -9,13 +8,13 @@
 	"testing"
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/quota/report"
+	"github.com/brookwalk/brookwalk/internal/history"
 )
 
-// TestRegionsByProcesses runs three regions of real controllers that share the limits of four
-// teams, with more work than these allow, while a leader is killed, a region is cut off and
-// another loses all its controllers. No team may use more than its ceiling at any moment, every
-// region has to start work, and shares have to move.
+// TestRegionsByProcesses runs three regions of real controllers that share the limits of four teams, with
+// more work than these allow, while a leader is killed, a region is partitioned from the others and another
+// one loses all its controllers. No team may use more than its limit at any time, every region has to start
+// work, and shares have to move.
 func TestRegionsByProcesses(t *testing.T) {
 	experiment, err := Load("../../experiments/regions.toml")
 	if err != nil {
@@ -28,62 +27,74 @@
 		{AtS: 7, Kind: FailAll, Region: "south"},
 	}
 	program, dir := buildProgram(t), t.TempDir()
-	var shown *report.Report
-	rep, err := Run(context.Background(), experiment, Options{Command: []string{program, "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler),
+	wasShown := false
+	rep, err := Run(t.Context(), experiment, Options{Command: []string{program, "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler),
 		Progress: progressFunc(func() {
-			if shown != nil {
-				return
-			}
-			out, err := exec.Command(program, "quota", "show", "--config", filepath.Join(dir, "north", "node-0.toml")).CombinedOutput()
-			if err == nil && strings.Contains(string(out), "team-03") {
-				shown = &report.Report{}
-			}
+			wasShown = wasShown || showsLedger(program, filepath.Join(dir, "north", "node-0.toml"))
 		}), ProgressEvery: time.Second})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, b := range rep.Violations {
-		t.Error(b)
+	for _, violation := range rep.Violations {
+		t.Error(violation)
 	}
-	for _, r := range rep.Regions {
-		if r.StartsSent == 0 {
-			t.Errorf("%s started nothing", r.Experiment)
-		}
-		for _, p := range r.Processes {
-			if p.UnexpectedEnds > 0 {
-				t.Errorf("%s of %s ended by itself", p.Name, r.Experiment)
-			}
-		}
+	for _, region := range rep.Regions {
+		checkRegion(t, region)
 	}
-	most := 0.0
+	highest := 0.0
 	for _, team := range rep.Teams {
-		most = max(most, team.PeakGPUs/team.GPULimit)
+		highest = max(highest, team.PeakGPUs/team.GPULimit)
 	}
-	if most < 0.5 {
-		t.Errorf("no team used half of its ceiling: %+v", rep.Teams)
+	if highest < 0.5 {
+		t.Errorf("no team used half of its limit: %+v", rep.Teams)
 	}
-	if shown == nil {
+	if !wasShown {
 		t.Error("quota show never showed the ledger of north")
 	}
+	if movedShares(rep.History.Points()) == 0 {
+		t.Error("no share moved")
+	}
+}
+
+// showsLedger reports whether the program shows a ledger with the last team.
+func showsLedger(program, settingsPath string) bool {
+	output, err := exec.Command(program, "quota", "show", "--config", settingsPath).CombinedOutput()
+	return err == nil && strings.Contains(string(output), "team-03")
+}
+
+// checkRegion checks that a region started work, and that none of its processes exited unexpectedly.
+func checkRegion(t *testing.T, region *Report) {
+	t.Helper()
+	if region.StartsSent == 0 {
+		t.Errorf("%s started nothing", region.Experiment)
+	}
+	for _, process := range region.Processes {
+		if process.UnexpectedEnds > 0 {
+			t.Errorf("%s of %s exited unexpectedly", process.Name, region.Experiment)
+		}
+	}
+}
+
+// movedShares counts how often a region's share of a limit changed.
+func movedShares(points []history.Point) int {
 	owned, moved := map[string]float64{}, 0
-	for _, p := range rep.History.Points() {
-		if !strings.HasPrefix(p.Series, "owned by ") {
+	for _, point := range points {
+		if !strings.HasPrefix(point.Series, "owned by ") {
 			continue
 		}
-		key := p.Chart + p.Series
-		if before, known := owned[key]; known && before != p.Value {
+		key := point.Chart + point.Series
+		if before, known := owned[key]; known && before != point.Value {
 			moved++
 		}
-		owned[key] = p.Value
-	}
-	if moved == 0 {
-		t.Errorf("no share moved: %v", owned)
+		owned[key] = point.Value
 	}
+	return moved
 }
 
-// progressFunc calls a function with each line of progress.
+// progressFunc is called for each line of progress.
 type progressFunc func()
 
+// Write implements io.Writer.
 func (f progressFunc) Write(p []byte) (int, error) {
 	f()
 	return len(p), nil
--- /dev/null
+++ b/internal/hollow/runner_setup.go
@@ -0,0 +1,245 @@
+package hollow
+
+import (
+	"encoding/binary"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+
+	"github.com/BurntSushi/toml"
+	"github.com/brookwalk/brookwalk/httpwire"
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/httpserve"
+	"github.com/brookwalk/brookwalk/internal/loopback"
+	"github.com/brookwalk/brookwalk/internal/sim"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+const (
+	// serviceHost is the address of the key-value store and the cloud, which listen throughout.
+	serviceHost = "127.0.0.1"
+	// unservedAddress is the address of a worker that could not listen: nothing listens there.
+	unservedAddress = serviceHost + ":9"
+	// machinePrefix begins the names of machines; a number follows.
+	machinePrefix = "n-"
+	// skewMs bounds the difference of the controllers' times of day: all processes share a
+	// clock.
+	skewMs = 10
+)
+
+// prepare starts the servers of the stand-ins and writes the controllers' settings.
+func (r *runner) prepare() error {
+	settings := r.settings()
+	r.live = sim.NewLive(sim.LiveConfig{Settings: settings, Types: r.machineTypes(), Stock: r.stock(), Seed: r.experiment.Seed,
+		Observer: r.observer, Log: r.options.Log, WorkerAddress: r.serveWorker, MachineRemoved: r.stopWorker, UsageChanged: r.usageObserver()})
+	store, err := r.serve("key-value store", &r.storeTraffic, r.live.ServeStore)
+	if err != nil {
+		return err
+	}
+	cloud, err := r.serve("cloud", &r.cloudTraffic, r.live.ServeCloud)
+	if err != nil {
+		return err
+	}
+	settings.External = config.External{Store: store.Addr(), Cloud: cloud.Addr()}
+	listen, err := controllerAddresses(r.addresses, r.experiment.Controllers)
+	if err != nil {
+		return err
+	}
+	peerListen, err := controllerAddresses(r.addresses, r.experiment.Controllers)
+	if err != nil {
+		return err
+	}
+	for i := range r.experiment.Controllers {
+		if err := r.addController(i, *settings, listen, peerListen); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// usageObserver returns what gets the changes of teams' usage; nil if there is one region only.
+func (r *runner) usageObserver() func(team string, cpus, gpus float64) {
+	if r.region == nil {
+		return nil
+	}
+	return func(team string, cpus, gpus float64) { r.region.run.usage.add(r.region.name, team, cpus, gpus) }
+}
+
+// A requestHandler answers a request of a controller, now or later. It is called with the world
+// locked.
+type requestHandler func(method, path string, body []byte, reply func(status int, body []byte))
+
+// listen serves a stand-in on an address until the runner is closed.
+func (r *runner) listen(name, address string, traffic *httpserve.Traffic, handle requestHandler) (*httpserve.Server, error) {
+	server, err := httpserve.Listen(address, traffic, func(request *httpwire.Request, reply func(httpserve.Response)) {
+		r.live.Do(func() {
+			handle(request.Method, httpserve.RequestTarget(request), request.Body, func(status int, body []byte) {
+				reply(httpserve.Response{Status: status, Body: body})
+			})
+		})
+	})
+	if err != nil {
+		return nil, err
+	}
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.listeners[name] = server
+	return server, nil
+}
+
+// serve serves the key-value store or the cloud on a port of its own.
+func (r *runner) serve(name string, traffic *httpserve.Traffic, handle requestHandler) (*httpserve.Server, error) {
+	return r.listen(name, serviceHost+":0", traffic, handle)
+}
+
+// serveWorker begins to serve a machine's worker, on a loopback address of its own, and returns
+// the address. A worker that cannot listen gets no direct commands.
+func (r *runner) serveWorker(machine string) string {
+	server, err := r.listen(machine, workerIP(machine)+":0", &r.commandTraffic,
+		func(method, path string, body []byte, reply func(int, []byte)) {
+			r.live.ServeWorker(machine, method, path, body, reply)
+		})
+	if err != nil {
+		r.options.Log.Error("worker does not listen", "machine", machine, "error", err)
+		return unservedAddress
+	}
+	return server.Addr()
+}
+
+// stopWorker closes the listener and the connections of a machine that was removed.
+func (r *runner) stopWorker(machine string) {
+	r.mu.Lock()
+	listener := r.listeners[machine]
+	delete(r.listeners, machine)
+	r.mu.Unlock()
+	if listener != nil {
+		closeLogged(r.options.Log, machine, listener)
+	}
+	for _, c := range r.controllers {
+		c.closeClient(machine)
+	}
+}
+
+// workerIP is the loopback address of a machine's worker, 127.128.0.0 and up.
+func workerIP(machine string) string {
+	number, _ := strconv.Atoi(strings.TrimPrefix(machine, machinePrefix)) // package sim names machines by number
+	var ip [net.IPv4len]byte
+	binary.BigEndian.PutUint32(ip[:], 127<<24|128<<16|uint32(number))
+	return net.IP(ip[:]).String()
+}
+
+// controllerAddresses takes an address for each controller from a claim.
+func controllerAddresses(claim *loopback.Claim, controllers int) ([]string, error) {
+	addresses := make([]string, controllers)
+	for i := range addresses {
+		var err error
+		if addresses[i], err = claim.Address(); err != nil {
+			return nil, err
+		}
+	}
+	return addresses, nil
+}
+
+// addController writes a controller's settings and makes its process, which the world starts.
+// listen and peerListen have the addresses of all controllers.
+func (r *runner) addController(i int, settings config.Settings, listen, peerListen []string) error {
+	settings.Name, settings.Zone = r.live.Name(i), r.live.Zone(i)
+	settings.Listen, settings.PeerListen = listen[i], peerListen[i]
+	settings.Peers = nil
+	for k := range r.experiment.Controllers {
+		if k != i {
+			settings.Peers = append(settings.Peers, config.Peer{Name: r.live.Name(k), Zone: r.live.Zone(k), Addr: peerListen[k]})
+		}
+	}
+	settingsPath := filepath.Join(r.options.Dir, settings.Name+".toml")
+	if err := writeTOML(settingsPath, settings); err != nil {
+		return err
+	}
+	operatorPath, err := r.writeOperatorSettings(i)
+	if err != nil {
+		return err
+	}
+	output, err := os.Create(filepath.Join(r.options.Dir, settings.Name+".log"))
+	if err != nil {
+		return err
+	}
+	c := &controllerProcess{name: settings.Name, listen: settings.Listen, command: append(slices.Clone(r.options.Command), settingsPath),
+		output: output, operatorPath: operatorPath, log: r.options.Log, withWorld: r.live.Do, userTraffic: &r.userTraffic, workerTraffic: &r.workerTraffic}
+	r.controllers = append(r.controllers, c)
+	r.live.Attach(i, c)
+	return nil
+}
+
+// writeTOML writes a value to a new file.
+func writeTOML(path string, value any) error {
+	file, err := os.Create(path)
+	if err != nil {
+		return err
+	}
+	if err := errors.Join(toml.NewEncoder(file).Encode(value), file.Close()); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil
+}
+
+// writeOperatorSettings writes the operators' own settings for a controller, if there are any, and
+// returns their path; empty if there are none.
+func (r *runner) writeOperatorSettings(i int) (string, error) {
+	var text []byte
+	if r.experiment.Operator.IdleReturnS != 0 {
+		text = fmt.Appendf(text, "idle_return_s = %g\n", r.experiment.Operator.IdleReturnS)
+	}
+	if r.region != nil {
+		text = fmt.Appendf(text, "regions_file = %q\nregion = %q\nregion_listen = %q\n", r.region.planPath, r.region.name, r.region.listen[i])
+	}
+	if text == nil {
+		return "", nil
+	}
+	path := filepath.Join(r.options.Dir, fmt.Sprintf("operator-%d.toml", i))
+	return path, os.WriteFile(path, text, 0o644)
+}
+
+// settings are those of the deployment.
+func (r *runner) settings() *config.Settings {
+	e := r.experiment
+	deployment := config.Deployment{Size: e.Controllers, Zones: e.Zones, SkewMs: skewMs, Workers: e.Workers,
+		Store: e.State, Cloud: e.Cloud, MachineLimits: e.Limits}
+	for i := range e.Teams.Count {
+		team := e.teamLimit()
+		team.Name = teamName(i)
+		deployment.Teams = append(deployment.Teams, team)
+	}
+	for _, objective := range e.Objectives {
+		deployment.Objectives = append(deployment.Objectives, config.Objective(objective))
+	}
+	return &config.Settings{Deployment: deployment}
+}
+
+func (r *runner) machineTypes() []wire.MachineType {
+	var types []wire.MachineType
+	for _, t := range r.experiment.Types {
+		types = append(types, wire.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemoryGB, CacheGB: t.CacheGB,
+			PullGBPerS: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: r.experiment.Zones})
+	}
+	return types
+}
+
+// stock spreads the machines of each type evenly over the zones.
+func (r *runner) stock() []sim.Stock {
+	var stock []sim.Stock
+	zones := len(r.experiment.Zones)
+	for _, t := range r.experiment.Types {
+		for i, zone := range r.experiment.Zones {
+			inZone := func(count int) int { return count*(i+1)/zones - count*i/zones }
+			onDemand := inZone(t.OnDemandCount)
+			stock = append(stock, sim.Stock{Type: t.Name, Zone: zone, Count: onDemand, Up: int(t.UpShare * float64(onDemand))},
+				sim.Stock{Type: t.Name, Zone: zone, Spot: true, Count: inZone(t.SpotCount)})
+		}
+	}
+	return stock
+}
--- /dev/null
+++ b/internal/hollow/sampling.go
@@ -0,0 +1,66 @@
+package hollow
+
+import (
+	"fmt"
+	"os"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/sim"
+)
+
+// sampleInterval is the time between two samples of what the processes use.
+const sampleInterval = time.Second
+
+// steadyFraction is the part of the run after which samples count for the steady means.
+const steadyFraction = 0.6
+
+// sampleUntil samples what the processes use, and writes the progress, until the channel is closed.
+func (r *runner) sampleUntil(done <-chan struct{}) {
+	tick := time.NewTicker(sampleInterval)
+	defer tick.Stop()
+	startedAt, lastProgress := time.Now(), time.Now()
+	for {
+		select {
+		case <-done:
+			return
+		case <-tick.C:
+		}
+		r.sampleProcesses(time.Since(startedAt) > seconds(steadyFraction*r.experiment.Seconds))
+		r.live.Do(r.recordSecond)
+		if r.options.Progress != nil && time.Since(lastProgress) >= r.options.ProgressEvery {
+			lastProgress = time.Now()
+			r.writeProgress()
+		}
+	}
+}
+
+// sampleProcesses samples what each process uses, in the steady part of the run or before.
+func (r *runner) sampleProcesses(isSteady bool) {
+	for _, c := range r.controllers {
+		c.sampleUsage(isSteady)
+	}
+	if used, err := readUsage(os.Getpid()); err == nil {
+		r.standInUsage.addSample(os.Getpid(), used, time.Now(), isSteady)
+	}
+}
+
+// recordSecond adds a second to the history. It is called with the world locked.
+func (r *runner) recordSecond() {
+	r.observer.endSecond()
+	now, counts, urgent := r.live.Now(), r.live.Counts(), waitStats(r.observer.urgentWaits)
+	starts := r.observer.startsPerSecond
+	r.history.Add("Tasks and jobs", "tasks on machines", now, float64(counts.Tasks))
+	r.history.Add("Tasks and jobs", "jobs not over", now, float64(counts.Jobs))
+	r.history.Add("Starts", "starts in the last second", now, float64(starts[len(starts)-1]))
+	r.history.Add("Wait of urgent work", "p50 so far, s", now, urgent.P50)
+	r.history.Add("Wait of urgent work", "p99 so far, s", now, urgent.P99)
+}
+
+// writeProgress writes how far the run is.
+func (r *runner) writeProgress() {
+	var counts sim.Counts
+	var now time.Duration
+	r.live.Do(func() { counts, now = r.live.Counts(), r.live.Now() })
+	fmt.Fprintf(r.options.Progress, "%4.0f of %.0f s: %d workers, %d tasks on machines, %d jobs, %d starts, %d rules broken\n",
+		now.Seconds(), r.experiment.Seconds, counts.Workers, counts.Tasks, counts.Jobs, counts.Starts, len(counts.Violations))
+}
--- a/internal/hollow/team_usage.go
+++ b/internal/hollow/team_usage.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"slices"
 	"sync"
 	"time"
 
@@ -11,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// usageMeter adds up what the tasks of each team use on the workers of all regions, at each change,
-// and holds it against the ceilings.
+// usageMeter adds up what the tasks of each team use on the workers of all regions, at each change, and
+// checks it against the teams' limits.
 type usageMeter struct {
 	mu         sync.Mutex
 	teams      []string
@@ -23,10 +24,12 @@
 	history    *history.Log
 }
 
-// amount is what is used at a moment.
+// amount is an amount of resources.
 type amount struct{ cpus, gpus float64 }
 
-// TeamUsage is what a team used over all regions. A ceiling of 0 is none.
+func (a *amount) add(cpus, gpus float64) { a.cpus, a.gpus = a.cpus+cpus, a.gpus+gpus }
+
+// TeamUsage is what a team used over all regions, at the most at a time. A limit of 0 is none.
 type TeamUsage struct {
 	Name     string  `json:"team"`
 	PeakCPUs float64 `json:"cpus_most"`
@@ -37,7 +40,8 @@
 }
 
 func newUsageMeter(experiment *Experiment) *usageMeter {
-	usage := &usageMeter{teamUsage: map[string]*TeamUsage{}, current: map[string]*amount{}, byRegion: map[string]map[string]*amount{}, history: &history.Log{}}
+	usage := &usageMeter{teamUsage: map[string]*TeamUsage{}, current: map[string]*amount{},
+		byRegion: map[string]map[string]*amount{}, history: &history.Log{}}
 	limit := experiment.teamLimit()
 	for i := range experiment.Teams.Count {
 		name := teamName(i)
@@ -55,54 +59,64 @@
 	return usage
 }
 
-// amountTolerance makes up for the rounding of sums.
+// amountTolerance makes up for the rounding of sums of resources.
 const amountTolerance = 1e-6
 
-// add takes in a change of what a team uses in a region.
+// add records a change of what a team uses in a region.
 func (m *usageMeter) add(region, team string, cpus, gpus float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	used, now, here := m.teamUsage[team], m.current[team], m.byRegion[region][team]
+	used, now := m.teamUsage[team], m.current[team]
 	if used == nil {
 		return
 	}
-	now.cpus, now.gpus = now.cpus+cpus, now.gpus+gpus
-	here.cpus, here.gpus = here.cpus+cpus, here.gpus+gpus
+	now.add(cpus, gpus)
+	m.byRegion[region][team].add(cpus, gpus)
 	used.PeakCPUs, used.PeakGPUs = max(used.PeakCPUs, now.cpus), max(used.PeakGPUs, now.gpus)
-	if used.GPULimit > 0 && now.gpus > used.GPULimit+amountTolerance || used.CPULimit > 0 && now.cpus > used.CPULimit+amountTolerance {
+	if isAbove(now.gpus, used.GPULimit) || isAbove(now.cpus, used.CPULimit) {
 		used.Exceeded++
 		m.violations = append(m.violations, fmt.Sprintf("quota over regions: %s uses %g CPUs and %g GPUs", team, now.cpus, now.gpus))
 	}
 }
 
-// limitViolations lists the ceilings that were exceeded.
+// isAbove reports whether an amount is above a limit; one of 0 is none.
+func isAbove(amount, limit float64) bool { return limit > 0 && amount > limit+amountTolerance }
+
+// limitViolations lists the changes that exceeded a limit.
 func (m *usageMeter) limitViolations() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return append([]string{}, m.violations...)
+	return slices.Clone(m.violations)
 }
 
-// report is what each team used.
+// report returns what each team used.
 func (m *usageMeter) report() []TeamUsage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var out []TeamUsage
+	var teams []TeamUsage
 	for _, name := range m.teams {
-		out = append(out, *m.teamUsage[name])
+		teams = append(teams, *m.teamUsage[name])
 	}
-	return out
+	return teams
 }
 
-// sample adds a point to the history.
-func (m *usageMeter) sample(at time.Duration, runners []*runner) {
-	owned := map[string]*ledger.Ledger{}
+// readLedgers reads the ledger of each region. It leaves out one that cannot be read, as before the
+// first leader has written it.
+func readLedgers(runners []*runner) map[string]*ledger.Ledger {
+	ledgers := map[string]*ledger.Ledger{}
 	for _, runner := range runners {
 		var records []wire.Item
 		runner.live.Do(func() { records = runner.live.Records(ledger.Prefix) })
 		if l, err := ledger.Load(records); err == nil {
-			owned[runner.region.name] = l
+			ledgers[runner.region.name] = l
 		}
 	}
+	return ledgers
+}
+
+// sample adds points to the history: what each team uses, and which share each region owns.
+func (m *usageMeter) sample(at time.Duration, runners []*runner) {
+	ledgers := readLedgers(runners)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, team := range m.teams {
@@ -111,17 +125,25 @@
 		for _, runner := range runners {
 			region := runner.region.name
 			m.history.Add(chart, "used in "+region, at, m.byRegion[region][team].gpus)
-			if l := owned[region]; l != nil {
-				s, _ := l.Share(team)
-				if _, gpus := s.Owned.Units(); s.Limit.GPUs > 0 {
-					m.history.Add(chart, "owned by "+region, at, gpus)
-				}
+			if gpus, hasLimit := ownedGPUs(ledgers[region], team); hasLimit {
+				m.history.Add(chart, "owned by "+region, at, gpus)
 			}
 		}
 	}
 }
 
-// writeProgress tells how far the run is.
+// ownedGPUs is how many GPUs of a team's limit a region owns by its ledger; false if there is no ledger
+// or no limit.
+func ownedGPUs(l *ledger.Ledger, team string) (gpus float64, hasLimit bool) {
+	if l == nil {
+		return 0, false
+	}
+	share, _ := l.Share(team)
+	_, gpus = share.Owned.Units()
+	return gpus, share.Limit.GPUs > 0
+}
+
+// writeProgress writes how far the run is.
 func (m *usageMeter) writeProgress(out io.Writer, at time.Duration, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- /dev/null
+++ b/internal/sim/upgrade_run_test.go
@@ -0,0 +1,227 @@
+package sim
+
+import (
+	"encoding/json"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// upgradeRun is a day on which every controller begins with an old version, and is replaced by one of
+// this version.
+type upgradeRun struct {
+	test     *testing.T
+	world    *World
+	program  string
+	upgraded map[string]bool   // controllers
+	children map[string]*child // by controller
+	leaders  []string          // "old NAME" and "new NAME", in order
+
+	visits map[string]*versionVisits // by machine or job
+}
+
+// versionVisits is which version the last request about a machine or a job came to, and how often that
+// was another one than before.
+type versionVisits struct {
+	isNew bool
+	turns int
+}
+
+// requestRecorder records the requests that a core handles.
+type requestRecorder struct {
+	stepper
+	run   *upgradeRun
+	isNew bool
+}
+
+func (r *requestRecorder) Step(now time.Duration, wall time.Time, in core.Input) core.Output {
+	if request, ok := in.(core.Request); ok {
+		r.run.recordVisit(request, r.isNew)
+	}
+	return r.stepper.Step(now, wall, in)
+}
+
+// recordVisit records that a request about a machine or a job came to a version.
+func (u *upgradeRun) recordVisit(request core.Request, newVersion bool) {
+	subject := strings.TrimPrefix(request.Path, submissionsPath+"/")
+	if request.Path == heartbeatPath {
+		var heartbeat wire.Heartbeat
+		if json.Unmarshal(request.Body, &heartbeat) != nil {
+			return
+		}
+		subject = heartbeat.Machine
+	}
+	switch v := u.visits[subject]; {
+	case v == nil:
+		u.visits[subject] = &versionVisits{isNew: newVersion}
+	case v.isNew != newVersion:
+		v.isNew = newVersion
+		v.turns++
+	}
+}
+
+// mostTurns is the largest number of turns of any machine or job whose name has a prefix.
+func (u *upgradeRun) mostTurns(prefix string) int {
+	most := 0
+	for subject, v := range u.visits {
+		if strings.HasPrefix(subject, prefix) {
+			most = max(most, v.turns)
+		}
+	}
+	return most
+}
+
+// runsThisVersion reports whether the controller runs this version.
+func (c *controller) runsThisVersion() bool {
+	r, ok := c.core.(*requestRecorder)
+	return ok && r.isNew
+}
+
+// newCore makes the core of a controller that starts; of the old version, a new process each time.
+func (u *upgradeRun) newCore(c *controller, incarnation uint64) stepper {
+	u.killChild(c.name)
+	if u.upgraded[c.name] {
+		return &requestRecorder{core.New(c.settings(), nil, incarnation, u.world.log.With("controller", c.name)), u, true}
+	}
+	started := startChild(u.test, u.program, c, incarnation)
+	u.children[c.name] = started
+	return &requestRecorder{started, u, false}
+}
+
+func (u *upgradeRun) killChildren() {
+	for name := range u.children {
+		u.killChild(name)
+	}
+}
+
+func (u *upgradeRun) killChild(name string) {
+	if c := u.children[name]; c != nil {
+		c.kill()
+		delete(u.children, name)
+	}
+}
+
+// upgradeControllers kills the controllers that a line means and starts them again with this version.
+func (u *upgradeRun) upgradeControllers(line scenarioLine) {
+	for _, c := range u.controllersToUpgrade(line.arg(0)) {
+		u.world.debugf("upgrade %s", c.name)
+		u.upgraded[c.name] = true
+		c.crash(upgradeTime(line))
+	}
+}
+
+// upgradeTime is how long a controller is down for its upgrade.
+func upgradeTime(line scenarioLine) time.Duration { return seconds(line.number("for", 3)) }
+
+// controllersToUpgrade returns the controllers that a scenario means: "follower" is the first one of
+// the old version that does not lead, "next" that one or else the leader.
+func (u *upgradeRun) controllersToUpgrade(target string) []*controller {
+	if target != "follower" && target != "next" {
+		return u.world.controllersNamed(target)
+	}
+	leader := u.world.leader()
+	for _, c := range u.world.controllers {
+		if !u.upgraded[c.name] && c != leader {
+			return []*controller{c}
+		}
+	}
+	if target == "next" && leader != nil && !u.upgraded[leader.name] {
+		return []*controller{leader}
+	}
+	return nil
+}
+
+// recordLeaders records who leads, again and again.
+func (u *upgradeRun) recordLeaders() {
+	if leader := u.world.leader(); leader != nil && leader.alive {
+		version := "old "
+		if leader.runsThisVersion() {
+			version = "new "
+		}
+		last := len(u.leaders) - 1
+		if who := version + leader.name; last < 0 || u.leaders[last] != who {
+			u.leaders = append(u.leaders, who)
+		}
+	}
+	u.world.after(200*time.Millisecond, u.recordLeaders)
+}
+
+// ledBy reports whether versions, or controllers with them ("old:node-0"), led in this order; others
+// may have led between them.
+func (u *upgradeRun) ledBy(versions []string) bool {
+	for _, leader := range u.leaders {
+		if len(versions) > 0 && strings.HasPrefix(leader, strings.Replace(versions[0], ":", " ", 1)) {
+			versions = versions[1:]
+		}
+	}
+	return len(versions) == 0
+}
+
+// checkExpectation checks an expectation of the upgrade and says what is wrong; empty if it is met.
+func (u *upgradeRun) checkExpectation(line scenarioLine) string {
+	switch line.arg(0) {
+	case "leaders":
+		if !u.ledBy(line.args[1:]) {
+			return fmt.Sprintf("line %d: leaders were %v", line.lineNumber, u.leaders)
+		}
+	case "turns":
+		for what, prefix := range map[string]string{"worker": machinePrefix, "user": "job-"} {
+			if got, least := u.mostTurns(prefix), int(line.number(what, 0)); got < least {
+				return fmt.Sprintf("line %d: no %s changed versions more than %d times", line.lineNumber, what, got)
+			}
+		}
+	}
+	return ""
+}
+
+// splitLines splits lines into those for which a condition holds, and the others.
+func splitLines(lines []scenarioLine, condition func(scenarioLine) bool) (matching, others []scenarioLine) {
+	for _, line := range lines {
+		if condition(line) {
+			matching = append(matching, line)
+		} else {
+			others = append(others, line)
+		}
+	}
+	return matching, others
+}
+
+// playUpgrade plays a scenario with three lines more than others have:
+//
+//	at T upgrade WHO for=    a controller is killed and started with this version, 3 s later by default
+//	expect leaders old|new...    versions that led, in this order
+//	expect turns worker= user=    how often the requests about one of them came to the other version, at least
+func playUpgrade(t *testing.T, program string, scenario *Scenario, mutate mutation) (world *World, faults []string) {
+	t.Helper()
+	upgrades, actions := splitLines(scenario.actions, func(line scenarioLine) bool { return line.word == "upgrade" })
+	ofUpgrade, expectations := splitLines(scenario.expectations, func(line scenarioLine) bool {
+		return line.arg(0) == "leaders" || line.arg(0) == "turns"
+	})
+	day := *scenario
+	day.actions, day.expectations = actions, expectations
+	world = day.newWorld(testLog())
+	run := &upgradeRun{test: t, world: world, program: program, upgraded: map[string]bool{}, children: map[string]*child{}, visits: map[string]*versionVisits{}}
+	world.newCore, world.mutate = run.newCore, mutate
+	defer run.killChildren()
+	for _, line := range upgrades {
+		world.after(line.at, func() { run.upgradeControllers(line) })
+		world.faultsEnd = max(world.faultsEnd, line.at+upgradeTime(line))
+	}
+	world.after(0, run.recordLeaders)
+	faults = day.finish(world)
+	for _, line := range ofUpgrade {
+		if why := run.checkExpectation(line); why != "" {
+			faults = append(faults, why)
+		}
+	}
+	for _, c := range world.controllers {
+		if !c.runsThisVersion() || !c.alive {
+			faults = append(faults, c.name+" does not run this version at the end")
+		}
+	}
+	return world, faults
+}
