--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,22 +1,24 @@
-// Package history keeps the course of a run: values by time in named charts, and the moments at
-// which something failed. It writes them as columns (Apache Parquet) and as one HTML page with
-// plots that needs no other file.
+// Package history keeps the history of a run: values by time in named charts, and the moments of
+// failures. It writes them as columns (Apache Parquet) and as one HTML page with plots that needs no
+// other file. Package hollow fills and writes it.
 package history
 
 import (
+	"slices"
 	"sync"
 	"time"
 )
 
-// Log is the history of a run. It may be used by several goroutines.
+// Log is the history of a run. Its zero value is empty and ready to use. It may be used by several
+// goroutines.
 type Log struct {
 	mu     sync.Mutex
 	points []Point
 	marks  []Mark
-	limits map[string]float64
+	limits map[string]float64 // by chart
 }
 
-// Point is a value at a time.
+// Point is a value at a time since the beginning of the run.
 type Point struct {
 	Chart   string  `parquet:"chart,dict"`
 	Series  string  `parquet:"series,dict"`
@@ -24,20 +26,20 @@
 	Value   float64 `parquet:"value"`
 }
 
-// Mark is a moment at which something happened.
+// Mark is an event at a time since the beginning of the run.
 type Mark struct {
 	Seconds float64
 	Text    string
 }
 
-// Add adds a value.
+// Add adds a value to a series of a chart.
 func (l *Log) Add(chart, series string, at time.Duration, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.points = append(l.points, Point{chart, series, at.Seconds(), value})
 }
 
-// SetLimit gives a chart a line that its values are to stay under.
+// SetLimit sets the limit of a chart's values. 0 is none.
 func (l *Log) SetLimit(chart string, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -47,16 +49,16 @@
 	l.limits[chart] = value
 }
 
-// AddMark notes that something happened.
+// AddMark adds an event.
 func (l *Log) AddMark(at time.Duration, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.marks = append(l.marks, Mark{at.Seconds(), text})
 }
 
-// Points lists all values in the order in which they came.
+// Points returns all values in the order in which they were added.
 func (l *Log) Points() []Point {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]Point(nil), l.points...)
+	return slices.Clone(l.points)
 }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -9,6 +9,7 @@
 	"time"
 )
 
+// sampleLog has two charts, a limit and a failure.
 func sampleLog() *Log {
 	l := &Log{}
 	l.SetLimit("GPUs", 8)
@@ -21,7 +22,7 @@
 	return l
 }
 
-// TestParquet writes a history as columns and reads it back.
+// TestParquet writes a history to a Parquet file and reads it back.
 func TestParquet(t *testing.T) {
 	l := sampleLog()
 	path := filepath.Join(t.TempDir(), "run.parquet")
@@ -41,8 +42,7 @@
 	}
 }
 
-// TestPage writes a page: a drawing for each chart, text of the run escaped, nothing loaded from
-// elsewhere.
+// TestPage writes a page. It has a drawing of each chart, escaped text, and loads nothing.
 func TestPage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "run.html")
 	if err := sampleLog().WritePage(path, "A <run>", "rules broken: 0"); err != nil {
--- a/internal/history/parquet.go
+++ b/internal/history/parquet.go
@@ -6,16 +6,16 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// markChart is the chart under which marks stand in a file of columns.
+// markChart is the chart of marks in a Parquet file.
 const markChart = "failures"
 
-// WriteParquet writes values and marks to a Parquet file with the columns chart, series, seconds
-// and value. Marks stand in the chart "failures", their text as the series.
+// WriteParquet writes values and marks to a Parquet file with the columns chart, series, seconds and
+// value. Marks have the chart "failures" and their text as the series.
 func (l *Log) WriteParquet(path string) error {
 	rows := l.Points()
 	l.mu.Lock()
-	for _, m := range l.marks {
-		rows = append(rows, Point{Chart: markChart, Series: m.Text, Seconds: m.Seconds})
+	for _, mark := range l.marks {
+		rows = append(rows, Point{Chart: markChart, Series: mark.Text, Seconds: mark.Seconds})
 	}
 	l.mu.Unlock()
 	if err := parquet.WriteFile(path, rows); err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// ReadParquet reads a file that WriteParquet wrote.
+// ReadParquet reads the rows of a file that WriteParquet wrote, marks included.
 func ReadParquet(path string) ([]Point, error) {
 	rows, err := parquet.ReadFile[Point](path)
 	if err != nil {
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,8 +1,8 @@
 // Package loopback hands out addresses on this machine for processes that are started later.
-// A port that was merely found free may be taken by anybody before its process listens, or
-// while that process restarts. The package avoids that in two ways: each claim has an IP address
-// in 127.0.0.0/8 to itself, held by an open listener, and its ports are below the range
-// from which the system assigns ports.
+// A port that was merely found free may be taken by another process before its own one listens, or
+// while that one restarts. The package avoids that in two ways: each claim has an IP address in
+// 127.0.0.0/8 to itself, held by an open listener, and its ports are below the range from which the
+// system assigns ports. It starts no processes. Package hollow and tests of processes call it.
 package loopback
 
 import (
@@ -42,10 +42,10 @@
 // NewClaim claims an IP address. The caller closes the claim once the processes that
 // listen on its ports have ended.
 func NewClaim() (*Claim, error) {
-	first := os.Getpid()
+	first := os.Getpid() // so that processes rarely try the same ones
 	for offset := range claimableIPs {
-		n := (first + offset) % claimableIPs
-		ip := fmt.Sprintf("127.64.%d.%d", n>>8, n&0xff)
+		number := (first + offset) % claimableIPs
+		ip := fmt.Sprintf("127.64.%d.%d", number>>8, number&0xff)
 		if lock, err := net.Listen("tcp4", address(ip, lockPort)); err == nil {
 			return &Claim{ip: ip, lock: lock}, nil
 		}
@@ -53,24 +53,24 @@
 	return nil, ErrNoAddress
 }
 
-// Address returns the next address, in the form "host:port". Nothing listens on it: a port on
-// which a process of an earlier claim is left is passed over.
+// Address returns the next address, in the form "host:port". Nothing listens on it: ports of
+// processes that an earlier claim has left behind are skipped.
 func (c *Claim) Address() (string, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.portsUsed < maxPorts {
 		c.portsUsed++
-		a := address(c.ip, lockPort+c.portsUsed)
-		probe, err := net.Listen("tcp4", a)
+		next := address(c.ip, lockPort+c.portsUsed)
+		probe, err := net.Listen("tcp4", next)
 		if err != nil {
 			continue
 		}
-		return a, probe.Close()
+		return next, probe.Close()
 	}
 	return "", ErrNoPort
 }
 
-// Close gives the IP address up.
+// Close releases the IP address.
 func (c *Claim) Close() error { return c.lock.Close() }
 
 func address(ip string, port int) string { return net.JoinHostPort(ip, fmt.Sprint(port)) }
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -22,33 +22,33 @@
 
 func nextAddress(t *testing.T, c *Claim) string {
 	t.Helper()
-	a, err := c.Address()
+	next, err := c.Address()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return next
 }
 
-// TestClaimsAreApart has several claims at a time hand out addresses: none twice, and none from
-// the range of ports that the system assigns.
+// TestClaimsAreApart takes addresses from several claims at a time. No address is handed out twice, and
+// none has a port of the range that the system assigns.
 func TestClaimsAreApart(t *testing.T) {
 	seen := map[string]bool{}
 	for range 5 {
 		c := newClaim(t)
 		for range 20 {
-			a := nextAddress(t, c)
-			if seen[a] {
-				t.Errorf("%s was handed out twice", a)
+			next := nextAddress(t, c)
+			if seen[next] {
+				t.Errorf("%s was handed out twice", next)
 			}
-			seen[a] = true
-			if at, err := net.ResolveTCPAddr("tcp4", a); err != nil || at.Port >= 32768 {
-				t.Errorf("%s: port of the system's range, %v", a, err)
+			seen[next] = true
+			if resolved, err := net.ResolveTCPAddr("tcp4", next); err != nil || resolved.Port >= 32768 {
+				t.Errorf("%s: port of the system's range, %v", next, err)
 			}
 		}
 	}
 }
 
-// TestLeftOverListener has a process of an earlier claim still listen on the next port.
+// TestLeftOverListener skips a port on which a process of an earlier claim still listens.
 func TestLeftOverListener(t *testing.T) {
 	c := newClaim(t)
 	left, err := net.Listen("tcp4", address(c.ip, lockPort+1))
@@ -56,20 +56,22 @@
 		t.Fatal(err)
 	}
 	defer left.Close()
-	if a := nextAddress(t, c); a == left.Addr().String() {
-		t.Errorf("%s is in use", a)
+	if next := nextAddress(t, c); next == left.Addr().String() {
+		t.Errorf("%s is in use", next)
 	}
 }
 
-// TestClosedClaim frees its IP address.
+// TestClosedClaim closes a claim. Its IP address is free again.
 func TestClosedClaim(t *testing.T) {
 	c := newClaim(t)
 	if err := c.Close(); err != nil {
 		t.Fatal(err)
 	}
-	l, err := net.Listen("tcp4", address(c.ip, lockPort))
+	listener, err := net.Listen("tcp4", address(c.ip, lockPort))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.Close()
+	if err := listener.Close(); err != nil {
+		t.Error(err)
+	}
 }
