--- a/internal/sim/checker_test.go
+++ b/internal/sim/checker_test.go
@@ -10,36 +10,34 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// taskZones is where the tasks of one job are, by their number: "zone", or
-// "zone spot".
+// taskZones lists where the tasks of a job are: "zone", or "zone spot" for a spot machine.
 type taskZones []string
 
-// TestCheckerPlacement has the last task of a job start beside the others. The
-// checker has to find what is wrong with its place or with what its team uses, and
-// nothing else.
+// TestCheckerPlacement starts the last task of a job beside the others. The checker has to report what
+// is wrong with its placement or with its team's usage, and nothing else.
 func TestCheckerPlacement(t *testing.T) {
 	const typ = "small"
 	for _, tc := range []struct {
-		name  string
-		job   wire.Job
-		on    taskZones
-		fault string // the rule that is broken; none if empty
+		name string
+		job  wire.Job
+		on   taskZones
+		rule string // that is violated; none if empty
 	}{
 		{name: "anywhere", job: wire.Job{Tasks: 3}, on: taskZones{"east", "north", "north"}},
 		{name: "an allowed type", job: wire.Job{Tasks: 1, MachineTypes: []string{typ}}, on: taskZones{"east"}},
-		{name: "another type", job: wire.Job{Tasks: 1, MachineTypes: []string{"large"}}, on: taskZones{"east"}, fault: "wrong_place"},
+		{name: "another type", job: wire.Job{Tasks: 1, MachineTypes: []string{"large"}}, on: taskZones{"east"}, rule: "wrong_place"},
 		{name: "the job's zone", job: wire.Job{Tasks: 1, Zone: "east"}, on: taskZones{"east"}},
-		{name: "another zone", job: wire.Job{Tasks: 1, Zone: "east"}, on: taskZones{"west"}, fault: "wrong_place"},
+		{name: "another zone", job: wire.Job{Tasks: 1, Zone: "east"}, on: taskZones{"west"}, rule: "wrong_place"},
 		{name: "a spot machine", job: wire.Job{Tasks: 1, AllowSpot: true}, on: taskZones{"east spot"}},
-		{name: "a spot machine that the job does not take", job: wire.Job{Tasks: 1}, on: taskZones{"east spot"}, fault: "wrong_place"},
+		{name: "a spot machine that the job does not take", job: wire.Job{Tasks: 1}, on: taskZones{"east spot"}, rule: "wrong_place"},
 		{name: "half of the tasks in a zone, rounded up", job: wire.Job{Tasks: 3, SpreadZones: true}, on: taskZones{"east", "east"}},
-		{name: "more than half", job: wire.Job{Tasks: 3, SpreadZones: true}, on: taskZones{"east", "east", "east"}, fault: "wrong_place"},
+		{name: "more than half", job: wire.Job{Tasks: 3, SpreadZones: true}, on: taskZones{"east", "east", "east"}, rule: "wrong_place"},
 		{name: "all in one zone", job: wire.Job{Tasks: 2, OneZone: true}, on: taskZones{"east", "east"}},
-		{name: "in two zones", job: wire.Job{Tasks: 2, OneZone: true}, on: taskZones{"east", "west"}, fault: "wrong_place"},
+		{name: "in two zones", job: wire.Job{Tasks: 2, OneZone: true}, on: taskZones{"east", "west"}, rule: "wrong_place"},
 		{name: "as many GPUs as the team may use", job: wire.Job{Tasks: 2, GPUs: 2}, on: taskZones{"east", "east"}},
-		{name: "more GPUs", job: wire.Job{Tasks: 3, GPUs: 2}, on: taskZones{"east", "east", "east"}, fault: "quota"},
+		{name: "more GPUs", job: wire.Job{Tasks: 3, GPUs: 2}, on: taskZones{"east", "east", "east"}, rule: "quota"},
 		{name: "as many CPUs as the team may use", job: wire.Job{Tasks: 2, CPUs: 4}, on: taskZones{"east", "east"}},
-		{name: "more CPUs", job: wire.Job{Tasks: 2, CPUs: 5}, on: taskZones{"east", "east"}, fault: "quota"},
+		{name: "more CPUs", job: wire.Job{Tasks: 2, CPUs: 5}, on: taskZones{"east", "east"}, rule: "quota"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			cfg := defaultSettings()
@@ -59,13 +57,13 @@
 					world.checker.checkStart(m, x)
 				}
 			}
-			expectViolation(t, world, tc.fault)
+			expectViolation(t, world, tc.rule)
 		})
 	}
 }
 
-// TestCheckerGangRoom asks for how many tasks of a gang there is room, given
-// the room in each zone and the tasks that it has there.
+// TestCheckerGangRoom computes for how many tasks of a gang there is room, given the room in each zone
+// and the tasks that it has there.
 func TestCheckerGangRoom(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -86,8 +84,8 @@
 	}
 }
 
-// expectViolation fails unless the checker has found one fault, of a rule; none if the
-// rule is empty.
+// expectViolation fails unless the checker has reported one violation of a rule; none if the rule is
+// empty.
 func expectViolation(t *testing.T, world *World, rule string) {
 	t.Helper()
 	found := world.checker.violations
@@ -95,6 +93,6 @@
 	case rule == "" && len(found) > 0:
 		t.Errorf("found %q", found)
 	case rule != "" && (len(found) != 1 || !strings.HasPrefix(found[0], rule+" at ")):
-		t.Errorf("found %q, want one fault of %s", found, rule)
+		t.Errorf("found %q, want one violation of %s", found, rule)
 	}
 }
--- a/internal/sim/dependency_graph_test.go
+++ b/internal/sim/dependency_graph_test.go
@@ -78,26 +78,17 @@
 		"unannounced limits": "at 40 limits value_kb=4 txn_ops=4 write_rps=30\nat 61 crash leader for=3\n",
 		"several at once":    "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\nat 58 slow for=40 by=0.25\nat 60.5 crash leader for=3\n",
 	}
-	for kind, graph := range dependencyGraphs(240) {
-		for fault, lines := range faults {
-			t.Run(kind+"/"+fault, func(t *testing.T) {
-				t.Parallel()
-				var text strings.Builder
-				fmt.Fprintf(&text, graphSetup, 1)
-				text.WriteString(lines)
-				writeSubmissions(&text, graph, "run=400")
-				text.WriteString("at 60 cancel job-000001\nuntil 108\n")
-				for n, isCancelled := range graph.dependentsOfRoot() {
-					status := "over"
-					if isCancelled {
-						status = "withdrawn"
-					}
-					fmt.Fprintf(&text, "expect job-%06d %s\n", n+1, status)
-				}
-				playGraph(t, text.String())
-			})
+	playGraphs(t, 240, faults, func(text *strings.Builder, graph dependencyGraph) {
+		writeSubmissions(text, graph, "run=400")
+		text.WriteString("at 60 cancel job-000001\nuntil 108\n")
+		for n, isCancelled := range graph.dependentsOfRoot() {
+			status := "over"
+			if isCancelled {
+				status = "withdrawn"
+			}
+			fmt.Fprintf(text, "expect job-%06d %s\n", n+1, status)
 		}
-	}
+	})
 }
 
 // TestFinishedGraphs runs large graphs to their ends under faults.
@@ -110,20 +101,29 @@
 		"unannounced limits": "at 40 limits value_kb=4 txn_ops=4 write_rps=30\n",
 		"delayed commits, partition, duplicate heartbeats": "at 30 late_writes share=0.3 for=30\nat 70 cut leader state for=12\nat 90 late_reports share=0.5 for=20\n",
 	}
-	for kind, graph := range dependencyGraphs(31) {
+	playGraphs(t, 31, faults, func(text *strings.Builder, graph dependencyGraph) {
+		writeSubmissions(text, graph, "")
+		fmt.Fprintf(text, "at 2 submit job-000900 priority=urgent tasks=2 run=3 due=300 awaits=job-%06d\n", len(graph))
+		text.WriteString("until 420\n")
+		for n := range graph {
+			fmt.Fprintf(text, "expect job-%06d done\n", n+1)
+		}
+		text.WriteString("expect job-000900 done\n")
+	})
+}
+
+// playGraphs plays graphs of every kind with each of the faults, whose lines are given by name. write
+// writes the rest of the scenario.
+func playGraphs(t *testing.T, jobs int, faults map[string]string, write func(*strings.Builder, dependencyGraph)) {
+	t.Helper()
+	for kind, graph := range dependencyGraphs(jobs) {
 		for fault, lines := range faults {
 			t.Run(kind+"/"+fault, func(t *testing.T) {
 				t.Parallel()
 				var text strings.Builder
 				fmt.Fprintf(&text, graphSetup, 1)
 				text.WriteString(lines)
-				writeSubmissions(&text, graph, "")
-				fmt.Fprintf(&text, "at 2 submit job-000900 priority=urgent tasks=2 run=3 due=300 awaits=job-%06d\n", len(graph))
-				text.WriteString("until 420\n")
-				for n := range graph {
-					fmt.Fprintf(&text, "expect job-%06d done\n", n+1)
-				}
-				text.WriteString("expect job-000900 done\n")
+				write(&text, graph)
 				playGraph(t, text.String())
 			})
 		}
--- a/internal/sim/fingerprint_test.go
+++ b/internal/sim/fingerprint_test.go
@@ -42,7 +42,7 @@
 
 func (f fingerprint) String() string { return hex.EncodeToString(f.Sum(nil)[:12]) }
 
-// recordCores has all that the world's cores ask for hashed.
+// recordCores hashes all outputs of the world's cores.
 func (f fingerprint) recordCores(world *World) {
 	world.mutate = func(controller *controller, out *core.Output) {
 		for _, a := range out.Answers {
@@ -62,7 +62,7 @@
 	}
 }
 
-// fingerprintKinds are the kinds of random days, each with what plays one.
+// fingerprintKinds are the kinds of random days, each with a function that plays one.
 var fingerprintKinds = []struct {
 	name string
 	play func(t *testing.T, seed uint64) string
@@ -79,14 +79,14 @@
 	{"wake", wakeFingerprint},
 }
 
-// grownDay is a day of TestSoakGrown with at most 48 machines.
+// grownDay writes a day of TestSoakGrown with at most 48 machines.
 func grownDay(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 5))
 	controllers := fmt.Sprint("controllers ", 3+2*r.IntN(2))
 	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(r, 30, 200)...)...)
 }
 
-// fleetDay is a day of TestSoakFleet at its smallest size.
+// fleetDay writes a day of TestSoakFleet at its smallest size.
 func fleetDay(seed uint64) string {
 	r := rand.New(rand.NewPCG(seed, 6))
 	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*r.IntN(2))}
@@ -97,13 +97,10 @@
 func scenarioFingerprint(write func(seed uint64) string) func(*testing.T, uint64) string {
 	return func(t *testing.T, seed uint64) string {
 		t.Helper()
-		s, err := ParseScenario(write(seed))
-		if err != nil {
-			t.Fatal(err)
-		}
-		world, f := s.newWorld(slog.New(slog.DiscardHandler)), newFingerprint()
+		scenario := parseScenario(t, write(seed))
+		world, f := scenario.newWorld(slog.New(slog.DiscardHandler)), newFingerprint()
 		f.recordCores(world)
-		s.finish(world)
+		scenario.finish(world)
 		return f.String()
 	}
 }
@@ -129,8 +126,8 @@
 	return f.String()
 }
 
-// TestFingerprints plays days twice: nothing but the seed may have an effect on what the
-// controllers do. With BROOKWALK_FINGERPRINTS it prints the days' fingerprints instead.
+// TestFingerprints plays days twice. What the controllers do may depend on the seed only. With
+// BROOKWALK_FINGERPRINTS it prints the days' fingerprints instead.
 func TestFingerprints(t *testing.T) {
 	seeds, print := 1, false
 	if v, err := strconv.Atoi(os.Getenv("BROOKWALK_FINGERPRINTS")); err == nil {
--- a/internal/sim/fleet_scenarios_test.go
+++ b/internal/sim/fleet_scenarios_test.go
@@ -19,10 +19,10 @@
 	fmt.Fprintf(&text, "type big cpus=96 gpus=8 mem=384 price=20 spot_price=8 boot=15 fetch=5 cache=600 cap=%d spot=%d\n", perOffer, perOffer)
 	text.WriteString("wait web within=20\nwait train within=10\nfinished sweep within=300\n")
 	team := func() string { return []string{"t", "u"}[rng.IntN(2)] }
-	n := 0
-	submit := func(at int, format string, a ...any) {
-		n++
-		fmt.Fprintf(&text, "at %d submit job-%06d team=%s %s\n", at, n, team(), fmt.Sprintf(format, a...))
+	lastJob := 0
+	submit := func(at int, format string, args ...any) {
+		lastJob++
+		fmt.Fprintf(&text, "at %d submit job-%06d team=%s %s\n", at, lastJob, team(), fmt.Sprintf(format, args...))
 	}
 	add := func(at int) {
 		switch rng.IntN(6) {
@@ -105,53 +105,81 @@
 // spread over zones, for which all machines are rented at once. At scale 1 there are some 1,000
 // machines at the most.
 func startupWaveScenario(scale float64, until int, faults ...string) string {
-	rng := rand.New(rand.NewPCG(1, 11))
-	var text strings.Builder
-	n := func(k float64) int { return int(k * scale) }
-	fmt.Fprintf(&text, "seed 1\nuntil %d\nworkers report=4 lease=22 cancel=42\n", until)
-	for _, team := range []string{"t", "u"} {
-		fmt.Fprintf(&text, "team %s gpus=%d gpus_max=%d\n", team, n(1200), n(4000))
-	}
-	fmt.Fprintf(&text, "type small cpus=16 mem=32 price=1 spot_price=0.3 boot=40 fetch=1 cap=%d spot=%d\n", n(145), n(56))
-	fmt.Fprintf(&text, "type big cpus=64 gpus=8 mem=512 price=25 spot_price=7 boot=30 fetch=2.3 cap=%d spot=%d\n", n(79), n(56))
-	text.WriteString("wait gate within=1\nwait chat within=30\nwait wide within=100\n")
-	k := 0
-	submit := func(at float64, format string, a ...any) {
-		k++
-		fmt.Fprintf(&text, "at %.2f submit job-%06d team=%s %s\n", at, k, []string{"t", "u"}[rng.IntN(2)], fmt.Sprintf(format, a...))
-		if rng.IntN(8) == 0 {
-			fmt.Fprintf(&text, "at %.2f cancel job-%06d\n", at+float64(until)*(0.2+0.8*rng.Float64()), k)
-		}
-	}
-	first := func() float64 { return 1 + 3*rng.Float64() }
-	gate := func(at float64) {
-		submit(at, "shape=service class=gate priority=critical tasks=%d cpus=1 mem=1.8 image=g%d image_gb=1.8 apart", []int{3, 4, 9}[rng.IntN(3)], rng.IntN(16))
+	w := &waveWriter{dayWriter: dayWriter{rng: rand.New(rand.NewPCG(1, 11))}, scale: scale, until: until}
+	w.writeSetup()
+	w.writeStart()
+	w.writeSteadyLoad()
+	for _, line := range faults {
+		w.WriteString(line + "\n")
 	}
-	sweep := func(at float64) {
-		submit(at, "class=sweep tasks=%d cpus=5 gpus=1 mem=35 run=80 checkpoint=10 save=4 image=s%d image_gb=42 spot", 5+rng.IntN(20), rng.IntN(10))
+	return w.String()
+}
+
+// waveWriter writes a startupWaveScenario.
+type waveWriter struct {
+	dayWriter
+	scale float64
+	until int // in seconds
+}
+
+// scaled is a count at the scale of the scenario.
+func (w *waveWriter) scaled(count float64) int { return int(count * w.scale) }
+
+func (w *waveWriter) writeSetup() {
+	fmt.Fprintf(w, "seed 1\nuntil %d\nworkers report=4 lease=22 cancel=42\n", w.until)
+	for _, team := range []string{"t", "u"} {
+		fmt.Fprintf(w, "team %s gpus=%d gpus_max=%d\n", team, w.scaled(1200), w.scaled(4000))
 	}
-	for range n(650) {
-		gate(first())
+	fmt.Fprintf(w, "type small cpus=16 mem=32 price=1 spot_price=0.3 boot=40 fetch=1 cap=%d spot=%d\n", w.scaled(145), w.scaled(56))
+	fmt.Fprintf(w, "type big cpus=64 gpus=8 mem=512 price=25 spot_price=7 boot=30 fetch=2.3 cap=%d spot=%d\n", w.scaled(79), w.scaled(56))
+	w.WriteString("wait gate within=1\nwait chat within=30\nwait wide within=100\n")
+}
+
+// writeStart writes the submissions of the first seconds.
+func (w *waveWriter) writeStart() {
+	for range w.scaled(650) {
+		w.submitGate(w.firstSeconds())
 	}
-	for range n(60) {
-		submit(first(), "shape=service class=chat priority=critical tasks=%d cpus=22 gpus=4 mem=150 image=c%d image_gb=68 apart", 1+rng.IntN(3), rng.IntN(6))
+	for range w.scaled(60) {
+		w.submit(w.firstSeconds(), "shape=service class=chat priority=critical tasks=%d cpus=22 gpus=4 mem=150 image=c%d image_gb=68 apart",
+			1+w.rng.IntN(3), w.rng.IntN(6))
 	}
-	for range n(33) {
-		sweep(first())
+	for range w.scaled(33) {
+		w.submitSweep(w.firstSeconds())
 	}
-	for range n(10) {
-		submit(first(), "shape=gang class=wide priority=urgent tasks=2 cpus=57 gpus=8 mem=410 run=250 checkpoint=15 save=2 image=w%d image_gb=118 together types=big", rng.IntN(6))
+	for range w.scaled(10) {
+		w.submit(w.firstSeconds(), "shape=gang class=wide priority=urgent tasks=2 cpus=57 gpus=8 mem=410 run=250 checkpoint=15 save=2 image=w%d image_gb=118 together types=big",
+			w.rng.IntN(6))
 	}
-	for at := 5; at < until-10; at++ {
-		if rng.Float64() < 0.68*scale {
-			gate(float64(at))
+}
+
+// writeSteadyLoad writes the submissions of the time after that.
+func (w *waveWriter) writeSteadyLoad() {
+	for at := 5; at < w.until-10; at++ {
+		if w.rng.Float64() < 0.68*w.scale {
+			w.submitGate(float64(at))
 		}
-		if rng.Float64() < 0.25*scale {
-			sweep(float64(at))
+		if w.rng.Float64() < 0.25*w.scale {
+			w.submitSweep(float64(at))
 		}
 	}
-	for _, line := range faults {
-		text.WriteString(line + "\n")
+}
+
+func (w *waveWriter) firstSeconds() float64 { return 1 + 3*w.rng.Float64() }
+
+// submit writes a submission, and the cancellation of every eighth job.
+func (w *waveWriter) submit(at float64, format string, args ...any) {
+	id := w.newJobID()
+	w.event(at, "submit %s team=%s %s", id, w.pick("t", "u"), fmt.Sprintf(format, args...))
+	if w.rng.IntN(8) == 0 {
+		w.event(at+float64(w.until)*(0.2+0.8*w.rng.Float64()), "cancel %s", id)
 	}
-	return text.String()
+}
+
+func (w *waveWriter) submitGate(at float64) {
+	w.submit(at, "shape=service class=gate priority=critical tasks=%d cpus=1 mem=1.8 image=g%d image_gb=1.8 apart", []int{3, 4, 9}[w.rng.IntN(3)], w.rng.IntN(16))
+}
+
+func (w *waveWriter) submitSweep(at float64) {
+	w.submit(at, "class=sweep tasks=%d cpus=5 gpus=1 mem=35 run=80 checkpoint=10 save=4 image=s%d image_gb=42 spot", 5+w.rng.IntN(20), w.rng.IntN(10))
 }
