--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -213,13 +213,13 @@
 	traffic.Add(len(request), len(response))
 }
 
-// sampleUsage samples what the process uses, in the steady part of the run or before.
-func (c *controllerProcess) sampleUsage(isSteady bool) {
+// sampleUsage samples what the process uses, in a phase of the run.
+func (c *controllerProcess) sampleUsage(phase runPhase) {
 	pid := c.pid()
 	if pid == 0 {
 		return
 	}
 	if used, err := readUsage(pid); err == nil { // else the process has just ended
-		c.usage.addSample(pid, used, time.Now(), isSteady)
+		c.usage.addSample(pid, used, time.Now(), phase)
 	}
 }
--- a/internal/hollow/process_usage.go
+++ b/internal/hollow/process_usage.go
@@ -82,6 +82,14 @@
 	return count
 }
 
+// runPhase is a part of a run.
+type runPhase int
+
+const (
+	warmUp runPhase = iota
+	steady          // the last part, which counts for the steady means
+)
+
 // processMeter adds up the usage of the processes of a controller, or of this process.
 type processMeter struct {
 	pid        int // of the last sample
@@ -97,8 +105,8 @@
 	steadySeconds float64
 }
 
-// addSample adds a sample of a process, in the steady part of the run or before.
-func (m *processMeter) addSample(pid int, sample processUsage, at time.Time, isSteady bool) {
+// addSample adds a sample of a process, taken in a phase of the run.
+func (m *processMeter) addSample(pid int, sample processUsage, at time.Time, phase runPhase) {
 	last, lastAt := m.lastSample, m.lastAt
 	if pid != m.pid {
 		last, lastAt = processUsage{}, at
@@ -113,7 +121,7 @@
 	if elapsed := at.Sub(lastAt).Seconds(); elapsed > 0 {
 		m.seconds += elapsed
 		m.peakCores = max(m.peakCores, cpu.Seconds()/elapsed)
-		if isSteady {
+		if phase == steady {
 			m.steadyCPU += cpu
 			m.steadySeconds += elapsed
 		}
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -28,10 +28,12 @@
 	}
 	program, dir := buildProgram(t), t.TempDir()
 	wasShown := false
-	rep, err := Run(t.Context(), experiment, Options{Command: []string{program, "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler),
+	rep, err := Run(t.Context(), experiment, Options{
+		Command: []string{program, "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler),
 		Progress: progressFunc(func() {
 			wasShown = wasShown || showsLedger(program, filepath.Join(dir, "north", "node-0.toml"))
-		}), ProgressEvery: time.Second})
+		}), ProgressEvery: time.Second,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -28,12 +28,14 @@
 			leader = i
 		}
 	})
-	report := &Report{Experiment: r.experiment.Name, Seconds: duration.Seconds(),
+	report := &Report{
+		Experiment: r.experiment.Name, Seconds: duration.Seconds(),
 		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.Jobs, Accepted: counts.Accepted,
 		StartsSent: counts.Starts, ExpiredTasks: counts.ExpiredTasks,
 		StoreKeys: counts.StoreKeys, StoreThrottled: counts.StoreThrottled,
 		StoreChangesPerS: perSecond(float64(counts.StoreChanges), duration.Seconds()),
-		Violations:       append([]string{}, counts.Violations...), History: r.history}
+		Violations:       append([]string{}, counts.Violations...), History: r.history,
+	}
 	r.reportStarts(report, duration)
 	r.reportProcesses(report, leader)
 	r.reportChannels(report, duration)
@@ -77,9 +79,11 @@
 }
 
 func newProcessReport(name, role string, usage *processMeter) ProcessReport {
-	return ProcessReport{Name: name, Role: role, Cores: usage.cores(), CoresSteady: usage.steadyCores(), CoresPeak: usage.peakCores,
+	return ProcessReport{
+		Name: name, Role: role, Cores: usage.cores(), CoresSteady: usage.steadyCores(), CoresPeak: usage.peakCores,
 		PeakMemoryMB: float64(usage.total.peakKB) / 1024, ReadBytesPerS: perSecond(float64(usage.total.readBytes), usage.seconds),
-		WrittenBytesPerS: perSecond(float64(usage.total.writtenBytes), usage.seconds), Sockets: usage.total.sockets}
+		WrittenBytesPerS: perSecond(float64(usage.total.writtenBytes), usage.seconds), Sockets: usage.total.sockets,
+	}
 }
 
 // reportChannels reports the traffic of each channel.
@@ -96,8 +100,10 @@
 
 func newChannel(traffic *httpserve.Traffic, duration time.Duration) Channel {
 	s := duration.Seconds()
-	return Channel{MessagesPerS: perSecond(float64(traffic.Requests.Load()), s),
-		InBytesPerS: perSecond(float64(traffic.RequestBytes.Load()), s), OutBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), s)}
+	return Channel{
+		MessagesPerS: perSecond(float64(traffic.Requests.Load()), s),
+		InBytesPerS:  perSecond(float64(traffic.RequestBytes.Load()), s), OutBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), s),
+	}
 }
 
 // peerChannel is what the controllers sent each other: what they read, less what the stand-ins sent
--- a/internal/hollow/report_write.go
+++ b/internal/hollow/report_write.go
@@ -23,26 +23,32 @@
 // maxListedViolations is how many violations a table lists.
 const maxListedViolations = 10
 
-// WriteTable writes a short table.
+// WriteTable writes a short table; of a run of several regions, one for each.
 func (r *Report) WriteTable(out io.Writer) error {
-	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	var text strings.Builder
 	if len(r.Regions) > 0 {
 		for _, region := range r.Regions {
 			if err := region.WriteTable(out); err != nil {
 				return err
 			}
-			fmt.Fprintln(out)
+			if _, err := fmt.Fprintln(out); err != nil {
+				return err
+			}
 		}
-		r.writeTeams(table)
+		r.writeTeams(&text)
 	} else {
-		r.writeRun(table)
+		r.writeRun(&text)
+	}
+	r.writeViolations(&text)
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	if _, err := io.WriteString(table, text.String()); err != nil {
+		return err
 	}
-	r.writeViolations(table)
 	return table.Flush()
 }
 
 // writeRun writes the figures of a run of one region.
-func (r *Report) writeRun(out io.Writer) {
+func (r *Report) writeRun(out *strings.Builder) {
 	fmt.Fprintf(out, "%s: %.0f s, %d workers, %d tasks on machines, %d jobs (%d accepted)\n", r.Experiment, r.Seconds, r.Workers, r.Tasks, r.Jobs, r.Accepted)
 	fmt.Fprintln(out, "process\trole\tcores\tsteady\tpeak\tmemory MB\tread KB/s\twritten KB/s\tsockets")
 	for _, p := range r.Processes {
@@ -64,7 +70,7 @@
 }
 
 // writeTeams writes what teams used over all regions.
-func (r *Report) writeTeams(out io.Writer) {
+func (r *Report) writeTeams(out *strings.Builder) {
 	fmt.Fprintln(out, "team over all regions\tGPUs most used\tceiling\tCPUs most used\tceiling")
 	for _, team := range r.Teams {
 		fmt.Fprintf(out, "%s\t%g\t%g\t%g\t%g\n", team.Name, team.PeakGPUs, team.GPULimit, team.PeakCPUs, team.CPULimit)
@@ -72,7 +78,7 @@
 }
 
 // writeViolations writes the violations of rules.
-func (r *Report) writeViolations(out io.Writer) {
+func (r *Report) writeViolations(out *strings.Builder) {
 	fmt.Fprintf(out, "rules broken: %d\n", len(r.Violations))
 	for _, violation := range r.Violations[:min(len(r.Violations), maxListedViolations)] {
 		fmt.Fprintln(out, " ", violation)
@@ -88,6 +94,6 @@
 	return r.History.WritePage(path, "Run of "+r.Experiment, table.String())
 }
 
-func (s WaitStats) writeRow(out io.Writer, name string) {
+func (s WaitStats) writeRow(out *strings.Builder, name string) {
 	fmt.Fprintf(out, "%s\t%d\t%.3f\t%.3f\t%.3f\t%.3f\n", name, s.Count, s.P50, s.P90, s.P99, s.Max)
 }
--- a/internal/hollow/runner.go
+++ b/internal/hollow/runner.go
@@ -70,8 +70,10 @@
 
 // newRunner makes a runner whose controllers listen on the addresses of a claim.
 func newRunner(experiment *Experiment, options Options, addresses *loopback.Claim) *runner {
-	return &runner{experiment: experiment, options: options, addresses: addresses, observer: newObserver(),
-		history: &history.Log{}, listeners: map[string]io.Closer{}}
+	return &runner{
+		experiment: experiment, options: options, addresses: addresses, observer: newObserver(),
+		history: &history.Log{}, listeners: map[string]io.Closer{},
+	}
 }
 
 // run plays the experiment to its end and returns the report.
--- a/internal/hollow/runner_setup.go
+++ b/internal/hollow/runner_setup.go
@@ -35,8 +35,10 @@
 // prepare starts the servers of the stand-ins and writes the controllers' settings.
 func (r *runner) prepare() error {
 	settings := r.settings()
-	r.live = sim.NewLive(sim.LiveConfig{Settings: settings, Types: r.machineTypes(), Stock: r.stock(), Seed: r.experiment.Seed,
-		Observer: r.observer, Log: r.options.Log, WorkerAddress: r.serveWorker, MachineRemoved: r.stopWorker, UsageChanged: r.usageObserver()})
+	r.live = sim.NewLive(sim.LiveConfig{
+		Settings: settings, Types: r.machineTypes(), Stock: r.stock(), Seed: r.experiment.Seed,
+		Observer: r.observer, Log: r.options.Log, WorkerAddress: r.serveWorker, MachineRemoved: r.stopWorker, UsageChanged: r.usageObserver(),
+	})
 	store, err := r.serve("key-value store", &r.storeTraffic, r.live.ServeStore)
 	if err != nil {
 		return err
@@ -168,8 +170,10 @@
 	if err != nil {
 		return err
 	}
-	c := &controllerProcess{name: settings.Name, listen: settings.Listen, command: append(slices.Clone(r.options.Command), settingsPath),
-		output: output, operatorPath: operatorPath, log: r.options.Log, withWorld: r.live.Do, userTraffic: &r.userTraffic, workerTraffic: &r.workerTraffic}
+	c := &controllerProcess{
+		name: settings.Name, listen: settings.Listen, command: append(slices.Clone(r.options.Command), settingsPath),
+		output: output, operatorPath: operatorPath, log: r.options.Log, withWorld: r.live.Do, userTraffic: &r.userTraffic, workerTraffic: &r.workerTraffic,
+	}
 	r.controllers = append(r.controllers, c)
 	r.live.Attach(i, c)
 	return nil
@@ -207,8 +211,10 @@
 // settings are those of the deployment.
 func (r *runner) settings() *config.Settings {
 	e := r.experiment
-	deployment := config.Deployment{Size: e.Controllers, Zones: e.Zones, SkewMs: skewMs, Workers: e.Workers,
-		Store: e.State, Cloud: e.Cloud, MachineLimits: e.Limits}
+	deployment := config.Deployment{
+		Size: e.Controllers, Zones: e.Zones, SkewMs: skewMs, Workers: e.Workers,
+		Store: e.State, Cloud: e.Cloud, MachineLimits: e.Limits,
+	}
 	for i := range e.Teams.Count {
 		team := e.teamLimit()
 		team.Name = teamName(i)
@@ -223,8 +229,10 @@
 func (r *runner) machineTypes() []wire.MachineType {
 	var types []wire.MachineType
 	for _, t := range r.experiment.Types {
-		types = append(types, wire.MachineType{Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemoryGB, CacheGB: t.CacheGB,
-			PullGBPerS: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: r.experiment.Zones})
+		types = append(types, wire.MachineType{
+			Name: t.Name, CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemoryGB, CacheGB: t.CacheGB,
+			PullGBPerS: t.FetchGBPS, Price: t.Price, SpotPrice: t.SpotPrice, BootS: t.BootS, Zones: r.experiment.Zones,
+		})
 	}
 	return types
 }
--- a/internal/hollow/sampling.go
+++ b/internal/hollow/sampling.go
@@ -25,7 +25,11 @@
 			return
 		case <-tick.C:
 		}
-		r.sampleProcesses(time.Since(startedAt) > seconds(steadyFraction*r.experiment.Seconds))
+		phase := warmUp
+		if time.Since(startedAt) > seconds(steadyFraction*r.experiment.Seconds) {
+			phase = steady
+		}
+		r.sampleProcesses(phase)
 		r.live.Do(r.recordSecond)
 		if r.options.Progress != nil && time.Since(lastProgress) >= r.options.ProgressEvery {
 			lastProgress = time.Now()
@@ -34,13 +38,13 @@
 	}
 }
 
-// sampleProcesses samples what each process uses, in the steady part of the run or before.
-func (r *runner) sampleProcesses(isSteady bool) {
+// sampleProcesses samples what each process uses, in a phase of the run.
+func (r *runner) sampleProcesses(phase runPhase) {
 	for _, c := range r.controllers {
-		c.sampleUsage(isSteady)
+		c.sampleUsage(phase)
 	}
 	if used, err := readUsage(os.Getpid()); err == nil {
-		r.standInUsage.addSample(os.Getpid(), used, time.Now(), isSteady)
+		r.standInUsage.addSample(os.Getpid(), used, time.Now(), phase)
 	}
 }
 
@@ -56,11 +60,18 @@
 	r.history.Add("Wait of urgent work", "p99 so far, s", now, urgent.P99)
 }
 
+// writeProgress writes a line of progress.
+func (o *Options) writeProgress(format string, args ...any) {
+	if _, err := fmt.Fprintf(o.Progress, format, args...); err != nil {
+		o.Log.Warn("progress not written", "error", err)
+	}
+}
+
 // writeProgress writes how far the run is.
 func (r *runner) writeProgress() {
 	var counts sim.Counts
 	var now time.Duration
 	r.live.Do(func() { counts, now = r.live.Counts(), r.live.Now() })
-	fmt.Fprintf(r.options.Progress, "%4.0f of %.0f s: %d workers, %d tasks on machines, %d jobs, %d starts, %d rules broken\n",
+	r.options.writeProgress("%4.0f of %.0f s: %d workers, %d tasks on machines, %d jobs, %d starts, %d rules broken\n",
 		now.Seconds(), r.experiment.Seconds, counts.Workers, counts.Tasks, counts.Jobs, counts.Starts, len(counts.Violations))
 }
--- a/internal/hollow/team_usage.go
+++ b/internal/hollow/team_usage.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"io"
 	"slices"
 	"sync"
 	"time"
@@ -40,8 +39,10 @@
 }
 
 func newUsageMeter(experiment *Experiment) *usageMeter {
-	usage := &usageMeter{teamUsage: map[string]*TeamUsage{}, current: map[string]*amount{},
-		byRegion: map[string]map[string]*amount{}, history: &history.Log{}}
+	usage := &usageMeter{
+		teamUsage: map[string]*TeamUsage{}, current: map[string]*amount{},
+		byRegion: map[string]map[string]*amount{}, history: &history.Log{},
+	}
 	limit := experiment.teamLimit()
 	for i := range experiment.Teams.Count {
 		name := teamName(i)
@@ -144,7 +145,7 @@
 }
 
 // writeProgress writes how far the run is.
-func (m *usageMeter) writeProgress(out io.Writer, at time.Duration, seconds float64) {
+func (m *usageMeter) writeProgress(options *Options, at time.Duration, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	gpus, exceeded := 0.0, 0
@@ -152,5 +153,5 @@
 		gpus += m.current[team].gpus
 		exceeded += m.teamUsage[team].Exceeded
 	}
-	fmt.Fprintf(out, "%4.0f of %.0f s: %g GPUs in use over all regions, %d times above a ceiling\n", at.Seconds(), seconds, gpus, exceeded)
+	options.writeProgress("%4.0f of %.0f s: %g GPUs in use over all regions, %d times above a ceiling\n", at.Seconds(), seconds, gpus, exceeded)
 }
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -57,8 +57,10 @@
 
 func newCloud(world *World) *cloudService {
 	rate := world.settings.Deployment.Cloud.RPS
-	return &cloudService{world: world, capacity: map[offer]int{}, machines: map[string]*machine{},
-		byAddress: map[string]*machine{}, rentals: map[string][]string{}, requestBudget: budget.New(rate, 2*rate)}
+	return &cloudService{
+		world: world, capacity: map[offer]int{}, machines: map[string]*machine{},
+		byAddress: map[string]*machine{}, rentals: map[string][]string{}, requestBudget: budget.New(rate, 2*rate),
+	}
 }
 
 // rentedMachines is how many machines of a type, or of all if it is empty, are rented now.
@@ -166,8 +168,10 @@
 		if m.upAt <= then {
 			status = wire.MachineRunning
 		}
-		list.Machines = append(list.Machines, wire.Machine{Name: name, Addr: m.address, Type: m.machineType, Zone: m.zone, Spot: m.spot,
-			Status: status, AgeS: (then - m.rentedAt).Seconds()})
+		list.Machines = append(list.Machines, wire.Machine{
+			Name: name, Addr: m.address, Type: m.machineType, Zone: m.zone, Spot: m.spot,
+			Status: status, AgeS: (then - m.rentedAt).Seconds(),
+		})
 	}
 	return list
 }
--- a/internal/sim/day_writer_test.go
+++ b/internal/sim/day_writer_test.go
@@ -13,9 +13,12 @@
 	lastJob int
 }
 
+// printf writes text.
+func (d *dayWriter) printf(format string, args ...any) { fmt.Fprintf(&d.Builder, format, args...) }
+
 // event writes the line of an action at a time in seconds.
 func (d *dayWriter) event(at float64, format string, args ...any) {
-	fmt.Fprintf(d, "at %.2f %s\n", at, fmt.Sprintf(format, args...))
+	d.printf("at %.2f %s\n", at, fmt.Sprintf(format, args...))
 }
 
 // newJobID is the ID of the next job.
--- a/internal/sim/fault_pairs_test.go
+++ b/internal/sim/fault_pairs_test.go
@@ -131,7 +131,7 @@
 func faultPairDay(seed uint64) (name, text string) {
 	first, second := faultPair(seed)
 	day := &dayWriter{rng: rand.New(rand.NewPCG(seed, 17))}
-	fmt.Fprintf(day, "seed %d\ncontrollers %d\n%suntil %d\n", seed, []int{3, 5}[day.rng.IntN(2)], faultPairSetup, faultPairEnd)
+	day.printf("seed %d\ncontrollers %d\n%suntil %d\n", seed, []int{3, 5}[day.rng.IntN(2)], faultPairSetup, faultPairEnd)
 	day.writeUsualWork()
 	if day.rng.IntN(2) == 0 {
 		first, second = second, first
--- a/internal/sim/fingerprint_test.go
+++ b/internal/sim/fingerprint_test.go
@@ -29,7 +29,7 @@
 func newFingerprint() fingerprint { return fingerprint{sha256.New()} }
 
 // add hashes values. Structures are hashed by their fields' values alone.
-func (f fingerprint) add(values ...any) { fmt.Fprintf(f, "%v\n", values) }
+func (f fingerprint) add(values ...any) { f.Write(fmt.Appendf(nil, "%v\n", values)) }
 
 // addJSON hashes a message as JSON, in which maps are sorted.
 func (f fingerprint) addJSON(message any) {
@@ -81,17 +81,17 @@
 
 // grownDay writes a day of TestSoakGrown with at most 48 machines.
 func grownDay(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 5))
-	controllers := fmt.Sprint("controllers ", 3+2*r.IntN(2))
-	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(r, 30, 200)...)...)
+	rng := rand.New(rand.NewPCG(seed, 5))
+	controllers := fmt.Sprint("controllers ", 3+2*rng.IntN(2))
+	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(rng, 200)...)...)
 }
 
 // fleetDay writes a day of TestSoakFleet at its smallest size.
 func fleetDay(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 6))
-	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*r.IntN(2))}
-	lines = append(lines, randomFleetFaults(r, 30, 130)...)
-	return startupWaveScenario(0.15, 200, append(lines, massMachineFaults(r, 40, 130)...)...)
+	rng := rand.New(rand.NewPCG(seed, 6))
+	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*rng.IntN(2))}
+	lines = append(lines, randomFleetFaults(rng, 130)...)
+	return startupWaveScenario(0.15, 200, append(lines, massMachineFaults(rng, 40, 130)...)...)
 }
 
 func scenarioFingerprint(write func(seed uint64) string) func(*testing.T, uint64) string {
@@ -107,7 +107,7 @@
 
 func regionsFingerprint(t *testing.T, seed uint64) string {
 	t.Helper()
-	regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24, 2), slog.New(slog.DiscardHandler))
+	regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24), slog.New(slog.DiscardHandler))
 	f := newFingerprint()
 	for _, world := range regions.worlds {
 		f.recordCores(world)
--- a/internal/sim/fleet_scenarios_test.go
+++ b/internal/sim/fleet_scenarios_test.go
@@ -53,12 +53,13 @@
 }
 
 // randomFleetFaults writes random faults that overlap, for a fleet.
-func randomFleetFaults(rng *rand.Rand, from, to int) []string {
+func randomFleetFaults(rng *rand.Rand, until int) []string {
+	const from = 30 // seconds; the fleet is up by then
 	var lines []string
 	who := func() string { return []string{"leader", "follower", "all", "leader"}[rng.IntN(4)] }
 	zone := func() string { return "zone:" + []string{"east", "north", "west"}[rng.IntN(3)] }
 	for range 7 {
-		at, duration := from+rng.IntN(to-from), 5+rng.IntN(45)
+		at, duration := from+rng.IntN(until-from), 5+rng.IntN(45)
 		mode := []string{"hold", ""}[rng.IntN(2)]
 		add := func(format string, args ...any) {
 			lines = append(lines, fmt.Sprintf("at %d ", at)+fmt.Sprintf(format, args...))
@@ -126,12 +127,12 @@
 func (w *waveWriter) scaled(count float64) int { return int(count * w.scale) }
 
 func (w *waveWriter) writeSetup() {
-	fmt.Fprintf(w, "seed 1\nuntil %d\nworkers report=4 lease=22 cancel=42\n", w.until)
+	w.printf("seed 1\nuntil %d\nworkers report=4 lease=22 cancel=42\n", w.until)
 	for _, team := range []string{"t", "u"} {
-		fmt.Fprintf(w, "team %s gpus=%d gpus_max=%d\n", team, w.scaled(1200), w.scaled(4000))
+		w.printf("team %s gpus=%d gpus_max=%d\n", team, w.scaled(1200), w.scaled(4000))
 	}
-	fmt.Fprintf(w, "type small cpus=16 mem=32 price=1 spot_price=0.3 boot=40 fetch=1 cap=%d spot=%d\n", w.scaled(145), w.scaled(56))
-	fmt.Fprintf(w, "type big cpus=64 gpus=8 mem=512 price=25 spot_price=7 boot=30 fetch=2.3 cap=%d spot=%d\n", w.scaled(79), w.scaled(56))
+	w.printf("type small cpus=16 mem=32 price=1 spot_price=0.3 boot=40 fetch=1 cap=%d spot=%d\n", w.scaled(145), w.scaled(56))
+	w.printf("type big cpus=64 gpus=8 mem=512 price=25 spot_price=7 boot=30 fetch=2.3 cap=%d spot=%d\n", w.scaled(79), w.scaled(56))
 	w.WriteString("wait gate within=1\nwait chat within=30\nwait wide within=100\n")
 }
 
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -32,7 +32,7 @@
 			rng := rand.New(rand.NewPCG(seed, 6))
 			scale := []float64{1.5, 0.15, 0.3, 0.8}[seed%4]
 			lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*rng.IntN(2))}
-			lines = append(lines, randomFleetFaults(rng, 30, 130)...)
+			lines = append(lines, randomFleetFaults(rng, 130)...)
 			lines = append(lines, massMachineFaults(rng, 40, 130)...)
 			world := playScenario(t, startupWaveScenario(scale, 200, lines...))
 			if started, accepted := world.startedJobs(); started*2 < accepted {
@@ -52,7 +52,7 @@
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 5))
 			machines := []int{24, 48, 100, 240}[seed%4]
-			lines := append([]string{fmt.Sprint("controllers ", 3+2*rng.IntN(2))}, randomFleetFaults(rng, 30, 200)...)
+			lines := append([]string{fmt.Sprint("controllers ", 3+2*rng.IntN(2))}, randomFleetFaults(rng, 200)...)
 			world := playScenario(t, grownFleetScenario(machines, seed, 280, lines...))
 			started, _ := world.startedJobs()
 			if all := len(world.users.jobs); started*2 < all {
@@ -93,6 +93,7 @@
 }
 
 func benchmarkScenario(b *testing.B, text string) {
+	b.Helper()
 	for b.Loop() {
 		playScenario(b, text)
 	}
--- a/internal/sim/heartbeat.go
+++ b/internal/sim/heartbeat.go
@@ -28,8 +28,10 @@
 // heartbeat makes the worker's next message with the state of all its tasks.
 func (m *machine) heartbeat() *wire.Heartbeat {
 	m.sequence++
-	heartbeat := &wire.Heartbeat{Machine: m.name, Addr: m.address, Type: m.machineType, Zone: m.zone, Spot: m.spot,
-		Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: []wire.TaskStatus{}}
+	heartbeat := &wire.Heartbeat{
+		Machine: m.name, Addr: m.address, Type: m.machineType, Zone: m.zone, Spot: m.spot,
+		Incarnation: m.incarnation, Sequence: m.sequence, FencingToken: m.fencingToken, Tasks: []wire.TaskStatus{},
+	}
 	if m.preemptionAt != 0 {
 		notice := (m.preemptionAt - m.world.now).Seconds()
 		heartbeat.PreemptionNoticeS = &notice
--- a/internal/sim/helpers_test.go
+++ b/internal/sim/helpers_test.go
@@ -46,21 +46,21 @@
 	}
 }
 
-func parseScenario(t testing.TB, text string) *Scenario {
-	t.Helper()
+func parseScenario(tb testing.TB, text string) *Scenario {
+	tb.Helper()
 	scenario, err := ParseScenario(text)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
 	return scenario
 }
 
 // playScenario plays a scenario. No rule may be violated, and every expectation has to be met.
-func playScenario(t testing.TB, text string) *World {
-	t.Helper()
-	world, faults := parseScenario(t, text).Run(testLog())
+func playScenario(tb testing.TB, text string) *World {
+	tb.Helper()
+	world, faults := parseScenario(tb, text).Run(testLog())
 	for _, fault := range faults {
-		t.Error(fault)
+		tb.Error(fault)
 	}
 	return world
 }
--- a/internal/sim/key_value_store.go
+++ b/internal/sim/key_value_store.go
@@ -61,9 +61,11 @@
 
 func newKeyValueStore(world *World) *keyValueStore {
 	limits := world.settings.Deployment.Store
-	s := &keyValueStore{world: world, revision: initialRevision, keys: map[string]*storeEntry{},
+	s := &keyValueStore{
+		world: world, revision: initialRevision, keys: map[string]*storeEntry{},
 		leaseEnds: map[uint64]time.Duration{}, leaseTTLs: map[uint64]time.Duration{}, refusedUntil: map[string]time.Duration{},
-		requestBudget: budget.New(limits.RPS, limits.RPS), writeBudget: budget.New(limits.WriteRPS, limits.WriteRPS)}
+		requestBudget: budget.New(limits.RPS, limits.RPS), writeBudget: budget.New(limits.WriteRPS, limits.WriteRPS),
+	}
 	world.after(leaseCheckInterval, s.expireLeases)
 	return s
 }
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -270,8 +270,10 @@
 // Counts counts what the world holds.
 func (l *Live) Counts() Counts {
 	world := l.world
-	counts := Counts{Starts: world.taskStarts, ExpiredTasks: world.expiredTasks, StoreKeys: len(world.store.keys),
-		StoreChanges: world.store.changeCount, StoreThrottled: world.store.throttled, Violations: world.checker.violations}
+	counts := Counts{
+		Starts: world.taskStarts, ExpiredTasks: world.expiredTasks, StoreKeys: len(world.store.keys),
+		StoreChanges: world.store.changeCount, StoreThrottled: world.store.throttled, Violations: world.checker.violations,
+	}
 	for _, m := range world.cloud.machines {
 		if !m.removed && m.upAt <= world.now {
 			counts.Workers++
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -45,10 +45,12 @@
 	settings := defaultSettings()
 	settings.Deployment.Size = 1
 	settings.Deployment.Workers.ReportS = 0.05
-	live := NewLive(LiveConfig{Settings: settings, Log: slog.New(slog.DiscardHandler),
+	live := NewLive(LiveConfig{
+		Settings: settings, Log: slog.New(slog.DiscardHandler),
 		Types:         []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 8, PullGBPerS: 100, Zones: settings.Deployment.Zones}},
 		Stock:         []Stock{{Type: "small", Zone: "east", Count: 2, Up: 2}},
-		WorkerAddress: func(machine string) string { return machine }})
+		WorkerAddress: func(machine string) string { return machine },
+	})
 	live.Attach(0, &misbehavingController{live: live})
 	live.Submit(LiveJob{Job: wire.Job{ID: "job-000001", Team: "t", Shape: wire.ShapeService, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img"}})
 	ctx, stop := context.WithCancel(t.Context())
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -50,8 +50,10 @@
 }
 
 func newMachine(world *World, name string, kind offer) *machine {
-	m := &machine{world: world, name: name, offer: kind, rentedAt: world.now, incarnation: 1,
-		tasks: map[string]*task{}, cachedImages: map[string]bool{}}
+	m := &machine{
+		world: world, name: name, offer: kind, rentedAt: world.now, incarnation: 1,
+		tasks: map[string]*task{}, cachedImages: map[string]bool{},
+	}
 	if world.cloud.workerAddress != nil {
 		m.address = world.cloud.workerAddress(name)
 		return m
--- a/internal/sim/model_server.go
+++ b/internal/sim/model_server.go
@@ -104,6 +104,7 @@
 		model.replica.leaseEnd = now + s.ReplicaLease
 	}
 	switch c.Verb {
+	case wake.VerbProbe: // has no other effect
 	case wake.VerbStart:
 		s.start(model, c.StartToken, now)
 	case wake.VerbClose:
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -17,15 +17,15 @@
 // cancellations, overlapping faults and limits of the key-value store that may fall.
 func pipelinesDay(seed uint64) string {
 	d := &dayWriter{rng: rand.New(rand.NewPCG(seed, 13))}
-	fmt.Fprintf(d, "seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[d.rng.IntN(2)], soakSetup)
+	d.printf("seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[d.rng.IntN(2)], soakSetup)
 	if d.rng.IntN(2) == 0 {
-		fmt.Fprintf(d, "next value_kb=2 txn_ops=%d write_rps=40\nat %d limits value_kb=2 txn_ops=5 write_rps=40\n", 5+d.rng.IntN(2), 20+d.rng.IntN(100))
+		d.printf("next value_kb=2 txn_ops=%d write_rps=40\nat %d limits value_kb=2 txn_ops=5 write_rps=40\n", 5+d.rng.IntN(2), 20+d.rng.IntN(100))
 	}
 	var earlier []string // jobs of earlier pipelines
 	for range 7 {
 		earlier = append(earlier, d.pipeline(earlier)...)
 	}
-	fmt.Fprintf(d, "at 1 submit job-000900 shape=service priority=critical tasks=4 cpus=1 apart\n")
+	d.printf("at 1 submit job-000900 shape=service priority=critical tasks=4 cpus=1 apart\n")
 	writeOverlappingFaults(&d.Builder, d.rng)
 	d.WriteString("until 540\n")
 	return d.String()
--- a/internal/sim/region_worlds_test.go
+++ b/internal/sim/region_worlds_test.go
@@ -43,8 +43,11 @@
 type gpu cpus=32 gpus=8 mem=256 boot=2 cap=12
 `
 
+// regionGuarantee is how many GPUs each team is guaranteed in each region.
+const regionGuarantee = 2
+
 // newRegionPlan divides the limits evenly among regions; a part of each share is guaranteed.
-func newRegionPlan(regions, teams int, gpus, guaranteed float64) *plan.Plan {
+func newRegionPlan(regions, teams int, gpus float64) *plan.Plan {
 	quotaPlan := &plan.Plan{}
 	for i := range regions {
 		quotaPlan.Regions = append(quotaPlan.Regions, plan.Region{Name: fmt.Sprint("region-", i), Controllers: []string{fmt.Sprint("127.0.0.1:", 9000+i)}})
@@ -52,7 +55,7 @@
 	for i := range teams {
 		team := plan.Team{Name: fmt.Sprint("team-", i), GPUsMax: gpus}
 		for _, region := range quotaPlan.Regions {
-			team.Shares = append(team.Shares, plan.Share{Region: region.Name, GPUs: guaranteed, GPUsOwned: gpus / float64(regions)})
+			team.Shares = append(team.Shares, plan.Share{Region: region.Name, GPUs: regionGuarantee, GPUsOwned: gpus / float64(regions)})
 		}
 		quotaPlan.Teams = append(quotaPlan.Teams, team)
 	}
--- a/internal/sim/regions_test.go
+++ b/internal/sim/regions_test.go
@@ -18,7 +18,7 @@
 	for seed := range uint64(days) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
-			regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24, 2), slog.New(slog.DiscardHandler))
+			regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24), slog.New(slog.DiscardHandler))
 			regions.delayedShare = 0.05
 			regions.schedule(6*time.Second, func() { regions.submitBursts(80 * time.Second) })
 			regions.schedule(10*time.Second, func() { regions.injectRandomFaults(80 * time.Second) })
@@ -39,7 +39,7 @@
 // do not need, and all of the work runs at once.
 func TestShareMoves(t *testing.T) {
 	t.Parallel()
-	regions := newRegionWorlds(t, 1, newRegionPlan(3, 1, 24, 2), slog.New(slog.DiscardHandler))
+	regions := newRegionWorlds(t, 1, newRegionPlan(3, 1, 24), slog.New(slog.DiscardHandler))
 	var id string
 	regions.schedule(15*time.Second, func() {
 		id = regions.submit("region-1", wire.Job{Team: "team-0", Shape: wire.ShapeGang, Priority: wire.PriorityUrgent, Tasks: 20, GPUs: 1}, 15)
@@ -56,7 +56,7 @@
 // the guaranteed part of the share: the work runs within twice a worker's lease.
 func TestGuaranteeWhilePartitioned(t *testing.T) {
 	t.Parallel()
-	quotaPlan := newRegionPlan(3, 2, 36, 2)
+	quotaPlan := newRegionPlan(3, 2, 36)
 	quotaPlan.Teams[1].Shares[0].GPUs = 8 // of team-1 in region-0
 	for seed := range uint64(soakDays(3)) {
 		regions := newRegionWorlds(t, seed, quotaPlan, slog.New(slog.DiscardHandler))
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -91,8 +91,10 @@
 	case "controllers":
 		deployment.Size, err = strconv.Atoi(line.arg(0))
 	case "team":
-		deployment.Teams = append(deployment.Teams, config.Team{Name: line.arg(0),
-			CPUs: line.number("cpus", 0), CPUsMax: line.number("cpus_max", 0), GPUs: line.number("gpus", 0), GPUsMax: line.number("gpus_max", 0)})
+		deployment.Teams = append(deployment.Teams, config.Team{
+			Name: line.arg(0),
+			CPUs: line.number("cpus", 0), CPUsMax: line.number("cpus_max", 0), GPUs: line.number("gpus", 0), GPUsMax: line.number("gpus_max", 0),
+		})
 	case "wait", "finished":
 		deployment.Objectives = append(deployment.Objectives,
 			config.Objective{Kind: line.word, Class: line.arg(0), WithinS: line.number("within", 1), Share: 0.9})
@@ -147,9 +149,11 @@
 		zones = strings.Split(names, ",")
 	}
 	name := line.arg(0)
-	c.types = append(c.types, wire.MachineType{Name: name, CPUs: line.number("cpus", 8), GPUs: line.number("gpus", 0),
+	c.types = append(c.types, wire.MachineType{
+		Name: name, CPUs: line.number("cpus", 8), GPUs: line.number("gpus", 0),
 		MemGB: line.number("mem", 64), CacheGB: line.number("cache", 200), PullGBPerS: line.number("fetch", 1), Price: line.number("price", 1),
-		SpotPrice: line.number("spot_price", 0.4), BootS: line.number("boot", 20), Zones: zones})
+		SpotPrice: line.number("spot_price", 0.4), BootS: line.number("boot", 20), Zones: zones,
+	})
 	for _, zone := range zones {
 		c.capacity[offer{name, zone, false}] = int(line.number("cap", 10))
 		c.capacity[offer{name, zone, true}] = int(line.number("spot", 0))
--- a/internal/sim/scenario_actions.go
+++ b/internal/sim/scenario_actions.go
@@ -167,8 +167,10 @@
 
 // bootFault is the fault of boots that the line describes, until a time.
 func (l *scenarioLine) bootFault(until time.Duration) bootFault {
-	return bootFault{randomFault: randomFault{l.number("share", 1), until}, machineType: l.options["type"], zone: l.options["zone"],
-		factor: l.number("factor", defaultBootFactor)}
+	return bootFault{
+		randomFault: randomFault{l.number("share", 1), until}, machineType: l.options["type"], zone: l.options["zone"],
+		factor: l.number("factor", defaultBootFactor),
+	}
 }
 
 // machineFault makes an action of a fault that affects the machines that a line means.
--- a/internal/sim/scenario_line.go
+++ b/internal/sim/scenario_line.go
@@ -112,13 +112,15 @@
 	if !known {
 		panic(fmt.Sprintf("line %d: unknown shape %q", l.lineNumber, l.options["shape"]))
 	}
-	truth := newGroundTruth(wire.Job{ID: l.arg(0), Class: l.text("class", "web"), Team: l.text("team", "t"), Shape: shape,
+	truth := newGroundTruth(wire.Job{
+		ID: l.arg(0), Class: l.text("class", "web"), Team: l.text("team", "t"), Shape: shape,
 		Priority: wire.Priority(l.text("priority", string(wire.PriorityNormal))), Tasks: int(l.number("tasks", 1)),
 		CPUs: l.number("cpus", 1), GPUs: l.number("gpus", 0), MemGB: l.number("mem", 1),
 		Image: l.text("image", "img"), ImageGB: l.number("image_gb", 2),
 		OneZone: l.hasFlag("together"), SpreadZones: l.hasFlag("apart"), AllowSpot: l.hasFlag("spot"),
 		Zone: l.options["zone"], MachineTypes: l.list("types"), Dependencies: l.list("awaits"),
-		CheckpointIntervalS: l.number("checkpoint", 0), CheckpointDurationS: l.number("save", 0)})
+		CheckpointIntervalS: l.number("checkpoint", 0), CheckpointDurationS: l.number("save", 0),
+	})
 	truth.runS, truth.fails = l.number("run", 30), l.hasFlag("fail")
 	if shape != wire.ShapeService {
 		truth.EstimatedRunS = truth.runS
--- a/internal/sim/starvation.go
+++ b/internal/sim/starvation.go
@@ -15,8 +15,10 @@
 }
 
 func (c *checker) snapshotFleet() *fleetSnapshot {
-	snapshot := &fleetSnapshot{gpus: map[string]float64{}, cpus: map[string]float64{},
-		placedTasks: map[*groundTruth]map[int]bool{}, tasksByZone: map[*groundTruth]map[string]int{}}
+	snapshot := &fleetSnapshot{
+		gpus: map[string]float64{}, cpus: map[string]float64{},
+		placedTasks: map[*groundTruth]map[int]bool{}, tasksByZone: map[*groundTruth]map[string]int{},
+	}
 	for _, name := range c.world.cloud.machineNames() {
 		m := c.world.cloud.machines[name]
 		if c.isServing(m) {
--- a/internal/sim/upgrade_build_test.go
+++ b/internal/sim/upgrade_build_test.go
@@ -30,7 +30,7 @@
 // buildDriver builds testdata/upgrade/driver.go.txt in a directory, with the core of a commit from the
 // history of the repository at root, and returns the program's path.
 func buildDriver(root, commit, dir string) (string, error) {
-	if _, err := runCommand(root, "git", "cat-file", "-e", commit+"^{commit}"); err != nil {
+	if err := runCommand(root, "git", "cat-file", "-e", commit+"^{commit}"); err != nil {
 		return "", fmt.Errorf("commit %s is not in the repository's history, from which the old version is built: "+
 			"the full history is needed, in a shallow clone run `git fetch --unshallow` (%w)", commit, err)
 	}
@@ -39,10 +39,10 @@
 		return "", err
 	}
 	archive := filepath.Join(dir, "src.tar")
-	if _, err := runCommand(root, "git", "archive", "--format=tar", "--output="+archive, commit); err != nil {
+	if err := runCommand(root, "git", "archive", "--format=tar", "--output="+archive, commit); err != nil {
 		return "", err
 	}
-	if _, err := runCommand(sources, "tar", "-xf", archive); err != nil {
+	if err := runCommand(sources, "tar", "-xf", archive); err != nil {
 		return "", err
 	}
 	driver, err := os.ReadFile("testdata/upgrade/driver.go.txt")
@@ -57,20 +57,20 @@
 		return "", err
 	}
 	program := filepath.Join(dir, "driver")
-	_, err = runCommand(sources, "go", "build", "-trimpath", "-buildvcs=false", "-o", program, "./cmd/driver")
+	err = runCommand(sources, "go", "build", "-trimpath", "-buildvcs=false", "-o", program, "./cmd/driver")
 	return program, err
 }
 
 // runCommand runs a command in a directory. An error holds its output.
-func runCommand(dir, name string, args ...string) ([]byte, error) {
+func runCommand(dir, name string, args ...string) error {
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
 	cmd.Env = append(os.Environ(), "GOPROXY=off", "GOWORK=off")
 	out, err := cmd.CombinedOutput()
 	if err != nil {
-		return nil, fmt.Errorf("%s %s: %w: %s", name, strings.Join(args, " "), err, bytes.TrimSpace(out))
+		return fmt.Errorf("%s %s: %w: %s", name, strings.Join(args, " "), err, bytes.TrimSpace(out))
 	}
-	return out, nil
+	return nil
 }
 
 // TestMissingHistory builds a commit that the history lacks, as a shallow clone lacks the old versions.
--- a/internal/sim/upgrade_child_test.go
+++ b/internal/sim/upgrade_child_test.go
@@ -168,8 +168,10 @@
 		if !known {
 			c.test.Fatalf("unknown destination %q", call.Dest)
 		}
-		out.Calls = append(out.Calls, core.Call{ID: call.ID, Destination: destination, Addr: call.Addr, Method: call.Method, Path: call.Path,
-			Body: call.Body, Timeout: call.Timeout, Writes: call.Writes, Urgent: call.Urgent, Watch: call.Watch})
+		out.Calls = append(out.Calls, core.Call{
+			ID: call.ID, Destination: destination, Addr: call.Addr, Method: call.Method, Path: call.Path,
+			Body: call.Body, Timeout: call.Timeout, Writes: call.Writes, Urgent: call.Urgent, Watch: call.Watch,
+		})
 	}
 	for _, send := range message.Sends {
 		out.PeerSends = append(out.PeerSends, core.Send{To: send.To, Message: send.Msg})
--- a/internal/sim/user_invalid.go
+++ b/internal/sim/user_invalid.go
@@ -90,8 +90,10 @@
 }
 
 // requiredFields are fields without which a submission is refused.
-var requiredFields = []string{"nameId", "jobclass", "crew", "shape", "urgency", "shards", "cpus", "accelerators", "memGb",
-	"together", "apart", "standby", "bundle", "pullGb", "guessS", "markS", "stowS"}
+var requiredFields = []string{
+	"nameId", "jobclass", "crew", "shape", "urgency", "shards", "cpus", "accelerators", "memGb",
+	"together", "apart", "standby", "bundle", "pullGb", "guessS", "markS", "stowS",
+}
 
 // submitIncompleteJob submits a job that lacks a required field.
 func (u *users) submitIncompleteJob() {
@@ -108,8 +110,10 @@
 // the caller changes it.
 func (u *users) newInvalidJob() *groundTruth {
 	u.invalidCount++
-	return newGroundTruth(wire.Job{ID: fmt.Sprintf("job-8%05d", u.invalidCount), Class: "web", Team: u.world.settings.Deployment.Teams[0].Name,
-		Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 10})
+	return newGroundTruth(wire.Job{
+		ID: fmt.Sprintf("job-8%05d", u.invalidCount), Class: "web", Team: u.world.settings.Deployment.Teams[0].Name,
+		Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, CPUs: 1, MemGB: 1, Image: "img", ImageGB: 1, EstimatedRunS: 10,
+	})
 }
 
 // tryInvalidSubmission submits a job that must be refused with a status, and again until a time
--- a/internal/sim/wake_world_test.go
+++ b/internal/sim/wake_world_test.go
@@ -76,8 +76,10 @@
 	settings := defaultSettings()
 	settings.Deployment.Size = 0
 	settings.Deployment.Store.RPS, settings.Deployment.Store.WriteRPS = 2000, 2000
-	world := &wakeWorld{World: newWorld(settings, seed, slog.New(slog.DiscardHandler)), registry: parsed, servers: map[string]*ModelServer{},
-		serverIncarnations: map[string]int{}, requests: map[uint64]*wakeRequest{}, executions: map[string]int{}}
+	world := &wakeWorld{
+		World: newWorld(settings, seed, slog.New(slog.DiscardHandler)), registry: parsed, servers: map[string]*ModelServer{},
+		serverIncarnations: map[string]int{}, requests: map[uint64]*wakeRequest{}, executions: map[string]int{},
+	}
 	for _, name := range wakeServers {
 		world.servers[name] = NewModelServer(seconds(parsed.ReplicaLeaseSeconds), RandomLoad(world.rng, meanLoadTime, 0))
 	}
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -92,8 +92,10 @@
 const startInterval = 30 * time.Millisecond
 
 func newWorld(settings *config.Settings, seed uint64, log *slog.Logger) *World {
-	world := &World{settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), log: log, jobs: map[string]*groundTruth{},
-		placementsByJob: map[*groundTruth]*jobPlacements{}, jobsByTeam: map[string]map[*groundTruth]bool{}}
+	world := &World{
+		settings: settings, rng: rand.New(rand.NewPCG(seed, 1)), log: log, jobs: map[string]*groundTruth{},
+		placementsByJob: map[*groundTruth]*jobPlacements{}, jobsByTeam: map[string]map[*groundTruth]bool{},
+	}
 	world.store = newKeyValueStore(world)
 	world.cloud = newCloud(world)
 	world.users = newUsers(world)
