--- a/internal/hollow/runner_setup.go
+++ b/internal/hollow/runner_setup.go
@@ -64,7 +64,8 @@
 	return nil
 }
 
-// usageObserver returns what gets the changes of teams' usage; nil if there is one region only.
+// usageObserver returns the function that records the changes of teams' usage; nil if there is one
+// region only.
 func (r *runner) usageObserver() func(team string, cpus, gpus float64) {
 	if r.region == nil {
 		return nil
--- a/internal/hollow/team_usage.go
+++ b/internal/hollow/team_usage.go
@@ -28,7 +28,7 @@
 
 func (a *amount) add(cpus, gpus float64) { a.cpus, a.gpus = a.cpus+cpus, a.gpus+gpus }
 
-// TeamUsage is what a team used over all regions, at the most at a time. A limit of 0 is none.
+// TeamUsage is the peak usage of a team over all regions. A limit of 0 is none.
 type TeamUsage struct {
 	Name     string  `json:"team"`
 	PeakCPUs float64 `json:"cpus_most"`
--- a/internal/sim/scenario_actions.go
+++ b/internal/sim/scenario_actions.go
@@ -6,43 +6,39 @@
 )
 
 // actions are what the words of timed lines do.
-var actions map[string]func(w *World, line scenarioLine)
-
-func init() {
-	actions = map[string]func(w *World, line scenarioLine){
-		// Requests of users.
-		"submit":        (*World).submitJob,
-		"cancel":        func(w *World, line scenarioLine) { w.users.cancel(line.arg(0)) },
-		"cancel_now":    (*World).cancelRunning,
-		"cancel_at_end": (*World).cancelAtEnd,
-		"odd_requests":  func(w *World, line scenarioLine) { w.users.sendInvalidRequests(w.now + line.duration()) },
-		"poll_storm":    (*World).startPollStorm,
-
-		// Faults of controllers and the network.
-		"crash":   (*World).crashControllers,
-		"pause":   (*World).pauseControllers,
-		"cut":     (*World).cutConnections,
-		"isolate": (*World).isolateControllers,
-
-		// Faults of the key-value store and the cloud.
-		"outage":      (*World).beginOutage,
-		"slow":        (*World).slowStore,
-		"refuse":      (*World).refuseController,
-		"late_writes": (*World).delayCommits,
-		"limits":      func(w *World, line scenarioLine) { w.store.reduceLimits(line.storeLimits(w.settings.Deployment.Store)) },
-		"noboot":      func(w *World, line scenarioLine) { w.cloud.failedBoots = line.bootFault(w.now + line.duration()) },
-		"lateboot":    func(w *World, line scenarioLine) { w.cloud.delayedBoots = line.bootFault(w.now + line.duration()) },
-
-		// Faults of machines and their heartbeats.
-		"kill":         machineFault((*machine).kill),
-		"take":         machineFault((*machine).preempt),
-		"hang":         machineFault((*machine).hang),
-		"faulty":       machineFault((*machine).failTasks),
-		"deaf":         machineFault((*machine).blockInbound),
-		"mute":         machineFault((*machine).blockOutbound),
-		"late_reports": (*World).duplicateSomeHeartbeats,
-		"copies":       (*World).duplicateAllHeartbeats,
-	}
+var actions = map[string]func(w *World, line scenarioLine){
+	// Requests of users.
+	"submit":        (*World).submitJob,
+	"cancel":        func(w *World, line scenarioLine) { w.users.cancel(line.arg(0)) },
+	"cancel_now":    (*World).cancelRunning,
+	"cancel_at_end": (*World).cancelAtEnd,
+	"odd_requests":  func(w *World, line scenarioLine) { w.users.sendInvalidRequests(w.now + line.duration()) },
+	"poll_storm":    (*World).startPollStorm,
+
+	// Faults of controllers and the network.
+	"crash":   (*World).crashControllers,
+	"pause":   (*World).pauseControllers,
+	"cut":     (*World).cutConnections,
+	"isolate": (*World).isolateControllers,
+
+	// Faults of the key-value store and the cloud.
+	"outage":      (*World).beginOutage,
+	"slow":        (*World).slowStore,
+	"refuse":      (*World).refuseController,
+	"late_writes": (*World).delayCommits,
+	"limits":      func(w *World, line scenarioLine) { w.store.reduceLimits(line.storeLimits(w.settings.Deployment.Store)) },
+	"noboot":      func(w *World, line scenarioLine) { w.cloud.failedBoots = line.bootFault(w.now + line.duration()) },
+	"lateboot":    func(w *World, line scenarioLine) { w.cloud.delayedBoots = line.bootFault(w.now + line.duration()) },
+
+	// Faults of machines and their heartbeats.
+	"kill":         machineFault((*machine).kill),
+	"take":         machineFault((*machine).preempt),
+	"hang":         machineFault((*machine).hang),
+	"faulty":       machineFault((*machine).failTasks),
+	"deaf":         machineFault((*machine).blockInbound),
+	"mute":         machineFault((*machine).blockOutbound),
+	"late_reports": (*World).duplicateSomeHeartbeats,
+	"copies":       (*World).duplicateAllHeartbeats,
 }
 
 // perform carries out the action of a line.
@@ -192,7 +188,7 @@
 	m.world.after(notice, func() { m.world.cloud.removeMachine(m.name) })
 }
 
-// hang pauses the worker and its tasks' progress in its eyes; its lease goes on.
+// hang makes the worker do nothing for a while. Its lease still expires.
 func (m *machine) hang(duration time.Duration) { m.hangUntil = m.world.now + duration }
 
 // failTasks makes every task exit with an error, for good.
