--- a/internal/sim/fingerprint_test.go
+++ b/internal/sim/fingerprint_test.go
@@ -29,7 +29,7 @@
 func newFingerprint() fingerprint { return fingerprint{sha256.New()} }
 
 // add hashes values. Structures are hashed by their fields' values alone.
-func (f fingerprint) add(values ...any) { fmt.Fprintf(f, "%v\n", values) }
+func (f fingerprint) add(values ...any) { f.Write(fmt.Appendf(nil, "%v\n", values)) }
 
 // addJSON hashes a message as JSON, in which maps are sorted.
 func (f fingerprint) addJSON(message any) {
@@ -42,7 +42,7 @@
 
 func (f fingerprint) String() string { return hex.EncodeToString(f.Sum(nil)[:12]) }
 
-// recordCores has all that the world's cores ask for hashed.
+// recordCores hashes all outputs of the world's cores.
 func (f fingerprint) recordCores(world *World) {
 	world.mutate = func(controller *controller, out *core.Output) {
 		for _, a := range out.Answers {
@@ -62,7 +62,7 @@
 	}
 }
 
-// fingerprintKinds are the kinds of random days, each with what plays one.
+// fingerprintKinds are the kinds of random days, each with a function that plays one.
 var fingerprintKinds = []struct {
 	name string
 	play func(t *testing.T, seed uint64) string
@@ -79,38 +79,35 @@
 	{"wake", wakeFingerprint},
 }
 
-// grownDay is a day of TestSoakGrown with at most 48 machines.
+// grownDay writes a day of TestSoakGrown with at most 48 machines.
 func grownDay(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 5))
-	controllers := fmt.Sprint("controllers ", 3+2*r.IntN(2))
-	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(r, 30, 200)...)...)
+	rng := rand.New(rand.NewPCG(seed, 5))
+	controllers := fmt.Sprint("controllers ", 3+2*rng.IntN(2))
+	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(rng, 200)...)...)
 }
 
-// fleetDay is a day of TestSoakFleet at its smallest size.
+// fleetDay writes a day of TestSoakFleet at its smallest size.
 func fleetDay(seed uint64) string {
-	r := rand.New(rand.NewPCG(seed, 6))
-	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*r.IntN(2))}
-	lines = append(lines, randomFleetFaults(r, 30, 130)...)
-	return startupWaveScenario(0.15, 200, append(lines, massMachineFaults(r, 40, 130)...)...)
+	rng := rand.New(rand.NewPCG(seed, 6))
+	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*rng.IntN(2))}
+	lines = append(lines, randomFleetFaults(rng, 130)...)
+	return startupWaveScenario(0.15, 200, append(lines, massMachineFaults(rng, 40, 130)...)...)
 }
 
 func scenarioFingerprint(write func(seed uint64) string) func(*testing.T, uint64) string {
 	return func(t *testing.T, seed uint64) string {
 		t.Helper()
-		s, err := ParseScenario(write(seed))
-		if err != nil {
-			t.Fatal(err)
-		}
-		world, f := s.newWorld(slog.New(slog.DiscardHandler)), newFingerprint()
+		scenario := parseScenario(t, write(seed))
+		world, f := scenario.newWorld(slog.New(slog.DiscardHandler)), newFingerprint()
 		f.recordCores(world)
-		s.finish(world)
+		scenario.finish(world)
 		return f.String()
 	}
 }
 
 func regionsFingerprint(t *testing.T, seed uint64) string {
 	t.Helper()
-	regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24, 2), slog.New(slog.DiscardHandler))
+	regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24), slog.New(slog.DiscardHandler))
 	f := newFingerprint()
 	for _, world := range regions.worlds {
 		f.recordCores(world)
@@ -129,8 +126,8 @@
 	return f.String()
 }
 
-// TestFingerprints plays days twice: nothing but the seed may have an effect on what the
-// controllers do. With BROOKWALK_FINGERPRINTS it prints the days' fingerprints instead.
+// TestFingerprints plays days twice. What the controllers do may depend on the seed only. With
+// BROOKWALK_FINGERPRINTS it prints the days' fingerprints instead.
 func TestFingerprints(t *testing.T) {
 	seeds, print := 1, false
 	if v, err := strconv.Atoi(os.Getenv("BROOKWALK_FINGERPRINTS")); err == nil {
