--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -1,13 +1,13 @@
 package quota
 
 import (
-	"container/heap"
 	"fmt"
 	"log/slog"
 	"maps"
 	"math/rand/v2"
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/eventqueue"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
@@ -35,43 +35,18 @@
 	}, store, host)
 }
 
-// event is a function that is called at a time of the simulation; events of the same time are
-// called in the order in which they were made.
-type event struct {
-	at       time.Duration
-	sequence int
-	run      func()
-}
-
-// eventHeap is a heap.Interface: the next event first.
-type eventHeap []event
-
-func (e eventHeap) Len() int { return len(e) }
-func (e eventHeap) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].sequence < e[j].sequence
-}
-func (e eventHeap) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *eventHeap) Push(x any)   { *e = append(*e, x.(event)) }
-func (e *eventHeap) Pop() any {
-	old := *e
-	last := old[len(old)-1]
-	*e = old[:len(old)-1]
-	return last
-}
-
 // simulation runs managers of several regions in virtual time: leaders that crash, pause and
 // resume, stores that answer late or not at all, links that lose, repeat and delay messages. The
 // checks add up what tasks really use, outside of the code under test.
 type simulation struct {
-	now           time.Duration
-	queue         eventHeap
-	eventSequence int
-	rng           *rand.Rand
-	plan          *plan.Plan
-	regions       []*simRegion
-	incarnations  uint64
-	violations    []string // the first ones, see maxViolations
-	restored      bool     // a store was replaced: its shares need not add up any more
+	now          time.Duration
+	queue        eventqueue.Queue
+	rng          *rand.Rand
+	plan         *plan.Plan
+	regions      []*simRegion
+	incarnations uint64
+	violations   []string // the first ones, see maxViolations
+	restored     bool     // a store was replaced: its shares need not add up any more
 
 	// optimistic makes leaders grant by gossiped counts, without a ledger: the baseline.
 	optimistic bool
@@ -135,8 +110,7 @@
 
 // after schedules a function.
 func (s *simulation) after(delay time.Duration, f func()) {
-	s.eventSequence++
-	heap.Push(&s.queue, event{s.now + delay, s.eventSequence, f})
+	s.queue.Add(s.now+delay, f)
 }
 
 // randomDuration draws a duration below a bound.
@@ -146,10 +120,13 @@
 
 // run advances the time.
 func (s *simulation) run(until time.Duration) {
-	for len(s.queue) > 0 && s.queue[0].at <= until {
-		next := heap.Pop(&s.queue).(event)
-		s.now = next.at
-		next.run()
+	for {
+		next, due := s.queue.TakeUntil(until)
+		if !due {
+			break
+		}
+		s.now = next.At
+		next.Run()
 	}
 	s.now = until
 }
