--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -11,46 +11,45 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Guests are teams that are guaranteed nothing while others are guaranteed something.
-// Their work gets what the other teams leave, at a low price: no machine is rented or kept
-// for it whose type costs expensiveRatio times as much for it as another does.
+// Best-effort teams have no guarantee while others have one. Their work gets what the other teams
+// leave, at a low price: no machine is provisioned or kept for it whose type costs expensiveRatio
+// times as much for it as another one does.
 
-// expensiveRatio is how many times as much as on the cheapest type a task costs on a dear one: more
-// than what comes of tasks that fit badly, which is up to about twice.
+// expensiveRatio is how many times as much as on the cheapest type a task costs on an expensive
+// one: more than the waste of tasks that fit badly, which is up to about twice.
 const expensiveRatio = 4
 
-// bestEffortTeams names the teams that are guests.
+// bestEffortTeams names the best-effort teams.
 func (c *Core) bestEffortTeams() map[string]bool {
-	guests := map[string]bool{}
+	bestEffort := map[string]bool{}
 	teams := c.settings.Deployment.Teams
 	if !slices.ContainsFunc(teams, func(t config.Team) bool { return !guaranteeOf(&t).IsZero() }) {
-		return guests
+		return bestEffort
 	}
 	for i := range teams {
 		if guaranteeOf(&teams[i]).IsZero() {
-			guests[teams[i].Name] = true
+			bestEffort[teams[i].Name] = true
 		}
 	}
-	return guests
+	return bestEffort
 }
 
-// taskPrice is the hourly price of a job's task on a full machine of a type; not ok if none
-// fits.
-func taskPrice(j *wire.Job, t *wire.MachineType) (price float64, ok bool) {
-	fit := cluster.TypeCapacity(t).Fit(cluster.TaskSize(j), provisioning.MaxTasksPerMachine)
+// taskPrice is the hourly price of a job's task on a full machine of a type; not ok if none fits.
+func taskPrice(job *wire.Job, t *wire.MachineType) (price float64, ok bool) {
+	fit := cluster.TypeCapacity(t).Fit(cluster.TaskSize(job), provisioning.MaxTasksPerMachine)
 	if fit == 0 {
 		return 0, false
 	}
 	return t.Price / float64(fit), true
 }
 
-// cheapTypes lists the types of machine that a job may use and that are not dear for it, by
+// cheapTypes lists the machine types that a job may use and that are not expensive for it, by
 // name.
-func (l *leader) cheapTypes(j *wire.Job) []string {
+func (l *leader) cheapTypes(job *wire.Job) []string {
 	prices := map[string]float64{}
 	lowest := math.Inf(1)
 	for name, t := range l.core.machineTypes { // in any order: only the lowest price counts
-		if price, ok := taskPrice(j, t); ok && emptyOrContains(j.MachineTypes, name) {
+		if price, ok := taskPrice(job, t); ok && emptyOrContains(job.MachineTypes, name) {
 			prices[name] = price
 			lowest = min(lowest, price)
 		}
@@ -58,26 +57,44 @@
 	return slices.DeleteFunc(sortedKeys(prices), func(name string) bool { return prices[name] >= expensiveRatio*lowest })
 }
 
-// releaseFromBestEffort empties a dear machine on which nothing but guests' work has run for as
-// long as a machine may be idle, so that it can be returned.
+// releaseFromBestEffort drains a machine that is expensive for its tasks, once it has run only
+// those of best-effort teams for as long as a machine may be idle, so that it can be returned.
 func (l *leader) releaseFromBestEffort(machine *cluster.Machine) {
-	if machine.GuaranteedTasks > 0 || len(machine.Placements) == 0 || !l.usable(machine) || l.fleet.keptIdle[machine.Name] || machine.ReservedFor != nil {
+	if !l.runsBestEffortOnly(machine) {
 		return
 	}
-	if l.core.now-max(machine.GuaranteedUntil, machine.FirstHeartbeat, l.recordsLoadedAt) < l.maxIdleTime() || l.core.now-machine.CreatedAt < minBilledTime {
+	alone := l.core.now - max(machine.GuaranteedUntil, machine.FirstHeartbeat, l.recordsLoadedAt)
+	if alone < l.maxIdleTime() || l.core.now-machine.CreatedAt < minBilledTime {
 		return
 	}
-	var last *cluster.Job
-	for _, p := range machine.Placements {
-		if p.Job != last && slices.Contains(l.cheapTypes(&p.Job.Job), machine.TypeName) {
-			return
-		}
-		last = p.Job
+	if l.isCheapForSomeTask(machine) {
+		return
 	}
 	l.cordon(machine, cluster.DrainCostly)
 	machine.Evicting = true
 }
 
+// runsBestEffortOnly reports whether a usable machine that is not needed otherwise runs only tasks
+// of best-effort teams.
+func (l *leader) runsBestEffortOnly(machine *cluster.Machine) bool {
+	if machine.GuaranteedTasks > 0 || len(machine.Placements) == 0 || !l.usable(machine) {
+		return false
+	}
+	return !l.fleet.keptIdle[machine.Name] && machine.ReservedFor == nil
+}
+
+// isCheapForSomeTask reports whether a machine is of a cheap type for one of its tasks.
+func (l *leader) isCheapForSomeTask(machine *cluster.Machine) bool {
+	var last *cluster.Job
+	for _, ref := range machine.Placements {
+		if ref.Job != last && slices.Contains(l.cheapTypes(&ref.Job.Job), machine.TypeName) {
+			return true
+		}
+		last = ref.Job
+	}
+	return false
+}
+
 // maxIdleTime is how long a machine that nothing needs is kept.
 func (l *leader) maxIdleTime() time.Duration {
 	if s := l.core.operatorSettings.IdleReturnS; s != nil {
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -10,41 +10,53 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// consolidate empties a machine whose replicas all find room on others that
-// are up and hold their images, so that it can be returned. A replica that
-// moves is away for the time of a stop and a start. One machine at a time, and
-// only while nothing waits for room.
-func (l *leader) consolidate(bins []*provisioning.Bin, cands []*candidate) {
-	fleet := &l.fleet
-	if l.core.now < fleet.nextConsolidationAt || l.core.now-l.recordsLoadedAt < l.core.workerLease() || anyPending(cands) {
-		return
-	}
-	if slices.ContainsFunc(bins, func(b *provisioning.Bin) bool { return b.ToProvision }) {
+// machinesPerConsolidation is how many machines a fleet has for each one that is emptied at a
+// time, so that a larger fleet shrinks as fast.
+const machinesPerConsolidation = 400
+
+// consolidate empties a machine all of whose replicas fit on other machines that are up and hold
+// their images, so that it can be returned. A replica that moves is away for the time of a stop
+// and a start. One machine is emptied at a time, and only while nothing waits for room.
+func (l *leader) consolidate(bins []*provisioning.Bin, candidates []*candidate) {
+	if !l.mayConsolidate(bins, candidates) {
 		return
 	}
+	fleet := &l.fleet
 	sources, targets := l.consolidationSources(bins), l.consolidationTargets(bins)
-	// Whether all find room changes slowly, and finding out costs a look at many
+	// Whether all replicas fit changes slowly, and finding out costs an evaluation of many
 	// machines for each source.
 	fleet.nextConsolidationAt = l.core.now + l.core.heartbeatInterval()
 	limit := l.passes.evaluations + l.evaluationBudget()
 	first := slices.IndexFunc(sources, func(m *cluster.Machine) bool { return m.Name == fleet.consolidateFrom })
 	fleet.consolidateFrom = ""
-	for _, m := range sources[max(first, 0):] {
+	for _, source := range sources[max(first, 0):] {
 		if l.passes.evaluations > limit {
-			fleet.consolidateFrom = m.Name // goes on there
+			fleet.consolidateFrom = source.Name // the next call resumes there
 			return
 		}
-		if to := l.consolidationPlan(m, targets); to != nil {
-			l.evacuate(m, to)
+		if destinations := l.consolidationPlan(source, targets); destinations != nil {
+			l.evacuate(source, destinations)
 			fleet.nextConsolidationAt = l.core.now + l.consolidationInterval()
 			return
 		}
 	}
 }
 
-// anyPending tells whether tasks wait for room, but for those that fail everywhere.
-func anyPending(cands []*candidate) bool {
-	return slices.ContainsFunc(cands, func(c *candidate) bool { return len(c.pending) > 0 && !c.faulty })
+// mayConsolidate reports whether it is time to empty a machine: no task waits and nothing is to
+// be provisioned.
+func (l *leader) mayConsolidate(bins []*provisioning.Bin, candidates []*candidate) bool {
+	if l.core.now < l.fleet.nextConsolidationAt || l.core.now-l.recordsLoadedAt < l.core.workerLease() {
+		return false
+	}
+	if anyPending(candidates) {
+		return false
+	}
+	return !slices.ContainsFunc(bins, func(b *provisioning.Bin) bool { return b.ToProvision })
+}
+
+// anyPending reports whether tasks wait for room, other than those that fail on every machine.
+func anyPending(candidates []*candidate) bool {
+	return slices.ContainsFunc(candidates, func(c *candidate) bool { return len(c.pending) > 0 && !c.faulty })
 }
 
 // consolidationTarget is a machine that replicas may move to.
@@ -53,8 +65,8 @@
 	machine *cluster.Machine
 }
 
-// consolidationTargets lists the machines that replicas may move to, by the images that they
-// hold. Those without any room are left out.
+// consolidationTargets lists the machines with free capacity that replicas may move to, by the
+// images that they hold.
 func (l *leader) consolidationTargets(bins []*provisioning.Bin) map[string][]consolidationTarget {
 	targets := map[string][]consolidationTarget{}
 	for _, b := range bins {
@@ -62,15 +74,15 @@
 		if m == nil || b.Free.CPUs <= 0 && b.Free.GPUs <= 0 || !l.usable(m) {
 			continue
 		}
-		for _, i := range m.CachedImages {
-			targets[i.Name] = append(targets[i.Name], consolidationTarget{b, m})
+		for _, image := range m.CachedImages {
+			targets[image.Name] = append(targets[image.Name], consolidationTarget{b, m})
 		}
 	}
 	return targets
 }
 
-// consolidationSources lists the machines that may be emptied: cordoned ones first, once
-// their tasks are replicas alone, then those of the highest price.
+// consolidationSources lists the machines that may be emptied: first those that are cordoned and
+// run replicas only, then the most expensive ones.
 func (l *leader) consolidationSources(bins []*provisioning.Bin) []*cluster.Machine {
 	var sources []*cluster.Machine
 	for _, b := range bins {
@@ -84,130 +96,132 @@
 			sources = append(sources, m)
 		}
 	}
-	sort.SliceStable(sources, func(a, b int) bool {
-		x, y := sources[a], sources[b]
-		if cx, cy := x.DrainReason != "", y.DrainReason != ""; cx != cy {
-			return cx
-		}
-		if px, py := l.machinePrice(x), l.machinePrice(y); px != py {
-			return px > py
-		}
-		return len(x.Placements) < len(y.Placements)
-	})
+	sort.SliceStable(sources, func(i, j int) bool { return l.consolidatesBefore(sources[i], sources[j]) })
 	return sources
 }
 
-// evacuate has a machine's replicas move to others, given in their order.
-func (l *leader) evacuate(m *cluster.Machine, to []*cluster.Machine) {
-	for k, p := range m.Placements {
-		p.Job.ReschedulingTargets[p.Index] = to[k]
+// consolidatesBefore orders the machines that may be emptied.
+func (l *leader) consolidatesBefore(a, b *cluster.Machine) bool {
+	if cordonedA, cordonedB := a.DrainReason != "", b.DrainReason != ""; cordonedA != cordonedB {
+		return cordonedA
+	}
+	if priceA, priceB := l.machinePrice(a), l.machinePrice(b); priceA != priceB {
+		return priceA > priceB
+	}
+	return len(a.Placements) < len(b.Placements)
+}
+
+// evacuate moves a machine's replicas to others, given in their order.
+func (l *leader) evacuate(m *cluster.Machine, destinations []*cluster.Machine) {
+	for i, replica := range m.Placements {
+		replica.Job.ReschedulingTargets[replica.Index] = destinations[i]
 	}
 	l.cordon(m, cluster.DrainConsolidated)
 	m.Evicting = true
 }
 
-// machinesPerConsolidation is for how many machines of a fleet one is emptied at a time, so that a
-// larger one shrinks as fast.
-const machinesPerConsolidation = 400
-
-// consolidationInterval is the time between two machines that are emptied. A machine that
-// goes takes its images with it: while a class arrives whose image is fetched
-// too slowly everywhere, they go seldom.
+// consolidationInterval is the time between two machines that are emptied.
 func (l *leader) consolidationInterval() time.Duration {
 	return l.baseConsolidationInterval() / time.Duration(max(1, len(l.MachinesByName)/machinesPerConsolidation))
 }
 
-// baseConsolidationInterval is the pace of a fleet that empties one machine at a time.
+// baseConsolidationInterval is that of a fleet that empties one machine at a time. A returned
+// machine takes its images with it: while jobs of a class arrive whose image is pulled too slowly
+// everywhere, the interval is long.
 func (l *leader) baseConsolidationInterval() time.Duration {
 	for _, class := range sortedKeys(l.arrivalsByClass) {
-		a := l.arrivalsByClass[class]
-		if a.lastJob == nil || !a.Active(l.core.now) {
+		arrivals := l.arrivalsByClass[class]
+		if arrivals.lastJob == nil || !arrivals.Active(l.core.now) {
 			continue
 		}
-		if l.pullTooSlowEverywhere(a.lastJob) {
+		if l.pullTooSlowEverywhere(arrivals.lastJob) {
 			return l.core.workerLease()
 		}
 	}
 	return 2 * l.core.heartbeatInterval()
 }
 
-// pullTooSlowEverywhere tells whether a job's image comes too late on every type of
-// machine that the job may use.
-func (l *leader) pullTooSlowEverywhere(j *cluster.Job) bool {
-	wait := l.core.maxPullTime(j.Class)
-	for _, t := range l.core.machineTypes {
-		if emptyOrContains(j.MachineTypes, t.Name) && cluster.TypeCapacity(t).Holds(cluster.TaskSize(&j.Job)) && j.ImageGB <= wait*t.PullGBPerS {
-			return false
-		}
-	}
-	return true
-}
-
-// jobZone names a job in a zone.
-type jobZone struct {
-	job  *cluster.Job
-	zone string
-}
-
-// consolidationPlan finds a machine for each of a machine's replicas, in their
-// order; nil if not all find one.
+// consolidationPlan finds a machine for each replica of a source, in their order; nil if one of
+// them fits nowhere.
 func (l *leader) consolidationPlan(source *cluster.Machine, targets map[string][]consolidationTarget) []*cluster.Machine {
-	taken := map[*provisioning.Bin]topology.Resources{}
-	added := map[jobZone]int{}
-	var to []*cluster.Machine
-	for _, p := range source.Placements {
-		if p.Job.OneZone {
+	plan := &consolidation{
+		leader:      l,
+		source:      source,
+		planned:     map[*provisioning.Bin]topology.Resources{},
+		movedToZone: map[jobZone]int{},
+	}
+	var destinations []*cluster.Machine
+	for _, replica := range source.Placements {
+		if replica.Job.OneZone {
 			return nil
 		}
-		best := l.tightestTarget(source, p.Job, targets[p.Job.Image], taken, added)
-		if best.machine == nil {
+		target := plan.chooseTarget(replica.Job, targets[replica.Job.Image])
+		if target.machine == nil {
 			return nil
 		}
-		taken[best.Bin] = taken[best.Bin].Add(cluster.TaskSize(&p.Job.Job))
-		added[jobZone{p.Job, best.Offer.Zone}]++
-		to = append(to, best.machine)
+		destinations = append(destinations, target.machine)
 	}
-	return to
+	return destinations
 }
 
-// soonReturned tells whether a bin is a machine that nothing needs and that costs no
-// less than the one to be emptied: it is about to be returned itself. After a
-// job's end replicas once moved from a machine that ran well to one that the
-// job had left empty.
-func (l *leader) soonReturned(b consolidationTarget, from *cluster.Machine) bool {
-	m := b.machine
-	idle := !b.Used && len(m.Placements) == 0
-	return idle && from.DrainReason == "" && l.machinePrice(m) >= l.machinePrice(from)
+// consolidation is the plan to empty a machine.
+type consolidation struct {
+	leader      *leader
+	source      *cluster.Machine
+	planned     map[*provisioning.Bin]topology.Resources // used by moves that are planned
+	movedToZone map[jobZone]int                          // replicas of a job that move to a zone
 }
 
-// tightestTarget finds the tightest target that may take a job's replica from a
-// machine, given what the moves before it take and add; one without a machine if there
-// is none.
-func (l *leader) tightestTarget(from *cluster.Machine, job *cluster.Job, targets []consolidationTarget, taken map[*provisioning.Bin]topology.Resources, added map[jobZone]int) consolidationTarget {
-	zoneRoom := l.zoneBound(job)
+// chooseTarget finds the target with the least free capacity for a replica of a job, and plans the
+// move; one without a machine if there is none.
+func (p *consolidation) chooseTarget(job *cluster.Job, targets []consolidationTarget) consolidationTarget {
+	size := cluster.TaskSize(&job.Job)
+	zoneBound := p.leader.zoneBound(job)
 	var best consolidationTarget
 	var bestFree topology.Resources
-	l.passes.evaluations += len(targets)
+	p.leader.passes.evaluations += len(targets)
 	for _, target := range targets {
-		machine, free := target.machine, target.Free
-		if t, ok := taken[target.Bin]; ok {
-			free = free.Sub(t)
+		free := target.Free
+		if used, ok := p.planned[target.Bin]; ok {
+			free = free.Sub(used)
 		}
-		if machine == from || !free.Holds(cluster.TaskSize(&job.Job)) || !eligible(&job.Job, machine.TypeName, machine.Zone, machine.Spot) || l.outliers.HasFailures(machine.Name) || l.soonReturned(target, from) {
+		if !free.Holds(size) || !p.mayMoveTo(job, target) {
 			continue
 		}
-		if zoneRoom != nil {
-			n := zoneRoom(machine.Zone) - added[jobZone{job, machine.Zone}]
-			if machine.Zone == from.Zone {
-				n++ // its own place there becomes free
-			}
-			if n < 1 {
-				continue
-			}
+		if zoneBound != nil && p.zoneCapacity(job, target.machine.Zone, zoneBound) < 1 {
+			continue
 		}
 		if best.machine == nil || free.Less(bestFree) {
 			best, bestFree = target, free
 		}
 	}
+	if best.machine != nil {
+		p.planned[best.Bin] = p.planned[best.Bin].Add(size)
+		p.movedToZone[jobZone{job, best.Offer.Zone}]++
+	}
 	return best
 }
+
+// mayMoveTo reports whether a replica of a job may move to a target, if it fits there.
+func (p *consolidation) mayMoveTo(job *cluster.Job, target consolidationTarget) bool {
+	m := target.machine
+	return m != p.source && isEligible(job, m) && !p.leader.outliers.HasFailures(m.Name) && !p.returnedSoon(target)
+}
+
+// zoneCapacity is how many more replicas of a job may move to a zone within its bound.
+func (p *consolidation) zoneCapacity(job *cluster.Job, zone string, bound func(string) int) int {
+	n := bound(zone) - p.movedToZone[jobZone{job, zone}]
+	if zone == p.source.Zone {
+		n++ // the replica leaves its place there
+	}
+	return n
+}
+
+// returnedSoon reports whether a target is idle, needed for nothing and no cheaper than the
+// source: it is about to be returned itself. After a job's end replicas once moved from a machine
+// that ran well to one that the job had left empty.
+func (p *consolidation) returnedSoon(target consolidationTarget) bool {
+	m := target.machine
+	idle := !target.Used && len(m.Placements) == 0
+	return idle && p.source.DrainReason == "" && p.leader.machinePrice(m) >= p.leader.machinePrice(p.source)
+}
--- a/internal/core/defragmentation.go
+++ b/internal/core/defragmentation.go
@@ -8,80 +8,87 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A gang whose tasks take whole machines may find no room for ever, while enough of
-// it lies scattered over machines that run a few replicas each, and the cloud has no
-// machine left. Once such a gang has waited long for its beginning, replicas move
-// together so that machines of one zone become free for it.
+// A gang whose tasks take whole machines may find no room for ever, while enough of it is
+// fragmented over machines that run a few replicas each, and the cloud has no machine left. Once
+// the start of such a gang is overdue, replicas are rescheduled so that machines of one zone become
+// free for it.
 
-// gangSlot is a machine for one task of a gang, what moves from it to others, and
-// what is stopped there.
+// maxMovesPerSlot bounds how many replicas are rescheduled for one task of a gang.
+const maxMovesPerSlot = 4
+
+// gangSlot is a machine for one task of a gang, which replicas move from it, and which tasks stop
+// there.
 type gangSlot struct {
 	machine *cluster.Machine
 	moves   []replicaMove
 	stops   []cluster.TaskReference
 }
 
-// maxMovesPerSlot bounds how many replicas move for one task of a gang.
-const maxMovesPerSlot = 4
-
-// defragmentFor makes room for a gang that has waited long by moving replicas, if no
-// machine can be rented for it.
+// defragmentFor makes room for a gang whose start is overdue, if no machine can be provisioned for
+// it.
 func (p *placementPass) defragmentFor(candidate *candidate) {
 	leader, job := p.leader, candidate.job
-	if job.Shape != wire.ShapeGang || !candidate.cannotRent || candidate.reserved > 0 || !leader.startOverdue(job) || leader.preemptionTarget(candidate, p.usage) == 0 {
+	if job.Shape != wire.ShapeGang || !candidate.cannotProvision || candidate.reserved > 0 {
+		return
+	}
+	if !leader.startOverdue(job) || leader.preemptionTarget(candidate, p.usage) == 0 {
 		return
 	}
 	var best []gangSlot
 	for _, zone := range leader.usableZones() {
-		seats := p.gangSlots(candidate, zone)
-		if seats != nil && (best == nil || countMoves(seats) < countMoves(best)) {
-			best = seats
+		slots := p.gangSlots(candidate, zone)
+		if slots != nil && (best == nil || countMoves(slots) < countMoves(best)) {
+			best = slots
 		}
 	}
-	if best == nil {
-		return
+	if best != nil {
+		p.freeSlots(candidate, best)
 	}
-	var rooms []slot
-	for _, s := range best {
+}
+
+// freeSlots moves and stops what runs in the slots of a gang, and reserves their machines.
+func (p *placementPass) freeSlots(candidate *candidate, gangSlots []gangSlot) {
+	leader, job := p.leader, candidate.job
+	var slots []slot
+	for _, s := range gangSlots {
 		p.moveReplicas(s.moves)
-		r := slot{Machine: s.machine.Name, Zone: s.machine.Zone}
-		for _, stop := range s.stops {
-			r.Victims = append(r.Victims, victim{Task: stop})
+		freed := slot{Machine: s.machine.Name, Zone: s.machine.Zone}
+		for _, stopped := range s.stops {
+			freed.Victims = append(freed.Victims, victim{Task: stopped})
 		}
-		rooms = append(rooms, r)
+		slots = append(slots, freed)
 	}
-	candidate.reserved = len(rooms)
-	leader.reserve(job, leader.machinesOfSlots(rooms), leader.stopVictims(job, rooms))
+	candidate.reserved = len(slots)
+	leader.reserve(job, leader.machinesOfSlots(slots), leader.stopVictims(job, slots))
 }
 
 // countMoves counts the replicas that move.
-func countMoves(seats []gangSlot) int {
+func countMoves(slots []gangSlot) int {
 	n := 0
-	for _, s := range seats {
+	for _, s := range slots {
 		n += len(s.moves)
 	}
 	return n
 }
 
-// gangSlots finds a machine of a zone for each task of a gang, those with the
-// fewest tasks first; nil if there are not enough.
+// gangSlots finds a machine of a zone for each task of a gang, those with the fewest tasks first;
+// nil if there are not enough.
 func (p *placementPass) gangSlots(candidate *candidate, zone string) []gangSlot {
-	leader := p.leader
-	var machines []*cluster.Machine
-	for _, m := range leader.passes.machines {
-		if m.Zone == zone && leader.isFeasible(candidate.job, m) && (m.ReservedFor == nil || leader.core.now >= m.ReservedUntil) {
-			machines = append(machines, m)
-		}
+	machines := p.defragmentable(candidate.job, zone)
+	plan := &defragmentation{
+		pass:        p,
+		candidate:   candidate,
+		targets:     map[*cluster.Machine]*cluster.Job{},
+		movedToZone: map[jobZone]int{},
+		emptied:     map[*cluster.Machine]bool{},
 	}
-	slices.SortStableFunc(machines, func(a, b *cluster.Machine) int { return len(a.Placements) - len(b.Placements) })
-	plan := &defragmentation{pass: p, candidate: candidate, targets: map[*cluster.Machine]*cluster.Job{}, addedInZone: map[jobZone]int{}, emptied: map[*cluster.Machine]bool{}}
 	defer plan.rollBack()
-	// Those that come first are spared as targets, before they are tried.
+	// The machines that are tried first are no targets of moves.
 	for _, m := range machines[:min(len(candidate.pending), len(machines))] {
 		plan.emptied[m] = true
 	}
 	for _, m := range machines {
-		if len(plan.slots) == len(candidate.pending) || leader.passes.evaluations > p.evaluationLimit {
+		if len(plan.slots) == len(candidate.pending) || p.leader.passes.evaluations > p.evaluationLimit {
 			break
 		}
 		plan.tryMachine(m)
@@ -92,98 +99,121 @@
 	return plan.slots
 }
 
-// defragmentation is an attempt to find all machines of a gang in a zone.
+// defragmentable lists the machines of a zone that a job's tasks may use, those with the fewest
+// tasks first.
+func (p *placementPass) defragmentable(job *cluster.Job, zone string) []*cluster.Machine {
+	leader := p.leader
+	var machines []*cluster.Machine
+	for _, m := range leader.passes.machines {
+		if m.Zone == zone && leader.isFeasible(job, m) && !leader.isReserved(m) {
+			machines = append(machines, m)
+		}
+	}
+	slices.SortStableFunc(machines, func(a, b *cluster.Machine) int { return len(a.Placements) - len(b.Placements) })
+	return machines
+}
+
+// defragmentation is an attempt to find all machines of a gang in a zone. Moves that it plans are
+// subtracted from the free capacity of the pass's tree until rollBack.
 type defragmentation struct {
 	pass        *placementPass
 	candidate   *candidate
 	slots       []gangSlot
-	targets     map[*cluster.Machine]*cluster.Job // machines that replicas move to, and whose
-	addedInZone map[jobZone]int                   // replicas that move to a zone
+	targets     map[*cluster.Machine]*cluster.Job // machines that replicas move to, and whose replicas
+	movedToZone map[jobZone]int                   // replicas of a job that move to a zone
 	emptied     map[*cluster.Machine]bool         // machines that are to be free
 }
 
-// tryMachine adds a machine to the plan if it can be made free.
-func (s *defragmentation) tryMachine(machine *cluster.Machine) {
-	leader, need := s.pass.leader, cluster.TaskSize(&s.candidate.job.Job)
-	if s.targets[machine] != nil {
+// jobZone names a job in a zone.
+type jobZone struct {
+	job  *cluster.Job
+	zone string
+}
+
+// tryMachine adds a machine to the plan if it can be freed.
+func (d *defragmentation) tryMachine(machine *cluster.Machine) {
+	if d.targets[machine] != nil {
 		return
 	}
-	whole, _ := leader.capacityOf(machine)
-	free := whole.Sub(machine.Used)
-	seat := gangSlot{machine: machine}
-	s.emptied[machine] = true
-	for _, placed := range machine.Placements {
-		if free.Holds(need) {
+	needed := cluster.TaskSize(&d.candidate.job.Job)
+	free := d.pass.leader.freeCapacity(machine)
+	slot := gangSlot{machine: machine}
+	d.emptied[machine] = true
+	for _, ref := range machine.Placements {
+		if free.Holds(needed) {
 			break
 		}
-		if !s.evictTask(&seat, placed) {
-			s.discard(seat)
+		if !d.evictTask(&slot, ref) {
+			d.discard(slot)
 			return
 		}
-		free = free.Add(cluster.TaskSize(&placed.Job.Job))
+		free = free.Add(ref.Size())
 	}
-	if !free.Holds(need) {
-		s.discard(seat)
+	if !free.Holds(needed) {
+		d.discard(slot)
 		return
 	}
-	s.slots = append(s.slots, seat)
+	d.slots = append(d.slots, slot)
 }
 
-// evictTask has a task leave the machine of a seat; not ok if it has to stay.
-func (s *defragmentation) evictTask(seat *gangSlot, placed cluster.TaskReference) bool {
-	leader := s.pass.leader
+// evictTask plans that a task leaves the machine of a slot. It reports whether it may.
+func (d *defragmentation) evictTask(slot *gangSlot, ref cluster.TaskReference) bool {
 	switch {
-	case placed.Task().Stop != nil:
+	case ref.Task().Stop != nil:
 		return true
-	case placed.Job.Shape != wire.ShapeGang && leader.mayPreempt(s.candidate, placed.Job):
-		seat.stops = append(seat.stops, placed)
+	case ref.Job.Shape != wire.ShapeGang && mayPreempt(d.candidate, ref.Job):
+		slot.stops = append(slot.stops, ref)
 		return true
-	case len(seat.moves) == maxMovesPerSlot || !leader.isMovable(placed):
+	case len(slot.moves) == maxMovesPerSlot || !d.pass.leader.isMovable(ref):
 		return false
 	}
-	to := s.chooseTarget(placed, seat.machine)
-	if to == nil {
+	target := d.chooseTarget(ref, slot.machine)
+	if target == nil {
 		return false
 	}
-	seat.moves = append(seat.moves, replicaMove{placed, to})
+	slot.moves = append(slot.moves, replicaMove{ref, target})
 	return true
 }
 
-// chooseTarget finds a machine for a replica and counts the replica there. The room on a
-// machine is kept for one job at a time, and a spread job gets one more replica in
-// a zone at most.
-func (s *defragmentation) chooseTarget(replica cluster.TaskReference, from *cluster.Machine) *topology.Machine {
-	leader, job := s.pass.leader, replica.Job
-	to := s.pass.moveTarget(replica, from, func(m *cluster.Machine) bool {
-		other := s.targets[m]
-		crowded := job.SpreadZones && m.Zone != from.Zone && s.addedInZone[jobZone{job, m.Zone}] > 0
-		return !s.emptied[m] && !crowded && (other == nil || other == job)
+// chooseTarget finds a machine for a replica and counts the replica there; nil if there is none. A
+// machine is reserved for one job at a time, and a spread job gets one more replica in a zone at
+// most.
+func (d *defragmentation) chooseTarget(replica cluster.TaskReference, from *cluster.Machine) *topology.Machine {
+	job := replica.Job
+	leaf := d.pass.moveTarget(replica, from, func(m *cluster.Machine) bool {
+		other := d.targets[m]
+		crowded := job.SpreadZones && m.Zone != from.Zone && d.movedToZone[jobZone{job, m.Zone}] > 0
+		return !d.emptied[m] && !crowded && (other == nil || other == job)
 	})
-	if to == nil {
+	if leaf == nil {
 		return nil
 	}
-	m := leader.passes.machines[to.Index]
-	s.targets[m] = job
-	s.addedInZone[jobZone{job, m.Zone}]++
-	s.pass.tree.Take(to, cluster.TaskSize(&job.Job))
-	return to
+	target := d.machineOf(leaf)
+	d.targets[target] = job
+	d.movedToZone[jobZone{job, target.Zone}]++
+	d.pass.tree.Take(leaf, replica.Size())
+	return leaf
 }
 
-// discard takes back the moves of a seat that cannot be made free. The machines that
-// they were to go to stay out of the seats.
-func (s *defragmentation) discard(seat gangSlot) {
-	delete(s.emptied, seat.machine)
-	for _, r := range seat.moves {
-		s.pass.tree.Give(r.target, cluster.TaskSize(&r.replica.Job.Job))
-		s.addedInZone[jobZone{r.replica.Job, s.pass.leader.passes.machines[r.target.Index].Zone}]--
+// discard takes back the moves of a slot that cannot be freed. Their targets still get no slots.
+func (d *defragmentation) discard(slot gangSlot) {
+	delete(d.emptied, slot.machine)
+	for _, move := range slot.moves {
+		d.pass.tree.Give(move.target, move.replica.Size())
+		d.movedToZone[jobZone{move.replica.Job, d.machineOf(move.target).Zone}]--
 	}
 }
 
-// rollBack gives back the room that the plan has counted: p.move takes it for good.
-func (s *defragmentation) rollBack() {
-	for _, seat := range s.slots {
-		for _, r := range seat.moves {
-			s.pass.tree.Give(r.target, cluster.TaskSize(&r.replica.Job.Job))
+// rollBack gives back the capacity that the plan has subtracted: moveReplicas does it for good.
+func (d *defragmentation) rollBack() {
+	for _, slot := range d.slots {
+		for _, move := range slot.moves {
+			d.pass.tree.Give(move.target, move.replica.Size())
 		}
 	}
 }
+
+// machineOf is the machine that a leaf represents.
+func (d *defragmentation) machineOf(leaf *topology.Machine) *cluster.Machine {
+	return d.pass.leader.passes.machines[leaf.Index]
+}
--- a/internal/core/gang_pull.go
+++ b/internal/core/gang_pull.go
@@ -6,39 +6,39 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// gangWaitExceeded tells whether a gang would break on machines before it starts: tasks whose
-// image is there wait for those that fetch it, and give up after gang_wait_s. The break
-// ends the fetches as well, so the next attempt did the same.
+// gangWaitExceeded reports whether a gang would fail on machines before it starts: tasks whose
+// image is cached wait for those that pull it, and give up after gang_wait_s. The failure ends the
+// pulls as well, so the next attempt fared no better.
 func (l *leader) gangWaitExceeded(job *cluster.Job, machines []*cluster.Machine) bool {
 	if job.Shape != wire.ShapeGang {
 		return false
 	}
-	held, longest := 0, 0.0
+	cached, longest := 0, 0.0
 	for _, m := range machines {
-		fetch := l.pullTime(job, m)
-		if fetch == 0 {
-			held++
+		pull := l.pullTime(job, m)
+		if pull == 0 {
+			cached++
 		}
-		longest = max(longest, fetch)
+		longest = max(longest, pull)
 	}
-	return held > 0 && longest*slowestPullFactor > l.core.settings.Deployment.Workers.GangWaitS
+	return cached > 0 && longest*slowestPullFactor > l.core.settings.Deployment.Workers.GangWaitS
 }
 
-// placePullingTogether moves a gang from where it would time out to machines all of which
-// have to fetch its image, if there is room; else it stays.
-func (l *leader) placePullingTogether(tree *topology.Tree, request topology.Request, job *cluster.Job, where []*topology.Machine) []*topology.Machine {
-	for _, leaf := range where {
+// placePullingTogether moves a gang from leaves on which it would exceed gang_wait_s to machines
+// all of which have to pull its image, if there are any; else it returns the leaves.
+func (l *leader) placePullingTogether(tree *topology.Tree, request topology.Request, job *cluster.Job, leaves []*topology.Machine) []*topology.Machine {
+	for _, leaf := range leaves {
 		tree.Give(leaf, request.Task)
 	}
 	allowed := request.Allowed
-	request.Allowed = func(t *topology.Machine) bool {
-		return allowed(t) && !l.passes.machines[t.Index].HasImage(job.Image)
+	request.Allowed = func(leaf *topology.Machine) bool {
+		return allowed(leaf) && !l.passes.machines[leaf.Index].HasImage(job.Image)
 	}
 	if together := tree.Place(request); together != nil {
 		return together
 	}
-	for _, leaf := range where {
+	for _, leaf := range leaves {
 		tree.Take(leaf, request.Task)
 	}
-	return where
+	return leaves
 }
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -6,29 +6,31 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// recordImageUse notes that a machine holds an image, and which older ones its
-// cache must have dropped for it.
+// recordImageUse records that a machine holds an image, and which of the others its cache must have
+// evicted for it, the least recently used first.
 func (l *leader) recordImageUse(machine *cluster.Machine, name string, gb float64) {
-	if len(machine.CachedImages) > 0 && machine.CachedImages[0] == (cluster.Image{Name: name, GB: gb}) {
-		return // nothing changes
+	used := cluster.Image{Name: name, GB: gb}
+	if len(machine.CachedImages) > 0 && machine.CachedImages[0] == used {
+		return
 	}
-	had := machine.HasImage(name)
-	kept := make([]cluster.Image, 0, len(machine.CachedImages)+1)
-	kept = append(kept, cluster.Image{Name: name, GB: gb})
-	sum := gb
 	limit := math.Inf(1)
 	if t := l.core.machineTypes[machine.TypeName]; t != nil && t.CacheGB > 0 {
 		limit = t.CacheGB
 	}
-	for _, i := range machine.CachedImages {
-		if i.Name == name {
+	added := !machine.HasImage(name)
+	cached := make([]cluster.Image, 0, len(machine.CachedImages)+1)
+	cached = append(cached, used)
+	sum := gb
+	for _, image := range machine.CachedImages {
+		if image.Name == name {
 			continue
 		}
-		if sum += i.GB; sum > limit {
+		if sum += image.GB; sum > limit {
 			break
 		}
-		kept = append(kept, i)
+		cached = append(cached, image)
 	}
-	machine.EvaluationStale = machine.EvaluationStale || !had || len(kept) != len(machine.CachedImages)
-	machine.CachedImages = kept
+	changed := added || len(cached) != len(machine.CachedImages)
+	machine.EvaluationStale = machine.EvaluationStale || changed
+	machine.CachedImages = cached
 }
--- a/internal/core/image_pull.go
+++ b/internal/core/image_pull.go
@@ -6,23 +6,21 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// A machine may fetch several images at once, each at its full rate, or one after
-// the other; the cloud does not say which. The leader learns it from how long
-// fetches take that began behind others. Where they wait for each other, a task goes
-// to a machine that fetches nothing else: replicas of a dozen images that were
-// lost with their machines were packed onto two others, and the last ones came up
-// after 36 s instead of 9.
-
-// pullEvidence counts the fetches that began behind others on the same machine.
+// A machine may pull several images at once, each at its full rate, or one after the other; the
+// cloud does not say which. The leader learns it from the durations of pulls that began behind
+// others. Where pulls are sequential, a task goes to a machine that pulls nothing else: replicas of
+// a dozen images that were lost with their machines were packed onto two others, and the last ones
+// came up after 36 s instead of 9.
+
+// pullEvidence counts the pulls that began behind others on the same machine.
 type pullEvidence struct {
 	sequential int  // took as long as if they waited for the others
 	parallel   int  // did not
-	inherited  bool // the leader before had seen that they wait
+	inherited  bool // the previous leader had found that pulls are sequential
 }
 
-// isSequential tells whether fetches on a machine wait for each other. Machines are often
-// lost together with a leader: until the next one has seen for itself, it goes by
-// what the one before told the others.
+// isSequential reports whether pulls on a machine wait for each other. Machines are often lost
+// together with a leader: until the next one has evidence, that of the previous one counts.
 func (e pullEvidence) isSequential() bool {
 	if e.sequential+e.parallel == 0 {
 		return e.inherited
@@ -30,7 +28,7 @@
 	return e.sequential > e.parallel
 }
 
-// recordPulled takes in that a machine holds an image, as evidence of how it fetches.
+// recordPulled records that a machine holds an image, as evidence of how it pulls images.
 func (l *leader) recordPulled(machine *cluster.Machine, name string) {
 	at := machine.PullIndex(name)
 	if at < 0 {
@@ -42,14 +40,46 @@
 	if pull.Since == 0 || pull.QueuedGB == 0 || machineType == nil || machineType.PullGBPerS <= 0 {
 		return
 	}
-	queued := l.pullStatistics.isSequential()
-	// Halfway between a fetch by itself and one behind the others.
+	evidence := &l.pullStatistics
+	before := evidence.isSequential()
+	// Halfway between a pull by itself and one behind the others.
 	if (l.core.now - pull.Since).Seconds() > (pull.GB+pull.QueuedGB/2)/machineType.PullGBPerS {
-		l.pullStatistics.sequential++
+		evidence.sequential++
 	} else {
-		l.pullStatistics.parallel++
+		evidence.parallel++
+	}
+	if evidence.isSequential() != before {
+		l.core.log.Info("image pull order learned", "sequential", evidence.isSequential(), "pulls", evidence.sequential+evidence.parallel)
+	}
+}
+
+// pullTime is how long the pull of a job's image usually takes on a machine, in seconds; 0 if the
+// machine holds it.
+func (l *leader) pullTime(job *cluster.Job, m *cluster.Machine) float64 {
+	t := l.typeOf(m)
+	if t == nil || t.PullGBPerS <= 0 || m.HasImage(job.Image) {
+		return 0
 	}
-	if l.pullStatistics.isSequential() != queued {
-		l.core.log.Info("image fetches", "queue", l.pullStatistics.isSequential(), "seen", l.pullStatistics.sequential+l.pullStatistics.parallel)
+	return job.ImageGB / t.PullGBPerS
+}
+
+// pullTooSlow reports whether the pull of a job's image takes more than maxPullS seconds on a
+// machine.
+func (l *leader) pullTooSlow(job *cluster.Job, m *cluster.Machine, maxPullS float64) bool {
+	t := l.core.machineTypes[m.TypeName]
+	return !m.HasImage(job.Image) && t != nil && job.ImageGB > maxPullS*t.PullGBPerS
+}
+
+// pullTooSlowEverywhere reports whether the pull of a job's image puts its wait at risk on every
+// type of machine that the job may use.
+func (l *leader) pullTooSlowEverywhere(job *cluster.Job) bool {
+	maxPullS := l.core.maxPullTime(job.Class)
+	size := cluster.TaskSize(&job.Job)
+	for _, t := range l.core.machineTypes {
+		fits := emptyOrContains(job.MachineTypes, t.Name) && cluster.TypeCapacity(t).Holds(size)
+		if fits && job.ImageGB <= maxPullS*t.PullGBPerS {
+			return false
+		}
 	}
+	return true
 }
--- a/internal/core/machine_filter.go
+++ b/internal/core/machine_filter.go
@@ -1,137 +1,100 @@
 package core
 
 import (
-	"math"
-
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// zoneBound returns how many more tasks of a job each zone may take, counting
-// every task that is not certainly gone; nil if nothing bounds it.
-func (l *leader) zoneBound(job *cluster.Job) func(string) int {
+// zoneBound returns how many more tasks of a job each zone may take, counting every task that
+// has not certainly terminated; nil if nothing bounds it.
+func (l *leader) zoneBound(job *cluster.Job) func(zone string) int {
 	if !job.SpreadZones && !job.OneZone {
 		return nil
 	}
-	in := map[string]int{}
+	inZone := map[string]int{}
 	for i := range job.TaskStates {
 		if t := &job.TaskStates[i]; t.Machine != nil {
-			in[t.Zone]++
+			inZone[t.Zone]++
 		}
 	}
 	limit := (len(job.TaskStates) + 1) / 2
 	return func(zone string) int {
-		if job.OneZone && len(in) > 0 && in[zone] == 0 {
+		if job.OneZone && len(inZone) > 0 && inZone[zone] == 0 {
 			return 0
 		}
 		if job.SpreadZones {
-			return max(0, limit-in[zone])
+			return max(0, limit-inZone[zone])
 		}
 		return len(job.TaskStates)
 	}
 }
 
-// eligible tells whether a job's tasks may be on a machine of this kind.
-func eligible(j *wire.Job, typ, zone string, spot bool) bool {
-	return emptyOrContains(j.MachineTypes, typ) && (j.Zone == "" || j.Zone == zone) && (!spot || j.AllowSpot)
+// eligible reports whether a job's tasks may be on a machine of a type, zone and kind.
+func eligible(job *wire.Job, machineType, zone string, spot bool) bool {
+	return emptyOrContains(job.MachineTypes, machineType) && (job.Zone == "" || job.Zone == zone) && (!spot || job.AllowSpot)
 }
 
-// passesFilters tells whether a machine in use may take a job's tasks, if it has
-// room. wait is how long the image's fetch may take.
-func (l *leader) passesFilters(j *cluster.Job, m *cluster.Machine, quick bool, wait float64) bool {
-	if !eligible(&j.Job, m.TypeName, m.Zone, m.Spot) || l.avoids(j, m) || m.TaskRowsLeft() < 1 {
-		return false
-	}
-	if m.ReservedFor != nil && l.core.now < m.ReservedUntil {
-		// Room that was made for it is taken though the image is slow
-		// there: left out, the job waited for three reports, until the
-		// machine was not kept for it any more.
-		return m.ReservedFor == j
-	}
-	return !(quick && l.pullTooSlow(j, m, wait))
+// isEligible reports whether a job's tasks may be on a machine of this kind.
+func isEligible(job *cluster.Job, m *cluster.Machine) bool {
+	return eligible(&job.Job, m.TypeName, m.Zone, m.Spot)
 }
 
-// Ranks of machines for a task, lower first. Those without the image add up.
-const (
-	penaltyMoveTarget = -1
-	penaltyImagePull  = 1
-	penaltySlowPull   = 1
-	maxPenaltyPulls   = 4 // other fetches that count
-	penaltyFailed     = penaltyImagePull + penaltySlowPull + maxPenaltyPulls + 1
-)
-
-// machinePenalty ranks a machine for a job's tasks: one that fails tasks comes
-// last, one that holds the image first. Of the others those come first that fetch
-// fewer images, if fetches wait for each other.
-func (l *leader) machinePenalty(job *cluster.Job, machine *cluster.Machine, wait float64) int {
-	rank := 0
-	if l.outliers.HasFailures(machine.Name) {
-		rank = penaltyFailed
-	}
-	if machine.HasImage(job.Image) {
-		return rank
-	}
-	rank += penaltyImagePull
-	if l.pullStatistics.isSequential() {
-		rank += min(machine.PullsAhead(job.Image), maxPenaltyPulls)
-	}
-	if l.pullTooSlow(job, machine, wait) {
-		rank += penaltySlowPull
-	}
-	return rank
+// isReserved reports whether a machine is reserved for a job now.
+func (l *leader) isReserved(m *cluster.Machine) bool {
+	return m.ReservedFor != nil && l.core.now < m.ReservedUntil
 }
 
-// maxPullTime is how long a fetch may take, in seconds, before the class's wait
-// is in danger: other fetches share the rate, which varies by a third.
-func (c *Core) maxPullTime(class string) float64 {
-	return c.maxClassWait(class) * 2 / 3
+// isFeasible reports whether a machine may take a job's tasks, however little of it is free.
+func (l *leader) isFeasible(job *cluster.Job, m *cluster.Machine) bool {
+	return l.usable(m) && isEligible(job, m) && !l.avoids(job, m)
 }
 
-// maxClassWait is how long the tasks of a class may wait by its objectives, in seconds;
-// infinite if none says so.
-func (c *Core) maxClassWait(class string) float64 {
-	within := math.Inf(1)
-	for _, o := range c.settings.Deployment.Objectives {
-		if o.Kind == objectiveWait && o.Class == class {
-			within = min(within, o.WithinS)
-		}
-	}
-	return within
-}
-
-// maxWait is how long a job's tasks may wait by the objectives of its class and, where
-// it is within its team's guarantee, of guarantees, in seconds; infinite if none says so.
-func (l *leader) maxWait(j *cluster.Job) float64 {
-	within := l.core.maxClassWait(j.Class)
-	if !j.WithinQuota || !l.core.anyGuaranteeFor(&j.Job) {
-		return within
+// passesFilters reports whether a usable machine may take a job's tasks, if they fit. The pull
+// of its image may take maxPullS seconds.
+func (l *leader) passesFilters(job *cluster.Job, m *cluster.Machine, policy imagePolicy, maxPullS float64) bool {
+	if !isEligible(job, m) || l.avoids(job, m) || m.TaskRowsLeft() < 1 {
+		return false
 	}
-	for _, o := range l.core.settings.Deployment.Objectives {
-		if o.Kind == objectiveGuarantee {
-			within = min(within, o.WithinS)
-		}
+	if l.isReserved(m) {
+		// A reserved machine is used though the image comes late there: otherwise the
+		// job waited for three heartbeats, until the reservation ended.
+		return m.ReservedFor == job
 	}
-	return within
+	return policy == anyPullTime || !l.pullTooSlow(job, m, maxPullS)
 }
 
-// pullTime is how long the fetch of a job's image usually takes on a machine, in
-// seconds.
-func (l *leader) pullTime(j *cluster.Job, m *cluster.Machine) float64 {
-	t := l.typeOf(m)
-	if t == nil || t.PullGBPerS <= 0 || m.HasImage(j.Image) {
-		return 0
-	}
-	return j.ImageGB / t.PullGBPerS
+// avoids keeps a job away from machines on which it failed, until it has failed on so many that
+// the job is the likelier cause.
+func (l *leader) avoids(job *cluster.Job, m *cluster.Machine) bool {
+	return l.outliers.FailedOn(job.ID, m.Name) && !l.outliers.JobFaulty(job.ID)
 }
 
-// pullTooSlow tells whether a job's image would come too late on a machine.
-func (l *leader) pullTooSlow(j *cluster.Job, m *cluster.Machine, wait float64) bool {
-	t := l.core.machineTypes[m.TypeName]
-	return !m.HasImage(j.Image) && t != nil && j.ImageGB > wait*t.PullGBPerS
-}
+// Penalties of machines for a task: the machine with the lowest sum is preferred.
+const (
+	penaltyReschedulingTarget = -1
+	penaltyImagePull          = 1
+	penaltySlowPull           = 1
+	maxPenaltyPulls           = 4 // other pulls that count
+	penaltyFailures           = penaltyImagePull + penaltySlowPull + maxPenaltyPulls + 1
+)
 
-// avoids keeps a job away from machines on which it failed, until it has
-// failed on so many that the job is the likelier cause.
-func (l *leader) avoids(j *cluster.Job, m *cluster.Machine) bool {
-	return l.outliers.FailedOn(j.ID, m.Name) && !l.outliers.JobFaulty(j.ID)
+// machinePenalty scores a machine for a job's tasks: one on which tasks fail comes last, one
+// that holds the image first. Of the others, those come first that pull fewer images, if pulls
+// are sequential.
+func (l *leader) machinePenalty(job *cluster.Job, m *cluster.Machine, maxPullS float64) int {
+	penalty := 0
+	if l.outliers.HasFailures(m.Name) {
+		penalty = penaltyFailures
+	}
+	if m.HasImage(job.Image) {
+		return penalty
+	}
+	penalty += penaltyImagePull
+	if l.pullStatistics.isSequential() {
+		penalty += min(m.PullsAhead(job.Image), maxPenaltyPulls)
+	}
+	if l.pullTooSlow(job, m, maxPullS) {
+		penalty += penaltySlowPull
+	}
+	return penalty
 }
--- /dev/null
+++ b/internal/core/reservations.go
@@ -0,0 +1,37 @@
+package core
+
+import (
+	"slices"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+)
+
+// reserve reserves machines for a job until the tasks that are stopped there have ended, graceS
+// seconds from now and some heartbeats later. A machine is named once for each of the job's tasks
+// that it is reserved for.
+func (l *leader) reserve(job *cluster.Job, machines []*cluster.Machine, graceS float64) {
+	job.ReservedMachines = nil
+	for _, m := range machines {
+		m.ReservedFor, m.ReservedTasks = job, 0
+		if !slices.Contains(job.ReservedMachines, m) {
+			job.ReservedMachines = append(job.ReservedMachines, m)
+		}
+	}
+	until := l.core.now + time.Duration(graceS*float64(time.Second)) + 3*l.core.heartbeatInterval()
+	for _, m := range machines {
+		m.ReservedTasks++
+		m.ReservedUntil = until
+	}
+}
+
+// reservedTasks counts the tasks of a job for which machines are reserved.
+func (l *leader) reservedTasks(job *cluster.Job) int {
+	n := 0
+	for _, m := range job.ReservedMachines {
+		if m.ReservedFor == job && l.core.now < m.ReservedUntil {
+			n += m.ReservedTasks
+		}
+	}
+	return n
+}
--- a/internal/core/run_estimate.go
+++ b/internal/core/run_estimate.go
@@ -7,21 +7,22 @@
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 )
 
-// learnRun corrects a class's estimates by a finished task.
-func (l *leader) learnRun(j *cluster.Job, run time.Duration, known bool) {
-	if !known || j.EstimatedRunS <= 0 || run <= 0 {
+// learnRun corrects the estimates of a class by a task that is done and ran for a time; measured
+// says that its start was observed.
+func (l *leader) learnRun(job *cluster.Job, run time.Duration, measured bool) {
+	if !measured || job.EstimatedRunS <= 0 || run <= 0 {
 		return
 	}
-	if l.runTimesByClass[j.Class] == nil {
-		l.runTimesByClass[j.Class] = &forecast.RunTimes{}
+	if l.runTimesByClass[job.Class] == nil {
+		l.runTimesByClass[job.Class] = &forecast.RunTimes{}
 	}
-	l.runTimesByClass[j.Class].Observe(run, j.EstimatedRunS)
+	l.runTimesByClass[job.Class].Observe(run, job.EstimatedRunS)
 }
 
-// runEstimate is a job's expected run time in seconds.
-func (l *leader) runEstimate(j *cluster.Job) float64 {
-	if r := l.runTimesByClass[j.Class]; r != nil {
-		return r.Correct(j.EstimatedRunS)
+// runEstimate is a job's expected run time, in seconds.
+func (l *leader) runEstimate(job *cluster.Job) float64 {
+	if times := l.runTimesByClass[job.Class]; times != nil {
+		return times.Correct(job.EstimatedRunS)
 	}
-	return j.EstimatedRunS
+	return job.EstimatedRunS
 }
--- a/internal/core/team_limit.go
+++ b/internal/core/team_limit.go
@@ -10,35 +10,40 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A team that uses all of its limit has no room for another task, however many
-// machines stand idle. Work of a higher priority then makes room within the
-// limit as it does on machines: it stops work of the same team. What becomes free
-// is kept for it, since the team's other work would take it in the next pass:
-// what is within the team's guarantee goes first there.
-
-// limitReservations lists what is kept of the teams' limits for jobs that room is
-// being made for.
+// A team that uses all of its limit has no room for another task, however many machines are idle.
+// A job of a higher priority then preempts work of its own team, as on machines that are full. The
+// part of the limit that becomes free is reserved for it: in the next pass the team's other work
+// would take it, since what is within quota goes first there.
+
+// tasksPerEvaluation is how many tasks are passed over in the time of the evaluation of a machine.
+const tasksPerEvaluation = 10
+
+// limitReservations lists what of the teams' limits is reserved for jobs that preempted work of
+// their own team.
 func (l *leader) limitReservations() teamlimit.Reservations {
-	kept := teamlimit.Reservations{}
-	for _, j := range l.JobsBySubmission {
-		if !j.PreemptedWithinTeam {
+	reservations := teamlimit.Reservations{}
+	for _, job := range l.JobsBySubmission {
+		if !job.PreemptedWithinTeam {
 			continue
 		}
-		n := l.reservedTasks(j)
-		if n == 0 {
-			j.PreemptedWithinTeam = false
+		tasks := l.reservedTasks(job)
+		if tasks == 0 {
+			job.PreemptedWithinTeam = false
 			continue
 		}
-		kept[j.Team] = append(kept[j.Team], teamlimit.Reservation{Priority: j.Level, Amount: cluster.Scaled(cluster.TaskSize(&j.Job), n)})
+		reservations[job.Team] = append(reservations[job.Team], teamlimit.Reservation{
+			Priority: job.Level,
+			Amount:   cluster.Scaled(cluster.TaskSize(&job.Job), tasks),
+		})
 	}
-	return kept
+	return reservations
 }
 
-// preemptWithinLimit makes room for a candidate whose team is at its limit: it
-// stops work of the team of a lower priority until the limit allows the
-// candidate's tasks, where there is also room for them on machines or stops of
-// such work make it. It tells whether the team has no such work.
-func (l *leader) preemptWithinLimit(candidate *candidate, used topology.Resources) (nobody bool) {
+// preemptWithinLimit makes room for a candidate whose team is at its limit, of which it uses the
+// given amount. It preempts work of the team of a lower priority until the limit allows the
+// candidate's tasks, if machines hold them, or would after stops of such work. It reports whether
+// the team has no such work.
+func (l *leader) preemptWithinLimit(candidate *candidate, used topology.Resources) (noVictims bool) {
 	own := l.teamVictims(candidate)
 	if len(own) == 0 {
 		return true
@@ -49,115 +54,132 @@
 		least = most
 	}
 	candidate.ownTeamOnly = true
-	chosen := l.chooseSlots(candidate, most, false)
+	slots := l.chooseSlots(candidate, most, anyPullTime)
 	candidate.ownTeamOnly = false
-	for ; len(chosen) >= least; chosen = chosen[:len(chosen)-1] {
-		extra, ok := l.additionalVictims(candidate, chosen, own, used)
-		if !ok {
-			continue
+	for ; len(slots) >= least; slots = slots[:len(slots)-1] {
+		if additional, ok := l.additionalVictims(candidate, slots, own, used); ok {
+			l.preemptForLimit(candidate, slots, additional)
+			break
 		}
-		candidate.job.PreemptedWithinTeam = true
-		candidate.reserved = len(chosen)
-		wait := max(l.stopVictims(candidate.job, chosen), l.stopVictims(candidate.job, extra))
-		l.reserve(candidate.job, l.machinesOfSlots(chosen), wait)
-		break
 	}
 	return false
 }
 
-// tasksPerEvaluation is how many tasks are passed over in the time of the evaluation of a machine.
-const tasksPerEvaluation = 10
+// preemptForLimit stops the victims of slots, and those that have to stop for the limit alone, and
+// reserves the machines of the slots.
+func (l *leader) preemptForLimit(candidate *candidate, slots, additional []slot) {
+	job := candidate.job
+	job.PreemptedWithinTeam = true
+	candidate.reserved = len(slots)
+	grace := max(l.stopVictims(job, slots), l.stopVictims(job, additional))
+	l.reserve(job, l.machinesOfSlots(slots), grace)
+}
 
-// teamVictims lists the tasks of a candidate's team that may be stopped for it,
-// the least loss first. A gang is listed once, by its first task.
+// teamVictims lists the tasks of a candidate's team that may be stopped for it, the least cost
+// first. A gang is listed once, by its first task.
 func (l *leader) teamVictims(candidate *candidate) []slot {
-	var own []slot
+	var victims []slot
 	for _, machine := range l.MachinesByName {
-		whole, ok := l.capacityOf(machine)
+		capacity, ok := l.capacityOf(machine)
 		if !ok {
 			continue
 		}
 		l.passes.evaluations += 1 + len(machine.Placements)/tasksPerEvaluation
-		for _, p := range machine.Placements {
-			v := p.Job
-			if v.Team != candidate.job.Team || v.Level >= candidate.preemptionPriority || p.Task().Stop != nil {
+		for _, ref := range machine.Placements {
+			if !isTeamVictim(candidate, ref) || containsGang(victims, ref.Job) {
 				continue
 			}
-			if v.Shape == wire.ShapeGang && slices.ContainsFunc(own, func(o slot) bool { return o.Victims[0].Task.Job == v }) {
-				continue
-			}
-			loss := l.victimCost(v, p.Task(), whole)
-			own = append(own, slot{Machine: machine.Name, Zone: machine.Zone, Victims: []victim{{Task: p, Loss: loss}}, Cost: loss})
+			cost := l.victimCost(ref.Job, ref.Task(), capacity)
+			victims = append(victims, slot{
+				Machine: machine.Name,
+				Zone:    machine.Zone,
+				Victims: []victim{{Task: ref, Loss: cost}},
+				Cost:    cost,
+			})
 		}
 	}
-	slices.SortStableFunc(own, func(a, b slot) int { return cmp.Compare(a.Cost, b.Cost) })
-	return own
+	slices.SortStableFunc(victims, func(a, b slot) int { return cmp.Compare(a.Cost, b.Cost) })
+	return victims
 }
 
-// additionalVictims chooses, of a team's own victims, those that have to go beside
-// the victims of chosen so that the limit allows a task on each of chosen; not ok
-// if all together are not enough.
-func (l *leader) additionalVictims(c *candidate, chosen, own []slot, used topology.Resources) (extra []slot, ok bool) {
-	indices, ok := teamlimit.ChooseVictims(l.limit(c.job.Team), used, cluster.TaskSize(&c.job.Job), len(chosen), limitVictims(chosen), limitVictims(own))
-	for _, i := range indices {
-		extra = append(extra, own[i])
+// isTeamVictim reports whether a task may be stopped for a candidate of its team.
+func isTeamVictim(candidate *candidate, ref cluster.TaskReference) bool {
+	return ref.Job.Team == candidate.job.Team && ref.Job.Level < candidate.preemptionPriority && ref.Task().Stop == nil
+}
+
+// containsGang reports whether a job is a gang that victims contain already.
+func containsGang(victims []slot, job *cluster.Job) bool {
+	if job.Shape != wire.ShapeGang {
+		return false
 	}
-	return extra, ok
+	return slices.ContainsFunc(victims, func(s slot) bool { return s.Victims[0].Task.Job == job })
 }
 
-// limitVictims lists what the victims of rooms free in their team's limit.
-func limitVictims(rooms []slot) []teamlimit.Victim[stopUnit] {
-	var out []teamlimit.Victim[stopUnit]
-	for _, r := range rooms {
-		for _, v := range r.Victims {
-			out = append(out, teamlimit.Victim[stopUnit]{Key: stopUnitOf(v.Task), TaskSize: v.Task.Size(), Freed: freedByStop(v.Task)})
-		}
+// additionalVictims chooses, of a team's own victims, those that have to stop beside the victims
+// of slots so that the limit allows a task in each slot; not ok if all together are not enough.
+func (l *leader) additionalVictims(c *candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
+	size := cluster.TaskSize(&c.job.Job)
+	indices, ok := teamlimit.ChooseVictims(l.limit(c.job.Team), used, size, len(slots), limitVictims(slots), limitVictims(own))
+	for _, i := range indices {
+		additional = append(additional, own[i])
 	}
-	return out
+	return additional, ok
 }
 
-// preemptibleUsage adds up what a team's work of a rank below uses.
-func (l *leader) preemptibleUsage(team string, rank int) topology.Resources {
-	var sum topology.Resources
-	for _, m := range l.MachinesByName {
-		for _, p := range m.Placements {
-			if p.Job.Team == team && p.Job.Level < rank {
-				sum = sum.Add(cluster.TaskSize(&p.Job.Job))
-			}
+// limitVictims lists what the victims of slots free of their team's limit.
+func limitVictims(slots []slot) []teamlimit.Victim[stopUnit] {
+	var victims []teamlimit.Victim[stopUnit]
+	for _, s := range slots {
+		for _, v := range s.Victims {
+			victims = append(victims, teamlimit.Victim[stopUnit]{
+				Key:      stopUnitOf(v.Task),
+				TaskSize: v.Task.Size(),
+				Freed:    freedByStop(v.Task),
+			})
 		}
 	}
-	return sum
+	return victims
 }
 
-// stopUnit names what is stopped at once: a task, or all tasks of a gang.
+// stopUnit names what stops together: a task, or all tasks of a gang.
 type stopUnit struct {
 	job   *cluster.Job
-	index int
+	index int // 0 for a gang
 }
 
-// stopUnitOf is the key of what is stopped with a task.
-func stopUnitOf(p cluster.TaskReference) stopUnit {
-	if p.Job.Shape == wire.ShapeGang {
-		return stopUnit{p.Job, 0}
+// stopUnitOf names what stops together with a task.
+func stopUnitOf(ref cluster.TaskReference) stopUnit {
+	if ref.Job.Shape == wire.ShapeGang {
+		return stopUnit{ref.Job, 0}
 	}
-	return stopUnit{p.Job, p.Index}
+	return stopUnit{ref.Job, ref.Index}
 }
 
-// freedByStop is what becomes free when a task is stopped: all of its gang goes.
-func freedByStop(p cluster.TaskReference) topology.Resources {
-	if p.Job.Shape == wire.ShapeGang {
-		return cluster.Scaled(cluster.TaskSize(&p.Job.Job), p.Job.TasksPlaced)
+// freedByStop is what becomes free when a task is stopped, with all of its gang.
+func freedByStop(ref cluster.TaskReference) topology.Resources {
+	if ref.Job.Shape == wire.ShapeGang {
+		return cluster.Scaled(ref.Size(), ref.Job.TasksPlaced)
 	}
-	return cluster.TaskSize(&p.Job.Job)
+	return ref.Size()
+}
+
+// preemptibleUsage is what tasks of a team below a priority level use.
+func (l *leader) preemptibleUsage(team string, level int) topology.Resources {
+	return l.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Job.Level < level })
 }
 
-// stoppingUsage adds up what a team's tasks use that are on their way out.
+// stoppingUsage is what tasks of a team use that are being stopped.
 func (l *leader) stoppingUsage(team string) topology.Resources {
+	return l.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Task().Stop != nil })
+}
+
+// usageOf adds up what the placed tasks use that are included.
+func (l *leader) usageOf(included func(cluster.TaskReference) bool) topology.Resources {
 	var sum topology.Resources
 	for _, m := range l.MachinesByName {
-		for _, p := range m.Placements {
-			if p.Job.Team == team && p.Task().Stop != nil {
-				sum = sum.Add(cluster.TaskSize(&p.Job.Job))
+		for _, ref := range m.Placements {
+			if included(ref) {
+				sum = sum.Add(ref.Size())
 			}
 		}
 	}
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -29,7 +29,7 @@
 	return teamlimit.FromSettings(t.CPUsMax, t.GPUsMax)
 }
 
-// limit is what a team's tasks may use now.
+// limit is what a team's tasks may use in this region now.
 func (l *leader) limit(team string) teamlimit.Limit {
 	if l.sharesLimit(team) {
 		return l.shareLimit(team)
@@ -37,18 +37,19 @@
 	return l.core.configuredLimit(team)
 }
 
-// teamUsage is what the tasks of each team use that are not certainly gone. It
-// follows every placement; now and then it is added up anew.
+// teamUsage is what the tasks of each team use that have not certainly terminated. It follows
+// every placement and is recounted from time to time.
 type teamUsage struct {
 	teamlimit.Usage
-	recountAt time.Duration // when it is to be added up anew
+	recountAt time.Duration
 }
 
-// add takes n tasks of a job in.
-func (u *teamUsage) add(j *cluster.Job, n int) { u.Add(j.Team, cluster.TaskSize(&j.Job), n) }
+// add adds a number of a job's tasks; a negative number takes them out.
+func (u *teamUsage) add(job *cluster.Job, tasks int) {
+	u.Add(job.Team, cluster.TaskSize(&job.Job), tasks)
+}
 
-// refreshUsage is, by team, what every task uses that is not certainly gone. It notes on each
-// machine what is on its way out and which images it fetches.
+// refreshUsage brings what machines and teams use up to date, and returns the latter by team.
 func (l *leader) refreshUsage() map[string]topology.Resources {
 	if !l.teamUsage.Started() || l.core.now >= l.teamUsage.recountAt {
 		l.recountUsage()
@@ -67,49 +68,49 @@
 	l.teamUsage.Reset()
 	for _, m := range l.MachinesByName {
 		m.EvaluationStale = true
-		for _, p := range m.Placements {
-			l.teamUsage.add(p.Job, 1)
+		for _, ref := range m.Placements {
+			l.teamUsage.add(ref.Job, 1)
 		}
 	}
 }
 
-// anyGuaranteeFor tells whether any team has a guarantee of what a job takes.
-func (c *Core) anyGuaranteeFor(j *wire.Job) bool {
+// anyGuaranteeFor reports whether any team has a guarantee of a resource that a job uses.
+func (c *Core) anyGuaranteeFor(job *wire.Job) bool {
 	for _, t := range c.settings.Deployment.Teams {
-		if t.CPUs > 0 && j.CPUs > 0 || t.GPUs > 0 && j.GPUs > 0 {
+		if t.CPUs > 0 && job.CPUs > 0 || t.GPUs > 0 && job.GPUs > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// guaranteeOf is what a team is guaranteed.
+// guaranteeOf is a team's guarantee by the settings.
 func guaranteeOf(t *config.Team) teamlimit.Guarantee {
 	return teamlimit.Guarantee{CPUs: t.CPUs, GPUs: t.GPUs}
 }
 
-// guarantees lists what each team is guaranteed, by name.
+// guarantees lists each team's guarantee, by name; the first of two teams of one name counts.
 func (c *Core) guarantees() map[string]teamlimit.Guarantee {
-	out := make(map[string]teamlimit.Guarantee, len(c.settings.Deployment.Teams))
+	byTeam := make(map[string]teamlimit.Guarantee, len(c.settings.Deployment.Teams))
 	for i := range c.settings.Deployment.Teams {
 		t := &c.settings.Deployment.Teams[i]
-		if _, twice := out[t.Name]; !twice {
-			out[t.Name] = guaranteeOf(t)
+		if _, known := byTeam[t.Name]; !known {
+			byTeam[t.Name] = guaranteeOf(t)
 		}
 	}
-	return out
+	return byTeam
 }
 
-// markWithinQuota notes which jobs fit into their team's guarantee along with the
-// team's earlier unfinished jobs. A job that waits for others holds no part of it.
+// markWithinQuota marks the jobs that fit into their team's guarantee beside the team's earlier
+// jobs. A job that waits for dependencies claims no part of it.
 func (l *leader) markWithinQuota() {
 	claims := teamlimit.NewClaims(l.core.guarantees())
-	for _, j := range l.JobsBySubmission {
-		if j.Cancellation.Requested() || j.Waiting {
-			j.WithinQuota = false
+	for _, job := range l.JobsBySubmission {
+		if job.Cancellation.Requested() || job.Waiting {
+			job.WithinQuota = false
 			continue
 		}
-		n := float64(len(j.TaskStates) - j.TasksDone)
-		j.WithinQuota = claims.Claim(j.Team, topology.Resources{CPUs: j.CPUs * n, GPUs: j.GPUs * n})
+		n := float64(len(job.TaskStates) - job.TasksDone)
+		job.WithinQuota = claims.Claim(job.Team, topology.Resources{CPUs: job.CPUs * n, GPUs: job.GPUs * n})
 	}
 }
