--- a/internal/core/placement/memo.go
+++ b/internal/core/placement/memo.go
@@ -2,27 +2,27 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/topology"
 
-// Requirements is what a task of a job asks of a machine.
+// Requirements is what a task of a job requires of a machine.
 type Requirements struct {
 	Size  topology.Resources
 	Types string // allowed machine types, joined
-	Zone  string
-	Spot  bool
+	Zone  string // empty for any
+	Spot  bool   // spot machines are allowed
 }
 
-// EquivalenceClass is what decides whether a job's tasks find room, apart from spread and failures: many
-// jobs of a class share it.
+// EquivalenceClass decides whether the tasks of a job find room, apart from spreading over zones
+// and failures: many jobs share one.
 type EquivalenceClass struct {
 	Requirements
 	OneZone     bool
-	GangTasks   int // tasks that start together
-	Priority    int
+	GangTasks   int // tasks that start together; 0 if each starts by itself
+	Priority    int // level with which the job may preempt
 	WithinQuota bool
 	Team        string
 }
 
-// Memo is what a pass has found not to fit. It is not tried again in that pass: room only
-// shrinks.
+// Memo remembers what a pass has found not to fit. It is not tried again in that pass: free
+// capacity only shrinks.
 type Memo struct {
 	doesNotFit    map[EquivalenceClass]bool
 	noVictims     map[EquivalenceClass]bool
@@ -31,25 +31,29 @@
 
 // NewMemo begins a pass.
 func NewMemo() *Memo {
-	return &Memo{doesNotFit: map[EquivalenceClass]bool{}, noVictims: map[EquivalenceClass]bool{}, noMachineFits: map[Requirements]bool{}}
+	return &Memo{
+		doesNotFit:    map[EquivalenceClass]bool{},
+		noVictims:     map[EquivalenceClass]bool{},
+		noMachineFits: map[Requirements]bool{},
+	}
 }
 
-// RecordFull notes whether there is no room for tasks of a shape.
-func (m *Memo) RecordFull(s EquivalenceClass, full bool) { m.doesNotFit[s] = full }
+// RecordFull records whether there is no room for tasks of a class.
+func (m *Memo) RecordFull(class EquivalenceClass, full bool) { m.doesNotFit[class] = full }
 
-// RecordMachineFits notes whether any machine has room for a task.
-func (m *Memo) RecordMachineFits(n Requirements, room bool) { m.noMachineFits[n] = !room }
+// RecordMachineFits records whether any machine holds a task.
+func (m *Memo) RecordMachineFits(task Requirements, fits bool) { m.noMachineFits[task] = !fits }
 
-// RecordNoVictims notes whether there is nobody to stop for tasks of a shape.
-func (m *Memo) RecordNoVictims(s EquivalenceClass, nobody bool) { m.noVictims[s] = nobody }
+// RecordNoVictims records whether nothing may be preempted for tasks of a class.
+func (m *Memo) RecordNoVictims(class EquivalenceClass, none bool) { m.noVictims[class] = none }
 
-// MayFit tells whether it is worth looking for room for tasks of a shape.
-func (m *Memo) MayFit(s EquivalenceClass) bool {
-	return !m.doesNotFit[s] && !m.noMachineFits[s.Requirements]
+// MayFit reports whether it is worth searching room for tasks of a class.
+func (m *Memo) MayFit(class EquivalenceClass) bool {
+	return !m.doesNotFit[class] && !m.noMachineFits[class.Requirements]
 }
 
-// MachineMayFit tells whether a machine may have room for a task.
-func (m *Memo) MachineMayFit(n Requirements) bool { return !m.noMachineFits[n] }
+// MachineMayFit reports whether a machine may hold a task.
+func (m *Memo) MachineMayFit(task Requirements) bool { return !m.noMachineFits[task] }
 
-// MayPreempt tells whether there may be somebody to stop for tasks of a shape.
-func (m *Memo) MayPreempt(s EquivalenceClass) bool { return !m.noVictims[s] }
+// MayPreempt reports whether there may be something to preempt for tasks of a class.
+func (m *Memo) MayPreempt(class EquivalenceClass) bool { return !m.noVictims[class] }
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -1,6 +1,6 @@
-// Package placement holds what a placement pass needs beside the machines: in which order jobs
-// are tried, which tasks are alike, and what has been found not to fit. It knows no machines,
-// no leader and no clock.
+// Package placement holds what a placement pass needs beside the machines: in which order jobs are
+// tried, which tasks are equivalent, and what has been found not to fit. It knows no machines, no
+// leader and no clock. The scheduling pass of package core calls it.
 package placement
 
 import (
@@ -8,19 +8,19 @@
 	"slices"
 )
 
-// Urgency orders the jobs that wait for room.
+// Urgency orders the jobs that wait for machines.
 type Urgency struct {
-	Faulty        bool    // it fails on every machine
-	WithinQuota   bool    // within its team's guarantee
-	Priority      int     // of the priority, higher first
+	Faulty        bool    // its tasks fail on every machine
+	WithinQuota   bool    // it fits into its team's guarantee
+	Priority      int     // priority level, higher first
 	BestEffort    bool    // its team has no guarantee, and it has not waited too long
-	Slack         float64 // how long it can still wait for its deadline, in seconds
-	RemainingWork float64 // that it still has to run, in seconds of a task; 0 where that does not count
-	Submission    uint64  // place among all jobs
+	Slack         float64 // seconds until it has to start to meet its deadline
+	RemainingWork float64 // seconds of a task's work; 0 where that does not count
+	Submission    uint64  // submission order
 }
 
-// Compare is negative if a goes before b: faulty jobs last, within a guarantee first, then by
-// priority, those of teams with a guarantee first, by deadline, the least work and submission.
+// Compare is negative if a comes before b: faulty jobs last, those within quota first, then by
+// priority, best-effort jobs last, then by slack, the least work and submission.
 func (a Urgency) Compare(b Urgency) int {
 	return cmp.Or(
 		compareTrueFirst(!a.Faulty, !b.Faulty),
@@ -33,7 +33,7 @@
 	)
 }
 
-// compareTrueFirst is negative if a holds and b does not.
+// compareTrueFirst is negative if a is true and b is not.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
--- a/internal/core/preemption/preemption_test.go
+++ b/internal/core/preemption/preemption_test.go
@@ -10,7 +10,7 @@
 
 func cpus(n float64) topology.Resources { return topology.Resources{CPUs: n} }
 
-// task is a task by its name.
+// task is a running task with a name.
 type task struct {
 	name string
 	cpus float64
@@ -20,10 +20,10 @@
 func (t task) Size() topology.Resources { return cpus(t.cpus) }
 func (t task) Gang() string             { return t.gang }
 
-// machine runs victims beside free CPUs and some that are on their way out.
-func machine(name, zone string, free, leaving float64, victims ...Victim[task]) *Machine[task] {
+// machine runs victims beside free CPUs and CPUs of tasks that are being stopped.
+func machine(name, zone string, free, stopping float64, victims ...Victim[task]) *Machine[task] {
 	return &Machine[task]{Name: name, Zone: zone, Free: cpus(free), Victims: func(free topology.Resources) ([]Victim[task], topology.Resources) {
-		return slices.Clone(victims), free.Add(cpus(leaving))
+		return slices.Clone(victims), free.Add(cpus(stopping))
 	}}
 }
 
@@ -36,10 +36,10 @@
 	return v
 }
 
-// describe names rooms and their victims: "machine: victims".
-func describe(rooms []Slot[task]) string {
+// describe names slots and their victims: "machine: victims".
+func describe(slots []Slot[task]) string {
 	var out []string
-	for _, r := range rooms {
+	for _, r := range slots {
 		s := r.Machine + ":"
 		for _, v := range r.Victims {
 			s += " " + v.Task.name
@@ -49,36 +49,36 @@
 	return strings.Join(out, "; ")
 }
 
-func TestOn(t *testing.T) {
+func TestSlotsOn(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		m    *Machine[task]
-		size float64
-		want int
-		told string
-		cost float64 // of the last room
+		name   string
+		m      *Machine[task]
+		size   float64
+		wanted int
+		slots  string
+		cost   float64 // of the last slot
 	}{
-		{"free room first", machine("m", "a", 2, 0, victim("x", 1, 5)), 1, 3, "m:; m:; m: x", 5},
+		{"free resources first", machine("m", "a", 2, 0, victim("x", 1, 5)), 1, 3, "m:; m:; m: x", 5},
 		{"no more than is wanted", machine("m", "a", 9, 0), 1, 2, "m:; m:", 0},
-		{"what is on its way out counts as free", machine("m", "a", 0, 1, victim("x", 1, 5)), 1, 2, "m:; m: x", 5},
+		{"what tasks use that are being stopped counts as free", machine("m", "a", 0, 1, victim("x", 1, 5)), 1, 2, "m:; m: x", 5},
 		{"the least loss first", machine("m", "a", 0, 0, victim("x", 1, 5), victim("y", 1, 2)), 1, 1, "m: y", 2},
-		{"as many victims as the size takes", machine("m", "a", 0, 0, victim("x", 1, 5), victim("y", 1, 2), victim("z", 1, 3)), 2, 2, "m: y z", 5},
+		{"as many victims as the size needs", machine("m", "a", 0, 0, victim("x", 1, 5), victim("y", 1, 2), victim("z", 1, 3)), 2, 2, "m: y z", 5},
 		{"what is left of a large victim holds the next", machine("m", "a", 0, 0, victim("x", 2, 5)), 1, 2, "m: x; m:", 5},
-		{"no room", machine("m", "a", 0, 0, victim("x", 1, 5)), 2, 1, "", 0},
+		{"no slot", machine("m", "a", 0, 0, victim("x", 1, 5)), 2, 1, "", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rooms := SlotsOn(tc.m, cpus(tc.size), tc.want)
-			if got := describe(rooms); got != tc.told {
-				t.Fatalf("rooms %q, want %q", got, tc.told)
+			slots := SlotsOn(tc.m, cpus(tc.size), tc.wanted)
+			if got := describe(slots); got != tc.slots {
+				t.Fatalf("slots %q, want %q", got, tc.slots)
 			}
-			if n := len(rooms); n > 0 && rooms[n-1].Cost != tc.cost {
-				t.Errorf("the last costs %v, want %v", rooms[n-1].Cost, tc.cost)
+			if n := len(slots); n > 0 && slots[n-1].Cost != tc.cost {
+				t.Errorf("the last costs %v, want %v", slots[n-1].Cost, tc.cost)
 			}
 		})
 	}
 }
 
-func TestChoose(t *testing.T) {
+func TestChooseSlots(t *testing.T) {
 	onA := SlotsOn(machine("m", "a", 1, 0, victim("x", 1, 4), victim("y", 1, 1)), cpus(1), 3)
 	onB := SlotsOn(machine("n", "b", 0, 0, victim("z", 1, 2)), cpus(1), 3)
 	gangs := func() []Slot[task] {
@@ -86,23 +86,23 @@
 			SlotsOn(machine("n", "b", 0, 0, ofGang(victim("g/1", 1, 3), "g"), victim("w", 1, 9)), cpus(1), 2)...)
 	}
 	for _, tc := range []struct {
-		name     string
-		rooms    []Slot[task]
-		want     int
-		zoneRoom func(string) int
-		told     string
-		cost     float64
+		name      string
+		of        []Slot[task]
+		wanted    int
+		zoneBound func(string) int
+		slots     string
+		cost      float64
 	}{
 		{"the cheapest of all machines", append(slices.Clone(onB), onA...), 3, nil, "m:; m: y; n: z", 3},
 		{"all there are", append(slices.Clone(onB), onA...), 9, nil, "m:; m: y; n: z; m: x", 7},
 		{"within the zones' bounds", append(slices.Clone(onB), onA...), 3, func(zone string) int { return 1 }, "m:; n: z", 2},
-		{"a gang goes once", gangs(), 3, nil, "m: g/0; n:; n: w", 15},
+		{"a gang stops once", gangs(), 3, nil, "m: g/0; n:; n: w", 15},
 		{"none", nil, 3, nil, "", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			chosen := ChooseSlots(tc.rooms, tc.want, tc.zoneRoom)
-			if got := describe(chosen); got != tc.told {
-				t.Errorf("rooms %q, want %q", got, tc.told)
+			chosen := ChooseSlots(tc.of, tc.wanted, tc.zoneBound)
+			if got := describe(chosen); got != tc.slots {
+				t.Errorf("slots %q, want %q", got, tc.slots)
 			}
 			if got := TotalCost(chosen); got != tc.cost {
 				t.Errorf("cost %v, want %v", got, tc.cost)
--- a/internal/core/team_limit.go
+++ b/internal/core/team_limit.go
@@ -118,8 +118,13 @@
 // additionalVictims chooses, of a team's own victims, those that have to stop beside the victims
 // of slots so that the limit allows a task in each slot; not ok if all together are not enough.
 func (l *leader) additionalVictims(c *candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
-	size := cluster.TaskSize(&c.job.Job)
-	indices, ok := teamlimit.ChooseVictims(l.limit(c.job.Team), used, size, len(slots), limitVictims(slots), limitVictims(own))
+	shortage := teamlimit.Shortage{
+		Limit: l.limit(c.job.Team),
+		Used:  used,
+		Task:  cluster.TaskSize(&c.job.Job),
+		Count: len(slots),
+	}
+	indices, ok := teamlimit.ChooseVictims(shortage, limitVictims(slots), limitVictims(own))
 	for _, i := range indices {
 		additional = append(additional, own[i])
 	}
--- a/internal/core/teamlimit/usage.go
+++ b/internal/core/teamlimit/usage.go
@@ -6,13 +6,13 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// Usage is what the tasks of each team use. Until Restart it counts nothing.
+// Usage is what the tasks of each team use. Until the first Reset it counts nothing.
 type Usage struct{ byTeam map[string]topology.Resources }
 
-// Started tells whether it counts.
+// Started reports whether it counts.
 func (u *Usage) Started() bool { return u.byTeam != nil }
 
-// Reset begins to count anew, so that the rounding of sums does not gather.
+// Reset begins to count from zero, so that rounding errors of sums do not add up.
 func (u *Usage) Reset() { u.byTeam = map[string]topology.Resources{} }
 
 // Add adds n tasks of a size to what a team uses; n may be negative.
@@ -24,7 +24,7 @@
 	u.byTeam[team] = u.byTeam[team].Add(topology.Resources{CPUs: task.CPUs * f, GPUs: task.GPUs * f, MemGB: task.MemGB * f})
 }
 
-// Snapshot is a copy, by team.
+// Snapshot is a copy of what each team uses, by team.
 func (u *Usage) Snapshot() map[string]topology.Resources { return maps.Clone(u.byTeam) }
 
 // ForTeam is what a team uses.
--- a/internal/core/topology/topology_test.go
+++ b/internal/core/topology/topology_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// tree: machines as zone/name/free GPUs.
+// newTree builds a tree of machines that are written as zone/name/free GPUs.
 func newTree(specs ...string) (*Tree, []*Machine) {
 	var ms []*Machine
 	for _, s := range specs {
@@ -36,11 +36,11 @@
 		{"the tightest machine that holds all", []string{"a/x/8", "a/y/3", "b/z/2"}, Request{Task: one, Count: 3, Required: LevelRoot}, "y y y"},
 		{"the tightest zone when no machine does", []string{"a/x/4", "a/y/4", "b/z/3", "b/w/3"}, Request{Task: one, Count: 6, Required: LevelRoot}, "w w w z z z"},
 		{"within a zone, the fullest part first", []string{"a/x/4", "a/y/2", "a/z/1"}, Request{Task: one, Count: 6, Required: LevelZone}, "x x x x y y"},
-		{"required waits though enough lies scattered", []string{"a/x/2", "b/y/2"}, Request{Task: one, Count: 3, Required: LevelZone}, ""},
-		{"preferred takes the zone that fits most, then the nearest", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{Task: one, Count: 4, Required: LevelRoot}, "y y w x"},
+		{"a required zone waits though enough is free over two", []string{"a/x/2", "b/y/2"}, Request{Task: one, Count: 3, Required: LevelZone}, ""},
+		{"without one, the zone that holds most first, then the others", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{Task: one, Count: 4, Required: LevelRoot}, "y y w x"},
 		{"nothing fits", []string{"a/x/1"}, Request{Task: Resources{GPUs: 2}, Count: 1, Required: LevelRoot}, ""},
 		{"a zone's bound", []string{"a/x/8", "b/y/8", "c/z/8"}, Request{Task: one, Count: 4, Required: LevelRoot, ZoneBound: func(string) int { return 2 }}, "x x y y"},
-		{"the image decides between machines that hold all", []string{"a/x/2", "a/y/4"}, Request{Task: one, Count: 1, Required: LevelRoot,
+		{"the lower penalty decides between machines that hold all", []string{"a/x/2", "a/y/4"}, Request{Task: one, Count: 1, Required: LevelRoot,
 			Penalty: func(m *Machine) int { return strings.Index("yx", m.Name) }}, "y"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestPlaceEachAsPlace places random tasks one by one and all in one go. Both have to
-// choose the same machines.
+// TestPlaceEachAsPlace places random tasks one by one and all in one call. Both have to choose the
+// same machines.
 func TestPlaceEachAsPlace(t *testing.T) {
 	for seed := range uint64(200) {
 		build := func() (*Tree, []*Machine) {
