--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -5,7 +5,6 @@
 	"slices"
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 	"github.com/brookwalk/brookwalk/wire"
@@ -19,21 +18,6 @@
 // one: more than the waste of tasks that fit badly, which is up to about twice.
 const expensiveRatio = 4
 
-// bestEffortTeams names the best-effort teams.
-func (c *Core) bestEffortTeams() map[string]bool {
-	bestEffort := map[string]bool{}
-	teams := c.settings.Deployment.Teams
-	if !slices.ContainsFunc(teams, func(t config.Team) bool { return !guaranteeOf(&t).IsZero() }) {
-		return bestEffort
-	}
-	for i := range teams {
-		if guaranteeOf(&teams[i]).IsZero() {
-			bestEffort[teams[i].Name] = true
-		}
-	}
-	return bestEffort
-}
-
 // taskPrice is the hourly price of a job's task on a full machine of a type; not ok if none fits.
 func taskPrice(job *wire.Job, t *wire.MachineType) (price float64, ok bool) {
 	fit := cluster.TypeCapacity(t).Fit(cluster.TaskSize(job), provisioning.MaxTasksPerMachine)
@@ -102,3 +86,8 @@
 	}
 	return 3 * l.core.workerLease()
 }
+
+// emptyOrContains reports whether a list names something; an empty list names all.
+func emptyOrContains(list []string, name string) bool {
+	return len(list) == 0 || slices.Contains(list, name)
+}
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -7,6 +7,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
+	"github.com/brookwalk/brookwalk/internal/core/scheduler"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
@@ -26,11 +27,11 @@
 	// Whether all replicas fit changes slowly, and finding out costs an evaluation of many
 	// machines for each source.
 	fleet.nextConsolidationAt = l.core.now + l.core.heartbeatInterval()
-	limit := l.passes.evaluations + l.evaluationBudget()
+	limit := l.scheduler.Evaluations() + l.scheduler.EvaluationBudget()
 	first := slices.IndexFunc(sources, func(m *cluster.Machine) bool { return m.Name == fleet.consolidateFrom })
 	fleet.consolidateFrom = ""
 	for _, source := range sources[max(first, 0):] {
-		if l.passes.evaluations > limit {
+		if l.scheduler.Evaluations() > limit {
 			fleet.consolidateFrom = source.Name // the next call resumes there
 			return
 		}
@@ -56,7 +57,7 @@
 
 // anyPending reports whether tasks wait for room, other than those that fail on every machine.
 func anyPending(candidates []*candidate) bool {
-	return slices.ContainsFunc(candidates, func(c *candidate) bool { return len(c.pending) > 0 && !c.faulty })
+	return slices.ContainsFunc(candidates, func(c *candidate) bool { return len(c.Pending) > 0 && !c.Faulty })
 }
 
 // consolidationTarget is a machine that replicas may move to.
@@ -134,13 +135,19 @@
 		if arrivals.lastJob == nil || !arrivals.Active(l.core.now) {
 			continue
 		}
-		if l.pullTooSlowEverywhere(arrivals.lastJob) {
+		if l.scheduler.PullTooSlowEverywhere(arrivals.lastJob) {
 			return l.core.workerLease()
 		}
 	}
 	return 2 * l.core.heartbeatInterval()
 }
 
+// jobZone names a job in a zone.
+type jobZone struct {
+	job  *cluster.Job
+	zone string
+}
+
 // consolidationPlan finds a machine for each replica of a source, in their order; nil if one of
 // them fits nowhere.
 func (l *leader) consolidationPlan(source *cluster.Machine, targets map[string][]consolidationTarget) []*cluster.Machine {
@@ -176,10 +183,10 @@
 // move; one without a machine if there is none.
 func (p *consolidation) chooseTarget(job *cluster.Job, targets []consolidationTarget) consolidationTarget {
 	size := cluster.TaskSize(&job.Job)
-	zoneBound := p.leader.zoneBound(job)
+	zoneBound := scheduler.ZoneBound(job)
 	var best consolidationTarget
 	var bestFree topology.Resources
-	p.leader.passes.evaluations += len(targets)
+	p.leader.scheduler.AddEvaluations(len(targets))
 	for _, target := range targets {
 		free := target.Free
 		if used, ok := p.planned[target.Bin]; ok {
@@ -205,7 +212,7 @@
 // mayMoveTo reports whether a replica of a job may move to a target, if it fits there.
 func (p *consolidation) mayMoveTo(job *cluster.Job, target consolidationTarget) bool {
 	m := target.machine
-	return m != p.source && isEligible(job, m) && !p.leader.outliers.HasFailures(m.Name) && !p.returnedSoon(target)
+	return m != p.source && scheduler.AllowsMachine(job, m) && !p.leader.outliers.HasFailures(m.Name) && !p.returnedSoon(target)
 }
 
 // zoneCapacity is how many more replicas of a job may move to a zone within its bound.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -123,7 +123,7 @@
 	if c.leader == nil {
 		return 0
 	}
-	return c.leader.passes.evaluations
+	return c.leader.scheduler.Evaluations()
 }
 
 // onTick does what has become due.
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -278,8 +278,8 @@
 	}
 }
 
-// TestPreemptionPriority has a job queue by the rank of its dependent at once, and stop other
-// work by it only once the chain has less time left than the job takes.
+// TestPreemptionPriority orders a job by the priority of its dependent at once, and lets it preempt
+// with that only once the chain has less time left than the job takes.
 func TestPreemptionPriority(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	due := 100.0
@@ -287,15 +287,19 @@
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, func(r *records.Open) {
 		r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
 	})
-	j, urgent := leader.Jobs["job-1"], cluster.PriorityLevel[wire.PriorityUrgent]
-	if j.Level != urgent || leader.preemptionPriority(j) != 0 {
-		t.Errorf("with 50 s to spare of 30: rank %d, stops by %d", j.Level, leader.preemptionPriority(j))
+	only := func() *candidate {
+		candidates := leader.candidates()
+		if len(candidates) != 1 || candidates[0].Job.ID != "job-1" {
+			t.Fatalf("candidates %+v, want job-1", candidates)
+		}
+		return candidates[0]
 	}
-	harness.core.wallClockMS += 25_000
-	if leader.preemptionPriority(j) != urgent {
-		t.Errorf("with 25 s to spare of 30 it stops by %d", leader.preemptionPriority(j))
+	urgent := cluster.PriorityLevel[wire.PriorityUrgent]
+	if c := only(); c.Job.Level != urgent || c.PreemptionPriority != 0 {
+		t.Errorf("with 50 s to spare of 30: level %d, preempts with %d", c.Job.Level, c.PreemptionPriority)
 	}
-	if leader.preemptionPriority(leader.Jobs["job-2"]) != urgent {
-		t.Error("a job's own priority counts at all times")
+	harness.core.wallClockMS += 25_000
+	if c := only(); c.PreemptionPriority != urgent {
+		t.Errorf("with 25 s to spare of 30 it preempts with %d", c.PreemptionPriority)
 	}
 }
--- a/internal/core/dependent_plan.go
+++ b/internal/core/dependent_plan.go
@@ -21,7 +21,7 @@
 		if limit := p.leader.core.operatorSettings.WarmMachines; limit != nil {
 			tasks = tasks[:min(len(tasks), *limit)]
 		}
-		p.packCandidate(&candidate{job: job, pending: tasks}, usage)
+		p.packCandidate(&candidate{Job: job, Pending: tasks}, usage)
 	}
 }
 
--- a/internal/core/huge_array_test.go
+++ b/internal/core/huge_array_test.go
@@ -20,10 +20,10 @@
 	job := addArray(leader, "job-1", "vision", "sweep", 100000, 0)
 	passes := 0
 	for ; job.TasksPlaced < machines*seats; passes++ {
-		placed, before := job.TasksPlaced, leader.passes.evaluations
-		limit := leader.evaluationBudget()
+		placed, before := job.TasksPlaced, leader.scheduler.Evaluations()
+		limit := leader.scheduler.EvaluationBudget()
 		leader.runPlacementPass()
-		if cost := leader.passes.evaluations - before; cost > limit+limit/2 {
+		if cost := leader.scheduler.Evaluations() - before; cost > limit+limit/2 {
 			t.Fatalf("pass %d places %d tasks and costs %d evaluations, of %d", passes, job.TasksPlaced-placed, cost, limit)
 		}
 		if job.TasksPlaced == placed {
@@ -56,7 +56,7 @@
 			_, l := bestEffortLeader(t) // its machines boot in 30 s
 			j := addArray(l, "job-1", "vision", "sweep", test.tasks, 0)
 			j.Shape, j.EstimatedRunS = test.shape, test.estimate
-			if got := l.plannedTasks(&candidate{job: j, pending: j.UnplacedTasks()}); got != test.want {
+			if got := l.plannedTasks(&candidate{Job: j, Pending: j.UnplacedTasks()}); got != test.want {
 				t.Errorf("%d tasks, want %d", got, test.want)
 			}
 		})
--- a/internal/core/image_pull.go
+++ b/internal/core/image_pull.go
@@ -52,34 +52,3 @@
 		l.core.log.Info("image pull order learned", "sequential", evidence.isSequential(), "pulls", evidence.sequential+evidence.parallel)
 	}
 }
-
-// pullTime is how long the pull of a job's image usually takes on a machine, in seconds; 0 if the
-// machine holds it.
-func (l *leader) pullTime(job *cluster.Job, m *cluster.Machine) float64 {
-	t := l.typeOf(m)
-	if t == nil || t.PullGBPerS <= 0 || m.HasImage(job.Image) {
-		return 0
-	}
-	return job.ImageGB / t.PullGBPerS
-}
-
-// pullTooSlow reports whether the pull of a job's image takes more than maxPullS seconds on a
-// machine.
-func (l *leader) pullTooSlow(job *cluster.Job, m *cluster.Machine, maxPullS float64) bool {
-	t := l.core.machineTypes[m.TypeName]
-	return !m.HasImage(job.Image) && t != nil && job.ImageGB > maxPullS*t.PullGBPerS
-}
-
-// pullTooSlowEverywhere reports whether the pull of a job's image puts its wait at risk on every
-// type of machine that the job may use.
-func (l *leader) pullTooSlowEverywhere(job *cluster.Job) bool {
-	maxPullS := l.core.maxPullTime(job.Class)
-	size := cluster.TaskSize(&job.Job)
-	for _, t := range l.core.machineTypes {
-		fits := emptyOrContains(job.MachineTypes, t.Name) && cluster.TypeCapacity(t).Holds(size)
-		if fits && job.ImageGB <= maxPullS*t.PullGBPerS {
-			return false
-		}
-	}
-	return true
-}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -10,6 +10,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 	"github.com/brookwalk/brookwalk/internal/core/outlier"
 	"github.com/brookwalk/brookwalk/internal/core/persistence"
+	"github.com/brookwalk/brookwalk/internal/core/scheduler"
 	"github.com/brookwalk/brookwalk/internal/quota"
 	"github.com/brookwalk/brookwalk/internal/quota/balance"
 	"github.com/brookwalk/brookwalk/wire"
@@ -44,6 +45,7 @@
 	pullStatistics pullEvidence
 
 	// Scheduling and quotas.
+	scheduler       *scheduler.Scheduler
 	passes          passState
 	teamUsage       teamUsage
 	bestEffortTeams map[string]bool // teams without a guarantee beside teams with one
@@ -75,7 +77,7 @@
 		dependencies:          depgraph.New(),
 		lookups:               dependencyLookups{dueAt: map[string]time.Duration{}},
 		dependencyLists:       dependencyLists{unread: map[string]time.Duration{}},
-		bestEffortTeams:       c.bestEffortTeams(),
+		bestEffortTeams:       scheduler.BestEffortTeams(c.settings.Deployment.Teams),
 		arrivalsByClass:       map[string]*classArrivals{},
 		runTimesByClass:       map[string]*forecast.RunTimes{},
 		fleet:                 newFleet(),
@@ -84,6 +86,7 @@
 		provisioningLatencies: bootlatency.New(),
 	}
 	host := persistenceHost{l}
+	l.scheduler = scheduler.New(&l.State, schedulerHost{l}, &c.settings.Deployment, l.outliers, c.log)
 	l.writer = persistence.NewWriter(c.store, &l.State, host, &c.settings.Deployment, l.termCondition(), c.log)
 	l.loader = persistence.NewLoader(c.store, &l.State, host, l.writer, c.log)
 	return l
--- a/internal/core/regions.go
+++ b/internal/core/regions.go
@@ -122,19 +122,19 @@
 
 // recordShortage notes that n of a candidate's tasks wait for the share alone.
 func (d *regionDemand) recordShortage(candidate *candidate, tasks int) {
-	if d == nil || !d.l.sharesLimit(candidate.job.Team) || tasks < 1 {
+	if d == nil || !d.l.sharesLimit(candidate.Job.Team) || tasks < 1 {
 		return
 	}
-	demand := d.byTeam[candidate.job.Team]
-	need := amount.OfResources(cluster.Scaled(cluster.TaskSize(&candidate.job.Job), tasks))
+	demand := d.byTeam[candidate.Job.Team]
+	need := amount.OfResources(cluster.Scaled(cluster.TaskSize(&candidate.Job.Job), tasks))
 	switch {
-	case candidate.job.Shape != wire.ShapeGang:
+	case candidate.Job.Shape != wire.ShapeGang:
 		demand.Shortfall = demand.Shortfall.Add(need)
-		demand.Priority = max(demand.Priority, candidate.job.Level)
+		demand.Priority = max(demand.Priority, candidate.Job.Level)
 	case demand.Gang.IsZero():
-		demand.Gang, demand.GangPriority = need, candidate.job.Level
+		demand.Gang, demand.GangPriority = need, candidate.Job.Level
 	}
-	d.byTeam[candidate.job.Team] = demand
+	d.byTeam[candidate.Job.Team] = demand
 }
 
 // finish takes over what was found: planned is by team what tasks use or have room for.
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -22,9 +22,9 @@
 // candidateTaskSpec is what a waiting task of a candidate asks of a machine. Guests' tasks
 // have no dear machine rented or kept.
 func (l *leader) candidateTaskSpec(c *candidate) provisioning.TaskSpec {
-	spec := taskSpecOf(c.job, false)
-	if c.bestEffort {
-		spec.MachineTypes = strings.Join(l.cheapTypes(&c.job.Job), ",")
+	spec := taskSpecOf(c.Job, false)
+	if c.BestEffort {
+		spec.MachineTypes = strings.Join(l.cheapTypes(&c.Job.Job), ",")
 	}
 	return spec
 }
@@ -79,15 +79,15 @@
 // plannedTasks is for how many of a candidate's waiting tasks a plan rents: all of a
 // service or a gang, as large as the fleet may be.
 func (l *leader) plannedTasks(c *candidate) int {
-	pending := len(c.pending)
-	if c.job.Shape != wire.ShapeArray || pending <= minPlannedTasks {
+	pending := len(c.Pending)
+	if c.Job.Shape != wire.ShapeArray || pending <= minPlannedTasks {
 		return pending
 	}
-	boot, _, ok := l.leadTime(c.job)
+	boot, _, ok := l.leadTime(c.Job)
 	if !ok || boot <= 0 {
 		return pending
 	}
-	slots := math.Ceil(float64(pending) * l.runEstimate(c.job) / (bootsOfWorkPerSlot * boot))
+	slots := math.Ceil(float64(pending) * l.runEstimate(c.Job) / (bootsOfWorkPerSlot * boot))
 	return min(pending, max(minPlannedTasks, int(slots)))
 }
 
@@ -100,7 +100,7 @@
 	plan.demand.finish(planned)
 	plan.packDependents(planned)
 	plan.packForecast()
-	l.passes.evaluations += plan.Evaluations()
+	l.scheduler.AddEvaluations(plan.Evaluations())
 	l.consolidate(plan.Bins(), candidates)
 	l.fleet.keptIdle = plan.usedMachines()
 	plan.logKeptMachines()
@@ -134,8 +134,8 @@
 // them to the teams' usage.
 func (p *scaleOutPlan) packPending(candidates []*candidate, usage map[string]topology.Resources) {
 	for _, c := range candidates {
-		if c.faulty {
-			p.leader.logWait(c.job, cluster.WaitFaulty)
+		if c.Faulty {
+			p.leader.logWait(c.Job, cluster.WaitFaulty)
 			continue
 		}
 		p.packCandidate(c, usage)
@@ -144,10 +144,10 @@
 
 // packCandidate packs a candidate's tasks and adds them to their team's usage.
 func (p *scaleOutPlan) packCandidate(c *candidate, usage map[string]topology.Resources) {
-	l, j := p.leader, c.job
+	l, j := p.leader, c.Job
 	// Room that is being made for it is not rented as well, also where the
 	// pass did not come to it.
-	c.reserved = max(c.reserved, l.reservedTasks(j))
+	c.Reserved = max(c.Reserved, l.reservedTasks(j))
 	packed := map[string]int{} // by zone
 	spec, purpose := l.candidateTaskSpec(c), binPurpose(j, false)
 	zoneAllowed := p.allowedZones(c, &spec, packed)
@@ -156,12 +156,12 @@
 	used := usage[j.Team]
 	defer func() { usage[j.Team] = used }()
 	var preemptible topology.Resources
-	if c.preemptionPriority > 0 && !limit.Allows(used, spec.Resources, len(c.pending)) {
+	if c.PreemptionPriority > 0 && !limit.Allows(used, spec.Resources, len(c.Pending)) {
 		// What its team runs of lower priorities makes way within the limit, but
 		// only where there is a machine to start on.
-		preemptible = p.preemptibleUsage(j.Team, c.preemptionPriority)
+		preemptible = p.preemptibleUsage(j.Team, c.PreemptionPriority)
 	}
-	wanted := l.plannedTasks(c) - c.reserved
+	wanted := l.plannedTasks(c) - c.Reserved
 	if p.demand != nil && j.Shape == wire.ShapeGang && !limit.Allows(used.Sub(preemptible), spec.Resources, wanted) {
 		// A part of it would keep shares from others without any use.
 		p.demand.recordShortage(c, wanted)
@@ -184,7 +184,7 @@
 	switch {
 	case last != nil:
 		l.logWait(j, cluster.WaitForMachines)
-	case c.reserved > 0:
+	case c.Reserved > 0:
 		l.logWait(j, cluster.WaitForPreemption)
 	}
 }
@@ -203,9 +203,9 @@
 // allowedZones tells in which zones the next task of a candidate may be packed, by
 // how many of its tasks the plan has packed in each zone; nil for all zones.
 func (p *scaleOutPlan) allowedZones(c *candidate, spec *provisioning.TaskSpec, packed map[string]int) func(string) bool {
-	j := c.job
-	if j.OneZone && j.TasksPlaced == 0 && c.reserved == 0 {
-		only := p.ChooseZone(spec, len(c.pending))
+	j := c.Job
+	if j.OneZone && j.TasksPlaced == 0 && c.Reserved == 0 {
+		only := p.ChooseZone(spec, len(c.Pending))
 		return func(zone string) bool { return zone == only }
 	}
 	zoneRoom := p.leader.zoneBound(j)
--- a/internal/core/scale_out_plan_test.go
+++ b/internal/core/scale_out_plan_test.go
@@ -15,9 +15,9 @@
 // pendingCandidate is a job of team vision whose tasks all wait for room.
 func pendingCandidate(spec wire.Job, tasks int) *candidate {
 	spec.Team = "vision"
-	c := &candidate{job: &cluster.Job{Job: spec, TaskStates: make([]cluster.Task, tasks)}}
+	c := &candidate{Job: &cluster.Job{Job: spec, TaskStates: make([]cluster.Task, tasks)}}
 	for i := range tasks {
-		c.pending = append(c.pending, i)
+		c.Pending = append(c.Pending, i)
 	}
 	return c
 }
@@ -110,8 +110,8 @@
 			setUp: func(l *leader) { bootingMachine(l, "n-1", "large", "a"); bootingMachine(l, "n-2", "large", "a") },
 			cands: []*candidate{func() *candidate {
 				c := pendingCandidate(wire.Job{CPUs: 2, MemGB: 1, OneZone: true}, 3)
-				c.job.TaskStates[0] = cluster.Task{Machine: &cluster.Machine{}, Zone: "b"}
-				c.job.TasksPlaced, c.pending = 1, c.pending[1:]
+				c.Job.TaskStates[0] = cluster.Task{Machine: &cluster.Machine{}, Zone: "b"}
+				c.Job.TasksPlaced, c.Pending = 1, c.Pending[1:]
 				return c
 			}()},
 			want: []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
@@ -175,7 +175,7 @@
 			name: "a job that fails everywhere",
 			cands: []*candidate{func() *candidate {
 				c := pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)
-				c.faulty = true
+				c.Faulty = true
 				return c
 			}()},
 		},
--- a/internal/core/defragmentation.go
+++ b/internal/core/scheduler/defragmentation.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"slices"
@@ -26,16 +26,16 @@
 
 // defragmentFor makes room for a gang whose start is overdue, if no machine can be provisioned for
 // it.
-func (p *placementPass) defragmentFor(candidate *candidate) {
-	leader, job := p.leader, candidate.job
-	if job.Shape != wire.ShapeGang || !candidate.cannotProvision || candidate.reserved > 0 {
+func (p *pass) defragmentFor(candidate *Candidate) {
+	job := candidate.Job
+	if job.Shape != wire.ShapeGang || !candidate.cannotProvision || candidate.Reserved > 0 {
 		return
 	}
-	if !leader.startOverdue(job) || leader.preemptionTarget(candidate, p.usage) == 0 {
+	if !p.startOverdue(job) || p.preemptionTarget(candidate, p.usage) == 0 {
 		return
 	}
 	var best []gangSlot
-	for _, zone := range leader.usableZones() {
+	for _, zone := range p.usableZones() {
 		slots := p.gangSlots(candidate, zone)
 		if slots != nil && (best == nil || countMoves(slots) < countMoves(best)) {
 			best = slots
@@ -47,8 +47,8 @@
 }
 
 // freeSlots moves and stops what runs in the slots of a gang, and reserves their machines.
-func (p *placementPass) freeSlots(candidate *candidate, gangSlots []gangSlot) {
-	leader, job := p.leader, candidate.job
+func (p *pass) freeSlots(candidate *Candidate, gangSlots []gangSlot) {
+	job := candidate.Job
 	var slots []slot
 	for _, s := range gangSlots {
 		p.moveReplicas(s.moves)
@@ -58,8 +58,8 @@
 		}
 		slots = append(slots, freed)
 	}
-	candidate.reserved = len(slots)
-	leader.reserve(job, leader.machinesOfSlots(slots), leader.stopVictims(job, slots))
+	candidate.Reserved = len(slots)
+	p.reserve(job, p.machinesOfSlots(slots), p.stopVictims(job, slots))
 }
 
 // countMoves counts the replicas that move.
@@ -73,8 +73,8 @@
 
 // gangSlots finds a machine of a zone for each task of a gang, those with the fewest tasks first;
 // nil if there are not enough.
-func (p *placementPass) gangSlots(candidate *candidate, zone string) []gangSlot {
-	machines := p.defragmentable(candidate.job, zone)
+func (p *pass) gangSlots(candidate *Candidate, zone string) []gangSlot {
+	machines := p.defragmentable(candidate.Job, zone)
 	plan := &defragmentation{
 		pass:        p,
 		candidate:   candidate,
@@ -84,16 +84,16 @@
 	}
 	defer plan.rollBack()
 	// The machines that are tried first are no targets of moves.
-	for _, m := range machines[:min(len(candidate.pending), len(machines))] {
+	for _, m := range machines[:min(len(candidate.Pending), len(machines))] {
 		plan.emptied[m] = true
 	}
 	for _, m := range machines {
-		if len(plan.slots) == len(candidate.pending) || p.leader.passes.evaluations > p.evaluationLimit {
+		if len(plan.slots) == len(candidate.Pending) || p.evaluations > p.evaluationLimit {
 			break
 		}
 		plan.tryMachine(m)
 	}
-	if len(plan.slots) < len(candidate.pending) {
+	if len(plan.slots) < len(candidate.Pending) {
 		return nil
 	}
 	return plan.slots
@@ -101,11 +101,10 @@
 
 // defragmentable lists the machines of a zone that a job's tasks may use, those with the fewest
 // tasks first.
-func (p *placementPass) defragmentable(job *cluster.Job, zone string) []*cluster.Machine {
-	leader := p.leader
+func (p *pass) defragmentable(job *cluster.Job, zone string) []*cluster.Machine {
 	var machines []*cluster.Machine
-	for _, m := range leader.passes.machines {
-		if m.Zone == zone && leader.isFeasible(job, m) && !leader.isReserved(m) {
+	for _, m := range p.machines {
+		if m.Zone == zone && p.isFeasible(job, m) && !p.isReserved(m) {
 			machines = append(machines, m)
 		}
 	}
@@ -116,8 +115,8 @@
 // defragmentation is an attempt to find all machines of a gang in a zone. Moves that it plans are
 // subtracted from the free capacity of the pass's tree until rollBack.
 type defragmentation struct {
-	pass        *placementPass
-	candidate   *candidate
+	pass        *pass
+	candidate   *Candidate
 	slots       []gangSlot
 	targets     map[*cluster.Machine]*cluster.Job // machines that replicas move to, and whose replicas
 	movedToZone map[jobZone]int                   // replicas of a job that move to a zone
@@ -135,8 +134,8 @@
 	if d.targets[machine] != nil {
 		return
 	}
-	needed := cluster.TaskSize(&d.candidate.job.Job)
-	free := d.pass.leader.freeCapacity(machine)
+	needed := cluster.TaskSize(&d.candidate.Job.Job)
+	free := d.pass.freeCapacity(machine)
 	slot := gangSlot{machine: machine}
 	d.emptied[machine] = true
 	for _, ref := range machine.Placements {
@@ -164,7 +163,7 @@
 	case ref.Job.Shape != wire.ShapeGang && mayPreempt(d.candidate, ref.Job):
 		slot.stops = append(slot.stops, ref)
 		return true
-	case len(slot.moves) == maxMovesPerSlot || !d.pass.leader.isMovable(ref):
+	case len(slot.moves) == maxMovesPerSlot || !d.pass.isMovable(ref):
 		return false
 	}
 	target := d.chooseTarget(ref, slot.machine)
@@ -215,5 +214,5 @@
 
 // machineOf is the machine that a leaf represents.
 func (d *defragmentation) machineOf(leaf *topology.Machine) *cluster.Machine {
-	return d.pass.leader.passes.machines[leaf.Index]
+	return d.pass.machines[leaf.Index]
 }
--- a/internal/core/defragmentation_test.go
+++ b/internal/core/scheduler/defragmentation_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"cmp"
@@ -7,26 +7,24 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
-	"github.com/brookwalk/brookwalk/internal/core/cluster"
-	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// defragmentationCase is a fleet with room for a gang that lies scattered.
+// defragmentationCase is a fleet with fragmented room for a gang.
 type defragmentationCase struct {
 	name     string
 	machines []cachedMachine
 	running  []runningJob
 	job      wire.Job
 	waited   time.Duration // three minutes if 0
-	rentable bool          // machines can be rented
+	offered  bool          // the cloud has machines
 	limit    float64       // GPUs that the gang's team may use; 100 if 0
 	want     []string      // tasks that move or stop
-	reserved []string      // machines kept for the gang
+	reserved []string      // machines reserved for the gang
 }
 
-// A gang of whole machines never began: replicas lay scattered over all machines
-// that the cloud had (TestOneType in package sim, seed 474).
+// A gang of whole machines never started: replicas were spread over all machines that the
+// cloud had (TestOneType in package sim, seed 474).
 func TestDefragmentForGang(t *testing.T) {
 	service := func(id string, gpus float64, tasks int) wire.Job {
 		return wire.Job{ID: id, Team: "desk", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: tasks, GPUs: gpus, MemGB: 1, Image: "x", ImageGB: 1}
@@ -56,10 +54,10 @@
 			want:    []string{"job-3/0"}, reserved: []string{"n-3", "n-4"},
 		},
 		{name: "not before it has waited long", machines: four, running: scattered, job: gang, waited: time.Minute},
-		{name: "not while machines can be rented", machines: four, running: scattered, job: gang, rentable: true},
+		{name: "not while machines can be provisioned", machines: four, running: scattered, job: gang, offered: true},
 		{name: "not at the team's limit", machines: four, running: scattered, job: gang, limit: 7},
 		{
-			name: "not one that has not settled", machines: four, job: gang,
+			name: "not a replica that has just started", machines: four, job: gang,
 			running: []runningJob{fixed("job-1", "n-1"), fixed("job-3", "n-3")},
 		},
 		{
@@ -72,17 +70,17 @@
 			running: []runningJob{one("job-1", "n-1"), one("job-2", "n-2")},
 		},
 		{
-			name: "nobody where only one task would find room", job: gang,
+			name: "nothing where only one task would find room", job: gang,
 			machines: append(slices.Clone(four[:2]), cachedMachine{"n-5", "c", imageX}),
 			running:  []runningJob{one("job-1", "n-1"), fixed("job-2", "n-2"), fixed("job-3", "n-5")},
 		},
 		{
-			name: "lower priorities stop beside them", job: gang, machines: four,
+			name: "lower priorities are preempted beside them", job: gang, machines: four,
 			running: []runningJob{one("job-1", "n-1"), fixed("job-3", "n-3"), fixed("job-4", "n-4"), {Job: idle, on: []string{"n-2"}}},
 			want:    []string{"job-1/0", "job-5/0"}, reserved: []string{"n-1", "n-2"},
 		},
 		{
-			name: "no more than so many for one task", job: with(gang, func(j *wire.Job) { j.Tasks, j.GPUs = 1, 8 }),
+			name: "no more than maxMovesPerSlot for one task", job: with(gang, func(j *wire.Job) { j.Tasks, j.GPUs = 1, 8 }),
 			machines: []cachedMachine{{"n-1", "a", imageX}, {"n-2", "a", imageX}, {"n-3", "a", imageX}, {"n-4", "a", imageX}, {"n-5", "a", imageX}, {"n-6", "a", imageX}},
 			running: []runningJob{
 				one("job-1", "n-1"), one("job-2", "n-1"), one("job-3", "n-1"), one("job-4", "n-1"), one("job-5", "n-1"),
@@ -119,26 +117,21 @@
 }
 
 func (tc *defragmentationCase) run(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
-		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "desk", GPUsMax: 100}}
-	})
 	machineType := wire.MachineType{Name: "g", CPUs: 16, GPUs: max(4, tc.job.GPUs), MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4}
-	if tc.rentable {
+	if tc.offered {
 		machineType.Zones = []string{"a", "b"}
 	}
-	harness.core.machineTypes = map[string]*wire.MachineType{"g": &machineType}
-	harness.core.now = 1000 * time.Second
-	idleMachines(leader, tc.machines, "g", 1)
-	running := bindRunning(leader, tc.running)
-	j := cluster.NewJob(records.Open{Job: tc.job}, 2)
-	leader.writer.InitPlacementRecords(j)
-	j.WaitingSinceMS = leader.core.wallClockMS - cmp.Or(tc.waited, 3*time.Minute).Milliseconds()
-	c := &candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level}
-	leader.newPlacementPass().placeCandidate(c)
+	h := newHarness(t, map[string]*wire.MachineType{"g": &machineType},
+		[]config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "desk", GPUsMax: 100}})
+	h.addCachedMachines(tc.machines, "g", 1)
+	running := h.addRunning(tc.running)
+	job := h.addJob(tc.job)
+	job.WaitingSinceMS -= cmp.Or(tc.waited, 3*time.Minute).Milliseconds()
+	h.place(job)
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) {
 		t.Errorf("%q move or stop, want %q", stopped, tc.want)
 	}
-	if reserved := reservedMachines(leader, j); !slices.Equal(reserved, tc.reserved) {
-		t.Errorf("kept %q, want %q", reserved, tc.reserved)
+	if reserved := h.reservedMachines(job); !slices.Equal(reserved, tc.reserved) {
+		t.Errorf("reserved %q, want %q", reserved, tc.reserved)
 	}
 }
--- a/internal/core/equivalence_class.go
+++ b/internal/core/scheduler/equivalence_class.go
@@ -1,7 +1,6 @@
-package core
+package scheduler
 
 import (
-	"slices"
 	"strings"
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
@@ -10,8 +9,8 @@
 )
 
 // equivalenceClass is the class of candidates that find room where a candidate does.
-func equivalenceClass(c *candidate) placement.EquivalenceClass {
-	job := c.job
+func equivalenceClass(c *Candidate) placement.EquivalenceClass {
+	job := c.Job
 	class := placement.EquivalenceClass{
 		Requirements: placement.Requirements{
 			Size:  cluster.TaskSize(&job.Job),
@@ -19,19 +18,14 @@
 			Zone:  job.Zone,
 			Spot:  job.AllowSpot,
 		},
-		Priority:    c.preemptionPriority,
-		WithinQuota: c.withinQuota,
+		Priority:    c.PreemptionPriority,
+		WithinQuota: c.WithinQuota,
 		Team:        job.Team,
 	}
 	if job.Shape == wire.ShapeGang {
-		class.GangTasks, class.OneZone = len(c.pending), job.OneZone
+		class.GangTasks, class.OneZone = len(c.Pending), job.OneZone
 	} else if job.OneZone {
 		class.Zone = job.ID // in a class of its own: bound to the zone of its other tasks
 	}
 	return class
 }
-
-// emptyOrContains reports whether a list names something; an empty list names all.
-func emptyOrContains(list []string, name string) bool {
-	return len(list) == 0 || slices.Contains(list, name)
-}
--- a/internal/core/machine_filter.go
+++ b/internal/core/scheduler/filter.go
@@ -1,13 +1,15 @@
-package core
+package scheduler
 
 import (
+	"slices"
+
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// zoneBound returns how many more tasks of a job each zone may take, counting every task that
+// ZoneBound returns how many more tasks of a job each zone may take, counting every task that
 // has not certainly terminated; nil if nothing bounds it.
-func (l *leader) zoneBound(job *cluster.Job) func(zone string) int {
+func ZoneBound(job *cluster.Job) func(zone string) int {
 	if !job.SpreadZones && !job.OneZone {
 		return nil
 	}
@@ -29,44 +31,50 @@
 	}
 }
 
-// eligible reports whether a job's tasks may be on a machine of a type, zone and kind.
-func eligible(job *wire.Job, machineType, zone string, spot bool) bool {
-	return emptyOrContains(job.MachineTypes, machineType) && (job.Zone == "" || job.Zone == zone) && (!spot || job.AllowSpot)
+// AllowsType reports whether a job's tasks may be on machines of a type.
+func AllowsType(job *wire.Job, machineType string) bool {
+	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)
+}
+
+// Allows reports whether a job's tasks may be on a machine of a type, in a zone, and on a spot
+// machine if it is one.
+func Allows(job *wire.Job, machineType, zone string, spot bool) bool {
+	return AllowsType(job, machineType) && (job.Zone == "" || job.Zone == zone) && (!spot || job.AllowSpot)
 }
 
-// isEligible reports whether a job's tasks may be on a machine of this kind.
-func isEligible(job *cluster.Job, m *cluster.Machine) bool {
-	return eligible(&job.Job, m.TypeName, m.Zone, m.Spot)
+// AllowsMachine reports whether a job's tasks may be on a machine of this type, zone and kind.
+func AllowsMachine(job *cluster.Job, m *cluster.Machine) bool {
+	return Allows(&job.Job, m.TypeName, m.Zone, m.Spot)
 }
 
 // isReserved reports whether a machine is reserved for a job now.
-func (l *leader) isReserved(m *cluster.Machine) bool {
-	return m.ReservedFor != nil && l.core.now < m.ReservedUntil
+func (s *Scheduler) isReserved(m *cluster.Machine) bool {
+	return m.ReservedFor != nil && s.host.Now() < m.ReservedUntil
 }
 
 // isFeasible reports whether a machine may take a job's tasks, however little of it is free.
-func (l *leader) isFeasible(job *cluster.Job, m *cluster.Machine) bool {
-	return l.usable(m) && isEligible(job, m) && !l.avoids(job, m)
+func (s *Scheduler) isFeasible(job *cluster.Job, m *cluster.Machine) bool {
+	return s.host.Usable(m) && AllowsMachine(job, m) && !s.avoids(job, m)
 }
 
 // passesFilters reports whether a usable machine may take a job's tasks, if they fit. The pull
 // of its image may take maxPullS seconds.
-func (l *leader) passesFilters(job *cluster.Job, m *cluster.Machine, policy imagePolicy, maxPullS float64) bool {
-	if !isEligible(job, m) || l.avoids(job, m) || m.TaskRowsLeft() < 1 {
+func (s *Scheduler) passesFilters(job *cluster.Job, m *cluster.Machine, policy imagePolicy, maxPullS float64) bool {
+	if !AllowsMachine(job, m) || s.avoids(job, m) || m.TaskRowsLeft() < 1 {
 		return false
 	}
-	if l.isReserved(m) {
+	if s.isReserved(m) {
 		// A reserved machine is used though the image comes late there: otherwise the
 		// job waited for three heartbeats, until the reservation ended.
 		return m.ReservedFor == job
 	}
-	return policy == anyPullTime || !l.pullTooSlow(job, m, maxPullS)
+	return policy == anyPullTime || !s.pullTooSlow(job, m, maxPullS)
 }
 
 // avoids keeps a job away from machines on which it failed, until it has failed on so many that
 // the job is the likelier cause.
-func (l *leader) avoids(job *cluster.Job, m *cluster.Machine) bool {
-	return l.outliers.FailedOn(job.ID, m.Name) && !l.outliers.JobFaulty(job.ID)
+func (s *Scheduler) avoids(job *cluster.Job, m *cluster.Machine) bool {
+	return s.outliers.FailedOn(job.ID, m.Name) && !s.outliers.JobFaulty(job.ID)
 }
 
 // Penalties of machines for a task: the machine with the lowest sum is preferred.
@@ -81,19 +89,19 @@
 // machinePenalty scores a machine for a job's tasks: one on which tasks fail comes last, one
 // that holds the image first. Of the others, those come first that pull fewer images, if pulls
 // are sequential.
-func (l *leader) machinePenalty(job *cluster.Job, m *cluster.Machine, maxPullS float64) int {
+func (s *Scheduler) machinePenalty(job *cluster.Job, m *cluster.Machine, maxPullS float64) int {
 	penalty := 0
-	if l.outliers.HasFailures(m.Name) {
+	if s.outliers.HasFailures(m.Name) {
 		penalty = penaltyFailures
 	}
 	if m.HasImage(job.Image) {
 		return penalty
 	}
 	penalty += penaltyImagePull
-	if l.pullStatistics.isSequential() {
+	if s.host.PullsAreSequential() {
 		penalty += min(m.PullsAhead(job.Image), maxPenaltyPulls)
 	}
-	if l.pullTooSlow(job, m, maxPullS) {
+	if s.pullTooSlow(job, m, maxPullS) {
 		penalty += penaltySlowPull
 	}
 	return penalty
--- a/internal/core/gang_pull.go
+++ b/internal/core/scheduler/gang_pull.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
@@ -9,30 +9,30 @@
 // gangWaitExceeded reports whether a gang would fail on machines before it starts: tasks whose
 // image is cached wait for those that pull it, and give up after gang_wait_s. The failure ends the
 // pulls as well, so the next attempt fared no better.
-func (l *leader) gangWaitExceeded(job *cluster.Job, machines []*cluster.Machine) bool {
+func (s *Scheduler) gangWaitExceeded(job *cluster.Job, machines []*cluster.Machine) bool {
 	if job.Shape != wire.ShapeGang {
 		return false
 	}
 	cached, longest := 0, 0.0
 	for _, m := range machines {
-		pull := l.pullTime(job, m)
+		pull := s.pullTime(job, m)
 		if pull == 0 {
 			cached++
 		}
 		longest = max(longest, pull)
 	}
-	return cached > 0 && longest*slowestPullFactor > l.core.settings.Deployment.Workers.GangWaitS
+	return cached > 0 && longest*slowestPullFactor > s.deployment.Workers.GangWaitS
 }
 
 // placePullingTogether moves a gang from leaves on which it would exceed gang_wait_s to machines
 // all of which have to pull its image, if there are any; else it returns the leaves.
-func (l *leader) placePullingTogether(tree *topology.Tree, request topology.Request, job *cluster.Job, leaves []*topology.Machine) []*topology.Machine {
+func (s *Scheduler) placePullingTogether(tree *topology.Tree, request topology.Request, job *cluster.Job, leaves []*topology.Machine) []*topology.Machine {
 	for _, leaf := range leaves {
 		tree.Give(leaf, request.Task)
 	}
 	allowed := request.Allowed
 	request.Allowed = func(leaf *topology.Machine) bool {
-		return allowed(leaf) && !l.passes.machines[leaf.Index].HasImage(job.Image)
+		return allowed(leaf) && !s.machines[leaf.Index].HasImage(job.Image)
 	}
 	if together := tree.Place(request); together != nil {
 		return together
--- a/internal/core/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
@@ -23,14 +23,14 @@
 const machinesPerPreemption = 40
 
 // preemptionLimit is for how many of a candidate's tasks a pass may preempt others.
-func (l *leader) preemptionLimit(c *candidate) int {
-	if c.withinQuota || c.job.Shape == wire.ShapeGang {
-		return len(c.pending)
+func (s *Scheduler) preemptionLimit(c *Candidate) int {
+	if c.WithinQuota || c.Job.Shape == wire.ShapeGang {
+		return len(c.Pending)
 	}
-	return min(len(c.pending), max(maxPreemptionsPerPass, len(l.MachinesByName)/machinesPerPreemption))
+	return min(len(c.Pending), max(maxPreemptionsPerPass, len(s.state.MachinesByName)/machinesPerPreemption))
 }
 
-// preempt makes room for tasks of a candidate that no machine holds. It stops work of lower
+// preemptFor makes room for tasks of a candidate that no machine holds. It stops work of lower
 // priority, and, for a job within quota, work of other teams beyond theirs. A gang gets all of
 // its room in one domain, at the least cost, or nothing is stopped for it. The machines are
 // reserved for the job until the room is there.
@@ -40,46 +40,46 @@
 //
 // It reports whether no machine runs anything that may be stopped, wherever the other tasks of
 // the job are.
-func (l *leader) preempt(candidate *candidate, usage map[string]topology.Resources, policy imagePolicy) (noVictims bool) {
-	job := candidate.job
-	if candidate.reserved = l.reservedTasks(job); candidate.reserved > 0 {
+func (s *Scheduler) preemptFor(candidate *Candidate, usage map[string]topology.Resources, policy imagePolicy) (noVictims bool) {
+	job := candidate.Job
+	if candidate.Reserved = s.ReservedTasks(job); candidate.Reserved > 0 {
 		return false
 	}
-	if candidate.preemptionPriority == 0 && !candidate.withinQuota {
+	if candidate.PreemptionPriority == 0 && !candidate.WithinQuota {
 		return true
 	}
-	candidate.cannotProvision = !l.anyOfferFor(&job.Job)
-	wanted := l.preemptionTarget(candidate, usage)
+	candidate.cannotProvision = !s.host.AnyOfferFor(&job.Job)
+	wanted := s.preemptionTarget(candidate, usage)
 	if wanted == 0 {
-		if policy == anyPullTime && candidate.preemptionPriority > 0 {
-			return l.preemptWithinLimit(candidate, usage[job.Team])
+		if policy == anyPullTime && candidate.PreemptionPriority > 0 {
+			return s.preemptWithinLimit(candidate, usage[job.Team])
 		}
 		return false
 	}
-	if !l.canPreemptAnywhere(candidate) {
+	if !s.canPreemptAnywhere(candidate) {
 		return true
 	}
-	slots := l.chooseSlots(candidate, wanted, policy)
+	slots := s.chooseSlots(candidate, wanted, policy)
 	if len(slots) == 0 || job.Shape == wire.ShapeGang && len(slots) < wanted {
 		return false
 	}
-	candidate.reserved = len(slots)
-	l.reserve(job, l.machinesOfSlots(slots), l.stopVictims(job, slots))
+	candidate.Reserved = len(slots)
+	s.reserve(job, s.machinesOfSlots(slots), s.stopVictims(job, slots))
 	return false
 }
 
 // preemptionTarget is for how many of a candidate's tasks room is to be made, within its team's
 // limit.
-func (l *leader) preemptionTarget(candidate *candidate, usage map[string]topology.Resources) int {
-	job := candidate.job
-	limit, size := l.limit(job.Team), cluster.TaskSize(&job.Job)
+func (s *Scheduler) preemptionTarget(candidate *Candidate, usage map[string]topology.Resources) int {
+	job := candidate.Job
+	limit, size := s.host.Limit(job.Team), cluster.TaskSize(&job.Job)
 	if job.Shape == wire.ShapeGang {
-		if !limit.Allows(usage[job.Team], size, len(candidate.pending)) {
+		if !limit.Allows(usage[job.Team], size, len(candidate.Pending)) {
 			return 0
 		}
-		return len(candidate.pending)
+		return len(candidate.Pending)
 	}
-	wanted := l.preemptionLimit(candidate)
+	wanted := s.preemptionLimit(candidate)
 	for wanted > 0 && !limit.Allows(usage[job.Team], size, wanted) {
 		wanted--
 	}
@@ -88,36 +88,34 @@
 
 // stopVictims stops the victims of slots for a job, and returns the longest time that one of them
 // gets to save a checkpoint, in seconds.
-func (l *leader) stopVictims(job *cluster.Job, slots []slot) float64 {
+func (s *Scheduler) stopVictims(job *cluster.Job, slots []slot) float64 {
 	longest := 0.0
 	for _, slot := range slots {
-		machine := l.Machines[slot.Machine]
+		machine := s.state.Machines[slot.Machine]
 		for i := range slot.Victims {
 			ref := &slot.Victims[i].Task
-			grace := l.preemptionGrace(job, machine, ref.Job)
+			grace := s.preemptionGrace(job, machine, ref.Job)
 			longest = max(longest, grace)
-			l.core.log.Info("task preempted", "task", ref.Name, "machine", slot.Machine, "for", job.ID, "grace_s", grace)
-			l.stopVictim(*ref, grace)
+			s.log.Info("task preempted", "task", ref.Name, "machine", slot.Machine, "for", job.ID, "grace_s", grace)
+			s.stopVictim(*ref, grace)
 		}
 	}
 	return longest
 }
 
 // stopVictim stops a task, or all of its gang, with a grace period in seconds.
-func (l *leader) stopVictim(ref cluster.TaskReference, grace float64) {
+func (s *Scheduler) stopVictim(ref cluster.TaskReference, graceS float64) {
 	if ref.Job.Shape == wire.ShapeGang {
 		ref.Job.GangPreemptions++
-		l.stopGang(ref.Job, grace, stopPreempted)
-		return
 	}
-	l.stopTask(ref.Job, ref.Index, grace, stopPreempted)
+	s.host.Preempt(ref, graceS)
 }
 
 // machinesOfSlots lists the machines of slots, in their order.
-func (l *leader) machinesOfSlots(slots []slot) []*cluster.Machine {
+func (s *Scheduler) machinesOfSlots(slots []slot) []*cluster.Machine {
 	machines := make([]*cluster.Machine, len(slots))
 	for i := range slots {
-		machines[i] = l.Machines[slots[i].Machine]
+		machines[i] = s.state.Machines[slots[i].Machine]
 	}
 	return machines
 }
@@ -126,26 +124,26 @@
 // priority, or, if the candidate is within quota, because another team runs them beyond its own.
 // In the second case only work of the same priority that saves checkpoints is stopped; the
 // protocol would allow any.
-func mayPreempt(c *candidate, victim *cluster.Job) bool {
-	if c.ownTeamOnly && victim.Team != c.job.Team {
+func mayPreempt(c *Candidate, victim *cluster.Job) bool {
+	if c.ownTeamOnly && victim.Team != c.Job.Team {
 		return false
 	}
 	if victim.Shape == wire.ShapeGang && !c.cannotProvision && !worthPreemptingGang(c, victim) {
 		return false
 	}
-	if victim.Level != c.preemptionPriority {
-		return victim.Level < c.preemptionPriority
+	if victim.Level != c.PreemptionPriority {
+		return victim.Level < c.PreemptionPriority
 	}
-	return c.withinQuota && victim.Team != c.job.Team && !victim.WithinQuota && victim.CheckpointIntervalS > 0
+	return c.WithinQuota && victim.Team != c.Job.Team && !victim.WithinQuota && victim.CheckpointIntervalS > 0
 }
 
 // worthPreemptingGang reports whether a gang may be stopped for a candidate for which a machine
 // could be provisioned instead: not if that frees more than the candidate needs, all of which the
 // gang has to find again.
-func worthPreemptingGang(c *candidate, gang *cluster.Job) bool {
-	freed, needed := float64(len(gang.TaskStates)), float64(len(c.pending))
+func worthPreemptingGang(c *Candidate, gang *cluster.Job) bool {
+	freed, needed := float64(len(gang.TaskStates)), float64(len(c.Pending))
 	if gang.GPUs > 0 {
-		return gang.GPUs*freed <= c.job.GPUs*needed
+		return gang.GPUs*freed <= c.Job.GPUs*needed
 	}
-	return gang.CPUs*freed <= c.job.CPUs*needed
+	return gang.CPUs*freed <= c.Job.CPUs*needed
 }
--- a/internal/core/preempt_test.go
+++ b/internal/core/scheduler/preempt_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"cmp"
@@ -12,31 +12,22 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// preemptTypes is one type of machine; nothing is rented beside the machines there
-// are.
+// preemptTypes is one machine type, of which the cloud has no more machines.
 var preemptTypes = map[string]*wire.MachineType{
 	"g4": {Name: "g4", CPUs: 4, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, Price: 4, Zones: nil},
 }
 
-// preemptCase is a fleet full of work, and a job that finds no room.
+// preemptCase is a fleet full of work, and a job for whose tasks there is no room.
 type preemptCase struct {
 	name        string
 	machines    []string // name and zone
 	running     []runningJob
 	job         wire.Job
-	withinQuota bool    // the job is within its team's guarantee
+	withinQuota bool    // the job is within quota
 	limit       float64 // GPUs that the job's team may use; 100 if 0
-	change      func(l *leader, j *cluster.Job)
+	change      func(h *harness, job *cluster.Job)
 	want        []string // tasks that are stopped
-	reserved    []string // machines that are kept
-}
-
-// runningJob is a job whose tasks run on machines, one each.
-type runningJob struct {
-	wire.Job
-	on          []string
-	withinQuota bool
-	ranFor      time.Duration
+	reserved    []string // machines that are reserved
 }
 
 func TestPreempt(t *testing.T) {
@@ -59,45 +50,45 @@
 	idle := array("job-1", wire.PriorityIdle, 4)
 	for _, tc := range []preemptCase{
 		{
-			name:     "lower priority makes way",
+			name:     "a lower priority is preempted",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
 			want:     []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "the same priority does not",
+			name:     "the same priority is not",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityIdle, 4),
 		},
 		{
-			name:     "higher priority does not",
+			name:     "a higher priority is not",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: array("job-1", wire.PriorityUrgent, 4), on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
 		},
 		{
-			name:     "within a guarantee, the same priority of another team that saves and is beyond its own",
+			name:     "within quota, the same priority of another team beyond its own, if it saves checkpoints",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: saving(otherTeam(idle)), on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 			want: []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "not what loses its work",
+			name:     "not work that saves no checkpoints",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: otherTeam(idle), on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 		},
 		{
-			name:     "not what is within a guarantee itself",
+			name:     "not work that is within quota itself",
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: saving(otherTeam(idle)), on: []string{"n-1"}, withinQuota: true}},
 			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 		},
 		{
-			name:     "the least loss",
+			name:     "the least loss first",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", wire.PriorityIdle, 4), on: []string{"n-1"}, ranFor: 100 * time.Second},
@@ -107,7 +98,7 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "the least priority, for as much loss",
+			name:     "the lowest priority, for the same loss",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", wire.PriorityNormal, 4), on: []string{"n-1"}, ranFor: 10 * time.Second},
@@ -117,7 +108,7 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "no more than has to go",
+			name:     "no more than necessary",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
 				{Job: array("job-1", wire.PriorityIdle, 2), on: []string{"n-1"}, ranFor: 20 * time.Second},
@@ -127,7 +118,7 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beside it, the same priority does not",
+			name:     "beside a lower priority, not the same one",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
 				{Job: array("job-1", wire.PriorityNormal, 2), on: []string{"n-1"}, ranFor: time.Second},
@@ -137,7 +128,7 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beside it, higher priority does not",
+			name:     "beside a lower priority, not a higher one",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
 				{Job: saving(array("job-1", wire.PriorityUrgent, 2)), on: []string{"n-1"}},
@@ -147,7 +138,7 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beside it, neither what loses its work nor what the guarantee does not reach",
+			name:     "beside it, neither work without checkpoints nor of the same team nor within quota",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
 				{Job: otherTeam(array("job-1", wire.PriorityIdle, 1)), on: []string{"n-1"}},
@@ -159,7 +150,7 @@
 			want: []string{"job-4/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beyond a guarantee, nothing of the same priority",
+			name:     "beyond quota, nothing of the same priority",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
 				{Job: saving(otherTeam(array("job-1", wire.PriorityNormal, 2))), on: []string{"n-1"}},
@@ -180,7 +171,7 @@
 			want: []string{"job-2/0", "job-3/0"}, reserved: []string{"n-2", "n-3"},
 		},
 		{
-			name:     "or nobody is stopped",
+			name:     "or nothing is stopped",
 			machines: []string{"n-1 a", "n-2 b"},
 			running: []runningJob{
 				{Job: array("job-1", wire.PriorityIdle, 4), on: []string{"n-1"}},
@@ -189,7 +180,7 @@
 			job: gang("job-9", wire.PriorityNormal, 4, 2),
 		},
 		{
-			name:     "a gang is stopped as a whole",
+			name:     "a gang stops as a whole",
 			machines: []string{"n-1 a", "n-2 a"},
 			running:  []runningJob{{Job: gang("job-1", wire.PriorityIdle, 4, 2), on: []string{"n-1", "n-2"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
@@ -200,7 +191,7 @@
 			machines: []string{"n-1 a"},
 			running:  []runningJob{{Job: otherTeam(idle), on: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
-			change:   func(l *leader, j *cluster.Job) { l.core.team("vision").GPUsMax = 3 },
+			change:   func(h *harness, job *cluster.Job) { h.deployment.Teams[0].GPUsMax = 3 },
 		},
 		{
 			name:     "not on a machine of another zone than the job's",
@@ -213,15 +204,15 @@
 			}(),
 		},
 		{
-			name:     "not again while room is being made",
+			name:     "not again while machines are reserved",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", wire.PriorityIdle, 4), on: []string{"n-1"}},
 				{Job: array("job-2", wire.PriorityIdle, 4), on: []string{"n-2"}},
 			},
 			job: array("job-9", wire.PriorityNormal, 4),
-			change: func(l *leader, j *cluster.Job) {
-				l.reserve(j, []*cluster.Machine{l.Machines["n-1"]}, 10)
+			change: func(h *harness, job *cluster.Job) {
+				h.reserve(job, []*cluster.Machine{h.state.Machines["n-1"]}, 10)
 			},
 			reserved: []string{"n-1"},
 		},
@@ -231,75 +222,23 @@
 }
 
 func (tc *preemptCase) run(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
-		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "other", GPUsMax: 100}}
-	})
-	harness.core.machineTypes = preemptTypes
-	harness.core.now = 1000 * time.Second
+	h := newHarness(t, preemptTypes, []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "other", GPUsMax: 100}})
 	for _, line := range tc.machines {
 		name, zone := line[:3], line[4:]
-		leader.passes.machines = append(leader.passes.machines, idleMachine(leader, name, "g4", zone))
+		h.machines = append(h.machines, h.addMachine(name, "g4", zone))
 	}
-	running := bindRunning(leader, tc.running)
+	running := h.addRunning(tc.running)
 	job := cluster.NewJob(records.Open{Job: tc.job}, 2)
 	if tc.change != nil {
-		tc.change(leader, job)
+		tc.change(h, job)
 	}
-	c := &candidate{job: job, withinQuota: tc.withinQuota, pending: job.UnplacedTasks(), preemptionPriority: job.Level}
-	leader.preempt(c, leader.refreshUsage(), anyPullTime)
+	candidate := candidateOf(job)
+	candidate.WithinQuota = tc.withinQuota
+	h.preemptFor(candidate, h.usage(), anyPullTime)
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) {
 		t.Errorf("stopped %q, want %q", stopped, tc.want)
 	}
-	if reserved := reservedMachines(leader, job); !slices.Equal(reserved, tc.reserved) {
-		t.Errorf("kept %q, want %q", reserved, tc.reserved)
+	if reserved := h.reservedMachines(job); !slices.Equal(reserved, tc.reserved) {
+		t.Errorf("reserved %q, want %q", reserved, tc.reserved)
 	}
 }
-
-// bindRunning has jobs run on the machines that they name.
-func bindRunning(leader *leader, jobs []runningJob) []*cluster.Job {
-	var running []*cluster.Job
-	for _, r := range jobs {
-		j := cluster.NewJob(records.Open{Job: r.Job}, 1)
-		j.WithinQuota = r.withinQuota
-		leader.writer.InitPlacementRecords(j)
-		for i, name := range r.on {
-			m := leader.Machines[name]
-			j.TaskStates[i] = cluster.Task{Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true, StartRetransmitted: true, State: wire.TaskRunning, RunningSince: leader.core.now - r.ranFor}
-			leader.place(j, i, m)
-		}
-		running = append(running, j)
-	}
-	return running
-}
-
-// stoppedTasks names the tasks that are stopped.
-func stoppedTasks(jobs []*cluster.Job) []string {
-	var stopped []string
-	for _, j := range jobs {
-		for i := range j.TaskStates {
-			if j.TaskStates[i].Stop != nil {
-				stopped = append(stopped, cluster.TaskName(j.ID, i))
-			}
-		}
-	}
-	return stopped
-}
-
-// ReservedMachines names the machines that are kept for a job.
-func reservedMachines(l *leader, j *cluster.Job) []string {
-	var reserved []string
-	for _, m := range l.MachinesByName {
-		if m.ReservedFor == j {
-			reserved = append(reserved, m.Name)
-		}
-	}
-	return reserved
-}
-
-// idleMachine adds a machine that reports and hears the leader.
-func idleMachine(l *leader, name, typ, zone string) *cluster.Machine {
-	m := l.machineNamed(name)
-	l.describe(m, "", typ, zone, false)
-	m.LastHeartbeat, m.FencingToken, m.Incarnation = l.core.now, l.leadership.Term, 1
-	return m
-}
--- a/internal/core/preemption_cost.go
+++ b/internal/core/scheduler/preemption_cost.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
@@ -6,9 +6,6 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// slowestPullFactor is how many times its usual time the pull of an image may take.
-const slowestPullFactor = 4.0 / 3
-
 // checkpointGrace is the time that a preempted job gets to save a checkpoint, in seconds. A stop
 // without it loses half an interval between checkpoints on average; with it, victim and successor
 // both wait for the save.
@@ -22,26 +19,26 @@
 // preemptionGrace is the time, in seconds, that a victim on a machine gets to save a checkpoint
 // when it is preempted for a job: none if that alone makes the job start too late. Beside victims
 // that save for three seconds, nothing that was to start within five ever did.
-func (l *leader) preemptionGrace(job *cluster.Job, machine *cluster.Machine, victim *cluster.Job) float64 {
+func (s *Scheduler) preemptionGrace(job *cluster.Job, machine *cluster.Machine, victim *cluster.Job) float64 {
 	grace := checkpointGrace(victim)
 	if grace == 0 {
 		return 0
 	}
-	left := l.maxWait(job) - l.waitingTime(job).Seconds()
-	pull := l.pullTime(job, machine)
-	if pull < left && grace+pull*slowestPullFactor+l.core.heartbeatInterval().Seconds() > left {
+	left := s.maxWait(job) - s.WaitingTime(job).Seconds()
+	pull := s.pullTime(job, machine)
+	if pull < left && grace+pull*slowestPullFactor+s.heartbeatInterval().Seconds() > left {
 		return 0
 	}
 	return grace
 }
 
 // preemptionLoss is what the stop of a task loses, in seconds of its work.
-func (l *leader) preemptionLoss(job *cluster.Job, task *cluster.Task) float64 {
+func (s *Scheduler) preemptionLoss(job *cluster.Job, task *cluster.Task) float64 {
 	if job.CheckpointIntervalS == 0 {
 		if task.RunningSince == 0 {
 			return 0
 		}
-		return (l.core.now - task.RunningSince).Seconds()
+		return (s.host.Now() - task.RunningSince).Seconds()
 	}
 	if checkpointGrace(job) == 0 {
 		return job.CheckpointIntervalS / 2
@@ -52,7 +49,7 @@
 // victimCost weighs a stop: the work that is lost, by the share of a machine of that capacity
 // which it uses, by its priority level, and by how often it was preempted before: otherwise the
 // same cheap victim is stopped again and again.
-func (l *leader) victimCost(job *cluster.Job, task *cluster.Task, capacity topology.Resources) float64 {
+func (s *Scheduler) victimCost(job *cluster.Job, task *cluster.Task, capacity topology.Resources) float64 {
 	share := 0.0
 	if capacity.GPUs > 0 {
 		share = job.GPUs / capacity.GPUs
@@ -65,5 +62,5 @@
 		stopped = len(job.TaskStates) // it stops as a whole
 	}
 	weight := float64(1 + job.Level)
-	return (l.preemptionLoss(job, task) + 1) * share * float64(stopped) * weight * weight * float64(1+job.GangPreemptions)
+	return (s.preemptionLoss(job, task) + 1) * share * float64(stopped) * weight * weight * float64(1+job.GangPreemptions)
 }
--- /dev/null
+++ b/internal/core/scheduler/preemption_slots.go
@@ -0,0 +1,143 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/preemption"
+	"github.com/brookwalk/brookwalk/internal/core/topology"
+)
+
+// chooseSlots finds slots for up to wanted tasks at the least cost. For a job whose tasks share a
+// zone they are those of the zone with the most of them.
+func (s *Scheduler) chooseSlots(candidate *Candidate, wanted int, policy imagePolicy) []slot {
+	if !candidate.Job.OneZone {
+		return s.findSlots(candidate, wanted, "", policy)
+	}
+	var best []slot
+	for _, zone := range s.usableZones() {
+		slots := s.findSlots(candidate, wanted, zone, policy)
+		cheaper := len(slots) == len(best) && preemption.TotalCost(slots) < preemption.TotalCost(best)
+		if len(slots) > len(best) || cheaper {
+			best = slots
+		}
+	}
+	return best
+}
+
+// findSlots finds slots for up to wanted tasks in a zone, or in all zones if none is named, at the
+// least cost: free capacity first.
+func (s *Scheduler) findSlots(candidate *Candidate, wanted int, zone string, policy imagePolicy) []slot {
+	maxPullS := s.maxPullTime(candidate.Job.Class)
+	zoneBound := ZoneBound(candidate.Job)
+	var slots []slot
+	s.evaluations += len(s.machines)
+	for _, m := range s.machines {
+		if zone != "" && m.Zone != zone || !s.canPreemptOn(candidate, m) {
+			continue
+		}
+		if policy == pullInTime && s.pullTooSlow(candidate.Job, m, maxPullS) {
+			continue
+		}
+		if zoneBound != nil && zoneBound(m.Zone) < 1 {
+			continue
+		}
+		slots = append(slots, s.slotsOn(candidate, m, wanted, policy)...)
+	}
+	return preemption.ChooseSlots(slots, wanted, zoneBound)
+}
+
+// slotsOn lists slots for up to wanted tasks of a candidate on one machine.
+func (s *Scheduler) slotsOn(c *Candidate, m *cluster.Machine, wanted int, policy imagePolicy) []slot {
+	return preemption.SlotsOn(&preemption.Machine[cluster.TaskReference]{
+		Name: m.Name,
+		Zone: m.Zone,
+		Free: s.freeCapacity(m),
+		Victims: func(free topology.Resources) ([]victim, topology.Resources) {
+			return s.victimsOn(c, m, free, policy)
+		},
+	}, cluster.TaskSize(&c.Job.Job), wanted)
+}
+
+// evaluationsPerVictim is about how many evaluations of machines take as long as that of a task
+// as a victim, see BenchmarkPreemptions.
+const evaluationsPerVictim = 3
+
+// victimsOn lists the tasks on a machine that may be stopped for a candidate, and adds to the
+// free capacity what tasks use that are being stopped already. The list is valid until the next
+// call.
+func (s *Scheduler) victimsOn(candidate *Candidate, machine *cluster.Machine, free topology.Resources, policy imagePolicy) ([]victim, topology.Resources) {
+	capacity, _ := s.capacityOf(machine)
+	s.evaluations += evaluationsPerVictim * len(machine.Placements)
+	victims := s.victimBuffer[:0]
+	for _, ref := range machine.Placements {
+		task := ref.Task()
+		if task.Stop != nil {
+			free = free.Add(ref.Size())
+			continue
+		}
+		samePriority := ref.Job.Level == candidate.PreemptionPriority
+		if !mayPreempt(candidate, ref.Job) || policy == pullInTime && samePriority {
+			continue
+		}
+		victims = append(victims, victim{Task: ref, Loss: s.victimCost(ref.Job, task, capacity)})
+	}
+	s.victimBuffer = victims
+	return victims, free
+}
+
+// usableZones lists the zones of machines that may take tasks.
+func (s *Scheduler) usableZones() []string {
+	zones := map[string]bool{}
+	for _, m := range s.machines {
+		zones[m.Zone] = true
+	}
+	return slices.Sorted(maps.Keys(zones))
+}
+
+// canPreemptAnywhere reports whether any machine of a kind that the candidate's job may use would
+// hold a task if all that may be stopped for it were gone.
+func (s *Scheduler) canPreemptAnywhere(c *Candidate) bool {
+	s.evaluations += len(s.machines)
+	size := cluster.TaskSize(&c.Job.Job)
+	for _, m := range s.machines {
+		if AllowsMachine(c.Job, m) && s.freeAfterPreemption(c, m).Holds(size) {
+			return true
+		}
+	}
+	return false
+}
+
+// canPreemptOn reports whether room for a candidate's task can be made on a machine.
+func (s *Scheduler) canPreemptOn(c *Candidate, m *cluster.Machine) bool {
+	return s.freeAfterPreemption(c, m).Holds(cluster.TaskSize(&c.Job.Job)) && s.isFeasible(c.Job, m) && !s.isReserved(m)
+}
+
+// freeAfterPreemption is the most that stops for a candidate can free on a machine. It costs
+// next to nothing, so that the tasks of a machine are examined only where that can be of use.
+func (s *Scheduler) freeAfterPreemption(c *Candidate, m *cluster.Machine) topology.Resources {
+	free := s.freeCapacity(m).Add(m.StoppingUse)
+	for _, used := range m.UsedByLevel[:c.PreemptionPriority] {
+		free = free.Add(used)
+	}
+	if c.WithinQuota {
+		free = free.Add(m.CheckpointedByLevel[c.PreemptionPriority]) // see mayPreempt
+	}
+	return free
+}
+
+// capacityOf is all that a machine offers, if that is known.
+func (s *Scheduler) capacityOf(m *cluster.Machine) (topology.Resources, bool) {
+	t := s.host.MachineType(m)
+	if t == nil || !m.Described {
+		return topology.Resources{}, false
+	}
+	return cluster.TypeCapacity(t), true
+}
+
+// freeCapacity is what no task uses on a machine.
+func (s *Scheduler) freeCapacity(m *cluster.Machine) topology.Resources {
+	capacity, _ := s.capacityOf(m)
+	return capacity.Sub(m.Used)
+}
--- /dev/null
+++ b/internal/core/scheduler/quota.go
@@ -0,0 +1,62 @@
+package scheduler
+
+import (
+	"slices"
+
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
+	"github.com/brookwalk/brookwalk/internal/core/topology"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// BestEffortTeams names the teams without a guarantee, if others have one. Their work gets what
+// the others leave.
+func BestEffortTeams(teams []config.Team) map[string]bool {
+	bestEffort := map[string]bool{}
+	if !slices.ContainsFunc(teams, func(t config.Team) bool { return !guaranteeOf(&t).IsZero() }) {
+		return bestEffort
+	}
+	for i := range teams {
+		if guaranteeOf(&teams[i]).IsZero() {
+			bestEffort[teams[i].Name] = true
+		}
+	}
+	return bestEffort
+}
+
+// AnyGuaranteeFor reports whether any team has a guarantee of a resource that a job uses.
+func AnyGuaranteeFor(teams []config.Team, job *wire.Job) bool {
+	return slices.ContainsFunc(teams, func(t config.Team) bool {
+		return t.CPUs > 0 && job.CPUs > 0 || t.GPUs > 0 && job.GPUs > 0
+	})
+}
+
+// guaranteeOf is a team's guarantee by the settings.
+func guaranteeOf(t *config.Team) teamlimit.Guarantee {
+	return teamlimit.Guarantee{CPUs: t.CPUs, GPUs: t.GPUs}
+}
+
+// guarantees lists each team's guarantee, by name; the first of two teams of one name counts.
+func guarantees(teams []config.Team) map[string]teamlimit.Guarantee {
+	byTeam := make(map[string]teamlimit.Guarantee, len(teams))
+	for i := range teams {
+		if _, known := byTeam[teams[i].Name]; !known {
+			byTeam[teams[i].Name] = guaranteeOf(&teams[i])
+		}
+	}
+	return byTeam
+}
+
+// markWithinQuota marks the jobs that fit into their team's guarantee beside the team's earlier
+// jobs. A job that waits for dependencies claims no part of it.
+func (s *Scheduler) markWithinQuota() {
+	claims := teamlimit.NewClaims(guarantees(s.deployment.Teams))
+	for _, job := range s.state.JobsBySubmission {
+		if job.Cancellation.Requested() || job.Waiting {
+			job.WithinQuota = false
+			continue
+		}
+		n := float64(len(job.TaskStates) - job.TasksDone)
+		job.WithinQuota = claims.Claim(job.Team, topology.Resources{CPUs: job.CPUs * n, GPUs: job.GPUs * n})
+	}
+}
--- a/internal/core/rescheduling.go
+++ b/internal/core/scheduler/rescheduling.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"time"
@@ -28,26 +28,26 @@
 
 // rescheduleFor makes room for a candidate's tasks on machines that hold its image by rescheduling
 // replicas.
-func (p *placementPass) rescheduleFor(candidate *candidate) {
-	leader, job := p.leader, candidate.job
+func (p *pass) rescheduleFor(candidate *Candidate) {
+	job := candidate.Job
 	if job.Shape == wire.ShapeGang {
 		return
 	}
-	if candidate.reserved = leader.reservedTasks(job); candidate.reserved > 0 {
+	if candidate.Reserved = p.ReservedTasks(job); candidate.Reserved > 0 {
 		return
 	}
-	wanted := leader.preemptionTarget(candidate, p.usage)
-	zoneBound := leader.zoneBound(job)
+	wanted := p.preemptionTarget(candidate, p.usage)
+	zoneBound := ZoneBound(job)
 	freedInZone := map[string]int{}
 	var freed []*cluster.Machine // one for each task
-	for _, m := range leader.passes.machines {
-		if len(freed) == wanted || leader.passes.evaluations > p.evaluationLimit {
+	for _, m := range p.machines {
+		if len(freed) == wanted || p.evaluations > p.evaluationLimit {
 			break
 		}
-		if !m.HasImage(job.Image) || !leader.isFeasible(job, m) || leader.isReserved(m) {
+		if !m.HasImage(job.Image) || !p.isFeasible(job, m) || p.isReserved(m) {
 			continue
 		}
-		free := leader.freeCapacity(m)
+		free := p.freeCapacity(m)
 		for len(freed) < wanted && (zoneBound == nil || freedInZone[m.Zone] < zoneBound(m.Zone)) {
 			moves := p.findMoves(candidate, m, free)
 			if moves == nil {
@@ -60,20 +60,20 @@
 		}
 	}
 	if len(freed) > 0 {
-		candidate.reserved = len(freed)
-		leader.reserve(job, freed, 0)
+		candidate.Reserved = len(freed)
+		p.reserve(job, freed, 0)
 	}
 }
 
 // findMoves finds the replicas on a machine that have to be rescheduled to make room for one task
 // of a candidate, and where they go; nil if there are none. free is the free capacity there.
-func (p *placementPass) findMoves(candidate *candidate, machine *cluster.Machine, free topology.Resources) []replicaMove {
-	leader, needed := p.leader, cluster.TaskSize(&candidate.job.Job)
+func (p *pass) findMoves(candidate *Candidate, machine *cluster.Machine, free topology.Resources) []replicaMove {
+	needed := cluster.TaskSize(&candidate.Job.Job)
 	// Of the replicas that would go to one machine only the first does: it may have no room
 	// for more, and the zones of one job's replicas count together.
 	var moves []replicaMove
 	for _, replica := range machine.Placements {
-		if !leader.isMovable(replica) || replica.Job == candidate.job || replica.Job.Level > candidate.job.Level {
+		if !p.isMovable(replica) || replica.Job == candidate.Job || replica.Job.Level > candidate.Job.Level {
 			continue
 		}
 		target := p.moveTarget(replica, machine, nil)
@@ -103,24 +103,24 @@
 }
 
 // isMovable reports whether a task is a replica that runs and may be rescheduled.
-func (l *leader) isMovable(ref cluster.TaskReference) bool {
+func (s *Scheduler) isMovable(ref cluster.TaskReference) bool {
 	t := ref.Task()
 	if ref.Job.Shape != wire.ShapeService || ref.Job.OneZone {
 		return false
 	}
-	return t.State == wire.TaskRunning && t.Stop == nil && t.RunningSince != 0 && l.core.now-t.RunningSince >= minRunBeforeMove
+	return t.State == wire.TaskRunning && t.Stop == nil && t.RunningSince != 0 && s.host.Now()-t.RunningSince >= minRunBeforeMove
 }
 
 // moveTarget finds the machine with the least free capacity that holds a replica and its image.
 // allowed may be nil.
-func (p *placementPass) moveTarget(replica cluster.TaskReference, from *cluster.Machine, allowed func(*cluster.Machine) bool) *topology.Machine {
-	leader, job := p.leader, replica.Job
-	zoneBound := leader.zoneBound(job)
+func (p *pass) moveTarget(replica cluster.TaskReference, from *cluster.Machine, allowed func(*cluster.Machine) bool) *topology.Machine {
+	job := replica.Job
+	zoneBound := ZoneBound(job)
 	var best *topology.Machine
 	for _, leaf := range p.leavesWithImage(job.Image) {
-		leader.passes.evaluations++
-		machine := leader.passes.machines[leaf.Index]
-		if machine == from || !leaf.Free.Holds(replica.Size()) || !leader.mayMoveTo(job, machine) {
+		p.evaluations++
+		machine := p.machines[leaf.Index]
+		if machine == from || !leaf.Free.Holds(replica.Size()) || !p.mayMoveTo(job, machine) {
 			continue
 		}
 		if allowed != nil && !allowed(machine) {
@@ -137,22 +137,22 @@
 }
 
 // mayMoveTo reports whether a replica of a job may be rescheduled to a machine, if it fits there.
-func (l *leader) mayMoveTo(job *cluster.Job, m *cluster.Machine) bool {
-	if !isEligible(job, m) || l.outliers.HasFailures(m.Name) {
+func (s *Scheduler) mayMoveTo(job *cluster.Job, m *cluster.Machine) bool {
+	if !AllowsMachine(job, m) || s.outliers.HasFailures(m.Name) {
 		return false
 	}
-	return m.ReservedFor == job || !l.isReserved(m)
+	return m.ReservedFor == job || !s.isReserved(m)
 }
 
 // leavesWithImage lists the machines with free capacity that hold an image.
-func (p *placementPass) leavesWithImage(image string) []*topology.Machine {
+func (p *pass) leavesWithImage(image string) []*topology.Machine {
 	if p.leavesByImage == nil {
 		p.leavesByImage = map[string][]*topology.Machine{}
 		for _, leaf := range p.leaves {
 			if leaf.Free.CPUs <= 0 {
 				continue
 			}
-			for _, cached := range p.leader.passes.machines[leaf.Index].CachedImages {
+			for _, cached := range p.machines[leaf.Index].CachedImages {
 				p.leavesByImage[cached.Name] = append(p.leavesByImage[cached.Name], leaf)
 			}
 		}
@@ -161,15 +161,14 @@
 }
 
 // moveReplicas stops replicas, which run elsewhere then, and reserves their machines.
-func (p *placementPass) moveReplicas(moves []replicaMove) {
-	l := p.leader
+func (p *pass) moveReplicas(moves []replicaMove) {
 	for _, move := range moves {
 		replica, job := move.replica, move.replica.Job
-		target := l.passes.machines[move.target.Index]
+		target := p.machines[move.target.Index]
 		p.tree.Take(move.target, replica.Size())
 		job.ReschedulingTargets[replica.Index] = target
-		l.reserve(job, []*cluster.Machine{target}, 0)
-		l.core.log.Info("replica rescheduled", "task", replica.Name, "machine", replica.Task().Machine.Name, "target", target.Name)
-		l.stopTask(job, replica.Index, 0, stopRescheduled)
+		p.reserve(job, []*cluster.Machine{target}, 0)
+		p.log.Info("replica rescheduled", "task", replica.Name, "machine", replica.Task().Machine.Name, "target", target.Name)
+		p.host.Reschedule(replica)
 	}
 }
--- a/internal/core/rescheduling_test.go
+++ b/internal/core/scheduler/rescheduling_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"cmp"
@@ -7,34 +7,15 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/config"
-	"github.com/brookwalk/brookwalk/internal/core/cluster"
-	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// slowPullTypes fetches an image for longer than the class chat may wait.
+// slowPullTypes pulls an image for longer than the class chat may wait.
 var slowPullTypes = map[string]*wire.MachineType{
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// cachedMachine is a machine and the images that it holds.
-type cachedMachine struct {
-	name, zone string
-	images     []string
-}
-
-// idleMachines adds machines that report and hold images of a size.
-func idleMachines(l *leader, machines []cachedMachine, typ string, imageGB float64) {
-	for _, cached := range machines {
-		m := idleMachine(l, cached.name, typ, cached.zone)
-		for _, image := range cached.images {
-			l.recordImageUse(m, image, imageGB)
-		}
-	}
-}
-
-// rescheduleCase is a fleet of replicas, and a job whose image is held only on
-// machines that are full.
+// rescheduleCase is a fleet of replicas, and a job whose image only full machines hold.
 type rescheduleCase struct {
 	name     string
 	machines []cachedMachine
@@ -43,7 +24,7 @@
 	limit    float64 // GPUs that the job's team may use; 100 if 0
 	want     []string
 	to       []string // where they go, in the same order
-	reserved []string // machines kept for the job
+	reserved []string // machines reserved for the job
 }
 
 func TestReschedule(t *testing.T) {
@@ -65,7 +46,7 @@
 			want:     []string{"job-1/0"}, to: []string{"n-2"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "not one that has not settled",
+			name:     "not one that has just started",
 			machines: two,
 			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: 10 * time.Second}},
 			job:      service("job-9", "x", 4, 1),
@@ -104,7 +85,7 @@
 			job:      with(service("job-9", "x", 4, 1), func(j *wire.Job) { j.Shape = wire.ShapeGang }),
 		},
 		{
-			name:     "not for a class that may wait for the fetch",
+			name:     "not for a class that may wait for the pull",
 			machines: two,
 			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
 			job:      with(service("job-9", "x", 4, 1), func(j *wire.Job) { j.Class = "batch" }),
@@ -199,7 +180,7 @@
 			want: []string{"job-1/0"}, to: []string{"n-3"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "nobody where two are not enough",
+			name:     "nothing where two are not enough",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y", "z"}}, {"n-2", "a", []string{"y"}}, {"n-3", "a", []string{"z"}}},
 			running: []runningJob{
 				{Job: service("job-1", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
@@ -214,18 +195,12 @@
 }
 
 func (tc *rescheduleCase) run(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
-		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}}
-		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
-	})
-	harness.core.machineTypes = slowPullTypes
-	harness.core.now = 1000 * time.Second
-	idleMachines(leader, tc.machines, "g4", 40)
-	running := bindRunning(leader, tc.running)
-	job := cluster.NewJob(records.Open{Job: tc.job}, 2)
-	leader.writer.InitPlacementRecords(job)
-	waiting := &candidate{job: job, pending: job.UnplacedTasks(), preemptionPriority: job.Level}
-	leader.newPlacementPass().placeCandidate(waiting)
+	h := newHarness(t, slowPullTypes, []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}},
+		config.Objective{Kind: ObjectiveWait, Class: "chat", WithinS: 10, Share: 0.9})
+	h.addCachedMachines(tc.machines, "g4", 40)
+	running := h.addRunning(tc.running)
+	job := h.addJob(tc.job)
+	h.place(job)
 	var to []string
 	for _, r := range running {
 		for i := range r.TaskStates {
@@ -237,7 +212,7 @@
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) || !slices.Equal(to, tc.to) {
 		t.Errorf("%q move to %q, want %q to %q", stopped, to, tc.want, tc.to)
 	}
-	if reserved := reservedMachines(leader, job); !slices.Equal(reserved, tc.reserved) {
-		t.Errorf("kept %q, want %q", reserved, tc.reserved)
+	if reserved := h.reservedMachines(job); !slices.Equal(reserved, tc.reserved) {
+		t.Errorf("reserved %q, want %q", reserved, tc.reserved)
 	}
 }
--- a/internal/core/reservations.go
+++ b/internal/core/scheduler/reservations.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"slices"
@@ -10,7 +10,7 @@
 // reserve reserves machines for a job until the tasks that are stopped there have ended, graceS
 // seconds from now and some heartbeats later. A machine is named once for each of the job's tasks
 // that it is reserved for.
-func (l *leader) reserve(job *cluster.Job, machines []*cluster.Machine, graceS float64) {
+func (s *Scheduler) reserve(job *cluster.Job, machines []*cluster.Machine, graceS float64) {
 	job.ReservedMachines = nil
 	for _, m := range machines {
 		m.ReservedFor, m.ReservedTasks = job, 0
@@ -18,18 +18,18 @@
 			job.ReservedMachines = append(job.ReservedMachines, m)
 		}
 	}
-	until := l.core.now + time.Duration(graceS*float64(time.Second)) + 3*l.core.heartbeatInterval()
+	until := s.host.Now() + time.Duration(graceS*float64(time.Second)) + 3*s.heartbeatInterval()
 	for _, m := range machines {
 		m.ReservedTasks++
 		m.ReservedUntil = until
 	}
 }
 
-// reservedTasks counts the tasks of a job for which machines are reserved.
-func (l *leader) reservedTasks(job *cluster.Job) int {
+// ReservedTasks counts the tasks of a job for which machines are reserved.
+func (s *Scheduler) ReservedTasks(job *cluster.Job) int {
 	n := 0
 	for _, m := range job.ReservedMachines {
-		if m.ReservedFor == job && l.core.now < m.ReservedUntil {
+		if m.ReservedFor == job && s.host.Now() < m.ReservedUntil {
 			n += m.ReservedTasks
 		}
 	}
--- a/internal/core/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"cmp"
@@ -18,15 +18,15 @@
 // tasksPerEvaluation is how many tasks are passed over in the time of the evaluation of a machine.
 const tasksPerEvaluation = 10
 
-// limitReservations lists what of the teams' limits is reserved for jobs that preempted work of
+// LimitReservations lists what of the teams' limits is reserved for jobs that preempted work of
 // their own team.
-func (l *leader) limitReservations() teamlimit.Reservations {
+func (s *Scheduler) LimitReservations() teamlimit.Reservations {
 	reservations := teamlimit.Reservations{}
-	for _, job := range l.JobsBySubmission {
+	for _, job := range s.state.JobsBySubmission {
 		if !job.PreemptedWithinTeam {
 			continue
 		}
-		tasks := l.reservedTasks(job)
+		tasks := s.ReservedTasks(job)
 		if tasks == 0 {
 			job.PreemptedWithinTeam = false
 			continue
@@ -43,22 +43,22 @@
 // given amount. It preempts work of the team of a lower priority until the limit allows the
 // candidate's tasks, if machines hold them, or would after stops of such work. It reports whether
 // the team has no such work.
-func (l *leader) preemptWithinLimit(candidate *candidate, used topology.Resources) (noVictims bool) {
-	own := l.teamVictims(candidate)
+func (s *Scheduler) preemptWithinLimit(candidate *Candidate, used topology.Resources) (noVictims bool) {
+	own := s.teamVictims(candidate)
 	if len(own) == 0 {
 		return true
 	}
-	used = used.Sub(l.stoppingUsage(candidate.job.Team))
-	most, least := l.preemptionLimit(candidate), 1
-	if candidate.job.Shape == wire.ShapeGang {
+	used = used.Sub(s.stoppingUsage(candidate.Job.Team))
+	most, least := s.preemptionLimit(candidate), 1
+	if candidate.Job.Shape == wire.ShapeGang {
 		least = most
 	}
 	candidate.ownTeamOnly = true
-	slots := l.chooseSlots(candidate, most, anyPullTime)
+	slots := s.chooseSlots(candidate, most, anyPullTime)
 	candidate.ownTeamOnly = false
 	for ; len(slots) >= least; slots = slots[:len(slots)-1] {
-		if additional, ok := l.additionalVictims(candidate, slots, own, used); ok {
-			l.preemptForLimit(candidate, slots, additional)
+		if additional, ok := s.additionalVictims(candidate, slots, own, used); ok {
+			s.preemptForLimit(candidate, slots, additional)
 			break
 		}
 	}
@@ -67,29 +67,29 @@
 
 // preemptForLimit stops the victims of slots, and those that have to stop for the limit alone, and
 // reserves the machines of the slots.
-func (l *leader) preemptForLimit(candidate *candidate, slots, additional []slot) {
-	job := candidate.job
+func (s *Scheduler) preemptForLimit(candidate *Candidate, slots, additional []slot) {
+	job := candidate.Job
 	job.PreemptedWithinTeam = true
-	candidate.reserved = len(slots)
-	grace := max(l.stopVictims(job, slots), l.stopVictims(job, additional))
-	l.reserve(job, l.machinesOfSlots(slots), grace)
+	candidate.Reserved = len(slots)
+	grace := max(s.stopVictims(job, slots), s.stopVictims(job, additional))
+	s.reserve(job, s.machinesOfSlots(slots), grace)
 }
 
 // teamVictims lists the tasks of a candidate's team that may be stopped for it, the least cost
 // first. A gang is listed once, by its first task.
-func (l *leader) teamVictims(candidate *candidate) []slot {
+func (s *Scheduler) teamVictims(candidate *Candidate) []slot {
 	var victims []slot
-	for _, machine := range l.MachinesByName {
-		capacity, ok := l.capacityOf(machine)
+	for _, machine := range s.state.MachinesByName {
+		capacity, ok := s.capacityOf(machine)
 		if !ok {
 			continue
 		}
-		l.passes.evaluations += 1 + len(machine.Placements)/tasksPerEvaluation
+		s.evaluations += 1 + len(machine.Placements)/tasksPerEvaluation
 		for _, ref := range machine.Placements {
 			if !isTeamVictim(candidate, ref) || containsGang(victims, ref.Job) {
 				continue
 			}
-			cost := l.victimCost(ref.Job, ref.Task(), capacity)
+			cost := s.victimCost(ref.Job, ref.Task(), capacity)
 			victims = append(victims, slot{
 				Machine: machine.Name,
 				Zone:    machine.Zone,
@@ -103,8 +103,8 @@
 }
 
 // isTeamVictim reports whether a task may be stopped for a candidate of its team.
-func isTeamVictim(candidate *candidate, ref cluster.TaskReference) bool {
-	return ref.Job.Team == candidate.job.Team && ref.Job.Level < candidate.preemptionPriority && ref.Task().Stop == nil
+func isTeamVictim(candidate *Candidate, ref cluster.TaskReference) bool {
+	return ref.Job.Team == candidate.Job.Team && ref.Job.Level < candidate.PreemptionPriority && ref.Task().Stop == nil
 }
 
 // containsGang reports whether a job is a gang that victims contain already.
@@ -117,11 +117,11 @@
 
 // additionalVictims chooses, of a team's own victims, those that have to stop beside the victims
 // of slots so that the limit allows a task in each slot; not ok if all together are not enough.
-func (l *leader) additionalVictims(c *candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
+func (s *Scheduler) additionalVictims(c *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
-		Limit: l.limit(c.job.Team),
+		Limit: s.host.Limit(c.Job.Team),
 		Used:  used,
-		Task:  cluster.TaskSize(&c.job.Job),
+		Task:  cluster.TaskSize(&c.Job.Job),
 		Count: len(slots),
 	}
 	indices, ok := teamlimit.ChooseVictims(shortage, limitVictims(slots), limitVictims(own))
@@ -168,20 +168,20 @@
 	return ref.Size()
 }
 
-// preemptibleUsage is what tasks of a team below a priority level use.
-func (l *leader) preemptibleUsage(team string, level int) topology.Resources {
-	return l.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Job.Level < level })
+// PreemptibleUsage is what tasks of a team below a priority level use.
+func (s *Scheduler) PreemptibleUsage(team string, level int) topology.Resources {
+	return s.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Job.Level < level })
 }
 
 // stoppingUsage is what tasks of a team use that are being stopped.
-func (l *leader) stoppingUsage(team string) topology.Resources {
-	return l.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Task().Stop != nil })
+func (s *Scheduler) stoppingUsage(team string) topology.Resources {
+	return s.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Task().Stop != nil })
 }
 
 // usageOf adds up what the placed tasks use that are included.
-func (l *leader) usageOf(included func(cluster.TaskReference) bool) topology.Resources {
+func (s *Scheduler) usageOf(included func(cluster.TaskReference) bool) topology.Resources {
 	var sum topology.Resources
-	for _, m := range l.MachinesByName {
+	for _, m := range s.state.MachinesByName {
 		for _, ref := range m.Placements {
 			if included(ref) {
 				sum = sum.Add(ref.Size())
--- a/internal/core/team_limit_test.go
+++ b/internal/core/scheduler/team_limit_test.go
@@ -1,4 +1,4 @@
-package core
+package scheduler
 
 import (
 	"testing"
@@ -18,20 +18,20 @@
 	idle := array("job-1", "vision", wire.PriorityIdle, 4)
 	for _, tc := range []preemptCase{
 		{
-			name:     "its own lower priority makes way though a machine stands idle",
+			name:     "its own lower priority is preempted though a machine is idle",
 			machines: []string{"n-1 a", "n-2 a"},
 			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
 			job:      array("job-9", "vision", wire.PriorityNormal, 4), limit: 4,
 			want: []string{"job-1/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "its own of the same priority does not",
+			name:     "its own of the same priority is not",
 			machines: []string{"n-1 a", "n-2 a"},
 			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
 			job:      array("job-9", "vision", wire.PriorityIdle, 4), limit: 4, withinQuota: true,
 		},
 		{
-			name:     "another team's does not",
+			name:     "another team's is not",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", "vision", wire.PriorityNormal, 4), on: []string{"n-1"}},
@@ -40,7 +40,7 @@
 			job: array("job-9", "vision", wire.PriorityNormal, 4), limit: 4,
 		},
 		{
-			name:     "another team's does not either where the job's own makes room in the limit",
+			name:     "another team's is not either where the job's own makes room in the limit",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: idle, on: []string{"n-1"}, ranFor: 100 * time.Second},
@@ -60,20 +60,20 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "what is on its way out already counts",
+			name:     "work that is being stopped already counts",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", "vision", wire.PriorityIdle, 2), on: []string{"n-2"}},
 				{Job: array("job-2", "vision", wire.PriorityIdle, 2), on: []string{"n-2"}, ranFor: time.Second},
 			},
 			job: array("job-9", "vision", wire.PriorityNormal, 2), limit: 4,
-			change: func(l *leader, j *cluster.Job) {
-				l.stopTask(l.Machines["n-2"].Placements[0].Job, 0, 1, stopPreempted)
+			change: func(h *harness, job *cluster.Job) {
+				harnessHost{h}.Preempt(h.state.Machines["n-2"].Placements[0], 1)
 			},
 			want: []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "nobody is stopped where the job finds no room on machines",
+			name:     "nothing is stopped where no machine holds the job",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
 				{Job: array("job-1", "vision", wire.PriorityIdle, 2), on: []string{"n-1"}},
@@ -82,7 +82,7 @@
 			job: array("job-9", "vision", wire.PriorityNormal, 4), limit: 4,
 		},
 		{
-			name:     "nobody is stopped where all of the team's would not be enough",
+			name:     "nothing is stopped where all of the team's would not be enough",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", "vision", wire.PriorityNormal, 2), on: []string{"n-1"}},
@@ -101,7 +101,7 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "a gang goes as a whole, and all of it counts",
+			name:     "a gang stops as a whole, and all of it counts",
 			machines: []string{"n-1 a", "n-2 a", "n-3 a"},
 			running: []runningJob{
 				{Job: wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityIdle, Tasks: 2, GPUs: 2, MemGB: 1}, on: []string{"n-1", "n-2"}},
@@ -134,15 +134,15 @@
 			want: []string{"job-1/0", "job-2/0", "job-3/0", "job-4/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "what is on its way out is not counted twice",
+			name:     "work that is being stopped is not counted twice",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", "vision", wire.PriorityIdle, 2), on: []string{"n-2"}},
 				{Job: array("job-2", "vision", wire.PriorityIdle, 2), on: []string{"n-2"}, ranFor: time.Second},
 			},
 			job: array("job-9", "vision", wire.PriorityNormal, 4), limit: 4,
-			change: func(l *leader, j *cluster.Job) {
-				l.stopTask(l.Machines["n-2"].Placements[0].Job, 0, 1, stopPreempted)
+			change: func(h *harness, job *cluster.Job) {
+				harnessHost{h}.Preempt(h.state.Machines["n-2"].Placements[0], 1)
 			},
 			want: []string{"job-1/0", "job-2/0"}, reserved: []string{"n-1"},
 		},
@@ -151,30 +151,25 @@
 	}
 }
 
-// A gang that needs all of its team's limit has the team's lower work stopped. In the same pass
-// other work of a lower priority took what was left of the limit, and the gang never began:
-// found in a region of seed 701 of TestRegions.
+// A gang that needs all of its team's limit preempts less urgent work of the team. In the same pass
+// other work of a lower priority took what was left of the limit, and the gang never started: found
+// in a region of seed 701 of TestRegions.
 func TestLimitIsReservedInTheSamePass(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
-		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 4}}
-	})
-	harness.core.machineTypes = preemptTypes
-	harness.core.now = 1000 * time.Second
+	h := newHarness(t, preemptTypes, []config.Team{{Name: "vision", GPUsMax: 4}})
 	for _, name := range []string{"n-1", "n-2", "n-3"} {
-		idleMachine(leader, name, "g4", "a")
+		h.addMachine(name, "g4", "a")
 	}
-	running := bindRunning(leader, []runningJob{{Job: wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, GPUs: 2, MemGB: 1}, on: []string{"n-1"}}})
-	gang := addJob(leader, wire.Job{ID: "job-2", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityCritical, Tasks: 2, GPUs: 2, MemGB: 1})
-	lower := addJob(leader, wire.Job{ID: "job-3", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, GPUs: 2, MemGB: 1})
-	p := leader.newPlacementPass()
-	for _, j := range []*cluster.Job{gang, lower} {
-		leader.writer.InitPlacementRecords(j)
-		p.placeCandidate(&candidate{job: j, pending: j.UnplacedTasks(), preemptionPriority: j.Level})
+	running := h.addRunning([]runningJob{{Job: wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, GPUs: 2, MemGB: 1}, on: []string{"n-1"}}})
+	gang := h.addJob(wire.Job{ID: "job-2", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityCritical, Tasks: 2, GPUs: 2, MemGB: 1})
+	lower := h.addJob(wire.Job{ID: "job-3", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: 1, GPUs: 2, MemGB: 1})
+	p := h.newPass(h.usage())
+	for _, job := range []*cluster.Job{gang, lower} {
+		p.placeCandidate(candidateOf(job))
 	}
 	if stopped := stoppedTasks(running); len(stopped) != 1 {
 		t.Errorf("stopped %q, want job-1/0", stopped)
 	}
 	if lower.TasksPlaced != 0 {
-		t.Error("work of a lower priority took what was kept for the gang")
+		t.Error("work of a lower priority took what was reserved for the gang")
 	}
 }
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -5,6 +5,7 @@
 
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/scheduler"
 	"github.com/brookwalk/brookwalk/internal/core/teamlimit"
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 	"github.com/brookwalk/brookwalk/wire"
@@ -76,41 +77,5 @@
 
 // anyGuaranteeFor reports whether any team has a guarantee of a resource that a job uses.
 func (c *Core) anyGuaranteeFor(job *wire.Job) bool {
-	for _, t := range c.settings.Deployment.Teams {
-		if t.CPUs > 0 && job.CPUs > 0 || t.GPUs > 0 && job.GPUs > 0 {
-			return true
-		}
-	}
-	return false
-}
-
-// guaranteeOf is a team's guarantee by the settings.
-func guaranteeOf(t *config.Team) teamlimit.Guarantee {
-	return teamlimit.Guarantee{CPUs: t.CPUs, GPUs: t.GPUs}
-}
-
-// guarantees lists each team's guarantee, by name; the first of two teams of one name counts.
-func (c *Core) guarantees() map[string]teamlimit.Guarantee {
-	byTeam := make(map[string]teamlimit.Guarantee, len(c.settings.Deployment.Teams))
-	for i := range c.settings.Deployment.Teams {
-		t := &c.settings.Deployment.Teams[i]
-		if _, known := byTeam[t.Name]; !known {
-			byTeam[t.Name] = guaranteeOf(t)
-		}
-	}
-	return byTeam
-}
-
-// markWithinQuota marks the jobs that fit into their team's guarantee beside the team's earlier
-// jobs. A job that waits for dependencies claims no part of it.
-func (l *leader) markWithinQuota() {
-	claims := teamlimit.NewClaims(l.core.guarantees())
-	for _, job := range l.JobsBySubmission {
-		if job.Cancellation.Requested() || job.Waiting {
-			job.WithinQuota = false
-			continue
-		}
-		n := float64(len(job.TaskStates) - job.TasksDone)
-		job.WithinQuota = claims.Claim(job.Team, topology.Resources{CPUs: job.CPUs * n, GPUs: job.GPUs * n})
-	}
+	return scheduler.AnyGuaranteeFor(c.settings.Deployment.Teams, job)
 }
--- a/internal/core/wait_reason.go
+++ b/internal/core/wait_reason.go
@@ -14,7 +14,7 @@
 // long, at debug always.
 func (l *leader) logWait(job *cluster.Job, reason cluster.WaitReason) {
 	logged := &job.WaitLog
-	waited := l.waitingTime(job)
+	waited := l.scheduler.WaitingTime(job)
 	log := l.core.log.Debug
 	switch {
 	case waited >= logWaitAfter && l.waitInfoDue(logged, reason):
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -18,7 +18,7 @@
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
 	leader.core.log = slog.New(slog.NewTextHandler(&out, nil))
-	job := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 3).job
+	job := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 3).Job
 	start := leader.core.now
 	job.WaitingSinceMS = leader.core.wallClockMS
 	for _, step := range []struct {
@@ -54,14 +54,14 @@
 		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, cluster.WaitForMachines},
 		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
 		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, cluster.WaitNoOffer},
-		{"room is made", func(_ *leader, c *candidate) { c.reserved = 1 }, cluster.WaitForPreemption},
+		{"room is made", func(_ *leader, c *candidate) { c.Reserved = 1 }, cluster.WaitForPreemption},
 	} {
 		l := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
 		tc.setUp(l, c)
 		p := newScaleOutPlan(l)
 		p.packPending([]*candidate{c}, map[string]topology.Resources{})
-		if got := c.job.WaitLog.LastReason; got != tc.want {
+		if got := c.Job.WaitLog.LastReason; got != tc.want {
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
 		}
 	}
