--- a/internal/core/scheduler/filter_test.go
+++ b/internal/core/scheduler/filter_test.go
@@ -23,8 +23,10 @@
 
 // addPullingReplica adds a service with one replica, whose image of 20 GB no machine holds.
 func (h *harness) addPullingReplica(id, image string) *cluster.Job {
-	return h.addJob(wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical,
-		Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20})
+	return h.addJob(wire.Job{
+		ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical,
+		Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20,
+	})
 }
 
 // Replicas of different images were packed onto one machine, which pulled one after the other.
--- a/internal/core/scheduler/harness_test.go
+++ b/internal/core/scheduler/harness_test.go
@@ -25,8 +25,8 @@
 }
 
 // newHarness makes a scheduler for teams, with some machine types and objectives.
-func newHarness(t testing.TB, types map[string]*wire.MachineType, teams []config.Team, objectives ...config.Objective) *harness {
-	t.Helper()
+func newHarness(tb testing.TB, types map[string]*wire.MachineType, teams []config.Team, objectives ...config.Objective) *harness {
+	tb.Helper()
 	h := &harness{state: cluster.NewState(), now: 1000 * time.Second, wallClockMS: 1e12, types: types}
 	deployment := &config.Deployment{
 		Zones:         []string{"a", "b", "c"},
@@ -72,8 +72,10 @@
 
 // addArray adds an array that saves checkpoints.
 func (h *harness) addArray(id, team, class string, tasks int, gpus float64) *cluster.Job {
-	return h.addJob(wire.Job{ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
-		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3})
+	return h.addJob(wire.Job{
+		ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
+		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3,
+	})
 }
 
 // candidateOf is the candidate of a job all of whose tasks are to be placed.
@@ -97,8 +99,10 @@
 		job.WithinQuota = r.withinQuota
 		for i, name := range r.on {
 			m := h.state.Machines[name]
-			job.TaskStates[i] = cluster.Task{Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true,
-				StartRetransmitted: true, State: wire.TaskRunning, RunningSince: h.now - r.ranFor}
+			job.TaskStates[i] = cluster.Task{
+				Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true,
+				StartRetransmitted: true, State: wire.TaskRunning, RunningSince: h.now - r.ranFor,
+			}
 			harnessHost{h}.PlaceTask(job, i, m)
 		}
 		running = append(running, job)
--- a/internal/core/scheduler/pass_test.go
+++ b/internal/core/scheduler/pass_test.go
@@ -13,16 +13,18 @@
 const tasksPerMachine = 29
 
 // newBusyFleet has machines that hold three more tasks each and run services of a priority.
-func newBusyFleet(b testing.TB, machines int, priority wire.Priority) *harness {
-	b.Helper()
+func newBusyFleet(tb testing.TB, machines int, priority wire.Priority) *harness {
+	tb.Helper()
 	zones := []string{"a", "b", "c"}
-	h := newHarness(b, map[string]*wire.MachineType{
+	h := newHarness(tb, map[string]*wire.MachineType{
 		"plain": {Name: "plain", CPUs: tasksPerMachine + 3, GPUs: 8, MemGB: 1000, PullGBPerS: 10, Price: 1, BootS: 10, Zones: zones},
 	}, []config.Team{{Name: "vision", CPUs: 1e6, GPUs: 1e6}})
 	for i := range machines {
 		m := h.addMachine(fmt.Sprintf("n-%06d", i), "plain", zones[i%3])
-		job := h.addJob(wire.Job{ID: fmt.Sprintf("job-%06d", i), Team: "vision", Image: "img", Class: "gate",
-			Shape: wire.ShapeService, Priority: priority, CPUs: 1, MemGB: 1, Tasks: tasksPerMachine})
+		job := h.addJob(wire.Job{
+			ID: fmt.Sprintf("job-%06d", i), Team: "vision", Image: "img", Class: "gate",
+			Shape: wire.ShapeService, Priority: priority, CPUs: 1, MemGB: 1, Tasks: tasksPerMachine,
+		})
 		for k := range job.TaskStates {
 			harnessHost{h}.PlaceTask(job, k, m)
 			job.TaskStates[k].State, job.TaskStates[k].Observed = wire.TaskRunning, true
@@ -34,8 +36,10 @@
 
 // addUrgentService adds a service whose tasks fit nowhere without preemption.
 func (h *harness) addUrgentService(tasks int) *cluster.Job {
-	return h.addJob(wire.Job{ID: "job-999999", Team: "vision", Image: "img", Class: "gate", Shape: wire.ShapeService,
-		Priority: wire.PriorityCritical, CPUs: 20, MemGB: 1, Tasks: tasks})
+	return h.addJob(wire.Job{
+		ID: "job-999999", Team: "vision", Image: "img", Class: "gate", Shape: wire.ShapeService,
+		Priority: wire.PriorityCritical, CPUs: 20, MemGB: 1, Tasks: tasks,
+	})
 }
 
 // TestPassCostCountsTasks makes room for a job on a fleet full of less urgent work. What a pass
@@ -57,8 +61,10 @@
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
 			h := newBusyFleet(b, machines, wire.PriorityCritical)
-			gang := h.addJob(wire.Job{ID: "job-999999", Team: "vision", Image: "img", Class: "train", Shape: wire.ShapeGang,
-				Priority: wire.PriorityUrgent, CPUs: 1, GPUs: 1, MemGB: 1, Tasks: 512, OneZone: true})
+			gang := h.addJob(wire.Job{
+				ID: "job-999999", Team: "vision", Image: "img", Class: "train", Shape: wire.ShapeGang,
+				Priority: wire.PriorityUrgent, CPUs: 1, GPUs: 1, MemGB: 1, Tasks: 512, OneZone: true,
+			})
 			tasks := gang.UnplacedTasks()
 			for b.Loop() {
 				tree, _ := h.buildTree()
--- a/internal/core/scheduler/rescheduling.go
+++ b/internal/core/scheduler/rescheduling.go
@@ -36,32 +36,58 @@
 	if candidate.Reserved = p.ReservedTasks(job); candidate.Reserved > 0 {
 		return
 	}
-	wanted := p.preemptionTarget(candidate, p.usage)
-	zoneBound := ZoneBound(job)
-	freedInZone := map[string]int{}
-	var freed []*cluster.Machine // one for each task
+	room := &roomByMoves{
+		wanted:    p.preemptionTarget(candidate, p.usage),
+		zoneBound: ZoneBound(job),
+		inZone:    map[string]int{},
+	}
 	for _, m := range p.machines {
-		if len(freed) == wanted || p.evaluations > p.evaluationLimit {
+		if room.isComplete() || p.evaluations > p.evaluationLimit {
 			break
 		}
-		if !m.HasImage(job.Image) || !p.isFeasible(job, m) || p.isReserved(m) {
-			continue
-		}
-		free := p.freeCapacity(m)
-		for len(freed) < wanted && (zoneBound == nil || freedInZone[m.Zone] < zoneBound(m.Zone)) {
-			moves := p.findMoves(candidate, m, free)
-			if moves == nil {
-				break
-			}
-			p.moveReplicas(moves)
-			free = free.Add(freedByMoves(moves)).Sub(cluster.TaskSize(&job.Job))
-			freedInZone[m.Zone]++
-			freed = append(freed, m)
+		if m.HasImage(job.Image) && p.isFeasible(job, m) && !p.isReserved(m) {
+			p.rescheduleOn(candidate, m, room)
 		}
 	}
-	if len(freed) > 0 {
-		candidate.Reserved = len(freed)
-		p.reserve(job, freed, 0)
+	if len(room.machines) > 0 {
+		candidate.Reserved = len(room.machines)
+		p.reserve(job, room.machines, 0)
+	}
+}
+
+// roomByMoves is the room that is made for a candidate by moves.
+type roomByMoves struct {
+	wanted    int // tasks
+	zoneBound func(zone string) int
+	inZone    map[string]int
+	machines  []*cluster.Machine // one for each task
+}
+
+// isComplete reports whether there is room for all tasks.
+func (r *roomByMoves) isComplete() bool { return len(r.machines) == r.wanted }
+
+// wantsMoreIn reports whether room for another task in a zone is of use.
+func (r *roomByMoves) wantsMoreIn(zone string) bool {
+	return len(r.machines) < r.wanted && (r.zoneBound == nil || r.inZone[zone] < r.zoneBound(zone))
+}
+
+// add adds room for a task on a machine.
+func (r *roomByMoves) add(m *cluster.Machine) {
+	r.inZone[m.Zone]++
+	r.machines = append(r.machines, m)
+}
+
+// rescheduleOn makes room for as many of a candidate's tasks on a machine as moves free.
+func (p *pass) rescheduleOn(candidate *Candidate, m *cluster.Machine, room *roomByMoves) {
+	free := p.freeCapacity(m)
+	for room.wantsMoreIn(m.Zone) {
+		moves := p.findMoves(candidate, m, free)
+		if moves == nil {
+			return
+		}
+		p.moveReplicas(moves)
+		free = free.Add(freedByMoves(moves)).Sub(cluster.TaskSize(&candidate.Job.Job))
+		room.add(m)
 	}
 }
 
--- a/internal/core/topology/topology_test.go
+++ b/internal/core/topology/topology_test.go
@@ -40,8 +40,10 @@
 		{"without one, the zone that holds most first, then the others", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{Task: one, Count: 4, Required: LevelRoot}, "y y w x"},
 		{"nothing fits", []string{"a/x/1"}, Request{Task: Resources{GPUs: 2}, Count: 1, Required: LevelRoot}, ""},
 		{"a zone's bound", []string{"a/x/8", "b/y/8", "c/z/8"}, Request{Task: one, Count: 4, Required: LevelRoot, ZoneBound: func(string) int { return 2 }}, "x x y y"},
-		{"the lower penalty decides between machines that hold all", []string{"a/x/2", "a/y/4"}, Request{Task: one, Count: 1, Required: LevelRoot,
-			Penalty: func(m *Machine) int { return strings.Index("yx", m.Name) }}, "y"},
+		{"the lower penalty decides between machines that hold all", []string{"a/x/2", "a/y/4"}, Request{
+			Task: one, Count: 1, Required: LevelRoot,
+			Penalty: func(m *Machine) int { return strings.Index("yx", m.Name) },
+		}, "y"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tr, ms := newTree(tc.tree...)
@@ -84,40 +86,57 @@
 	}
 }
 
+// randomTree builds the same tree for the same seed.
+func randomTree(seed uint64) *Tree {
+	random := rand.New(rand.NewPCG(seed, 1))
+	var machines []*Machine
+	for i := range 1 + random.IntN(30) {
+		machines = append(machines, &Machine{
+			Name:  fmt.Sprintf("m%02d", i),
+			Zone:  string(rune('a' + random.IntN(3))),
+			Price: float64(random.IntN(2)),
+			Free:  Resources{CPUs: float64(random.IntN(12)) / 2, GPUs: float64(random.IntN(5)), MemGB: float64(random.IntN(9))},
+			Index: random.IntN(3),
+		})
+	}
+	return New(machines)
+}
+
+// placeOneByOne places tasks of a request, at most bound in a zone.
+func placeOneByOne(tree *Tree, request Request, tasks, bound int) []*Machine {
+	var placed []*Machine
+	inZone := map[string]int{}
+	request.ZoneBound = func(zone string) int { return bound - inZone[zone] }
+	for range tasks {
+		got := tree.Place(request)
+		if got == nil {
+			break
+		}
+		inZone[got[0].Zone]++
+		placed = append(placed, got[0])
+	}
+	return placed
+}
+
 // TestPlaceEachAsPlace places random tasks one by one and all in one call. Both have to choose the
 // same machines.
 func TestPlaceEachAsPlace(t *testing.T) {
 	for seed := range uint64(200) {
-		build := func() (*Tree, []*Machine) {
-			random := rand.New(rand.NewPCG(seed, 1))
-			var ms []*Machine
-			for i := range 1 + random.IntN(30) {
-				ms = append(ms, &Machine{Name: fmt.Sprintf("m%02d", i), Zone: string(rune('a' + random.IntN(3))), Price: float64(random.IntN(2)),
-					Free: Resources{CPUs: float64(random.IntN(12)) / 2, GPUs: float64(random.IntN(5)), MemGB: float64(random.IntN(9))}, Index: random.IntN(3)})
-			}
-			return New(ms), ms
-		}
 		random := rand.New(rand.NewPCG(seed, 2))
-		one, _ := build()
-		each, _ := build()
+		one, each := randomTree(seed), randomTree(seed)
 		for range 5 {
 			task := Resources{CPUs: float64(1+random.IntN(3)) / 2, GPUs: float64(random.IntN(2)), MemGB: 1}
 			bound, forbidden, tasks := random.IntN(6), random.IntN(4), 1+random.IntN(20)
-			inZone := map[string]int{}
-			req := Request{Task: task, Count: 1, Required: LevelRoot, Penalty: func(m *Machine) int { return m.Index },
-				Allowed: func(m *Machine) bool { return m.Index != forbidden }}
-			var want []*Machine
-			for range tasks {
-				req.ZoneBound = func(zone string) int { return bound - inZone[zone] }
-				got := one.Place(req)
-				if got == nil {
-					break
-				}
-				inZone[got[0].Zone]++
-				want = append(want, got[0])
+			request := Request{
+				Task:     task,
+				Count:    1,
+				Required: LevelRoot,
+				Penalty:  func(m *Machine) int { return m.Index },
+				Allowed:  func(m *Machine) bool { return m.Index != forbidden },
 			}
-			req.ZoneBound = func(string) int { return bound }
-			if got := each.PlaceEach(req, tasks); names(got) != names(want) {
+			want := placeOneByOne(one, request, tasks, bound)
+			request.ZoneBound = func(string) int { return bound }
+			if got := each.PlaceEach(request, tasks); names(got) != names(want) {
 				t.Fatalf("seed %d: %d tasks of %v on %q, one by one on %q", seed, tasks, task, names(got), names(want))
 			}
 		}
