--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -17,7 +17,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// newLeadingHarness makes a harness whose core leads and has loaded its records.
+// newLeadingHarness makes a harness whose controller leads and has loaded its records.
 func newLeadingHarness(t *testing.T, change func(*config.Settings)) (*harness, *leader) {
 	b := newHarness(t, testMachineTypes)
 	change(b.core.settings)
@@ -27,7 +27,7 @@
 	return b, l
 }
 
-// addRecord writes a job's open record and has the leader learn of it.
+// addRecord writes a job's open record and tells the leader of it.
 func addRecord(harness *harness, leader *leader, spec wire.Job, change func(*records.Open)) {
 	if spec.Class == "" {
 		spec.Class, spec.Team, spec.Shape, spec.Priority, spec.CPUs, spec.MemGB = "c", "vision", wire.ShapeArray, wire.PriorityIdle, 4, 1
@@ -44,9 +44,8 @@
 	leader.applyOpenRecord(spec.ID, harness.store[key].Version, rec)
 }
 
-// TestInheritance raises a job to the highest priority, and the earliest deadline less
-// the estimates on the way, of any job that needs it, also where it runs
-// already; what its dependents lose, it loses.
+// TestInheritance gives a job the highest priority of its dependents and the earliest deadline, less
+// the estimates on the way, also where it runs already; what its dependents lose, it loses.
 func TestInheritance(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	due := 900.0
@@ -60,7 +59,7 @@
 	end := float64(harness.core.wallClockMS)/1000 + due
 	for id, want := range map[string]float64{"job-1": end - 70, "job-2": end - 20, "job-3": end} {
 		if j := leader.Jobs[id]; j.Level != cluster.PriorityLevel[wire.PriorityUrgent] || math.Abs(j.Deadline-want) > 1e-3 {
-			t.Errorf("%s: rank %d, due %.0f s before the end, want %.0f", id, j.Level, end-j.Deadline, end-want)
+			t.Errorf("%s: level %d, deadline %.0f s before the end, want %.0f", id, j.Level, end-j.Deadline, end-want)
 		}
 	}
 	if machine.UsedByLevel[cluster.PriorityLevel[wire.PriorityUrgent]].CPUs != 4 || machine.UsedByLevel[0].CPUs != 0 {
@@ -68,12 +67,12 @@
 	}
 	leader.forget(leader.Jobs["job-3"])
 	if j := leader.Jobs["job-1"]; j.Level != 0 || !math.IsInf(j.Deadline, 1) {
-		t.Errorf("without its dependent: rank %d, due %v", j.Level, j.Deadline)
+		t.Errorf("without its dependent: level %d, deadline %v", j.Level, j.Deadline)
 	}
 }
 
-// TestWaitingHoldsNothing has a job that awaits another ask for no machine and
-// no part of its team's guarantee, until its record says that it may go on.
+// TestWaitingHoldsNothing lets a job wait for a dependency: it asks for no machine and claims no part
+// of its team's guarantee until its record says that it is ready.
 func TestWaitingHoldsNothing(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
@@ -81,7 +80,7 @@
 	addRecord(harness, leader, wire.Job{ID: "job-3"}, nil)
 	leader.markWithinQuota()
 	if !leader.Jobs["job-1"].WithinQuota || leader.Jobs["job-2"].WithinQuota || !leader.Jobs["job-3"].WithinQuota {
-		t.Error("within the guarantee: jobs 1 and 3, not the waiting one before it")
+		t.Error("within quota should be jobs 1 and 3, not the waiting one before it")
 	}
 	if n := len(leader.Jobs["job-2"].PendingTasks()); n != 0 {
 		t.Errorf("%d tasks of a waiting job may be placed", n)
@@ -92,15 +91,15 @@
 	leader.writer.MarkDirty()
 	harness.run(2e9)
 	if len(leader.Jobs["job-2"].PendingTasks()) != 1 || !strings.Contains(string(harness.store[records.OpenKey("job-2")].Value), `"ra":`) {
-		t.Errorf("it does not go on: %s", harness.store[records.OpenKey("job-2")].Value)
+		t.Errorf("it does not become ready: %s", harness.store[records.OpenKey("job-2")].Value)
 	}
 	if leader.Jobs["job-2"].WaitingSinceMS <= since {
-		t.Error("its waiting counts from its submission")
+		t.Error("its waiting time counts from its submission")
 	}
 }
 
-// TestDependentsEndFirst cancels a chain and a diamond: at no moment is a job's
-// end on record while one that needs it is open, in however small steps.
+// TestDependentsEndFirst cancels a chain and a diamond: at no moment is a job's end on record while a
+// dependent is open, in however small steps.
 func TestDependentsEndFirst(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.TxnOps = 2 })
 	needs := map[string][]string{"job-2": {"job-1"}, "job-3": {"job-1"}, "job-4": {"job-2", "job-3"}, "job-5": {"job-4"}}
@@ -127,8 +126,8 @@
 	}
 }
 
-// TestDependencyEndIsNotTakenFromPeer does not take a leader's word for a job that others need:
-// while it cannot read, it does not know of the latest of them.
+// TestDependencyEndIsNotTakenFromPeer does not rely on a leader for the end of a job with dependents:
+// while the leader cannot read, it does not know of the latest of them.
 func TestDependencyEndIsNotTakenFromPeer(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	harness.write(election.KeyTerm, "", []byte("5"))
@@ -154,8 +153,8 @@
 	}
 }
 
-// TestPlacementsAreDeleted ends a job that has more placement records than go into
-// one transaction: none is left.
+// TestPlacementsAreDeleted ends a job that has more placement records than fit in one transaction:
+// none is left.
 func TestPlacementsAreDeleted(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Store.TxnOps, s.Deployment.Store.ValueKB = 5, 1
@@ -183,9 +182,9 @@
 	}
 }
 
-// TestLayoutChanges moves a job from numbered records to those that name their
-// range. A copy of an earlier write of the numbered record, carried out late,
-// must fail: it would bring back what the new records have overtaken.
+// TestLayoutChanges moves a job from numbered records to those that name their range. A copy of an
+// earlier write of the numbered record, carried out late, must fail: it would restore what the new
+// records have replaced.
 func TestLayoutChanges(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
@@ -253,8 +252,8 @@
 	}
 }
 
-// TestAdoptPrefersRanges reads records of both layouts that disagree: those that
-// name their range stand above the numbered ones.
+// TestAdoptPrefersRanges reads records of both layouts that disagree: those that name their range take
+// precedence over the numbered ones.
 func TestAdoptPrefersRanges(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1} })
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 30}, nil)
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestPackDependents plans while a job of one task runs that another of three tasks,
-// which fill a machine and a half, awaits.
+// TestPackDependents plans while a job of one task runs on which another one depends, whose three
+// tasks fill a machine and a half.
 func TestPackDependents(t *testing.T) {
 	one := 1
 	large := func(count int) []provisioning.Shortfall {
@@ -21,68 +21,68 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(l *leader, awaited, waiting *cluster.Job)
+		change func(l *leader, dependency, waiting *cluster.Job)
 		want   []provisioning.Shortfall
 	}{
 		{
-			name:   "the awaited job ends while a machine boots",
-			change: func(l *leader, awaited, waiting *cluster.Job) {},
+			name:   "the dependency ends while a machine boots",
+			change: func(l *leader, dependency, waiting *cluster.Job) {},
 			want:   []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:   "it runs for longer",
-			change: func(l *leader, awaited, waiting *cluster.Job) { awaited.EstimatedRunS = 300 },
+			change: func(l *leader, dependency, waiting *cluster.Job) { dependency.EstimatedRunS = 300 },
 		},
 		{
 			name: "most of a long run is over",
-			change: func(l *leader, awaited, waiting *cluster.Job) {
-				awaited.EstimatedRunS = 300
-				awaited.TaskStates[0].RunningSince = l.core.now - 280*time.Second
+			change: func(l *leader, dependency, waiting *cluster.Job) {
+				dependency.EstimatedRunS = 300
+				dependency.TaskStates[0].RunningSince = l.core.now - 280*time.Second
 			},
 			want: []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:   "it has no machine itself",
-			change: func(l *leader, awaited, waiting *cluster.Job) { awaited.TasksPlaced = 0 },
+			change: func(l *leader, dependency, waiting *cluster.Job) { dependency.TasksPlaced = 0 },
 		},
 		{
 			name: "it waits for another job",
-			change: func(l *leader, awaited, waiting *cluster.Job) {
-				awaited.Waiting = true
-				l.dependencies.Add(awaited.ID, []string{"job-3"})
+			change: func(l *leader, dependency, waiting *cluster.Job) {
+				dependency.Waiting = true
+				l.dependencies.Add(dependency.ID, []string{"job-3"})
 			},
 		},
 		{
-			name:   "one of two awaited jobs has no machine",
-			change: func(l *leader, awaited, waiting *cluster.Job) { l.dependencies.Add(waiting.ID, []string{"job-3"}) },
+			name:   "one of two dependencies has no machine",
+			change: func(l *leader, dependency, waiting *cluster.Job) { l.dependencies.Add(waiting.ID, []string{"job-3"}) },
 		},
 		{
 			name:   "the job is cancelled",
-			change: func(l *leader, awaited, waiting *cluster.Job) { waiting.Cancellation.Request(0) },
+			change: func(l *leader, dependency, waiting *cluster.Job) { waiting.Cancellation.Request(0) },
 		},
 		{
 			name:   "the team's limit",
-			change: func(l *leader, awaited, waiting *cluster.Job) { l.core.team("vision").CPUsMax = 4 },
+			change: func(l *leader, dependency, waiting *cluster.Job) { l.core.team("vision").CPUsMax = 4 },
 			want:   large(1),
 		},
 		{
-			name:   "the operators' bound on room in advance",
-			change: func(l *leader, awaited, waiting *cluster.Job) { l.core.operatorSettings.WarmMachines = &one },
+			name:   "the operators' bound on machines provisioned in advance",
+			change: func(l *leader, dependency, waiting *cluster.Job) { l.core.operatorSettings.WarmMachines = &one },
 			want:   large(1),
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := newForecastLeader(t)
-			awaited, waiting := dependentJob("job-1", 1), dependentJob("job-2", 3)
-			awaited.TasksPlaced, awaited.TaskStates[0].RunningSince = 1, l.core.now
+			dependency, waiting := dependentJob("job-1", 1), dependentJob("job-2", 3)
+			dependency.TasksPlaced, dependency.TaskStates[0].RunningSince = 1, l.core.now
 			waiting.Waiting = true
 			other := dependentJob("job-3", 1)
-			l.JobsBySubmission = []*cluster.Job{awaited, waiting, other}
+			l.JobsBySubmission = []*cluster.Job{dependency, waiting, other}
 			for _, j := range l.JobsBySubmission {
 				l.Jobs[j.ID] = j
 			}
-			l.dependencies.Add(waiting.ID, []string{awaited.ID})
-			tc.change(l, awaited, waiting)
+			l.dependencies.Add(waiting.ID, []string{dependency.ID})
+			tc.change(l, dependency, waiting)
 			p := newScaleOutPlan(l)
 			p.packDependents(map[string]topology.Resources{})
 			if got := shortfallsWithoutPurpose(p); !slices.Equal(got, tc.want) {
--- a/internal/core/huge_array_test.go
+++ b/internal/core/huge_array_test.go
@@ -9,9 +9,9 @@
 )
 
 // An array of 100,000 tasks that finds 4,200 empty machines is placed over several passes,
-// each of which costs little more than a pass may: the rental plan comes on top.
+// each of which costs little more than a pass may: the scale-out plan comes on top.
 func TestHugeArrayInPasses(t *testing.T) {
-	const machines, seats = 4200, 16
+	const machines, tasksPerMachine = 4200, 16
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}} })
 	harness.core.machineTypes = pullTypes
 	for i := range machines {
@@ -19,7 +19,7 @@
 	}
 	job := addArray(leader, "job-1", "vision", "sweep", 100000, 0)
 	passes := 0
-	for ; job.TasksPlaced < machines*seats; passes++ {
+	for ; job.TasksPlaced < machines*tasksPerMachine; passes++ {
 		placed, before := job.TasksPlaced, leader.scheduler.Evaluations()
 		limit := leader.scheduler.EvaluationBudget()
 		leader.runPlacementPass()
@@ -35,8 +35,8 @@
 	}
 }
 
-// A plan rents for all of a service or a gang however large, and for so many tasks of an
-// array that a machine is worth its boot.
+// A plan provisions for all of a service or a gang however large, and for so many tasks of an array
+// that a machine is worth its boot.
 func TestPlannedTasks(t *testing.T) {
 	for _, test := range []struct {
 		name     string
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -11,7 +11,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pullTypes fetches 1 GB a second.
+// pullTypes pulls 1 GB a second.
 var pullTypes = map[string]*wire.MachineType{
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
@@ -27,22 +27,20 @@
 	return l, idleMachine(l, "n-1", "g4", "a"), idleMachine(l, "n-2", "g4", "a")
 }
 
-// startPull places a replica whose image is not held.
+// startPull adds a service with one replica, and places it on a machine that pulls its image.
 func startPull(l *leader, id, image string, gb float64, m *cluster.Machine) *cluster.Job {
 	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: gb}}, 1)
 	l.writer.InitPlacementRecords(j)
-	if m != nil {
-		l.bindTasks(j, []int{0}, []*cluster.Machine{m})
-	}
+	l.bindTasks(j, []int{0}, []*cluster.Machine{m})
 	return j
 }
 
-// How machines fetch is learned from fetches that began behind others.
+// How machines pull images is learned from pulls that began behind others.
 func TestPullEvidence(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		took  time.Duration // of an image of 20 GB behind one of 20 GB
-		queue bool
+		name       string
+		took       time.Duration // by an image of 20 GB behind one of 20 GB
+		sequential bool
 	}{
 		{"as long as both", 40 * time.Second, true},
 		{"as long as by itself", 20 * time.Second, false},
@@ -55,18 +53,17 @@
 		leader.core.now += 20 * time.Second
 		leader.recordPulled(machine, "x")
 		if leader.pullStatistics != (pullEvidence{}) {
-			t.Errorf("%s: a fetch that was not behind another is evidence %+v", tc.name, leader.pullStatistics)
+			t.Errorf("%s: a pull that was not behind another is evidence %+v", tc.name, leader.pullStatistics)
 		}
 		leader.core.now += tc.took - 20*time.Second
 		leader.recordPulled(machine, "y")
-		if got := leader.pullStatistics.isSequential(); got != tc.queue {
-			t.Errorf("%s: fetches wait for each other: %v, want %v", tc.name, got, tc.queue)
+		if got := leader.pullStatistics.isSequential(); got != tc.sequential {
+			t.Errorf("%s: sequential %v, want %v", tc.name, got, tc.sequential)
 		}
 	}
 }
 
-// A fetch whose beginning is not known, since an earlier leader placed the task,
-// is no evidence.
+// A pull whose start is not known, since an earlier leader placed the task, is no evidence.
 func TestPullOfUnknownAge(t *testing.T) {
 	l, m, _ := pullingLeader(t)
 	startPull(l, "job-1", "x", 20, m)
@@ -80,7 +77,7 @@
 	}
 }
 
-// A new leader goes by what the one before told, until it has seen fetches itself.
+// A new leader uses the evidence of the previous one, until it has its own.
 func TestPullEvidenceAfterFailover(t *testing.T) {
 	for _, tc := range []struct {
 		e    pullEvidence
@@ -103,22 +100,22 @@
 		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: told}}})
 		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !told}}})
 		if got := newLeader(b.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != told {
-			t.Errorf("the new leader expects %v, the one before told %v", got, told)
+			t.Errorf("sequential %v for the new leader, %v for the previous one", got, told)
 		}
 	}
 }
 
-// A leader tells the others how machines fetch images.
+// A leader tells the other controllers how machines pull images.
 func TestPullEvidenceIsShared(t *testing.T) {
 	leader, _, _ := pullingLeader(t)
 	leader.core.leader = leader
 	leader.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
 	leader.core.peers["n1"] = &peerState{}
-	for _, queued := range []int{0, 1} {
-		leader.pullStatistics.sequential = queued
+	for _, sequential := range []int{0, 1} {
+		leader.pullStatistics.sequential = sequential
 		leader.core.out = Output{}
 		leader.core.sendDigests()
-		if sent := leader.core.out.PeerSends; len(sent) == 0 || sent[0].Message.Digest.FetchesQueue != (queued > 0) {
+		if sent := leader.core.out.PeerSends; len(sent) == 0 || sent[0].Message.Digest.FetchesQueue != (sequential > 0) {
 			t.Errorf("with evidence %+v the digest is %+v", leader.pullStatistics, sent)
 		}
 	}
--- a/internal/core/pipeline_times_test.go
+++ b/internal/core/pipeline_times_test.go
@@ -12,9 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestTimesOfAWaitingJob has a job wait for a minute: its deadline counts from its
-// submission, its waiting from the end of the last job that it awaited, also under
-// a leader that has only the records.
+// TestTimesOfAWaitingJob lets a job wait for a minute: its deadline counts from its submission, its
+// waiting time from the end of its last dependency, also under a leader that has only the records.
 func TestTimesOfAWaitingJob(t *testing.T) {
 	harness, l := newLeadingHarness(t, func(*config.Settings) {})
 	due := 300.0
@@ -38,8 +37,8 @@
 	}
 }
 
-// TestCancelAnsweredDone calls a job off that ends at the same moment: answered
-// done, what needs it goes on.
+// TestCancelAnsweredDone cancels a job that ends at the same moment: it is answered as done, and its
+// dependent becomes ready.
 func TestCancelAnsweredDone(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
@@ -62,12 +61,12 @@
 	}
 	harness.run(2 * time.Second)
 	if j := leader.Jobs[jobID(2)]; j == nil || j.Cancellation.Requested() || j.Waiting {
-		t.Error("its dependent does not go on")
+		t.Error("its dependent does not become ready")
 	}
 }
 
-// TestChainLog holds what an operator sees of a chain: one line for each job and
-// stage, and the names with the reasons.
+// TestChainLog checks what an operator reads of a chain of dependencies: one line for each job and
+// stage, with names and reasons.
 func TestChainLog(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	var out bytes.Buffer
@@ -107,10 +106,9 @@
 	}
 }
 
-// TestGoingOnNeedsRecordedEnds has a leader believe that an awaited job is done
-// whose open record is still there: the record of the one that waits must not say
-// that it goes on.
-func TestGoingOnNeedsRecordedEnds(t *testing.T) {
+// TestReadyNeedsRecordedEnds makes a leader believe that a dependency is done whose open record is
+// still there: the record of its dependent must not become ready.
+func TestReadyNeedsRecordedEnds(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
 	addRecord(harness, leader, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
@@ -122,7 +120,7 @@
 	runInStep(harness, func() { leader.dependencyEnded(jobID(1), wire.StatusDone) })
 	harness.run(2 * time.Second)
 	if strings.Contains(string(harness.store[records.OpenKey(jobID(2))].Value), `"ra":`) || len(leader.Jobs[jobID(2)].PendingTasks()) > 0 {
-		t.Errorf("it goes on: %s", harness.store[records.OpenKey(jobID(2))].Value)
+		t.Errorf("it is ready: %s", harness.store[records.OpenKey(jobID(2))].Value)
 	}
 	if tried == 0 {
 		t.Error("nothing was written")
--- a/internal/core/task_ends_test.go
+++ b/internal/core/task_ends_test.go
@@ -9,9 +9,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Ends of an array's tasks that come with reports in a row are one change of its
-// record. The job's own end is recorded at once, in place of what is gathered.
-func TestEndsAreGathered(t *testing.T) {
+// Ends of an array's tasks that come with successive heartbeats are one change of its record. The
+// job's own end is recorded at once, in place of what was deferred.
+func TestTaskEndsAreDeferred(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 8}, nil)
 	addRecord(harness, leader, wire.Job{ID: "job-2", Tasks: 1}, nil)
@@ -31,11 +31,11 @@
 	}
 	harness.run(leader.core.heartbeatInterval())
 	if n := changes("job-1"); n != 1 {
-		t.Errorf("four ends within two reports: %d changes", n)
+		t.Errorf("four ends within two heartbeats: %d changes", n)
 	}
 	leader.markDone(leader.Jobs["job-2"], 0)
 	harness.run(leader.core.heartbeatInterval() / 2)
 	if leader.Jobs["job-2"] != nil || changes("job-2") != 0 {
-		t.Errorf("the end of a job is held up, or its record written first")
+		t.Errorf("the end of a job is delayed, or its record written first")
 	}
 }
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// What operators read of why a job waits: each reason once it has waited for long,
-// not more often than every so often.
+// Why a job waits is logged for operators once it has waited for long, each reason once and at a
+// bounded rate.
 func TestWaitReasons(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
@@ -54,7 +54,7 @@
 		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, cluster.WaitForMachines},
 		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
 		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, cluster.WaitNoOffer},
-		{"room is made", func(_ *leader, c *candidate) { c.Reserved = 1 }, cluster.WaitForPreemption},
+		{"tasks are preempted", func(_ *leader, c *candidate) { c.Reserved = 1 }, cluster.WaitForPreemption},
 	} {
 		l := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
--- a/internal/core/zone_loss_test.go
+++ b/internal/core/zone_loss_test.go
@@ -10,7 +10,7 @@
 
 // zoneLossLeader makes a leader of a fleet that has just lost a zone: a third of the tasks of
 // every job has no machine. The machines left are full; a third of the jobs and an array
-// are of the lowest priority and make way.
+// are of the lowest priority, so that they may be preempted.
 func zoneLossLeader(t testing.TB, machines int) *leader {
 	leader := busyFleet(t, machines)
 	for i, j := range leader.JobsBySubmission {
@@ -20,7 +20,7 @@
 			setPriority(j, 0)
 		}
 	}
-	// The tasks of a job change places, so that each job has some in every zone.
+	// The tasks of a job are placed anew, so that each job has some in every zone.
 	for _, j := range leader.JobsBySubmission {
 		for k := range j.TaskStates {
 			leader.unplace(j, k)
@@ -47,7 +47,7 @@
 	return leader
 }
 
-// fillMachines has tasks of the lowest priority take the room that is left on all machines.
+// fillMachines fills all machines with tasks of the lowest priority.
 func fillMachines(l *leader) {
 	j := addJob(l, wire.Job{ID: "job-888888", Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, CPUs: 1, MemGB: 1, Tasks: 3 * len(l.MachinesByName), CheckpointIntervalS: 30, CheckpointDurationS: 3})
 	l.writer.InitPlacementRecords(j)
