--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/frontend"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -82,13 +83,13 @@
 	if _, ok := l.lookups.dueAt[id]; ok || !l.dependencies.Needed(id) {
 		return
 	}
-	if l.lookups.running >= l.core.maxWaitingRequests()/8 {
+	if l.lookups.running >= l.core.frontEnd.MaxWaiting()/8 {
 		l.lookups.dueAt[id] = l.core.now // users' requests share the same calls
 		return
 	}
 	l.lookups.running++
 	l.lookups.dueAt[id] = math.MaxInt64
-	l.core.lookupJob(id, func(result lookupResult) {
+	l.core.frontEnd.Lookup(id, func(result frontend.LookupResult) {
 		l.lookups.running--
 		if !l.steppedDown {
 			l.applyDependencyLookup(id, result)
@@ -97,14 +98,14 @@
 }
 
 // applyDependencyLookup applies the result of a look-up; one without any is repeated.
-func (l *leader) applyDependencyLookup(id string, result lookupResult) {
+func (l *leader) applyDependencyLookup(id string, result frontend.LookupResult) {
 	switch {
-	case result.final != nil:
+	case result.Final != nil:
 		delete(l.lookups.dueAt, id)
-		l.dependencyEnded(id, result.final.Status)
-	case result.open != nil:
+		l.dependencyEnded(id, result.Final.Status)
+	case result.Open != nil:
 		delete(l.lookups.dueAt, id)
-		l.applyOpenRecord(id, result.open.version, result.open.record)
+		l.applyOpenRecord(id, result.Open.Version, result.Open.Record)
 	default:
 		l.lookups.dueAt[id] = l.core.now + l.core.leaderLeaseDuration()/8
 	}
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -1,6 +1,7 @@
 package core
 
 import (
+	"fmt"
 	"slices"
 	"strings"
 	"testing"
@@ -9,14 +10,15 @@
 	stdjson "encoding/json"
 
 	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/dependencylist"
 	"github.com/brookwalk/brookwalk/internal/core/election"
 	"github.com/brookwalk/brookwalk/internal/core/records"
 	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// longListLength is how many jobs are named in the tests below: several times what a
-// record holds under smallLimits.
+// longListLength is how many dependencies the tests below have: several times what a record holds
+// under smallLimits.
 const longListLength = 400
 
 func smallLimits(s *config.Settings) {
@@ -30,8 +32,10 @@
 func openJobs(b *harness, count int) []string {
 	var names []string
 	for n := range count {
-		rec := records.Open{SubmittedAt: b.core.wallClockMS, Job: wire.Job{ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
-			Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}}
+		rec := records.Open{SubmittedAt: b.core.wallClockMS, Job: wire.Job{
+			ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
+			Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1,
+		}}
 		b.write(records.OpenKey(rec.Job.ID), "", kv.Encode(rec))
 		names = append(names, rec.Job.ID)
 	}
@@ -60,7 +64,7 @@
 	return a
 }
 
-// submitLongList has a job accepted that awaits longListLength others.
+// submitLongList submits a job with longListLength dependencies.
 func submitLongList(t *testing.T, b *harness) (id string, names []string) {
 	t.Helper()
 	smallLimits(b.core.settings)
@@ -72,25 +76,22 @@
 	return id, names
 }
 
-// TestLongListIsAccepted spreads a list over records within the limits of the
-// state service, marks all jobs that it names as needed, and knows a repeat.
+// TestLongListIsAccepted spreads a list over records within the store's limits, marks all
+// dependencies as having dependents, and recognizes a repeated submission.
 func TestLongListIsAccepted(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, b)
-	var rec records.Open
-	if err := stdjson.Unmarshal(b.store[records.OpenKey(id)].Value, &rec); err != nil {
-		t.Fatal(err)
-	}
-	ref, ok := records.ParseDependencyListRef(rec.Job.Dependencies)
+	recorded := b.openRecord(id).Job.Dependencies
+	ref, ok := records.ParseDependencyListRef(recorded)
 	if !ok {
-		t.Fatalf("recorded as %q", rec.Job.Dependencies)
+		t.Fatalf("recorded as %q", recorded)
 	}
 	if keys := b.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.Keys()))) {
 		t.Errorf("list records %q, the job refers to %q", keys, ref.Keys())
 	}
 	var got []string
 	for _, key := range ref.Keys() {
-		var record listRecord
+		var record dependencylist.Record
 		if err := stdjson.Unmarshal(b.store[key].Value, &record); err != nil {
 			t.Fatal(err)
 		}
@@ -106,7 +107,7 @@
 	}
 	for _, name := range names {
 		if !strings.Contains(string(b.store[records.OpenKey(name)].Value), `"nd":true`) {
-			t.Fatalf("%s is not marked as needed", name)
+			t.Fatalf("%s is not marked as having dependents", name)
 		}
 	}
 	commits := len(b.commits)
@@ -118,56 +119,66 @@
 	}
 }
 
-// TestLongListMeetsLostAnswers loses the answer to each transaction in turn, once
-// carried out and once not: the job is accepted once, with its whole list.
+// TestLongListMeetsLostAnswers loses the answer to each transaction in turn, carried out or not:
+// the job is accepted once, with its whole list.
 func TestLongListMeetsLostAnswers(t *testing.T) {
-	for _, carriedOut := range []bool{true, false} {
+	for name, send := range map[string]func(carryOut func() int){
+		"carried out":     func(carryOut func() int) { carryOut() },
+		"not carried out": func(func() int) {},
+	} {
 		for lost := range 4 { // three with list records, one with the job
-			b := newHarness(t, testMachineTypes)
-			b.core.settings.Deployment.Store.ValueKB, b.core.settings.Deployment.Store.TxnOps = 1, 2
-			names := openJobs(b, 300)
-			begun := false
-			b.intercept = func(txn *wire.Txn, carryOut func() int) int {
-				for _, w := range txn.Writes {
-					begun = begun || strings.HasPrefix(w.Put, records.PrefixDependencyList)
-				}
-				if begun {
-					lost--
+			t.Run(fmt.Sprintf("transaction %d/%s", lost, name), func(t *testing.T) {
+				b := newHarness(t, testMachineTypes)
+				b.core.settings.Deployment.Store.ValueKB, b.core.settings.Deployment.Store.TxnOps = 1, 2
+				names := openJobs(b, 300)
+				answersLost := loseAnswer(b, lost, send)
+				if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
+					t.Fatalf("answered %d %s", a.Status, a.Body)
 				}
-				if !begun || lost != -1 {
-					return carryOut()
+				recorded := b.openRecord(jobID(9)).Job.Dependencies
+				ref, ok := records.ParseDependencyListRef(recorded)
+				for _, key := range ref.Keys() {
+					if b.store[key].Key == "" {
+						t.Errorf("%s is missing", key)
+					}
 				}
-				if carriedOut {
-					carryOut()
-				}
-				return 0
-			}
-			if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
-				t.Fatalf("answered %d %s", a.Status, a.Body)
-			}
-			var rec records.Open
-			stdjson.Unmarshal(b.store[records.OpenKey(jobID(9))].Value, &rec)
-			ref, ok := records.ParseDependencyListRef(rec.Job.Dependencies)
-			for _, key := range ref.Keys() {
-				if b.store[key].Key == "" {
-					t.Errorf("%s is missing", key)
+				if !ok || *answersLost != 1 {
+					t.Errorf("recorded as %q, %d answers lost", recorded, *answersLost)
 				}
-			}
-			if !ok || lost >= 0 {
-				t.Errorf("recorded as %q, %d answers left to lose", rec.Job.Dependencies, lost+1)
-			}
+			})
+		}
+	}
+}
+
+// loseAnswer loses the answer to a transaction, counted from the first one that writes list
+// records; send carries it out or not. It returns how many answers are lost so far.
+func loseAnswer(b *harness, number int, send func(carryOut func() int)) *int {
+	lost, next, begun := new(int), 0, false
+	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+		begun = begun || slices.ContainsFunc(txn.Writes, func(w wire.Write) bool {
+			return strings.HasPrefix(w.Put, records.PrefixDependencyList)
+		})
+		if !begun {
+			return carryOut()
+		}
+		next++
+		if next-1 != number {
+			return carryOut()
 		}
+		*lost++
+		send(carryOut)
+		return 0
 	}
+	return lost
 }
 
-// TestLongListWaitsForUpgrade asks the user to come back while a controller runs
-// a version that can't read lists spread over records, and writes none.
+// TestLongListWaitsForUpgrade asks the user to retry while a controller runs a version that cannot
+// read dependency lists, and writes none.
 func TestLongListWaitsForUpgrade(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	smallLimits(b.core.settings)
 	names := openJobs(b, 150)
-	b.core.settings.Peers = []config.Peer{{Name: "n1", Zone: "b"}}
-	b.core.peers["n1"] = &peerState{}
+	setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
 	b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists - 1}}})
 	b.run(3 * time.Second)
 	var a Answer
@@ -184,7 +195,7 @@
 	}
 }
 
-// leadWithRecords makes a core that leads over a harness's records.
+// leadWithRecords makes the core of a harness lead, with the records in the store.
 func leadWithRecords(b *harness) *leader {
 	b.write(election.KeyTerm, "", []byte("5"))
 	l := b.lead()
@@ -198,15 +209,15 @@
 	b.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
 }
 
-// TestLongListHoldsTheJob has a new leader read a list from its records: the job
-// goes on when the last of them is done, no earlier, and its end deletes the list.
+// TestLongListHoldsTheJob lets a new leader read a list from its records: the job goes on when the
+// last dependency is done, no earlier, and its end deletes the list.
 func TestLongListHoldsTheJob(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, b)
 	for _, name := range names[1:] {
 		b.recordEnd(name, wire.StatusDone)
 	}
-	clear(b.core.users.openJobs)
+	b.core.jobCache.ForgetAllOpen()
 	l := leadWithRecords(b)
 	b.run(10 * time.Second)
 	j := l.Jobs[id]
@@ -232,65 +243,56 @@
 // and after the leader has begun.
 func TestLongListIsCancelled(t *testing.T) {
 	for _, before := range []bool{true, false} {
-		b := newHarness(t, testMachineTypes)
-		id, names := submitLongList(t, b)
-		last := names[len(names)-1]
-		cancel := func(l *leader) {
-			var rec records.Open
-			stdjson.Unmarshal(b.store[records.OpenKey(last)].Value, &rec)
-			rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
-			b.write(records.OpenKey(last), "", kv.Encode(rec))
-			if l != nil {
-				l.applyOpenRecord(last, b.store[records.OpenKey(last)].Version, rec)
+		t.Run(fmt.Sprintf("before the leader %v", before), func(t *testing.T) {
+			b := newHarness(t, testMachineTypes)
+			id, names := submitLongList(t, b)
+			last := names[len(names)-1]
+			b.afterCommit = func() {
+				if b.store[records.FinalKey(last)].Key != "" && b.store[records.OpenKey(id)].Key != "" {
+					t.Error("its end is on record before that of its dependent")
+				}
 			}
-		}
-		b.afterCommit = func() {
-			if b.store[records.FinalKey(last)].Key != "" && b.store[records.OpenKey(id)].Key != "" {
-				t.Error("its end is told before that of the job that needs it")
+			if before {
+				b.requestCancellation(last, b.core.wallClockMS)
 			}
-		}
-		if before {
-			cancel(nil)
-		}
-		l := leadWithRecords(b)
-		if !before {
-			cancel(l)
-		}
-		b.run(5 * time.Second)
-		if f := string(b.store[records.FinalKey(id)].Value); !strings.Contains(f, string(wire.StatusCancelled)) || len(b.listKeys()) > 0 {
-			t.Errorf("before %v: ended as %q, list records left: %d", before, f, len(b.listKeys()))
-		}
+			l := leadWithRecords(b)
+			if !before {
+				record := b.requestCancellation(last, b.core.wallClockMS)
+				l.applyOpenRecord(last, b.store[records.OpenKey(last)].Version, record)
+			}
+			b.run(5 * time.Second)
+			if final := string(b.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) || len(b.listKeys()) > 0 {
+				t.Errorf("ended as %q, list records left: %d", final, len(b.listKeys()))
+			}
+		})
 	}
 }
 
-// TestUnreadListHoldsEnds keeps a cancelled job that others need from ending
-// while a list is not read that may name it.
+// TestUnreadListHoldsEnds keeps a cancelled job with dependents from ending while a list is not
+// read that may name it.
 func TestUnreadListHoldsEnds(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, b)
 	l := leadWithRecords(b)
 	l.dependencyLists.unread[id] = noRetry
-	var rec records.Open
-	stdjson.Unmarshal(b.store[records.OpenKey(names[0])].Value, &rec)
-	rec.Cancelled, rec.CancelRequestedAt = true, b.core.wallClockMS
-	b.write(records.OpenKey(names[0]), "", kv.Encode(rec))
+	record := b.requestCancellation(names[0], b.core.wallClockMS)
 	l.dependencies.Drop(id)
-	l.applyOpenRecord(names[0], b.store[records.OpenKey(names[0])].Version, rec)
+	l.applyOpenRecord(names[0], b.store[records.OpenKey(names[0])].Version, record)
 	b.run(5 * time.Second)
 	if b.store[records.FinalKey(names[0])].Key != "" {
 		t.Error("its end is on record while a list that may name it is not read")
 	}
 }
 
-// TestAbandonedListsAreCleared clears what attempts have left that led to no job:
-// not those that may still lead to one, nor the list of an accepted job. What is
-// left of such an attempt has no effect when it is carried out late.
+// TestAbandonedListsAreCleared deletes the records of attempts that led to no job: not of those
+// that may still lead to one, nor the list of an accepted job. A transaction of such an attempt
+// that is carried out late has no effect.
 func TestAbandonedListsAreCleared(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	id, _ := submitLongList(t, b)
 	accepted := len(b.listKeys())
 	record := func(key string, age time.Duration) {
-		b.write(key, "", kv.Encode(listRecord{At: b.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
+		b.write(key, "", kv.Encode(dependencylist.Record{StartedAtMS: b.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
 	}
 	old := time.Duration(0)
 	for _, key := range []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/10", "a/job-7/x-1/2", "a/job-7/x-1/3", "a/job-7/x-1/4", "a/job-7/x-1/5"} {
@@ -310,35 +312,67 @@
 	if !slices.Equal(left, []string{"a/job-7/x-2/0"}) || len(b.listKeys()) != accepted+1 {
 		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(b.listKeys())-len(left), accepted)
 	}
-	w := listWriter{ref: records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 12}, records: make([]listRecord, 12), written: 11, version: first}
-	late, _ := w.nextTxn(5)
-	if status, _ := b.commit(kv.Encode(late)); status != 409 {
+	list := dependencylist.NewWriter("job-7", "x-1", make([]dependencylist.Record, 12))
+	list.Committed(list.NextTxn(11), first)
+	if status, _ := b.commit(kv.Encode(list.NextTxn(5))); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
 	}
-	s := &pendingSubmission{record: records.Open{Job: wire.Job{ID: "job-7"}}, listWriter: &w}
-	p, _ := b.core.prepareSubmission(s)
-	if status, _ := b.commit(kv.Encode(wire.Txn{Conditions: p.conditions, Writes: p.writes})); status != 409 {
+}
+
+// TestLateAcceptanceOfAbandonedList delays the transaction that accepts a job until its list
+// is deleted as abandoned: it is not carried out then, or the job would lack its list.
+func TestLateAcceptanceOfAbandonedList(t *testing.T) {
+	b := newHarness(t, testMachineTypes)
+	smallLimits(b.core.settings)
+	names := openJobs(b, longListLength)
+	var acceptance []byte
+	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+		for _, w := range txn.Writes {
+			if w.Put == records.OpenKey(jobID(9)) {
+				acceptance = kv.Encode(txn)
+				return 503
+			}
+		}
+		return carryOut()
+	}
+	for range 20 {
+		if a := b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 503 {
+			t.Fatalf("answered %d %s", a.Status, a.Body)
+		}
+		if acceptance != nil {
+			break
+		}
+		b.run(time.Second)
+	}
+	if acceptance == nil || len(b.listKeys()) == 0 {
+		t.Fatal("no acceptance with a list was sent")
+	}
+	leadWithRecords(b)
+	b.run(b.core.listCleanupInterval() + b.core.abandonedListAge())
+	if left := b.listKeys(); len(left) != 0 {
+		t.Fatalf("left: %q", left)
+	}
+	if status, _ := b.commit(acceptance); status != 409 {
 		t.Errorf("a late acceptance is answered %d, want 409", status)
 	}
 }
 
-// TestClearingIsConditional clears on the word of a listing that is out of date: a
-// job has been accepted since, or the first record of an attempt written. Neither
-// loses a record.
+// TestClearingIsConditional deletes by a listing that is out of date: a job has been accepted
+// since, or the first record of an attempt written. Neither loses a record.
 func TestClearingIsConditional(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	l := leadWithRecords(b)
 	accepted, begun := "a/job-7/x-1/", "a/job-8/y-1/"
 	for _, prefix := range []string{accepted, begun} {
 		for _, n := range []string{"0", "1"} {
-			b.write(prefix+n, "", kv.Encode(listRecord{Names: []string{jobID(1000)}}))
+			b.write(prefix+n, "", kv.Encode(dependencylist.Record{Names: []string{jobID(1000)}}))
 		}
 	}
 	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
 	l.loader.RetryWith(func() {
-		l.deleteAbandonedLists([]listAttempt{
-			{ref: records.DependencyListRef{Prefix: accepted}, job: "job-7", version: b.store[accepted+"0"].Version, keys: []string{accepted + "0", accepted + "1"}},
-			{ref: records.DependencyListRef{Prefix: begun}, job: "job-8", keys: []string{begun + "1"}},
+		l.deleteAbandonedLists([]dependencylist.Attempt{
+			{Ref: records.DependencyListRef{Prefix: accepted}, Job: "job-7", FirstVersion: b.store[accepted+"0"].Version, Keys: []string{accepted + "0", accepted + "1"}},
+			{Ref: records.DependencyListRef{Prefix: begun}, Job: "job-8", Keys: []string{begun + "1"}},
 		})
 	})
 	b.run(time.Second)
@@ -347,39 +381,19 @@
 	}
 }
 
-// TestManyUnknownNames asks about the jobs of a long list, none of which the
-// controller remembers, without taking all room for users' questions.
+// TestManyUnknownNames looks up the jobs of a long list, none of which the controller remembers,
+// without taking all room for users' queries.
 func TestManyUnknownNames(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	names := openJobs(b, longListLength)
 	b.core.settings.Deployment.MachineLimits.MaxConnections = 40
-	clear(b.core.users.openJobs)
+	b.core.jobCache.ForgetAllOpen()
 	longest := 0
-	b.afterStep = func() { longest = max(longest, len(b.core.users.lookupOrder)) }
+	b.afterStep = func() { longest = max(longest, b.core.frontEnd.WaitingLookups()) }
 	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	if longest > 20 {
-		t.Errorf("%d questions at a time", longest)
-	}
-}
-
-// TestSplitList keeps every record within its limit and every name in order.
-func TestSplitList(t *testing.T) {
-	var names []string
-	for n := range 3000 {
-		names = append(names, "job-"+strings.Repeat("7", 1+n%40))
-	}
-	for _, limit := range []int{300, 1848, 16184} {
-		var got []string
-		for _, record := range splitList(names, 1_700_000_000_000, limit) {
-			if size := len(kv.Encode(record)); size > limit || len(record.Names) == 0 {
-				t.Errorf("limit %d: a record of %d bytes with %d names", limit, size, len(record.Names))
-			}
-			got = append(got, record.Names...)
-		}
-		if !slices.Equal(got, names) {
-			t.Errorf("limit %d: %d names, want %d", limit, len(got), len(names))
-		}
+		t.Errorf("%d lookups at a time", longest)
 	}
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -80,7 +80,7 @@
 		bestEffortTeams:       scheduler.BestEffortTeams(c.settings.Deployment.Teams),
 		arrivalsByClass:       map[string]*classArrivals{},
 		runTimesByClass:       map[string]*forecast.RunTimes{},
-		fleet:                 newFleet(),
+		fleet:                 newFleet(&c.settings.Deployment, leadership.Term),
 		pullStatistics:        pullEvidence{inherited: c.pullsAreSequential},
 		outliers:              outlier.New(),
 		provisioningLatencies: bootlatency.New(),
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -5,23 +5,19 @@
 	"strings"
 	"testing"
 
-	"github.com/segmentio/encoding/json"
-
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
 func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
 
-// submissionAwaiting is a submission body of the job n that awaits others.
-func submissionAwaiting(n int, awaits string, change ...string) string {
-	b := body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)
-	return strings.TrimSuffix(b, "}") + `,"awaits":` + awaits + "}"
+// submissionAwaiting is a submission body of the job n with dependencies.
+func submissionAwaiting(n int, awaits string) string {
+	return strings.TrimSuffix(body("nameId", `"`+jobID(n)+`"`), "}") + `,"awaits":` + awaits + "}"
 }
 
-// TestAwaits submits jobs that await others in every state, well and badly named.
+// TestAwaits submits jobs with dependencies in every state, well and badly named.
 func TestAwaits(t *testing.T) {
-	open, done, cancelled, service, asked := jobID(1), jobID(2), jobID(3), jobID(4), jobID(5)
+	open, done, cancelled, service, cancelling := jobID(1), jobID(2), jobID(3), jobID(4), jobID(5)
 	for _, tc := range []struct {
 		name, awaits string
 		status       int
@@ -35,7 +31,7 @@
 		{"a job that is done", `["` + done + `"]`, 201, "pending", ""},
 		{"an open one and one that is done", `["` + done + `","` + open + `"]`, 201, "pending", open},
 		{"a cancelled job", `["` + open + `","` + cancelled + `"]`, 201, "withdrawn", ""},
-		{"a job that is being cancelled", `["` + asked + `"]`, 201, "withdrawn", ""},
+		{"a job that is being cancelled", `["` + cancelling + `"]`, 201, "withdrawn", ""},
 		{"a service", `["` + service + `"]`, 422, "", ""},
 		{"itself", `["` + jobID(9) + `"]`, 422, "", ""},
 		{"never accepted", `["` + open + `","` + jobID(7) + `"]`, 422, "", ""},
@@ -78,32 +74,25 @@
 				}
 				b.write(records.FinalKey(done), "", []byte(`{"s":"done","n":16}`))
 				b.write(records.FinalKey(cancelled), "", []byte(`{"s":"withdrawn","n":16}`))
-				var rec records.Open
-				if err := json.Unmarshal(b.store[records.OpenKey(asked)].Value, &rec); err != nil {
-					t.Fatal(err)
-				}
-				rec.Cancelled, rec.CancelRequestedAt = true, 1
-				b.write(records.OpenKey(asked), "", kv.Encode(rec))
-				delete(b.core.users.openJobs, asked)
+				b.requestCancellation(cancelling, 1)
+				b.core.jobCache.ForgetOpen(cancelling)
 				if !known {
-					clear(b.core.users.openJobs) // accepted by another controller
+					b.core.jobCache.ForgetAllOpen() // accepted by another controller
 				}
 				a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits))
 				if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
 				}
-				it, isOpen := b.store[records.OpenKey(jobID(9))]
+				_, isOpen := b.store[records.OpenKey(jobID(9))]
 				_, isFinal := b.store[records.FinalKey(jobID(9))]
 				if isOpen != (tc.state == "pending") || isFinal != (tc.state == "withdrawn") {
 					t.Errorf("open on record: %v, final: %v", isOpen, isFinal)
 				}
-				rec = records.Open{}
-				json.Unmarshal(it.Value, &rec)
-				if got := strings.Join(rec.Job.Dependencies, ","); got != tc.recorded {
-					t.Errorf("awaits %q on record, want %q", got, tc.recorded)
+				if got := strings.Join(b.openRecord(jobID(9)).Job.Dependencies, ","); got != tc.recorded {
+					t.Errorf("dependencies %q on record, want %q", got, tc.recorded)
 				}
 				if tc.recorded != "" && !strings.Contains(string(b.store[records.OpenKey(open)].Value), `"nd":true`) {
-					t.Error("the awaited job is not marked as needed")
+					t.Error("the dependency is not marked as having dependents")
 				}
 				if tc.status == 201 {
 					if a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits)); a.Status != 200 {
@@ -115,7 +104,7 @@
 	}
 }
 
-// TestAwaitsMany names more jobs than a transaction has conditions or changes.
+// TestAwaitsMany names more dependencies than a transaction has conditions or writes.
 func TestAwaitsMany(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	b.core.settings.Deployment.Store.TxnOps = 5
@@ -126,29 +115,26 @@
 		}
 		names = append(names, `"`+jobID(n)+`"`)
 	}
-	clear(b.core.users.openJobs)
+	b.core.jobCache.ForgetAllOpen()
 	if a := b.request("POST", "/submissions", submissionAwaiting(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	for n := range 50 {
 		if !strings.Contains(string(b.store[records.OpenKey(jobID(n))].Value), `"nd":true`) {
-			t.Errorf("%s is not marked as needed", jobID(n))
+			t.Errorf("%s is not marked as having dependents", jobID(n))
 		}
 	}
 }
 
-// TestAwaitsRace has an awaited job cancelled between the moment at which it is
-// read and the one at which its dependent is recorded.
+// TestAwaitsRace cancels a dependency between the moment at which it is read and the one at which
+// its dependent is recorded.
 func TestAwaitsRace(t *testing.T) {
 	b := newHarness(t, testMachineTypes)
 	if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
-	var rec records.Open
-	json.Unmarshal(b.store[records.OpenKey(jobID(1))].Value, &rec)
-	rec.Cancelled, rec.CancelRequestedAt = true, 1
-	b.write(records.OpenKey(jobID(1)), "", kv.Encode(rec)) // by another controller
-	if b.core.users.openJobs[jobID(1)].record.Cancelled {
+	b.requestCancellation(jobID(1), 1)
+	if b.core.jobCache.Open(jobID(1)).Record.Cancelled {
 		t.Fatal("known already")
 	}
 	a := b.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
@@ -156,6 +142,6 @@
 		t.Errorf("answered %d %s, want 201 and withdrawn", a.Status, a.Body)
 	}
 	if _, ok := b.store[records.OpenKey(jobID(2))]; ok {
-		t.Error("open on record though the job before it is cancelled")
+		t.Error("open on record though its dependency is cancelled")
 	}
 }
