--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -14,6 +14,7 @@
 // bestEffortLeader leads a fleet of g4 machines for a team with a guarantee of GPUs and a
 // best-effort team.
 func bestEffortLeader(t *testing.T) (*harness, *leader) {
+	t.Helper()
 	b, l := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 4, GPUsMax: 100}, {Name: "guest"}}
 		s.Deployment.Objectives = []config.Objective{
@@ -29,8 +30,10 @@
 
 // addArray adds an array to the open jobs.
 func addArray(l *leader, id, team, class string, tasks int, gpus float64) *cluster.Job {
-	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
-		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3}}, uint64(len(l.JobsBySubmission)+1))
+	j := cluster.NewJob(records.Open{Job: wire.Job{
+		ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
+		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3,
+	}}, uint64(len(l.JobsBySubmission)+1))
 	j.Loaded, j.WaitingSinceMS = true, l.core.wallClockMS
 	l.writer.InitPlacementRecords(j)
 	l.Jobs[id], l.JobsBySubmission = j, append(l.JobsBySubmission, j)
@@ -41,7 +44,7 @@
 func TestFaultyJobIsTriedAlone(t *testing.T) {
 	_, leader := bestEffortLeader(t)
 	job := addArray(leader, "job-1", "vision", "sweep", 4, 1)
-	only := idleMachine(leader, "n-9", "g4", "a")
+	only := idleMachine(leader, "n-9", "g4")
 	for _, name := range []string{"n-1", "n-2", "n-3"} {
 		leader.outliers.RecordFailure(job.ID, name)
 	}
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -19,6 +19,7 @@
 
 // newLeadingHarness makes a harness whose controller leads and has loaded its records.
 func newLeadingHarness(t *testing.T, change func(*config.Settings)) (*harness, *leader) {
+	t.Helper()
 	b := newHarness(t, testMachineTypes)
 	change(b.core.settings)
 	b.write(election.KeyTerm, "", []byte("5"))
@@ -258,9 +259,11 @@
 	job := leader.Jobs["job-1"]
 	leader.writer.Adopt(job, []persistence.LoadedPlacement{
 		{Key: "p/job-1/0", Version: 5, PlacementRange: records.PlacementRange{From: 0, To: 128, Numbered: true}, Record: records.Placement{NextAttempt: 40, Done: []int{3}, Tasks: []records.PlacedTask{
-			{Task: 1, Attempt: 1, Machine: "n-000001", Zone: "a", Incarnation: 1}, {Task: 20, Attempt: 2, Machine: "n-000001", Zone: "a", Incarnation: 1}}}},
+			{Task: 1, Attempt: 1, Machine: "n-000001", Zone: "a", Incarnation: 1}, {Task: 20, Attempt: 2, Machine: "n-000001", Zone: "a", Incarnation: 1},
+		}}},
 		{Key: "p/job-1/0-12", Version: 9, PlacementRange: records.PlacementRange{From: 0, To: 12}, Record: records.Placement{NextAttempt: 50, Tasks: []records.PlacedTask{
-			{Task: 2, Attempt: 45, Machine: "n-000002", Zone: "b", Incarnation: 3}}}},
+			{Task: 2, Attempt: 45, Machine: "n-000002", Zone: "b", Incarnation: 3},
+		}}},
 	})
 	if job.TaskStates[1].Machine != nil || job.TaskStates[2].Machine == nil || job.TaskStates[2].Machine.Name != "n-000002" || job.TaskStates[20].Machine == nil || !job.TaskStates[3].Done || job.NextAttempt != 50 {
 		t.Errorf("read as %+v", job.TaskStates[:21])
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -95,8 +95,10 @@
 // dependentJob is a job whose tasks fill half of a large machine each and run for
 // as long as it takes to boot.
 func dependentJob(id string, tasks int) *cluster.Job {
-	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
-		CPUs: 2, MemGB: 1, EstimatedRunS: 60, Tasks: tasks}}, 1)
+	j := cluster.NewJob(records.Open{Job: wire.Job{
+		ID: id, Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
+		CPUs: 2, MemGB: 1, EstimatedRunS: 60, Tasks: tasks,
+	}}, 1)
 	j.Loaded = true
 	return j
 }
--- a/internal/core/expensive_machines_test.go
+++ b/internal/core/expensive_machines_test.go
@@ -82,7 +82,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := leaderWithExpensiveMachines(t)
-			machine := idleMachine(l, "n-1", tc.typ, "a")
+			machine := idleMachine(l, "n-1", tc.typ)
 			machine.CreatedAt -= minBilledTime
 			guaranteed := addArray(l, "job-1", "vision", "sweep", 1, 0)
 			bestEffort := addArray(l, "job-2", "guest", "scan", 3, 0)
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -75,9 +75,9 @@
 			_, l := newLeadingHarness(t, func(*config.Settings) {})
 			l.core.now += 1000 * time.Second
 			l.recordsLoadedAt = l.core.now - tc.silent
-			m := idleMachine(l, "n-1", "g4", "a")
+			m := idleMachine(l, "n-1", "g4")
 			for _, name := range []string{"n-2", "n-3"} {
-				idleMachine(l, name, "g4", "a").HeartbeatController = "n0"
+				idleMachine(l, name, "g4").HeartbeatController = "n0"
 			}
 			m.LastHeartbeat, m.HeartbeatController = l.core.now-tc.silent, "n0"
 			if tc.newTerm {
--- a/internal/core/huge_array_test.go
+++ b/internal/core/huge_array_test.go
@@ -15,7 +15,7 @@
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}} })
 	harness.core.machineTypes = pullTypes
 	for i := range machines {
-		idleMachine(leader, fmt.Sprintf("n-%06d", i), "g4", "a")
+		idleMachine(leader, fmt.Sprintf("n-%06d", i), "g4")
 	}
 	job := addArray(leader, "job-1", "vision", "sweep", 100000, 0)
 	passes := 0
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -16,23 +16,24 @@
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// pullingLeader leads with two empty machines.
-func pullingLeader(t *testing.T) (l *leader, first, second *cluster.Machine) {
+// pullingLeader leads with an empty machine.
+func pullingLeader(t *testing.T) (l *leader, first *cluster.Machine) {
+	t.Helper()
 	b, l := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
 	})
 	b.core.machineTypes = pullTypes
 	b.core.now = 1000 * time.Second
-	return l, idleMachine(l, "n-1", "g4", "a"), idleMachine(l, "n-2", "g4", "a")
+	return l, idleMachine(l, "n-1", "g4")
 }
 
-// startPull adds a service with one replica, and places it on a machine that pulls its image.
-func startPull(l *leader, id, image string, gb float64, m *cluster.Machine) *cluster.Job {
-	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: gb}}, 1)
+// startPull adds a service with one replica, and places it on a machine that pulls its image of
+// 20 GB.
+func startPull(l *leader, id, image string, m *cluster.Machine) {
+	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20}}, 1)
 	l.writer.InitPlacementRecords(j)
 	l.bindTasks(j, []int{0}, []*cluster.Machine{m})
-	return j
 }
 
 // How machines pull images is learned from pulls that began behind others.
@@ -47,9 +48,9 @@
 		{"a little longer than by itself", 28 * time.Second, false},
 		{"a little shorter than both", 32 * time.Second, true},
 	} {
-		leader, machine, _ := pullingLeader(t)
-		startPull(leader, "job-1", "x", 20, machine)
-		startPull(leader, "job-2", "y", 20, machine)
+		leader, machine := pullingLeader(t)
+		startPull(leader, "job-1", "x", machine)
+		startPull(leader, "job-2", "y", machine)
 		leader.core.now += 20 * time.Second
 		leader.recordPulled(machine, "x")
 		if leader.pullStatistics != (pullEvidence{}) {
@@ -65,9 +66,9 @@
 
 // A pull whose start is not known, since an earlier leader placed the task, is no evidence.
 func TestPullOfUnknownAge(t *testing.T) {
-	l, m, _ := pullingLeader(t)
-	startPull(l, "job-1", "x", 20, m)
-	startPull(l, "job-2", "y", 20, m)
+	l, m := pullingLeader(t)
+	startPull(l, "job-1", "x", m)
+	startPull(l, "job-2", "y", m)
 	m.Pulls = nil
 	m.RefreshPulls()
 	l.core.now += time.Second
@@ -106,7 +107,7 @@
 
 // A leader tells the other controllers how machines pull images.
 func TestPullEvidenceIsShared(t *testing.T) {
-	leader, _, _ := pullingLeader(t)
+	leader, _ := pullingLeader(t)
 	leader.core.leader = leader
 	setPeers(leader.core, config.Peer{Name: "n1", Zone: "b"})
 	for _, sequential := range []int{0, 1} {
--- a/internal/core/run_estimate.go
+++ b/internal/core/run_estimate.go
@@ -1,16 +1,14 @@
 package core
 
 import (
-	"time"
-
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 )
 
-// learnRun corrects the estimates of a class by a task that is done and ran for a time; measured
-// says that its start was observed.
-func (l *leader) learnRun(job *cluster.Job, run time.Duration, measured bool) {
-	if !measured || job.EstimatedRunS <= 0 || run <= 0 {
+// learnRun corrects the estimates of a class by a task that is done now.
+func (l *leader) learnRun(job *cluster.Job, task *cluster.Task) {
+	run := l.core.now - task.RunningSince
+	if task.RunningSince == 0 || job.EstimatedRunS <= 0 || run <= 0 {
 		return
 	}
 	if l.runTimesByClass[job.Class] == nil {
--- a/internal/core/scheduler_host_test.go
+++ b/internal/core/scheduler_host_test.go
@@ -15,8 +15,9 @@
 const tasksOfMachine = 29
 
 // busyFleet makes a leader of a fleet whose machines hold three more tasks each.
-func busyFleet(b testing.TB, machines int) *leader {
-	harness := newHarness(b, testMachineTypes)
+func busyFleet(tb testing.TB, machines int) *leader {
+	tb.Helper()
+	harness := newHarness(tb, testMachineTypes)
 	harness.core.machineTypes = map[string]*wire.MachineType{"plain": {Name: "plain", CPUs: tasksOfMachine + 3, GPUs: 8, MemGB: 1000, PullGBPerS: 10, Price: 1, BootS: 10, Zones: []string{"a", "b", "c"}}}
 	harness.core.settings.Deployment.Teams = []config.Team{{Name: "vision", CPUs: 1e6, GPUs: 1e6}}
 	harness.core.now = time.Hour
@@ -75,10 +76,10 @@
 	}
 }
 
-// idleMachine adds a machine that sends heartbeats and has heard of the term.
-func idleMachine(l *leader, name, typ, zone string) *cluster.Machine {
+// idleMachine adds a machine of zone a that sends heartbeats and has heard of the term.
+func idleMachine(l *leader, name, machineType string) *cluster.Machine {
 	m := l.machineNamed(name)
-	l.describe(m, "", typ, zone, false)
+	l.describe(m, "", machineType, "a", false)
 	m.LastHeartbeat, m.FencingToken, m.Incarnation = l.core.now, l.leadership.Term, 1
 	return m
 }
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -112,7 +112,7 @@
 // together.
 func (l *leader) recordTaskDone(placement cluster.TaskReference) {
 	job, task := placement.Job, placement.Task()
-	l.learnRun(job, l.core.now-task.RunningSince, task.RunningSince != 0)
+	l.learnRun(job, task)
 	if task.PlacedThisTerm {
 		l.recordSuccess(placement)
 	}
--- a/internal/core/zone_loss_test.go
+++ b/internal/core/zone_loss_test.go
@@ -11,8 +11,9 @@
 // zoneLossLeader makes a leader of a fleet that has just lost a zone: a third of the tasks of
 // every job has no machine. The machines left are full; a third of the jobs and an array
 // are of the lowest priority, so that they may be preempted.
-func zoneLossLeader(t testing.TB, machines int) *leader {
-	leader := busyFleet(t, machines)
+func zoneLossLeader(tb testing.TB, machines int) *leader {
+	tb.Helper()
+	leader := busyFleet(tb, machines)
 	for i, j := range leader.JobsBySubmission {
 		leader.writer.InitPlacementRecords(j)
 		j.SpreadZones = i%2 == 0
