--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -16,7 +16,7 @@
 func bestEffortLeader(t *testing.T) (*harness, *leader) {
 	t.Helper()
 	b, l := newLeadingHarness(t, func(s *config.Settings) {
-		s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 4, GPUsMax: 100}, {Name: "guest"}}
+		s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 4, GPUsMax: 100}, {Name: "lab"}}
 		s.Deployment.Objectives = []config.Objective{
 			{Kind: scheduler.ObjectiveFinished, Class: "sweep", WithinS: 300, Share: 0.9},
 			{Kind: objectiveWait, Class: "train", WithinS: 5, Share: 0.9},
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -86,7 +86,7 @@
 			p := newScaleOutPlan(l)
 			p.packDependents(map[string]topology.Resources{})
 			if got := shortfallsWithoutPurpose(p); !slices.Equal(got, tc.want) {
-				t.Errorf("rents %v, want %v", got, tc.want)
+				t.Errorf("provisions %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/expensive_machines_test.go
+++ b/internal/core/expensive_machines_test.go
@@ -35,7 +35,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := leaderWithExpensiveMachines(t)
-			j := addArray(l, "job-1", "guest", "scan", 1, tc.gpus)
+			j := addArray(l, "job-1", "lab", "scan", 1, tc.gpus)
 			j.MachineTypes = tc.types
 			if got := l.cheapTypes(&j.Job); !slices.Equal(got, tc.want) {
 				t.Errorf("cheap types %v, want %v", got, tc.want)
@@ -47,7 +47,7 @@
 // TestBestEffortTeamsGetNoExpensiveMachine plans for pending tasks while only the expensive type is
 // available: it is provisioned for the team with a guarantee alone.
 func TestBestEffortTeamsGetNoExpensiveMachine(t *testing.T) {
-	for _, team := range []string{"guest", "vision"} {
+	for _, team := range []string{"lab", "vision"} {
 		l := leaderWithExpensiveMachines(t)
 		refuseType(l, "small", "a")
 		addArray(l, "job-1", team, "scan", 4, 0)
@@ -77,7 +77,7 @@
 			l.bindTasks(addArray(l, "job-9", "vision", "sweep", 1, 0), []int{0}, []*cluster.Machine{m})
 		}, false},
 		{"best-effort work beside it that fits on no cheap machine", "g4", 4, func(l *leader, m *cluster.Machine) {
-			l.bindTasks(addArray(l, "job-9", "guest", "scan", 1, 1), []int{0}, []*cluster.Machine{m})
+			l.bindTasks(addArray(l, "job-9", "lab", "scan", 1, 1), []int{0}, []*cluster.Machine{m})
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -85,7 +85,7 @@
 			machine := idleMachine(l, "n-1", tc.typ)
 			machine.CreatedAt -= minBilledTime
 			guaranteed := addArray(l, "job-1", "vision", "sweep", 1, 0)
-			bestEffort := addArray(l, "job-2", "guest", "scan", 3, 0)
+			bestEffort := addArray(l, "job-2", "lab", "scan", 3, 0)
 			l.bindTasks(guaranteed, []int{0}, []*cluster.Machine{machine})
 			l.bindTasks(bestEffort, []int{0, 1, 2}, []*cluster.Machine{machine, machine, machine})
 			for i := range bestEffort.TaskStates {
--- a/internal/core/scheduler/candidates_test.go
+++ b/internal/core/scheduler/candidates_test.go
@@ -13,7 +13,7 @@
 // newBestEffortHarness has a team with a guarantee of GPUs and a best-effort team.
 func newBestEffortHarness(t *testing.T) *harness {
 	t.Helper()
-	return newHarness(t, pullTypes, []config.Team{{Name: "vision", GPUs: 4, GPUsMax: 100}, {Name: "guest"}},
+	return newHarness(t, pullTypes, []config.Team{{Name: "vision", GPUs: 4, GPUsMax: 100}, {Name: "lab"}},
 		config.Objective{Kind: ObjectiveFinished, Class: "sweep", WithinS: 300, Share: 0.9},
 		config.Objective{Kind: ObjectiveWait, Class: "train", WithinS: 5, Share: 0.9},
 		config.Objective{Kind: ObjectiveGuarantee, WithinS: 10, Share: 0.9})
@@ -23,7 +23,7 @@
 // guaranteed.
 func TestBestEffortIsNeverWithinQuota(t *testing.T) {
 	h := newBestEffortHarness(t)
-	bestEffort := h.addArray("job-1", "guest", "scan", 8, 0)
+	bestEffort := h.addArray("job-1", "lab", "scan", 8, 0)
 	owner := h.addArray("job-2", "vision", "sweep", 4, 1)
 	withoutGPUs := h.addArray("job-3", "vision", "sweep", 4, 0)
 	h.markWithinQuota()
@@ -46,7 +46,7 @@
 // waited for two minutes.
 func TestBestEffortComesLast(t *testing.T) {
 	h := newBestEffortHarness(t)
-	h.addArray("job-1", "guest", "scan", 8, 0)
+	h.addArray("job-1", "lab", "scan", 8, 0)
 	h.addArray("job-2", "vision", "sweep", 90, 1) // beyond quota
 	order := func() (ids []string) {
 		for _, c := range h.Candidates() {
@@ -98,7 +98,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			h := newBestEffortHarness(t)
 			machine := h.addMachine("n-1", "g4", "a")
-			victim := h.addArray("job-1", "guest", "scan", 1, 1)
+			victim := h.addArray("job-1", "lab", "scan", 1, 1)
 			job := h.addArray("job-2", "vision", tc.class, 1, 1)
 			job.Image, job.ImageGB, job.WithinQuota = "x", tc.imageGB, tc.withinQuota
 			job.WaitingSinceMS -= tc.waited.Milliseconds()
--- a/internal/core/scheduler/rescheduling_test.go
+++ b/internal/core/scheduler/rescheduling_test.go
@@ -52,7 +52,7 @@
 			job:      service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not one whose image is held nowhere else",
+			name:     "not one whose image no other machine holds",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"z"}}},
 			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
 			job:      service("job-9", "x", 4, 1),
@@ -129,7 +129,7 @@
 			job: service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not where the image is not held",
+			name:     "not on a machine that does not hold the image",
 			machines: []cachedMachine{{"n-1", "a", []string{"y"}}, {"n-2", "a", []string{"y"}}},
 			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
 			job:      service("job-9", "x", 4, 1),
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -50,7 +50,7 @@
 		setUp func(l *leader, c *candidate)
 		want  cluster.WaitReason
 	}{
-		{"a machine is rented", func(*leader, *candidate) {}, cluster.WaitForMachines},
+		{"a machine is provisioned", func(*leader, *candidate) {}, cluster.WaitForMachines},
 		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, cluster.WaitForMachines},
 		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
 		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, cluster.WaitNoOffer},
@@ -67,7 +67,7 @@
 	}
 }
 
-// A rented machine and one that is kept are logged with what they are for.
+// A provisioned machine and one that is kept are logged with their purpose.
 func TestPlanNamesPurposes(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
