--- a/internal/core/cancel_leader.go
+++ b/internal/core/cancel_leader.go
@@ -22,7 +22,7 @@
 			job.Cancellation.Request(l.steadyTime(record.CancelRequestedAt, 0))
 		}
 		var dependencies []string
-		l.dependencies.EachAwaited(job.ID, func(dependency string) { dependencies = append(dependencies, dependency) })
+		l.dependencies.EachDependency(job.ID, func(dependency string) { dependencies = append(dependencies, dependency) })
 		l.recomputeUrgency(dependencies)
 		l.cancelDependents(job.ID)
 	}
--- a/internal/core/cancelled_ends.go
+++ b/internal/core/cancelled_ends.go
@@ -12,7 +12,7 @@
 	l.cancelledWithoutDependents = nil
 	for i, job := range waiting {
 		switch {
-		case l.Jobs[job.ID] != job || job.EndRecorded || job.EndWritePending || l.dependencies.Needed(job.ID):
+		case l.Jobs[job.ID] != job || job.EndRecorded || job.EndWritePending || l.dependencies.HasDependents(job.ID):
 		case l.mayHaveUnknownDependents(job) || !l.writer.EndRecordable(job):
 			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, job)
 		case !l.addEndWithDependencies(job, add):
@@ -29,7 +29,7 @@
 		return false
 	}
 	for queue := []*cluster.Job{job}; len(queue) > 0; queue = queue[1:] {
-		l.dependencies.EachAwaited(queue[0].ID, func(id string) {
+		l.dependencies.EachDependency(queue[0].ID, func(id string) {
 			dependency := l.Jobs[id]
 			if dependency == nil || !dependency.Cancellation.Requested() || !l.writer.EndRecordable(dependency) {
 				return
--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -15,12 +15,12 @@
 func (p *scaleOutPlan) packCandidate(candidate *candidate, usage map[string]topology.Resources) {
 	// Capacity that is being preempted for it is not provisioned as well, also where the
 	// placement pass did not come to it.
-	candidate.reserved = max(candidate.reserved, p.leader.reservedTasks(candidate.job))
-	packing := p.newCandidatePacking(candidate, usage[candidate.job.Team])
+	candidate.Reserved = max(candidate.Reserved, p.leader.reservedTasks(candidate.Job))
+	packing := p.newCandidatePacking(candidate, usage[candidate.Job.Team])
 	reason := packing.packTasks()
-	usage[candidate.job.Team] = packing.used
+	usage[candidate.Job.Team] = packing.used
 	if reason != "" {
-		p.leader.logWait(candidate.job, reason)
+		p.leader.logWait(candidate.Job, reason)
 	}
 }
 
@@ -39,7 +39,7 @@
 }
 
 func (p *scaleOutPlan) newCandidatePacking(candidate *candidate, used topology.Resources) *candidatePacking {
-	l, job := p.leader, candidate.job
+	l, job := p.leader, candidate.Job
 	packing := &candidatePacking{
 		plan:        p,
 		candidate:   candidate,
@@ -49,10 +49,10 @@
 		used:        used,
 	}
 	packing.zones = packing.allowedZones()
-	if candidate.preemptionPriority > 0 && !packing.allows(len(candidate.pending)) {
+	if candidate.PreemptionPriority > 0 && !packing.allows(len(candidate.Pending)) {
 		// Within the limit, the team's tasks of lower priorities are preempted, but only where
 		// there is a machine to start on.
-		packing.preemptible = p.preemptibleUsage(job.Team, candidate.preemptionPriority)
+		packing.preemptible = p.preemptibleUsage(job.Team, candidate.PreemptionPriority)
 	}
 	return packing
 }
@@ -65,16 +65,16 @@
 // packTasks packs the candidate's tasks and returns why they wait; empty if there are none.
 func (c *candidatePacking) packTasks() cluster.WaitReason {
 	l, demand := c.plan.leader, c.plan.demand
-	wanted := l.plannedTasks(c.candidate) - c.candidate.reserved
-	if demand != nil && c.candidate.job.Shape == wire.ShapeGang && !c.allows(wanted) {
+	wanted := l.plannedTasks(c.candidate) - c.candidate.Reserved
+	if demand != nil && c.candidate.Job.Shape == wire.ShapeGang && !c.allows(wanted) {
 		// A part of it would take a share from other regions in vain.
 		demand.recordShortage(c.candidate, wanted)
-		return l.limitReason(c.candidate.job)
+		return l.limitReason(c.candidate.Job)
 	}
 	for packed := range wanted {
 		if !c.allows(1) {
 			demand.recordShortage(c.candidate, wanted-packed)
-			return l.limitReason(c.candidate.job)
+			return l.limitReason(c.candidate.Job)
 		}
 		if !c.packNext() {
 			return cluster.WaitNoOffer
@@ -83,7 +83,7 @@
 	switch {
 	case c.last != nil:
 		return cluster.WaitForMachines
-	case c.candidate.reserved > 0:
+	case c.candidate.Reserved > 0:
 		return cluster.WaitForPreemption
 	}
 	return ""
@@ -91,7 +91,7 @@
 
 // packNext packs one task and reports whether there is a machine for it.
 func (c *candidatePacking) packNext() bool {
-	c.last = c.plan.Pack(&c.spec, c.zones, c.last, c.candidate.job.ID)
+	c.last = c.plan.Pack(&c.spec, c.zones, c.last, c.candidate.Job.ID)
 	if c.last == nil {
 		return false
 	}
@@ -102,9 +102,9 @@
 
 // allowedZones is the filter for the next task's zone, by how many tasks were packed in each zone.
 func (c *candidatePacking) allowedZones() provisioning.ZoneFilter {
-	job := c.candidate.job
-	if job.OneZone && job.TasksPlaced == 0 && c.candidate.reserved == 0 {
-		only := c.plan.ChooseZone(&c.spec, len(c.candidate.pending))
+	job := c.candidate.Job
+	if job.OneZone && job.TasksPlaced == 0 && c.candidate.Reserved == 0 {
+		only := c.plan.ChooseZone(&c.spec, len(c.candidate.Pending))
 		return func(zone string) bool { return zone == only }
 	}
 	bound := c.plan.leader.zoneBound(job)
@@ -133,9 +133,9 @@
 // candidateTaskSpec is what a pending task of a candidate requires of a machine. No expensive
 // machine is provisioned or kept for best-effort work.
 func (l *leader) candidateTaskSpec(candidate *candidate) provisioning.TaskSpec {
-	spec := taskSpec(candidate.job)
-	if candidate.bestEffort {
-		spec.MachineTypes = strings.Join(l.cheapTypes(&candidate.job.Job), ",")
+	spec := taskSpec(candidate.Job)
+	if candidate.BestEffort {
+		spec.MachineTypes = strings.Join(l.cheapTypes(&candidate.Job.Job), ",")
 	}
 	return spec
 }
@@ -151,14 +151,14 @@
 // plannedTasks is for how many of a candidate's pending tasks a plan provisions: all of a service
 // or a gang, which cannot be larger than the fleet may be.
 func (l *leader) plannedTasks(candidate *candidate) int {
-	pending := len(candidate.pending)
-	if candidate.job.Shape != wire.ShapeArray || pending <= minPlannedTasks {
+	pending := len(candidate.Pending)
+	if candidate.Job.Shape != wire.ShapeArray || pending <= minPlannedTasks {
 		return pending
 	}
-	bootS, _, ok := l.leadTime(candidate.job)
+	bootS, _, ok := l.leadTime(candidate.Job)
 	if !ok || bootS <= 0 {
 		return pending
 	}
-	slots := math.Ceil(float64(pending) * l.runEstimate(candidate.job) / (bootsOfWorkPerSlot * bootS))
+	slots := math.Ceil(float64(pending) * l.runEstimate(candidate.Job) / (bootsOfWorkPerSlot * bootS))
 	return min(pending, max(minPlannedTasks, int(slots)))
 }
--- a/internal/core/cluster/task.go
+++ b/internal/core/cluster/task.go
@@ -13,20 +13,20 @@
 // limit, its zone) until it has certainly terminated, see termination.go of package core.
 // Placing, reconciliation and persistence change it.
 type Task struct {
-	Done               bool // completed
-	Attempt            uint64
-	Machine            *Machine // nil if it counts on none
-	Zone               string   // of the machine: known before the machine's first heartbeat
-	Incarnation        uint64   // of the worker when the task was placed
-	Persisted          bool     // the placement is on record
-	PlacedThisTerm     bool
-	StartRetransmitted bool // another copy of the start was sent
-	Observed           bool // a heartbeat of this term showed it
-	State              wire.TaskState
-	RunningSince       time.Duration // first heartbeat that showed it running
-	StartedHealthy     bool          // it ran for long enough, see outliers.go of package core
-	PlacedAt           time.Duration
-	Stop               *StopRequest // nil if it is to run on
+	Done           bool // completed
+	Attempt        uint64
+	Machine        *Machine // nil if it counts on none
+	Zone           string   // of the machine: known before the machine's first heartbeat
+	Incarnation    uint64   // of the worker when the task was placed
+	Persisted      bool     // the placement is on record
+	PlacedThisTerm bool
+	StartSent      bool // another copy of the start was sent
+	Observed       bool // a heartbeat of this term showed it
+	State          wire.TaskState
+	RunningSince   time.Duration // first heartbeat that showed it running
+	StartedHealthy bool          // it ran for long enough, see outliers.go of package core
+	PlacedAt       time.Duration
+	Stop           *StopRequest // nil if it is to run on
 }
 
 // StopRequest asks for a task to end.
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -101,11 +101,13 @@
 	c.wallClockMS = wall.UnixMilli()
 	c.out = Output{}
 	in.apply(c)
-	if c.leader != nil {
-		// Decisions wait for the next tick, so that no answer to a heartbeat is
-		// delayed by one; what they have changed is recorded at once.
-		_, tick := in.(Tick)
-		c.leader.decideAndRecord(tick)
+	if leader := c.leader; leader != nil {
+		// Passes wait for the next tick, so that no answer to a heartbeat is delayed by
+		// one; what they have changed is recorded at once.
+		if _, tick := in.(Tick); tick {
+			leader.runDuePass()
+		}
+		leader.writeRecords()
 	}
 	return c.out
 }
@@ -116,7 +118,7 @@
 	if c.leader == nil {
 		return 0
 	}
-	return c.leader.passes.evaluations
+	return c.leader.scheduler.Evaluations()
 }
 
 // onTick does what has become due.
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -5,8 +5,8 @@
 // Graph tells which jobs each job still awaits, and which jobs await it. Every
 // operation costs in proportion to the edges it changes or returns.
 type Graph struct {
-	awaited    map[string]*nameSet // by dependent: what it awaits, not done yet
-	dependents map[string]*nameSet // by awaited job, as they were added
+	dependencies map[string]*nameSet // by dependent: what it awaits, not done yet
+	dependents   map[string]*nameSet // by awaited job, as they were added
 	// level is greater for a job than for any that it awaits, so that values
 	// which go along the edges can be worked out once for each job.
 	level map[string]int
@@ -15,7 +15,7 @@
 
 // New makes an empty graph.
 func New() *Graph {
-	return &Graph{awaited: map[string]*nameSet{}, dependents: map[string]*nameSet{}, level: map[string]int{}}
+	return &Graph{dependencies: map[string]*nameSet{}, dependents: map[string]*nameSet{}, level: map[string]int{}}
 }
 
 // Add notes that a job awaits others.
@@ -23,8 +23,8 @@
 	if len(awaited) == 0 {
 		return
 	}
-	if g.awaited[id] == nil {
-		g.awaited[id] = newNameSet()
+	if g.dependencies[id] == nil {
+		g.dependencies[id] = newNameSet()
 	}
 	level := g.level[id]
 	for _, a := range awaited {
@@ -32,17 +32,17 @@
 		if g.dependents[a] == nil {
 			g.dependents[a] = newNameSet()
 		}
-		g.awaited[id].add(a)
+		g.dependencies[id].add(a)
 		g.dependents[a].add(id)
 		level = max(level, g.level[a]+1)
 	}
-	g.lift(id, level)
+	g.raiseLevel(id, level)
 }
 
-// lift raises a job's level, and with it those of its dependents that are not
+// raiseLevel raises a job's level, and with it those of its dependents that are not
 // above it. There are such ones only where a job became known after them, as
 // when a leader loads its records.
-func (g *Graph) lift(id string, level int) {
+func (g *Graph) raiseLevel(id string, level int) {
 	g.level[id] = level
 	for at := []string{id}; len(at) > 0; at = at[1:] {
 		above := g.level[at[0]] + 1
@@ -57,11 +57,11 @@
 	}
 }
 
-// Waits tells whether a job still awaits another.
-func (g *Graph) Waits(id string) bool { return g.awaited[id] != nil }
+// HasDependencies tells whether a job still awaits another.
+func (g *Graph) HasDependencies(id string) bool { return g.dependencies[id] != nil }
 
-// Needed tells whether a job has dependents.
-func (g *Graph) Needed(id string) bool { return g.dependents[id] != nil }
+// HasDependents tells whether a job has dependents.
+func (g *Graph) HasDependents(id string) bool { return g.dependents[id] != nil }
 
 // EachDependent calls a function for the jobs that await a job, in the order in
 // which they were added, until it returns.
@@ -72,18 +72,18 @@
 	})
 }
 
-// EachAwaited calls a function for what a job still awaits.
-func (g *Graph) EachAwaited(id string, f func(a string)) {
-	g.AnyAwaited(id, func(a string) bool {
+// EachDependency calls a function for what a job still awaits.
+func (g *Graph) EachDependency(id string, f func(a string)) {
+	g.AnyDependency(id, func(a string) bool {
 		f(a)
 		return false
 	})
 }
 
-// AnyAwaited tells whether a function is true for a job that a job still awaits.
+// AnyDependency tells whether a function is true for a job that a job still awaits.
 // It looks no further than the first.
-func (g *Graph) AnyAwaited(id string, f func(a string) bool) bool {
-	return g.any(g.awaited[id], f)
+func (g *Graph) AnyDependency(id string, f func(a string) bool) bool {
+	return g.any(g.dependencies[id], f)
 }
 
 // AnyDependent tells whether a function is true for a job that awaits a job. It
@@ -114,28 +114,28 @@
 func (g *Graph) Done(id string) []string {
 	var free []string
 	g.EachDependent(id, func(y string) {
-		if g.awaited[y].remove(id) == 0 {
-			delete(g.awaited, y)
-			g.tidy(y)
+		if g.dependencies[y].remove(id) == 0 {
+			delete(g.dependencies, y)
+			g.dropUnusedLevel(y)
 			free = append(free, y)
 		}
 	})
 	delete(g.dependents, id)
-	g.tidy(id)
+	g.dropUnusedLevel(id)
 	return free
 }
 
-// Drop takes a job that does not wait any more out, whatever it awaited. Its
+// DropDependencies takes a job that does not wait any more out, whatever it awaited. Its
 // own dependents stay.
-func (g *Graph) Drop(id string) {
-	g.EachAwaited(id, func(a string) {
+func (g *Graph) DropDependencies(id string) {
+	g.EachDependency(id, func(a string) {
 		if g.dependents[a].remove(id) == 0 {
 			delete(g.dependents, a)
-			g.tidy(a)
+			g.dropUnusedLevel(a)
 		}
 	})
-	delete(g.awaited, id)
-	g.tidy(id)
+	delete(g.dependencies, id)
+	g.dropUnusedLevel(id)
 }
 
 // Level is greater for a job than for any that it awaits.
@@ -146,19 +146,19 @@
 func (g *Graph) Steps() int { return g.steps }
 
 // Empty tells whether nothing is left of any job.
-func (g *Graph) Empty() bool { return len(g.awaited)+len(g.dependents)+len(g.level) == 0 }
+func (g *Graph) Empty() bool { return len(g.dependencies)+len(g.dependents)+len(g.level) == 0 }
 
-// tidy forgets the level of a job without edges.
-func (g *Graph) tidy(id string) {
-	if g.awaited[id] == nil && g.dependents[id] == nil {
+// dropUnusedLevel forgets the level of a job without edges.
+func (g *Graph) dropUnusedLevel(id string) {
+	if g.dependencies[id] == nil && g.dependents[id] == nil {
 		delete(g.level, id)
 	}
 }
 
-// After returns the jobs that need a job, directly or through others, nearest
+// TransitiveDependents returns the jobs that need a job, directly or through others, nearest
 // first and each once. Where enter is given, those for which it is false are left
 // out, and what needs a job only through them.
-func (g *Graph) After(id string, enter func(y string) bool) []string {
+func (g *Graph) TransitiveDependents(id string, enter func(y string) bool) []string {
 	var out []string
 	seen := map[string]bool{id: true}
 	for at := []string{id}; len(at) > 0; at = at[1:] {
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -82,7 +82,7 @@
 	machine := h.leader.machineNamed(placed.Machine)
 	task := &job.TaskStates[placed.Task]
 	task.Attempt, task.Zone, task.Incarnation = placed.Attempt, placed.Zone, placed.Incarnation
-	task.Persisted, task.StartRetransmitted = true, true
+	task.Persisted, task.StartSent = true, true
 	machine.Zone = placed.Zone
 	h.leader.place(job, placed.Task, machine)
 }
--- a/internal/core/reconcile/commands.go
+++ b/internal/core/reconcile/commands.go
@@ -35,10 +35,10 @@
 		return appendStop(commands, name, task)
 	}
 	startable := task.Persisted && task.PlacedThisTerm
-	if !startable || task.Stop != nil && !task.StartRetransmitted {
+	if !startable || task.Stop != nil && !task.StartSent {
 		return commands
 	}
-	task.StartRetransmitted = true
+	task.StartSent = true
 	commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: name, Attempt: task.Attempt})
 	if task.Stop != nil {
 		// A copy of the start may still be under way. Starting and stopping the task here
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -70,7 +70,7 @@
 		// Placed under an earlier term and never started: commands of that term have no
 		// effect on this worker any more. Case 1.
 		return Finding{Outcome: Lost, Loss: LossNeverStarted}
-	case task.PlacedThisTerm && !task.StartRetransmitted && task.Stop != nil:
+	case task.PlacedThisTerm && !task.StartSent && task.Stop != nil:
 		return Finding{Outcome: NeverSent}
 	}
 	return Finding{Outcome: Unchanged}
@@ -81,7 +81,7 @@
 	if task.PlacedThisTerm && !task.Observed {
 		task.Machine.UnreachableSince = 0 // the start has reached it
 	}
-	task.Observed, task.StartRetransmitted, task.Persisted = true, true, true
+	task.Observed, task.StartSent, task.Persisted = true, true, true
 	if status.State == wire.TaskExited {
 		return // what it ran for counts from the state before
 	}
--- a/internal/core/region_demand.go
+++ b/internal/core/region_demand.go
@@ -30,10 +30,10 @@
 // recordShortage records that a number of a candidate's tasks wait for the share alone. Of the
 // gangs of a team only the first one counts.
 func (d *regionDemand) recordShortage(candidate *candidate, tasks int) {
-	if d == nil || tasks < 1 || !d.leader.sharesLimit(candidate.job.Team) {
+	if d == nil || tasks < 1 || !d.leader.sharesLimit(candidate.Job.Team) {
 		return
 	}
-	job := candidate.job
+	job := candidate.Job
 	demand := d.byTeam[job.Team]
 	need := amount.OfResources(cluster.Scaled(cluster.TaskSize(&job.Job), tasks))
 	switch {
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -34,7 +34,7 @@
 	plan.demand.finish(planned)
 	plan.packDependents(planned)
 	plan.packForecast()
-	l.passes.evaluations += plan.Evaluations()
+	l.scheduler.AddEvaluations(plan.Evaluations())
 	l.consolidate(plan.Bins(), candidates)
 	l.fleet.keptIdle = plan.usedMachines()
 	plan.logKeptMachines()
@@ -108,8 +108,8 @@
 // usage.
 func (p *scaleOutPlan) packPending(candidates []*candidate, usage map[string]topology.Resources) {
 	for _, candidate := range candidates {
-		if candidate.faulty {
-			p.leader.logWait(candidate.job, cluster.WaitFaulty)
+		if candidate.Faulty {
+			p.leader.logWait(candidate.Job, cluster.WaitFaulty)
 			continue
 		}
 		p.packCandidate(candidate, usage)
--- /dev/null
+++ b/internal/core/scheduler/equivalence_class.go
@@ -0,0 +1,31 @@
+package scheduler
+
+import (
+	"strings"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/placement"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// equivalenceClass is the class of candidates that find room where a candidate does.
+func equivalenceClass(c *Candidate) placement.EquivalenceClass {
+	job := c.Job
+	class := placement.EquivalenceClass{
+		Requirements: placement.Requirements{
+			Size:  cluster.TaskSize(&job.Job),
+			Types: strings.Join(job.MachineTypes, ","),
+			Zone:  job.Zone,
+			Spot:  job.AllowSpot,
+		},
+		Priority:    c.PreemptionPriority,
+		WithinQuota: c.WithinQuota,
+		Team:        job.Team,
+	}
+	if job.Shape == wire.ShapeGang {
+		class.GangTasks, class.OneZone = len(c.Pending), job.OneZone
+	} else if job.OneZone {
+		class.Zone = job.ID // in a class of its own: bound to the zone of its other tasks
+	}
+	return class
+}
--- /dev/null
+++ b/internal/core/scheduler/filter.go
@@ -0,0 +1,108 @@
+package scheduler
+
+import (
+	"slices"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// ZoneBound returns how many more tasks of a job each zone may take, counting every task that
+// has not certainly terminated; nil if nothing bounds it.
+func ZoneBound(job *cluster.Job) func(zone string) int {
+	if !job.SpreadZones && !job.OneZone {
+		return nil
+	}
+	inZone := map[string]int{}
+	for i := range job.TaskStates {
+		if t := &job.TaskStates[i]; t.Machine != nil {
+			inZone[t.Zone]++
+		}
+	}
+	limit := (len(job.TaskStates) + 1) / 2
+	return func(zone string) int {
+		if job.OneZone && len(inZone) > 0 && inZone[zone] == 0 {
+			return 0
+		}
+		if job.SpreadZones {
+			return max(0, limit-inZone[zone])
+		}
+		return len(job.TaskStates)
+	}
+}
+
+// AllowsType reports whether a job's tasks may be on machines of a type.
+func AllowsType(job *wire.Job, machineType string) bool {
+	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)
+}
+
+// Allows reports whether a job's tasks may be on a machine of a type, in a zone, and on a spot
+// machine if it is one.
+func Allows(job *wire.Job, machineType, zone string, spot bool) bool {
+	return AllowsType(job, machineType) && (job.Zone == "" || job.Zone == zone) && (!spot || job.AllowSpot)
+}
+
+// AllowsMachine reports whether a job's tasks may be on a machine of this type, zone and kind.
+func AllowsMachine(job *cluster.Job, m *cluster.Machine) bool {
+	return Allows(&job.Job, m.TypeName, m.Zone, m.Spot)
+}
+
+// isReserved reports whether a machine is reserved for a job now.
+func (s *Scheduler) isReserved(m *cluster.Machine) bool {
+	return m.ReservedFor != nil && s.host.Now() < m.ReservedUntil
+}
+
+// isFeasible reports whether a machine may take a job's tasks, however little of it is free.
+func (s *Scheduler) isFeasible(job *cluster.Job, m *cluster.Machine) bool {
+	return s.host.Usable(m) && AllowsMachine(job, m) && !s.avoids(job, m)
+}
+
+// passesFilters reports whether a usable machine may take a job's tasks, if they fit. The pull
+// of its image may take maxPullS seconds.
+func (s *Scheduler) passesFilters(job *cluster.Job, m *cluster.Machine, policy imagePolicy, maxPullS float64) bool {
+	if !AllowsMachine(job, m) || s.avoids(job, m) || m.TaskRowsLeft() < 1 {
+		return false
+	}
+	if s.isReserved(m) {
+		// A reserved machine is used though the image comes late there: otherwise the
+		// job waited for three heartbeats, until the reservation ended.
+		return m.ReservedFor == job
+	}
+	return policy == anyPullTime || !s.pullTooSlow(job, m, maxPullS)
+}
+
+// avoids keeps a job away from machines on which it failed, until it has failed on so many that
+// the job is the likelier cause.
+func (s *Scheduler) avoids(job *cluster.Job, m *cluster.Machine) bool {
+	return s.outliers.FailedOn(job.ID, m.Name) && !s.outliers.JobFaulty(job.ID)
+}
+
+// Penalties of machines for a task: the machine with the lowest sum is preferred.
+const (
+	penaltyReschedulingTarget = -1
+	penaltyImagePull          = 1
+	penaltySlowPull           = 1
+	maxPenaltyPulls           = 4 // other pulls that count
+	penaltyFailures           = penaltyImagePull + penaltySlowPull + maxPenaltyPulls + 1
+)
+
+// machinePenalty scores a machine for a job's tasks: one on which tasks fail comes last, one
+// that holds the image first. Of the others, those come first that pull fewer images, if pulls
+// are sequential.
+func (s *Scheduler) machinePenalty(job *cluster.Job, m *cluster.Machine, maxPullS float64) int {
+	penalty := 0
+	if s.outliers.HasFailures(m.Name) {
+		penalty = penaltyFailures
+	}
+	if m.HasImage(job.Image) {
+		return penalty
+	}
+	penalty += penaltyImagePull
+	if s.host.PullsAreSequential() {
+		penalty += min(m.PullsAhead(job.Image), maxPenaltyPulls)
+	}
+	if s.pullTooSlow(job, m, maxPullS) {
+		penalty += penaltySlowPull
+	}
+	return penalty
+}
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -14,12 +14,12 @@
 	task.Stop = &cluster.StopRequest{GracePeriodS: gracePeriodS, RequestedAt: l.core.now, Killed: gracePeriodS == 0}
 	task.Machine.EvaluationStale = true
 	l.core.log.Debug("stop task", "task", cluster.TaskName(job.ID, index), "machine", task.Machine.Name, "reason", reason, "grace_s", gracePeriodS)
-	if task.Persisted && task.StartRetransmitted {
+	if task.Persisted && task.StartSent {
 		l.fleet.urgentCommands[task.Machine.Name] = true
 		return
 	}
 	// Not on record yet or never sent: nothing started.
-	if task.PlacedThisTerm && !task.StartRetransmitted {
+	if task.PlacedThisTerm && !task.StartSent {
 		l.unplace(job, index)
 	}
 }
--- a/internal/core/task_accounting.go
+++ b/internal/core/task_accounting.go
@@ -57,10 +57,10 @@
 	delete(l.dependencyLists.unread, j.ID)
 	l.outliers.ForgetJob(j.ID)
 	var dependencies []string
-	l.dependencies.EachAwaited(j.ID, func(a string) { dependencies = append(dependencies, a) })
-	l.dependencies.Drop(j.ID)
+	l.dependencies.EachDependency(j.ID, func(a string) { dependencies = append(dependencies, a) })
+	l.dependencies.DropDependencies(j.ID)
 	for _, id := range dependencies {
-		if dependency := l.Jobs[id]; dependency != nil && dependency.Cancellation.Requested() && !l.dependencies.Needed(id) {
+		if dependency := l.Jobs[id]; dependency != nil && dependency.Cancellation.Requested() && !l.dependencies.HasDependents(id) {
 			l.cancelledWithoutDependents = append(l.cancelledWithoutDependents, dependency)
 			l.writer.MarkDirty()
 		}
