--- a/httpwire/httpstatus/httpstatus.go
+++ b/httpwire/httpstatus/httpstatus.go
@@ -2,7 +2,7 @@
 // net/http, which the program does without: it would add megabytes to a controller.
 package httpstatus
 
-// NoAnswer stands for the status of a call to which no answer came.
+// NoAnswer is the status of a call without an answer.
 const NoAnswer = 0
 
 // Status numbers by RFC 9110.
--- a/internal/budget/bucket_test.go
+++ b/internal/budget/bucket_test.go
@@ -6,7 +6,7 @@
 )
 
 // TestRefusedCallerTakesNoTokens checks that a caller that is refused does not pay: it once starved
-// every later rental, since each refused request deepened the debt.
+// every later provisioning request, since each refused request deepened the debt.
 func TestRefusedCallerTakesNoTokens(t *testing.T) {
 	bucket := New(8, 8)
 	now := time.Unix(1e9, 0)
--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,4 +1,4 @@
-// Package cloud is the client of the cloud that rents machines. It keeps to the cloud's rate and
+// Package cloud is the client of the cloud that provisions machines. It keeps to the cloud's rate and
 // does not retry: the core repeats its requests. Package node calls it; the simulation uses the
 // rate limiter.
 package cloud
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -11,7 +11,7 @@
 type Operator struct {
 	// LogLevel is the log level that holds when LOG_LEVEL is not set.
 	LogLevel string `toml:"log_level"`
-	// WarmMachines bounds how many idle machines stay rented for work to come.
+	// WarmMachines bounds how many idle machines are kept for expected work.
 	WarmMachines *int `toml:"warm_machines"`
 	// IdleReturnS is how many seconds a machine stays idle before it is returned.
 	IdleReturnS *float64 `toml:"idle_return_s"`
--- a/internal/config/problems.go
+++ b/internal/config/problems.go
@@ -8,12 +8,13 @@
 	"strings"
 )
 
-// ValidationError says all that is wrong with settings.
+// ValidationError lists all problems of settings.
 type ValidationError struct {
 	// Problems name the field and what is expected of it.
 	Problems []string
 }
 
+// Error joins the problems.
 func (e *ValidationError) Error() string { return strings.Join(e.Problems, "; ") }
 
 // maxSeconds bounds times in seconds: a time.Duration holds some more.
@@ -22,8 +23,8 @@
 // maxPort is the highest port number.
 const maxPort = 65535
 
-// problems collects what is wrong with settings. Its checks add a problem if a field has not the
-// value that they are named after; NaN is none of them.
+// problems collects the problems of settings. Its checks add one if a field does not have the
+// property that they are named after; NaN has none of them.
 type problems []string
 
 // addf adds a problem.
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -76,7 +76,7 @@
 	LeaseS float64 `toml:"lease_s"`
 	// GangWaitS is how long a task waits for its gang to be complete.
 	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerS is how soon the tasks of a gang notice that one of them is gone.
+	// GangPeerS is how soon the tasks of a gang notice that one of them has ended.
 	GangPeerS float64 `toml:"gang_peer_s"`
 	// CancelS is how soon after a confirmed cancellation no task of the job may run.
 	CancelS float64 `toml:"cancel_s"`
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -90,8 +90,8 @@
 
 // closeIdleConnections closes those whose request was not completed within a worker's lease, and
 // those of workers that were silent for a lease, which have left them for another controller. When
-// a zone is cut off nobody closes the workers' ends of their connections, and what is left of
-// them would take the sockets of those that come back.
+// a zone is partitioned nobody closes the workers' ends of their connections, and what is left of
+// them would take the sockets of those that reconnect.
 func (n *Node) closeIdleConnections(now time.Time) {
 	timeout := config.Seconds(n.cfg.Deployment.Workers.LeaseS)
 	for conn := range n.connections {
@@ -99,8 +99,8 @@
 			continue
 		}
 		requestTimedOut := !conn.requestStarted.IsZero() && now.Sub(conn.requestStarted) > timeout
-		workerGone := conn.isWorker && now.Sub(conn.lastActive) > timeout
-		if requestTimedOut || workerGone {
+		workerSilent := conn.isWorker && now.Sub(conn.lastActive) > timeout
+		if requestTimedOut || workerSilent {
 			conn.closeLater()
 		}
 	}
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -67,11 +67,11 @@
 const (
 	malformedBody   = `{"error":"malformed request"}`
 	busyBody        = `{"error":"busy"}`
-	busyRetryAfterS = 1 // when to try again after the latter, in seconds
+	busyRetryAfterS = 1 // Retry-After of the latter, in seconds
 )
 
 // nextRequest parses the next request of the input; false if it is incomplete, or malformed, in
-// which case the connection ends with an answer that says so.
+// which case the connection ends with an answer of 400.
 func (c *connection) nextRequest() (*httpwire.Request, bool) {
 	request, size, err := httpwire.ParseRequest(c.input)
 	if errors.Is(err, httpwire.ErrIncomplete) {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// Paths that the front end tells apart.
+// Paths that are handled differently.
 const (
 	userPathPrefix = "/submissions"
 	heartbeatPath  = "/checkin"
@@ -75,7 +75,7 @@
 	}
 }
 
-// shedRequest refuses a request for overload; the answer says when to try again.
+// shedRequest refuses a request for overload; the answer has the time after which to retry.
 func (n *Node) shedRequest(queued userRequest) {
 	delete(n.pendingRequests, queued.request.ID)
 	queued.conn.answer(httpwire.Reply{
--- a/internal/quota/amount/amount.go
+++ b/internal/quota/amount/amount.go
@@ -13,7 +13,7 @@
 // PartsPerUnit is how many parts a CPU or GPU has.
 const PartsPerUnit = 1000
 
-// Unlimited stands for a resource without a limit. It is never transferred. Sums of several stay
+// Unlimited is the amount of a resource without a limit. It is never transferred. Sums of several stay
 // below the largest number.
 const Unlimited = math.MaxInt64 / 8
 
--- a/internal/quota/balance/balance.go
+++ b/internal/quota/balance/balance.go
@@ -157,8 +157,8 @@
 	return order
 }
 
-// Grant is what the region, at a position in the file, gives up for a claim. Work that waits here
-// is not kept back from what is spare, except a gang that can start: it gives up nothing unless
+// Grant is what the region, at a position in the file, transfers for a claim. Work that waits here
+// does not reduce what is spare, except a gang that can start: then nothing is transferred unless
 // the claim precedes it. The claimant's reserve comes after the region's own.
 func (h *Holding) Grant(region int, claim Claim, offers []Offer) amount.Amount {
 	claimant := contender{priority: claim.Priority, region: claim.Region, gang: claim.Gang}
--- a/internal/quota/convert.go
+++ b/internal/quota/convert.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// claimFromWire takes negative amounts, which no region sends, for 0.
+// claimFromWire treats negative amounts, which no region sends, as 0.
 func claimFromWire(claim wire.RegionClaim, region int) balance.Claim {
 	return balance.Claim{
 		Need:     amount.Amount{CPUs: claim.NeedCPUs, GPUs: claim.NeedGPUs}.NonNegative(),
--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -361,7 +361,7 @@
 }
 
 // TestDebitWithoutAnswer loses the answer to the transaction of a transfer, which is carried out
-// later: meanwhile its amounts count as gone.
+// later: meanwhile its amounts count as debited.
 func TestDebitWithoutAnswer(t *testing.T) {
 	s := newInterleaving(2)
 	leader := s.regions[0].leader()
@@ -424,7 +424,7 @@
 }
 
 // TestNoMessagesBeforeLedgerIsLoaded begins a term while the store is slow: from a message without
-// an epoch the other region would conclude that the ledger is gone.
+// an epoch the other region would conclude that the ledger was lost.
 func TestNoMessagesBeforeLedgerIsLoaded(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].elect()
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -369,7 +369,7 @@
 		t.Skip()
 	}
 	region.restoreLedger()
-	// The store that would have carried out late transactions is gone.
+	// The store that would have carried out late transactions no longer exists.
 	s.lateTxns = slices.DeleteFunc(s.lateTxns, func(late stepTxn) bool { return late.region == region.index })
 }
 
--- a/internal/quota/plan/plan.go
+++ b/internal/quota/plan/plan.go
@@ -27,7 +27,7 @@
 	Name string `toml:"name"`
 	// Controllers are the addresses at which its controllers receive messages of other regions.
 	Controllers []string `toml:"controllers"`
-	// Lost marks a region that is gone for good: no other region waits for its answers, and
+	// Lost marks a region that will not come back: no other region waits for its answers, and
 	// what it owned stays out of use.
 	Lost bool `toml:"lost"`
 }
--- a/internal/quota/report/report.go
+++ b/internal/quota/report/report.go
@@ -61,7 +61,7 @@
 // largestFinite is above all amounts that a regions file may have.
 const largestFinite = 1e15
 
-// finite returns nil for a number that stands for no limit.
+// finite returns nil for a number that means no limit.
 func finite(number float64) *float64 {
 	if number > largestFinite {
 		return nil
--- a/internal/wake/controller_test.go
+++ b/internal/wake/controller_test.go
@@ -89,9 +89,9 @@
 	return New("node-0", 1, registry, backends, backends, backends, slog.New(slog.DiscardHandler))
 }
 
-// TestTakeoverRequiresOwnerKeyGone lets the owner of a replica return between the moment at which
-// its key was seen to be gone and the takeover: the owner keeps the replica.
-func TestTakeoverRequiresOwnerKeyGone(t *testing.T) {
+// TestTakeoverRequiresOwnerKeyDeleted lets the owner of a replica return between the moment at which
+// its key was seen to be deleted and the takeover: the owner keeps the replica.
+func TestTakeoverRequiresOwnerKeyDeleted(t *testing.T) {
 	backends := newFakeBackends()
 	backends.put(modelKey("a"), Record{Phase: PhaseAwake, Epoch: 3, Owner: "node-1", Incarnation: 7, Server: "gpu-0"})
 	controller := newTestController(t, backends)
--- a/internal/wake/lease.go
+++ b/internal/wake/lease.go
@@ -9,7 +9,7 @@
 
 // maintainLease keeps the key in the store that shows that this controller is alive. Once the
 // lease may have expired the controller acts on no replica until it is registered again, under
-// the same incarnation; until then whoever finds the key gone takes its replicas over, this
+// the same incarnation; until then whoever finds the key deleted takes its replicas over, this
 // controller included.
 func (c *Controller) maintainLease(now time.Duration) {
 	if c.leaseCallPending || now < c.nextLeaseCall {
--- a/internal/wake/owner.go
+++ b/internal/wake/owner.go
@@ -54,14 +54,14 @@
 		Server:      model.Servers[0],
 		Failures:    record.Failures,
 	}
-	if record.Failures > 0 { // another server may do better
+	if record.Failures > 0 { // another server may succeed
 		next.Server = model.Servers[int(record.Epoch)%len(model.Servers)]
 	}
 	c.writeRecord(model, next, slotAcquired)
 }
 
-// takeOver records that this controller owns a replica whose owner is gone. The server stays:
-// it is the only one that may have the replica.
+// takeOver records that this controller owns a replica whose owner no longer exists. The server
+// stays the same: it is the only one that may have the replica.
 func (c *Controller) takeOver(model *modelState) {
 	next := model.record.Value
 	next.Epoch++
@@ -108,7 +108,7 @@
 }
 
 // recordTxn is the transaction that writes a model's record. If it takes the replica over, the
-// key of the previous owner must still be gone.
+// key of the previous owner must still not exist.
 func (c *Controller) recordTxn(model *modelState, next Record) *wire.Txn {
 	txn := &wire.Txn{
 		Conditions: []wire.Condition{
--- a/internal/wake/ports.go
+++ b/internal/wake/ports.go
@@ -25,13 +25,13 @@
 // ReplicaState is the state of a model's replica as its model server reports it.
 type ReplicaState string
 
-// The states of a replica. ReplicaUnreachable stands for a server that did not answer.
+// The states of a replica. ReplicaUnreachable means that the server did not answer.
 const (
 	ReplicaAbsent      ReplicaState = "none"
 	ReplicaLoading     ReplicaState = "loading"
 	ReplicaReady       ReplicaState = "ready"
 	ReplicaClosed      ReplicaState = "closed" // takes no further requests
-	ReplicaFailed      ReplicaState = "failed" // the load failed, and the replica is gone
+	ReplicaFailed      ReplicaState = "failed" // the load failed, and there is no replica
 	ReplicaFenced      ReplicaState = "fenced" // the server knows a later epoch and did nothing
 	ReplicaUnreachable ReplicaState = ""
 )
--- a/internal/wake/replica.go
+++ b/internal/wake/replica.go
@@ -170,7 +170,7 @@
 }
 
 // failOver starts a model on its next server, once the replica on the unreachable one has
-// certainly ended. A replica that was draining is then simply gone.
+// certainly ended. A replica that was draining has then ended as well.
 func (c *Controller) failOver(model *modelState) {
 	record := model.record.Value
 	if record.Phase == PhaseDraining {
--- a/internal/wake/requests.go
+++ b/internal/wake/requests.go
@@ -75,7 +75,7 @@
 		c.host.Reply(request.ID, Reply{Status: StatusServed, Body: body})
 		return
 	}
-	// The replica is closing, gone or unreachable, and its record will show which. The request
+	// The replica is closing, stopped or unreachable, and its record will show which. The request
 	// keeps its place.
 	model.lastRejection = c.host.Now()
 	model.queue.pushFront(request)
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
 // Package worker is the client for direct commands to workers. It owns one connection to each
-// worker that was called lately, within a part of the controller's sockets. Package node calls it.
+// worker that was called recently, within a part of the controller's sockets. Package node calls it.
 package worker
 
 import (
@@ -18,7 +18,7 @@
 // command under way.
 const connectionsPerCall = 8
 
-// Client keeps a connection to each worker that was called lately, under one bound for those in
+// Client keeps a connection to each worker that was called recently, under one bound for those in
 // use and those that are idle.
 type Client struct {
 	semaphore budget.Semaphore
@@ -74,8 +74,8 @@
 	return conn
 }
 
-// evictIdle makes room for one more connection: where the bound is reached the one that has been
-// idle for longest is closed, never all of them. A wave of commands to many workers would
+// evictIdle closes the connection that has been idle for longest if the bound is reached, so that
+// one more can be opened; never all of them. A wave of commands to many workers would
 // otherwise dial each of them anew.
 func (c *Client) evictIdle() {
 	var previous *list.Element
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -24,8 +24,8 @@
 // every controller has said that it understands them.
 const PeerVersion = PeerVersionLists
 
-// PeerVersionRanges understands jobs that await others, and placement records
-// that name their range of tasks; PeerVersionLists also lists of awaited jobs
+// PeerVersionRanges understands jobs with dependencies, and placement records
+// that name their range of tasks; PeerVersionLists also lists of dependencies
 // that are spread over records.
 const (
 	PeerVersionRanges = 1
@@ -68,7 +68,7 @@
 	// the receiver.
 	Boot, EchoBoot uint64
 	Clock, Echo    int64
-	// Kept lists the workers whose leases the sender has extended lately, while it could not
+	// Kept lists the workers whose leases the sender has extended recently, while it could not
 	// reach the leader.
 	Kept []Kept
 	// Cancelled lists the jobs whose cancellation this controller has recorded and not yet
--- a/wire/region.go
+++ b/wire/region.go
@@ -2,7 +2,7 @@
 
 // Leaders of different regions exchange these messages, as gob values behind a four-byte
 // length. The names of types and fields never change; fields may be added. A message states
-// all that its sender knows of the link: a lost, repeated or overtaken one does no harm.
+// all that its sender knows of the link: a message that is lost, repeated or out of order does no harm.
 
 // RegionVersion is what this program understands of other regions' messages. A message of a
 // higher version is refused.
@@ -12,13 +12,13 @@
 type RegionMessage struct {
 	Version  int
 	From, To string // regions
-	// Run tells one view of the sender's ledger from another: it changes with each leader
+	// Run distinguishes one view of the sender's ledger from another: it changes with each leader
 	// and each time that the ledger is read anew. Sequence counts the messages of a run.
 	Run, Sequence uint64
 	// EchoRun and EchoSequence are those of the newest message from the receiver.
 	EchoRun, EchoSequence uint64
 	// ConfirmedRun is a run of the receiver for which the sender has confirmed, since it first
-	// heard of it, that it still leads: what it says of the link is not overtaken.
+	// heard of it, that it still leads: its statements on the link are not outdated.
 	ConfirmedRun uint64
 	// Plan is the fingerprint of the sender's regions file.
 	Plan uint64
@@ -37,13 +37,13 @@
 	Offers    []RegionOffer
 }
 
-// RegionTransfer hands over shares of teams' ceilings.
+// RegionTransfer transfers shares of teams' limits.
 type RegionTransfer struct {
 	Number uint64
 	Parts  []RegionShare
 }
 
-// RegionShare is an amount of a team's ceiling, in thousandths of CPUs and GPUs.
+// RegionShare is an amount of a team's limit, in thousandths of CPUs and GPUs.
 type RegionShare struct {
 	Team       string
 	CPUs, GPUs int64
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -74,7 +74,7 @@
 )
 
 // Job is a submission, valid and complete. It is part of the records that
-// versions share in the state service: its JSON names never change when a field
+// versions share in the key-value store: its JSON names never change when a field
 // is renamed, see compat_test.go of internal/core.
 type Job struct {
 	ID                  string   `json:"nameId"`
@@ -159,7 +159,7 @@
 	Controller string `json:"bridge,omitempty"`
 }
 
-// MachineType is one type that the cloud rents.
+// MachineType is a type of machine that the cloud offers.
 type MachineType struct {
 	Name       string   `json:"label"`
 	CPUs       float64  `json:"cpus"`
