--- a/internal/sim/key_value_store.go
+++ b/internal/sim/key_value_store.go
@@ -121,7 +121,8 @@
 // noMessage is the body of an answer that says all by its status.
 var noMessage = struct{}{}
 
-// handle serves a request of a controller.
+// handle serves a request of a controller, unless the store is out, refuses this controller, or
+// the request is above its rate.
 func (s *keyValueStore) handle(from, method, path string, body []byte, reply func(int, []byte)) {
 	send := func(status int, message any) { reply(status, encode(message)) }
 	if s.world.now < s.outageUntil || s.world.now < s.refusedUntil[from] {
@@ -134,23 +135,42 @@
 		return
 	}
 	target, err := url.Parse(path)
-	if err != nil {
+	switch {
+	case err != nil:
+		send(httpstatus.BadRequest, noMessage)
+	case method == "GET":
+		s.handleRead(target, send, reply)
+	case method == "POST":
+		s.handleWrite(target.Path, body, send)
+	default:
 		send(httpstatus.BadRequest, noMessage)
-		return
 	}
+}
+
+// handleRead serves a listing, a read of one key, or a watch.
+func (s *keyValueStore) handleRead(target *url.URL, send responder, reply func(int, []byte)) {
+	key, ofKey := strings.CutPrefix(target.Path, "/store/")
 	switch {
-	case method == "GET" && target.Path == "/store":
+	case target.Path == "/store":
 		send(httpstatus.OK, s.page(target.Query()))
-	case method == "GET" && strings.HasPrefix(target.Path, "/store/"):
-		s.get(strings.TrimPrefix(target.Path, "/store/"), send)
-	case method == "GET" && target.Path == "/changes":
+	case ofKey:
+		s.get(key, send)
+	case target.Path == "/changes":
 		s.watch(target.Query(), send, reply)
-	case method == "POST" && target.Path == "/commit":
+	default:
+		send(httpstatus.BadRequest, noMessage)
+	}
+}
+
+// handleWrite serves a transaction, or a request about a lease.
+func (s *keyValueStore) handleWrite(path string, body []byte, send responder) {
+	switch {
+	case path == "/commit":
 		s.handleTxn(body, send)
-	case method == "POST" && target.Path == "/grants":
+	case path == "/grants":
 		s.grantLease(body, send)
-	case method == "POST" && strings.HasSuffix(target.Path, "/extend"):
-		s.extendLease(strings.Split(target.Path, "/")[2], send)
+	case strings.HasSuffix(path, "/extend"):
+		s.extendLease(strings.Split(path, "/")[2], send)
 	default:
 		send(httpstatus.BadRequest, noMessage)
 	}
