--- a/internal/core/depgraph/depgraph_test.go
+++ b/internal/core/depgraph/depgraph_test.go
@@ -5,57 +5,115 @@
 	"testing"
 )
 
-// TestGraph walks a diamond with a tail: what awaits whom, in either
-// direction, as jobs end, are dropped, and are added late.
-func TestGraph(t *testing.T) {
-	d := New()
-	d.Add("b", []string{"a"})
-	d.Add("c", []string{"a"})
-	d.Add("d", []string{"b", "c"})
-	d.Add("e", []string{"d", "a"})
-	same := func(what string, got []string, want ...string) {
-		t.Helper()
-		if !slices.Equal(got, want) {
-			t.Errorf("%s: %v, want %v", what, got, want)
-		}
+// diamondWithTail is a graph in which b and c depend on a, d on b and c, and e on d and a.
+func diamondWithTail() *Graph {
+	graph := New()
+	graph.Add("b", []string{"a"})
+	graph.Add("c", []string{"a"})
+	graph.Add("d", []string{"b", "c"})
+	graph.Add("e", []string{"d", "a"})
+	return graph
+}
+
+func checkJobs(t *testing.T, what string, got []string, want ...string) {
+	t.Helper()
+	if !slices.Equal(got, want) {
+		t.Errorf("%s: %v, want %v", what, got, want)
 	}
-	same("after a", d.TransitiveDependents("a", nil), "b", "c", "e", "d")
-	same("after d", d.TransitiveDependents("d", nil), "e")
-	same("free after a", d.Done("a"), "b", "c")
-	if d.HasDependencies("b") || !d.HasDependencies("d") || !d.HasDependencies("e") {
-		t.Error("after a: b may go on, d and e wait")
+}
+
+// TestGraph checks dependents and dependencies as jobs end, drop their dependencies, and are added
+// late.
+func TestGraph(t *testing.T) {
+	graph := diamondWithTail()
+	checkJobs(t, "dependents of a", graph.TransitiveDependents("a", nil), "b", "c", "e", "d")
+	checkJobs(t, "dependents of d", graph.TransitiveDependents("d", nil), "e")
+	checkJobs(t, "ready after a", graph.Done("a"), "b", "c")
+	if graph.HasDependencies("b") || !graph.HasDependencies("d") || !graph.HasDependencies("e") {
+		t.Error("after a: want b without dependencies, d and e with some")
 	}
-	same("free after b", d.Done("b"))
-	same("free after c", d.Done("c"), "d")
-	d.Add("f", []string{"d"})
-	same("after d with f", d.TransitiveDependents("d", nil), "e", "f")
-	d.DropDependencies("e")
-	same("after d without e", d.TransitiveDependents("d", nil), "f")
-	same("free after d", d.Done("d"), "f")
-	same("free after d again", d.Done("d"))
-	if len(d.dependencies)+len(d.dependents)+len(d.level) > 0 {
-		t.Errorf("left behind: %v %v %v", d.dependencies, d.dependents, d.level)
+	checkJobs(t, "ready after b", graph.Done("b"))
+	checkJobs(t, "ready after c", graph.Done("c"), "d")
+	graph.Add("f", []string{"d"})
+	checkJobs(t, "dependents of d with f", graph.TransitiveDependents("d", nil), "e", "f")
+	graph.DropDependencies("e")
+	checkJobs(t, "dependents of d without e", graph.TransitiveDependents("d", nil), "f")
+	checkJobs(t, "ready after d", graph.Done("d"), "f")
+	checkJobs(t, "ready after d again", graph.Done("d"))
+	if !graph.Empty() {
+		t.Errorf("not empty: %v %v %v", graph.dependencies, graph.dependents, graph.levels)
 	}
 }
 
-// TestLevels adds jobs in every order: the level of each is above those of all
-// that it awaits.
+// TestTransitiveDependentsInclude leaves out a job, and what depends on the first one only through
+// it.
+func TestTransitiveDependentsInclude(t *testing.T) {
+	graph := diamondWithTail()
+	graph.Add("f", []string{"c"})
+	withoutC := func(dependent string) bool { return dependent != "c" }
+	checkJobs(t, "dependents of a without c", graph.TransitiveDependents("a", withoutC), "b", "e", "d")
+}
+
+// TestLevels adds jobs in every kind of order: the level of each is above the levels of its
+// dependencies.
 func TestLevels(t *testing.T) {
-	edges := map[string][]string{"b": {"a"}, "c": {"a"}, "d": {"b", "c"}, "e": {"d", "a"}, "f": {"e", "c"}}
+	dependenciesByJob := map[string][]string{"b": {"a"}, "c": {"a"}, "d": {"b", "c"}, "e": {"d", "a"}, "f": {"e", "c"}}
 	for _, order := range []string{"bcdef", "fedcb", "dfbec", "fbdce", "ecfdb"} {
-		d := New()
-		for _, id := range order {
-			d.Add(string(id), edges[string(id)])
-		}
-		for id, awaited := range edges {
-			for _, a := range awaited {
-				if d.level[id] <= d.level[a] {
-					t.Errorf("added as %s: %s has level %d, %s that it awaits %d", order, id, d.level[id], a, d.level[a])
+		t.Run(order, func(t *testing.T) {
+			graph := New()
+			for _, letter := range order {
+				graph.Add(string(letter), dependenciesByJob[string(letter)])
+			}
+			for job, dependencies := range dependenciesByJob {
+				for _, dependency := range dependencies {
+					if graph.Level(job) <= graph.Level(dependency) {
+						t.Errorf("%s has level %d, its dependency %s %d", job, graph.Level(job), dependency, graph.Level(dependency))
+					}
 				}
 			}
+		})
+	}
+}
+
+// TestCycle adds a cycle, which only corrupt records can contain: Add returns.
+func TestCycle(*testing.T) {
+	graph := New()
+	graph.Add("a", []string{"b"})
+	graph.Add("b", []string{"a"})
+}
+
+// TestNameSetKeepsOrder removes most names while a loop visits them: the others stay in order.
+func TestNameSetKeepsOrder(t *testing.T) {
+	set := newNameSet()
+	all := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
+	for _, name := range all {
+		set.add(name)
+	}
+	var visited []string
+	for _, name := range set.names {
+		visited = append(visited, name)
+		if name != "c" && name != "i" {
+			set.remove(name)
 		}
 	}
-	d := New()
-	d.Add("a", []string{"b"})
-	d.Add("b", []string{"a"}) // as only a broken record can say: it has an end
+	checkJobs(t, "visited", visited, all...)
+	left := slices.DeleteFunc(slices.Clone(set.names), func(name string) bool { return name == removed })
+	checkJobs(t, "left", left, "c", "i")
+	if n := set.remove("c"); n != 1 {
+		t.Errorf("%d names left, want 1", n)
+	}
+}
+
+// TestWorklist visits the highest level first, a level in the order in which its jobs were added,
+// and each job once.
+func TestWorklist(t *testing.T) {
+	var list Worklist
+	for _, item := range []workItem{{id: "a", level: 0}, {id: "b", level: 2}, {id: "c", level: 1}, {id: "d", level: 2}, {id: "b", level: 2}} {
+		list.Add(item.id, item.level)
+	}
+	var visited []string
+	for id, ok := list.Next(); ok; id, ok = list.Next() {
+		visited = append(visited, id)
+	}
+	checkJobs(t, "visited", visited, "b", "d", "c", "a")
 }
