--- a/internal/cloudapi/cloudapi.go
+++ b/internal/cloudapi/cloudapi.go
@@ -53,7 +53,7 @@
 }
 
 // ListMachines reads the page of the machine list that begins after a machine's name; an empty
-// name stands for the first page. The list may be out of date by the deployment's list lag.
+// name means the first page. The list may be out of date by the deployment's list lag.
 func (c *Client) ListMachines(after string, done func(ListResult)) {
 	c.send(listRequest(after), func(r Response) { done(ParseList(r)) })
 }
--- a/internal/cloudapi/result.go
+++ b/internal/cloudapi/result.go
@@ -6,7 +6,7 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A Status tells what became of a call.
+// A Status is what became of a call.
 type Status int
 
 // The outcomes of calls. After Unanswered and Failed a call may have been carried out, or may be
@@ -28,7 +28,7 @@
 	Failed
 )
 
-// StatusOf maps a status number of the cloud's protocol; 0 stands for no answer. Of a
+// StatusOf maps a status number of the cloud's protocol; 0 means no answer. Of a
 // provisioning request, ParseProvision tells NoCapacity from Unavailable.
 func StatusOf(number int) Status {
 	switch number {
--- a/internal/core/cancellation/cancellation.go
+++ b/internal/core/cancellation/cancellation.go
@@ -1,10 +1,10 @@
 // Package cancellation has the two halves of a cancellation.
 //
 // Registry keeps the requests of users who wait for the acknowledgement of a cancellation, from
-// the moment at which the request is on record until the job's tasks are known to be gone. The
+// the moment at which the request is on record until the job's tasks are known to have terminated. The
 // front end owns one. It answers nobody itself: it returns the requests that are to be
 // answered. Progress is how far the cancellation of one job has come for the leader, which
-// keeps one with each job.
+// keeps one with each job of package cluster.
 //
 // The package does no I/O and keeps no time.
 package cancellation
@@ -147,7 +147,7 @@
 	return expired
 }
 
-// Jobs lists the jobs whose cancellation is remembered, by name.
+// Jobs lists the jobs whose cancellation is remembered, by ID.
 func (r *Registry) Jobs() []string { return slices.Sorted(maps.Keys(r.pending)) }
 
 // expire removes and returns the requests that have waited too long; none while a confirmation
--- a/internal/core/cancellation/cancellation_test.go
+++ b/internal/core/cancellation/cancellation_test.go
@@ -83,7 +83,7 @@
 		{"nobody is dismissed meanwhile", func(r *Registry) []RequestID { return r.Dismiss("a") }, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
 		{"no wait is over meanwhile", func(r *Registry) []RequestID { return r.Expire(time.Hour) }, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
 		{"the job's end comes first", func(r *Registry) []RequestID { return r.End("a") }, []RequestID{1, 2}, (*Registry).Confirmed, nil, 0},
-		{"the job's end comes first, then a question", func(r *Registry) []RequestID {
+		{"the job's end comes first, then another request", func(r *Registry) []RequestID {
 			ids := r.End("a")
 			r.Add("a", 9, 3, time.Minute)
 			return ids
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestTerminated counts from when the last task is gone, anew after one has turned up.
+// TestTerminated counts from when the last task has terminated, anew after another one was found.
 func TestTerminated(t *testing.T) {
 	var p Progress
 	p.UpdateTasks(false, 10*time.Second)
@@ -138,7 +138,7 @@
 	}
 	p.UpdateTasks(false, 13*time.Second)
 	if p.TerminatedFor(time.Second, 14*time.Second) {
-		t.Error("terminated since before a task turned up")
+		t.Error("terminated since before a task was found")
 	}
 }
 
--- a/internal/core/cancellation/progress.go
+++ b/internal/core/cancellation/progress.go
@@ -7,10 +7,10 @@
 type Progress struct {
 	requested      bool
 	requestedAt    time.Duration
-	acknowledged   bool // perhaps
+	acknowledged   bool // or may have been
 	acknowledgedAt time.Duration
 	terminatedAt   time.Duration // no task is left since then; 0 while there are some
-	announced      bool          // to the other controllers, that none is left
+	announced      bool          // the other controllers know that none is left
 }
 
 // Request records that the job's user asked to cancel it.
@@ -49,15 +49,15 @@
 // Terminated reports whether no task is left.
 func (p *Progress) Terminated() bool { return p.terminatedAt != 0 }
 
-// Announce reports whether the other controllers do not know yet that no task is left, and
-// records that they are.
+// Announce reports whether the other controllers have yet to be told that no task is left, and
+// records that they are told now.
 func (p *Progress) Announce() bool {
 	first := !p.announced
 	p.announced = true
 	return first
 }
 
-// Overdue reports whether a task that is not confirmed gone has to be terminated with its
+// Overdue reports whether a task whose termination is not confirmed has to be terminated with its
 // machine. Where it was acknowledged early, as controllers of earlier versions do, what is left
 // of the grace period has to suffice for a failover and for the cloud's answer. Otherwise
 // nothing was promised, and a machine that runs other work is given the time to come back while
--- a/internal/core/cluster/drain_reason.go
+++ b/internal/core/cluster/drain_reason.go
@@ -1,6 +1,6 @@
 package cluster
 
-// DrainReason tells why a machine takes no more tasks, or is returned to the cloud. It is
+// DrainReason is why a machine takes no more tasks, or is returned to the cloud. It is
 // empty for one that takes tasks. Its text is part of log lines.
 type DrainReason string
 
--- a/internal/core/cluster/heartbeat_size.go
+++ b/internal/core/cluster/heartbeat_size.go
@@ -3,8 +3,8 @@
 import "github.com/brookwalk/brookwalk/wire"
 
 // A heartbeat and the answer to it may have 64 KiB, so a machine can hold only so many
-// tasks, however small. One whose heartbeats were larger was not heard any more: its lease
-// expired with all its tasks, and it was filled again.
+// tasks, however small. The heartbeats of a machine with more tasks were rejected:
+// its lease expired, all its tasks were lost, and it was filled again.
 const (
 	// MaxHeartbeatBytes is the largest body of a heartbeat.
 	MaxHeartbeatBytes = 64 << 10
@@ -15,7 +15,7 @@
 	MaxTaskRows = MaxHeartbeatBytes * 3 / 4 / TaskRowBytes
 )
 
-// TaskRowsLeft is how many more tasks the machine can report.
+// TaskRowsLeft is how many more tasks fit into the machine's heartbeats.
 func (m *Machine) TaskRowsLeft() int { return MaxTaskRows - len(m.Placements) - m.ReportedEnded }
 
 // CountExited counts the tasks of a heartbeat that have exited and are still listed.
--- a/internal/core/cluster/job.go
+++ b/internal/core/cluster/job.go
@@ -36,7 +36,7 @@
 // PriorityState orders a job among those that wait for machines. Dependencies and the
 // scheduling pass set it.
 type PriorityState struct {
-	Level       int     // of its priority, or the higher one of a dependent
+	Level       int     // priority level: its own, or the higher one of a dependent
 	Deadline    float64 // time of day, in s; the earlier one of a dependent counts
 	WithinQuota bool    // it fits into its team's guarantee
 }
@@ -76,11 +76,11 @@
 	ConsecutiveFailures int
 }
 
-// PlacingState is what a job keeps for the placing of its tasks. The scheduling pass sets it.
+// PlacingState is what a job keeps for the placement of its tasks. The scheduling pass sets it.
 type PlacingState struct {
 	GangPreemptions     int              // how often it was preempted as a gang
 	ReschedulingTargets map[int]*Machine // where replicas that are rescheduled go, by task
-	ReservedMachines    []*Machine       // kept for it while tasks on them are preempted
+	ReservedMachines    []*Machine       // reserved for it while tasks on them are preempted
 	PreemptedWithinTeam bool             // tasks of its own team were preempted for it
 }
 
@@ -108,7 +108,7 @@
 	return float64(record.SubmittedAt)/1000 + *record.Job.DeadlineS
 }
 
-// IsOver reports whether nothing of the job is left to do.
+// IsOver reports whether no task of the job counts on a machine or is to run any more.
 func (j *Job) IsOver() bool {
 	return j.Loaded && j.TasksPlaced == 0 && (j.Cancellation.Requested() || j.allTasksDone())
 }
@@ -154,7 +154,7 @@
 }
 
 // Interchangeable reports whether it makes no difference which of a job's tasks goes where:
-// no machine is kept for one of them, and they need not share a zone.
+// no machine is reserved for one of them, and they need not share a zone.
 func (j *Job) Interchangeable() bool {
 	return len(j.ReschedulingTargets) == 0 && len(j.ReservedMachines) == 0 && !j.OneZone
 }
--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -10,7 +10,7 @@
 )
 
 // Machine is what the leader knows of a machine. Its fields are grouped by concern; each
-// group says which part of the leader changes it. Everything else only reads.
+// group names the part of the leader that changes it. Everything else only reads.
 type Machine struct {
 	Identity
 	HeartbeatState
@@ -78,7 +78,7 @@
 	ListedAt             time.Duration
 	CreatedAt            time.Duration // estimate of when it was provisioned
 	ProvisionRequestedAt time.Duration // when this leader asked for it; 0 if another one did
-	PreemptionAt         time.Duration // when the cloud takes it by its notice; 0 without one
+	PreemptionAt         time.Duration // when the cloud takes it back by its preemption notice; 0 without one
 	DrainReason          DrainReason   // why it takes no more tasks; empty if it does
 	DrainedAt            time.Duration // since when
 	Evicting             bool          // its tasks are stopped, to run elsewhere
@@ -108,12 +108,12 @@
 	Pulls        []ImagePull // images that its tasks wait for, in their order
 }
 
-// Reservation keeps a machine whose tasks are preempted for the job that they make room for.
+// Reservation reserves a machine whose tasks are preempted for the job that they make room for.
 // Preemption sets it.
 type Reservation struct {
 	ReservedFor   *Job
 	ReservedUntil time.Duration
-	ReservedTasks int // tasks of the job that it is kept for
+	ReservedTasks int // how many of the job's tasks it is reserved for
 }
 
 // Offer is what the machine was provisioned as.
--- a/internal/core/cluster/state.go
+++ b/internal/core/cluster/state.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// State is all jobs and machines that a leader knows, in the orders in which they are gone
-// through. The zero value is not ready for use.
+// State is all jobs and machines that a leader knows, in the orders in which they are
+// iterated over. The zero value is not ready for use.
 type State struct {
-	Jobs             map[string]*Job // by id; their ends are not recorded
+	Jobs             map[string]*Job // by ID; their ends are not recorded
 	JobsBySubmission []*Job
 	Machines         map[string]*Machine // by name
 	// MachinesByName is replaced and never changed in place, so that a loop over it may
@@ -32,7 +32,7 @@
 	s.JobsBySubmission = slices.Insert(s.JobsBySubmission, at, job)
 }
 
-// DropJob forgets a job. A loop over JobsBySubmission goes on over the jobs that it began with.
+// DropJob forgets a job. A loop over JobsBySubmission continues over the jobs that it began with.
 func (s *State) DropJob(job *Job) {
 	delete(s.Jobs, job.ID)
 	first := sort.Search(len(s.JobsBySubmission), func(i int) bool {
--- a/internal/core/cluster/task.go
+++ b/internal/core/cluster/task.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Task is the state of one task. A task with a machine counts in full (its place, its team's
-// limit, its zone) until it has certainly terminated, see termination.go of package core.
+// Task is the state of one task. A task with a machine counts in full (on the machine, towards its
+// team's limit and in its zone) until it has certainly terminated, see package reconcile.
 // Placing, reconciliation and persistence change it.
 type Task struct {
 	Done           bool // completed
@@ -20,7 +20,7 @@
 	Incarnation    uint64   // of the worker when the task was placed
 	Persisted      bool     // the placement is on record
 	PlacedThisTerm bool
-	StartSent      bool // another copy of the start was sent
+	StartSent      bool // a start was sent, or may have been by an earlier term
 	Observed       bool // a heartbeat of this term showed it
 	State          wire.TaskState
 	RunningSince   time.Duration // first heartbeat that showed it running
@@ -54,7 +54,7 @@
 // Size is what becomes free when the task stops.
 func (r TaskReference) Size() topology.Resources { return TaskSize(&r.Job.Job) }
 
-// Gang is the id of the gang that stops along with the task; empty if it stops alone.
+// Gang is the ID of the gang that stops along with the task; empty if it stops alone.
 func (r TaskReference) Gang() string {
 	if r.Job.Shape == wire.ShapeGang {
 		return r.Job.ID
@@ -71,7 +71,7 @@
 // TaskName is the name of a job's task in the protocol.
 func TaskName(job string, index int) string { return job + "/" + strconv.Itoa(index) }
 
-// JobIDOf is the id of the job that a task belongs to.
+// JobIDOf is the ID of the job that a task belongs to.
 func JobIDOf(task string) string {
 	job, _, _ := strings.Cut(task, "/")
 	return job
--- a/internal/core/cluster/usage.go
+++ b/internal/core/cluster/usage.go
@@ -20,7 +20,7 @@
 	m.EvaluationStale = true
 }
 
-// RemoveTask ends the counting of a task on the machine.
+// RemoveTask makes a task no longer count on the machine.
 func (m *Machine) RemoveTask(job *Job, index int) {
 	placements := make([]TaskReference, 0, len(m.Placements))
 	for _, r := range m.Placements {
@@ -43,9 +43,9 @@
 }
 
 // AdjustUsage adds a number of a job's tasks to what the machine's tasks use; a negative
-// number takes them out.
+// number subtracts them.
 func (m *Machine) AdjustUsage(job *Job, tasks int) {
-	size := Scaled(TaskSize(&job.Job), tasks)
+	size := TaskSize(&job.Job).Times(tasks)
 	m.Used = m.Used.Add(size)
 	m.UsedByLevel[job.Level] = m.UsedByLevel[job.Level].Add(size)
 	if job.CheckpointIntervalS > 0 {
@@ -54,14 +54,14 @@
 }
 
 // ClearUsage sets what the tasks use to exactly nothing, once the last one is removed: sums of
-// fractions leave a rest.
+// fractions leave a remainder.
 func (m *Machine) ClearUsage() {
 	m.Used = topology.Resources{}
 	m.UsedByLevel = [PriorityLevels]topology.Resources{}
 	m.CheckpointedByLevel = [PriorityLevels]topology.Resources{}
 }
 
-// Refresh works out what the tasks that are being stopped use, and which images the machine
+// Refresh computes what the tasks that are being stopped use, and which images the machine
 // pulls.
 func (m *Machine) Refresh() {
 	m.EvaluationStale = false
--- a/internal/core/cluster/wait_reason.go
+++ b/internal/core/cluster/wait_reason.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// WaitReason tells why tasks of a job that could run have no machine. Its text is part of
+// WaitReason is why tasks of a job that could run have no machine. Its text is part of
 // log lines.
 type WaitReason string
 
@@ -16,7 +16,7 @@
 	WaitForPreemption WaitReason = "tasks are being preempted for it"
 )
 
-// LoggedWait is what was logged of why a job waits.
+// LoggedWait is what was last logged about why a job waits.
 type LoggedWait struct {
 	LastReason     WaitReason    // at any level
 	LastInfoReason WaitReason    // at level info
--- a/internal/core/dependencylist/attempt.go
+++ b/internal/core/dependencylist/attempt.go
@@ -18,7 +18,7 @@
 }
 
 // AddItem adds a list record to the attempts that were found before it, in the order of keys.
-// What is no list record is left out.
+// Other items are skipped.
 func AddItem(found []Attempt, item wire.Item) []Attempt {
 	ref, job, ok := parseKey(item.Key)
 	if !ok {
@@ -36,7 +36,7 @@
 	return found
 }
 
-// parseKey tells which attempt a list record belongs to.
+// parseKey returns the attempt that a list record belongs to.
 func parseKey(key string) (ref records.DependencyListRef, job string, ok bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 {
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -16,10 +16,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// StepDownReason tells why a controller gives up its leadership.
+// StepDownReason is why a controller steps down.
 type StepDownReason string
 
-// Reasons that the election itself finds.
+// Reasons to step down that the election itself finds.
 const (
 	ReasonHigherTerm   StepDownReason = "a higher term exists"
 	ReasonLeaseExpired StepDownReason = "the lease expired"
@@ -54,13 +54,13 @@
 	Lead(Leadership)
 	// StepDown ends this controller's leadership, and calls Election.SteppedDown.
 	StepDown(StepDownReason)
-	// ObserveStore receives the status of calls that show whether the store answers.
+	// ObserveStore records the status of a call that shows whether the store answers.
 	ObserveStore(kv.Status)
 	// HearsPeer reports whether any other controller is heard.
 	HearsPeer() bool
 	// LeaderLost reports whether the leader is lost although it may hold its key.
 	LeaderLost() bool
-	// LeaderKnown is called when it is known who leads.
+	// LeaderKnown is called when the leader is known: another controller.
 	LeaderKnown()
 }
 
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -260,7 +260,7 @@
 	for _, tc := range []struct {
 		name   string
 		change func(s *fakeStore, c *controller)
-		want   StepDownReason // empty if it goes on
+		want   StepDownReason // empty if it still leads
 	}{
 		{"its lease has expired", func(s *fakeStore, _ *controller) { s.advance(2 * leaseDuration) }, ReasonLeaseExpired},
 		{"a peer leads under a higher term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term+1, "b") }, ReasonHigherTerm},
--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -41,7 +41,7 @@
 	return len(b.submissions) == 0 || !s.alone && !b.submissions[0].alone
 }
 
-// fits reports whether the transaction has room for what a submission adds, and writes none of
+// fits reports whether a submission fits into the transaction, and writes none of
 // its keys yet.
 func (b *submissionBatch) fits(added submissionTxn, limits *kv.Limits) bool {
 	if b.bytes+added.bytes > kv.MaxTxnBytes {
@@ -129,7 +129,7 @@
 	})
 }
 
-// batchAnswered goes on with the submissions of a transaction that the store has answered.
+// batchAnswered continues with the submissions of a transaction that the store has answered.
 func (f *FrontEnd) batchAnswered(batch *submissionBatch, r kv.TxnResult) {
 	switch r.Status {
 	case kv.OK:
@@ -163,7 +163,7 @@
 	}
 }
 
-// batchConflicted goes on with the submissions of a transaction of which some conditions did not
+// batchConflicted continues with the submissions of a transaction of which some conditions did not
 // hold.
 func (f *FrontEnd) batchConflicted(batch *submissionBatch, conflicts []string) {
 	changed := records.Jobs(conflicts)
@@ -198,7 +198,7 @@
 }
 
 // batchRejected retries each submission of a transaction that the store rejected in one of its
-// own: one of them may be too large for the store, and alone it does not hold up the others.
+// own: one of them may be too large for the store, and alone it does not delay the others.
 func (f *FrontEnd) batchRejected(batch *submissionBatch) {
 	if len(batch.submissions) == 1 {
 		f.submissionRejected(batch)
@@ -211,7 +211,7 @@
 	}
 }
 
-// submissionRejected goes on with the only submission of a transaction that the store rejected.
+// submissionRejected continues with the only submission of a transaction that the store rejected.
 func (f *FrontEnd) submissionRejected(batch *submissionBatch) {
 	s := batch.submissions[0]
 	if f.canRetryMarking(len(batch.txn.Writes), batch.marked) {
@@ -222,7 +222,7 @@
 }
 
 // isSmall reports whether a transaction is small enough to go ahead of the rate limit: less than
-// half of the writes that one may have. The leader's records are not held up either, and where
+// half of the writes that one may have. The leader's records are not delayed either, and where
 // they have used up the rate, a submission to the leader would be refused for it, though the
 // others accept them at once. Many submissions at a time keep to the rate.
 func (f *FrontEnd) isSmall(txn *wire.Txn) bool { return 2*len(txn.Writes) < f.store.MaxWrites() }
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -13,20 +13,20 @@
 )
 
 // This file alone decides when a cancellation is acknowledged to its user. The acknowledgement is
-// a promise that no task of the job starts any more and that all of them are gone within
+// a promise that no task of the job starts any more and that all of them have terminated within
 // cancel_s, whatever fails meanwhile: the leader, the store, machines, or several of them. So it
 // is given only when it has come true already:
 //
 //   - the cancellation request is recorded in the job's open record. From then on no placement
 //     can be recorded, since each is conditional on that record;
 //   - the leader stops the tasks, wherever they are reachable, and counts each of them until it
-//     is certainly gone (termination.go in internal/core);
+//     has certainly terminated (package reconcile);
 //   - it is acknowledged when the job's end is recorded, or, where the store fails the leader
 //     alone, when the leader says that no task is left and its term is confirmed to be still
 //     the latest.
 //
 // Until then the user is asked to retry, at once where tasks are unreachable. Cancellations were
-// once acknowledged as soon as the request was recorded: with the store gone a moment later, a
+// once acknowledged as soon as the request was recorded: with the store unavailable a moment later, a
 // new leader could not learn of the jobs, and their tasks ran on for longer than cancel_s.
 
 // UserRetryPeriod is for how long a user repeats a request, by the protocol.
@@ -55,7 +55,7 @@
 	retries int
 }
 
-// cancel records the request, and lets it wait until the job's tasks are gone.
+// cancel records the request, and lets it wait until the job's tasks have terminated.
 func (f *FrontEnd) cancel(request cancelRequest) {
 	f.Lookup(request.job, func(result LookupResult) {
 		switch {
@@ -66,7 +66,7 @@
 		case result.Final != nil || result.Open.Record.Acknowledged():
 			f.host.Answer(request.id, httpstatus.OK, f.status(request.job, result))
 		case result.Open.Record.Cancelled:
-			f.awaitTermination(request, result.Open)
+			f.waitForTermination(request, result.Open)
 		default:
 			f.recordCancellation(request, result.Open)
 		}
@@ -106,11 +106,11 @@
 	return record
 }
 
-// cancellationWritten goes on with a request to cancel a job after an attempt to record it.
+// cancellationWritten continues a request to cancel a job after an attempt to record it.
 func (f *FrontEnd) cancellationWritten(request cancelRequest, written *jobcache.OpenJob, status kv.Status) {
 	switch {
 	case written != nil:
-		f.awaitTermination(request, written)
+		f.waitForTermination(request, written)
 	case status == kv.Conflict:
 		request.retries++
 		f.cancel(request)
@@ -143,8 +143,8 @@
 	})
 }
 
-// awaitTermination lets a request wait for the end of a job whose cancellation is recorded.
-func (f *FrontEnd) awaitTermination(request cancelRequest, open *jobcache.OpenJob) {
+// waitForTermination lets a request wait for the end of a job whose cancellation is recorded.
+func (f *FrontEnd) waitForTermination(request cancelRequest, open *jobcache.OpenJob) {
 	if final, ended := f.cache.Final(request.job); ended {
 		f.host.Answer(request.id, httpstatus.OK, final.JobStatus(request.job))
 		return
@@ -179,7 +179,7 @@
 	f.answerEnded(f.cancellations.End(end.ID), final.JobStatus(end.ID))
 }
 
-// HandleEnds handles what the leader, another controller, reports of cancelled jobs.
+// HandleEnds handles what the leader, another controller, knows of cancelled jobs.
 func (f *FrontEnd) HandleEnds(ends *wire.Ends) {
 	for _, end := range ends.Over {
 		f.JobEnded(end)
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -17,8 +17,8 @@
 // accepted meanwhile, one sees the other. The transaction marks them as having dependents,
 // which keeps a cancellation from being answered by a leader that cannot read new dependents.
 // A record that the store no longer accepts is left unmarked: its cancellation is recorded as
-// that of a job with dependents, see recordCancellation. Only what has not ended goes on
-// record, for an end never reverts; of a list that is longer than a transaction's conditions
+// that of a job with dependents, see recordCancellation. Only what has not ended is
+// recorded, since an end is final; of a list that is longer than a transaction's conditions
 // the rest has been read before, and the leader reads it again. A list that does not fit into
 // the open record goes into records of its own first, see package dependencylist.
 
@@ -101,7 +101,7 @@
 	return smaller || fewer
 }
 
-// leaveLargeUnmarked takes the large ones among rejected marks for the cause of the rejection,
+// leaveLargeUnmarked considers the large ones among rejected marks the cause of the rejection,
 // and reports whether there are any.
 func (f *FrontEnd) leaveLargeUnmarked(marks map[string]records.Open) bool {
 	found := false
@@ -120,13 +120,11 @@
 
 // cacheMarked remembers jobs that were marked.
 func (f *FrontEnd) cacheMarked(marks map[string]records.Open, revision uint64) {
-	for _, job := range sortedKeys(marks) {
+	for _, job := range slices.Sorted(maps.Keys(marks)) {
 		f.cache.PutOpen(job, &jobcache.OpenJob{Version: revision, Record: marks[job]})
 	}
 }
 
-func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
-
 // resolveDependencies looks up the dependencies of a submission that are not known, and enqueues
 // the submission if they allow it.
 func (f *FrontEnd) resolveDependencies(s *pendingSubmission) {
@@ -139,7 +137,7 @@
 		f.enqueueResolved(s)
 		return
 	}
-	// A long list leaves room for other lookups. What is found is remembered, so that the next
+	// A long list leaves capacity for other lookups. What is found is remembered, so that the next
 	// round, or the user's next try, looks up the rest.
 	unknown = unknown[:min(len(unknown), f.MaxWaiting()/4)]
 	round := &dependencyLookups{remaining: len(unknown)}
@@ -182,7 +180,7 @@
 	return l.remaining == 0
 }
 
-// finishLookups goes on with a submission some of whose dependencies were looked up.
+// finishLookups continues with a submission some of whose dependencies were looked up.
 func (f *FrontEnd) finishLookups(s *pendingSubmission, round *dependencyLookups) {
 	switch {
 	case round.neverAccepted != "":
@@ -194,7 +192,7 @@
 	}
 }
 
-// enqueueResolved records a submission all of whose dependencies are known.
+// enqueueResolved enqueues a submission all of whose dependencies are known, or refuses it.
 func (f *FrontEnd) enqueueResolved(s *pendingSubmission) {
 	unmarked, err := f.classifyDependencies(s)
 	switch {
@@ -249,7 +247,7 @@
 
 // recordDependencies puts the unfinished dependencies of a submission into its record: the names,
 // or a reference to the list that holds them. If the list has to be written first, or cannot be,
-// it returns false, and the submission goes on later or is refused.
+// it returns false, and the submission continues later or is refused.
 func (f *FrontEnd) recordDependencies(s *pendingSubmission) bool {
 	s.record.Job.Dependencies = s.unfinished
 	if submission.FitsRecord(s.record, f.maxNewRecord()) {
@@ -289,7 +287,7 @@
 }
 
 // marksAnswered records what became of a transaction that marks jobs and does nothing else. It
-// reports whether marking can go on, or be retried.
+// reports whether marking can continue, or be retried.
 func (f *FrontEnd) marksAnswered(r kv.TxnResult, jobs []string, marks map[string]records.Open) bool {
 	switch r.Status {
 	case kv.OK:
--- a/internal/core/frontend/dependency_list.go
+++ b/internal/core/frontend/dependency_list.go
@@ -7,7 +7,7 @@
 	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
-// writeList spreads the unfinished dependencies of a submission over list records, and goes on
+// writeList spreads the unfinished dependencies of a submission over list records, and continues
 // with the submission once they are all written.
 func (f *FrontEnd) writeList(s *pendingSubmission) {
 	f.listAttempts++
@@ -34,7 +34,7 @@
 				return
 			}
 		case kv.Unanswered, kv.Conflict:
-			// Carried out or not: begun again under another token.
+			// Carried out or not: the list is written again under another token.
 			s.list = nil
 		case kv.Rejected:
 			f.host.RejectedWrites(len(txn.Writes))
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -4,10 +4,9 @@
 //
 // It owns the queue of submissions, the lookups of jobs and the waiting cancellations; it
 // shares the job cache with the leader. What the cache has of unfinished jobs is only used
-// after the store has confirmed that it still holds. The front end knows no machines and no
-// tasks: what it needs to know of them it asks its Host. Like internal/core, which calls it, it
-// has no clock, socket or goroutine: every function returns at once, and callbacks come from
-// the store's client.
+// after the store has confirmed that it still holds. The front end has no state of machines and
+// tasks: it asks its Host about them. Like internal/core, which calls it, it has no clock, socket
+// or goroutine: every function returns at once, and callbacks come from the store's client.
 package frontend
 
 import (
@@ -29,13 +28,13 @@
 type Host interface {
 	// Now is the steady time.
 	Now() time.Duration
-	// WallClockMS is the time of day.
+	// WallClockMS is the time of day, in ms.
 	WallClockMS() int64
 	// Answer answers a request that was carried out.
 	Answer(request RequestID, status int, body any)
 	// Refuse answers a request that is not carried out.
 	Refuse(request RequestID, refusal Refusal)
-	// MachineTypes are those that can be rented, by name; none while they are not known.
+	// MachineTypes are all types of the cloud, by name; none while they are not known.
 	MachineTypes() map[string]*wire.MachineType
 	// TeamLimit is a team's limit by the settings; not known if there is no such team.
 	TeamLimit(team string) (limit teamlimit.Limit, known bool)
@@ -46,7 +45,7 @@
 	// RejectedWrites records that the store rejected a transaction with a number of writes,
 	// and reports whether the same changes may do in smaller transactions.
 	RejectedWrites(writes int) bool
-	// StopTasks lets the leader know of a job whose cancellation is recorded, and reports
+	// StopTasks tells the leader of a job whose cancellation is recorded, and reports
 	// whether the end of its tasks is delayed, as far as this controller knows.
 	StopTasks(job string, open *jobcache.OpenJob) (delayed bool)
 }
@@ -86,7 +85,7 @@
 	return f
 }
 
-// Tick answers the requests that have waited too long, and goes on with the others.
+// Tick answers the requests that have waited too long, and continues with the others.
 func (f *FrontEnd) Tick() {
 	f.startPreload()
 	f.expireSubmissions()
@@ -99,7 +98,8 @@
 // MaxWaiting is how many requests may wait: each comes on a connection.
 func (f *FrontEnd) MaxWaiting() int { return f.deployment.MachineLimits.MaxConnections }
 
-// mustShed reports whether a request has to be refused at once, where so many wait already.
+// mustShed reports whether a request has to be refused at once (load shedding), given how many
+// wait already.
 func (f *FrontEnd) mustShed(waiting int) bool {
 	return waiting >= f.MaxWaiting() || f.storeOverdue()
 }
--- a/internal/core/frontend/frontend_test.go
+++ b/internal/core/frontend/frontend_test.go
@@ -213,7 +213,7 @@
 		f.Submit(RequestID(n), submissionOf(n))
 	}
 	if _, refused := host.refusals[8]; refused {
-		t.Error("refused though the queue has room")
+		t.Error("refused though the queue is not full")
 	}
 	if host.refusals[9] != overloaded {
 		t.Errorf("the queue is full: refused with %+v", host.refusals[9])
@@ -286,7 +286,7 @@
 		answer  string
 		refusal Refusal
 	}{
-		{"tasks gone", false, func(f *FrontEnd, _ *fakeHost) {
+		{"tasks terminated", false, func(f *FrontEnd, _ *fakeHost) {
 			f.JobEnded(wire.JobEnd{ID: jobID(1), Status: string(wire.StatusCancelled), Tasks: 1})
 		}, `200 {"nameId":"job-1","status":"withdrawn","done":0,"running":0}`, Refusal{}},
 		{"tasks unreachable", true, func(*FrontEnd, *fakeHost) {}, "", tasksStillStopping},
--- a/internal/core/frontend/lookup.go
+++ b/internal/core/frontend/lookup.go
@@ -61,7 +61,7 @@
 // WaitingLookups counts the jobs whose lookup has not begun.
 func (f *FrontEnd) WaitingLookups() int { return len(f.lookups.order) }
 
-// expireLookups fails the waiting lookups whose time is up.
+// expireLookups fails the waiting lookups that have timed out.
 func (f *FrontEnd) expireLookups() {
 	var order []string
 	for _, job := range f.lookups.order {
@@ -84,7 +84,7 @@
 }
 
 // startLookups confirms known jobs, many of them by one transaction without writes, and reads
-// the others. The lookups of a moment are gathered: users poll all the time, and a transaction
+// the others. Lookups at about the same time are batched: users poll all the time, and a transaction
 // for each would cost most of the processor and of the rate of requests to the store.
 func (f *FrontEnd) startLookups() {
 	confirm := f.host.Now() >= f.lookups.nextConfirmationAt
--- a/internal/core/frontend/submit.go
+++ b/internal/core/frontend/submit.go
@@ -112,7 +112,7 @@
 	f.startSubmissionBatch()
 }
 
-// expireSubmissions refuses the submissions in the queue whose time is up.
+// expireSubmissions refuses the submissions in the queue that have timed out.
 func (f *FrontEnd) expireSubmissions() {
 	var kept []*pendingSubmission
 	for _, s := range f.queue {
--- a/internal/core/membership/lease_extension.go
+++ b/internal/core/membership/lease_extension.go
@@ -20,7 +20,7 @@
 //   - a controller that has been restarted testifies only for its own incarnation: an earlier
 //     one may have extended any lease until the new one was heard;
 //   - of a controller that is not heard nothing is known. Machines that stay silent then
-//     count as gone once the cloud confirms their return, not by lease expiry.
+//     count as terminated once the cloud confirms their return, not by lease expiry.
 //
 // Workers that have not seen the leader's term are not covered: lease expiry does not apply
 // to them, since a leader that has stepped down may extend their leases as well.
--- a/internal/core/membership/lease_extension_test.go
+++ b/internal/core/membership/lease_extension_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestAcknowledgementOfNextTerm counts what the leader of an earlier term had for nothing once
-// a later one is known.
+// TestAcknowledgementOfNextTerm ignores what the leader of an earlier term has acknowledged once a
+// later one is known.
 func TestAcknowledgementOfNextTerm(t *testing.T) {
 	c := newTestController("n0", 1)
 	c.ExtendLease("m", 5)
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestUnnamedIncarnation believes no peer that does not name its incarnation: restarts of it
-// would not be seen.
+// TestUnnamedIncarnation ignores the testimony of a peer that does not name its incarnation:
+// restarts of it would not be detected.
 func TestUnnamedIncarnation(t *testing.T) {
 	c := newTestController("n0", 1)
 	c.leads = true
@@ -140,7 +140,7 @@
 		c.hear(name, wire.Digest{Boot: uint64(incarnation), EchoBoot: 1, Echo: int64(c.now)})
 	}
 	if c.LeaseExpired(lastRenewal, expiryBound) {
-		t.Error("expired by the word of n3, which names no incarnation")
+		t.Error("expired by the testimony of n3, which names no incarnation")
 	}
 	c.hear("n3", wire.Digest{Boot: 3})
 	c.now += 2 * workerLease
@@ -152,7 +152,7 @@
 	}
 }
 
-// TestExpiryIsCertain plays random extensions, losses of digests and restarts. The leader may
+// TestExpiryIsCertain simulates random extensions, losses of digests and restarts. The leader may
 // never find a lease expired that the worker still holds, and has to find it expired once all
 // controllers are heard again.
 func TestExpiryIsCertain(t *testing.T) {
@@ -176,14 +176,14 @@
 
 // extensionWorld has a leader n0 and three controllers that extend the lease of one worker.
 type extensionWorld struct {
-	random       *rand.Rand
-	clock        time.Duration
-	controllers  []*testController // the first one leads
-	offsets      []time.Duration   // of their clocks
-	incarnations uint64
-	lastExtended time.Duration // by any controller
-	holdsLease   bool          // the worker's lease has not expired since the beginning
-	reported     time.Duration // by the leader's clock: the latest extension that it knows of
+	random        *rand.Rand
+	clock         time.Duration
+	controllers   []*testController // the first one leads
+	offsets       []time.Duration   // of their clocks
+	incarnations  uint64
+	lastExtended  time.Duration // by any controller
+	holdsLease    bool          // the worker's lease has not expired since the beginning
+	knownToLeader time.Duration // by the leader's clock: the latest extension that it knows of
 
 	loss, restarts, extensions float64 // probabilities of a step, by controller
 }
@@ -195,7 +195,7 @@
 		w.controllers = append(w.controllers, w.newController(p.Name))
 		w.controllers[i].leads = i == 0
 	}
-	w.reported = w.controllers[0].now
+	w.knownToLeader = w.controllers[0].now
 	return w
 }
 
@@ -225,7 +225,7 @@
 	w.exchangeDigests()
 }
 
-// happens decides by chance.
+// happens reports whether an event of a probability happens.
 func (w *extensionWorld) happens(probability float64) bool { return w.random.Float64() < probability }
 
 // exchangeDigests sends a digest of each controller to each other one.
@@ -250,12 +250,12 @@
 	}
 	if to.leads {
 		for _, kept := range digest.Kept {
-			w.reported = max(w.reported, to.now-time.Duration(kept.AgeMS)*time.Millisecond)
+			w.knownToLeader = max(w.knownToLeader, to.now-time.Duration(kept.AgeMS)*time.Millisecond)
 		}
 	}
 }
 
-// expired asks the leader.
+// expired reports whether the leader finds the lease expired.
 func (w *extensionWorld) expired() bool {
-	return w.controllers[0].LeaseExpired(w.reported, expiryBound)
+	return w.controllers[0].LeaseExpired(w.knownToLeader, expiryBound)
 }
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -28,7 +28,7 @@
 	WorkerLease       time.Duration
 	HeartbeatInterval time.Duration // of workers
 	// LeaderLease is the duration of the leader's lease. A peer that has not been heard for
-	// as long is not counted on.
+	// as long counts as unreachable.
 	LeaderLease time.Duration
 }
 
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -19,7 +19,7 @@
 	expiryBound       = workerLease + workerLease/20
 )
 
-// testController stands for package core and for the election.
+// testController is package core and the election in these tests.
 type testController struct {
 	*Membership
 	name        string
@@ -125,7 +125,7 @@
 	}
 }
 
-// TestPeerReachesStore believes a peer's word on the store for three seconds.
+// TestPeerReachesStore relies on a peer's statement about the store for three seconds.
 func TestPeerReachesStore(t *testing.T) {
 	c := newTestController("n0", 1)
 	c.hear("n1", wire.Digest{})
@@ -133,12 +133,12 @@
 		t.Error("no peer reaches the store")
 	}
 	c.hear("n1", wire.Digest{StoreOK: true})
-	c.now += storeWordValidity - 1
+	c.now += storeStatusValidity - 1
 	if !c.PeerReachesStore() {
 		t.Error("n1 reaches the store")
 	}
 	if c.now++; c.PeerReachesStore() {
-		t.Error("the word of n1 is too old")
+		t.Error("the statement of n1 is too old")
 	}
 }
 
--- a/internal/core/membership/peers.go
+++ b/internal/core/membership/peers.go
@@ -21,9 +21,9 @@
 	testimony extensionTestimony
 }
 
-// storeWordValidity is for how long a peer's word that the key-value store answers it is
-// believed.
-const storeWordValidity = 3 * time.Second
+// storeStatusValidity is for how long a peer's statement that the key-value store answers it
+// counts.
+const storeStatusValidity = 3 * time.Second
 
 // findPeer returns the peer of a name; nil if there is none.
 func (m *Membership) findPeer(name string) *peer {
@@ -47,7 +47,7 @@
 	return true
 }
 
-// RecordDigest records what a peer says of itself.
+// RecordDigest records what a peer's digest says of the peer.
 func (m *Membership) RecordDigest(from string, digest *wire.Digest) {
 	p := m.findPeer(from)
 	if p == nil {
@@ -140,7 +140,7 @@
 // PeerReachesStore reports whether a peer said lately that the key-value store answers it.
 func (m *Membership) PeerReachesStore() bool {
 	for _, p := range m.peers {
-		if p.everHeard && p.reachesStore && m.since(p.heardAt) < storeWordValidity {
+		if p.everHeard && p.reachesStore && m.since(p.heardAt) < storeStatusValidity {
 			return true
 		}
 	}
--- a/internal/core/membership/workers.go
+++ b/internal/core/membership/workers.go
@@ -99,7 +99,7 @@
 // preferredController names the controller of a zone that a machine's worker should send its
 // heartbeats to: one that leads or hears the leader; empty if the zone has none. Where it has
 // several, the machines are spread over them by rendezvous hashing, so that every controller
-// comes to the same choice.
+// makes the same choice.
 func (m *Membership) preferredController(machine, zone string) string {
 	preferred, highest := "", uint64(0)
 	for _, name := range m.controllersHearingLeader(zone) {
--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -4,8 +4,8 @@
 // job that failed on more machines than jobs failed there is the likelier cause, and so is a
 // machine that failed several jobs which succeed elsewhere.
 //
-// Package core reports failures and successes to it, and decides what follows. The package calls
-// nobody and keeps no time. Its findings are not on record: a new leader begins without evidence.
+// Package core reports failures and successes to it, and decides what follows. The package does
+// no I/O and keeps no time. Its findings are not on record: a new leader begins without evidence.
 package outlier
 
 import (
@@ -19,7 +19,8 @@
 // minFailedJobs is how many jobs have to fail on a machine before it may be found faulty.
 const minFailedJobs = 2
 
-// Detector holds the failures that no success has refuted. Jobs and machines go by their names.
+// Detector holds the failures that no success has refuted, by the IDs of jobs and the names of
+// machines.
 type Detector struct {
 	machinesByJob map[string]nameSet // where a job failed since its last success
 	jobsByMachine map[string]nameSet // which jobs failed on a machine since the last success there
--- a/internal/core/persistence/batch.go
+++ b/internal/core/persistence/batch.go
@@ -38,10 +38,10 @@
 	handlers             []func(outcome) // in the order of the writes
 }
 
-// An outcome tells whether a batch was committed.
+// An outcome is what became of a batch.
 type outcome struct {
 	committed bool
-	revision  uint64 // of the records written
+	revision  uint64 // of the records that were written
 }
 
 // newBatch makes an empty batch under the limits that hold now.
@@ -105,7 +105,7 @@
 	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: key})
 }
 
-// onOutcome has a function called with the outcome, after those that were given before.
+// onOutcome registers a function that is called with the outcome, after those registered before.
 func (b *batch) onOutcome(handle func(outcome)) { b.handlers = append(b.handlers, handle) }
 
 // addFinishedEnds adds the ends of jobs that were not cancelled.
@@ -286,7 +286,7 @@
 	w.host.StartTasks(job, starts)
 }
 
-// addDeletions adds deletions of orphaned records, if all else that is due has found room.
+// addDeletions adds deletions of orphaned records, if all else that is due is in the batch.
 func (b *batch) addDeletions() {
 	for _, key := range b.orphans {
 		if b.incomplete || !b.hasRoom(1) {
@@ -321,7 +321,7 @@
 	b.host.BatchAnswered(b.ends)
 }
 
-// outcomeOf tells whether the batch was committed, and handles the causes if not.
+// outcomeOf returns the outcome for a result, and handles the cause if the batch was not committed.
 func (b *batch) outcomeOf(r kv.TxnResult) outcome {
 	switch r.Status {
 	case kv.OK:
--- a/internal/core/persistence/batch_test.go
+++ b/internal/core/persistence/batch_test.go
@@ -15,7 +15,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// fakeLeader is a leader with jobs, around a writer whose requests go nowhere.
+// fakeLeader is a leader with jobs and a writer, whose requests are discarded.
 type fakeLeader struct {
 	state  cluster.State
 	writer *Writer
@@ -58,7 +58,6 @@
 func (l *fakeLeader) StartTasks(*cluster.Job, []records.PlacedTask)        {}
 func (l *fakeLeader) OpenRecordRead(string, uint64, records.Open)          {}
 func (l *fakeLeader) PlacementRead(*cluster.Job, records.PlacedTask)       {}
-func (l *fakeLeader) RecordsLoaded()                                       {}
 func (l *fakeLeader) TermChanged()                                         {}
 
 // addJob adds a job with an open record.
@@ -96,7 +95,7 @@
 
 func jobID(n int) string { return fmt.Sprintf("job-%06d", n) }
 
-// recordKinds tells of each write of a transaction what it is.
+// recordKinds names the kind of each write of a transaction.
 func recordKinds(txn *wire.Txn) []string {
 	kinds := []string{}
 	for _, w := range txn.Writes {
@@ -119,7 +118,7 @@
 }
 
 // TestRecordBatch fills a batch with records that are due: which ones it takes, in which order,
-// and whether it notices that others are left.
+// and whether it reports that others are left.
 func TestRecordBatch(t *testing.T) {
 	end := []string{"remove open", "final"}
 	for _, tc := range []struct {
@@ -153,7 +152,7 @@
 				l.placedJob(jobID(n), 1)
 			}
 		}, slices.Repeat([]string{"place"}, 5), true},
-		{"an end that does not fit holds up deletions", 5, func(l *fakeLeader) {
+		{"an end that does not fit delays deletions", 5, func(l *fakeLeader) {
 			l.writer.AddOrphans(records.NumberedKey(jobID(9), 0))
 			for n := range 3 {
 				l.doneJob(jobID(n))
--- a/internal/core/persistence/loader.go
+++ b/internal/core/persistence/loader.go
@@ -21,19 +21,19 @@
 type Loader struct {
 	store  *kv.Client
 	state  *cluster.State
-	host   Host
+	host   LoaderHost
 	writer *Writer
 	log    *slog.Logger
 
 	loaded       bool
-	retry        func() // what was not answered; nil if nothing has to be retried
+	retry        func() // repeats what was not answered; nil if nothing has to be retried
 	retryAt      time.Duration
 	revision     uint64        // of the store, from which changes are followed
 	watchRetryAt time.Duration // when to watch again; 0 while a watch is open
 }
 
 // NewLoader makes a loader for a leader with a writer.
-func NewLoader(store *kv.Client, state *cluster.State, host Host, writer *Writer, log *slog.Logger) *Loader {
+func NewLoader(store *kv.Client, state *cluster.State, host LoaderHost, writer *Writer, log *slog.Logger) *Loader {
 	return &Loader{store: store, state: state, host: host, writer: writer, log: log}
 }
 
@@ -43,7 +43,7 @@
 	l.loadOpen("")
 }
 
-// RetryWith has a function called with the next tick.
+// RetryWith makes the next tick call a function.
 func (l *Loader) RetryWith(retry func()) { l.retry, l.retryAt = retry, 0 }
 
 // Tick retries what was not answered.
--- a/internal/core/persistence/rejections.go
+++ b/internal/core/persistence/rejections.go
@@ -9,10 +9,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// This file deals with records that the store does not take any more: its limits may fall at
-// any moment, without notice and below what the settings say. What it holds stays readable,
-// but a record that is too large cannot be written again, and in a transaction with others
-// it would hold these up for ever.
+// This file handles records that the store no longer accepts: its limits may fall at any moment,
+// without notice and below what the settings say. What it holds stays readable, but a record that
+// is too large cannot be written again, and in a transaction with others it would block these for
+// ever.
 
 // maxBackoffDoublings bounds the time between two attempts to write a job's records.
 const maxBackoffDoublings = 8
@@ -45,7 +45,7 @@
 	}
 }
 
-// backOff puts off the records of a job that the store rejected, longer each time.
+// backOff delays the records of a job that the store rejected, longer each time.
 func (w *Writer) backOff(job *cluster.Job, txn *wire.Txn) {
 	if writesLargeValue(txn, records.PrefixOpen) && !job.OpenRecordTooLarge {
 		job.OpenRecordTooLarge = true
@@ -78,7 +78,7 @@
 }
 
 // mayWriteOpenRecord reports whether a job's open record is to be written. One that is too large
-// is left as it is, and the job goes on without:
+// is left as it is, and the job continues without:
 //   - that all its dependencies are done is in their final records, which never change. The
 //     next leader reads them again; only the time of the last end is lost.
 //   - a copy of a numbered placement record that is still under way can take effect until
--- a/internal/core/persistence/writer.go
+++ b/internal/core/persistence/writer.go
@@ -17,7 +17,7 @@
 type Writer struct {
 	store         *kv.Client
 	state         *cluster.State
-	host          Host
+	host          WriterHost
 	deployment    *config.Deployment
 	termCondition wire.Condition
 	log           *slog.Logger
@@ -33,11 +33,11 @@
 }
 
 // NewWriter makes a writer of a term.
-func NewWriter(store *kv.Client, state *cluster.State, host Host, deployment *config.Deployment, term wire.Condition, log *slog.Logger) *Writer {
+func NewWriter(store *kv.Client, state *cluster.State, host WriterHost, deployment *config.Deployment, term wire.Condition, log *slog.Logger) *Writer {
 	return &Writer{store: store, state: state, host: host, deployment: deployment, termCondition: term, log: log}
 }
 
-// MarkDirty has the records looked through for changes with the next Write.
+// MarkDirty makes the next Write check all records for changes.
 func (w *Writer) MarkDirty() { w.dirty = true }
 
 // MarkPlacement marks a task's placement record for writing at once.
@@ -46,17 +46,17 @@
 	w.dirty = true
 }
 
-// deferral is for how many heartbeats a placement record is deferred.
-const deferral = 2
+// deferralHeartbeats is for how many heartbeats a placement record is deferred.
+const deferralHeartbeats = 2
 
-// MarkPlacementDeferred marks a task's placement record for writing where nothing is lost with
-// it but the knowledge that the task is over: it is gathered with what follows. The worker
-// remembers an end until it is recorded. Written one by one, the ends of arrays took most of
-// the store's write rate, and their last ones in vain, since the job's own end deletes the
-// record.
+// MarkPlacementDeferred marks a task's placement record for writing where its loss would lose
+// nothing but the end of the task: it is written together with later changes. The worker
+// remembers an end until it is recorded. Written one by one, the ends of arrays used most of
+// the store's write rate, and the writes of the last ones were wasted, since the job's own end
+// deletes the record.
 func (w *Writer) MarkPlacementDeferred(job *cluster.Job, task int) {
 	record := job.PlacementRecordOf(task)
-	w.markDue(record, w.host.Now()+deferral*config.Seconds(w.deployment.Workers.ReportS))
+	w.markDue(record, w.host.Now()+deferralHeartbeats*config.Seconds(w.deployment.Workers.ReportS))
 	if job.IsFinished() || job.IsOver() {
 		w.dirty = true
 		return
@@ -71,7 +71,7 @@
 	}
 }
 
-// schedule has the records written at a time, if not before.
+// schedule makes deferred records due at a time, if they are not due before.
 func (w *Writer) schedule(at time.Duration) {
 	if w.deferredUntil == 0 || at < w.deferredUntil {
 		w.deferredUntil = at
@@ -104,7 +104,7 @@
 	w.store.CommitUrgent(batch.txn, batch.onResult)
 }
 
-// retryLater puts the next transaction off for a moment.
+// retryLater delays the next transaction for a moment.
 func (w *Writer) retryLater() { w.retryAt = w.host.Now() + w.host.LeaderLease()/20 }
 
 // EndRecordable reports whether nothing on record keeps a job's end from being recorded.
--- a/internal/core/placement/memo.go
+++ b/internal/core/placement/memo.go
@@ -10,8 +10,8 @@
 	Spot  bool   // spot machines are allowed
 }
 
-// EquivalenceClass decides whether the tasks of a job find room, apart from spreading over zones
-// and failures: many jobs share one.
+// EquivalenceClass is what decides whether the tasks of a job fit, apart from spreading over zones
+// and failures. Many jobs share one.
 type EquivalenceClass struct {
 	Requirements
 	OneZone     bool
@@ -47,7 +47,7 @@
 // RecordNoVictims records whether nothing may be preempted for tasks of a class.
 func (m *Memo) RecordNoVictims(class EquivalenceClass, none bool) { m.noVictims[class] = none }
 
-// MayFit reports whether it is worth searching room for tasks of a class.
+// MayFit reports whether a search for machines for tasks of a class may succeed.
 func (m *Memo) MayFit(class EquivalenceClass) bool {
 	return !m.doesNotFit[class] && !m.noMachineFits[class.Requirements]
 }
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -1,6 +1,6 @@
 // Package placement holds what a placement pass needs beside the machines: in which order jobs are
 // tried, which tasks are equivalent, and what has been found not to fit. It knows no machines, no
-// leader and no clock. The scheduling pass of package core calls it.
+// leader and no clock. The passes of package scheduler call it.
 package placement
 
 import (
--- a/internal/core/preemption/preemption_test.go
+++ b/internal/core/preemption/preemption_test.go
@@ -38,21 +38,21 @@
 
 // describe names slots and their victims: "machine: victims".
 func describe(slots []Slot[task]) string {
-	var out []string
-	for _, r := range slots {
-		s := r.Machine + ":"
-		for _, v := range r.Victims {
-			s += " " + v.Task.name
+	var descriptions []string
+	for _, slot := range slots {
+		description := slot.Machine + ":"
+		for _, v := range slot.Victims {
+			description += " " + v.Task.name
 		}
-		out = append(out, s)
+		descriptions = append(descriptions, description)
 	}
-	return strings.Join(out, "; ")
+	return strings.Join(descriptions, "; ")
 }
 
 func TestSlotsOn(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		m      *Machine[task]
+		on     *Machine[task]
 		size   float64
 		wanted int
 		slots  string
@@ -67,7 +67,7 @@
 		{"no slot", machine("m", "a", 0, 0, victim("x", 1, 5)), 2, 1, "", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			slots := SlotsOn(tc.m, cpus(tc.size), tc.wanted)
+			slots := SlotsOn(tc.on, cpus(tc.size), tc.wanted)
 			if got := describe(slots); got != tc.slots {
 				t.Fatalf("slots %q, want %q", got, tc.slots)
 			}
--- a/internal/core/provisioning/offer.go
+++ b/internal/core/provisioning/offer.go
@@ -1,8 +1,6 @@
 package provisioning
 
-import (
-	"github.com/brookwalk/brookwalk/internal/core/topology"
-)
+import "github.com/brookwalk/brookwalk/internal/core/topology"
 
 // Offer names what the cloud provisions: a machine type in a zone, as a spot machine or not.
 type Offer struct {
--- a/internal/core/provisioning/plan.go
+++ b/internal/core/provisioning/plan.go
@@ -8,9 +8,7 @@
 // time. Package core makes a plan at each placement pass of a leader.
 package provisioning
 
-import (
-	"github.com/brookwalk/brookwalk/internal/core/topology"
-)
+import "github.com/brookwalk/brookwalk/internal/core/topology"
 
 // Plan is a plan in the making. Machines are added first, then tasks are packed.
 type Plan struct {
--- a/internal/core/provisioning/task_kind.go
+++ b/internal/core/provisioning/task_kind.go
@@ -19,11 +19,11 @@
 	emptyAt int
 }
 
-// exhausted reports whether a search was in vain. Free capacity only shrinks, so it still would be
-// unless a bin has been added since.
+// exhausted reports whether the last search found no bin. Free capacity only shrinks, so another
+// one would find none either, unless a bin has been added since.
 func (s *searchedIndex) exhausted() bool { return s.emptyAt == s.binsAdded+1 }
 
-// markExhausted records that a search was in vain.
+// markExhausted records that a search found no bin.
 func (s *searchedIndex) markExhausted() { s.emptyAt = s.binsAdded + 1 }
 
 // offerCost is an offer and its price for one task.
--- a/internal/core/reconcile/health.go
+++ b/internal/core/reconcile/health.go
@@ -84,7 +84,7 @@
 }
 
 // PartitionedZones lists, in no order, the zones that are partitioned from this controller. Most
-// machines of a zone at once are more likely partitioned, and go on under a controller there,
+// machines of a zone at once are more likely partitioned, and run on under a controller there,
 // than dead; so is a zone of a machine or two, if its controllers are unreachable along with all
 // of them.
 func (h *HealthCheck) PartitionedZones(survey *SilenceSurvey) []string {
@@ -109,7 +109,7 @@
 // maxLeaseExpiries is how often a worker's lease may expire though the worker answers.
 const maxLeaseExpiries = 3
 
-// UnhealthyReason tells why a machine is to be returned; empty if it is not.
+// UnhealthyReason returns why a machine is to be returned; empty if it is not.
 func (h *HealthCheck) UnhealthyReason(machine *cluster.Machine, survey *SilenceSurvey) cluster.DrainReason {
 	maxSilence := 2 * h.LeaseExpiryBound()
 	if survey.mostSilent {
--- a/internal/core/reconcile/health_test.go
+++ b/internal/core/reconcile/health_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// newMachines makes machines of a zone, of which so many have been silent for a time.
+// newMachines makes machines of a zone, the first of which have been silent for some time.
 func newMachines(check *HealthCheck, zone string, count, silent int, silence time.Duration) []*cluster.Machine {
 	machines := make([]*cluster.Machine, count)
 	for i := range machines {
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -28,7 +28,7 @@
 func RecordAnswer(machine *cluster.Machine, now time.Duration) { machine.LastAnswered = now }
 
 // RecordLeaseExtension records that another controller extended the worker's lease at a time.
-// The word of it may be older than that of a later extension.
+// A later extension may be known already.
 func RecordLeaseExtension(machine *cluster.Machine, at time.Duration) {
 	machine.LeaseExtendedAt = max(machine.LeaseExtendedAt, at)
 }
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -1,16 +1,16 @@
-// Package reconcile compares what workers report with the leader's placements.
+// Package reconcile compares workers' heartbeats with the leader's placements.
 //
 // It decides what a heartbeat means for each placement, when a task has certainly terminated,
 // which machines are unhealthy, whom to probe and which commands a worker is to get. It is the
 // only one to change a machine's cluster.HeartbeatState (but for the lease extensions that other
-// controllers report) and cluster.CommandState, and what heartbeats show of a task. It calls
-// nobody, logs nothing and keeps no time: package core hands it the time, and carries out what it
-// decides.
+// controllers report) and cluster.CommandState, and what heartbeats show of a task. It does
+// no I/O, does not log and keeps no time: package core, which calls it, passes it the time and
+// carries out its decisions.
 package reconcile
 
 import "time"
 
-// Timing is the settings that reconciliation goes by.
+// Timing is the settings that reconciliation depends on.
 type Timing struct {
 	WorkerLease       time.Duration
 	HeartbeatInterval time.Duration
--- a/internal/core/reconcile/stops.go
+++ b/internal/core/reconcile/stops.go
@@ -9,10 +9,10 @@
 // DetectUnreachable records that commands do not reach a machine (an asymmetric partition), if a
 // task on it shows so: the machine's heartbeats arrive all the while, but the start of the task
 // never shows in them. Heartbeats that were held back and arrive all at once do not prove that.
-// It reports whether that is news.
+// It reports whether that was not known before.
 func DetectUnreachable(machine *cluster.Machine, task *cluster.Task, now time.Duration, timing Timing) bool {
-	startAwaited := task.PlacedThisTerm && task.Persisted && !task.Observed
-	if task.Machine == nil || machine.UnreachableSince != 0 || !startAwaited {
+	startUnconfirmed := task.PlacedThisTerm && task.Persisted && !task.Observed
+	if task.Machine == nil || machine.UnreachableSince != 0 || !startUnconfirmed {
 		return false
 	}
 	heartbeatsArrive := now-machine.LastHeartbeat < 2*timing.HeartbeatInterval
@@ -31,8 +31,8 @@
 	return !request.Killed && now-request.RequestedAt > 2*gracePeriod
 }
 
-// JustReconnected reports whether a machine with tasks of a cancelled job sends heartbeats again
-// since a moment ago: the answer to its first heartbeat stops the tasks, the next one confirms
+// JustReconnected reports whether a machine with tasks of a cancelled job began to send heartbeats
+// again a moment ago: the answer to its first heartbeat stops the tasks, the next one confirms
 // it. Returned at once, a machine that was partitioned lost all that it ran. Where the user was
 // told already that the job is cancelled there is no time for that.
 func JustReconnected(machine *cluster.Machine, job *cluster.Job, now time.Duration, timing Timing) bool {
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -20,7 +20,7 @@
 //     package membership). A worker that has not seen this term may still have
 //     its lease renewed by a leader of an earlier one.
 
-// LossReason tells why a task has certainly terminated though no exit of it was reported. Its
+// LossReason is why a task has certainly terminated though no exit of it was reported. Its
 // text is part of log lines.
 type LossReason string
 
--- a/internal/core/records/dependency_list.go
+++ b/internal/core/records/dependency_list.go
@@ -16,7 +16,7 @@
 	Records int
 }
 
-// String is the reference as it stands in an open record, in place of the list.
+// String is the reference as an open record has it, in place of the list.
 func (r DependencyListRef) String() string { return r.Prefix + strconv.Itoa(r.Records) }
 
 // Key is the key of the nth record.
@@ -31,7 +31,7 @@
 	return keys
 }
 
-// ParseDependencyListRef returns the reference that stands in place of an open record's list of
+// ParseDependencyListRef returns the reference that replaces an open record's list of
 // dependencies; false if the record has the list itself.
 func ParseDependencyListRef(dependencies []string) (DependencyListRef, bool) {
 	if len(dependencies) != 1 || !strings.HasPrefix(dependencies[0], PrefixDependencyList) {
--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -1,5 +1,6 @@
 // Package records defines the keys and values that controllers keep in the key-value store, and
-// nothing else. Versions of the program share them: keys and JSON names never change, see
+// nothing else: it does no I/O and holds no state. The front end, persistence and the leader of
+// package core use it. Versions of the program share them: keys and JSON names never change, see
 // compat_test.go of internal/core.
 //
 // An open job has one record, which only its submission, its cancellation, its readiness and
@@ -31,7 +32,7 @@
 // FinalKey is the key of a job's final record.
 func FinalKey(job string) string { return PrefixFinal + job }
 
-// Jobs returns the ids of the jobs that keys of open or final records belong to.
+// Jobs returns the IDs of the jobs that keys of open or final records belong to.
 func Jobs(keys []string) map[string]bool {
 	ids := make(map[string]bool, len(keys))
 	for _, key := range keys {
@@ -64,17 +65,29 @@
 }
 
 // Reduced is the open record of a cancelled job without what only matters to one that is to run:
-// so a cancellation can be recorded where the store does not take the whole description any
-// more.
+// so a cancellation can be recorded where the store no longer accepts the whole description.
 func (r Open) Reduced() Open {
 	j := r.Job
 	if len(j.Class) > maxReducedClassName {
 		j.Class = ""
 	}
 	r.Job = wire.Job{
-		ID: j.ID, Class: j.Class, Team: j.Team, Shape: j.Shape, Priority: j.Priority, Tasks: j.Tasks, CPUs: j.CPUs, GPUs: j.GPUs,
-		MemGB: j.MemGB, OneZone: j.OneZone, SpreadZones: j.SpreadZones, AllowSpot: j.AllowSpot, EstimatedRunS: j.EstimatedRunS, CheckpointIntervalS: j.CheckpointIntervalS,
-		CheckpointDurationS: j.CheckpointDurationS, DeadlineS: j.DeadlineS,
+		ID:                  j.ID,
+		Class:               j.Class,
+		Team:                j.Team,
+		Shape:               j.Shape,
+		Priority:            j.Priority,
+		Tasks:               j.Tasks,
+		CPUs:                j.CPUs,
+		GPUs:                j.GPUs,
+		MemGB:               j.MemGB,
+		OneZone:             j.OneZone,
+		SpreadZones:         j.SpreadZones,
+		AllowSpot:           j.AllowSpot,
+		EstimatedRunS:       j.EstimatedRunS,
+		CheckpointIntervalS: j.CheckpointIntervalS,
+		CheckpointDurationS: j.CheckpointDurationS,
+		DeadlineS:           j.DeadlineS,
 	}
 	return r
 }
@@ -116,7 +129,7 @@
 	Incarnation uint64 `json:"s"`
 }
 
-// PlacementRange tells which tasks of a job a placement record covers, the last one
+// PlacementRange is the range of a job's tasks that a placement record covers, To being
 // exclusive, in the numbered layout or in the one that names the range.
 type PlacementRange struct {
 	Job      string
--- a/internal/core/records/records_test.go
+++ b/internal/core/records/records_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestParsePlaceKey(t *testing.T) {
+func TestParsePlacementKey(t *testing.T) {
 	for _, tc := range []struct {
 		key  string
 		want PlacementRange
@@ -16,10 +16,12 @@
 		{"p/job-000001/9-5", PlacementRange{}, false},
 		{"p/job-000001/5-x", PlacementRange{}, false},
 	} {
-		got, ok := ParsePlacementKey(tc.key, 10)
-		if ok != tc.ok || ok && got != tc.want {
-			t.Errorf("%s: %+v %v, want %+v %v", tc.key, got, ok, tc.want, tc.ok)
-		}
+		t.Run(tc.key, func(t *testing.T) {
+			got, ok := ParsePlacementKey(tc.key, 10)
+			if ok != tc.ok || ok && got != tc.want {
+				t.Errorf("%+v %v, want %+v %v", got, ok, tc.want, tc.ok)
+			}
+		})
 	}
 }
 
--- a/internal/core/region_demand.go
+++ b/internal/core/region_demand.go
@@ -35,7 +35,7 @@
 	}
 	job := candidate.Job
 	demand := d.byTeam[job.Team]
-	need := amount.OfResources(cluster.Scaled(cluster.TaskSize(&job.Job), tasks))
+	need := amount.OfResources(cluster.TaskSize(&job.Job).Times(tasks))
 	switch {
 	case job.Shape != wire.ShapeGang:
 		demand.Shortfall = demand.Shortfall.Add(need)
@@ -75,7 +75,7 @@
 	total := maps.Clone(planned)
 	for _, job := range d.leader.JobsBySubmission {
 		if tasks := d.leader.reservedTasks(job); tasks > 0 {
-			total[job.Team] = total[job.Team].Add(cluster.Scaled(cluster.TaskSize(&job.Job), tasks))
+			total[job.Team] = total[job.Team].Add(cluster.TaskSize(&job.Job).Times(tasks))
 		}
 	}
 	return total
--- a/internal/core/scalein/policy.go
+++ b/internal/core/scalein/policy.go
@@ -2,8 +2,8 @@
 // and drained ones, those with a preemption notice, those that do not boot, and those that the
 // cloud no longer lists.
 //
-// The package owns these rules and no state: it reads package cluster, changes nothing and does no
-// I/O. The leader of package core asks for each machine at every tick and returns what is not
+// The package owns these rules and no state: it reads package cluster, changes nothing, does no
+// I/O and is given the time. The leader of package core asks for each machine at every tick and returns what is not
 // needed; it also returns unhealthy machines, by rules of its own (health.go).
 package scalein
 
--- a/internal/core/scheduler/binding.go
+++ b/internal/core/scheduler/binding.go
@@ -32,7 +32,7 @@
 		if !p.bindTogether(p.tree, candidate, batch, policy) {
 			return
 		}
-		p.usage[job.Team] = p.usage[job.Team].Add(cluster.Scaled(size, batch))
+		p.usage[job.Team] = p.usage[job.Team].Add(size.Times(batch))
 		candidate.Pending = candidate.Pending[batch:]
 	}
 }
--- a/internal/core/scheduler/defragmentation.go
+++ b/internal/core/scheduler/defragmentation.go
@@ -64,11 +64,11 @@
 
 // countMoves counts the replicas that move.
 func countMoves(slots []gangSlot) int {
-	n := 0
+	moves := 0
 	for _, s := range slots {
-		n += len(s.moves)
+		moves += len(s.moves)
 	}
-	return n
+	return moves
 }
 
 // gangSlots finds a machine of a zone for each task of a gang, those with the fewest tasks first;
--- a/internal/core/scheduler/filter.go
+++ b/internal/core/scheduler/filter.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"slices"
-
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
@@ -31,15 +29,10 @@
 	}
 }
 
-// AllowsType reports whether a job's tasks may be on machines of a type.
-func AllowsType(job *wire.Job, machineType string) bool {
-	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, machineType)
-}
-
 // Allows reports whether a job's tasks may be on a machine of a type, in a zone, and on a spot
 // machine if it is one.
 func Allows(job *wire.Job, machineType, zone string, spot bool) bool {
-	return AllowsType(job, machineType) && (job.Zone == "" || job.Zone == zone) && (!spot || job.AllowSpot)
+	return cluster.AllowsType(job, machineType) && (job.Zone == "" || job.Zone == zone) && (!spot || job.AllowSpot)
 }
 
 // AllowsMachine reports whether a job's tasks may be on a machine of this type, zone and kind.
--- a/internal/core/scheduler/harness_test.go
+++ b/internal/core/scheduler/harness_test.go
@@ -14,7 +14,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// harness is a scheduler with a host that does at once what it is told.
+// harness is a scheduler with a host that carries out its decisions at once.
 type harness struct {
 	*Scheduler
 	state       cluster.State
--- a/internal/core/scheduler/pull_time.go
+++ b/internal/core/scheduler/pull_time.go
@@ -31,7 +31,7 @@
 	maxPullS := s.maxPullTime(job.Class)
 	size := cluster.TaskSize(&job.Job)
 	for _, t := range s.host.MachineTypes() { // in any order: one is enough
-		fits := AllowsType(&job.Job, t.Name) && cluster.TypeCapacity(t).Holds(size)
+		fits := cluster.AllowsType(&job.Job, t.Name) && cluster.TypeCapacity(t).Holds(size)
 		if fits && job.ImageGB <= maxPullS*t.PullGBPerS {
 			return false
 		}
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -1,6 +1,6 @@
 // Package scheduler decides which task runs on which machine.
 //
-// A Scheduler goes over the jobs that have tasks to place in passes, the most urgent first
+// A Scheduler iterates over the jobs that have tasks to place in passes, the most urgent first
 // (candidates.go). For each of them a pass has these phases:
 //
 //  1. filter and score: which machines may take the tasks, and which of them are preferred
@@ -38,7 +38,7 @@
 	Usable(machine *cluster.Machine) bool
 	// MachineType is the type of a machine; nil if it is not known.
 	MachineType(machine *cluster.Machine) *wire.MachineType
-	// MachineTypes are all types of the cloud, by name.
+	// MachineTypes are all types of the cloud, by name; none while they are not known.
 	MachineTypes() map[string]*wire.MachineType
 	// MachinePrice is the hourly price of a machine.
 	MachinePrice(machine *cluster.Machine) float64
@@ -54,7 +54,7 @@
 	// tried now.
 	ThrottleFaultyJob(job *cluster.Job, pending []int) []int
 
-	// PlaceTask makes a task count on a machine and has the placement recorded.
+	// PlaceTask makes a task count on a machine and marks the placement to be recorded.
 	PlaceTask(job *cluster.Job, task int, machine *cluster.Machine)
 	// Preempt stops a task, or all of its gang, with a grace period in seconds.
 	Preempt(task cluster.TaskReference, graceS float64)
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -33,7 +33,7 @@
 		}
 		reservations[job.Team] = append(reservations[job.Team], teamlimit.Reservation{
 			Priority: job.Level,
-			Amount:   cluster.Scaled(cluster.TaskSize(&job.Job), tasks),
+			Amount:   cluster.TaskSize(&job.Job).Times(tasks),
 		})
 	}
 	return reservations
@@ -163,7 +163,7 @@
 // freedByStop is what becomes free when a task is stopped, with all of its gang.
 func freedByStop(ref cluster.TaskReference) topology.Resources {
 	if ref.Job.Shape == wire.ShapeGang {
-		return cluster.Scaled(ref.Size(), ref.Job.TasksPlaced)
+		return ref.Size().Times(ref.Job.TasksPlaced)
 	}
 	return ref.Size()
 }
--- a/internal/core/submission/feasible.go
+++ b/internal/core/submission/feasible.go
@@ -65,12 +65,12 @@
 // FitsRecord reports whether an open record has at most so many bytes.
 func FitsRecord(record records.Open, maxBytes int) bool { return len(kv.Encode(record)) <= maxBytes }
 
-// feasibleZones counts the zones, of those that a job allows, that rent out a machine which
-// one of its tasks fits.
+// feasibleZones counts the zones, of those that a job allows, that offer a machine type
+// which one of its tasks fits.
 func feasibleZones(job *wire.Job, types map[string]*wire.MachineType) int {
 	zones := map[string]bool{}
 	for _, machineType := range types {
-		if !allowsType(job, machineType.Name) || !cluster.TypeCapacity(machineType).Holds(cluster.TaskSize(job)) {
+		if !cluster.AllowsType(job, machineType.Name) || !cluster.TypeCapacity(machineType).Holds(cluster.TaskSize(job)) {
 			continue
 		}
 		for _, zone := range machineType.Zones {
@@ -82,10 +82,6 @@
 	return len(zones)
 }
 
-func allowsType(job *wire.Job, name string) bool {
-	return len(job.MachineTypes) == 0 || slices.Contains(job.MachineTypes, name)
-}
-
 // exceedsLimit reports whether a job needs more than its team may ever use. The tasks of an
 // array may run one after the other.
 func exceedsLimit(job *wire.Job, limit teamlimit.Limit) bool {
--- a/internal/core/submission/submission.go
+++ b/internal/core/submission/submission.go
@@ -31,7 +31,7 @@
 	ErrFields    = errors.New("not a JSON object with fields of the right kind, each given once")
 )
 
-// A FieldError tells what is wrong with a field of a submission.
+// A FieldError is a field of a submission that is wrong.
 type FieldError struct {
 	Field   string // by its name in the protocol
 	Problem Problem
--- a/internal/core/submission/submission_test.go
+++ b/internal/core/submission/submission_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestParseMalformed tells apart what is wrong with a body as a whole.
+// TestParseMalformed distinguishes what is wrong with a body as a whole.
 func TestParseMalformed(t *testing.T) {
 	for _, tc := range []struct {
 		name, body string
--- a/internal/core/teamlimit/limit.go
+++ b/internal/core/teamlimit/limit.go
@@ -1,7 +1,8 @@
 // Package teamlimit holds the arithmetic of teams' limits and guarantees: what a limit still
 // allows, what is reserved within it, which of a team's own tasks have to stop for others of the
 // team, and which jobs are within quota. It knows no jobs, machines or clock; amounts are
-// topology.Resources, of which memory is not limited. The scheduling pass of package core calls it.
+// topology.Resources, of which memory is not limited. Packages scheduler, submission and core use
+// it.
 package teamlimit
 
 import (
@@ -20,7 +21,7 @@
 // UnknownTeam is the limit of a team that does not exist: it allows no task at all.
 var UnknownTeam = Limit{CPUs: -1, GPUs: -1}
 
-// FromSettings is the limit that settings name, in which 0 stands for none.
+// FromSettings is the limit that settings name, in which 0 means none.
 func FromSettings(cpus, gpus float64) Limit {
 	l := Limit{CPUs: cpus, GPUs: gpus}
 	if cpus == 0 {
--- a/internal/core/teamlimit/usage.go
+++ b/internal/core/teamlimit/usage.go
@@ -9,7 +9,7 @@
 // Usage is what the tasks of each team use. Until the first Reset it counts nothing.
 type Usage struct{ byTeam map[string]topology.Resources }
 
-// Started reports whether it counts.
+// Started reports whether the usage is counted.
 func (u *Usage) Started() bool { return u.byTeam != nil }
 
 // Reset begins to count from zero, so that rounding errors of sums do not add up.
@@ -20,8 +20,7 @@
 	if u.byTeam == nil {
 		return
 	}
-	f := float64(n)
-	u.byTeam[team] = u.byTeam[team].Add(topology.Resources{CPUs: task.CPUs * f, GPUs: task.GPUs * f, MemGB: task.MemGB * f})
+	u.byTeam[team] = u.byTeam[team].Add(task.Times(n))
 }
 
 // Snapshot is a copy of what each team uses, by team.
--- a/internal/core/teamlimit/victims.go
+++ b/internal/core/teamlimit/victims.go
@@ -23,9 +23,7 @@
 
 // isRelievedBy reports whether the end of a task of a size makes the shortage smaller.
 func (s *Shortage) isRelievedBy(task topology.Resources) bool {
-	n := float64(s.Count)
-	wanted := topology.Resources{CPUs: s.Task.CPUs * n, GPUs: s.Task.GPUs * n}
-	return s.Limit.isRelievedBy(s.Used.Add(wanted), task)
+	return s.Limit.isRelievedBy(s.Used.Add(s.Task.Times(s.Count)), task)
 }
 
 // ChooseVictims chooses, in their order, which of a team's own victims have to stop beside those
--- a/internal/core/topology/resources.go
+++ b/internal/core/topology/resources.go
@@ -16,6 +16,12 @@
 	return Resources{r.CPUs - o.CPUs, r.GPUs - o.GPUs, r.MemGB - o.MemGB}
 }
 
+// Times returns r multiplied by n.
+func (r Resources) Times(n int) Resources {
+	factor := float64(n)
+	return Resources{r.CPUs * factor, r.GPUs * factor, r.MemGB * factor}
+}
+
 // Holds reports whether o fits into r.
 func (r Resources) Holds(o Resources) bool {
 	return o.CPUs <= r.CPUs+tolerance && o.GPUs <= r.GPUs+tolerance && o.MemGB <= r.MemGB+tolerance
--- a/internal/core/topology/topology_test.go
+++ b/internal/core/topology/topology_test.go
@@ -9,29 +9,30 @@
 
 // newTree builds a tree of machines that are written as zone/name/free GPUs.
 func newTree(specs ...string) (*Tree, []*Machine) {
-	var ms []*Machine
-	for _, s := range specs {
-		f := strings.Split(s, "/")
-		ms = append(ms, &Machine{Zone: f[0], Name: f[1], Free: Resources{GPUs: float64(f[2][0] - '0')}})
+	var machines []*Machine
+	for _, spec := range specs {
+		parts := strings.Split(spec, "/")
+		free := Resources{GPUs: float64(parts[2][0] - '0')}
+		machines = append(machines, &Machine{Zone: parts[0], Name: parts[1], Free: free})
 	}
-	return New(ms), ms
+	return New(machines), machines
 }
 
-func names(ms []*Machine) string {
-	var out []string
-	for _, m := range ms {
-		out = append(out, m.Name)
+func names(machines []*Machine) string {
+	var names []string
+	for _, m := range machines {
+		names = append(names, m.Name)
 	}
-	return strings.Join(out, " ")
+	return strings.Join(names, " ")
 }
 
 func TestPlace(t *testing.T) {
 	one := Resources{GPUs: 1}
 	for _, tc := range []struct {
-		name string
-		tree []string
-		req  Request
-		want string
+		name    string
+		tree    []string
+		request Request
+		want    string
 	}{
 		{"the tightest machine that holds all", []string{"a/x/8", "a/y/3", "b/z/2"}, Request{Task: one, Count: 3, Required: LevelRoot}, "y y y"},
 		{"the tightest zone when no machine does", []string{"a/x/4", "a/y/4", "b/z/3", "b/w/3"}, Request{Task: one, Count: 6, Required: LevelRoot}, "w w w z z z"},
@@ -46,19 +47,19 @@
 		}, "y"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tr, ms := newTree(tc.tree...)
+			tree, machines := newTree(tc.tree...)
 			before := map[string]Resources{}
-			for _, m := range ms {
+			for _, m := range machines {
 				before[m.Name] = m.Free
 			}
-			got := tr.Place(tc.req)
+			got := tree.Place(tc.request)
 			if names(got) != tc.want {
 				t.Fatalf("placed on %q, want %q", names(got), tc.want)
 			}
 			for _, m := range got {
-				before[m.Name] = before[m.Name].Sub(tc.req.Task)
+				before[m.Name] = before[m.Name].Sub(tc.request.Task)
 			}
-			for _, m := range ms {
+			for _, m := range machines {
 				if m.Free != before[m.Name] {
 					t.Errorf("%s has %v free, want %v", m.Name, m.Free, before[m.Name])
 				}
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -13,7 +13,7 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A Status tells what became of a call.
+// A Status is what became of a call.
 type Status int
 
 // The outcomes of calls. After Unanswered and Failed a transaction may have been carried out, or
@@ -39,7 +39,7 @@
 	Failed
 )
 
-// StatusOf maps a status number of the store's protocol; 0 stands for no answer.
+// StatusOf maps a status number of the store's protocol; 0 means no answer.
 func StatusOf(number int) Status {
 	switch number {
 	case httpstatus.NoAnswer:
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -60,7 +60,7 @@
 
 // RejectedWrites records that a transaction with a number of writes was rejected: the store's
 // limits are lower than announced. Otherwise what is too large would be sent again for
-// ever and hold up everything behind it. It reports whether smaller transactions may do;
+// ever and block everything behind it. It reports whether smaller transactions may do;
 // they may not if the transaction had so few writes that its values must be the cause.
 func (l *Limits) RejectedWrites(writes int) bool {
 	if writes <= alwaysAccepted {
@@ -77,7 +77,7 @@
 	l.ForgetFewerWrites()
 }
 
-// ForgetFewerWrites takes back what rejected transactions have shown of the number of writes.
+// ForgetFewerWrites forgets what rejected transactions have shown of the number of writes.
 func (l *Limits) ForgetFewerWrites() { l.fewerWrites = 0 }
 
 // SmallValues reports whether a value was rejected that the settings allow.
