--- a/internal/cloudapi/result.go
+++ b/internal/cloudapi/result.go
@@ -28,8 +28,8 @@
 	Failed
 )
 
-// StatusOf maps a status number of the cloud's protocol; 0 means no answer. Of a
-// provisioning request, ParseProvision tells NoCapacity from Unavailable.
+// StatusOf maps a status number of the cloud's protocol; 0 means no answer. For a
+// provisioning request, ParseProvision distinguishes NoCapacity from Unavailable.
 func StatusOf(number int) Status {
 	switch number {
 	case httpstatus.NoAnswer:
--- a/internal/core/bootlatency/bootlatency.go
+++ b/internal/core/bootlatency/bootlatency.go
@@ -13,11 +13,11 @@
 // Kind names machines whose boot times are alike.
 type Kind struct{ Type, Zone string }
 
-// LateFactor is from how many times its type's boot time on a machine is late. Boot times are
+// LateFactor times its type's boot time is when a booting machine becomes late. Boot times are
 // usually 0.6 to 1.5 times the type's.
 const LateFactor = 1.6
 
-// windowBootTimes is for how many boot times of the type an observation counts.
+// windowBootTimes is how long an observation counts, in boot times of the type.
 const windowBootTimes = 8
 
 // observations is when machines of a kind last booted.
--- a/internal/core/cluster/images.go
+++ b/internal/core/cluster/images.go
@@ -49,7 +49,7 @@
 	m.Pulls = append(m.Pulls, ImagePull{Name: name, Since: since, QueuedGB: ahead, GB: gb})
 }
 
-// RefreshPulls drops the pulls that no task on the machine waits for any more, and adds those
+// RefreshPulls drops the pulls that no task on the machine waits for now, and adds those
 // of tasks that an earlier leader placed.
 func (m *Machine) RefreshPulls() {
 	m.Pulls = slices.DeleteFunc(m.Pulls, func(p ImagePull) bool { return m.HasImage(p.Name) || !m.needsImage(p.Name) })
--- a/internal/core/cluster/job.go
+++ b/internal/core/cluster/job.go
@@ -41,7 +41,7 @@
 	WithinQuota bool    // it fits into its team's guarantee
 }
 
-// DependencyState is what a job keeps of its dependencies, beside the graph of package
+// DependencyState is what a job keeps of its dependencies, in addition to the graph of package
 // depgraph. Dependencies and persistence set it.
 type DependencyState struct {
 	Waiting          bool                      // for dependencies that are not done
@@ -55,7 +55,7 @@
 
 	OpenWritePending   bool
 	OpenVersionUnknown bool // the open record has to be read again
-	OpenRecordTooLarge bool // the store does not take the open record any more
+	OpenRecordTooLarge bool // the store no longer accepts the open record
 	RewriteOpenFirst   bool // the open record is to be written before the placements
 
 	PlacementRecords      []PlacementRecord // in the order of their tasks
@@ -108,7 +108,7 @@
 	return float64(record.SubmittedAt)/1000 + *record.Job.DeadlineS
 }
 
-// IsOver reports whether no task of the job counts on a machine or is to run any more.
+// IsOver reports whether no task of the job counts on a machine or is still to run.
 func (j *Job) IsOver() bool {
 	return j.Loaded && j.TasksPlaced == 0 && (j.Cancellation.Requested() || j.allTasksDone())
 }
--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Identity says what kind of machine one is. The inventory and heartbeats set it.
+// Identity is the machine's name, address and kind. The inventory and heartbeats set it.
 type Identity struct {
 	Name, Address, TypeName, Zone string
 	Spot                          bool
@@ -142,7 +142,7 @@
 	return wire.TaskStatus{}, false
 }
 
-// SettleDirectStarts records that no copy of direct starts can arrive any more.
+// SettleDirectStarts records that no further copy of direct starts can arrive.
 func (m *Machine) SettleDirectStarts(attempts []AttemptID) {
 	for _, id := range attempts {
 		if m.UnconfirmedStarts[id]--; m.UnconfirmedStarts[id] <= 0 {
--- a/internal/core/cluster/placement_record.go
+++ b/internal/core/cluster/placement_record.go
@@ -42,7 +42,7 @@
 	return keys
 }
 
-// RecordKeys lists the keys that a job's end deletes beside its open record.
+// RecordKeys lists the keys that a job's end deletes in addition to its open record.
 func (j *Job) RecordKeys() []string {
 	return append(j.PlacementKeys(), j.DependencyList.Keys()...)
 }
--- a/internal/core/dependencylist/dependencylist.go
+++ b/internal/core/dependencylist/dependencylist.go
@@ -35,9 +35,9 @@
 }
 
 const (
-	// recordOverhead is what a list record takes beside its names, in bytes.
+	// recordOverhead is the size of a list record without its names, in bytes.
 	recordOverhead = 50
-	// nameOverhead is what a name takes beside its letters, in bytes.
+	// nameOverhead is what a name takes in addition to its letters, in bytes.
 	nameOverhead = 3
 )
 
--- a/internal/core/dependencylist/reader.go
+++ b/internal/core/dependencylist/reader.go
@@ -8,7 +8,7 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A Reader puts together a list from the pages of its records.
+// A Reader assembles a list from the pages of its records.
 type Reader struct {
 	ref   records.DependencyListRef
 	last  string // key of the last record that was read
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -52,7 +52,7 @@
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
 		above := g.levels[queue[0]] + 1
 		g.EachDependent(queue[0], func(dependent string) {
-			// A job that depends on itself, as only a corrupt record can say, has no valid level.
+			// A job that depends on itself, as only a corrupt record can make it, has no valid level.
 			// It is not raised again, so that a cycle through it ends.
 			if g.levels[dependent] < above && dependent != id {
 				g.levels[dependent] = above
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -1,5 +1,5 @@
 // Package election decides which controller of a region leads. It is a state machine: package
-// core hands it ticks and the leaders that peers name; it reads and writes the key-value store
+// core, which calls it, passes it ticks and the leaders that peers name; it reads and writes the key-value store
 // through Store, and begins and ends leadership through Host. It has no clock, socket or
 // goroutine.
 //
--- a/internal/core/forecast/arrivals.go
+++ b/internal/core/forecast/arrivals.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// Window is for how long an arrival counts.
+// Window is how long an arrival counts.
 const Window = 120 * time.Second
 
 // MaxTasksPerJob is how many tasks of one job count as arrivals: a huge job is one event, not the
 // rate of those to come.
 const MaxTasksPerJob = 64
 
-// jobSizeSamples is over how many jobs their size is averaged.
+// jobSizeSamples is the number of jobs over which their size is averaged.
 const jobSizeSamples = 8
 
 // Arrivals keeps the times of a class's latest submissions. The zero value has none.
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -13,7 +13,7 @@
 )
 
 // This file alone decides when a cancellation is acknowledged to its user. The acknowledgement is
-// a promise that no task of the job starts any more and that all of them have terminated within
+// a promise that no further task of the job starts and that all of them have terminated within
 // cancel_s, whatever fails meanwhile: the leader, the store, machines, or several of them. So it
 // is given only when it has come true already:
 //
@@ -29,7 +29,7 @@
 // once acknowledged as soon as the request was recorded: with the store unavailable a moment later, a
 // new leader could not learn of the jobs, and their tasks ran on for longer than cancel_s.
 
-// UserRetryPeriod is for how long a user repeats a request, by the protocol.
+// UserRetryPeriod is how long a user repeats a request, by the protocol.
 const UserRetryPeriod = 60 * time.Second
 
 // maxCancellationRetries is how often recording a cancellation is retried after conflicts.
@@ -211,8 +211,8 @@
 	}
 	open := f.cache.Open(job)
 	if open == nil || open.Version != f.cancellations.Version(job) || open.Record.HasDependents {
-		// Of a job with dependents, what the leader says does not suffice: while it cannot
-		// read, there may be more dependents.
+		// For a job with dependents the leader's statement does not suffice: while it cannot
+		// read the store, there may be more dependents.
 		f.dismissCancellation(job)
 		return
 	}
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -36,7 +36,7 @@
 	problemService       = "a service"
 )
 
-// errEvicted: a dependency was looked up, but is not remembered any more.
+// errEvicted: a dependency was looked up, but was evicted from the cache since.
 var errEvicted = errors.New("dependency evicted from the cache")
 
 // prepare makes the conditions and writes of a submission; not ok if its dependencies have to be
@@ -137,8 +137,8 @@
 		f.enqueueResolved(s)
 		return
 	}
-	// A long list leaves capacity for other lookups. What is found is remembered, so that the next
-	// round, or the user's next try, looks up the rest.
+	// A long list leaves capacity for other lookups. What is found is cached, so that the next
+	// round, or the user's next attempt, looks up the rest.
 	unknown = unknown[:min(len(unknown), f.MaxWaiting()/4)]
 	round := &dependencyLookups{remaining: len(unknown)}
 	for _, job := range unknown {
@@ -150,7 +150,7 @@
 	}
 }
 
-// unknownJobs returns those of the jobs of which nothing is remembered.
+// unknownJobs returns those of the jobs that are not in the cache.
 func (f *FrontEnd) unknownJobs(jobs []string) []string {
 	var unknown []string
 	for _, job := range jobs {
@@ -207,7 +207,7 @@
 	switch {
 	case s.cancelled:
 	case len(unmarked) >= maxWrites:
-		// More than go into one transaction beside the job itself.
+		// More than one transaction can mark in addition to recording the job.
 		f.markDependencies(s, unmarked[:maxWrites])
 		return
 	case !f.recordDependencies(s):
--- a/internal/core/membership/lease_extension.go
+++ b/internal/core/membership/lease_extension.go
@@ -43,7 +43,7 @@
 // cannot be reached.
 const maxExtensionLeases = 12
 
-// MaxExtensionTime is for how long a controller that does not hear a leader extends leases.
+// MaxExtensionTime is how long a controller that does not hear a leader extends leases.
 func (m *Membership) MaxExtensionTime() time.Duration {
 	return maxExtensionLeases * m.config.WorkerLease
 }
@@ -89,7 +89,7 @@
 }
 
 // isAcknowledged reports whether the leader knows of an extension. A leader of an earlier term
-// than the worker has seen need not be the one that has to know.
+// than the worker has seen may not be the one that counts the worker's tasks.
 func (e *leaseExtensions) isAcknowledged(extension leaseExtension) bool {
 	return extension.at < e.acknowledgedUntil && extension.fencingToken <= e.leaderTerm
 }
@@ -104,15 +104,16 @@
 	return list
 }
 
-// extensionTestimony is for which time a peer's digests tell of the leases it has extended.
+// extensionTestimony is the time up to which a peer's digests have listed the leases that it has
+// extended.
 type extensionTestimony struct {
 	incarnation    uint64        // of the peer; 0 before its first digest
 	clock          time.Duration // by its clock: when it made its newest digest
-	testifiedUntil time.Duration // by our clock: it has told of all extensions until then
+	testifiedUntil time.Duration // by our clock: it has listed all extensions until then
 	uncertainUntil time.Duration // by our clock: an earlier incarnation may have extended any lease until then
 }
 
-// recordTestimony records for which time a peer's digest testifies.
+// recordTestimony records the time up to which a peer's digest testifies.
 func (m *Membership) recordTestimony(testimony *extensionTestimony, digest *wire.Digest) {
 	if digest.Boot != testimony.incarnation {
 		testimony.uncertainUntil = m.host.Now()
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -8,7 +8,7 @@
 //   - whether a worker's lease has certainly expired, although peers may have extended it.
 //
 // The package has no clock, socket or goroutine, and map order has no effect on its answers.
-// It sends nothing: package core hands it digests and heartbeats, asks it, and does the
+// It sends nothing: package core passes it digests and heartbeats, queries it, and does the
 // sending. Which controller leads is decided in package election.
 package membership
 
--- a/internal/core/membership/peers.go
+++ b/internal/core/membership/peers.go
@@ -21,8 +21,7 @@
 	testimony extensionTestimony
 }
 
-// storeStatusValidity is for how long a peer's statement that the key-value store answers it
-// counts.
+// storeStatusValidity is how long a peer's statement that the key-value store answers it counts.
 const storeStatusValidity = 3 * time.Second
 
 // findPeer returns the peer of a name; nil if there is none.
--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -13,10 +13,11 @@
 	"slices"
 )
 
-// minFailedMachines is on how many machines a job has to fail before it may be found faulty.
+// minFailedMachines is the number of machines on which a job has to fail before it may be found
+// faulty.
 const minFailedMachines = 3
 
-// minFailedJobs is how many jobs have to fail on a machine before it may be found faulty.
+// minFailedJobs is the number of jobs that have to fail on a machine before it may be found faulty.
 const minFailedJobs = 2
 
 // Detector holds the failures that no success has refuted, by the IDs of jobs and the names of
@@ -82,7 +83,7 @@
 	return failed
 }
 
-// FailedMachineCount is on how many machines a job failed since its last success.
+// FailedMachineCount counts the machines on which a job failed since its last success.
 func (d *Detector) FailedMachineCount(job string) int { return len(d.machinesByJob[job]) }
 
 // HasFailures reports whether any task failed on a machine since the last success there.
--- a/internal/core/persistence/batch.go
+++ b/internal/core/persistence/batch.go
@@ -13,7 +13,7 @@
 	maxBatchBytes = 44 << 10
 	// jobEndBytes is what the end of a job takes.
 	jobEndBytes = 400
-	// recordOverhead is what a record takes beside its value.
+	// recordOverhead is what a record takes in addition to its value.
 	recordOverhead = 300
 )
 
--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -21,7 +21,7 @@
 //     job is over.
 
 // placementEntryBytes is about what a task takes in a record, at most. numberedEntryBytes is
-// what the numbered layout allows for it, and cannot change any more.
+// what the numbered layout allows for it, and can no longer change.
 const (
 	placementEntryBytes = 85
 	numberedEntryBytes  = 128
@@ -34,7 +34,7 @@
 }
 
 // AllowNamedRanges allows records that name their range though not every peer has said that it
-// reads them: the store does not take the numbered ones any more.
+// reads them: the store no longer accepts the numbered ones.
 func (w *Writer) AllowNamedRanges() { w.namedRangesAllowed = true }
 
 // writesNamedRanges reports whether records that name their range are to be written.
@@ -117,7 +117,7 @@
 // mayWriteNamedRanges reports whether a job's placements may be written, now that records name
 // their range. Before the layout changes, the open record is written once: a copy of an
 // earlier write that is still under way, conditional on that record, has no effect then.
-// It would bring back what the new records have replaced.
+// It would restore what the new records have replaced.
 func (w *Writer) mayWriteNamedRanges(job *cluster.Job) bool {
 	if !job.Numbered {
 		return true
--- a/internal/core/persistence/loader.go
+++ b/internal/core/persistence/loader.go
@@ -94,7 +94,7 @@
 	})
 }
 
-// handleOpen hands an open record to the leader.
+// handleOpen passes an open record to the leader.
 func (l *Loader) handleOpen(key string, value json.RawMessage, version uint64) {
 	var record records.Open
 	if err := json.Unmarshal(value, &record); err != nil {
@@ -138,7 +138,7 @@
 	found[covers.Job] = append(found[covers.Job], loaded)
 }
 
-// complete hands over to the leader once all records are read.
+// complete begins to watch, and notifies the leader that all records are read.
 func (l *Loader) complete() {
 	l.loaded = true
 	l.host.RecordsLoaded()
--- a/internal/core/persistence/writer.go
+++ b/internal/core/persistence/writer.go
@@ -46,7 +46,7 @@
 	w.dirty = true
 }
 
-// deferralHeartbeats is for how many heartbeats a placement record is deferred.
+// deferralHeartbeats is how long a placement record is deferred, in heartbeat intervals.
 const deferralHeartbeats = 2
 
 // MarkPlacementDeferred marks a task's placement record for writing where its loss would lose
--- a/internal/core/placement/memo.go
+++ b/internal/core/placement/memo.go
@@ -15,7 +15,7 @@
 type EquivalenceClass struct {
 	Requirements
 	OneZone     bool
-	GangTasks   int // tasks that start together; 0 if each starts by itself
+	GangTasks   int // tasks that start together; 0 if each starts separately
 	Priority    int // level with which the job may preempt
 	WithinQuota bool
 	Team        string
--- a/internal/core/provisioning/availability.go
+++ b/internal/core/provisioning/availability.go
@@ -55,7 +55,7 @@
 	return now < a.refusedUntil[offer]
 }
 
-// Machines is how many machines of an offer may be requested now, beside a number that is
+// Machines is how many machines of an offer may be requested now, in addition to a number that is
 // requested already.
 func (a *Availability) Machines(offer Offer, now time.Duration, requested int) int {
 	if a.Refused(offer, now) {
--- a/internal/core/provisioning/offer.go
+++ b/internal/core/provisioning/offer.go
@@ -13,7 +13,7 @@
 	Offer
 	Capacity topology.Resources
 	Price    float64 // an hour
-	// Available is how many machines may be requested beside those that are requested already.
+	// Available is how many machines may be requested in addition to those requested already.
 	Available int
 }
 
--- a/internal/core/provisioning/plan.go
+++ b/internal/core/provisioning/plan.go
@@ -110,7 +110,7 @@
 	bin.pack(task, purpose)
 }
 
-// reindexLastPacked puts the bin of the last task back into its index.
+// reindexLastPacked inserts the bin of the last task into its index again.
 func (p *Plan) reindexLastPacked() {
 	if p.lastPacked != nil {
 		p.indexByOffer[p.lastPacked.Offer].insert(p.lastPacked)
--- a/internal/core/provisioning/plan_test.go
+++ b/internal/core/provisioning/plan_test.go
@@ -173,7 +173,7 @@
 }
 
 // TestPackMatchesLinearScan packs random tasks into random machines. Each has to go where a scan
-// of all of them would put it.
+// of all of them would place it.
 func TestPackMatchesLinearScan(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 3))
--- a/internal/core/reconcile/health.go
+++ b/internal/core/reconcile/health.go
@@ -130,7 +130,7 @@
 	return ""
 }
 
-// silence is for how long nothing was heard of a machine that could have been.
+// silence is how long nothing was heard of a machine while it could have been.
 func (h *HealthCheck) silence(machine *cluster.Machine) time.Duration {
 	return h.Now - max(machine.LastHeartbeat, machine.LastContact, h.RecordsLoadedAt, h.PartitionedAt[machine.Zone])
 }
@@ -147,7 +147,7 @@
 // takes, a third of a partitioned zone was returned before the zone counted as partitioned. The
 // same holds for those whose heartbeats came by a controller which is now unreachable. Those that
 // a new leader has not heard yet are not such a group, though all of them are silent: when they
-// were treated as one, machines that hung at a failover were given up no sooner than their leases.
+// were treated as one, machines that hung at a failover were returned no sooner than their leases expired.
 func (h *HealthCheck) IsDead(machine *cluster.Machine, survey *SilenceSurvey) bool {
 	probeFailed := machine.LastProbeFailure > max(machine.LastHeartbeat, h.RecordsLoadedAt)
 	if !machine.HeartbeatExpected() || !probeFailed || h.silence(machine) <= h.deadAfter() {
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -14,31 +14,31 @@
 type Timing struct {
 	WorkerLease       time.Duration
 	HeartbeatInterval time.Duration
-	// MaxLeaseExtension is for how long controllers extend leases without the leader.
+	// MaxLeaseExtension is how long controllers extend leases without the leader.
 	MaxLeaseExtension time.Duration
 }
 
-// LeaseExpiryBound is after how long without an answer the lease of a worker that has seen this
-// term has certainly expired: the lease itself, the drift of two steady clocks, and a margin for
+// LeaseExpiryBound is the time without an answer after which the lease of a worker that has seen
+// this term has certainly expired: the lease itself, the drift of two steady clocks, and a margin for
 // the leader's own late timers.
 func (t Timing) LeaseExpiryBound() time.Duration { return t.WorkerLease + t.WorkerLease/20 }
 
-// HeartbeatOverdueAfter is after how long without a heartbeat one must have been missed: they
-// come up to a quarter of the interval early or late.
+// HeartbeatOverdueAfter is the time without a heartbeat after which one must have been missed:
+// they come up to a quarter of the interval early or late.
 func (t Timing) HeartbeatOverdueAfter() time.Duration {
 	return t.HeartbeatInterval + t.HeartbeatInterval*3/8
 }
 
-// silentAfter is after how long without a heartbeat a machine is silent, instead of a heartbeat
-// late.
+// silentAfter is the time without a heartbeat after which a machine is silent, and not only a
+// heartbeat late.
 func (t Timing) silentAfter() time.Duration { return 3 * t.HeartbeatInterval }
 
 // workerFailoverTime is how long a worker takes to leave a controller that does not answer: by
-// the protocol 4 s until it gives up the answer, and 1 s until it tries the next one.
+// the protocol 4 s until it stops waiting for the answer, and 1 s until it tries the next one.
 const workerFailoverTime = 5 * time.Second
 
-// deadAfter is after how long a silent machine that answers no probe is considered dead, if
-// others of its zone and controller are heard: a worker had the time to change controllers with
+// deadAfter is the silence after which a machine that answers no probe is considered dead, if
+// others of its zone and controller are heard: its worker had the time to change controllers with
 // a margin, and missed a heartbeat.
 func (t Timing) deadAfter() time.Duration {
 	return max(workerFailoverTime*8/5, 2*t.HeartbeatInterval)
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -67,8 +67,8 @@
 		// only after its exit.
 		return Finding{Outcome: Lost, Loss: LossNotInHeartbeat}
 	case !task.PlacedThisTerm && workerKnowsTerm:
-		// Placed under an earlier term and never started: commands of that term have no
-		// effect on this worker any more. Case 1.
+		// Placed under an earlier term and never started: commands of that term no longer
+		// have an effect on this worker. Case 1.
 		return Finding{Outcome: Lost, Loss: LossNeverStarted}
 	case task.PlacedThisTerm && !task.StartSent && task.Stop != nil:
 		return Finding{Outcome: NeverSent}
--- a/internal/core/scalein/policy.go
+++ b/internal/core/scalein/policy.go
@@ -16,11 +16,11 @@
 // MinBilledTime is the least time that the cloud charges for a machine.
 const MinBilledTime = 60 * time.Second
 
-// failedBootFactor is by how many times its type's boot time a machine has failed to boot.
+// failedBootFactor times its type's boot time is when a machine has failed to boot.
 const failedBootFactor = 4
 
 // A silent machine is returned as unlisted once neither the list nor a heartbeat has shown it for
-// these many times the lag of the list and the interval of the heartbeats.
+// that many times the lag of the list and the interval of the heartbeats.
 const (
 	unlistedLags       = 3
 	unlistedHeartbeats = 3
@@ -49,7 +49,7 @@
 	MaxIdleTime       time.Duration // for which an empty machine is kept
 }
 
-// ReturnReason is why a machine is not needed any more; empty if it is.
+// ReturnReason is why a machine is no longer needed; empty if it is needed.
 func (p *Policy) ReturnReason(machine *cluster.Machine) cluster.DrainReason {
 	if machine.LastHeartbeat == 0 {
 		if p.bootFailed(machine) {
@@ -70,8 +70,8 @@
 	return ""
 }
 
-// bootFailed reports whether a machine without a heartbeat is given up. A new leader has to give
-// one that booted in an earlier term the time to send it a heartbeat. One that has placements did
+// bootFailed reports whether a machine without a heartbeat is considered failed. A new leader has
+// to give one that booted in an earlier term the time to send it a heartbeat. One that has placements did
 // boot: another controller may have its heartbeats.
 func (p *Policy) bootFailed(machine *cluster.Machine) bool {
 	return p.Host.BootTimeRatio(machine) > failedBootFactor &&
@@ -98,7 +98,7 @@
 	if listedAt == 0 && machine.LastHeartbeat == 0 && len(machine.Placements) > 0 {
 		// One that only the records know existed before this leader: an earlier one may have
 		// returned it when it could not record the ends of its tasks. Mistaken for a
-		// partitioned one, it held up those tasks for minutes.
+		// partitioned one, it delayed those tasks for minutes.
 		listedAt = p.RecordsLoadedAt
 	}
 	if listedAt == 0 {
--- a/internal/core/scheduler/binding.go
+++ b/internal/core/scheduler/binding.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// bindEach places the tasks of a candidate that fit, each by itself but all in one go.
+// bindEach places the tasks of a candidate that fit, which start separately, in one call.
 func (p *pass) bindEach(candidate *Candidate, policy imagePolicy) {
 	job := candidate.Job
 	count := p.countWithinLimit(candidate)
@@ -60,8 +60,8 @@
 	candidate.Pending = candidate.Pending[len(leaves):]
 }
 
-// countWithinLimit is how many of a candidate's tasks its team's limit allows, beside those for
-// which machines are reserved.
+// countWithinLimit is how many of a candidate's tasks its team's limit allows, in addition to
+// those for which machines are reserved.
 func (p *pass) countWithinLimit(candidate *Candidate) int {
 	job := candidate.Job
 	limit, size := p.host.Limit(job.Team), cluster.TaskSize(&job.Job)
--- a/internal/core/scheduler/harness_test.go
+++ b/internal/core/scheduler/harness_test.go
@@ -110,7 +110,7 @@
 	return running
 }
 
-// usage brings the machines up to date and is what the teams use.
+// usage refreshes the machines and returns what the teams use.
 func (h *harness) usage() map[string]topology.Resources {
 	usage := map[string]topology.Resources{}
 	for _, m := range h.state.MachinesByName {
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -7,7 +7,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// imagePolicy says which machines may be used by how long the pull of the task's image takes
+// imagePolicy is which machines may be used, by how long the pull of the task's image takes
 // there.
 type imagePolicy int
 
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -13,16 +13,16 @@
 // victim is a task that may be preempted.
 type victim = preemption.Victim[cluster.TaskReference]
 
-// maxPreemptionsPerPass bounds for how many tasks of an array or a service that is not within
-// quota a pass preempts others: what is preempted has to be placed again. Work within quota gets
-// its room at once: eight tasks at a time took an array of sixty half a minute.
+// maxPreemptionsPerPass bounds the tasks of an array or a service beyond quota for which a pass
+// preempts others: what is preempted has to be placed again. Work within quota gets its room at
+// once: eight tasks at a time took an array of sixty half a minute.
 const maxPreemptionsPerPass = 8
 
-// machinesPerPreemption raises that bound by one for so many machines of a fleet, so that making
-// room takes no longer on a larger fleet.
+// machinesPerPreemption is the number of machines for each task of that bound on a large fleet, so
+// that making room takes no longer there.
 const machinesPerPreemption = 40
 
-// preemptionLimit is for how many of a candidate's tasks a pass may preempt others.
+// preemptionLimit is the number of a candidate's tasks for which a pass may preempt others.
 func (s *Scheduler) preemptionLimit(c *Candidate) int {
 	if c.WithinQuota || c.Job.Shape == wire.ShapeGang {
 		return len(c.Pending)
@@ -68,8 +68,8 @@
 	return false
 }
 
-// preemptionTarget is for how many of a candidate's tasks room is to be made, within its team's
-// limit.
+// preemptionTarget is the number of a candidate's tasks for which room is to be made, within its
+// team's limit.
 func (s *Scheduler) preemptionTarget(candidate *Candidate, usage map[string]topology.Resources) int {
 	job := candidate.Job
 	limit, size := s.host.Limit(job.Team), cluster.TaskSize(&job.Job)
--- a/internal/core/scheduler/quota.go
+++ b/internal/core/scheduler/quota.go
@@ -47,8 +47,8 @@
 	return byTeam
 }
 
-// markWithinQuota marks the jobs that fit into their team's guarantee beside the team's earlier
-// jobs. A job that waits for dependencies claims no part of it.
+// markWithinQuota marks the jobs that fit into their team's guarantee in addition to the team's
+// earlier jobs. A job that waits for dependencies claims no part of it.
 func (s *Scheduler) markWithinQuota() {
 	claims := teamlimit.NewClaims(guarantees(s.deployment.Teams))
 	for _, job := range s.state.JobsBySubmission {
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -115,8 +115,8 @@
 	return slices.ContainsFunc(victims, func(s slot) bool { return s.Victims[0].Task.Job == job })
 }
 
-// additionalVictims chooses, of a team's own victims, those that have to stop beside the victims
-// of slots so that the limit allows a task in each slot; not ok if all together are not enough.
+// additionalVictims chooses, of a team's own victims, those that have to stop in addition to the
+// victims of slots so that the limit allows a task in each slot; not ok if all together are not enough.
 func (s *Scheduler) additionalVictims(c *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
 		Limit: s.host.Limit(c.Job.Team),
--- a/internal/core/submission/feasible.go
+++ b/internal/core/submission/feasible.go
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// FitsRecord reports whether an open record has at most so many bytes.
+// FitsRecord reports whether an open record has at most maxBytes bytes.
 func FitsRecord(record records.Open, maxBytes int) bool { return len(kv.Encode(record)) <= maxBytes }
 
 // feasibleZones counts the zones, of those that a job allows, that offer a machine type
--- a/internal/core/teamlimit/guarantee.go
+++ b/internal/core/teamlimit/guarantee.go
@@ -8,13 +8,14 @@
 // IsZero reports whether a team has no guarantee.
 func (g Guarantee) IsZero() bool { return g.CPUs <= 0 && g.GPUs <= 0 }
 
-// Claims find out which jobs are within quota: they fit into their team's guarantee beside the
-// team's jobs before them. A resource of which no team has a guarantee does not count; a team
+// Claims find out which jobs are within quota: they fit into their team's guarantee in addition
+// to the team's jobs before them. A resource of which no team has a guarantee does not count; a team
 // without any guarantee has no job within quota either: where only GPUs are guaranteed, jobs
 // without GPUs of such a team counted as guaranteed and came before those of other teams.
 type Claims struct {
 	guarantees map[string]Guarantee
-	cpus, gpus bool // some team has a guarantee of it
+	anyCPUs    bool // some team has a guarantee of CPUs
+	anyGPUs    bool // some team has a guarantee of GPUs
 	claimed    map[string]topology.Resources
 }
 
@@ -22,8 +23,8 @@
 func NewClaims(guarantees map[string]Guarantee) *Claims {
 	c := &Claims{guarantees: guarantees, claimed: map[string]topology.Resources{}}
 	for _, g := range guarantees {
-		c.cpus = c.cpus || g.CPUs > 0
-		c.gpus = c.gpus || g.GPUs > 0
+		c.anyCPUs = c.anyCPUs || g.CPUs > 0
+		c.anyGPUs = c.anyGPUs || g.GPUs > 0
 	}
 	return c
 }
@@ -36,5 +37,5 @@
 	}
 	sum := c.claimed[team].Add(amount)
 	c.claimed[team] = sum
-	return (!c.cpus || sum.CPUs <= g.CPUs+tolerance) && (!c.gpus || sum.GPUs <= g.GPUs+tolerance)
+	return (!c.anyCPUs || sum.CPUs <= g.CPUs+tolerance) && (!c.anyGPUs || sum.GPUs <= g.GPUs+tolerance)
 }
--- a/internal/core/topology/place_each.go
+++ b/internal/core/topology/place_each.go
@@ -11,7 +11,13 @@
 // do not matter; ZoneBound bounds the tasks of the whole call, a negative penalty counts as 0, and
 // a machine's penalty must not rise when it takes a task.
 func (t *Tree) PlaceEach(request Request, tasks int) []*Machine {
-	p := &eachPlacement{tree: t, request: &request, tasks: tasks, placed: make([]*Machine, 0, tasks), inZone: map[string]int{}}
+	p := &eachPlacement{
+		tree:    t,
+		request: &request,
+		tasks:   tasks,
+		placed:  make([]*Machine, 0, tasks),
+		inZone:  map[string]int{},
+	}
 	// Each machine is evaluated once. Searched again after each that was filled, the next one
 	// of a fleet of thousands cost an evaluation of all of them.
 	var penalized []penalizedMachine
@@ -48,7 +54,7 @@
 	request *Request
 	tasks   int
 	placed  []*Machine
-	inZone  map[string]int
+	inZone  map[string]int // tasks placed
 }
 
 // isComplete reports whether all tasks are placed.
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -142,7 +142,7 @@
 // Available reports whether the store answered this controller's last call.
 func (c *Client) Available() bool { return c.unavailableSince == 0 }
 
-// UnavailableFor is for how long the store has not answered; 0 while it does.
+// UnavailableFor is how long the store has not answered; 0 while it does.
 func (c *Client) UnavailableFor() time.Duration {
 	if c.unavailableSince == 0 {
 		return 0
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -5,7 +5,7 @@
 const (
 	// MaxTxnBytes bounds the values of a transaction, of which the store takes 64 KiB in all.
 	MaxTxnBytes = 48 << 10
-	// WriteOverhead is what a write takes beside its value, in bytes, at most.
+	// WriteOverhead is what a write takes in addition to its value, in bytes, at most.
 	WriteOverhead = 200
 	// SmallValue is the size in bytes to which placement records are kept once a value was
 	// rejected that the settings allow: how far the limit fell is not known.
