--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -37,8 +37,8 @@
 }
 
 // admits reports whether a submission may share the batch with those in it.
-func (b *submissionBatch) admits(s *pendingSubmission) bool {
-	return len(b.submissions) == 0 || !s.alone && !b.submissions[0].alone
+func (b *submissionBatch) admits(pending *pendingSubmission) bool {
+	return len(b.submissions) == 0 || !pending.alone && !b.submissions[0].alone
 }
 
 // fits reports whether a submission fits into the transaction, and writes none of
@@ -56,7 +56,7 @@
 	return !slices.ContainsFunc(added.writes, func(w wire.Write) bool { return b.writtenKeys[w.Put] })
 }
 
-func (b *submissionBatch) add(s *pendingSubmission, added submissionTxn) {
+func (b *submissionBatch) add(pending *pendingSubmission, added submissionTxn) {
 	for _, write := range added.writes {
 		b.writtenKeys[write.Put] = true
 	}
@@ -64,7 +64,7 @@
 		b.marked[job] = record
 	}
 	b.bytes += added.bytes
-	b.submissions = append(b.submissions, s)
+	b.submissions = append(b.submissions, pending)
 	b.txn.Conditions = append(b.txn.Conditions, added.conditions...)
 	b.txn.Writes = append(b.txn.Writes, added.writes...)
 }
@@ -80,8 +80,8 @@
 		f.commitBatch(batch)
 	}
 	// Last, since they may get here again at once.
-	for _, s := range unresolved {
-		f.resolveDependencies(s)
+	for _, pending := range unresolved {
+		f.resolveDependencies(pending)
 	}
 }
 
@@ -90,19 +90,19 @@
 func (f *FrontEnd) nextSubmissionBatch() (batch *submissionBatch, unresolved []*pendingSubmission) {
 	batch = newSubmissionBatch()
 	var rest []*pendingSubmission
-	for _, s := range f.queue {
-		if !batch.admits(s) {
-			rest = append(rest, s)
+	for _, pending := range f.queue {
+		if !batch.admits(pending) {
+			rest = append(rest, pending)
 			continue
 		}
-		added, ok := f.prepare(s)
+		added, ok := f.prepare(pending)
 		switch {
 		case !ok:
-			unresolved = append(unresolved, s)
+			unresolved = append(unresolved, pending)
 		case !batch.fits(added, &f.store.Limits):
-			rest = append(rest, s)
+			rest = append(rest, pending)
 		default:
-			batch.add(s, added)
+			batch.add(pending, added)
 		}
 	}
 	f.queue = rest
@@ -140,8 +140,8 @@
 		f.batchRejected(batch)
 	default:
 		// Not carried out, as far as is known: the users retry.
-		for _, s := range batch.submissions {
-			f.host.Refuse(s.request, storeUnavailable)
+		for _, pending := range batch.submissions {
+			f.host.Refuse(pending.request, storeUnavailable)
 		}
 	}
 }
@@ -150,16 +150,16 @@
 // users.
 func (f *FrontEnd) batchCommitted(batch *submissionBatch, revision uint64) {
 	f.cacheMarked(batch.marked, revision)
-	for _, s := range batch.submissions {
-		job := s.record.Job.ID
-		if s.cancelled {
-			final := s.finalRecord()
+	for _, pending := range batch.submissions {
+		job := pending.record.Job.ID
+		if pending.cancelled {
+			final := pending.finalRecord()
 			f.cache.PutFinal(job, final)
-			f.host.Answer(s.request, httpstatus.Created, final.JobStatus(job))
+			f.host.Answer(pending.request, httpstatus.Created, final.JobStatus(job))
 			continue
 		}
-		f.cache.PutOpen(job, &jobcache.OpenJob{Version: revision, Record: s.record})
-		f.host.Answer(s.request, httpstatus.Created, wire.JobStatus{ID: job, Status: wire.StatusPending})
+		f.cache.PutOpen(job, &jobcache.OpenJob{Version: revision, Record: pending.record})
+		f.host.Answer(pending.request, httpstatus.Created, wire.JobStatus{ID: job, Status: wire.StatusPending})
 	}
 }
 
@@ -167,19 +167,19 @@
 // hold.
 func (f *FrontEnd) batchConflicted(batch *submissionBatch, conflicts []string) {
 	changed := records.Jobs(conflicts)
-	for _, s := range batch.submissions {
-		job := s.record.Job.ID
+	for _, pending := range batch.submissions {
+		job := pending.record.Job.ID
 		switch {
 		case changed[job]:
 			// It was accepted before.
-			f.answerStatus(s.request, job, storeUnavailable)
-		case s.list != nil && slices.Contains(conflicts, s.list.Ref().Key(0)):
-			s.list = nil // deleted as abandoned
-			f.resolveDependencies(s)
-		case f.forgetChanged(s.unfinished, changed):
-			f.resolveDependencies(s)
+			f.answerStatus(pending.request, job, storeUnavailable)
+		case pending.list != nil && slices.Contains(conflicts, pending.list.Ref().Key(0)):
+			pending.list = nil // deleted as abandoned
+			f.resolveDependencies(pending)
+		case f.forgetChanged(pending.unfinished, changed):
+			f.resolveDependencies(pending)
 		default:
-			f.queue = append(f.queue, s)
+			f.queue = append(f.queue, pending)
 		}
 	}
 }
@@ -205,20 +205,20 @@
 		return
 	}
 	f.host.RejectedWrites(len(batch.txn.Writes))
-	for _, s := range batch.submissions {
-		s.alone = true
-		f.queue = append(f.queue, s)
+	for _, pending := range batch.submissions {
+		pending.alone = true
+		f.queue = append(f.queue, pending)
 	}
 }
 
 // submissionRejected continues with the only submission of a transaction that the store rejected.
 func (f *FrontEnd) submissionRejected(batch *submissionBatch) {
-	s := batch.submissions[0]
+	pending := batch.submissions[0]
 	if f.canRetryMarking(len(batch.txn.Writes), batch.marked) {
-		f.resolveDependencies(s)
+		f.resolveDependencies(pending)
 		return
 	}
-	f.host.Refuse(s.request, recordRejected)
+	f.host.Refuse(pending.request, recordRejected)
 }
 
 // isSmall reports whether a transaction is small enough to go ahead of the rate limit: less than
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -41,23 +41,23 @@
 
 // prepare makes the conditions and writes of a submission; not ok if its dependencies have to be
 // resolved again.
-func (f *FrontEnd) prepare(s *pendingSubmission) (txn submissionTxn, ok bool) {
-	job := s.record.Job.ID
+func (f *FrontEnd) prepare(pending *pendingSubmission) (txn submissionTxn, ok bool) {
+	job := pending.record.Job.ID
 	txn.conditions = []wire.Condition{{Key: records.OpenKey(job)}, {Key: records.FinalKey(job)}}
 	txn.marked = map[string]records.Open{}
-	if s.cancelled {
-		txn.put(records.FinalKey(job), kv.Encode(s.finalRecord()))
+	if pending.cancelled {
+		txn.put(records.FinalKey(job), kv.Encode(pending.finalRecord()))
 		return txn, true
 	}
-	if s.list != nil {
-		txn.conditions = append(txn.conditions, s.list.FirstUnchanged())
+	if pending.list != nil {
+		txn.conditions = append(txn.conditions, pending.list.FirstUnchanged())
 	}
-	for _, dependency := range s.unfinished {
+	for _, dependency := range pending.unfinished {
 		if !f.prepareDependency(&txn, dependency) {
 			return txn, false
 		}
 	}
-	txn.put(records.OpenKey(job), kv.Encode(s.record))
+	txn.put(records.OpenKey(job), kv.Encode(pending.record))
 	return txn, len(txn.writes) <= f.store.MaxWrites()
 }
 
@@ -127,14 +127,14 @@
 
 // resolveDependencies looks up the dependencies of a submission that are not known, and enqueues
 // the submission if they allow it.
-func (f *FrontEnd) resolveDependencies(s *pendingSubmission) {
-	if f.host.Now() >= s.expiresAt {
-		f.host.Refuse(s.request, overloaded)
+func (f *FrontEnd) resolveDependencies(pending *pendingSubmission) {
+	if f.host.Now() >= pending.expiresAt {
+		f.host.Refuse(pending.request, overloaded)
 		return
 	}
-	unknown := f.unknownJobs(s.dependencies)
+	unknown := f.unknownJobs(pending.dependencies)
 	if len(unknown) == 0 {
-		f.enqueueResolved(s)
+		f.enqueueResolved(pending)
 		return
 	}
 	// A long list leaves capacity for other lookups. What is found is cached, so that the next
@@ -144,7 +144,7 @@
 	for _, job := range unknown {
 		f.Lookup(job, func(result LookupResult) {
 			if round.add(job, result) {
-				f.finishLookups(s, round)
+				f.finishLookups(pending, round)
 			}
 		})
 	}
@@ -181,50 +181,50 @@
 }
 
 // finishLookups continues with a submission some of whose dependencies were looked up.
-func (f *FrontEnd) finishLookups(s *pendingSubmission, round *dependencyLookups) {
+func (f *FrontEnd) finishLookups(pending *pendingSubmission, round *dependencyLookups) {
 	switch {
 	case round.neverAccepted != "":
-		f.host.Refuse(s.request, infeasible(&dependencyError{round.neverAccepted, problemNeverAccepted}))
+		f.host.Refuse(pending.request, infeasible(&dependencyError{round.neverAccepted, problemNeverAccepted}))
 	case round.failed:
-		f.host.Refuse(s.request, storeUnavailable)
+		f.host.Refuse(pending.request, storeUnavailable)
 	default:
-		f.resolveDependencies(s)
+		f.resolveDependencies(pending)
 	}
 }
 
 // enqueueResolved enqueues a submission all of whose dependencies are known, or refuses it.
-func (f *FrontEnd) enqueueResolved(s *pendingSubmission) {
-	unmarked, err := f.classifyDependencies(s)
+func (f *FrontEnd) enqueueResolved(pending *pendingSubmission) {
+	unmarked, err := f.classifyDependencies(pending)
 	switch {
 	case errors.Is(err, errEvicted):
-		f.host.Refuse(s.request, overloaded)
+		f.host.Refuse(pending.request, overloaded)
 		return
 	case err != nil:
-		f.host.Refuse(s.request, infeasible(err))
+		f.host.Refuse(pending.request, infeasible(err))
 		return
 	}
 	maxWrites := f.store.MaxWrites()
 	switch {
-	case s.cancelled:
+	case pending.cancelled:
 	case len(unmarked) >= maxWrites:
 		// More than one transaction can mark in addition to recording the job.
-		f.markDependencies(s, unmarked[:maxWrites])
+		f.markDependencies(pending, unmarked[:maxWrites])
 		return
-	case !f.recordDependencies(s):
+	case !f.recordDependencies(pending):
 		return
 	}
-	f.queue = append(f.queue, s)
+	f.queue = append(f.queue, pending)
 	f.startSubmissionBatch()
 }
 
 // classifyDependencies sets which dependencies of a submission are unfinished and whether one is
 // cancelled, and returns those that have to be marked. The error is a dependencyError or
 // errEvicted.
-func (f *FrontEnd) classifyDependencies(s *pendingSubmission) (unmarked []string, err error) {
-	s.unfinished, s.cancelled = nil, false
-	for _, job := range s.dependencies {
+func (f *FrontEnd) classifyDependencies(pending *pendingSubmission) (unmarked []string, err error) {
+	pending.unfinished, pending.cancelled = nil, false
+	for _, job := range pending.dependencies {
 		if final, ended := f.cache.Final(job); ended {
-			s.cancelled = s.cancelled || final.Status != wire.StatusDone
+			pending.cancelled = pending.cancelled || final.Status != wire.StatusDone
 			continue
 		}
 		open := f.cache.Open(job)
@@ -234,9 +234,9 @@
 		case open.Record.Job.Shape == wire.ShapeService:
 			return nil, &dependencyError{job, problemService}
 		case open.Record.Cancelled:
-			s.cancelled = true
+			pending.cancelled = true
 		default:
-			s.unfinished = append(s.unfinished, job)
+			pending.unfinished = append(pending.unfinished, job)
 			if f.canMark(open) {
 				unmarked = append(unmarked, job)
 			}
@@ -248,27 +248,27 @@
 // recordDependencies puts the unfinished dependencies of a submission into its record: the names,
 // or a reference to the list that holds them. If the list has to be written first, or cannot be,
 // it returns false, and the submission continues later or is refused.
-func (f *FrontEnd) recordDependencies(s *pendingSubmission) bool {
-	s.record.Job.Dependencies = s.unfinished
-	if submission.FitsRecord(s.record, f.maxNewRecord()) {
-		s.list = nil
+func (f *FrontEnd) recordDependencies(pending *pendingSubmission) bool {
+	pending.record.Job.Dependencies = pending.unfinished
+	if submission.FitsRecord(pending.record, f.maxNewRecord()) {
+		pending.list = nil
 		return true
 	}
 	switch {
-	case s.list != nil && s.list.Complete():
+	case pending.list != nil && pending.list.Complete():
 		// It may name jobs that have ended meanwhile, but lacks none.
-		s.record.Job.Dependencies = []string{s.list.Ref().String()}
+		pending.record.Job.Dependencies = []string{pending.list.Ref().String()}
 		return true
 	case !f.host.AllPeersSupport(wire.PeerVersionLists):
-		f.host.Refuse(s.request, listsNotSupported)
+		f.host.Refuse(pending.request, listsNotSupported)
 		return false
 	}
-	f.writeList(s)
+	f.writeList(pending)
 	return false
 }
 
 // markDependencies marks some of the dependencies of a submission, and then resolves them again.
-func (f *FrontEnd) markDependencies(s *pendingSubmission, jobs []string) {
+func (f *FrontEnd) markDependencies(pending *pendingSubmission, jobs []string) {
 	txn := &wire.Txn{}
 	marks := map[string]records.Open{}
 	for _, job := range jobs {
@@ -279,10 +279,10 @@
 	}
 	f.store.Commit(txn, func(r kv.TxnResult) {
 		if !f.marksAnswered(r, jobs, marks) {
-			f.host.Refuse(s.request, storeUnavailable)
+			f.host.Refuse(pending.request, storeUnavailable)
 			return
 		}
-		f.resolveDependencies(s)
+		f.resolveDependencies(pending)
 	})
 }
 
--- a/internal/core/frontend/dependency_list.go
+++ b/internal/core/frontend/dependency_list.go
@@ -9,41 +9,41 @@
 
 // writeList spreads the unfinished dependencies of a submission over list records, and continues
 // with the submission once they are all written.
-func (f *FrontEnd) writeList(s *pendingSubmission) {
+func (f *FrontEnd) writeList(pending *pendingSubmission) {
 	f.listAttempts++
 	token := strconv.FormatUint(f.incarnation, 36) + "-" + strconv.FormatUint(f.listAttempts, 36)
-	split := dependencylist.Split(s.unfinished, f.host.WallClockMS(), f.maxNewRecord())
-	s.list = dependencylist.NewWriter(s.record.Job.ID, token, split)
-	f.writeListRecords(s)
+	split := dependencylist.Split(pending.unfinished, f.host.WallClockMS(), f.maxNewRecord())
+	pending.list = dependencylist.NewWriter(pending.record.Job.ID, token, split)
+	f.writeListRecords(pending)
 }
 
 // writeListRecords writes the next list records of a submission.
-func (f *FrontEnd) writeListRecords(s *pendingSubmission) {
-	if f.host.Now() >= s.expiresAt {
-		f.host.Refuse(s.request, overloaded)
+func (f *FrontEnd) writeListRecords(pending *pendingSubmission) {
+	if f.host.Now() >= pending.expiresAt {
+		f.host.Refuse(pending.request, overloaded)
 		return
 	}
-	list := s.list
+	list := pending.list
 	txn := list.NextTxn(f.store.MaxWrites())
 	f.store.Commit(txn, func(r kv.TxnResult) {
 		switch r.Status {
 		case kv.OK:
 			list.Committed(txn, r.Revision)
 			if !list.Complete() {
-				f.writeListRecords(s)
+				f.writeListRecords(pending)
 				return
 			}
 		case kv.Unanswered, kv.Conflict:
 			// Carried out or not: the list is written again under another token.
-			s.list = nil
+			pending.list = nil
 		case kv.Rejected:
 			f.host.RejectedWrites(len(txn.Writes))
-			f.host.Refuse(s.request, storeUnavailable)
+			f.host.Refuse(pending.request, storeUnavailable)
 			return
 		default:
-			f.host.Refuse(s.request, storeUnavailable)
+			f.host.Refuse(pending.request, storeUnavailable)
 			return
 		}
-		f.resolveDependencies(s)
+		f.resolveDependencies(pending)
 	})
 }
--- a/internal/core/frontend/submit.go
+++ b/internal/core/frontend/submit.go
@@ -92,34 +92,34 @@
 	if len(job.Dependencies) > f.store.MaxWrites() {
 		timeout = longSubmissionTimeout
 	}
-	s := &pendingSubmission{
+	pending := &pendingSubmission{
 		request:      request,
 		record:       records.Open{Job: *job, SubmittedAt: f.host.WallClockMS()},
 		dependencies: job.Dependencies,
 		expiresAt:    f.host.Now() + timeout,
 	}
-	s.record.Job.Dependencies = nil
-	return s
+	pending.record.Job.Dependencies = nil
+	return pending
 }
 
 // enqueue records a submission, after its dependencies are resolved.
-func (f *FrontEnd) enqueue(s *pendingSubmission) {
-	if len(s.dependencies) > 0 {
-		f.resolveDependencies(s)
+func (f *FrontEnd) enqueue(pending *pendingSubmission) {
+	if len(pending.dependencies) > 0 {
+		f.resolveDependencies(pending)
 		return
 	}
-	f.queue = append(f.queue, s)
+	f.queue = append(f.queue, pending)
 	f.startSubmissionBatch()
 }
 
 // expireSubmissions refuses the submissions in the queue that have timed out.
 func (f *FrontEnd) expireSubmissions() {
 	var kept []*pendingSubmission
-	for _, s := range f.queue {
-		if f.host.Now() >= s.expiresAt {
-			f.host.Refuse(s.request, overloaded)
+	for _, pending := range f.queue {
+		if f.host.Now() >= pending.expiresAt {
+			f.host.Refuse(pending.request, overloaded)
 		} else {
-			kept = append(kept, s)
+			kept = append(kept, pending)
 		}
 	}
 	f.queue = kept
--- a/internal/core/scheduler/candidates.go
+++ b/internal/core/scheduler/candidates.go
@@ -58,7 +58,7 @@
 
 // candidatesOf makes the candidates of a job with tasks to place.
 func (s *Scheduler) candidatesOf(job *cluster.Job, pending []int) []*Candidate {
-	c := &Candidate{
+	candidate := &Candidate{
 		Job:                job,
 		WithinQuota:        job.WithinQuota,
 		slack:              s.slack(job),
@@ -67,36 +67,36 @@
 		PreemptionPriority: s.preemptionPriority(job),
 	}
 	if s.outliers.JobFaulty(job.ID) {
-		return s.faultyCandidate(c)
+		return s.faultyCandidate(candidate)
 	}
 	overdue := s.startOverdue(job)
-	c.BestEffort = s.bestEffortTeams[job.Team] && (job.Shape == wire.ShapeArray || !overdue)
+	candidate.BestEffort = s.bestEffortTeams[job.Team] && (job.Shape == wire.ShapeArray || !overdue)
 	if job.Shape != wire.ShapeArray || len(pending) == 1 || !overdue {
-		return []*Candidate{c}
+		return []*Candidate{candidate}
 	}
 	// A job has started with its first task. Where more jobs wait than there is room for, all
 	// tasks of one before the next kept every job of a class from starting for six minutes.
 	first := &Candidate{
 		Job:                job,
 		WithinQuota:        job.WithinQuota,
-		slack:              c.slack,
-		remainingWork:      c.remainingWork - 1,
+		slack:              candidate.slack,
+		remainingWork:      candidate.remainingWork - 1,
 		Pending:            pending[:1:1],
-		PreemptionPriority: c.PreemptionPriority,
+		PreemptionPriority: candidate.PreemptionPriority,
 	}
-	c.Pending = pending[1:]
-	return []*Candidate{first, c}
+	candidate.Pending = pending[1:]
+	return []*Candidate{first, candidate}
 }
 
 // faultyCandidate restricts the candidate of a job whose tasks fail on every machine; none if no
 // task of it may be tried now.
-func (s *Scheduler) faultyCandidate(c *Candidate) []*Candidate {
-	c.Pending = s.host.ThrottleFaultyJob(c.Job, c.Pending)
-	if len(c.Pending) == 0 {
+func (s *Scheduler) faultyCandidate(candidate *Candidate) []*Candidate {
+	candidate.Pending = s.host.ThrottleFaultyJob(candidate.Job, candidate.Pending)
+	if len(candidate.Pending) == 0 {
 		return nil
 	}
-	c.Faulty, c.WithinQuota, c.PreemptionPriority = true, false, 0
-	return []*Candidate{c}
+	candidate.Faulty, candidate.WithinQuota, candidate.PreemptionPriority = true, false, 0
+	return []*Candidate{candidate}
 }
 
 // preemptionPriority is the priority level with which a job may preempt others. That inherited
--- a/internal/core/scheduler/equivalence_class.go
+++ b/internal/core/scheduler/equivalence_class.go
@@ -9,8 +9,8 @@
 )
 
 // equivalenceClass is the class of candidates that find room where a candidate does.
-func equivalenceClass(c *Candidate) placement.EquivalenceClass {
-	job := c.Job
+func equivalenceClass(candidate *Candidate) placement.EquivalenceClass {
+	job := candidate.Job
 	class := placement.EquivalenceClass{
 		Requirements: placement.Requirements{
 			Size:  cluster.TaskSize(&job.Job),
@@ -18,12 +18,12 @@
 			Zone:  job.Zone,
 			Spot:  job.AllowSpot,
 		},
-		Priority:    c.PreemptionPriority,
-		WithinQuota: c.WithinQuota,
+		Priority:    candidate.PreemptionPriority,
+		WithinQuota: candidate.WithinQuota,
 		Team:        job.Team,
 	}
 	if job.Shape == wire.ShapeGang {
-		class.GangTasks, class.OneZone = len(c.Pending), job.OneZone
+		class.GangTasks, class.OneZone = len(candidate.Pending), job.OneZone
 	} else if job.OneZone {
 		class.Zone = job.ID // in a class of its own: bound to the zone of its other tasks
 	}
--- a/internal/core/scheduler/filter.go
+++ b/internal/core/scheduler/filter.go
@@ -36,38 +36,38 @@
 }
 
 // AllowsMachine reports whether a job's tasks may be on a machine of this type, zone and kind.
-func AllowsMachine(job *cluster.Job, m *cluster.Machine) bool {
-	return Allows(&job.Job, m.TypeName, m.Zone, m.Spot)
+func AllowsMachine(job *cluster.Job, machine *cluster.Machine) bool {
+	return Allows(&job.Job, machine.TypeName, machine.Zone, machine.Spot)
 }
 
 // isReserved reports whether a machine is reserved for a job now.
-func (s *Scheduler) isReserved(m *cluster.Machine) bool {
-	return m.ReservedFor != nil && s.host.Now() < m.ReservedUntil
+func (s *Scheduler) isReserved(machine *cluster.Machine) bool {
+	return machine.ReservedFor != nil && s.host.Now() < machine.ReservedUntil
 }
 
 // isFeasible reports whether a machine may take a job's tasks, however little of it is free.
-func (s *Scheduler) isFeasible(job *cluster.Job, m *cluster.Machine) bool {
-	return s.host.Usable(m) && AllowsMachine(job, m) && !s.avoids(job, m)
+func (s *Scheduler) isFeasible(job *cluster.Job, machine *cluster.Machine) bool {
+	return s.host.Usable(machine) && AllowsMachine(job, machine) && !s.avoids(job, machine)
 }
 
 // passesFilters reports whether a usable machine may take a job's tasks, if they fit. The pull
 // of its image may take maxPullS seconds.
-func (s *Scheduler) passesFilters(job *cluster.Job, m *cluster.Machine, policy imagePolicy, maxPullS float64) bool {
-	if !AllowsMachine(job, m) || s.avoids(job, m) || m.TaskRowsLeft() < 1 {
+func (s *Scheduler) passesFilters(job *cluster.Job, machine *cluster.Machine, policy imagePolicy, maxPullS float64) bool {
+	if !AllowsMachine(job, machine) || s.avoids(job, machine) || machine.TaskRowsLeft() < 1 {
 		return false
 	}
-	if s.isReserved(m) {
+	if s.isReserved(machine) {
 		// A reserved machine is used though the image comes late there: otherwise the
 		// job waited for three heartbeats, until the reservation ended.
-		return m.ReservedFor == job
+		return machine.ReservedFor == job
 	}
-	return policy == anyPullTime || !s.pullTooSlow(job, m, maxPullS)
+	return policy == anyPullTime || !s.pullTooSlow(job, machine, maxPullS)
 }
 
 // avoids keeps a job away from machines on which it failed, until it has failed on so many that
 // the job is the likelier cause.
-func (s *Scheduler) avoids(job *cluster.Job, m *cluster.Machine) bool {
-	return s.outliers.FailedOn(job.ID, m.Name) && !s.outliers.JobFaulty(job.ID)
+func (s *Scheduler) avoids(job *cluster.Job, machine *cluster.Machine) bool {
+	return s.outliers.FailedOn(job.ID, machine.Name) && !s.outliers.JobFaulty(job.ID)
 }
 
 // Penalties of machines for a task: the machine with the lowest sum is preferred.
@@ -82,19 +82,19 @@
 // machinePenalty scores a machine for a job's tasks: one on which tasks fail comes last, one
 // that holds the image first. Of the others, those come first that pull fewer images, if pulls
 // are sequential.
-func (s *Scheduler) machinePenalty(job *cluster.Job, m *cluster.Machine, maxPullS float64) int {
+func (s *Scheduler) machinePenalty(job *cluster.Job, machine *cluster.Machine, maxPullS float64) int {
 	penalty := 0
-	if s.outliers.HasFailures(m.Name) {
+	if s.outliers.HasFailures(machine.Name) {
 		penalty = penaltyFailures
 	}
-	if m.HasImage(job.Image) {
+	if machine.HasImage(job.Image) {
 		return penalty
 	}
 	penalty += penaltyImagePull
 	if s.host.PullsAreSequential() {
-		penalty += min(m.PullsAhead(job.Image), maxPenaltyPulls)
+		penalty += min(machine.PullsAhead(job.Image), maxPenaltyPulls)
 	}
-	if s.pullTooSlow(job, m, maxPullS) {
+	if s.pullTooSlow(job, machine, maxPullS) {
 		penalty += penaltySlowPull
 	}
 	return penalty
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -52,21 +52,21 @@
 	leaves := make([]*topology.Machine, 0, len(s.state.MachinesByName))
 	allocated := make([]topology.Machine, len(s.state.MachinesByName))
 	s.machines = s.machines[:0]
-	for _, m := range s.state.MachinesByName {
-		total, ok := s.capacityOf(m)
-		if !ok || !s.host.Usable(m) {
+	for _, machine := range s.state.MachinesByName {
+		total, ok := s.capacityOf(machine)
+		if !ok || !s.host.Usable(machine) {
 			continue
 		}
 		leaf := &allocated[len(leaves)]
 		*leaf = topology.Machine{
-			Name:  m.Name,
-			Zone:  m.Zone,
-			Price: s.host.MachinePrice(m),
-			Free:  total.Sub(m.Used),
+			Name:  machine.Name,
+			Zone:  machine.Zone,
+			Price: s.host.MachinePrice(machine),
+			Free:  total.Sub(machine.Used),
 			Index: len(leaves),
 		}
 		leaves = append(leaves, leaf)
-		s.machines = append(s.machines, m)
+		s.machines = append(s.machines, machine)
 	}
 	return topology.New(leaves), leaves
 }
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -23,11 +23,11 @@
 const machinesPerPreemption = 40
 
 // preemptionLimit is the number of a candidate's tasks for which a pass may preempt others.
-func (s *Scheduler) preemptionLimit(c *Candidate) int {
-	if c.WithinQuota || c.Job.Shape == wire.ShapeGang {
-		return len(c.Pending)
+func (s *Scheduler) preemptionLimit(candidate *Candidate) int {
+	if candidate.WithinQuota || candidate.Job.Shape == wire.ShapeGang {
+		return len(candidate.Pending)
 	}
-	return min(len(c.Pending), max(maxPreemptionsPerPass, len(s.state.MachinesByName)/machinesPerPreemption))
+	return min(len(candidate.Pending), max(maxPreemptionsPerPass, len(s.state.MachinesByName)/machinesPerPreemption))
 }
 
 // preemptFor makes room for tasks of a candidate that no machine holds. It stops work of lower
@@ -124,26 +124,26 @@
 // priority, or, if the candidate is within quota, because another team runs them beyond its own.
 // In the second case only work of the same priority that saves checkpoints is stopped; the
 // protocol would allow any.
-func mayPreempt(c *Candidate, victim *cluster.Job) bool {
-	if c.ownTeamOnly && victim.Team != c.Job.Team {
+func mayPreempt(candidate *Candidate, victim *cluster.Job) bool {
+	if candidate.ownTeamOnly && victim.Team != candidate.Job.Team {
 		return false
 	}
-	if victim.Shape == wire.ShapeGang && !c.cannotProvision && !worthPreemptingGang(c, victim) {
+	if victim.Shape == wire.ShapeGang && !candidate.cannotProvision && !worthPreemptingGang(candidate, victim) {
 		return false
 	}
-	if victim.Level != c.PreemptionPriority {
-		return victim.Level < c.PreemptionPriority
+	if victim.Level != candidate.PreemptionPriority {
+		return victim.Level < candidate.PreemptionPriority
 	}
-	return c.WithinQuota && victim.Team != c.Job.Team && !victim.WithinQuota && victim.CheckpointIntervalS > 0
+	return candidate.WithinQuota && victim.Team != candidate.Job.Team && !victim.WithinQuota && victim.CheckpointIntervalS > 0
 }
 
 // worthPreemptingGang reports whether a gang may be stopped for a candidate for which a machine
 // could be provisioned instead: not if that frees more than the candidate needs, all of which the
 // gang has to find again.
-func worthPreemptingGang(c *Candidate, gang *cluster.Job) bool {
-	freed, needed := float64(len(gang.TaskStates)), float64(len(c.Pending))
+func worthPreemptingGang(candidate *Candidate, gang *cluster.Job) bool {
+	freed, needed := float64(len(gang.TaskStates)), float64(len(candidate.Pending))
 	if gang.GPUs > 0 {
-		return gang.GPUs*freed <= c.Job.GPUs*needed
+		return gang.GPUs*freed <= candidate.Job.GPUs*needed
 	}
-	return gang.CPUs*freed <= c.Job.CPUs*needed
+	return gang.CPUs*freed <= candidate.Job.CPUs*needed
 }
--- a/internal/core/scheduler/preemption_slots.go
+++ b/internal/core/scheduler/preemption_slots.go
@@ -49,15 +49,15 @@
 }
 
 // slotsOn lists slots for up to wanted tasks of a candidate on one machine.
-func (s *Scheduler) slotsOn(c *Candidate, m *cluster.Machine, wanted int, policy imagePolicy) []slot {
+func (s *Scheduler) slotsOn(candidate *Candidate, machine *cluster.Machine, wanted int, policy imagePolicy) []slot {
 	return preemption.SlotsOn(&preemption.Machine[cluster.TaskReference]{
-		Name: m.Name,
-		Zone: m.Zone,
-		Free: s.freeCapacity(m),
+		Name: machine.Name,
+		Zone: machine.Zone,
+		Free: s.freeCapacity(machine),
 		Victims: func(free topology.Resources) ([]victim, topology.Resources) {
-			return s.victimsOn(c, m, free, policy)
+			return s.victimsOn(candidate, machine, free, policy)
 		},
-	}, cluster.TaskSize(&c.Job.Job), wanted)
+	}, cluster.TaskSize(&candidate.Job.Job), wanted)
 }
 
 // evaluationsPerVictim is about how many evaluations of machines take as long as that of a task
@@ -98,11 +98,11 @@
 
 // canPreemptAnywhere reports whether any machine of a kind that the candidate's job may use would
 // hold a task if all that may be stopped for it were gone.
-func (s *Scheduler) canPreemptAnywhere(c *Candidate) bool {
+func (s *Scheduler) canPreemptAnywhere(candidate *Candidate) bool {
 	s.evaluations += len(s.machines)
-	size := cluster.TaskSize(&c.Job.Job)
+	size := cluster.TaskSize(&candidate.Job.Job)
 	for _, m := range s.machines {
-		if AllowsMachine(c.Job, m) && s.freeAfterPreemption(c, m).Holds(size) {
+		if AllowsMachine(candidate.Job, m) && s.freeAfterPreemption(candidate, m).Holds(size) {
 			return true
 		}
 	}
@@ -110,34 +110,34 @@
 }
 
 // canPreemptOn reports whether room for a candidate's task can be made on a machine.
-func (s *Scheduler) canPreemptOn(c *Candidate, m *cluster.Machine) bool {
-	return s.freeAfterPreemption(c, m).Holds(cluster.TaskSize(&c.Job.Job)) && s.isFeasible(c.Job, m) && !s.isReserved(m)
+func (s *Scheduler) canPreemptOn(candidate *Candidate, machine *cluster.Machine) bool {
+	return s.freeAfterPreemption(candidate, machine).Holds(cluster.TaskSize(&candidate.Job.Job)) && s.isFeasible(candidate.Job, machine) && !s.isReserved(machine)
 }
 
 // freeAfterPreemption is the most that stops for a candidate can free on a machine. It costs
 // next to nothing, so that the tasks of a machine are examined only where that can be of use.
-func (s *Scheduler) freeAfterPreemption(c *Candidate, m *cluster.Machine) topology.Resources {
-	free := s.freeCapacity(m).Add(m.StoppingUse)
-	for _, used := range m.UsedByLevel[:c.PreemptionPriority] {
+func (s *Scheduler) freeAfterPreemption(candidate *Candidate, machine *cluster.Machine) topology.Resources {
+	free := s.freeCapacity(machine).Add(machine.StoppingUse)
+	for _, used := range machine.UsedByLevel[:candidate.PreemptionPriority] {
 		free = free.Add(used)
 	}
-	if c.WithinQuota {
-		free = free.Add(m.CheckpointedByLevel[c.PreemptionPriority]) // see mayPreempt
+	if candidate.WithinQuota {
+		free = free.Add(machine.CheckpointedByLevel[candidate.PreemptionPriority]) // see mayPreempt
 	}
 	return free
 }
 
 // capacityOf is all that a machine offers, if that is known.
-func (s *Scheduler) capacityOf(m *cluster.Machine) (topology.Resources, bool) {
-	t := s.host.MachineType(m)
-	if t == nil || !m.Described {
+func (s *Scheduler) capacityOf(machine *cluster.Machine) (topology.Resources, bool) {
+	t := s.host.MachineType(machine)
+	if t == nil || !machine.Described {
 		return topology.Resources{}, false
 	}
 	return cluster.TypeCapacity(t), true
 }
 
 // freeCapacity is what no task uses on a machine.
-func (s *Scheduler) freeCapacity(m *cluster.Machine) topology.Resources {
-	capacity, _ := s.capacityOf(m)
-	return capacity.Sub(m.Used)
+func (s *Scheduler) freeCapacity(machine *cluster.Machine) topology.Resources {
+	capacity, _ := s.capacityOf(machine)
+	return capacity.Sub(machine.Used)
 }
--- a/internal/core/scheduler/pull_time.go
+++ b/internal/core/scheduler/pull_time.go
@@ -7,9 +7,9 @@
 
 // pullTime is how long the pull of a job's image usually takes on a machine, in seconds; 0 if the
 // machine holds it.
-func (s *Scheduler) pullTime(job *cluster.Job, m *cluster.Machine) float64 {
-	t := s.host.MachineType(m)
-	if t == nil || t.PullGBPerS <= 0 || m.HasImage(job.Image) {
+func (s *Scheduler) pullTime(job *cluster.Job, machine *cluster.Machine) float64 {
+	t := s.host.MachineType(machine)
+	if t == nil || t.PullGBPerS <= 0 || machine.HasImage(job.Image) {
 		return 0
 	}
 	return job.ImageGB / t.PullGBPerS
@@ -17,11 +17,11 @@
 
 // pullTooSlow reports whether the pull of a job's image takes more than maxPullS seconds on a
 // machine.
-func (s *Scheduler) pullTooSlow(job *cluster.Job, m *cluster.Machine, maxPullS float64) bool {
-	if m.HasImage(job.Image) {
+func (s *Scheduler) pullTooSlow(job *cluster.Job, machine *cluster.Machine, maxPullS float64) bool {
+	if machine.HasImage(job.Image) {
 		return false
 	}
-	t := s.host.MachineTypes()[m.TypeName]
+	t := s.host.MachineTypes()[machine.TypeName]
 	return t != nil && job.ImageGB > maxPullS*t.PullGBPerS
 }
 
--- a/internal/core/scheduler/rescheduling.go
+++ b/internal/core/scheduler/rescheduling.go
@@ -72,22 +72,22 @@
 }
 
 // add adds room for a task on a machine.
-func (r *roomByMoves) add(m *cluster.Machine) {
-	r.inZone[m.Zone]++
-	r.machines = append(r.machines, m)
+func (r *roomByMoves) add(machine *cluster.Machine) {
+	r.inZone[machine.Zone]++
+	r.machines = append(r.machines, machine)
 }
 
 // rescheduleOn makes room for as many of a candidate's tasks on a machine as moves free.
-func (p *pass) rescheduleOn(candidate *Candidate, m *cluster.Machine, room *roomByMoves) {
-	free := p.freeCapacity(m)
-	for room.wantsMoreIn(m.Zone) {
-		moves := p.findMoves(candidate, m, free)
+func (p *pass) rescheduleOn(candidate *Candidate, machine *cluster.Machine, room *roomByMoves) {
+	free := p.freeCapacity(machine)
+	for room.wantsMoreIn(machine.Zone) {
+		moves := p.findMoves(candidate, machine, free)
 		if moves == nil {
 			return
 		}
 		p.moveReplicas(moves)
 		free = free.Add(freedByMoves(moves)).Sub(cluster.TaskSize(&candidate.Job.Job))
-		room.add(m)
+		room.add(machine)
 	}
 }
 
@@ -163,11 +163,11 @@
 }
 
 // mayMoveTo reports whether a replica of a job may be rescheduled to a machine, if it fits there.
-func (s *Scheduler) mayMoveTo(job *cluster.Job, m *cluster.Machine) bool {
-	if !AllowsMachine(job, m) || s.outliers.HasFailures(m.Name) {
+func (s *Scheduler) mayMoveTo(job *cluster.Job, machine *cluster.Machine) bool {
+	if !AllowsMachine(job, machine) || s.outliers.HasFailures(machine.Name) {
 		return false
 	}
-	return m.ReservedFor == job || !s.isReserved(m)
+	return machine.ReservedFor == job || !s.isReserved(machine)
 }
 
 // leavesWithImage lists the machines with free capacity that hold an image.
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -117,11 +117,11 @@
 
 // additionalVictims chooses, of a team's own victims, those that have to stop in addition to the
 // victims of slots so that the limit allows a task in each slot; not ok if all together are not enough.
-func (s *Scheduler) additionalVictims(c *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
+func (s *Scheduler) additionalVictims(candidate *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
-		Limit: s.host.Limit(c.Job.Team),
+		Limit: s.host.Limit(candidate.Job.Team),
 		Used:  used,
-		Task:  cluster.TaskSize(&c.Job.Job),
+		Task:  cluster.TaskSize(&candidate.Job.Job),
 		Count: len(slots),
 	}
 	indices, ok := teamlimit.ChooseVictims(shortage, limitVictims(slots), limitVictims(own))
--- a/internal/core/teamlimit/victims.go
+++ b/internal/core/teamlimit/victims.go
@@ -31,20 +31,20 @@
 // are not enough.
 func ChooseVictims[K comparable](shortage Shortage, anyway, own []Victim[K]) (chosen []int, ok bool) {
 	stopped := map[K]bool{}
-	for _, v := range anyway {
-		if !stopped[v.Key] {
-			stopped[v.Key] = true
-			shortage.Used = shortage.Used.Sub(v.Freed)
+	for _, victim := range anyway {
+		if !stopped[victim.Key] {
+			stopped[victim.Key] = true
+			shortage.Used = shortage.Used.Sub(victim.Freed)
 		}
 	}
-	for i, v := range own {
+	for i, victim := range own {
 		if shortage.isResolved() {
 			return chosen, true
 		}
-		if stopped[v.Key] || !shortage.isRelievedBy(v.TaskSize) {
+		if stopped[victim.Key] || !shortage.isRelievedBy(victim.TaskSize) {
 			continue
 		}
-		shortage.Used = shortage.Used.Sub(v.Freed)
+		shortage.Used = shortage.Used.Sub(victim.Freed)
 		chosen = append(chosen, i)
 	}
 	return chosen, shortage.isResolved()
--- a/internal/core/topology/place.go
+++ b/internal/core/topology/place.go
@@ -163,7 +163,7 @@
 // assign distributes the tasks of a request over leaves, see closer; nil if they do not hold all
 // of them.
 func (t *Tree) assign(request Request, leaves []*leaf, preferredZone string) []*Machine {
-	a := &assignment{
+	state := &assignment{
 		request:       &request,
 		leaves:        leaves,
 		preferredZone: preferredZone,
@@ -172,15 +172,15 @@
 	}
 	assigned := make([]*Machine, 0, request.Count)
 	for len(assigned) < request.Count {
-		best, fit := a.next(request.Count - len(assigned))
+		best, fit := state.next(request.Count - len(assigned))
 		if best == nil {
 			for _, m := range assigned {
 				t.Give(m, request.Task)
 			}
 			return nil
 		}
-		a.used[best] = true
-		a.inZone[best.machine.Zone] += fit
+		state.used[best] = true
+		state.inZone[best.machine.Zone] += fit
 		for range fit {
 			t.Take(best.machine, request.Task)
 			assigned = append(assigned, best.machine)
--- a/internal/core/topology/place_each.go
+++ b/internal/core/topology/place_each.go
@@ -11,7 +11,7 @@
 // do not matter; ZoneBound bounds the tasks of the whole call, a negative penalty counts as 0, and
 // a machine's penalty must not rise when it takes a task.
 func (t *Tree) PlaceEach(request Request, tasks int) []*Machine {
-	p := &eachPlacement{
+	placement := &eachPlacement{
 		tree:    t,
 		request: &request,
 		tasks:   tasks,
@@ -22,8 +22,8 @@
 	// of a fleet of thousands cost an evaluation of all of them.
 	var penalized []penalizedMachine
 	for _, m := range slices.Clone(t.mayFit(request.Task)) {
-		if p.isComplete() {
-			return p.placed
+		if placement.isComplete() {
+			return placement.placed
 		}
 		t.evaluations++
 		if !request.allows(m) {
@@ -33,13 +33,13 @@
 			penalized = append(penalized, penalizedMachine{m, penalty})
 			continue
 		}
-		p.fill(m)
+		placement.fill(m)
 	}
 	slices.SortStableFunc(penalized, func(a, b penalizedMachine) int { return cmp.Compare(a.penalty, b.penalty) })
 	for _, m := range penalized {
-		p.fill(m.Machine)
+		placement.fill(m.Machine)
 	}
-	return p.placed
+	return placement.placed
 }
 
 // penalizedMachine is a machine that may take a request's tasks, but not before others.
