--- a/internal/core/cancellation/cancellation.go
+++ b/internal/core/cancellation/cancellation.go
@@ -1,10 +1,10 @@
 // Package cancellation has the two halves of a cancellation.
 //
-// Registry keeps the requests of users who wait for the acknowledgement of a cancellation, from
-// the moment at which the request is on record until the job's tasks are known to have terminated. The
-// front end owns one. It answers nobody itself: it returns the requests that are to be
-// answered. Progress is how far the cancellation of one job has come for the leader, which
-// keeps one with each job of package cluster.
+// Registry keeps the requests of users who wait for the acknowledgement of a cancellation, from the
+// moment at which the request is on record until the job's tasks are known to have terminated. The
+// front end owns one. It answers nobody itself: it returns the requests that are to be answered.
+// Progress is how far the cancellation of one job has come for the leader, which keeps one with
+// each job of package cluster.
 //
 // The package does no I/O and keeps no time.
 package cancellation
--- a/internal/core/cluster/heartbeat_size.go
+++ b/internal/core/cluster/heartbeat_size.go
@@ -2,9 +2,9 @@
 
 import "github.com/brookwalk/brookwalk/wire"
 
-// A heartbeat and the answer to it may have 64 KiB, so a machine can hold only so many
-// tasks, however small. The heartbeats of a machine with more tasks were rejected:
-// its lease expired, all its tasks were lost, and it was filled again.
+// A heartbeat and the answer to it may have 64 KiB, so a machine can hold only so many tasks,
+// however small. A machine whose heartbeats were larger was no longer heard: its lease expired, all
+// its tasks were lost, and it was filled again.
 const (
 	// MaxHeartbeatBytes is the largest body of a heartbeat.
 	MaxHeartbeatBytes = 64 << 10
--- a/internal/core/cluster/usage.go
+++ b/internal/core/cluster/usage.go
@@ -61,8 +61,7 @@
 	m.CheckpointedByLevel = [PriorityLevels]topology.Resources{}
 }
 
-// Refresh computes what the tasks that are being stopped use, and which images the machine
-// pulls.
+// Refresh computes what the tasks that are being stopped use, and which images the machine pulls.
 func (m *Machine) Refresh() {
 	m.EvaluationStale = false
 	m.StoppingUse = topology.Resources{}
--- a/internal/core/cluster/wait_reason.go
+++ b/internal/core/cluster/wait_reason.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// WaitReason is why tasks of a job that could run have no machine. Its text is part of
-// log lines.
+// WaitReason is why tasks of a job that could run have no machine. Its text is part of log lines.
 type WaitReason string
 
 // Reasons for which a job waits.
--- a/internal/core/dependencylist/dependencylist.go
+++ b/internal/core/dependencylist/dependencylist.go
@@ -6,11 +6,10 @@
 // two attempts never share a record. The open record then holds a reference to the list in
 // place of the names.
 //
-// The first record represents the whole attempt: the others are written, and the job is
-// accepted, on the condition that it is unchanged. Deleting what is left of an abandoned
-// attempt deletes the first record before or together with the others. So a transaction of
-// that attempt that is carried out late has no effect, and a job that is accepted has its
-// whole list.
+// The first record represents the whole attempt: the others are written, and the job is accepted,
+// on the condition that it is unchanged. Deleting what is left of an abandoned attempt deletes the
+// first record before or together with the others. So a transaction of that attempt that is carried
+// out late has no effect, and a job that is accepted has its whole list.
 //
 // Versions before wire.PeerVersionLists do not know these records. To them the reference is
 // the name of a job that does not exist: they never start the job, but do not cancel it with
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -52,8 +52,8 @@
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
 		above := g.levels[queue[0]] + 1
 		g.EachDependent(queue[0], func(dependent string) {
-			// A job that depends on itself, as only a corrupt record can make it, has no valid level.
-			// It is not raised again, so that a cycle through it ends.
+			// A job that depends on itself, as only a corrupt record can make it, has no valid
+			// level. It is not raised again, so that a cycle through it ends.
 			if g.levels[dependent] < above && dependent != id {
 				g.levels[dependent] = above
 				queue = append(queue, dependent)
@@ -91,8 +91,7 @@
 	return g.anyIn(g.dependencies[id], matches)
 }
 
-// AnyDependent reports whether matches is true for a dependent of a job. It stops at the first
-// one.
+// AnyDependent reports whether matches is true for a dependent of a job. It stops at the first one.
 func (g *Graph) AnyDependent(id string, matches func(dependent string) bool) bool {
 	return g.anyIn(g.dependents[id], matches)
 }
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -1,7 +1,7 @@
-// Package election decides which controller of a region leads. It is a state machine: package
-// core, which calls it, passes it ticks and the leaders that peers name; it reads and writes the key-value store
-// through Store, and begins and ends leadership through Host. It has no clock, socket or
-// goroutine.
+// Package election decides which controller of a region leads. It is a state machine: package core,
+// which calls it, passes it ticks and the leaders that peers name; it reads and writes the
+// key-value store through Store, and begins and ends leadership through Host. It has no clock,
+// socket or goroutine.
 //
 // The leader key is attached to a lease and shows who leads; it only decides when to hold an
 // election. Safety rests on the term key: every election raises it, every write of a leader is
@@ -60,7 +60,7 @@
 	HearsPeer() bool
 	// LeaderLost reports whether the leader is lost although it may hold its key.
 	LeaderLost() bool
-	// LeaderKnown is called when the leader is known: another controller.
+	// LeaderKnown is called when it is known which other controller leads.
 	LeaderKnown()
 }
 
--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -41,8 +41,7 @@
 	return len(b.submissions) == 0 || !pending.alone && !b.submissions[0].alone
 }
 
-// fits reports whether a submission fits into the transaction, and writes none of
-// its keys yet.
+// fits reports whether a submission fits into the transaction, and writes none of its keys yet.
 func (b *submissionBatch) fits(added submissionTxn, limits *kv.Limits) bool {
 	if b.bytes+added.bytes > kv.MaxTxnBytes {
 		return false
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -26,8 +26,8 @@
 //     the latest.
 //
 // Until then the user is asked to retry, at once where tasks are unreachable. Cancellations were
-// once acknowledged as soon as the request was recorded: with the store unavailable a moment later, a
-// new leader could not learn of the jobs, and their tasks ran on for longer than cancel_s.
+// once acknowledged as soon as the request was recorded: with the store unavailable a moment later,
+// a new leader could not learn of the jobs, and their tasks ran on for longer than cancel_s.
 
 // UserRetryPeriod is how long a user repeats a request, by the protocol.
 const UserRetryPeriod = 60 * time.Second
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -192,7 +192,8 @@
 	}
 }
 
-// enqueueResolved enqueues a submission all of whose dependencies are known, or refuses it.
+// enqueueResolved enqueues a submission all of whose dependencies are known, or refuses it. If
+// dependencies have to be marked or a list has to be written first, it begins with that.
 func (f *FrontEnd) enqueueResolved(pending *pendingSubmission) {
 	unmarked, err := f.classifyDependencies(pending)
 	switch {
--- a/internal/core/frontend/lookup.go
+++ b/internal/core/frontend/lookup.go
@@ -83,8 +83,8 @@
 	f.lookups.order = order
 }
 
-// startLookups confirms known jobs, many of them by one transaction without writes, and reads
-// the others. Lookups at about the same time are batched: users poll all the time, and a transaction
+// startLookups confirms known jobs, many of them by one transaction without writes, and reads the
+// others. Lookups at about the same time are batched: users poll all the time, and a transaction
 // for each would cost most of the processor and of the rate of requests to the store.
 func (f *FrontEnd) startLookups() {
 	confirm := f.host.Now() >= f.lookups.nextConfirmationAt
--- a/internal/core/jobcache/jobcache.go
+++ b/internal/core/jobcache/jobcache.go
@@ -56,9 +56,8 @@
 	}
 }
 
-// PutNewer adds an open job that was read from the store and returns what is known of the job
-// then. What was learned while the answer was under way is newer, and is kept: a user may have
-// seen it.
+// PutNewer adds an open job that was read from the store and returns what is known of the job then.
+// What was learned while the answer was under way is newer, and is kept: a user may have seen it.
 func (c *Cache) PutNewer(id string, read *OpenJob) (open *OpenJob, final *records.Final) {
 	if final, ended := c.final[id]; ended {
 		return nil, &final
--- a/internal/core/membership/lease_extension.go
+++ b/internal/core/membership/lease_extension.go
@@ -89,7 +89,7 @@
 }
 
 // isAcknowledged reports whether the leader knows of an extension. A leader of an earlier term
-// than the worker has seen may not be the one that counts the worker's tasks.
+// than the worker has seen need not be the one that has to know of it.
 func (e *leaseExtensions) isAcknowledged(extension leaseExtension) bool {
 	return extension.at < e.acknowledgedUntil && extension.fencingToken <= e.leaderTerm
 }
--- a/internal/core/persistence/persistence.go
+++ b/internal/core/persistence/persistence.go
@@ -64,8 +64,7 @@
 	DependenciesMayBeReady(job *cluster.Job)
 	// StartTasks starts tasks whose placements are on record now.
 	StartTasks(job *cluster.Job, placed []records.PlacedTask)
-	// PlacementRead is called with a task that may be on a machine, by a record of an earlier
-	// term.
+	// PlacementRead is called with a task that may be on a machine, by a record of an earlier term.
 	PlacementRead(job *cluster.Job, placed records.PlacedTask)
 	// TermChanged is called when another leader has begun a term.
 	TermChanged()
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -1,6 +1,6 @@
 // Package placement holds what a placement pass needs apart from the machines: the order in which
-// jobs are tried, which tasks are equivalent, and what has been found not to fit. It knows no machines, no
-// leader and no clock. The passes of package scheduler call it.
+// jobs are tried, which tasks are equivalent, and what has been found not to fit. It knows no
+// machines, no leader and no clock. The passes of package scheduler call it.
 package placement
 
 import (
--- a/internal/core/preemption/preemption.go
+++ b/internal/core/preemption/preemption.go
@@ -1,7 +1,6 @@
 // Package preemption finds out which running tasks have to stop to make room for others, at the
 // least cost. It knows sizes and costs only: which tasks may be stopped, and what a stop costs, is
-// decided by package scheduler, which calls it. The package does no I/O and keeps
-// no time.
+// decided by package scheduler, which calls it. The package does no I/O and keeps no time.
 package preemption
 
 import (
--- a/internal/core/provisioning/queue.go
+++ b/internal/core/provisioning/queue.go
@@ -23,8 +23,8 @@
 // Offer is what the request asks for.
 func (r *Request) Offer() Offer { return Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot} }
 
-// Queue turns shortfalls into provisioning requests at the pace that the cloud's rate allows. Shortfalls
-// accumulate between two requests, instead of being requested machine by machine.
+// Queue turns shortfalls into provisioning requests at the pace that the cloud's rate allows.
+// Shortfalls accumulate between two requests, instead of being requested machine by machine.
 type Queue struct {
 	idPrefix   string
 	interval   time.Duration
--- a/internal/core/reconcile/direct_call.go
+++ b/internal/core/reconcile/direct_call.go
@@ -33,8 +33,8 @@
 // End records that the call has returned, with whatever result.
 func (c *DirectCall) End() { c.machine.OpenDirectCalls-- }
 
-// SettleStarts records that the outcome of the commands is known: no further copy of their starts can
-// arrive. Those of an earlier incarnation are forgotten already.
+// SettleStarts records that the outcome of the commands is known: no further copy of their starts
+// can arrive. Those of an earlier incarnation are forgotten already.
 func (c *DirectCall) SettleStarts() {
 	if c.machine.Incarnation == c.incarnation {
 		c.machine.SettleDirectStarts(c.starts)
--- a/internal/core/reconcile/health.go
+++ b/internal/core/reconcile/health.go
@@ -145,9 +145,10 @@
 // its heartbeat was due a little earlier than the others': by the time it seems dead all of the
 // zone has missed a heartbeat. With heartbeats as far apart as the workers' change of controllers
 // takes, a third of a partitioned zone was returned before the zone counted as partitioned. The
-// same holds for those whose heartbeats came by a controller which is now unreachable. Those that
-// a new leader has not heard yet are not such a group, though all of them are silent: when they
-// were treated as one, machines that hung at a failover were returned no sooner than their leases expired.
+// same holds for those whose heartbeats came by a controller which is now unreachable. Those that a
+// new leader has not heard yet are not such a group, though all of them are silent: when they were
+// treated as one, machines that hung at a failover were considered dead no sooner than their
+// leases expired.
 func (h *HealthCheck) IsDead(machine *cluster.Machine, survey *SilenceSurvey) bool {
 	probeFailed := machine.LastProbeFailure > max(machine.LastHeartbeat, h.RecordsLoadedAt)
 	if !machine.HeartbeatExpected() || !probeFailed || h.silence(machine) <= h.deadAfter() {
--- a/internal/core/reconcile/probes.go
+++ b/internal/core/reconcile/probes.go
@@ -29,11 +29,11 @@
 	machine.LastProbeFailure = sentAt
 }
 
-// ProbeReference finds a machine to probe when a silent one does not answer its probe; nil if
-// there is none to probe. Only if the reference, which was heard lately, does answer is the
-// silent machine at fault, and not the network path to it. The reference is of the same zone, or
-// of any if that zone has no other machine: the only machine of the leader's own zone was
-// returned no sooner than its lease expired where the heartbeats of all others came by other controllers, since
+// ProbeReference finds a machine to probe when a silent one does not answer its probe; nil if there
+// is none to probe. Only if the reference, which was heard lately, does answer is the silent
+// machine at fault, and not the network path to it. The reference is of the same zone, or of any if
+// that zone has no other machine: the only machine of the leader's own zone was considered dead no
+// sooner than its lease expired where the heartbeats of all others came by other controllers, since
 // nothing showed that any path worked.
 func (h *HealthCheck) ProbeReference(silent *cluster.Machine, machines []*cluster.Machine) *cluster.Machine {
 	aloneInZone := !slices.ContainsFunc(machines, func(machine *cluster.Machine) bool {
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -19,8 +19,8 @@
 }
 
 // LeaseExpiryBound is the time without an answer after which the lease of a worker that has seen
-// this term has certainly expired: the lease itself, the drift of two steady clocks, and a margin for
-// the leader's own late timers.
+// this term has certainly expired: the lease itself, the drift of two steady clocks, and a margin
+// for the leader's own late timers.
 func (t Timing) LeaseExpiryBound() time.Duration { return t.WorkerLease + t.WorkerLease/20 }
 
 // HeartbeatOverdueAfter is the time without a heartbeat after which one must have been missed:
--- a/internal/core/scalein/policy.go
+++ b/internal/core/scalein/policy.go
@@ -2,9 +2,9 @@
 // and drained ones, those with a preemption notice, those that do not boot, and those that the
 // cloud no longer lists.
 //
-// The package owns these rules and no state: it reads package cluster, changes nothing, does no
-// I/O and is given the time. The leader of package core asks for each machine at every tick and returns what is not
-// needed; it also returns unhealthy machines, by rules of its own (health.go).
+// The package owns these rules and no state: it reads package cluster, changes nothing, does no I/O
+// and is given the time. The leader of package core asks for each machine at every tick and returns
+// what is not needed; it also returns unhealthy machines, by rules of its own (health.go).
 package scalein
 
 import (
@@ -71,8 +71,8 @@
 }
 
 // bootFailed reports whether a machine without a heartbeat is considered failed. A new leader has
-// to give one that booted in an earlier term the time to send it a heartbeat. One that has placements did
-// boot: another controller may have its heartbeats.
+// to give one that booted in an earlier term the time to send it a heartbeat. One that has
+// placements did boot: another controller may have its heartbeats.
 func (p *Policy) bootFailed(machine *cluster.Machine) bool {
 	return p.Host.BootTimeRatio(machine) > failedBootFactor &&
 		p.Now-p.RecordsLoadedAt > p.WorkerLease &&
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -7,8 +7,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// imagePolicy is which machines may be used, by how long the pull of the task's image takes
-// there.
+// imagePolicy is which machines may be used, by how long the pull of the task's image takes there.
 type imagePolicy int
 
 const (
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -116,7 +116,8 @@
 }
 
 // additionalVictims chooses, of a team's own victims, those that have to stop in addition to the
-// victims of slots so that the limit allows a task in each slot; not ok if all together are not enough.
+// victims of slots so that the limit allows a task in each slot; not ok if all together are not
+// enough.
 func (s *Scheduler) additionalVictims(candidate *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
 		Limit: s.host.Limit(candidate.Job.Team),
--- a/internal/core/teamlimit/guarantee.go
+++ b/internal/core/teamlimit/guarantee.go
@@ -8,8 +8,8 @@
 // IsZero reports whether a team has no guarantee.
 func (g Guarantee) IsZero() bool { return g.CPUs <= 0 && g.GPUs <= 0 }
 
-// Claims find out which jobs are within quota: they fit into their team's guarantee in addition
-// to the team's jobs before them. A resource of which no team has a guarantee does not count; a team
+// Claims find out which jobs are within quota: they fit into their team's guarantee in addition to
+// the team's jobs before them. A resource of which no team has a guarantee does not count; a team
 // without any guarantee has no job within quota either: where only GPUs are guaranteed, jobs
 // without GPUs of such a team counted as guaranteed and came before those of other teams.
 type Claims struct {
--- a/internal/core/teamlimit/victims.go
+++ b/internal/core/teamlimit/victims.go
@@ -27,8 +27,8 @@
 }
 
 // ChooseVictims chooses, in their order, which of a team's own victims have to stop in addition to
-// those that stop anyway, to resolve a shortage. It returns their indices in own; not ok if all together
-// are not enough.
+// those that stop anyway, to resolve a shortage. It returns their indices in own; not ok if all
+// together are not enough.
 func ChooseVictims[K comparable](shortage Shortage, anyway, own []Victim[K]) (chosen []int, ok bool) {
 	stopped := map[K]bool{}
 	for _, victim := range anyway {
--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -1,7 +1,7 @@
 // Package topology places tasks over a tree of root, zones and machines. It counts bottom up how
 // many tasks fit in each domain and takes the fitting domain with the least free resources (bin
-// packing). A pass of package scheduler builds a tree of the machines as they are. The package does no
-// I/O and keeps no time.
+// packing). A pass of package scheduler builds a tree of the machines as they are. The package does
+// no I/O and keeps no time.
 package topology
 
 import (
