--- a/internal/cloudapi/result.go
+++ b/internal/cloudapi/result.go
@@ -6,7 +6,7 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A Status tells what became of a call.
+// A Status is what became of a call.
 type Status int
 
 // The outcomes of calls. After Unanswered and Failed a call may have been carried out, or may be
@@ -28,8 +28,8 @@
 	Failed
 )
 
-// StatusOf maps a status number of the cloud's protocol; 0 stands for no answer. Of a
-// provisioning request, ParseProvision tells NoCapacity from Unavailable.
+// StatusOf maps a status number of the cloud's protocol; 0 means no answer. For a
+// provisioning request, ParseProvision distinguishes NoCapacity from Unavailable.
 func StatusOf(number int) Status {
 	switch number {
 	case httpstatus.NoAnswer:
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -8,7 +8,7 @@
 //   - whether a worker's lease has certainly expired, although peers may have extended it.
 //
 // The package has no clock, socket or goroutine, and map order has no effect on its answers.
-// It sends nothing: package core hands it digests and heartbeats, asks it, and does the
+// It sends nothing: package core passes it digests and heartbeats, queries it, and does the
 // sending. Which controller leads is decided in package election.
 package membership
 
@@ -28,7 +28,7 @@
 	WorkerLease       time.Duration
 	HeartbeatInterval time.Duration // of workers
 	// LeaderLease is the duration of the leader's lease. A peer that has not been heard for
-	// as long is not counted on.
+	// as long counts as unreachable.
 	LeaderLease time.Duration
 }
 
--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -4,8 +4,8 @@
 // job that failed on more machines than jobs failed there is the likelier cause, and so is a
 // machine that failed several jobs which succeed elsewhere.
 //
-// Package core reports failures and successes to it, and decides what follows. The package calls
-// nobody and keeps no time. Its findings are not on record: a new leader begins without evidence.
+// Package core reports failures and successes to it, and decides what follows. The package does
+// no I/O and keeps no time. Its findings are not on record: a new leader begins without evidence.
 package outlier
 
 import (
@@ -13,13 +13,15 @@
 	"slices"
 )
 
-// minFailedMachines is on how many machines a job has to fail before it may be found faulty.
+// minFailedMachines is the number of machines on which a job has to fail before it may be found
+// faulty.
 const minFailedMachines = 3
 
-// minFailedJobs is how many jobs have to fail on a machine before it may be found faulty.
+// minFailedJobs is the number of jobs that have to fail on a machine before it may be found faulty.
 const minFailedJobs = 2
 
-// Detector holds the failures that no success has refuted. Jobs and machines go by their names.
+// Detector holds the failures that no success has refuted, by the IDs of jobs and the names of
+// machines.
 type Detector struct {
 	machinesByJob map[string]nameSet // where a job failed since its last success
 	jobsByMachine map[string]nameSet // which jobs failed on a machine since the last success there
@@ -81,7 +83,7 @@
 	return failed
 }
 
-// FailedMachineCount is on how many machines a job failed since its last success.
+// FailedMachineCount counts the machines on which a job failed since its last success.
 func (d *Detector) FailedMachineCount(job string) int { return len(d.machinesByJob[job]) }
 
 // HasFailures reports whether any task failed on a machine since the last success there.
--- a/internal/core/provisioning/offer.go
+++ b/internal/core/provisioning/offer.go
@@ -1,8 +1,6 @@
 package provisioning
 
-import (
-	"github.com/brookwalk/brookwalk/internal/core/topology"
-)
+import "github.com/brookwalk/brookwalk/internal/core/topology"
 
 // Offer names what the cloud provisions: a machine type in a zone, as a spot machine or not.
 type Offer struct {
@@ -15,7 +13,7 @@
 	Offer
 	Capacity topology.Resources
 	Price    float64 // an hour
-	// Available is how many machines may be requested beside those that are requested already.
+	// Available is how many machines may be requested in addition to those requested already.
 	Available int
 }
 
--- a/internal/core/provisioning/plan.go
+++ b/internal/core/provisioning/plan.go
@@ -8,9 +8,7 @@
 // time. Package core makes a plan at each placement pass of a leader.
 package provisioning
 
-import (
-	"github.com/brookwalk/brookwalk/internal/core/topology"
-)
+import "github.com/brookwalk/brookwalk/internal/core/topology"
 
 // Plan is a plan in the making. Machines are added first, then tasks are packed.
 type Plan struct {
@@ -112,7 +110,7 @@
 	bin.pack(task, purpose)
 }
 
-// reindexLastPacked puts the bin of the last task back into its index.
+// reindexLastPacked inserts the bin of the last task into its index again.
 func (p *Plan) reindexLastPacked() {
 	if p.lastPacked != nil {
 		p.indexByOffer[p.lastPacked.Offer].insert(p.lastPacked)
--- a/internal/core/reconcile/health.go
+++ b/internal/core/reconcile/health.go
@@ -84,7 +84,7 @@
 }
 
 // PartitionedZones lists, in no order, the zones that are partitioned from this controller. Most
-// machines of a zone at once are more likely partitioned, and go on under a controller there,
+// machines of a zone at once are more likely partitioned, and run on under a controller there,
 // than dead; so is a zone of a machine or two, if its controllers are unreachable along with all
 // of them.
 func (h *HealthCheck) PartitionedZones(survey *SilenceSurvey) []string {
@@ -109,7 +109,7 @@
 // maxLeaseExpiries is how often a worker's lease may expire though the worker answers.
 const maxLeaseExpiries = 3
 
-// UnhealthyReason tells why a machine is to be returned; empty if it is not.
+// UnhealthyReason returns why a machine is to be returned; empty if it is not.
 func (h *HealthCheck) UnhealthyReason(machine *cluster.Machine, survey *SilenceSurvey) cluster.DrainReason {
 	maxSilence := 2 * h.LeaseExpiryBound()
 	if survey.mostSilent {
@@ -130,7 +130,7 @@
 	return ""
 }
 
-// silence is for how long nothing was heard of a machine that could have been.
+// silence is how long nothing was heard of a machine while it could have been.
 func (h *HealthCheck) silence(machine *cluster.Machine) time.Duration {
 	return h.Now - max(machine.LastHeartbeat, machine.LastContact, h.RecordsLoadedAt, h.PartitionedAt[machine.Zone])
 }
@@ -145,9 +145,10 @@
 // its heartbeat was due a little earlier than the others': by the time it seems dead all of the
 // zone has missed a heartbeat. With heartbeats as far apart as the workers' change of controllers
 // takes, a third of a partitioned zone was returned before the zone counted as partitioned. The
-// same holds for those whose heartbeats came by a controller which is now unreachable. Those that
-// a new leader has not heard yet are not such a group, though all of them are silent: when they
-// were treated as one, machines that hung at a failover were given up no sooner than their leases.
+// same holds for those whose heartbeats came by a controller which is now unreachable. Those that a
+// new leader has not heard yet are not such a group, though all of them are silent: when they were
+// treated as one, machines that hung at a failover were considered dead no sooner than their
+// leases expired.
 func (h *HealthCheck) IsDead(machine *cluster.Machine, survey *SilenceSurvey) bool {
 	probeFailed := machine.LastProbeFailure > max(machine.LastHeartbeat, h.RecordsLoadedAt)
 	if !machine.HeartbeatExpected() || !probeFailed || h.silence(machine) <= h.deadAfter() {
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -13,21 +13,21 @@
 // victim is a task that may be preempted.
 type victim = preemption.Victim[cluster.TaskReference]
 
-// maxPreemptionsPerPass bounds for how many tasks of an array or a service that is not within
-// quota a pass preempts others: what is preempted has to be placed again. Work within quota gets
-// its room at once: eight tasks at a time took an array of sixty half a minute.
+// maxPreemptionsPerPass bounds the tasks of an array or a service beyond quota for which a pass
+// preempts others: what is preempted has to be placed again. Work within quota gets its room at
+// once: eight tasks at a time took an array of sixty half a minute.
 const maxPreemptionsPerPass = 8
 
-// machinesPerPreemption raises that bound by one for so many machines of a fleet, so that making
-// room takes no longer on a larger fleet.
+// machinesPerPreemption is the number of machines for each task of that bound on a large fleet, so
+// that making room takes no longer there.
 const machinesPerPreemption = 40
 
-// preemptionLimit is for how many of a candidate's tasks a pass may preempt others.
-func (s *Scheduler) preemptionLimit(c *Candidate) int {
-	if c.WithinQuota || c.Job.Shape == wire.ShapeGang {
-		return len(c.Pending)
+// preemptionLimit is the number of a candidate's tasks for which a pass may preempt others.
+func (s *Scheduler) preemptionLimit(candidate *Candidate) int {
+	if candidate.WithinQuota || candidate.Job.Shape == wire.ShapeGang {
+		return len(candidate.Pending)
 	}
-	return min(len(c.Pending), max(maxPreemptionsPerPass, len(s.state.MachinesByName)/machinesPerPreemption))
+	return min(len(candidate.Pending), max(maxPreemptionsPerPass, len(s.state.MachinesByName)/machinesPerPreemption))
 }
 
 // preemptFor makes room for tasks of a candidate that no machine holds. It stops work of lower
@@ -68,8 +68,8 @@
 	return false
 }
 
-// preemptionTarget is for how many of a candidate's tasks room is to be made, within its team's
-// limit.
+// preemptionTarget is the number of a candidate's tasks for which room is to be made, within its
+// team's limit.
 func (s *Scheduler) preemptionTarget(candidate *Candidate, usage map[string]topology.Resources) int {
 	job := candidate.Job
 	limit, size := s.host.Limit(job.Team), cluster.TaskSize(&job.Job)
@@ -124,26 +124,26 @@
 // priority, or, if the candidate is within quota, because another team runs them beyond its own.
 // In the second case only work of the same priority that saves checkpoints is stopped; the
 // protocol would allow any.
-func mayPreempt(c *Candidate, victim *cluster.Job) bool {
-	if c.ownTeamOnly && victim.Team != c.Job.Team {
+func mayPreempt(candidate *Candidate, victim *cluster.Job) bool {
+	if candidate.ownTeamOnly && victim.Team != candidate.Job.Team {
 		return false
 	}
-	if victim.Shape == wire.ShapeGang && !c.cannotProvision && !worthPreemptingGang(c, victim) {
+	if victim.Shape == wire.ShapeGang && !candidate.cannotProvision && !worthPreemptingGang(candidate, victim) {
 		return false
 	}
-	if victim.Level != c.PreemptionPriority {
-		return victim.Level < c.PreemptionPriority
+	if victim.Level != candidate.PreemptionPriority {
+		return victim.Level < candidate.PreemptionPriority
 	}
-	return c.WithinQuota && victim.Team != c.Job.Team && !victim.WithinQuota && victim.CheckpointIntervalS > 0
+	return candidate.WithinQuota && victim.Team != candidate.Job.Team && !victim.WithinQuota && victim.CheckpointIntervalS > 0
 }
 
 // worthPreemptingGang reports whether a gang may be stopped for a candidate for which a machine
 // could be provisioned instead: not if that frees more than the candidate needs, all of which the
 // gang has to find again.
-func worthPreemptingGang(c *Candidate, gang *cluster.Job) bool {
-	freed, needed := float64(len(gang.TaskStates)), float64(len(c.Pending))
+func worthPreemptingGang(candidate *Candidate, gang *cluster.Job) bool {
+	freed, needed := float64(len(gang.TaskStates)), float64(len(candidate.Pending))
 	if gang.GPUs > 0 {
-		return gang.GPUs*freed <= c.Job.GPUs*needed
+		return gang.GPUs*freed <= candidate.Job.GPUs*needed
 	}
-	return gang.CPUs*freed <= c.Job.CPUs*needed
+	return gang.CPUs*freed <= candidate.Job.CPUs*needed
 }
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -33,7 +33,7 @@
 		}
 		reservations[job.Team] = append(reservations[job.Team], teamlimit.Reservation{
 			Priority: job.Level,
-			Amount:   cluster.Scaled(cluster.TaskSize(&job.Job), tasks),
+			Amount:   cluster.TaskSize(&job.Job).Times(tasks),
 		})
 	}
 	return reservations
@@ -115,13 +115,14 @@
 	return slices.ContainsFunc(victims, func(s slot) bool { return s.Victims[0].Task.Job == job })
 }
 
-// additionalVictims chooses, of a team's own victims, those that have to stop beside the victims
-// of slots so that the limit allows a task in each slot; not ok if all together are not enough.
-func (s *Scheduler) additionalVictims(c *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
+// additionalVictims chooses, of a team's own victims, those that have to stop in addition to the
+// victims of slots so that the limit allows a task in each slot; not ok if all together are not
+// enough.
+func (s *Scheduler) additionalVictims(candidate *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
-		Limit: s.host.Limit(c.Job.Team),
+		Limit: s.host.Limit(candidate.Job.Team),
 		Used:  used,
-		Task:  cluster.TaskSize(&c.Job.Job),
+		Task:  cluster.TaskSize(&candidate.Job.Job),
 		Count: len(slots),
 	}
 	indices, ok := teamlimit.ChooseVictims(shortage, limitVictims(slots), limitVictims(own))
@@ -163,7 +164,7 @@
 // freedByStop is what becomes free when a task is stopped, with all of its gang.
 func freedByStop(ref cluster.TaskReference) topology.Resources {
 	if ref.Job.Shape == wire.ShapeGang {
-		return cluster.Scaled(ref.Size(), ref.Job.TasksPlaced)
+		return ref.Size().Times(ref.Job.TasksPlaced)
 	}
 	return ref.Size()
 }
--- a/internal/core/teamlimit/victims.go
+++ b/internal/core/teamlimit/victims.go
@@ -23,30 +23,28 @@
 
 // isRelievedBy reports whether the end of a task of a size makes the shortage smaller.
 func (s *Shortage) isRelievedBy(task topology.Resources) bool {
-	n := float64(s.Count)
-	wanted := topology.Resources{CPUs: s.Task.CPUs * n, GPUs: s.Task.GPUs * n}
-	return s.Limit.isRelievedBy(s.Used.Add(wanted), task)
+	return s.Limit.isRelievedBy(s.Used.Add(s.Task.Times(s.Count)), task)
 }
 
-// ChooseVictims chooses, in their order, which of a team's own victims have to stop beside those
-// that stop anyway, to resolve a shortage. It returns their indices in own; not ok if all together
-// are not enough.
+// ChooseVictims chooses, in their order, which of a team's own victims have to stop in addition to
+// those that stop anyway, to resolve a shortage. It returns their indices in own; not ok if all
+// together are not enough.
 func ChooseVictims[K comparable](shortage Shortage, anyway, own []Victim[K]) (chosen []int, ok bool) {
 	stopped := map[K]bool{}
-	for _, v := range anyway {
-		if !stopped[v.Key] {
-			stopped[v.Key] = true
-			shortage.Used = shortage.Used.Sub(v.Freed)
+	for _, victim := range anyway {
+		if !stopped[victim.Key] {
+			stopped[victim.Key] = true
+			shortage.Used = shortage.Used.Sub(victim.Freed)
 		}
 	}
-	for i, v := range own {
+	for i, victim := range own {
 		if shortage.isResolved() {
 			return chosen, true
 		}
-		if stopped[v.Key] || !shortage.isRelievedBy(v.TaskSize) {
+		if stopped[victim.Key] || !shortage.isRelievedBy(victim.TaskSize) {
 			continue
 		}
-		shortage.Used = shortage.Used.Sub(v.Freed)
+		shortage.Used = shortage.Used.Sub(victim.Freed)
 		chosen = append(chosen, i)
 	}
 	return chosen, shortage.isResolved()
--- a/internal/core/topology/place_each.go
+++ b/internal/core/topology/place_each.go
@@ -11,13 +11,19 @@
 // do not matter; ZoneBound bounds the tasks of the whole call, a negative penalty counts as 0, and
 // a machine's penalty must not rise when it takes a task.
 func (t *Tree) PlaceEach(request Request, tasks int) []*Machine {
-	p := &eachPlacement{tree: t, request: &request, tasks: tasks, placed: make([]*Machine, 0, tasks), inZone: map[string]int{}}
+	placement := &eachPlacement{
+		tree:    t,
+		request: &request,
+		tasks:   tasks,
+		placed:  make([]*Machine, 0, tasks),
+		inZone:  map[string]int{},
+	}
 	// Each machine is evaluated once. Searched again after each that was filled, the next one
 	// of a fleet of thousands cost an evaluation of all of them.
 	var penalized []penalizedMachine
 	for _, m := range slices.Clone(t.mayFit(request.Task)) {
-		if p.isComplete() {
-			return p.placed
+		if placement.isComplete() {
+			return placement.placed
 		}
 		t.evaluations++
 		if !request.allows(m) {
@@ -27,13 +33,13 @@
 			penalized = append(penalized, penalizedMachine{m, penalty})
 			continue
 		}
-		p.fill(m)
+		placement.fill(m)
 	}
 	slices.SortStableFunc(penalized, func(a, b penalizedMachine) int { return cmp.Compare(a.penalty, b.penalty) })
 	for _, m := range penalized {
-		p.fill(m.Machine)
+		placement.fill(m.Machine)
 	}
-	return p.placed
+	return placement.placed
 }
 
 // penalizedMachine is a machine that may take a request's tasks, but not before others.
@@ -48,7 +54,7 @@
 	request *Request
 	tasks   int
 	placed  []*Machine
-	inZone  map[string]int
+	inZone  map[string]int // tasks placed
 }
 
 // isComplete reports whether all tasks are placed.
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -5,7 +5,7 @@
 const (
 	// MaxTxnBytes bounds the values of a transaction, of which the store takes 64 KiB in all.
 	MaxTxnBytes = 48 << 10
-	// WriteOverhead is what a write takes beside its value, in bytes, at most.
+	// WriteOverhead is what a write takes in addition to its value, in bytes, at most.
 	WriteOverhead = 200
 	// SmallValue is the size in bytes to which placement records are kept once a value was
 	// rejected that the settings allow: how far the limit fell is not known.
@@ -60,7 +60,7 @@
 
 // RejectedWrites records that a transaction with a number of writes was rejected: the store's
 // limits are lower than announced. Otherwise what is too large would be sent again for
-// ever and hold up everything behind it. It reports whether smaller transactions may do;
+// ever and block everything behind it. It reports whether smaller transactions may do;
 // they may not if the transaction had so few writes that its values must be the cause.
 func (l *Limits) RejectedWrites(writes int) bool {
 	if writes <= alwaysAccepted {
@@ -77,7 +77,7 @@
 	l.ForgetFewerWrites()
 }
 
-// ForgetFewerWrites takes back what rejected transactions have shown of the number of writes.
+// ForgetFewerWrites forgets what rejected transactions have shown of the number of writes.
 func (l *Limits) ForgetFewerWrites() { l.fewerWrites = 0 }
 
 // SmallValues reports whether a value was rejected that the settings allow.
