--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -19,12 +19,12 @@
 const expensiveRatio = 4
 
 // taskPrice is the hourly price of a job's task on a full machine of a type; not ok if none fits.
-func taskPrice(job *wire.Job, t *wire.MachineType) (price float64, ok bool) {
-	fit := cluster.TypeCapacity(t).Fit(cluster.TaskSize(job), provisioning.MaxTasksPerMachine)
+func taskPrice(job *wire.Job, machineType *wire.MachineType) (price float64, ok bool) {
+	fit := cluster.TypeCapacity(machineType).Fit(cluster.TaskSize(job), provisioning.MaxTasksPerMachine)
 	if fit == 0 {
 		return 0, false
 	}
-	return t.Price / float64(fit), true
+	return machineType.Price / float64(fit), true
 }
 
 // cheapTypes lists the machine types that a job may use and that are not expensive for it, by
@@ -32,8 +32,8 @@
 func (l *leader) cheapTypes(job *wire.Job) []string {
 	prices := map[string]float64{}
 	lowest := math.Inf(1)
-	for name, t := range l.core.machineTypes { // in any order: only the lowest price counts
-		if price, ok := taskPrice(job, t); ok && emptyOrContains(job.MachineTypes, name) {
+	for name, machineType := range l.core.machineTypes { // in any order: only the lowest price counts
+		if price, ok := taskPrice(job, machineType); ok && emptyOrContains(job.MachineTypes, name) {
 			prices[name] = price
 			lowest = min(lowest, price)
 		}
--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -15,7 +15,7 @@
 // best-effort team.
 func bestEffortLeader(t *testing.T) (*harness, *leader) {
 	t.Helper()
-	b, l := newLeadingHarness(t, func(s *config.Settings) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 4, GPUsMax: 100}, {Name: "lab"}}
 		s.Deployment.Objectives = []config.Objective{
 			{Kind: scheduler.ObjectiveFinished, Class: "sweep", WithinS: 300, Share: 0.9},
@@ -23,21 +23,21 @@
 			{Kind: objectiveGuarantee, WithinS: 10, Share: 0.9},
 		}
 	})
-	b.core.machineTypes = pullTypes
-	b.core.now = 1000 * time.Second
-	return b, l
+	harness.core.machineTypes = pullTypes
+	harness.core.now = 1000 * time.Second
+	return harness, leader
 }
 
 // addArray adds an array to the open jobs.
-func addArray(l *leader, id, team, class string, tasks int, gpus float64) *cluster.Job {
-	j := cluster.NewJob(records.Open{Job: wire.Job{
+func addArray(leader *leader, id, team, class string, tasks int, gpus float64) *cluster.Job {
+	job := cluster.NewJob(records.Open{Job: wire.Job{
 		ID: id, Team: team, Class: class, Shape: wire.ShapeArray, Priority: wire.PriorityIdle,
 		Tasks: tasks, CPUs: 1, GPUs: gpus, MemGB: 1, EstimatedRunS: 50, CheckpointIntervalS: 30, CheckpointDurationS: 3,
-	}}, uint64(len(l.JobsBySubmission)+1))
-	j.Loaded, j.WaitingSinceMS = true, l.core.wallClockMS
-	l.writer.InitPlacementRecords(j)
-	l.Jobs[id], l.JobsBySubmission = j, append(l.JobsBySubmission, j)
-	return j
+	}}, uint64(len(leader.JobsBySubmission)+1))
+	job.Loaded, job.WaitingSinceMS = true, leader.core.wallClockMS
+	leader.writer.InitPlacementRecords(job)
+	leader.Jobs[id], leader.JobsBySubmission = job, append(leader.JobsBySubmission, job)
+	return job
 }
 
 // A job that fails on every machine is tried one task at a time and preempts nothing.
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -28,7 +28,7 @@
 	// machines for each source.
 	fleet.nextConsolidationAt = l.core.now + l.core.heartbeatInterval()
 	limit := l.scheduler.Evaluations() + l.scheduler.EvaluationBudget()
-	first := slices.IndexFunc(sources, func(m *cluster.Machine) bool { return m.Name == fleet.consolidateFrom })
+	first := slices.IndexFunc(sources, func(machine *cluster.Machine) bool { return machine.Name == fleet.consolidateFrom })
 	fleet.consolidateFrom = ""
 	for _, source := range sources[max(first, 0):] {
 		if l.scheduler.Evaluations() > limit {
@@ -71,12 +71,12 @@
 func (l *leader) consolidationTargets(bins []*provisioning.Bin) map[string][]consolidationTarget {
 	targets := map[string][]consolidationTarget{}
 	for _, b := range bins {
-		m := l.Machines[b.Machine]
-		if m == nil || b.Free.CPUs <= 0 && b.Free.GPUs <= 0 || !l.usable(m) {
+		machine := l.Machines[b.Machine]
+		if machine == nil || b.Free.CPUs <= 0 && b.Free.GPUs <= 0 || !l.usable(machine) {
 			continue
 		}
-		for _, image := range m.CachedImages {
-			targets[image.Name] = append(targets[image.Name], consolidationTarget{b, m})
+		for _, image := range machine.CachedImages {
+			targets[image.Name] = append(targets[image.Name], consolidationTarget{b, machine})
 		}
 	}
 	return targets
@@ -87,14 +87,14 @@
 func (l *leader) consolidationSources(bins []*provisioning.Bin) []*cluster.Machine {
 	var sources []*cluster.Machine
 	for _, b := range bins {
-		m := l.Machines[b.Machine]
-		if m != nil && l.usable(m) && !b.Used && l.core.now-m.CreatedAt > minBilledTime && m.RunsReplicasOnly() {
-			sources = append(sources, m)
+		machine := l.Machines[b.Machine]
+		if machine != nil && l.usable(machine) && !b.Used && l.core.now-machine.CreatedAt > minBilledTime && machine.RunsReplicasOnly() {
+			sources = append(sources, machine)
 		}
 	}
-	for _, m := range l.MachinesByName {
-		if m.DrainReason != "" && !m.Evicting && !m.Returning && m.RunsReplicasOnly() {
-			sources = append(sources, m)
+	for _, machine := range l.MachinesByName {
+		if machine.DrainReason != "" && !machine.Evicting && !machine.Returning && machine.RunsReplicasOnly() {
+			sources = append(sources, machine)
 		}
 	}
 	sort.SliceStable(sources, func(i, j int) bool { return l.consolidatesBefore(sources[i], sources[j]) })
@@ -113,12 +113,12 @@
 }
 
 // evacuate moves a machine's replicas to others, given in their order.
-func (l *leader) evacuate(m *cluster.Machine, destinations []*cluster.Machine) {
-	for i, replica := range m.Placements {
+func (l *leader) evacuate(machine *cluster.Machine, destinations []*cluster.Machine) {
+	for i, replica := range machine.Placements {
 		replica.Job.ReschedulingTargets[replica.Index] = destinations[i]
 	}
-	l.cordon(m, cluster.DrainConsolidated)
-	m.Evicting = true
+	l.cordon(machine, cluster.DrainConsolidated)
+	machine.Evicting = true
 }
 
 // consolidationInterval is the time between two machines that are emptied.
@@ -211,8 +211,8 @@
 
 // mayMoveTo reports whether a replica of a job may move to a target, if it fits there.
 func (p *consolidation) mayMoveTo(job *cluster.Job, target consolidationTarget) bool {
-	m := target.machine
-	return m != p.source && scheduler.AllowsMachine(job, m) && !p.leader.outliers.HasFailures(m.Name) && !p.returnedSoon(target)
+	machine := target.machine
+	return machine != p.source && scheduler.AllowsMachine(job, machine) && !p.leader.outliers.HasFailures(machine.Name) && !p.returnedSoon(target)
 }
 
 // zoneCapacity is how many more replicas of a job may move to a zone within its bound.
@@ -228,7 +228,7 @@
 // source: it is about to be returned itself. After a job's end replicas once moved from a machine
 // that ran well to one that the job had left empty.
 func (p *consolidation) returnedSoon(target consolidationTarget) bool {
-	m := target.machine
-	idle := !target.Used && len(m.Placements) == 0
-	return idle && p.source.DrainReason == "" && p.leader.machinePrice(m) >= p.leader.machinePrice(p.source)
+	machine := target.machine
+	idle := !target.Used && len(machine.Placements) == 0
+	return idle && p.source.DrainReason == "" && p.leader.machinePrice(machine) >= p.leader.machinePrice(p.source)
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -20,12 +20,12 @@
 // newLeadingHarness makes a harness whose controller leads and has loaded its records.
 func newLeadingHarness(t *testing.T, change func(*config.Settings)) (*harness, *leader) {
 	t.Helper()
-	b := newHarness(t, testMachineTypes)
-	change(b.core.settings)
-	b.write(election.KeyTerm, "", []byte("5"))
-	l := b.lead()
-	l.recordsLoaded = true
-	return b, l
+	harness := newHarness(t, testMachineTypes)
+	change(harness.core.settings)
+	harness.write(election.KeyTerm, "", []byte("5"))
+	leader := harness.lead()
+	leader.recordsLoaded = true
+	return harness, leader
 }
 
 // addRecord writes a job's open record and tells the leader of it.
@@ -193,10 +193,10 @@
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
 	job := leader.Jobs["job-1"]
 	for i := range job.TaskStates[:60] {
-		m := leader.machineNamed(fmt.Sprintf("n-%06d", i))
+		machine := leader.machineNamed(fmt.Sprintf("n-%06d", i))
 		job.TaskStates[i] = cluster.Task{Attempt: uint64(i + 1), Zone: "a", Incarnation: 1, PlacedThisTerm: true}
 		job.NextAttempt = uint64(i + 2)
-		leader.place(job, i, m)
+		leader.place(job, i, machine)
 		leader.writer.MarkPlacement(job, i)
 	}
 	harness.run(1e9)
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -66,9 +66,9 @@
 }
 
 // recordGraph makes the jobs of a graph known to a leader, with estimates that differ.
-func recordGraph(b *harness, l *leader, g *graph) {
+func recordGraph(harness *harness, leader *leader, g *graph) {
 	for n, id := range g.order {
-		addRecord(b, l, wire.Job{ID: id, Dependencies: g.dependencies[id]}, func(r *records.Open) { r.Job.EstimatedRunS = float64(1 + n%3) })
+		addRecord(harness, leader, wire.Job{ID: id, Dependencies: g.dependencies[id]}, func(r *records.Open) { r.Job.EstimatedRunS = float64(1 + n%3) })
 	}
 }
 
@@ -79,35 +79,35 @@
 	due := 1e6
 	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, func(*config.Settings) {})
-			recordGraph(b, l, g)
-			before := l.dependencies.Steps()
+			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+			recordGraph(harness, leader, g)
+			before := leader.dependencies.Steps()
 			if most := 20 * (len(g.order) + g.edges()); before > most {
 				t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", before, len(g.order), g.edges(), most)
 			}
 			tail := g.order[len(g.order)-1]
-			addRecord(b, l, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) {
+			addRecord(harness, leader, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) {
 				r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
 			})
-			want := wantInherited(b, l, g, tail, due)
+			want := wantInherited(harness, leader, g, tail, due)
 			for _, id := range g.order {
-				j := l.Jobs[id]
+				job := leader.Jobs[id]
 				deadline, inherits := want[id]
-				if inherits != (j.Level == cluster.PriorityLevel[wire.PriorityUrgent]) || inherits && math.Abs(j.Deadline-deadline) > 1e-3 {
-					t.Fatalf("%s: level %d, deadline %f, want %v %f", id, j.Level, j.Deadline, inherits, deadline)
+				if inherits != (job.Level == cluster.PriorityLevel[wire.PriorityUrgent]) || inherits && math.Abs(job.Deadline-deadline) > 1e-3 {
+					t.Fatalf("%s: level %d, deadline %f, want %v %f", id, job.Level, job.Deadline, inherits, deadline)
 				}
 			}
-			if steps, most := l.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
+			if steps, most := leader.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("inheritance took %d steps, want at most %d", steps, most)
 			}
-			before = l.dependencies.Steps()
-			addRecord(b, l, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
+			before = leader.dependencies.Steps()
+			addRecord(harness, leader, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
 			for _, id := range g.order {
-				if j := l.Jobs[id]; j.Level != 0 || !math.IsInf(j.Deadline, 1) {
-					t.Fatalf("%s without the dependent: level %d, deadline %f", id, j.Level, j.Deadline)
+				if job := leader.Jobs[id]; job.Level != 0 || !math.IsInf(job.Deadline, 1) {
+					t.Fatalf("%s without the dependent: level %d, deadline %f", id, job.Level, job.Deadline)
 				}
 			}
-			if steps, most := l.dependencies.Steps()-before, 5*(len(g.order)+g.edges()); steps > most {
+			if steps, most := leader.dependencies.Steps()-before, 5*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("to take it back took %d steps, want at most %d", steps, most)
 			}
 		})
@@ -115,15 +115,15 @@
 }
 
 // wantInherited works out the deadlines that the dependencies of a job inherit.
-func wantInherited(b *harness, l *leader, g *graph, tail string, due float64) map[string]float64 {
-	want := map[string]float64{tail: float64(b.core.wallClockMS)/1000 + due - 20}
+func wantInherited(harness *harness, leader *leader, g *graph, tail string, due float64) map[string]float64 {
+	want := map[string]float64{tail: float64(harness.core.wallClockMS)/1000 + due - 20}
 	for n := len(g.order) - 1; n >= 0; n-- {
 		id := g.order[n]
 		deadline, ok := want[id]
 		if !ok {
 			continue
 		}
-		start := deadline - l.Jobs[id].EstimatedRunS
+		start := deadline - leader.Jobs[id].EstimatedRunS
 		for _, dependency := range g.dependencies[id] {
 			if earliest, ok := want[dependency]; !ok || start < earliest {
 				want[dependency] = start
@@ -153,41 +153,41 @@
 }
 
 // cancelUnderLeader makes a cancellation known to a leader.
-func cancelUnderLeader(b *harness, l *leader, job string) *leader {
-	addRecord(b, l, wire.Job{ID: job}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
-	return l
+func cancelUnderLeader(harness *harness, leader *leader, job string) *leader {
+	addRecord(harness, leader, wire.Job{ID: job}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
+	return leader
 }
 
 // testCancelCost cancels the root of a graph; cancel returns the leader that has to deal with it.
-func testCancelCost(t *testing.T, g *graph, maxWrites int, cancel func(b *harness, l *leader, job string) *leader) {
+func testCancelCost(t *testing.T, g *graph, maxWrites int, cancel func(harness *harness, current *leader, job string) *leader) {
 	t.Helper()
-	b, l := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites} })
-	recordGraph(b, l, g)
+	harness, current := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites} })
+	recordGraph(harness, current, g)
 	root := g.order[0]
 	cancelled := g.withDependents(root)
-	b.afterCommit = func() {
-		if !b.hasEnded(root) {
+	harness.afterCommit = func() {
+		if !harness.hasEnded(root) {
 			return
 		}
 		for id := range cancelled {
-			if !b.hasEnded(id) {
+			if !harness.hasEnded(id) {
 				t.Fatalf("%s has ended before %s", root, id)
 			}
 		}
 	}
-	b.commits = nil
-	stepsBefore := map[*leader]int{l: l.dependencies.Steps()} // a new leader begins with none
-	l = cancel(b, l, root)
-	b.run(5 * time.Second)
+	harness.commits = nil
+	stepsBefore := map[*leader]int{current: current.dependencies.Steps()} // a new leader begins with none
+	current = cancel(harness, current, root)
+	harness.run(5 * time.Second)
 	for _, id := range g.order {
-		if b.hasEnded(id) != cancelled[id] {
-			t.Fatalf("%s has ended: %v, want %v", id, b.hasEnded(id), cancelled[id])
+		if harness.hasEnded(id) != cancelled[id] {
+			t.Fatalf("%s has ended: %v, want %v", id, harness.hasEnded(id), cancelled[id])
 		}
 	}
-	if ends, most := endTransactions(b), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
+	if ends, most := endTransactions(harness), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
 		t.Errorf("%d transactions for %d ends, want at most %d", ends, len(cancelled), most)
 	}
-	if steps, most := l.dependencies.Steps()-stepsBefore[l], 20*(len(g.order)+g.edges()); steps > most {
+	if steps, most := current.dependencies.Steps()-stepsBefore[current], 20*(len(g.order)+g.edges()); steps > most {
 		t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", steps, len(g.order), g.edges(), most)
 	}
 }
@@ -206,9 +206,9 @@
 }
 
 // endTransactions counts the transactions that were sent with a job's end.
-func endTransactions(b *harness) int {
+func endTransactions(harness *harness) int {
 	count := 0
-	for _, commit := range b.commits {
+	for _, commit := range harness.commits {
 		if strings.Contains(commit, `"put":"f/`) {
 			count++
 		}
@@ -218,22 +218,22 @@
 
 // nextLeader makes a new leader load the records. The job that is named, if any, is cancelled
 // before.
-func nextLeader(b *harness, old *leader, cancelled string) *leader {
+func nextLeader(harness *harness, old *leader, cancelled string) *leader {
 	old.steppedDown = true
-	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
-	b.core.leader = l
-	for _, key := range sortedKeys(b.store) {
+	leader := newLeader(harness.core, election.Leadership{Term: 5, TermVersion: harness.store[election.KeyTerm].Version, Lease: 1})
+	harness.core.leader = leader
+	for _, key := range sortedKeys(harness.store) {
 		id, open := strings.CutPrefix(key, records.PrefixOpen)
 		if !open {
 			continue
 		}
 		if id == cancelled {
-			b.requestCancellation(id, b.core.wallClockMS)
+			harness.requestCancellation(id, harness.core.wallClockMS)
 		}
-		l.applyOpenRecord(id, b.store[key].Version, b.openRecord(id))
+		leader.applyOpenRecord(id, harness.store[key].Version, harness.openRecord(id))
 	}
-	l.takeUpWork()
-	return l
+	leader.takeUpWork()
+	return leader
 }
 
 // TestEndsCost ends the dependencies of large graphs one by one: each end costs as much as it has
@@ -241,23 +241,23 @@
 func TestEndsCost(t *testing.T) {
 	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, func(*config.Settings) {})
-			recordGraph(b, l, g)
-			before := l.dependencies.Steps()
+			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+			recordGraph(harness, leader, g)
+			before := leader.dependencies.Steps()
 			for _, id := range g.order {
-				if j := l.Jobs[id]; j.Waiting && !j.DependenciesDone {
+				if j := leader.Jobs[id]; j.Waiting && !j.DependenciesDone {
 					t.Fatalf("%s still waits though its dependencies are done", id)
 				}
-				j := l.Jobs[id]
+				j := leader.Jobs[id]
 				j.Waiting, j.DependenciesDone = false, false // as when its record says that it goes on
-				l.dependencies.DropDependencies(id)
-				delete(l.Jobs, id)
-				l.dependencyEnded(id, wire.StatusDone)
+				leader.dependencies.DropDependencies(id)
+				delete(leader.Jobs, id)
+				leader.dependencyEnded(id, wire.StatusDone)
 			}
-			if steps, most := l.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
+			if steps, most := leader.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("%d steps, want at most %d", steps, most)
 			}
-			if !l.dependencies.Empty() {
+			if !leader.dependencies.Empty() {
 				t.Error("the graph is not empty")
 			}
 		})
@@ -275,33 +275,33 @@
 		"done, then a failure": func(carryOut func() int) int { carryOut(); return 503 },
 	} {
 		t.Run(name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, func(*config.Settings) {})
+			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			g := &graph{}
 			last := g.add("job-1000")
 			for n := range 40 {
 				last = g.add(fmt.Sprintf("job-%d", 1001+n), last)
 			}
-			recordGraph(b, l, g)
+			recordGraph(harness, leader, g)
 			sent := 0
-			b.intercept = func(_ *wire.Txn, carryOut func() int) int {
+			harness.intercept = func(_ *wire.Txn, carryOut func() int) int {
 				if sent++; sent%3 != 0 {
 					return answer(carryOut)
 				}
 				return carryOut()
 			}
-			b.afterCommit = func() {
+			harness.afterCommit = func() {
 				for id, dependencies := range g.dependencies {
 					for _, dependency := range dependencies {
-						if b.hasEnded(dependency) && !b.hasEnded(id) {
+						if harness.hasEnded(dependency) && !harness.hasEnded(id) {
 							t.Fatalf("%s has ended before %s", dependency, id)
 						}
 					}
 				}
 			}
-			addRecord(b, l, wire.Job{ID: "job-1000"}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, b.core.wallClockMS })
-			b.run(30 * time.Second)
+			addRecord(harness, leader, wire.Job{ID: "job-1000"}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
+			harness.run(30 * time.Second)
 			for _, id := range g.order {
-				if !b.hasEnded(id) {
+				if !harness.hasEnded(id) {
 					t.Fatalf("%s has not ended", id)
 				}
 			}
@@ -311,13 +311,13 @@
 
 // twoControllers are two controllers at one store: the first leads and the other only serves
 // users.
-func twoControllers(t *testing.T) (b *harness, l *leader, other *harness) {
+func twoControllers(t *testing.T) (harness *harness, leader *leader, other *harness) {
 	t.Helper()
-	b, l = newLeadingHarness(t, func(*config.Settings) {})
+	harness, leader = newLeadingHarness(t, func(*config.Settings) {})
 	other = newHarness(t, testMachineTypes)
 	other.core.settings.Name = "n1"
-	other.store, other.revision = b.store, b.revision
-	return b, l, other
+	other.store, other.revision = harness.store, harness.revision
+	return harness, leader, other
 }
 
 // syncRevision lets one controller see what another has written.
@@ -329,28 +329,28 @@
 func TestAcceptanceRaces(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		happen func(b *harness)
+		happen func(harness *harness)
 		status wire.JobState // of the answer
 		// dependencies are those on record; "-" for no open record.
 		dependencies string
 	}{
-		{"done", func(b *harness) {
-			b.write(records.FinalKey(jobID(1)), records.OpenKey(jobID(1)), []byte(`{"s":"done","n":1}`))
+		{"done", func(harness *harness) {
+			harness.write(records.FinalKey(jobID(1)), records.OpenKey(jobID(1)), []byte(`{"s":"done","n":1}`))
 		}, "pending", ""},
-		{"cancelled and ended", func(b *harness) {
-			b.write(records.FinalKey(jobID(1)), records.OpenKey(jobID(1)), []byte(`{"s":"withdrawn","n":1}`))
+		{"cancelled and ended", func(harness *harness) {
+			harness.write(records.FinalKey(jobID(1)), records.OpenKey(jobID(1)), []byte(`{"s":"withdrawn","n":1}`))
 		}, "withdrawn", "-"},
-		{"being cancelled", func(b *harness) { b.requestCancellation(jobID(1), 1) }, "withdrawn", "-"},
-		{"written for another reason", func(b *harness) {
-			b.write(records.OpenKey(jobID(1)), "", b.store[records.OpenKey(jobID(1))].Value)
+		{"being cancelled", func(harness *harness) { harness.requestCancellation(jobID(1), 1) }, "withdrawn", "-"},
+		{"written for another reason", func(harness *harness) {
+			harness.write(records.OpenKey(jobID(1)), "", harness.store[records.OpenKey(jobID(1))].Value)
 		}, "pending", jobID(1)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, _, other := twoControllers(t)
-			if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
+			harness, _, other := twoControllers(t)
+			if a := harness.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
 				t.Fatalf("%d %s", a.Status, a.Body)
 			}
-			syncRevision(other, b)
+			syncRevision(other, harness)
 			happened := false
 			other.intercept = func(txn *wire.Txn, carryOut func() int) int {
 				if !happened && len(txn.Writes) > 0 {
@@ -368,12 +368,12 @@
 			if !happened {
 				t.Fatal("nothing was written")
 			}
-			syncRevision(b, other)
-			if a := b.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
+			syncRevision(harness, other)
+			if a := harness.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
 				t.Errorf("the repeat elsewhere is answered %d %s", a.Status, a.Body)
 			}
-			_, open := b.store[records.OpenKey(jobID(2))]
-			got := strings.Join(b.openRecord(jobID(2)).Job.Dependencies, ",")
+			_, open := harness.store[records.OpenKey(jobID(2))]
+			got := strings.Join(harness.openRecord(jobID(2)).Job.Dependencies, ",")
 			if open != (tc.dependencies != "-") || open && got != tc.dependencies {
 				t.Errorf("open %v, dependencies %q", open, got)
 			}
@@ -386,35 +386,35 @@
 func TestEndRacesAcceptance(t *testing.T) {
 	for name, cancelled := range map[string]bool{"done": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
-			b, l, other := twoControllers(t)
-			addRecord(b, l, wire.Job{ID: jobID(1)}, nil)
-			syncRevision(other, b)
+			harness, leader, other := twoControllers(t)
+			addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
+			syncRevision(other, harness)
 			accepted := false
-			b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+			harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 				if !accepted && len(txn.Writes) > 0 {
 					accepted = true
-					syncRevision(other, b)
+					syncRevision(other, harness)
 					if a := other.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 201 {
 						t.Fatalf("%d %s", a.Status, a.Body)
 					}
-					syncRevision(b, other)
+					syncRevision(harness, other)
 				}
 				return carryOut()
 			}
 			if cancelled {
-				b.step(Request{ID: 999, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
+				harness.step(Request{ID: 999, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
 			} else {
-				l.markDone(l.Jobs[jobID(1)], 0)
+				leader.markDone(leader.Jobs[jobID(1)], 0)
 			}
-			b.run(time.Second)
-			if item := b.store[records.OpenKey(jobID(2))]; item.Key != "" { // by the watch
-				l.applyOpenRecord(jobID(2), item.Version, b.openRecord(jobID(2)))
+			harness.run(time.Second)
+			if item := harness.store[records.OpenKey(jobID(2))]; item.Key != "" { // by the watch
+				leader.applyOpenRecord(jobID(2), item.Version, harness.openRecord(jobID(2)))
 			}
-			b.run(3 * time.Second)
-			switch dependent := l.Jobs[jobID(2)]; {
-			case !accepted || !b.hasEnded(jobID(1)):
-				t.Errorf("accepted %v, the first has ended: %v", accepted, b.hasEnded(jobID(1)))
-			case cancelled && !b.hasEnded(jobID(2)):
+			harness.run(3 * time.Second)
+			switch dependent := leader.Jobs[jobID(2)]; {
+			case !accepted || !harness.hasEnded(jobID(1)):
+				t.Errorf("accepted %v, the first has ended: %v", accepted, harness.hasEnded(jobID(1)))
+			case cancelled && !harness.hasEnded(jobID(2)):
 				t.Error("the dependent has not ended")
 			case !cancelled && (dependent == nil || dependent.Waiting):
 				t.Error("the dependent does not go on")
@@ -424,31 +424,31 @@
 }
 
 // runInStep runs a function as an input of the core, so that its calls are sent.
-func runInStep(b *harness, f func()) {
-	b.core.nextCall++
-	b.core.pendingCalls[b.core.nextCall] = func(Result) { f() }
-	b.step(Result{ID: b.core.nextCall})
+func runInStep(harness *harness, f func()) {
+	harness.core.nextCall++
+	harness.core.pendingCalls[harness.core.nextCall] = func(Result) { f() }
+	harness.step(Result{ID: harness.core.nextCall})
 }
 
 // TestAwaitsLongOver has dependencies that ended long ago: of these only the final record is left,
 // and no controller remembers it.
 func TestAwaitsLongOver(t *testing.T) {
-	b, l := newLeadingHarness(t, func(*config.Settings) {})
-	b.write(records.FinalKey(jobID(1)), "", []byte(`{"s":"done","n":1}`))
-	b.write(records.FinalKey(jobID(2)), "", []byte(`{"s":"withdrawn","n":1}`))
+	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	harness.write(records.FinalKey(jobID(1)), "", []byte(`{"s":"done","n":1}`))
+	harness.write(records.FinalKey(jobID(2)), "", []byte(`{"s":"withdrawn","n":1}`))
 	// A record that names them was written before they ended, and the leader that recorded their
 	// ends is gone.
-	runInStep(b, func() {
-		addRecord(b, l, wire.Job{ID: jobID(3), Dependencies: []string{jobID(1)}}, nil)
-		addRecord(b, l, wire.Job{ID: jobID(4), Dependencies: []string{jobID(1), jobID(2)}}, nil)
-		addRecord(b, l, wire.Job{ID: jobID(5), Dependencies: []string{jobID(4), jobID(3)}}, nil)
+	runInStep(harness, func() {
+		addRecord(harness, leader, wire.Job{ID: jobID(3), Dependencies: []string{jobID(1)}}, nil)
+		addRecord(harness, leader, wire.Job{ID: jobID(4), Dependencies: []string{jobID(1), jobID(2)}}, nil)
+		addRecord(harness, leader, wire.Job{ID: jobID(5), Dependencies: []string{jobID(4), jobID(3)}}, nil)
 	})
-	b.run(3 * time.Second)
-	if l.Jobs[jobID(3)].Waiting {
+	harness.run(3 * time.Second)
+	if leader.Jobs[jobID(3)].Waiting {
 		t.Error("a job whose dependency is done waits")
 	}
 	for _, n := range []int{4, 5} {
-		if !strings.Contains(string(b.store[records.FinalKey(jobID(n))].Value), "withdrawn") {
+		if !strings.Contains(string(harness.store[records.FinalKey(jobID(n))].Value), "withdrawn") {
 			t.Errorf("%s is not cancelled with its dependency", jobID(n))
 		}
 	}
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -29,22 +29,22 @@
 func jsonNames(names []string) string { return string(kv.Encode(names)) }
 
 // openJobs puts open jobs on record and returns their names.
-func openJobs(b *harness, count int) []string {
+func openJobs(harness *harness, count int) []string {
 	var names []string
 	for n := range count {
-		rec := records.Open{SubmittedAt: b.core.wallClockMS, Job: wire.Job{
+		rec := records.Open{SubmittedAt: harness.core.wallClockMS, Job: wire.Job{
 			ID: jobID(1000 + n), Class: "c", Team: "vision", Shape: wire.ShapeArray,
 			Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1,
 		}}
-		b.write(records.OpenKey(rec.Job.ID), "", kv.Encode(rec))
+		harness.write(records.OpenKey(rec.Job.ID), "", kv.Encode(rec))
 		names = append(names, rec.Job.ID)
 	}
 	return names
 }
 
 // listKeys are the keys of the list records that exist.
-func (b *harness) listKeys() (keys []string) {
-	for _, key := range sortedKeys(b.store) {
+func (h *harness) listKeys() (keys []string) {
+	for _, key := range sortedKeys(h.store) {
 		if strings.HasPrefix(key, records.PrefixDependencyList) {
 			keys = append(keys, key)
 		}
@@ -53,24 +53,24 @@
 }
 
 // requestWithRetry repeats a submission as users do, until it is accepted.
-func (b *harness) requestWithRetry(text string) Answer {
+func (h *harness) requestWithRetry(text string) Answer {
 	var a Answer
 	for range 20 {
-		if a = b.request("POST", "/submissions", text); a.Status != 503 {
+		if a = h.request("POST", "/submissions", text); a.Status != 503 {
 			return a
 		}
-		b.run(time.Second)
+		h.run(time.Second)
 	}
 	return a
 }
 
 // submitLongList submits a job with longListLength dependencies.
-func submitLongList(t *testing.T, b *harness) (id string, names []string) {
+func submitLongList(t *testing.T, harness *harness) (id string, names []string) {
 	t.Helper()
-	smallLimits(b.core.settings)
-	names = openJobs(b, longListLength)
+	smallLimits(harness.core.settings)
+	names = openJobs(harness, longListLength)
 	id = jobID(9)
-	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
+	if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	return id, names
@@ -79,20 +79,20 @@
 // TestLongListIsAccepted spreads a list over records within the store's limits, marks all
 // dependencies as having dependents, and recognizes a repeated submission.
 func TestLongListIsAccepted(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	id, names := submitLongList(t, b)
-	recorded := b.openRecord(id).Job.Dependencies
+	harness := newHarness(t, testMachineTypes)
+	id, names := submitLongList(t, harness)
+	recorded := harness.openRecord(id).Job.Dependencies
 	ref, ok := records.ParseDependencyListRef(recorded)
 	if !ok {
 		t.Fatalf("recorded as %q", recorded)
 	}
-	if keys := b.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.Keys()))) {
+	if keys := harness.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.Keys()))) {
 		t.Errorf("list records %q, the job refers to %q", keys, ref.Keys())
 	}
 	var got []string
 	for _, key := range ref.Keys() {
 		var record dependencylist.Record
-		if err := stdjson.Unmarshal(b.store[key].Value, &record); err != nil {
+		if err := stdjson.Unmarshal(harness.store[key].Value, &record); err != nil {
 			t.Fatal(err)
 		}
 		got = append(got, record.Names...)
@@ -100,21 +100,21 @@
 	if !slices.Equal(got, names) {
 		t.Errorf("%d names on record, want %d", len(got), len(names))
 	}
-	for key, item := range b.store {
+	for key, item := range harness.store {
 		if len(item.Value) > 2<<10 {
 			t.Errorf("%s has %d bytes", key, len(item.Value))
 		}
 	}
 	for _, name := range names {
-		if !strings.Contains(string(b.store[records.OpenKey(name)].Value), `"nd":true`) {
+		if !strings.Contains(string(harness.store[records.OpenKey(name)].Value), `"nd":true`) {
 			t.Fatalf("%s is not marked as having dependents", name)
 		}
 	}
-	commits := len(b.commits)
-	if a := b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 200 {
+	commits := len(harness.commits)
+	if a := harness.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 200 {
 		t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 	}
-	if len(b.listKeys()) != ref.Records || len(b.commits) > commits+2 {
+	if len(harness.listKeys()) != ref.Records || len(harness.commits) > commits+2 {
 		t.Error("the repeat writes a list of its own")
 	}
 }
@@ -128,17 +128,17 @@
 	} {
 		for lost := range 4 { // three with list records, one with the job
 			t.Run(fmt.Sprintf("transaction %d/%s", lost, name), func(t *testing.T) {
-				b := newHarness(t, testMachineTypes)
-				b.core.settings.Deployment.Store.ValueKB, b.core.settings.Deployment.Store.TxnOps = 1, 2
-				names := openJobs(b, 300)
-				answersLost := loseAnswer(b, lost, send)
-				if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
+				harness := newHarness(t, testMachineTypes)
+				harness.core.settings.Deployment.Store.ValueKB, harness.core.settings.Deployment.Store.TxnOps = 1, 2
+				names := openJobs(harness, 300)
+				answersLost := loseAnswer(harness, lost, send)
+				if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
 					t.Fatalf("answered %d %s", a.Status, a.Body)
 				}
-				recorded := b.openRecord(jobID(9)).Job.Dependencies
+				recorded := harness.openRecord(jobID(9)).Job.Dependencies
 				ref, ok := records.ParseDependencyListRef(recorded)
 				for _, key := range ref.Keys() {
-					if b.store[key].Key == "" {
+					if harness.store[key].Key == "" {
 						t.Errorf("%s is missing", key)
 					}
 				}
@@ -152,9 +152,9 @@
 
 // loseAnswer loses the answer to a transaction, counted from the first one that writes list
 // records; send carries it out or not. It returns how many answers are lost so far.
-func loseAnswer(b *harness, number int, send func(carryOut func() int)) *int {
+func loseAnswer(harness *harness, number int, send func(carryOut func() int)) *int {
 	lost, next, begun := new(int), 0, false
-	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		begun = begun || slices.ContainsFunc(txn.Writes, func(w wire.Write) bool {
 			return strings.HasPrefix(w.Put, records.PrefixDependencyList)
 		})
@@ -175,67 +175,67 @@
 // TestLongListWaitsForUpgrade asks the user to retry while a controller runs a version that cannot
 // read dependency lists, and writes none.
 func TestLongListWaitsForUpgrade(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	smallLimits(b.core.settings)
-	names := openJobs(b, 150)
-	setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
-	b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists - 1}}})
-	b.run(3 * time.Second)
+	harness := newHarness(t, testMachineTypes)
+	smallLimits(harness.core.settings)
+	names := openJobs(harness, 150)
+	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists - 1}}})
+	harness.run(3 * time.Second)
 	var a Answer
 	for range 8 {
-		a = b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names)))
-		b.run(time.Second)
+		a = harness.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names)))
+		harness.run(time.Second)
 	}
-	if a.Status != 503 || a.RetryAfter == 0 || len(b.listKeys()) > 0 {
-		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(b.listKeys()))
+	if a.Status != 503 || a.RetryAfter == 0 || len(harness.listKeys()) > 0 {
+		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(harness.listKeys()))
 	}
-	b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists}}})
-	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists}}})
+	if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Errorf("after the upgrade: %d %s", a.Status, a.Body)
 	}
 }
 
 // leadWithRecords makes the core of a harness lead, with the records in the store.
-func leadWithRecords(b *harness) *leader {
-	b.write(election.KeyTerm, "", []byte("5"))
-	l := b.lead()
-	l.loader.RetryWith(l.loader.Load)
-	b.run(time.Second)
-	return l
+func leadWithRecords(harness *harness) *leader {
+	harness.write(election.KeyTerm, "", []byte("5"))
+	leader := harness.lead()
+	leader.loader.RetryWith(leader.loader.Load)
+	harness.run(time.Second)
+	return leader
 }
 
 // recordEnd records a job's end as an earlier leader would.
-func (b *harness) recordEnd(id string, status wire.JobState) {
-	b.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
+func (h *harness) recordEnd(id string, status wire.JobState) {
+	h.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
 }
 
 // TestLongListHoldsTheJob lets a new leader read a list from its records: the job goes on when the
 // last dependency is done, no earlier, and its end deletes the list.
 func TestLongListHoldsTheJob(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	id, names := submitLongList(t, b)
+	harness := newHarness(t, testMachineTypes)
+	id, names := submitLongList(t, harness)
 	for _, name := range names[1:] {
-		b.recordEnd(name, wire.StatusDone)
-	}
-	b.core.jobCache.ForgetAllOpen()
-	l := leadWithRecords(b)
-	b.run(10 * time.Second)
-	j := l.Jobs[id]
-	if j == nil || !j.Waiting || j.Record.ReadyAt != 0 || len(j.PendingTasks()) > 0 {
-		t.Fatalf("with one job not done it does not wait: %+v", j)
-	}
-	first := l.Jobs[names[0]]
-	l.markDone(first, 0)
-	b.run(2 * time.Second)
-	if j.Waiting || len(j.PendingTasks()) == 0 {
+		harness.recordEnd(name, wire.StatusDone)
+	}
+	harness.core.jobCache.ForgetAllOpen()
+	leader := leadWithRecords(harness)
+	harness.run(10 * time.Second)
+	job := leader.Jobs[id]
+	if job == nil || !job.Waiting || job.Record.ReadyAt != 0 || len(job.PendingTasks()) > 0 {
+		t.Fatalf("with one job not done it does not wait: %+v", job)
+	}
+	first := leader.Jobs[names[0]]
+	leader.markDone(first, 0)
+	harness.run(2 * time.Second)
+	if job.Waiting || len(job.PendingTasks()) == 0 {
 		t.Fatal("with all of them done it does not go on")
 	}
-	for i := range j.TaskStates {
-		l.markDone(j, i)
+	for i := range job.TaskStates {
+		leader.markDone(job, i)
 	}
-	b.run(5 * time.Second)
-	if b.store[records.FinalKey(id)].Key == "" || len(b.listKeys()) > 0 {
-		t.Errorf("over: %v, list records left: %q", b.store[records.FinalKey(id)].Key != "", b.listKeys())
+	harness.run(5 * time.Second)
+	if harness.store[records.FinalKey(id)].Key == "" || len(harness.listKeys()) > 0 {
+		t.Errorf("over: %v, list records left: %q", harness.store[records.FinalKey(id)].Key != "", harness.listKeys())
 	}
 }
 
@@ -244,25 +244,25 @@
 func TestLongListIsCancelled(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprintf("before the leader %v", before), func(t *testing.T) {
-			b := newHarness(t, testMachineTypes)
-			id, names := submitLongList(t, b)
+			harness := newHarness(t, testMachineTypes)
+			id, names := submitLongList(t, harness)
 			last := names[len(names)-1]
-			b.afterCommit = func() {
-				if b.store[records.FinalKey(last)].Key != "" && b.store[records.OpenKey(id)].Key != "" {
+			harness.afterCommit = func() {
+				if harness.store[records.FinalKey(last)].Key != "" && harness.store[records.OpenKey(id)].Key != "" {
 					t.Error("its end is on record before that of its dependent")
 				}
 			}
 			if before {
-				b.requestCancellation(last, b.core.wallClockMS)
+				harness.requestCancellation(last, harness.core.wallClockMS)
 			}
-			l := leadWithRecords(b)
+			leader := leadWithRecords(harness)
 			if !before {
-				record := b.requestCancellation(last, b.core.wallClockMS)
-				l.applyOpenRecord(last, b.store[records.OpenKey(last)].Version, record)
+				record := harness.requestCancellation(last, harness.core.wallClockMS)
+				leader.applyOpenRecord(last, harness.store[records.OpenKey(last)].Version, record)
 			}
-			b.run(5 * time.Second)
-			if final := string(b.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) || len(b.listKeys()) > 0 {
-				t.Errorf("ended as %q, list records left: %d", final, len(b.listKeys()))
+			harness.run(5 * time.Second)
+			if final := string(harness.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) || len(harness.listKeys()) > 0 {
+				t.Errorf("ended as %q, list records left: %d", final, len(harness.listKeys()))
 			}
 		})
 	}
@@ -271,15 +271,15 @@
 // TestUnreadListHoldsEnds keeps a cancelled job with dependents from ending while a list is not
 // read that may name it.
 func TestUnreadListHoldsEnds(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	id, names := submitLongList(t, b)
-	l := leadWithRecords(b)
-	l.dependencyLists.unread[id] = noRetry
-	record := b.requestCancellation(names[0], b.core.wallClockMS)
-	l.dependencies.DropDependencies(id)
-	l.applyOpenRecord(names[0], b.store[records.OpenKey(names[0])].Version, record)
-	b.run(5 * time.Second)
-	if b.store[records.FinalKey(names[0])].Key != "" {
+	harness := newHarness(t, testMachineTypes)
+	id, names := submitLongList(t, harness)
+	leader := leadWithRecords(harness)
+	leader.dependencyLists.unread[id] = noRetry
+	record := harness.requestCancellation(names[0], harness.core.wallClockMS)
+	leader.dependencies.DropDependencies(id)
+	leader.applyOpenRecord(names[0], harness.store[records.OpenKey(names[0])].Version, record)
+	harness.run(5 * time.Second)
+	if harness.store[records.FinalKey(names[0])].Key != "" {
 		t.Error("its end is on record while a list that may name it is not read")
 	}
 }
@@ -288,33 +288,33 @@
 // that may still lead to one, nor the list of an accepted job. A transaction of such an attempt
 // that is carried out late has no effect.
 func TestAbandonedListsAreCleared(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	id, _ := submitLongList(t, b)
-	accepted := len(b.listKeys())
+	harness := newHarness(t, testMachineTypes)
+	id, _ := submitLongList(t, harness)
+	accepted := len(harness.listKeys())
 	record := func(key string, age time.Duration) {
-		b.write(key, "", kv.Encode(dependencylist.Record{StartedAtMS: b.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
+		harness.write(key, "", kv.Encode(dependencylist.Record{StartedAtMS: harness.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
 	}
 	old := time.Duration(0)
 	for _, key := range []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/10", "a/job-7/x-1/2", "a/job-7/x-1/3", "a/job-7/x-1/4", "a/job-7/x-1/5"} {
 		record(key, old)
 	}
-	first := b.store["a/job-7/x-1/0"].Version
-	record("a/job-7/x-2/0", -b.core.listCleanupInterval())
+	first := harness.store["a/job-7/x-1/0"].Version
+	record("a/job-7/x-2/0", -harness.core.listCleanupInterval())
 	record("a/job-8/y-1/3", old) // its first record is gone
-	leadWithRecords(b)
-	b.run(b.core.listCleanupInterval() + 5*time.Second)
+	leadWithRecords(harness)
+	harness.run(harness.core.listCleanupInterval() + 5*time.Second)
 	var left []string
-	for _, key := range b.listKeys() {
+	for _, key := range harness.listKeys() {
 		if !strings.HasPrefix(key, records.PrefixDependencyList+id+"/") {
 			left = append(left, key)
 		}
 	}
-	if !slices.Equal(left, []string{"a/job-7/x-2/0"}) || len(b.listKeys()) != accepted+1 {
-		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(b.listKeys())-len(left), accepted)
+	if !slices.Equal(left, []string{"a/job-7/x-2/0"}) || len(harness.listKeys()) != accepted+1 {
+		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(harness.listKeys())-len(left), accepted)
 	}
 	list := dependencylist.NewWriter("job-7", "x-1", make([]dependencylist.Record, 12))
 	list.Committed(list.NextTxn(11), first)
-	if status, _ := b.commit(kv.Encode(list.NextTxn(5))); status != 409 {
+	if status, _ := harness.commit(kv.Encode(list.NextTxn(5))); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
 	}
 }
@@ -322,11 +322,11 @@
 // TestLateAcceptanceOfAbandonedList delays the transaction that accepts a job until its list
 // is deleted as abandoned: it is not carried out then, or the job would lack its list.
 func TestLateAcceptanceOfAbandonedList(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	smallLimits(b.core.settings)
-	names := openJobs(b, longListLength)
+	harness := newHarness(t, testMachineTypes)
+	smallLimits(harness.core.settings)
+	names := openJobs(harness, longListLength)
 	var acceptance []byte
-	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		for _, w := range txn.Writes {
 			if w.Put == records.OpenKey(jobID(9)) {
 				acceptance = kv.Encode(txn)
@@ -336,23 +336,23 @@
 		return carryOut()
 	}
 	for range 20 {
-		if a := b.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 503 {
+		if a := harness.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 503 {
 			t.Fatalf("answered %d %s", a.Status, a.Body)
 		}
 		if acceptance != nil {
 			break
 		}
-		b.run(time.Second)
+		harness.run(time.Second)
 	}
-	if acceptance == nil || len(b.listKeys()) == 0 {
+	if acceptance == nil || len(harness.listKeys()) == 0 {
 		t.Fatal("no acceptance with a list was sent")
 	}
-	leadWithRecords(b)
-	b.run(b.core.listCleanupInterval() + b.core.abandonedListAge())
-	if left := b.listKeys(); len(left) != 0 {
+	leadWithRecords(harness)
+	harness.run(harness.core.listCleanupInterval() + harness.core.abandonedListAge())
+	if left := harness.listKeys(); len(left) != 0 {
 		t.Fatalf("left: %q", left)
 	}
-	if status, _ := b.commit(acceptance); status != 409 {
+	if status, _ := harness.commit(acceptance); status != 409 {
 		t.Errorf("a late acceptance is answered %d, want 409", status)
 	}
 }
@@ -360,23 +360,23 @@
 // TestClearingIsConditional deletes by a listing that is out of date: a job has been accepted
 // since, or the first record of an attempt written. Neither loses a record.
 func TestClearingIsConditional(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	l := leadWithRecords(b)
+	harness := newHarness(t, testMachineTypes)
+	leader := leadWithRecords(harness)
 	accepted, begun := "a/job-7/x-1/", "a/job-8/y-1/"
 	for _, prefix := range []string{accepted, begun} {
 		for _, n := range []string{"0", "1"} {
-			b.write(prefix+n, "", kv.Encode(dependencylist.Record{Names: []string{jobID(1000)}}))
+			harness.write(prefix+n, "", kv.Encode(dependencylist.Record{Names: []string{jobID(1000)}}))
 		}
 	}
-	b.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
-	l.loader.RetryWith(func() {
-		l.deleteAbandonedLists([]dependencylist.Attempt{
-			{Ref: records.DependencyListRef{Prefix: accepted}, Job: "job-7", FirstVersion: b.store[accepted+"0"].Version, Keys: []string{accepted + "0", accepted + "1"}},
+	harness.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
+	leader.loader.RetryWith(func() {
+		leader.deleteAbandonedLists([]dependencylist.Attempt{
+			{Ref: records.DependencyListRef{Prefix: accepted}, Job: "job-7", FirstVersion: harness.store[accepted+"0"].Version, Keys: []string{accepted + "0", accepted + "1"}},
 			{Ref: records.DependencyListRef{Prefix: begun}, Job: "job-8", Keys: []string{begun + "1"}},
 		})
 	})
-	b.run(time.Second)
-	if keys := b.listKeys(); len(keys) != 4 {
+	harness.run(time.Second)
+	if keys := harness.listKeys(); len(keys) != 4 {
 		t.Errorf("left: %q", keys)
 	}
 }
@@ -384,13 +384,13 @@
 // TestManyUnknownNames looks up the jobs of a long list, none of which the controller remembers,
 // without taking all room for users' queries.
 func TestManyUnknownNames(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	names := openJobs(b, longListLength)
-	b.core.settings.Deployment.MachineLimits.MaxConnections = 40
-	b.core.jobCache.ForgetAllOpen()
+	harness := newHarness(t, testMachineTypes)
+	names := openJobs(harness, longListLength)
+	harness.core.settings.Deployment.MachineLimits.MaxConnections = 40
+	harness.core.jobCache.ForgetAllOpen()
 	longest := 0
-	b.afterStep = func() { longest = max(longest, b.core.frontEnd.WaitingLookups()) }
-	if a := b.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
+	harness.afterStep = func() { longest = max(longest, harness.core.frontEnd.WaitingLookups()) }
+	if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	if longest > 20 {
--- a/internal/core/dependent_plan.go
+++ b/internal/core/dependent_plan.go
@@ -50,13 +50,13 @@
 	estimate := l.runEstimate(job)
 	longest := 0.0
 	for i := range job.TaskStates {
-		t := &job.TaskStates[i]
-		if t.Done {
+		task := &job.TaskStates[i]
+		if task.Done {
 			continue
 		}
 		remaining := estimate
-		if t.RunningSince != 0 {
-			remaining -= (l.core.now - t.RunningSince).Seconds()
+		if task.RunningSince != 0 {
+			remaining -= (l.core.now - task.RunningSince).Seconds()
 		}
 		longest = max(longest, remaining)
 	}
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -21,69 +21,73 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		change func(l *leader, dependency, waiting *cluster.Job)
+		change func(leader *leader, dependency, waiting *cluster.Job)
 		want   []provisioning.Shortfall
 	}{
 		{
 			name:   "the dependency ends while a machine boots",
-			change: func(l *leader, dependency, waiting *cluster.Job) {},
+			change: func(leader *leader, dependency, waiting *cluster.Job) {},
 			want:   []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:   "it runs for longer",
-			change: func(l *leader, dependency, waiting *cluster.Job) { dependency.EstimatedRunS = 300 },
+			change: func(leader *leader, dependency, waiting *cluster.Job) { dependency.EstimatedRunS = 300 },
 		},
 		{
 			name: "most of a long run is over",
-			change: func(l *leader, dependency, waiting *cluster.Job) {
+			change: func(leader *leader, dependency, waiting *cluster.Job) {
 				dependency.EstimatedRunS = 300
-				dependency.TaskStates[0].RunningSince = l.core.now - 280*time.Second
+				dependency.TaskStates[0].RunningSince = leader.core.now - 280*time.Second
 			},
 			want: []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:   "it has no machine itself",
-			change: func(l *leader, dependency, waiting *cluster.Job) { dependency.TasksPlaced = 0 },
+			change: func(leader *leader, dependency, waiting *cluster.Job) { dependency.TasksPlaced = 0 },
 		},
 		{
 			name: "it waits for another job",
-			change: func(l *leader, dependency, waiting *cluster.Job) {
+			change: func(leader *leader, dependency, waiting *cluster.Job) {
 				dependency.Waiting = true
-				l.dependencies.Add(dependency.ID, []string{"job-3"})
+				leader.dependencies.Add(dependency.ID, []string{"job-3"})
 			},
 		},
 		{
-			name:   "one of two dependencies has no machine",
-			change: func(l *leader, dependency, waiting *cluster.Job) { l.dependencies.Add(waiting.ID, []string{"job-3"}) },
+			name: "one of two dependencies has no machine",
+			change: func(leader *leader, dependency, waiting *cluster.Job) {
+				leader.dependencies.Add(waiting.ID, []string{"job-3"})
+			},
 		},
 		{
 			name:   "the job is cancelled",
-			change: func(l *leader, dependency, waiting *cluster.Job) { waiting.Cancellation.Request(0) },
+			change: func(leader *leader, dependency, waiting *cluster.Job) { waiting.Cancellation.Request(0) },
 		},
 		{
 			name:   "the team's limit",
-			change: func(l *leader, dependency, waiting *cluster.Job) { l.core.team("vision").CPUsMax = 4 },
+			change: func(leader *leader, dependency, waiting *cluster.Job) { leader.core.team("vision").CPUsMax = 4 },
 			want:   large(1),
 		},
 		{
-			name:   "the operators' bound on machines provisioned in advance",
-			change: func(l *leader, dependency, waiting *cluster.Job) { l.core.operatorSettings.WarmMachines = &one },
-			want:   large(1),
+			name: "the operators' bound on machines provisioned in advance",
+			change: func(leader *leader, dependency, waiting *cluster.Job) {
+				leader.core.operatorSettings.WarmMachines = &one
+			},
+			want: large(1),
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
+			leader := newForecastLeader(t)
 			dependency, waiting := dependentJob("job-1", 1), dependentJob("job-2", 3)
-			dependency.TasksPlaced, dependency.TaskStates[0].RunningSince = 1, l.core.now
+			dependency.TasksPlaced, dependency.TaskStates[0].RunningSince = 1, leader.core.now
 			waiting.Waiting = true
 			other := dependentJob("job-3", 1)
-			l.JobsBySubmission = []*cluster.Job{dependency, waiting, other}
-			for _, j := range l.JobsBySubmission {
-				l.Jobs[j.ID] = j
+			leader.JobsBySubmission = []*cluster.Job{dependency, waiting, other}
+			for _, j := range leader.JobsBySubmission {
+				leader.Jobs[j.ID] = j
 			}
-			l.dependencies.Add(waiting.ID, []string{dependency.ID})
-			tc.change(l, dependency, waiting)
-			p := newScaleOutPlan(l)
+			leader.dependencies.Add(waiting.ID, []string{dependency.ID})
+			tc.change(leader, dependency, waiting)
+			p := newScaleOutPlan(leader)
 			p.packDependents(map[string]topology.Resources{})
 			if got := shortfallsWithoutPurpose(p); !slices.Equal(got, tc.want) {
 				t.Errorf("provisions %v, want %v", got, tc.want)
@@ -95,10 +99,10 @@
 // dependentJob is a job whose tasks fill half of a large machine each and run for
 // as long as it takes to boot.
 func dependentJob(id string, tasks int) *cluster.Job {
-	j := cluster.NewJob(records.Open{Job: wire.Job{
+	job := cluster.NewJob(records.Open{Job: wire.Job{
 		ID: id, Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 		CPUs: 2, MemGB: 1, EstimatedRunS: 60, Tasks: tasks,
 	}}, 1)
-	j.Loaded = true
-	return j
+	job.Loaded = true
+	return job
 }
--- a/internal/core/expensive_machines_test.go
+++ b/internal/core/expensive_machines_test.go
@@ -13,12 +13,12 @@
 // without GPUs costs 0.1 an hour on a small machine, 0.6 on one with GPUs.
 func leaderWithExpensiveMachines(t *testing.T) *leader {
 	t.Helper()
-	_, l := bestEffortLeader(t)
-	l.core.machineTypes = map[string]*wire.MachineType{
+	_, leader := bestEffortLeader(t)
+	leader.core.machineTypes = map[string]*wire.MachineType{
 		"small": {Name: "small", CPUs: 10, MemGB: 100, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 1, SpotPrice: 0.3, Zones: []string{"a"}},
 		"g4":    {Name: "g4", CPUs: 20, GPUs: 4, MemGB: 200, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 12, SpotPrice: 3, Zones: []string{"a"}},
 	}
-	return l
+	return leader
 }
 
 func TestCheapTypes(t *testing.T) {
@@ -34,10 +34,10 @@
 		{"no type is large enough", 9, nil, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := leaderWithExpensiveMachines(t)
-			j := addArray(l, "job-1", "lab", "scan", 1, tc.gpus)
+			leader := leaderWithExpensiveMachines(t)
+			j := addArray(leader, "job-1", "lab", "scan", 1, tc.gpus)
 			j.MachineTypes = tc.types
-			if got := l.cheapTypes(&j.Job); !slices.Equal(got, tc.want) {
+			if got := leader.cheapTypes(&j.Job); !slices.Equal(got, tc.want) {
 				t.Errorf("cheap types %v, want %v", got, tc.want)
 			}
 		})
@@ -48,11 +48,11 @@
 // available: it is provisioned for the team with a guarantee alone.
 func TestBestEffortTeamsGetNoExpensiveMachine(t *testing.T) {
 	for _, team := range []string{"lab", "vision"} {
-		l := leaderWithExpensiveMachines(t)
-		refuseType(l, "small", "a")
-		addArray(l, "job-1", team, "scan", 4, 0)
-		l.planScaleOut(l.candidates(), l.refreshUsage())
-		if requests := len(l.fleet.requests.Open()); (requests > 0) != (team == "vision") {
+		leader := leaderWithExpensiveMachines(t)
+		refuseType(leader, "small", "a")
+		addArray(leader, "job-1", team, "scan", 4, 0)
+		leader.planScaleOut(leader.candidates(), leader.refreshUsage())
+		if requests := len(leader.fleet.requests.Open()); (requests > 0) != (team == "vision") {
 			t.Errorf("%d provisioning requests for team %s", requests, team)
 		}
 	}
@@ -66,39 +66,39 @@
 		name  string
 		typ   string
 		alone time.Duration // since the last other task, in leases
-		setUp func(l *leader, m *cluster.Machine)
+		setUp func(leader *leader, m *cluster.Machine)
 		want  bool
 	}{
 		{"an expensive machine", "g4", 4, nil, true},
 		{"a cheap machine", "small", 4, nil, false},
 		{"not long enough", "g4", 2, nil, false},
-		{"needed by forecast work", "g4", 4, func(l *leader, m *cluster.Machine) { l.fleet.keptIdle[m.Name] = true }, false},
-		{"a task of a team with a guarantee on it", "g4", 4, func(l *leader, m *cluster.Machine) {
-			l.bindTasks(addArray(l, "job-9", "vision", "sweep", 1, 0), []int{0}, []*cluster.Machine{m})
+		{"needed by forecast work", "g4", 4, func(leader *leader, m *cluster.Machine) { leader.fleet.keptIdle[m.Name] = true }, false},
+		{"a task of a team with a guarantee on it", "g4", 4, func(leader *leader, m *cluster.Machine) {
+			leader.bindTasks(addArray(leader, "job-9", "vision", "sweep", 1, 0), []int{0}, []*cluster.Machine{m})
 		}, false},
-		{"best-effort work beside it that fits on no cheap machine", "g4", 4, func(l *leader, m *cluster.Machine) {
-			l.bindTasks(addArray(l, "job-9", "lab", "scan", 1, 1), []int{0}, []*cluster.Machine{m})
+		{"best-effort work beside it that fits on no cheap machine", "g4", 4, func(leader *leader, m *cluster.Machine) {
+			leader.bindTasks(addArray(leader, "job-9", "lab", "scan", 1, 1), []int{0}, []*cluster.Machine{m})
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := leaderWithExpensiveMachines(t)
-			machine := idleMachine(l, "n-1", tc.typ)
+			leader := leaderWithExpensiveMachines(t)
+			machine := idleMachine(leader, "n-1", tc.typ)
 			machine.CreatedAt -= minBilledTime
-			guaranteed := addArray(l, "job-1", "vision", "sweep", 1, 0)
-			bestEffort := addArray(l, "job-2", "lab", "scan", 3, 0)
-			l.bindTasks(guaranteed, []int{0}, []*cluster.Machine{machine})
-			l.bindTasks(bestEffort, []int{0, 1, 2}, []*cluster.Machine{machine, machine, machine})
+			guaranteed := addArray(leader, "job-1", "vision", "sweep", 1, 0)
+			bestEffort := addArray(leader, "job-2", "lab", "scan", 3, 0)
+			leader.bindTasks(guaranteed, []int{0}, []*cluster.Machine{machine})
+			leader.bindTasks(bestEffort, []int{0, 1, 2}, []*cluster.Machine{machine, machine, machine})
 			for i := range bestEffort.TaskStates {
 				bestEffort.TaskStates[i].Persisted, bestEffort.TaskStates[i].StartSent = true, true
 			}
-			l.unplace(guaranteed, 0)
-			l.core.now += tc.alone * l.core.workerLease()
-			machine.LastHeartbeat = l.core.now
+			leader.unplace(guaranteed, 0)
+			leader.core.now += tc.alone * leader.core.workerLease()
+			machine.LastHeartbeat = leader.core.now
 			if tc.setUp != nil {
-				tc.setUp(l, machine)
+				tc.setUp(leader, machine)
 			}
-			l.releaseFromBestEffort(machine)
-			l.evictTasks(machine)
+			leader.releaseFromBestEffort(machine)
+			leader.evictTasks(machine)
 			if stopped := bestEffort.TaskStates[0].Stop != nil; machine.Evicting != tc.want || stopped != tc.want {
 				t.Errorf("evicting: %v, tasks stopped: %v, want %v", machine.Evicting, stopped, tc.want)
 			}
--- a/internal/core/forecast_objectives_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -29,22 +29,22 @@
 		{"no objective", nil, 1, 6, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, func(s *config.Settings) {
+			harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 				s.Deployment.Objectives = tc.objectives
 				s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 8, GPUsMax: 16}}
 			})
-			if !b.core.setMachineTypes([]byte(types)) {
+			if !harness.core.setMachineTypes([]byte(types)) {
 				t.Fatal("the machine types were not decoded")
 			}
-			addRecord(b, l, wire.Job{
+			addRecord(harness, leader, wire.Job{
 				ID: "job-1", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
 				CPUs: 1, GPUs: tc.gpus, MemGB: 1, Tasks: tc.tasks, ImageGB: 10,
 			}, nil)
-			l.fleet.requests = newFleet(&l.core.settings.Deployment, l.leadership.Term).requests
-			l.markWithinQuota()
-			l.planScaleOut(nil, map[string]topology.Resources{})
+			leader.fleet.requests = newFleet(&leader.core.settings.Deployment, leader.leadership.Term).requests
+			leader.markWithinQuota()
+			leader.planScaleOut(nil, map[string]topology.Resources{})
 			provisioned := 0.0
-			for _, request := range l.fleet.requests.Open() {
+			for _, request := range leader.fleet.requests.Open() {
 				provisioned += 8 * float64(request.Count)
 			}
 			if (provisioned > 0) != tc.want || tc.want && provisioned < 2*float64(tc.tasks) {
@@ -56,9 +56,9 @@
 
 // TestHugeArrayIsNotForecast submits a huge array: it is one event, not the size of future ones.
 func TestHugeArrayIsNotForecast(t *testing.T) {
-	b, l := newLeadingHarness(t, func(*config.Settings) {})
-	addRecord(b, l, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxTasksPerJob}, nil)
-	if size := l.arrivalsByClass["c"].JobSize(); size > forecast.MaxTasksPerJob {
+	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxTasksPerJob}, nil)
+	if size := leader.arrivalsByClass["c"].JobSize(); size > forecast.MaxTasksPerJob {
 		t.Errorf("arrays of %v tasks are forecast", size)
 	}
 }
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -19,10 +19,10 @@
 // newForecastLeader makes a leader that knows forecastTypes, 1000 s after its start.
 func newForecastLeader(t *testing.T) *leader {
 	t.Helper()
-	b := newHarness(t, testMachineTypes)
-	b.core.machineTypes = forecastTypes
-	b.core.now = 1000 * time.Second
-	return newLeader(b.core, testLeadership(5))
+	harness := newHarness(t, testMachineTypes)
+	harness.core.machineTypes = forecastTypes
+	harness.core.now = 1000 * time.Second
+	return newLeader(harness.core, testLeadership(5))
 }
 
 func TestLeadTime(t *testing.T) {
@@ -38,8 +38,8 @@
 		{"no type is large enough", wire.Job{CPUs: 5, MemGB: 1}, 0, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			usual, slow, ok := l.leadTime(&cluster.Job{Job: tc.job})
+			leader := newForecastLeader(t)
+			usual, slow, ok := leader.leadTime(&cluster.Job{Job: tc.job})
 			if ok != tc.ok || ok && (usual != tc.usual || slow != tc.slow) {
 				t.Errorf("%v s, slow %v s, %v; want %v, %v, %v", usual, slow, ok, tc.usual, tc.slow, tc.ok)
 			}
@@ -68,16 +68,16 @@
 		{"the operators' limit", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, &two, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			l.core.operatorSettings = &config.Operator{WarmMachines: tc.warm}
+			leader := newForecastLeader(t)
+			leader.core.operatorSettings = &config.Operator{WarmMachines: tc.warm}
 			arrivals := &classArrivals{lastJob: &cluster.Job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
 			for range tc.old {
-				arrivals.Record(l.core.now-forecast.Window-time.Second, l.core.now, 1, 1)
+				arrivals.Record(leader.core.now-forecast.Window-time.Second, leader.core.now, 1, 1)
 			}
 			for range tc.recent {
-				arrivals.Record(l.core.now-forecast.Window, l.core.now, 1, 1)
+				arrivals.Record(leader.core.now-forecast.Window, leader.core.now, 1, 1)
 			}
-			if got := l.expectedTasks(arrivals, tc.objective); got != tc.want {
+			if got := leader.expectedTasks(arrivals, tc.objective); got != tc.want {
 				t.Errorf("%d tasks, want %d", got, tc.want)
 			}
 		})
@@ -98,9 +98,9 @@
 		{"an old submission is out of the window", wire.ShapeService, 10, 121, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			l.recordArrival(&cluster.Job{Job: wire.Job{Class: "c", Shape: tc.shape}, TaskStates: make([]cluster.Task, tc.tasks), WaitingSinceMS: l.core.wallClockMS - tc.ageS*1000})
-			if got := l.arrivalsByClass["c"].Recent(l.core.now); got != tc.want {
+			leader := newForecastLeader(t)
+			leader.recordArrival(&cluster.Job{Job: wire.Job{Class: "c", Shape: tc.shape}, TaskStates: make([]cluster.Task, tc.tasks), WaitingSinceMS: leader.core.wallClockMS - tc.ageS*1000})
+			if got := leader.arrivalsByClass["c"].Recent(leader.core.now); got != tc.want {
 				t.Errorf("%d arrivals, want %d", got, tc.want)
 			}
 		})
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -55,60 +55,60 @@
 		Cloud:         config.CloudLimits{RPS: 8, ListLagS: 10},
 		MachineLimits: config.MachineLimits{CPU: 0.2, RAMMB: 98, MaxConnections: 800},
 	}}
-	b := &harness{
+	harness := &harness{
 		t: tb, core: New(cfg, nil, 1, nil), now: time.Second, types: types,
 		store: map[string]wire.Item{}, revision: 1, answers: map[uint64]Answer{},
 	}
-	b.run(time.Second)
-	return b
+	harness.run(time.Second)
+	return harness
 }
 
 // step feeds an input, and the result of every call that it leads to.
-func (b *harness) step(in Input) {
-	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), in)
-	if b.afterStep != nil {
-		b.afterStep()
+func (h *harness) step(in Input) {
+	out := h.core.Step(h.now, time.Unix(1e9, 0).Add(h.now), in)
+	if h.afterStep != nil {
+		h.afterStep()
 	}
 	for _, a := range out.Answers {
-		b.answers[a.ID] = a
+		h.answers[a.ID] = a
 	}
 	for _, call := range out.Calls {
-		status, body := b.answerCall(call)
-		b.step(Result{ID: call.ID, Status: status, Body: body})
+		status, body := h.answerCall(call)
+		h.step(Result{ID: call.ID, Status: status, Body: body})
 	}
 }
 
 // answerCall is the answer to a call: 404 from everything that is not there.
-func (b *harness) answerCall(call Call) (status int, body []byte) {
+func (h *harness) answerCall(call Call) (status int, body []byte) {
 	switch {
-	case call.Destination == DestinationStore && b.storeDown:
+	case call.Destination == DestinationStore && h.storeDown:
 		return 503, []byte(`{}`)
 	case call.Destination == DestinationStore:
-		return b.answerStoreCall(call)
-	case call.Destination == DestinationCloud && call.Path == "/machine_types" && b.types != "":
-		return 200, []byte(b.types)
+		return h.answerStoreCall(call)
+	case call.Destination == DestinationCloud && call.Path == "/machine_types" && h.types != "":
+		return 200, []byte(h.types)
 	default:
 		return 404, []byte(`{}`)
 	}
 }
 
 // answerStoreCall is the store's answer to a call.
-func (b *harness) answerStoreCall(call Call) (status int, body []byte) {
+func (h *harness) answerStoreCall(call Call) (status int, body []byte) {
 	switch {
 	case call.Path == "/commit":
-		b.commits = append(b.commits, string(call.Body))
-		status, body = b.commitAnswer(call.Body)
-		if b.afterCommit != nil {
-			b.afterCommit()
+		h.commits = append(h.commits, string(call.Body))
+		status, body = h.commitAnswer(call.Body)
+		if h.afterCommit != nil {
+			h.afterCommit()
 		}
 		return status, body
 	case strings.HasSuffix(call.Path, "/extend"):
 		return 200, []byte(`{}`)
 	case strings.HasPrefix(call.Path, "/store?"):
-		return 200, b.page(call.Path)
+		return 200, h.page(call.Path)
 	}
 	key, isKey := strings.CutPrefix(call.Path, "/store/")
-	if item, exists := b.store[key]; isKey && exists {
+	if item, exists := h.store[key]; isKey && exists {
 		return 200, kv.Encode(item)
 	}
 	return 404, []byte(`{}`)
@@ -116,42 +116,42 @@
 
 // lead makes the core lead under the term that is in the store, which is 5. Its lease holds, and
 // no other controller runs.
-func (b *harness) lead() *leader {
-	b.core.election.ObserveLeader(5, b.core.settings.Name)
-	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
-	b.core.leader = l
-	return l
+func (h *harness) lead() *leader {
+	h.core.election.ObserveLeader(5, h.core.settings.Name)
+	leader := newLeader(h.core, election.Leadership{Term: 5, TermVersion: h.store[election.KeyTerm].Version, Lease: 1})
+	h.core.leader = leader
+	return leader
 }
 
 // commitAnswer is the answer to a transaction, as intercept changes it.
-func (b *harness) commitAnswer(body []byte) (status int, answer []byte) {
-	if b.intercept == nil {
-		return b.commit(body)
+func (h *harness) commitAnswer(body []byte) (status int, answer []byte) {
+	if h.intercept == nil {
+		return h.commit(body)
 	}
 	var txn wire.Txn
 	if err := stdjson.Unmarshal(body, &txn); err != nil {
-		b.t.Fatalf("transaction %s: %v", body, err)
+		h.t.Fatalf("transaction %s: %v", body, err)
 	}
-	status = b.intercept(&txn, func() int {
+	status = h.intercept(&txn, func() int {
 		var carriedOut int
-		carriedOut, answer = b.commit(body)
+		carriedOut, answer = h.commit(body)
 		return carriedOut
 	})
 	return status, answer
 }
 
 // commit carries out a transaction if its conditions hold.
-func (b *harness) commit(body []byte) (int, []byte) {
+func (h *harness) commit(body []byte) (int, []byte) {
 	var txn wire.Txn
 	if err := stdjson.Unmarshal(body, &txn); err != nil {
-		b.t.Fatalf("transaction %s: %v", body, err)
+		h.t.Fatalf("transaction %s: %v", body, err)
 	}
-	if ops := b.core.settings.Deployment.Store.TxnOps; len(txn.Writes) > ops || len(txn.Conditions) > 4*ops {
-		b.t.Fatalf("a transaction of %d writes and %d conditions", len(txn.Writes), len(txn.Conditions))
+	if ops := h.core.settings.Deployment.Store.TxnOps; len(txn.Writes) > ops || len(txn.Conditions) > 4*ops {
+		h.t.Fatalf("a transaction of %d writes and %d conditions", len(txn.Writes), len(txn.Conditions))
 	}
-	tr := wire.TxnResult{Revision: b.revision}
+	tr := wire.TxnResult{Revision: h.revision}
 	for _, c := range txn.Conditions {
-		if b.store[c.Key].Version != c.Version {
+		if h.store[c.Key].Version != c.Version {
 			tr.Conflicts = append(tr.Conflicts, c.Key)
 		}
 	}
@@ -159,12 +159,12 @@
 		return 409, kv.Encode(tr)
 	}
 	// All writes of a transaction have one revision.
-	at := b.revision
+	at := h.revision
 	for _, w := range txn.Writes {
-		b.revision = at
-		b.write(w.Put, w.Delete, w.Value)
+		h.revision = at
+		h.write(w.Put, w.Delete, w.Value)
 	}
-	tr.Revision = b.revision
+	tr.Revision = h.revision
 	return 200, kv.Encode(tr)
 }
 
@@ -172,43 +172,43 @@
 const pageItems = 20
 
 // page is the answer to a listing.
-func (b *harness) page(path string) []byte {
+func (h *harness) page(path string) []byte {
 	u, err := url.Parse(path)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	page := wire.Page{Revision: b.revision}
-	for _, key := range sortedKeys(b.store) {
+	page := wire.Page{Revision: h.revision}
+	for _, key := range sortedKeys(h.store) {
 		if !strings.HasPrefix(key, u.Query().Get("under")) || key <= u.Query().Get("since") {
 			continue
 		}
 		if page.More = len(page.Items) == pageItems; page.More {
 			break
 		}
-		page.Items = append(page.Items, b.store[key])
+		page.Items = append(page.Items, h.store[key])
 	}
 	return kv.Encode(page)
 }
 
 // write changes the store as another controller would: it deletes a key and puts another one.
-func (b *harness) write(put, del string, v []byte) {
-	b.revision++
-	delete(b.store, del)
+func (h *harness) write(put, del string, v []byte) {
+	h.revision++
+	delete(h.store, del)
 	if put != "" {
-		b.store[put] = wire.Item{Key: put, Value: v, Version: b.revision}
+		h.store[put] = wire.Item{Key: put, Value: v, Version: h.revision}
 	}
 }
 
 // hasEnded reports whether a job's end is on record.
-func (b *harness) hasEnded(id string) bool { return b.store[records.FinalKey(id)].Key != "" }
+func (h *harness) hasEnded(id string) bool { return h.store[records.FinalKey(id)].Key != "" }
 
 // openRecord is the open record of a job; the zero value if there is none.
-func (b *harness) openRecord(id string) records.Open {
-	b.t.Helper()
+func (h *harness) openRecord(id string) records.Open {
+	h.t.Helper()
 	var record records.Open
-	if item, exists := b.store[records.OpenKey(id)]; exists {
+	if item, exists := h.store[records.OpenKey(id)]; exists {
 		if err := stdjson.Unmarshal(item.Value, &record); err != nil {
-			b.t.Fatalf("open record of %s: %v", id, err)
+			h.t.Fatalf("open record of %s: %v", id, err)
 		}
 	}
 	return record
@@ -216,35 +216,35 @@
 
 // requestCancellation records that a user wants a job cancelled, as another controller would. It
 // returns the record.
-func (b *harness) requestCancellation(id string, at int64) records.Open {
-	b.t.Helper()
-	if b.store[records.OpenKey(id)].Key == "" {
-		b.t.Fatalf("%s has no open record", id)
+func (h *harness) requestCancellation(id string, at int64) records.Open {
+	h.t.Helper()
+	if h.store[records.OpenKey(id)].Key == "" {
+		h.t.Fatalf("%s has no open record", id)
 	}
-	record := b.openRecord(id)
+	record := h.openRecord(id)
 	record.Cancelled, record.CancelRequestedAt = true, at
-	b.write(records.OpenKey(id), "", kv.Encode(record))
+	h.write(records.OpenKey(id), "", kv.Encode(record))
 	return record
 }
 
 // run lets time pass, with ticks.
-func (b *harness) run(d time.Duration) {
-	for end := b.now + d; b.now < end; b.now += 50 * time.Millisecond {
-		b.step(Tick{})
+func (h *harness) run(d time.Duration) {
+	for end := h.now + d; h.now < end; h.now += 50 * time.Millisecond {
+		h.step(Tick{})
 	}
 }
 
 // request sends a request and returns its answer, which takes 5 s at most.
-func (b *harness) request(method, path, body string) Answer {
-	b.nextReq++
-	b.step(Request{ID: b.nextReq, Method: method, Path: path, Body: []byte(body)})
+func (h *harness) request(method, path, body string) Answer {
+	h.nextReq++
+	h.step(Request{ID: h.nextReq, Method: method, Path: path, Body: []byte(body)})
 	for range 5 {
-		if a, ok := b.answers[b.nextReq]; ok {
+		if a, ok := h.answers[h.nextReq]; ok {
 			return a
 		}
-		b.run(time.Second)
+		h.run(time.Second)
 	}
-	b.t.Fatalf("%s %s with %s has no answer", method, path, body)
+	h.t.Fatalf("%s %s with %s has no answer", method, path, body)
 	return Answer{}
 }
 
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -18,29 +18,29 @@
 func TestHealthz(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		peers  func(b *harness) // what the others' digests say, several times a second
+		peers  func(harness *harness) // what the others' digests say, several times a second
 		status int
 	}{
-		{"the others reach it", func(b *harness) { heardFrom(b, true) }, httpstatus.ServiceUnavailable},
-		{"the others do not reach it", func(b *harness) { heardFrom(b, false) }, httpstatus.OK},
+		{"the others reach it", func(harness *harness) { heardFrom(harness, true) }, httpstatus.ServiceUnavailable},
+		{"the others do not reach it", func(harness *harness) { heardFrom(harness, false) }, httpstatus.OK},
 		{"the others are not heard", func(*harness) {}, httpstatus.ServiceUnavailable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newHarness(t, testMachineTypes)
-			setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
-			heardFrom(b, true)
-			b.storeDown = true
-			for end := b.now + 2*b.core.leaderLeaseDuration(); b.now < end; {
-				tc.peers(b)
-				b.run(200 * time.Millisecond)
+			harness := newHarness(t, testMachineTypes)
+			setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
+			heardFrom(harness, true)
+			harness.storeDown = true
+			for end := harness.now + 2*harness.core.leaderLeaseDuration(); harness.now < end; {
+				tc.peers(harness)
+				harness.run(200 * time.Millisecond)
 			}
-			if a := b.request("GET", "/healthz", ""); a.Status != tc.status {
+			if a := harness.request("GET", "/healthz", ""); a.Status != tc.status {
 				t.Errorf("answered %d, want %d", a.Status, tc.status)
 			}
-			b.storeDown = false
-			heardFrom(b, true)
-			b.run(b.core.leaderLeaseDuration())
-			if a := b.request("GET", "/healthz", ""); a.Status != httpstatus.OK {
+			harness.storeDown = false
+			heardFrom(harness, true)
+			harness.run(harness.core.leaderLeaseDuration())
+			if a := harness.request("GET", "/healthz", ""); a.Status != httpstatus.OK {
 				t.Errorf("answered %d once the store is back, want 200", a.Status)
 			}
 		})
@@ -48,8 +48,8 @@
 }
 
 // heardFrom makes a controller hear a digest of a peer that does or does not reach the store.
-func heardFrom(b *harness, storeOK bool) {
-	b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{StoreOK: storeOK}}})
+func heardFrom(harness *harness, storeOK bool) {
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{StoreOK: storeOK}}})
 }
 
 // TestDeadMachine checks that a machine that is silent and answers no probe is considered dead
@@ -72,33 +72,33 @@
 		{name: "it has answered since", silent: 9 * time.Second, probed: true, reached: true, answers: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, l := newLeadingHarness(t, func(*config.Settings) {})
-			l.core.now += 1000 * time.Second
-			l.recordsLoadedAt = l.core.now - tc.silent
-			m := idleMachine(l, "n-1", "g4")
+			_, leader := newLeadingHarness(t, func(*config.Settings) {})
+			leader.core.now += 1000 * time.Second
+			leader.recordsLoadedAt = leader.core.now - tc.silent
+			machine := idleMachine(leader, "n-1", "g4")
 			for _, name := range []string{"n-2", "n-3"} {
-				idleMachine(l, name, "g4").HeartbeatController = "n0"
+				idleMachine(leader, name, "g4").HeartbeatController = "n0"
 			}
-			m.LastHeartbeat, m.HeartbeatController = l.core.now-tc.silent, "n0"
+			machine.LastHeartbeat, machine.HeartbeatController = leader.core.now-tc.silent, "n0"
 			if tc.newTerm {
-				m.LastHeartbeat, m.HeartbeatController = 0, ""
-				j := cluster.NewJob(records.Open{Job: wire.Job{ID: "job-1", Tasks: 1, GPUs: 1}}, 1)
-				l.writer.InitPlacementRecords(j)
-				l.place(j, 0, m)
+				machine.LastHeartbeat, machine.HeartbeatController = 0, ""
+				job := cluster.NewJob(records.Open{Job: wire.Job{ID: "job-1", Tasks: 1, GPUs: 1}}, 1)
+				leader.writer.InitPlacementRecords(job)
+				leader.place(job, 0, machine)
 			} else {
-				l.recordsLoadedAt -= 100 * time.Second
+				leader.recordsLoadedAt -= 100 * time.Second
 			}
 			if tc.probed {
-				l.handleProbeResult(m, l.core.now-time.Second, Result{Status: httpstatus.NoAnswer})
+				leader.handleProbeResult(machine, leader.core.now-time.Second, Result{Status: httpstatus.NoAnswer})
 			}
 			if tc.reached {
-				l.zoneReachedAt["a"] = l.core.now
+				leader.zoneReachedAt["a"] = leader.core.now
 			}
 			if tc.answers {
-				l.handleDirectStatus(m, kv.Encode(wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: l.leadership.Term}))
+				leader.handleDirectStatus(machine, kv.Encode(wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: leader.leadership.Term}))
 			}
-			check := l.healthCheck()
-			if got := check.IsDead(m, check.Survey(l.MachinesByName)); got != tc.want {
+			check := leader.healthCheck()
+			if got := check.IsDead(machine, check.Survey(leader.MachinesByName)); got != tc.want {
 				t.Errorf("dead %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/core/huge_array_test.go
+++ b/internal/core/huge_array_test.go
@@ -53,10 +53,10 @@
 		{"a small array", wire.ShapeArray, 60, 1, 60},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, l := bestEffortLeader(t) // its machines boot in 30 s
-			j := addArray(l, "job-1", "vision", "sweep", test.tasks, 0)
+			_, leader := bestEffortLeader(t) // its machines boot in 30 s
+			j := addArray(leader, "job-1", "vision", "sweep", test.tasks, 0)
 			j.Shape, j.EstimatedRunS = test.shape, test.estimate
-			if got := l.plannedTasks(&candidate{Job: j, Pending: j.UnplacedTasks()}); got != test.want {
+			if got := leader.plannedTasks(&candidate{Job: j, Pending: j.UnplacedTasks()}); got != test.want {
 				t.Errorf("%d tasks, want %d", got, test.want)
 			}
 		})
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -14,8 +14,8 @@
 		return
 	}
 	limit := math.Inf(1)
-	if t := l.core.machineTypes[machine.TypeName]; t != nil && t.CacheGB > 0 {
-		limit = t.CacheGB
+	if machineType := l.core.machineTypes[machine.TypeName]; machineType != nil && machineType.CacheGB > 0 {
+		limit = machineType.CacheGB
 	}
 	added := !machine.HasImage(name)
 	cached := make([]cluster.Image, 0, len(machine.CachedImages)+1)
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -17,23 +17,23 @@
 }
 
 // pullingLeader leads with an empty machine.
-func pullingLeader(t *testing.T) (l *leader, first *cluster.Machine) {
+func pullingLeader(t *testing.T) (leader *leader, first *cluster.Machine) {
 	t.Helper()
-	b, l := newLeadingHarness(t, func(s *config.Settings) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
 	})
-	b.core.machineTypes = pullTypes
-	b.core.now = 1000 * time.Second
-	return l, idleMachine(l, "n-1", "g4")
+	harness.core.machineTypes = pullTypes
+	harness.core.now = 1000 * time.Second
+	return leader, idleMachine(leader, "n-1", "g4")
 }
 
 // startPull adds a service with one replica, and places it on a machine that pulls its image of
 // 20 GB.
-func startPull(l *leader, id, image string, m *cluster.Machine) {
-	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20}}, 1)
-	l.writer.InitPlacementRecords(j)
-	l.bindTasks(j, []int{0}, []*cluster.Machine{m})
+func startPull(leader *leader, id, image string, machine *cluster.Machine) {
+	job := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20}}, 1)
+	leader.writer.InitPlacementRecords(job)
+	leader.bindTasks(job, []int{0}, []*cluster.Machine{machine})
 }
 
 // How machines pull images is learned from pulls that began behind others.
@@ -66,15 +66,15 @@
 
 // A pull whose start is not known, since an earlier leader placed the task, is no evidence.
 func TestPullOfUnknownAge(t *testing.T) {
-	l, m := pullingLeader(t)
-	startPull(l, "job-1", "x", m)
-	startPull(l, "job-2", "y", m)
-	m.Pulls = nil
-	m.RefreshPulls()
-	l.core.now += time.Second
-	l.recordPulled(m, "y")
-	if l.pullStatistics != (pullEvidence{}) {
-		t.Errorf("evidence %+v, want none", l.pullStatistics)
+	leader, machine := pullingLeader(t)
+	startPull(leader, "job-1", "x", machine)
+	startPull(leader, "job-2", "y", machine)
+	machine.Pulls = nil
+	machine.RefreshPulls()
+	leader.core.now += time.Second
+	leader.recordPulled(machine, "y")
+	if leader.pullStatistics != (pullEvidence{}) {
+		t.Errorf("evidence %+v, want none", leader.pullStatistics)
 	}
 }
 
@@ -94,12 +94,12 @@
 			t.Errorf("%+v: %v, want %v", tc.e, got, tc.want)
 		}
 	}
-	b := newHarness(t, testMachineTypes)
-	setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
+	harness := newHarness(t, testMachineTypes)
+	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
 	for _, told := range []bool{true, false, true} {
-		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: told}}})
-		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !told}}})
-		if got := newLeader(b.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != told {
+		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: told}}})
+		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !told}}})
+		if got := newLeader(harness.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != told {
 			t.Errorf("sequential %v for the new leader, %v for the previous one", got, told)
 		}
 	}
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -25,23 +25,23 @@
 		{"second page not decodable", httpstatus.OK, `{"hosts":[`, false, time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			vanished := l.machineNamed("n-0")
-			vanished.ListedAt = l.core.now - 10*l.listLag()
-			l.startListing()
-			if got := lastCall(t, l).Path; got != "/machines?limit=500" {
+			leader := newForecastLeader(t)
+			vanished := leader.machineNamed("n-0")
+			vanished.ListedAt = leader.core.now - 10*leader.listLag()
+			leader.startListing()
+			if got := lastCall(t, leader).Path; got != "/machines?limit=500" {
 				t.Errorf("first page: %s", got)
 			}
-			answerLastCall(t, l, httpstatus.OK, first)
-			if got := lastCall(t, l).Path; got != "/machines?limit=500&since=n-2" {
+			answerLastCall(t, leader, httpstatus.OK, first)
+			if got := lastCall(t, leader).Path; got != "/machines?limit=500&since=n-2" {
 				t.Errorf("second page: %s", got)
 			}
-			answerLastCall(t, l, tc.number, tc.body)
-			if got := l.fleet.pendingReturns["n-0"]; got != tc.returned {
+			answerLastCall(t, leader, tc.number, tc.body)
+			if got := leader.fleet.pendingReturns["n-0"]; got != tc.returned {
 				t.Errorf("machine that is not listed returned: %v, want %v", got, tc.returned)
 			}
-			if l.fleet.listInFlight || l.fleet.nextListAt != l.core.now+tc.nextIn {
-				t.Errorf("next list at %v, now is %v", l.fleet.nextListAt, l.core.now)
+			if leader.fleet.listInFlight || leader.fleet.nextListAt != leader.core.now+tc.nextIn {
+				t.Errorf("next list at %v, now is %v", leader.fleet.nextListAt, leader.core.now)
 			}
 		})
 	}
@@ -61,13 +61,13 @@
 		{"known from records, without a heartbeat", true, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
+			leader := newForecastLeader(t)
 			if tc.known {
-				l.machineNamed("n-1").LastHeartbeat = tc.lastHeartbeat
+				leader.machineNamed("n-1").LastHeartbeat = tc.lastHeartbeat
 			}
-			l.recordListed(&wire.Machine{Name: "n-1", Addr: "10.0.0.1:1", Type: "small", Zone: "b", Spot: true, AgeS: ageS, Status: wire.MachineBooting})
-			machine := l.Machines["n-1"]
-			if got := l.core.now - machine.CreatedAt; got != tc.want {
+			leader.recordListed(&wire.Machine{Name: "n-1", Addr: "10.0.0.1:1", Type: "small", Zone: "b", Spot: true, AgeS: ageS, Status: wire.MachineBooting})
+			machine := leader.Machines["n-1"]
+			if got := leader.core.now - machine.CreatedAt; got != tc.want {
 				t.Errorf("age %v, want %v", got, tc.want)
 			}
 			if machine.Offer() != offer("small", "b", true) || machine.Address != "10.0.0.1:1" || machine.ListedAs != wire.MachineBooting {
@@ -89,13 +89,13 @@
 		{"the list is newer", 1, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			l.returnedMachines["n-1"] = l.core.now - 4*l.listLag() - tc.ago
-			l.recordListed(&wire.Machine{Name: "n-1", Type: "small", Zone: "b"})
-			if got := l.fleet.pendingReturns["n-1"]; got != tc.want {
+			leader := newForecastLeader(t)
+			leader.returnedMachines["n-1"] = leader.core.now - 4*leader.listLag() - tc.ago
+			leader.recordListed(&wire.Machine{Name: "n-1", Type: "small", Zone: "b"})
+			if got := leader.fleet.pendingReturns["n-1"]; got != tc.want {
 				t.Errorf("returned again: %v, want %v", got, tc.want)
 			}
-			if l.Machines["n-1"] != nil {
+			if leader.Machines["n-1"] != nil {
 				t.Error("the machine is known again")
 			}
 		})
--- a/internal/core/pipeline_times_test.go
+++ b/internal/core/pipeline_times_test.go
@@ -15,23 +15,23 @@
 // TestTimesOfAWaitingJob lets a job wait for a minute: its deadline counts from its submission, its
 // waiting time from the end of its last dependency, also under a leader that has only the records.
 func TestTimesOfAWaitingJob(t *testing.T) {
-	harness, l := newLeadingHarness(t, func(*config.Settings) {})
+	harness, present := newLeadingHarness(t, func(*config.Settings) {})
 	due := 300.0
-	addRecord(harness, l, wire.Job{ID: jobID(1)}, nil)
-	addRecord(harness, l, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, func(r *records.Open) { r.Job.DeadlineS = &due })
+	addRecord(harness, present, wire.Job{ID: jobID(1)}, nil)
+	addRecord(harness, present, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, func(r *records.Open) { r.Job.DeadlineS = &due })
 	submitted := harness.core.wallClockMS
 	harness.run(60 * time.Second)
-	l.markDone(l.Jobs[jobID(1)], 0)
+	present.markDone(present.Jobs[jobID(1)], 0)
 	harness.run(2 * time.Second)
-	for name, l := range map[string]*leader{"the leader": l, "the next": nextLeader(harness, l, "")} {
-		j := l.Jobs[jobID(2)]
-		if j.Waiting {
+	for name, leader := range map[string]*leader{"the leader": present, "the next": nextLeader(harness, present, "")} {
+		job := leader.Jobs[jobID(2)]
+		if job.Waiting {
 			t.Fatalf("%s: it waits", name)
 		}
-		if want := float64(submitted)/1000 + due; j.Deadline != want {
-			t.Errorf("%s: due %.1f s after the submission, want %.1f", name, j.Deadline-float64(submitted)/1000, due)
+		if want := float64(submitted)/1000 + due; job.Deadline != want {
+			t.Errorf("%s: due %.1f s after the submission, want %.1f", name, job.Deadline-float64(submitted)/1000, due)
 		}
-		if ago := j.WaitingSinceMS - submitted; ago < 60_000 || ago > 63_000 {
+		if ago := job.WaitingSinceMS - submitted; ago < 60_000 || ago > 63_000 {
 			t.Errorf("%s: its waiting counts from %d ms after the submission", name, ago)
 		}
 	}
--- a/internal/core/process_pause_test.go
+++ b/internal/core/process_pause_test.go
@@ -23,13 +23,13 @@
 		{"longer than the leader's lease", 90 * time.Second, "duration_s=90 leading=true term=5 own_lease_expired=true"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, _ := newLeadingHarness(t, func(*config.Settings) {})
+			harness, _ := newLeadingHarness(t, func(*config.Settings) {})
 			var logged bytes.Buffer
-			b.core.log = slog.New(slog.NewTextHandler(&logged, nil))
-			b.now = b.core.now + tc.pause
-			b.step(Tick{})
-			b.now += b.core.heartbeatInterval() / 20
-			b.step(Tick{})
+			harness.core.log = slog.New(slog.NewTextHandler(&logged, nil))
+			harness.now = harness.core.now + tc.pause
+			harness.step(Tick{})
+			harness.now += harness.core.heartbeatInterval() / 20
+			harness.step(Tick{})
 			lines := strings.Count(logged.String(), `msg="process paused"`)
 			if tc.want == "" && lines > 0 || tc.want != "" && (lines != 1 || !strings.Contains(logged.String(), tc.want)) {
 				t.Errorf("logged %q, want %q", logged.String(), tc.want)
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -19,9 +19,9 @@
 
 // lowerLimits lowers what the store takes, to a number of writes in a transaction and of bytes in a
 // value. It returns how many transactions are rejected from now on.
-func lowerLimits(b *harness, maxWrites, maxValue int) *int {
+func lowerLimits(harness *harness, maxWrites, maxValue int) *int {
 	rejected := new(int)
-	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		if len(txn.Writes) > maxWrites || len(txn.Conditions) > 4*maxWrites || largestValueBytes(txn) > maxValue {
 			*rejected++
 			return 400
@@ -50,33 +50,33 @@
 func withoutAnnouncement(*config.Settings) {}
 
 // placeAndRecord places tasks of a job on machines of its own and records them.
-func placeAndRecord(l *leader, j *cluster.Job, from, to int) {
+func placeAndRecord(leader *leader, job *cluster.Job, from, to int) {
 	for i := from; i < to; i++ {
-		j.TaskStates[i] = cluster.Task{Attempt: j.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
-		j.NextAttempt++
-		l.place(j, i, l.machineNamed(fmt.Sprintf("n-%s-%06d", j.ID, i)))
-		l.writer.MarkPlacement(j, i)
+		job.TaskStates[i] = cluster.Task{Attempt: job.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
+		job.NextAttempt++
+		leader.place(job, i, leader.machineNamed(fmt.Sprintf("n-%s-%06d", job.ID, i)))
+		leader.writer.MarkPlacement(job, i)
 	}
 }
 
 // recordedTasks counts the tasks of a job that a next leader would find placed.
-func recordedTasks(b *harness, id string, tasks int) int {
-	l := newLeader(b.core, election.Leadership{Term: 5, TermVersion: b.store[election.KeyTerm].Version, Lease: 1})
-	l.applyOpenRecord(id, b.store[records.OpenKey(id)].Version, b.openRecord(id))
+func recordedTasks(harness *harness, id string, tasks int) int {
+	leader := newLeader(harness.core, election.Leadership{Term: 5, TermVersion: harness.store[election.KeyTerm].Version, Lease: 1})
+	leader.applyOpenRecord(id, harness.store[records.OpenKey(id)].Version, harness.openRecord(id))
 	var found []persistence.LoadedPlacement
-	for _, key := range sortedKeys(b.store) {
-		if r, ok := records.ParsePlacementKey(key, l.writer.TasksPerNumberedRecord()); strings.HasPrefix(key, records.PrefixPlacement) && ok && r.Job == id {
+	for _, key := range sortedKeys(harness.store) {
+		if r, ok := records.ParsePlacementKey(key, leader.writer.TasksPerNumberedRecord()); strings.HasPrefix(key, records.PrefixPlacement) && ok && r.Job == id {
 			var rec records.Placement
-			if err := stdjson.Unmarshal(b.store[key].Value, &rec); err != nil {
-				b.t.Fatalf("%s: %v", key, err)
+			if err := stdjson.Unmarshal(harness.store[key].Value, &rec); err != nil {
+				harness.t.Fatalf("%s: %v", key, err)
 			}
-			found = append(found, persistence.LoadedPlacement{PlacementRange: r, Key: key, Version: b.store[key].Version, Record: rec})
+			found = append(found, persistence.LoadedPlacement{PlacementRange: r, Key: key, Version: harness.store[key].Version, Record: rec})
 		}
 	}
-	l.writer.Adopt(l.Jobs[id], found)
+	leader.writer.Adopt(leader.Jobs[id], found)
 	n := 0
 	for i := range tasks {
-		if l.Jobs[id].TaskStates[i].Machine != nil {
+		if leader.Jobs[id].TaskStates[i].Machine != nil {
 			n++
 		}
 	}
@@ -103,68 +103,68 @@
 		{"silent, both lowest", withoutAnnouncement, 2, 1024, 20},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, tc.settings)
+			harness, leader := newLeadingHarness(t, tc.settings)
 			for n := range 6 {
-				addRecord(b, l, wire.Job{ID: jobID(n), Tasks: 300}, nil)
-				j := l.Jobs[jobID(n)]
+				addRecord(harness, leader, wire.Job{ID: jobID(n), Tasks: 300}, nil)
+				job := leader.Jobs[jobID(n)]
 				// As an earlier version records: numbered, as large as they are now.
-				j.PlacementRecords, j.Numbered = nil, true
+				job.PlacementRecords, job.Numbered = nil, true
 				for from := 0; from < 300; from += 128 {
-					j.PlacementRecords = append(j.PlacementRecords, cluster.PlacementRecord{Key: records.NumberedKey(j.ID, from/128), From: from, To: min(from+128, 300)})
+					job.PlacementRecords = append(job.PlacementRecords, cluster.PlacementRecord{Key: records.NumberedKey(job.ID, from/128), From: from, To: min(from+128, 300)})
 				}
-				for i := range j.PlacementRecords {
-					ch := &j.PlacementRecords[i]
-					placeAndRecord(l, j, ch.From, ch.To)
-					body, _ := persistence.EncodePlacement(j, ch)
-					b.write(ch.Key, "", body)
-					ch.Version, ch.Dirty = b.store[ch.Key].Version, false
+				for i := range job.PlacementRecords {
+					ch := &job.PlacementRecords[i]
+					placeAndRecord(leader, job, ch.From, ch.To)
+					body, _ := persistence.EncodePlacement(job, ch)
+					harness.write(ch.Key, "", body)
+					ch.Version, ch.Dirty = harness.store[ch.Key].Version, false
 				}
-				for i := range j.TaskStates {
-					j.TaskStates[i].Persisted = true
+				for i := range job.TaskStates {
+					job.TaskStates[i].Persisted = true
 				}
 			}
-			addRecord(b, l, wire.Job{ID: jobID(8)}, nil)
-			addRecord(b, l, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
-			rejected := lowerLimits(b, tc.ops, tc.bytes)
-			if b.core.settings.Deployment.Store.Next != nil {
-				l.writer.AllowNamedRanges() // as once every controller reads them
+			addRecord(harness, leader, wire.Job{ID: jobID(8)}, nil)
+			addRecord(harness, leader, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
+			rejected := lowerLimits(harness, tc.ops, tc.bytes)
+			if harness.core.settings.Deployment.Store.Next != nil {
+				leader.writer.AllowNamedRanges() // as once every controller reads them
 			}
 			for n := range 6 {
-				j := l.Jobs[jobID(n)]
+				job := leader.Jobs[jobID(n)]
 				for i := 0; i < 300; i += 7 {
-					j.TaskStates[i].Attempt, j.TaskStates[i].Persisted = j.NextAttempt, false
-					j.NextAttempt++
-					l.writer.MarkPlacement(j, i)
+					job.TaskStates[i].Attempt, job.TaskStates[i].Persisted = job.NextAttempt, false
+					job.NextAttempt++
+					leader.writer.MarkPlacement(job, i)
 				}
 			}
-			l.markDone(l.Jobs[jobID(8)], 0)
-			b.run(20 * time.Second)
+			leader.markDone(leader.Jobs[jobID(8)], 0)
+			harness.run(20 * time.Second)
 			for n := range 6 {
-				j := l.Jobs[jobID(n)]
-				for i := range j.TaskStates {
-					if !j.TaskStates[i].Persisted {
-						t.Fatalf("task %d of %s is not recorded", i, j.ID)
+				job := leader.Jobs[jobID(n)]
+				for i := range job.TaskStates {
+					if !job.TaskStates[i].Persisted {
+						t.Fatalf("task %d of %s is not recorded", i, job.ID)
 					}
 				}
-				if got := recordedTasks(b, j.ID, 300); got != 300 {
-					t.Errorf("a next leader finds %d tasks of %s placed", got, j.ID)
+				if got := recordedTasks(harness, job.ID, 300); got != 300 {
+					t.Errorf("a next leader finds %d tasks of %s placed", got, job.ID)
 				}
 			}
-			if !b.hasEnded(jobID(8)) || !strings.Contains(string(b.store[records.OpenKey(jobID(9))].Value), `"ra":`) {
+			if !harness.hasEnded(jobID(8)) || !strings.Contains(string(harness.store[records.OpenKey(jobID(9))].Value), `"ra":`) {
 				t.Error("the job that is done has not ended, or its dependent does not go on")
 			}
 			if *rejected > tc.most {
 				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
 			}
-			if tc.ops == 16 && b.core.store.MaxWrites() != 16 {
-				t.Errorf("transactions keep to %d writes, though only the values became smaller", b.core.store.MaxWrites())
+			if tc.ops == 16 && harness.core.store.MaxWrites() != 16 {
+				t.Errorf("transactions keep to %d writes, though only the values became smaller", harness.core.store.MaxWrites())
 			}
-			if tc.bytes < 16384 && b.core.settings.Deployment.Store.Next == nil {
+			if tc.bytes < 16384 && harness.core.settings.Deployment.Store.Next == nil {
 				// A controller that starts now learns it from the records.
-				b.core.store = kv.NewClient(storeTransport{b.core}, &b.core.settings.Deployment)
-				recordedTasks(b, jobID(0), 300)
-				if b.core.store.MaxPlacementValue() != kv.SmallValue {
-					t.Errorf("a next leader writes records of %d bytes", b.core.store.MaxPlacementValue())
+				harness.core.store = kv.NewClient(storeTransport{harness.core}, &harness.core.settings.Deployment)
+				recordedTasks(harness, jobID(0), 300)
+				if harness.core.store.MaxPlacementValue() != kv.SmallValue {
+					t.Errorf("a next leader writes records of %d bytes", harness.core.store.MaxPlacementValue())
 				}
 			}
 		})
@@ -193,29 +193,29 @@
 		most     int
 	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncement, 1}} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, tc.settings)
-			addRecord(b, l, longJob(jobID(1), 40), nil)
-			addRecord(b, l, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
-			j := l.Jobs[jobID(1)]
-			placeAndRecord(l, j, 0, 1)
-			b.run(time.Second)
-			rejected := lowerLimits(b, 5, 2048)
+			harness, leader := newLeadingHarness(t, tc.settings)
+			addRecord(harness, leader, longJob(jobID(1), 40), nil)
+			addRecord(harness, leader, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
+			job := leader.Jobs[jobID(1)]
+			placeAndRecord(leader, job, 0, 1)
+			harness.run(time.Second)
+			rejected := lowerLimits(harness, 5, 2048)
 			var rec records.Open // with the request
-			b.afterCommit = func() {
-				if !b.hasEnded(jobID(1)) {
-					rec = b.openRecord(jobID(1))
+			harness.afterCommit = func() {
+				if !harness.hasEnded(jobID(1)) {
+					rec = harness.openRecord(jobID(1))
 				}
 			}
-			b.nextReq++
-			b.step(Request{ID: b.nextReq, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
-			b.run(3 * time.Second)
+			harness.nextReq++
+			harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
+			harness.run(3 * time.Second)
 			if !rec.Cancelled || rec.Job.Tasks != 40 || rec.Job.Team != "vision" || rec.Job.CPUs != 4 || rec.Job.Class != "c" {
 				t.Fatalf("recorded %+v", rec)
 			}
-			if !b.hasEnded(jobID(2)) {
+			if !harness.hasEnded(jobID(2)) {
 				t.Error("its dependent has not ended")
 			}
-			if !b.hasEnded(jobID(1)) || b.store[records.OpenKey(jobID(1))].Key != "" {
+			if !harness.hasEnded(jobID(1)) || harness.store[records.OpenKey(jobID(1))].Key != "" {
 				t.Error("the job has not ended")
 			}
 			if *rejected > tc.most {
@@ -235,44 +235,44 @@
 		most     int
 	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncement, 16}} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, tc.settings)
-			addRecord(b, l, wire.Job{ID: jobID(1)}, nil)
+			harness, leader := newLeadingHarness(t, tc.settings)
+			addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
 			long := longJob(jobID(2), 40)
 			long.Dependencies = []string{jobID(1)}
-			addRecord(b, l, long, nil)
-			addRecord(b, l, longJob(jobID(3), 100), nil)
-			other := l.Jobs[jobID(3)]
-			placeAndRecord(l, other, 0, 100)
-			b.run(time.Second)
-			rejected := lowerLimits(b, 5, 2048)
-			if b.core.settings.Deployment.Store.Next != nil {
-				l.writer.AllowNamedRanges() // as once every controller reads them
-			}
-			placeAndRecord(l, l.Jobs[jobID(3)], 90, 100) // again, elsewhere
-			addRecord(b, l, wire.Job{ID: jobID(4)}, nil)
-			l.markDone(l.Jobs[jobID(1)], 0)
-			l.markDone(l.Jobs[jobID(4)], 0)
-			b.run(20 * time.Second)
-			if !b.hasEnded(jobID(1)) || !b.hasEnded(jobID(4)) {
+			addRecord(harness, leader, long, nil)
+			addRecord(harness, leader, longJob(jobID(3), 100), nil)
+			other := leader.Jobs[jobID(3)]
+			placeAndRecord(leader, other, 0, 100)
+			harness.run(time.Second)
+			rejected := lowerLimits(harness, 5, 2048)
+			if harness.core.settings.Deployment.Store.Next != nil {
+				leader.writer.AllowNamedRanges() // as once every controller reads them
+			}
+			placeAndRecord(leader, leader.Jobs[jobID(3)], 90, 100) // again, elsewhere
+			addRecord(harness, leader, wire.Job{ID: jobID(4)}, nil)
+			leader.markDone(leader.Jobs[jobID(1)], 0)
+			leader.markDone(leader.Jobs[jobID(4)], 0)
+			harness.run(20 * time.Second)
+			if !harness.hasEnded(jobID(1)) || !harness.hasEnded(jobID(4)) {
 				t.Fatal("the ends of other jobs are not recorded")
 			}
-			j := l.Jobs[jobID(2)]
-			if j.Waiting || len(j.PendingTasks()) != 40 {
-				t.Errorf("it does not go on: waits %v, %d tasks may be placed", j.Waiting, len(j.PendingTasks()))
+			job := leader.Jobs[jobID(2)]
+			if job.Waiting || len(job.PendingTasks()) != 40 {
+				t.Errorf("it does not go on: waits %v, %d tasks may be placed", job.Waiting, len(job.PendingTasks()))
 			}
 			for i := range other.TaskStates {
 				if !other.TaskStates[i].Persisted {
 					t.Fatalf("task %d is not recorded", i)
 				}
 			}
-			if got := recordedTasks(b, jobID(3), 100); got != 100 {
+			if got := recordedTasks(harness, jobID(3), 100); got != 100 {
 				t.Errorf("a next leader finds %d tasks placed", got)
 			}
 			if *rejected > tc.most {
 				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
 			}
 			// The next leader learns it by itself.
-			next := nextLeader(b, l, "")
+			next := nextLeader(harness, leader, "")
 			if k := next.Jobs[jobID(2)]; k.Waiting && !k.DependenciesDone {
 				t.Error("it waits again under the next leader")
 			}
@@ -283,21 +283,21 @@
 // TestLongDescriptionsGoOn lets many such jobs go on together. With two of them in one
 // transaction, nobody can tell which one is rejected.
 func TestLongDescriptionsGoOn(t *testing.T) {
-	b, l := newLeadingHarness(t, withoutAnnouncement)
-	addRecord(b, l, wire.Job{ID: jobID(0)}, nil)
+	harness, leader := newLeadingHarness(t, withoutAnnouncement)
+	addRecord(harness, leader, wire.Job{ID: jobID(0)}, nil)
 	for n := range 9 {
 		long := longJob(jobID(1+n), 1)
 		if n%3 == 2 {
 			long.MachineTypes = nil
 		}
 		long.Dependencies = []string{jobID(0)}
-		addRecord(b, l, long, nil)
+		addRecord(harness, leader, long, nil)
 	}
-	rejected := lowerLimits(b, 5, 2048)
-	l.markDone(l.Jobs[jobID(0)], 0)
-	b.run(20 * time.Second)
+	rejected := lowerLimits(harness, 5, 2048)
+	leader.markDone(leader.Jobs[jobID(0)], 0)
+	harness.run(20 * time.Second)
 	for n := range 9 {
-		if l.Jobs[jobID(1+n)].Waiting {
+		if leader.Jobs[jobID(1+n)].Waiting {
 			t.Errorf("%s does not go on", jobID(1+n))
 		}
 	}
@@ -310,9 +310,9 @@
 // program knows nothing of: it is retried less and less often, and the others' records are
 // written.
 func TestPoisonedRecord(t *testing.T) {
-	b, l := newLeadingHarness(t, withoutAnnouncement)
+	harness, leader := newLeadingHarness(t, withoutAnnouncement)
 	rejected := 0
-	b.intercept = func(txn *wire.Txn, carryOut func() int) int {
+	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		for _, w := range txn.Writes {
 			if strings.Contains(w.Put+w.Delete, jobID(3)) {
 				rejected++
@@ -322,13 +322,13 @@
 		return carryOut()
 	}
 	for n := range 8 {
-		addRecord(b, l, wire.Job{ID: jobID(n)}, nil)
-		l.markDone(l.Jobs[jobID(n)], 0)
+		addRecord(harness, leader, wire.Job{ID: jobID(n)}, nil)
+		leader.markDone(leader.Jobs[jobID(n)], 0)
 	}
-	b.run(120 * time.Second)
+	harness.run(120 * time.Second)
 	for n := range 8 {
-		if b.hasEnded(jobID(n)) != (n != 3) {
-			t.Errorf("%s has ended: %v", jobID(n), b.hasEnded(jobID(n)))
+		if harness.hasEnded(jobID(n)) != (n != 3) {
+			t.Errorf("%s has ended: %v", jobID(n), harness.hasEnded(jobID(n)))
 		}
 	}
 	if rejected > 20 {
@@ -354,51 +354,51 @@
 		{"the leader learns of the dependent late", withAnnouncedLimits(5), 0, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, tc.settings)
-			addRecord(b, l, longJob(jobID(1), 40), nil)
-			placeAndRecord(l, l.Jobs[jobID(1)], 0, 1)
+			harness, leader := newLeadingHarness(t, tc.settings)
+			addRecord(harness, leader, longJob(jobID(1), 40), nil)
+			placeAndRecord(leader, leader.Jobs[jobID(1)], 0, 1)
 			names := []string{`"` + jobID(1) + `"`}
 			for n := range tc.others {
-				addRecord(b, l, wire.Job{ID: jobID(10 + n)}, nil)
+				addRecord(harness, leader, wire.Job{ID: jobID(10 + n)}, nil)
 				names = append(names, `"`+jobID(10+n)+`"`)
 			}
-			b.run(time.Second)
-			rejected := lowerLimits(b, 5, 2048)
+			harness.run(time.Second)
+			rejected := lowerLimits(harness, 5, 2048)
 			var request records.Open
-			b.afterCommit = func() {
-				if !b.hasEnded(jobID(1)) {
-					request = b.openRecord(jobID(1))
+			harness.afterCommit = func() {
+				if !harness.hasEnded(jobID(1)) {
+					request = harness.openRecord(jobID(1))
 				}
 			}
 			dependent := jobID(2)
-			if a := b.request("POST", "/submissions", submissionAwaiting(2, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
+			if a := harness.request("POST", "/submissions", submissionAwaiting(2, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 				t.Fatalf("the dependent is answered %d %s", a.Status, a.Body)
 			}
 			if request.HasDependents {
 				t.Error("a record that is too large was written")
 			}
 			learn := func() {
-				item, open := b.store[records.OpenKey(dependent)]
+				item, open := harness.store[records.OpenKey(dependent)]
 				if !open {
 					t.Fatal("the dependent has no open record")
 				}
-				l.applyOpenRecord(dependent, item.Version, b.openRecord(dependent))
+				leader.applyOpenRecord(dependent, item.Version, harness.openRecord(dependent))
 			}
 			if !tc.late {
 				learn()
 			}
-			b.nextReq++
-			b.step(Request{ID: b.nextReq, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
-			b.run(3 * time.Second)
+			harness.nextReq++
+			harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
+			harness.run(3 * time.Second)
 			if tc.late {
 				learn()
-				b.run(time.Second)
+				harness.run(time.Second)
 			}
 			if !request.Cancelled || !request.HasDependents {
 				t.Errorf("the cancellation is recorded as %+v", request)
 			}
 			for _, id := range []string{jobID(1), dependent} {
-				if final := string(b.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) {
+				if final := string(harness.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) {
 					t.Errorf("%s ended as %q", id, final)
 				}
 			}
--- a/internal/core/scale_in_test.go
+++ b/internal/core/scale_in_test.go
@@ -11,9 +11,9 @@
 )
 
 // answerLastCall ends the last call of the core with a status number and a body.
-func answerLastCall(t *testing.T, l *leader, number int, body string) {
+func answerLastCall(t *testing.T, leader *leader, number int, body string) {
 	t.Helper()
-	Result{ID: lastCall(t, l).ID, Status: number, Body: []byte(body)}.apply(l.core)
+	Result{ID: lastCall(t, leader).ID, Status: number, Body: []byte(body)}.apply(leader.core)
 }
 
 // TestReturnPendingChecksTerm returns a machine only once the store has confirmed the term. Without
@@ -32,22 +32,22 @@
 		{"unanswered", httpstatus.NoAnswer, ``, false, false, time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, l := newLeadingHarness(t, func(*config.Settings) {})
-			machine := l.machineNamed("n-1")
-			l.returnMachine(machine, cluster.DrainIdle)
-			l.returnPending()
+			_, leader := newLeadingHarness(t, func(*config.Settings) {})
+			machine := leader.machineNamed("n-1")
+			leader.returnMachine(machine, cluster.DrainIdle)
+			leader.returnPending()
 			if machine.Returning {
 				t.Fatal("returned before the check")
 			}
-			answerLastCall(t, l, tc.number, tc.body)
-			if sent := lastCall(t, l).Path == "/machines/return"; sent != tc.returned || machine.Returning != tc.returned {
+			answerLastCall(t, leader, tc.number, tc.body)
+			if sent := lastCall(t, leader).Path == "/machines/return"; sent != tc.returned || machine.Returning != tc.returned {
 				t.Errorf("return sent: %v, machine returning: %v, want %v", sent, machine.Returning, tc.returned)
 			}
-			if l.steppedDown != tc.steppedDown {
-				t.Errorf("stepped down: %v, want %v", l.steppedDown, tc.steppedDown)
+			if leader.steppedDown != tc.steppedDown {
+				t.Errorf("stepped down: %v, want %v", leader.steppedDown, tc.steppedDown)
 			}
-			if tc.retryIn != 0 && l.fleet.returnRetryAt != l.core.now+tc.retryIn {
-				t.Errorf("retried at %v, now is %v", l.fleet.returnRetryAt, l.core.now)
+			if tc.retryIn != 0 && leader.fleet.returnRetryAt != leader.core.now+tc.retryIn {
+				t.Errorf("retried at %v, now is %v", leader.fleet.returnRetryAt, leader.core.now)
 			}
 		})
 	}
@@ -67,23 +67,23 @@
 		{"unanswered", httpstatus.NoAnswer, machines},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
+			leader := newForecastLeader(t)
 			for i := range machines {
-				l.returnMachine(l.machineNamed(fmt.Sprintf("n-%03d", i)), cluster.DrainIdle)
+				leader.returnMachine(leader.machineNamed(fmt.Sprintf("n-%03d", i)), cluster.DrainIdle)
 			}
-			l.sendReturns()
-			answerLastCall(t, l, tc.number, `{}`)
-			if got := len(l.fleet.pendingReturns); got != tc.pending {
+			leader.sendReturns()
+			answerLastCall(t, leader, tc.number, `{}`)
+			if got := len(leader.fleet.pendingReturns); got != tc.pending {
 				t.Errorf("%d machines pending, want %d", got, tc.pending)
 			}
-			if got := len(l.Machines); got != tc.pending {
+			if got := len(leader.Machines); got != tc.pending {
 				t.Errorf("%d machines known, want %d", got, tc.pending)
 			}
-			if got := len(l.returnedMachines); got != machines-tc.pending {
+			if got := len(leader.returnedMachines); got != machines-tc.pending {
 				t.Errorf("%d machines returned, want %d", got, machines-tc.pending)
 			}
-			if failed := tc.pending == machines; failed != (l.fleet.returnRetryAt == l.core.now+time.Second) {
-				t.Errorf("retried at %v, now is %v", l.fleet.returnRetryAt, l.core.now)
+			if failed := tc.pending == machines; failed != (leader.fleet.returnRetryAt == leader.core.now+time.Second) {
+				t.Errorf("retried at %v, now is %v", leader.fleet.returnRetryAt, leader.core.now)
 			}
 		})
 	}
--- a/internal/core/scale_out_plan_test.go
+++ b/internal/core/scale_out_plan_test.go
@@ -38,28 +38,28 @@
 }
 
 // bootingMachine adds a machine that boots.
-func bootingMachine(l *leader, name, typ, zone string) *cluster.Machine {
-	m := l.machineNamed(name)
-	l.describe(m, "", typ, zone, false)
-	m.CreatedAt = l.core.now
-	return m
+func bootingMachine(leader *leader, name, typ, zone string) *cluster.Machine {
+	machine := leader.machineNamed(name)
+	leader.describe(machine, "", typ, zone, false)
+	machine.CreatedAt = leader.core.now
+	return machine
 }
 
 // refuse records that the cloud has refused an offer, for a second.
-func refuse(l *leader, offer provisioning.Offer) {
-	l.fleet.availability.Refuse(offer, l.core.now+time.Second)
+func refuse(leader *leader, offer provisioning.Offer) {
+	leader.fleet.availability.Refuse(offer, leader.core.now+time.Second)
 }
 
 // refuseType records that the cloud has refused all that it offers of a machine type in a zone.
-func refuseType(l *leader, typ, zone string) {
-	refuse(l, offer(typ, zone, false))
-	refuse(l, offer(typ, zone, true))
+func refuseType(leader *leader, typ, zone string) {
+	refuse(leader, offer(typ, zone, false))
+	refuse(leader, offer(typ, zone, true))
 }
 
 // refuseZone records that the cloud has refused all that it offers in a zone.
-func refuseZone(l *leader, zone string) {
-	for _, typ := range sortedKeys(l.core.machineTypes) {
-		refuseType(l, typ, zone)
+func refuseZone(leader *leader, zone string) {
+	for _, typ := range sortedKeys(leader.core.machineTypes) {
+		refuseType(leader, typ, zone)
 	}
 }
 
@@ -67,7 +67,7 @@
 func TestScaleOutPlan(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
-		setUp      func(l *leader)
+		setUp      func(leader *leader)
 		candidates []*candidate
 		want       []provisioning.Shortfall
 		used       []string
@@ -94,30 +94,33 @@
 		},
 		{
 			name:       "a job in one zone, in the zone that has capacity for all of it",
-			setUp:      func(l *leader) { bootingMachine(l, "n-1", "large", "b"); refuseZone(l, "b") },
+			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b"); refuseZone(leader, "b") },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1, OneZone: true}, 3)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 2}},
 		},
 		{
 			name:       "a job in one zone, where the least has to be provisioned",
-			setUp:      func(l *leader) { bootingMachine(l, "n-1", "large", "b") },
+			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b") },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1, OneZone: true}, 3)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
 			used:       []string{"n-1"},
 		},
 		{
 			name: "a job in one zone, in the one with most capacity where none has enough",
-			setUp: func(l *leader) {
-				bootingMachine(l, "n-1", "large", "b")
-				refuseZone(l, "a")
-				refuseZone(l, "b")
+			setUp: func(leader *leader) {
+				bootingMachine(leader, "n-1", "large", "b")
+				refuseZone(leader, "a")
+				refuseZone(leader, "b")
 			},
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1, OneZone: true}, 3)},
 			used:       []string{"n-1"},
 		},
 		{
-			name:  "a job in one zone, where it has a task",
-			setUp: func(l *leader) { bootingMachine(l, "n-1", "large", "a"); bootingMachine(l, "n-2", "large", "a") },
+			name: "a job in one zone, where it has a task",
+			setUp: func(leader *leader) {
+				bootingMachine(leader, "n-1", "large", "a")
+				bootingMachine(leader, "n-2", "large", "a")
+			},
 			candidates: []*candidate{func() *candidate {
 				c := pendingCandidate(wire.Job{CPUs: 2, MemGB: 1, OneZone: true}, 3)
 				c.Job.TaskStates[0] = cluster.Task{Machine: &cluster.Machine{}, Zone: "b"}
@@ -128,55 +131,55 @@
 		},
 		{
 			name:       "a machine that boots is used first",
-			setUp:      func(l *leader) { bootingMachine(l, "n-1", "large", "b") },
+			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b") },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 3)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 			used:       []string{"n-1"},
 		},
 		{
 			name: "the tightest machine is used",
-			setUp: func(l *leader) {
-				bootingMachine(l, "n-1", "large", "b")
-				bootingMachine(l, "n-2", "small", "b")
+			setUp: func(leader *leader) {
+				bootingMachine(leader, "n-1", "large", "b")
+				bootingMachine(leader, "n-2", "small", "b")
 			},
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 1, MemGB: 1}, 1)},
 			used:       []string{"n-2"},
 		},
 		{
 			name:       "a cordoned machine is not used",
-			setUp:      func(l *leader) { bootingMachine(l, "n-1", "large", "b").DrainReason = "faulty" },
+			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b").DrainReason = "faulty" },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
 		{
 			name:       "a machine that boots for too long is not counted on",
-			setUp:      func(l *leader) { bootingMachine(l, "n-1", "large", "b").CreatedAt -= 100 * time.Second },
+			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b").CreatedAt -= 100 * time.Second },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
 		{
 			name: "what is requested is not requested again",
-			setUp: func(l *leader) {
-				l.fleet.requests.Replace([]provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 2}})
-				l.fleet.requests.Next(l.core.now)
+			setUp: func(leader *leader) {
+				leader.fleet.requests.Replace([]provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 2}})
+				leader.fleet.requests.Next(leader.core.now)
 			},
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 4)},
 		},
 		{
 			name:       "an offer that was refused lately",
-			setUp:      func(l *leader) { refuse(l, offer("large", "a", false)) },
+			setUp:      func(leader *leader) { refuse(leader, offer("large", "a", false)) },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:       "a partitioned zone",
-			setUp:      func(l *leader) { l.fleet.partitionedAt["a"] = l.core.now },
+			setUp:      func(leader *leader) { leader.fleet.partitionedAt["a"] = leader.core.now },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
 			name:       "the team's limit",
-			setUp:      func(l *leader) { l.core.team("vision").CPUsMax = 4 },
+			setUp:      func(leader *leader) { leader.core.team("vision").CPUsMax = 4 },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 10)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
@@ -195,11 +198,11 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
+			leader := newForecastLeader(t)
 			if tc.setUp != nil {
-				tc.setUp(l)
+				tc.setUp(leader)
 			}
-			plan := newScaleOutPlan(l)
+			plan := newScaleOutPlan(leader)
 			plan.packPending(tc.candidates, map[string]topology.Resources{})
 			if got := shortfallsWithoutPurpose(plan); !slices.Equal(got, tc.want) {
 				t.Errorf("shortfalls %v, want %v", got, tc.want)
@@ -214,24 +217,24 @@
 // TestRequestShortfalls requests more than one request may ask for, and more than the cloud's rate
 // allows at once.
 func TestRequestShortfalls(t *testing.T) {
-	l := newForecastLeader(t)
+	leader := newForecastLeader(t)
 	shortfalls := []provisioning.Shortfall{
 		{Offer: offer("large", "a", false), Count: provisioning.MaxMachinesPerRequest + 1},
 		{Offer: offer("large", "b", false), Count: 1},
 	}
-	l.requestShortfalls(shortfalls)
-	open := l.fleet.requests.Open()
+	leader.requestShortfalls(shortfalls)
+	open := leader.fleet.requests.Open()
 	if len(open) != 1 || open[0].Count != provisioning.MaxMachinesPerRequest {
 		t.Fatalf("%d requests, the first one %+v", len(open), open[0])
 	}
-	if !l.passes.requested {
+	if !leader.passes.requested {
 		t.Error("the rest is not planned again")
 	}
 	for range 2 * provisioning.MaxOpenRequests {
-		l.core.now += time.Second
-		l.requestShortfalls(shortfalls)
+		leader.core.now += time.Second
+		leader.requestShortfalls(shortfalls)
 	}
-	if n := len(l.fleet.requests.Open()); n != provisioning.MaxOpenRequests {
+	if n := len(leader.fleet.requests.Open()); n != provisioning.MaxOpenRequests {
 		t.Errorf("%d requests without an answer, at most %d allowed", n, provisioning.MaxOpenRequests)
 	}
 }
--- a/internal/core/scale_out_test.go
+++ b/internal/core/scale_out_test.go
@@ -9,9 +9,9 @@
 )
 
 // lastCall is the last call that the core has made.
-func lastCall(t *testing.T, l *leader) Call {
+func lastCall(t *testing.T, leader *leader) Call {
 	t.Helper()
-	calls := l.core.out.Calls
+	calls := leader.core.out.Calls
 	if len(calls) == 0 {
 		t.Fatal("no call")
 	}
@@ -42,27 +42,27 @@
 		{"unanswered", httpstatus.NoAnswer, ``, true, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			l.returnedMachines["n-returned"] = l.core.now
-			l.requestShortfalls([]provisioning.Shortfall{{Offer: requested, Count: 2}})
-			Result{ID: lastCall(t, l).ID, Status: tc.number, Body: []byte(tc.body)}.apply(l.core)
+			leader := newForecastLeader(t)
+			leader.returnedMachines["n-returned"] = leader.core.now
+			leader.requestShortfalls([]provisioning.Shortfall{{Offer: requested, Count: 2}})
+			Result{ID: lastCall(t, leader).ID, Status: tc.number, Body: []byte(tc.body)}.apply(leader.core)
 
-			open := l.fleet.requests.Open()
+			open := leader.fleet.requests.Open()
 			if (len(open) > 0) != tc.open {
 				t.Errorf("%d open requests", len(open))
 			}
-			if tc.open && (open[0].InFlight || open[0].RetryAt != l.core.now+time.Second) {
+			if tc.open && (open[0].InFlight || open[0].RetryAt != leader.core.now+time.Second) {
 				t.Errorf("not repeated: %+v", open[0])
 			}
-			availability := l.fleet.availability
-			if tc.backoff > 0 && !availability.Refused(requested, l.core.now+tc.backoff-1) || availability.Refused(requested, l.core.now+tc.backoff) {
+			availability := leader.fleet.availability
+			if tc.backoff > 0 && !availability.Refused(requested, leader.core.now+tc.backoff-1) || availability.Refused(requested, leader.core.now+tc.backoff) {
 				t.Errorf("backoff is not %v", tc.backoff)
 			}
-			if len(l.Machines) != tc.machines {
-				t.Errorf("%d machines known, want %d", len(l.Machines), tc.machines)
+			if len(leader.Machines) != tc.machines {
+				t.Errorf("%d machines known, want %d", len(leader.Machines), tc.machines)
 			}
-			for _, machine := range l.MachinesByName {
-				if machine.Offer() != requested || machine.ProvisionRequestedAt != l.core.now {
+			for _, machine := range leader.MachinesByName {
+				if machine.Offer() != requested || machine.ProvisionRequestedAt != leader.core.now {
 					t.Errorf("machine %+v", machine)
 				}
 			}
--- a/internal/core/scheduler_host_test.go
+++ b/internal/core/scheduler_host_test.go
@@ -24,26 +24,26 @@
 	leader := newLeader(harness.core, testLeadership(5))
 	leader.recordsLoaded = true
 	for i := range machines {
-		m := leader.machineNamed(fmt.Sprintf("n-%06d", i))
-		leader.describe(m, "", "plain", []string{"a", "b", "c"}[i%3], false)
-		m.FencingToken, m.LastHeartbeat, m.FirstHeartbeat, m.Incarnation = 5, harness.core.now, 1, 1
-		j := addJob(leader, wire.Job{ID: fmt.Sprintf("job-%06d", i), Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 1, MemGB: 1, Tasks: tasksOfMachine})
-		for k := range j.TaskStates {
-			leader.place(j, k, m)
-			j.TaskStates[k].State, j.TaskStates[k].Observed = wire.TaskRunning, true
+		machine := leader.machineNamed(fmt.Sprintf("n-%06d", i))
+		leader.describe(machine, "", "plain", []string{"a", "b", "c"}[i%3], false)
+		machine.FencingToken, machine.LastHeartbeat, machine.FirstHeartbeat, machine.Incarnation = 5, harness.core.now, 1, 1
+		job := addJob(leader, wire.Job{ID: fmt.Sprintf("job-%06d", i), Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 1, MemGB: 1, Tasks: tasksOfMachine})
+		for k := range job.TaskStates {
+			leader.place(job, k, machine)
+			job.TaskStates[k].State, job.TaskStates[k].Observed = wire.TaskRunning, true
 		}
 	}
 	return leader
 }
 
 // addJob adds a job with tasks to place.
-func addJob(l *leader, spec wire.Job) *cluster.Job {
+func addJob(leader *leader, spec wire.Job) *cluster.Job {
 	spec.Team, spec.Image = "vision", "img"
-	j := cluster.NewJob(records.Open{Job: spec}, uint64(len(l.JobsBySubmission)+1))
-	j.Loaded = true
-	l.Jobs[j.ID] = j
-	l.JobsBySubmission = append(l.JobsBySubmission, j)
-	return j
+	job := cluster.NewJob(records.Open{Job: spec}, uint64(len(leader.JobsBySubmission)+1))
+	job.Loaded = true
+	leader.Jobs[job.ID] = job
+	leader.JobsBySubmission = append(leader.JobsBySubmission, job)
+	return job
 }
 
 // BenchmarkPass is a placement pass with its scale-out plan over a busy fleet in which nothing
@@ -51,9 +51,9 @@
 func BenchmarkPass(b *testing.B) {
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			l := busyFleet(b, machines)
+			leader := busyFleet(b, machines)
 			for b.Loop() {
-				l.runPlacementPass()
+				leader.runPlacementPass()
 			}
 		})
 	}
@@ -63,13 +63,13 @@
 func BenchmarkRentalPlan(b *testing.B) {
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			l := busyFleet(b, machines)
+			leader := busyFleet(b, machines)
 			for i := range machines / 100 {
-				addJob(l, wire.Job{ID: fmt.Sprintf("job-9%05d", i), Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, CPUs: 1, MemGB: 1, Tasks: 300})
+				addJob(leader, wire.Job{ID: fmt.Sprintf("job-9%05d", i), Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, CPUs: 1, MemGB: 1, Tasks: 300})
 			}
-			cands, usage := l.candidates(), l.refreshUsage()
+			cands, usage := leader.candidates(), leader.refreshUsage()
 			for b.Loop() {
-				p := newScaleOutPlan(l)
+				p := newScaleOutPlan(leader)
 				p.packPending(cands, usage)
 			}
 		})
@@ -77,11 +77,11 @@
 }
 
 // idleMachine adds a machine of zone a that sends heartbeats and has heard of the term.
-func idleMachine(l *leader, name, machineType string) *cluster.Machine {
-	m := l.machineNamed(name)
-	l.describe(m, "", machineType, "a", false)
-	m.LastHeartbeat, m.FencingToken, m.Incarnation = l.core.now, l.leadership.Term, 1
-	return m
+func idleMachine(leader *leader, name, machineType string) *cluster.Machine {
+	machine := leader.machineNamed(name)
+	leader.describe(machine, "", machineType, "a", false)
+	machine.LastHeartbeat, machine.FencingToken, machine.Incarnation = leader.core.now, leader.leadership.Term, 1
+	return machine
 }
 
 // candidates lists the jobs with tasks to place.
@@ -90,12 +90,12 @@
 // bindTasks places tasks on machines, given in their order, as a pass of the scheduler does.
 func (l *leader) bindTasks(job *cluster.Job, tasks []int, machines []*cluster.Machine) {
 	for i, index := range tasks {
-		m, task := machines[i], &job.TaskStates[index]
-		task.Attempt, task.Zone, task.Incarnation = job.NextAttempt, m.Zone, m.Incarnation
+		machine, task := machines[i], &job.TaskStates[index]
+		task.Attempt, task.Zone, task.Incarnation = job.NextAttempt, machine.Zone, machine.Incarnation
 		task.PlacedThisTerm, task.PlacedAt = true, l.core.now
 		job.NextAttempt++
-		schedulerHost{l}.PlaceTask(job, index, m)
-		m.BeginPull(job.Image, job.ImageGB, l.core.now)
+		schedulerHost{l}.PlaceTask(job, index, machine)
+		machine.BeginPull(job.Image, job.ImageGB, l.core.now)
 	}
 }
 
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -63,39 +63,39 @@
 	} {
 		for _, known := range []bool{true, false} {
 			t.Run(tc.name+"/known here "+strconv.FormatBool(known), func(t *testing.T) {
-				b := newHarness(t, testMachineTypes)
+				harness := newHarness(t, testMachineTypes)
 				for n, change := range [][]string{1: nil, 4: {"shape", `"daemon"`}, 5: nil} {
 					if n == 0 || n == 2 || n == 3 {
 						continue
 					}
-					if a := b.request("POST", "/submissions", body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)); a.Status != 201 {
+					if a := harness.request("POST", "/submissions", body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)); a.Status != 201 {
 						t.Fatalf("job %d: %d %s", n, a.Status, a.Body)
 					}
 				}
-				b.write(records.FinalKey(done), "", []byte(`{"s":"done","n":16}`))
-				b.write(records.FinalKey(cancelled), "", []byte(`{"s":"withdrawn","n":16}`))
-				b.requestCancellation(cancelling, 1)
-				b.core.jobCache.ForgetOpen(cancelling)
+				harness.write(records.FinalKey(done), "", []byte(`{"s":"done","n":16}`))
+				harness.write(records.FinalKey(cancelled), "", []byte(`{"s":"withdrawn","n":16}`))
+				harness.requestCancellation(cancelling, 1)
+				harness.core.jobCache.ForgetOpen(cancelling)
 				if !known {
-					b.core.jobCache.ForgetAllOpen() // accepted by another controller
+					harness.core.jobCache.ForgetAllOpen() // accepted by another controller
 				}
-				a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits))
+				a := harness.request("POST", "/submissions", submissionAwaiting(9, tc.awaits))
 				if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
 				}
-				_, isOpen := b.store[records.OpenKey(jobID(9))]
-				_, isFinal := b.store[records.FinalKey(jobID(9))]
+				_, isOpen := harness.store[records.OpenKey(jobID(9))]
+				_, isFinal := harness.store[records.FinalKey(jobID(9))]
 				if isOpen != (tc.state == "pending") || isFinal != (tc.state == "withdrawn") {
 					t.Errorf("open on record: %v, final: %v", isOpen, isFinal)
 				}
-				if got := strings.Join(b.openRecord(jobID(9)).Job.Dependencies, ","); got != tc.recorded {
+				if got := strings.Join(harness.openRecord(jobID(9)).Job.Dependencies, ","); got != tc.recorded {
 					t.Errorf("dependencies %q on record, want %q", got, tc.recorded)
 				}
-				if tc.recorded != "" && !strings.Contains(string(b.store[records.OpenKey(open)].Value), `"nd":true`) {
+				if tc.recorded != "" && !strings.Contains(string(harness.store[records.OpenKey(open)].Value), `"nd":true`) {
 					t.Error("the dependency is not marked as having dependents")
 				}
 				if tc.status == 201 {
-					if a := b.request("POST", "/submissions", submissionAwaiting(9, tc.awaits)); a.Status != 200 {
+					if a := harness.request("POST", "/submissions", submissionAwaiting(9, tc.awaits)); a.Status != 200 {
 						t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 					}
 				}
@@ -106,21 +106,21 @@
 
 // TestAwaitsMany names more dependencies than a transaction has conditions or writes.
 func TestAwaitsMany(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	b.core.settings.Deployment.Store.TxnOps = 5
+	harness := newHarness(t, testMachineTypes)
+	harness.core.settings.Deployment.Store.TxnOps = 5
 	var names []string
 	for n := range 50 {
-		if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(n)+`"`)); a.Status != 201 {
+		if a := harness.request("POST", "/submissions", body("nameId", `"`+jobID(n)+`"`)); a.Status != 201 {
 			t.Fatalf("job %d: %d %s", n, a.Status, a.Body)
 		}
 		names = append(names, `"`+jobID(n)+`"`)
 	}
-	b.core.jobCache.ForgetAllOpen()
-	if a := b.request("POST", "/submissions", submissionAwaiting(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
+	harness.core.jobCache.ForgetAllOpen()
+	if a := harness.request("POST", "/submissions", submissionAwaiting(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	for n := range 50 {
-		if !strings.Contains(string(b.store[records.OpenKey(jobID(n))].Value), `"nd":true`) {
+		if !strings.Contains(string(harness.store[records.OpenKey(jobID(n))].Value), `"nd":true`) {
 			t.Errorf("%s is not marked as having dependents", jobID(n))
 		}
 	}
@@ -129,19 +129,19 @@
 // TestAwaitsRace cancels a dependency between the moment at which it is read and the one at which
 // its dependent is recorded.
 func TestAwaitsRace(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	if a := b.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
+	harness := newHarness(t, testMachineTypes)
+	if a := harness.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
-	b.requestCancellation(jobID(1), 1)
-	if b.core.jobCache.Open(jobID(1)).Record.Cancelled {
+	harness.requestCancellation(jobID(1), 1)
+	if harness.core.jobCache.Open(jobID(1)).Record.Cancelled {
 		t.Fatal("known already")
 	}
-	a := b.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
+	a := harness.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
 	if a.Status != 201 || !strings.Contains(string(a.Body), "withdrawn") {
 		t.Errorf("answered %d %s, want 201 and withdrawn", a.Status, a.Body)
 	}
-	if _, ok := b.store[records.OpenKey(jobID(2))]; ok {
+	if _, ok := harness.store[records.OpenKey(jobID(2))]; ok {
 		t.Error("open on record though its dependency is cancelled")
 	}
 }
--- a/internal/core/submission_pacing_test.go
+++ b/internal/core/submission_pacing_test.go
@@ -6,9 +6,9 @@
 )
 
 // submitAndCollectCommits submits a job and returns the transactions that are sent along with it.
-func submitAndCollectCommits(b *harness, body string) []Call {
-	b.nextReq++
-	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), Request{ID: b.nextReq, Method: "POST", Path: "/submissions", Body: []byte(body)})
+func submitAndCollectCommits(harness *harness, body string) []Call {
+	harness.nextReq++
+	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Request{ID: harness.nextReq, Method: "POST", Path: "/submissions", Body: []byte(body)})
 	var commits []Call
 	for _, k := range out.Calls {
 		if k.Destination == DestinationStore && k.Path == "/commit" {
@@ -22,19 +22,19 @@
 // as the leader's records do, and that many at a time keep to it. A leader that had used up the
 // rate of changes for its own records once turned away the submissions that came to it.
 func TestFewSubmissionsBypassPacing(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
+	harness := newHarness(t, testMachineTypes)
 	submission := func(n int) string { return body("nameId", `"`+jobID(n)+`"`) }
-	first := submitAndCollectCommits(b, submission(1))
+	first := submitAndCollectCommits(harness, submission(1))
 	if len(first) != 1 || !first[0].Urgent {
 		t.Fatalf("a single submission is paced: %+v", first)
 	}
-	ops := b.core.store.MaxWrites()
+	ops := harness.core.store.MaxWrites()
 	for n := range ops {
-		if late := submitAndCollectCommits(b, submission(2+n)); len(late) != 0 {
+		if late := submitAndCollectCommits(harness, submission(2+n)); len(late) != 0 {
 			t.Fatalf("a second transaction is sent beside the first: %+v", late)
 		}
 	}
-	out := b.core.Step(b.now, time.Unix(1e9, 0).Add(b.now), Result{ID: first[0].ID, Status: 200, Body: []byte(`{"logline":2}`)})
+	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Result{ID: first[0].ID, Status: 200, Body: []byte(`{"logline":2}`)})
 	for _, k := range out.Calls {
 		if k.Path == "/commit" && (k.Urgent || k.Writes != ops) {
 			t.Fatalf("%d submissions at a time: %d changes, urgent %v", ops, k.Writes, k.Urgent)
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -170,16 +170,16 @@
 		{"cancelled", `{"s":"withdrawn","n":2}`, wire.JobStatus{ID: id, Status: wire.StatusCancelled}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newHarness(t, testMachineTypes)
-			if a := b.request("POST", "/submissions", body()); a.Status != 201 {
+			first := newHarness(t, testMachineTypes)
+			if a := first.request("POST", "/submissions", body()); a.Status != 201 {
 				t.Fatalf("accepted: %d %s", a.Status, a.Body)
 			}
 			if tc.final != "" {
-				b.write(records.FinalKey(id), records.OpenKey(id), []byte(tc.final))
+				first.write(records.FinalKey(id), records.OpenKey(id), []byte(tc.final))
 			}
 			fresh := newHarness(t, testMachineTypes)
-			fresh.store, fresh.revision = b.store, b.revision
-			for _, at := range []*harness{b, fresh} {
+			fresh.store, fresh.revision = first.store, first.revision
+			for _, at := range []*harness{first, fresh} {
 				expectRepeats(t, at, tc.want)
 				if tc.final != "" {
 					expectStatus(t, "cancelled", at.request("POST", "/submissions/"+id+"/cancel", ""), tc.want)
@@ -223,8 +223,8 @@
 	f.Add([]byte(`{"cpus":1,"cpus":2}`))
 	f.Add([]byte(`{"x":[[[[`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		b := newHarness(t, testMachineTypes)
-		a := b.request("POST", "/submissions", string(in))
+		harness := newHarness(t, testMachineTypes)
+		a := harness.request("POST", "/submissions", string(in))
 		if a.Status != 201 && a.Status != 400 && a.Status != 422 {
 			t.Fatalf("%d %s", a.Status, a.Body)
 		}
@@ -242,7 +242,7 @@
 			t.Fatalf("answered %s: %v", a.Body, err)
 		}
 		var rec records.Open
-		it := b.store[records.OpenKey(got.ID)]
+		it := harness.store[records.OpenKey(got.ID)]
 		if err := stdjson.Unmarshal(it.Value, &rec); err != nil || rec.Job.ID != got.ID {
 			t.Fatalf("recorded %s: %v", it.Value, err)
 		}
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -23,11 +23,11 @@
 
 // configuredLimit is a team's limit by the settings.
 func (c *Core) configuredLimit(name string) teamlimit.Limit {
-	t := c.team(name)
-	if t == nil {
+	team := c.team(name)
+	if team == nil {
 		return teamlimit.UnknownTeam
 	}
-	return teamlimit.FromSettings(t.CPUsMax, t.GPUsMax)
+	return teamlimit.FromSettings(team.CPUsMax, team.GPUsMax)
 }
 
 // limit is what a team's tasks may use in this region now.
--- a/internal/core/termination_test.go
+++ b/internal/core/termination_test.go
@@ -14,15 +14,15 @@
 // running one, in either order: the running one goes on counting. It was once mistaken for lost,
 // started elsewhere, and ran twice.
 func TestEarlierAttemptListed(t *testing.T) {
-	b := newHarness(t, testMachineTypes)
-	l := newLeader(b.core, testLeadership(5))
-	b.core.leader, l.recordsLoaded = l, true
-	job := wire.Job{ID: "job-000001", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}
-	l.applyOpenRecord(job.ID, 7, records.Open{Job: job, SubmittedAt: b.core.wallClockMS})
-	j, m := l.Jobs[job.ID], l.machineNamed("n-000001")
-	j.TaskStates[0] = cluster.Task{Attempt: 2, Zone: "a", Incarnation: 1, Persisted: true, PlacedThisTerm: true, StartSent: true}
-	l.place(j, 0, m)
-	j.PlacementRecords[0].Dirty = true // the exit of the earlier attempt is not on record yet
+	harness := newHarness(t, testMachineTypes)
+	leader := newLeader(harness.core, testLeadership(5))
+	harness.core.leader, leader.recordsLoaded = leader, true
+	spec := wire.Job{ID: "job-000001", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}
+	leader.applyOpenRecord(spec.ID, 7, records.Open{Job: spec, SubmittedAt: harness.core.wallClockMS})
+	job, machine := leader.Jobs[spec.ID], leader.machineNamed("n-000001")
+	job.TaskStates[0] = cluster.Task{Attempt: 2, Zone: "a", Incarnation: 1, Persisted: true, PlacedThisTerm: true, StartSent: true}
+	leader.place(job, 0, machine)
+	job.PlacementRecords[0].Dirty = true // the exit of the earlier attempt is not on record yet
 	exited := wire.TaskStatus{Task: "job-000001/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped}
 	running := wire.TaskStatus{Task: "job-000001/0", Attempt: 2, State: wire.TaskRunning}
 	for i, rows := range [][]wire.TaskStatus{{exited, running}, {running, exited}, {exited, running}} {
@@ -30,10 +30,10 @@
 			Machine: "n-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "a",
 			Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 5, Tasks: rows,
 		}
-		if status, body := l.handleHeartbeat(kv.Encode(heartbeat), "n0"); status != httpstatus.OK {
+		if status, body := leader.handleHeartbeat(kv.Encode(heartbeat), "n0"); status != httpstatus.OK {
 			t.Fatalf("heartbeat %d: %d %s", i, status, body)
 		}
-		if task := &j.TaskStates[0]; task.Machine != m || task.State != wire.TaskRunning {
+		if task := &job.TaskStates[0]; task.Machine != machine || task.State != wire.TaskRunning {
 			t.Fatalf("after heartbeat %d the running task is %q on %v", i, task.State, task.Machine)
 		}
 	}
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -47,19 +47,19 @@
 func TestPlanNamesWaitReason(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		setUp func(l *leader, c *candidate)
+		setUp func(leader *leader, c *candidate)
 		want  cluster.WaitReason
 	}{
 		{"a machine is provisioned", func(*leader, *candidate) {}, cluster.WaitForMachines},
-		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, cluster.WaitForMachines},
-		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
-		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, cluster.WaitNoOffer},
+		{"a machine boots", func(leader *leader, _ *candidate) { bootingMachine(leader, "n-1", "large", "a") }, cluster.WaitForMachines},
+		{"the limit", func(leader *leader, _ *candidate) { leader.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
+		{"no capacity", func(leader *leader, _ *candidate) { refuseZone(leader, "a"); refuseZone(leader, "b") }, cluster.WaitNoOffer},
 		{"tasks are preempted", func(_ *leader, c *candidate) { c.Reserved = 1 }, cluster.WaitForPreemption},
 	} {
-		l := newForecastLeader(t)
+		leader := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
-		tc.setUp(l, c)
-		p := newScaleOutPlan(l)
+		tc.setUp(leader, c)
+		p := newScaleOutPlan(leader)
 		p.packPending([]*candidate{c}, map[string]topology.Resources{})
 		if got := c.Job.WaitLog.LastReason; got != tc.want {
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
--- a/internal/core/zone_loss_test.go
+++ b/internal/core/zone_loss_test.go
@@ -14,34 +14,34 @@
 func zoneLossLeader(tb testing.TB, machines int) *leader {
 	tb.Helper()
 	leader := busyFleet(tb, machines)
-	for i, j := range leader.JobsBySubmission {
-		leader.writer.InitPlacementRecords(j)
-		j.SpreadZones = i%2 == 0
+	for i, job := range leader.JobsBySubmission {
+		leader.writer.InitPlacementRecords(job)
+		job.SpreadZones = i%2 == 0
 		if i%3 == 2 {
-			setPriority(j, 0)
+			setPriority(job, 0)
 		}
 	}
 	// The tasks of a job are placed anew, so that each job has some in every zone.
-	for _, j := range leader.JobsBySubmission {
-		for k := range j.TaskStates {
-			leader.unplace(j, k)
+	for _, job := range leader.JobsBySubmission {
+		for k := range job.TaskStates {
+			leader.unplace(job, k)
 		}
 	}
-	for i, j := range leader.JobsBySubmission {
-		for k := range j.TaskStates {
-			m := leader.MachinesByName[(i+k*131)%machines]
-			leader.place(j, k, m)
-			j.TaskStates[k].State, j.TaskStates[k].Observed, j.TaskStates[k].Zone = wire.TaskRunning, true, m.Zone
+	for i, job := range leader.JobsBySubmission {
+		for k := range job.TaskStates {
+			machine := leader.MachinesByName[(i+k*131)%machines]
+			leader.place(job, k, machine)
+			job.TaskStates[k].State, job.TaskStates[k].Observed, job.TaskStates[k].Zone = wire.TaskRunning, true, machine.Zone
 		}
 	}
-	for _, m := range leader.MachinesByName {
-		if m.Zone != "b" {
+	for _, machine := range leader.MachinesByName {
+		if machine.Zone != "b" {
 			continue
 		}
-		for _, p := range m.Placements {
+		for _, p := range machine.Placements {
 			leader.unplace(p.Job, p.Index)
 		}
-		leader.dropMachine(m)
+		leader.dropMachine(machine)
 	}
 	leader.fleet.partitionedAt["b"] = leader.core.now
 	fillMachines(leader)
@@ -49,12 +49,12 @@
 }
 
 // fillMachines fills all machines with tasks of the lowest priority.
-func fillMachines(l *leader) {
-	j := addJob(l, wire.Job{ID: "job-888888", Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, CPUs: 1, MemGB: 1, Tasks: 3 * len(l.MachinesByName), CheckpointIntervalS: 30, CheckpointDurationS: 3})
-	l.writer.InitPlacementRecords(j)
-	for i := range j.TaskStates {
-		l.place(j, i, l.MachinesByName[i/3])
-		j.TaskStates[i].State, j.TaskStates[i].Observed, j.TaskStates[i].Persisted, j.TaskStates[i].StartSent = wire.TaskRunning, true, true, true
+func fillMachines(leader *leader) {
+	job := addJob(leader, wire.Job{ID: "job-888888", Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, CPUs: 1, MemGB: 1, Tasks: 3 * len(leader.MachinesByName), CheckpointIntervalS: 30, CheckpointDurationS: 3})
+	leader.writer.InitPlacementRecords(job)
+	for i := range job.TaskStates {
+		leader.place(job, i, leader.MachinesByName[i/3])
+		job.TaskStates[i].State, job.TaskStates[i].Observed, job.TaskStates[i].Persisted, job.TaskStates[i].StartSent = wire.TaskRunning, true, true, true
 	}
 }
 
@@ -65,13 +65,13 @@
 			var longest time.Duration
 			for b.Loop() {
 				b.StopTimer()
-				l := zoneLossLeader(b, machines)
+				leader := zoneLossLeader(b, machines)
 				b.StartTimer()
 				for range 20 {
 					start := time.Now()
-					l.runPlacementPass()
+					leader.runPlacementPass()
 					longest = max(longest, time.Since(start))
-					l.core.now += l.core.heartbeatInterval() / 5
+					leader.core.now += leader.core.heartbeatInterval() / 5
 				}
 			}
 			b.ReportMetric(float64(longest.Microseconds())/1000, "ms/longest")
