--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -11,10 +11,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestGoneIsConfirmed lets a leader say that no task of a cancelled job is left. The cancellation
+// TestTerminationIsConfirmed lets a leader say that no task of a cancelled job is left. The cancellation
 // is acknowledged only while the term is still that leader's: a later one may have started tasks
 // that the first knows nothing of.
-func TestGoneIsConfirmed(t *testing.T) {
+func TestTerminationIsConfirmed(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		superseded bool
--- a/internal/core/cancelled_ends.go
+++ b/internal/core/cancelled_ends.go
@@ -2,11 +2,11 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/cluster"
 
-// addCancelledEnds adds the ends of cancelled jobs to a transaction as far as there is room:
-// no user is told of one before its dependents are over, so these come first. A chain goes
+// addCancelledEnds adds the ends of cancelled jobs to a transaction as far as they fit:
+// no user is told of one before its dependents have ended, so these come first. A chain goes
 // into one transaction where it fits: job by job, each after the outcome of the one before, a
 // long one would take longer than cancel_s. A job with dependents is added when the last of
-// them is over.
+// them has ended.
 func (l *leader) addCancelledEnds(add func(*cluster.Job) bool) {
 	waiting := l.cancelledWithoutDependents
 	l.cancelledWithoutDependents = nil
@@ -23,7 +23,7 @@
 }
 
 // addEndWithDependencies adds the end of a cancelled job, and those of its cancelled
-// dependencies that no other job needs. It returns false if there is no room for the job.
+// dependencies that no other job needs. It returns false if the job does not fit.
 func (l *leader) addEndWithDependencies(job *cluster.Job, add func(*cluster.Job) bool) bool {
 	if !add(job) {
 		return false
--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -38,6 +38,7 @@
 	preemptible topology.Resources // of it, what the team's limit does not count for this candidate
 }
 
+// newCandidatePacking prepares to pack a candidate's tasks; used is what its team uses by then.
 func (p *scaleOutPlan) newCandidatePacking(candidate *candidate, used topology.Resources) *candidatePacking {
 	l, job := p.leader, candidate.Job
 	packing := &candidatePacking{
@@ -67,7 +68,7 @@
 	l, demand := c.plan.leader, c.plan.demand
 	wanted := l.plannedTasks(c.candidate) - c.candidate.Reserved
 	if demand != nil && c.candidate.Job.Shape == wire.ShapeGang && !c.allows(wanted) {
-		// A part of it would take a share from other regions in vain.
+		// A part of the gang cannot start, and would only take a share from other regions.
 		demand.recordShortage(c.candidate, wanted)
 		return l.limitReason(c.candidate.Job)
 	}
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -17,7 +17,7 @@
 
 // consolidate empties a machine all of whose replicas fit on other machines that are up and hold
 // their images, so that it can be returned. A replica that moves is away for the time of a stop
-// and a start. One machine is emptied at a time, and only while nothing waits for room.
+// and a start. One machine is emptied at a time, and only while no task waits for capacity.
 func (l *leader) consolidate(bins []*provisioning.Bin, candidates []*candidate) {
 	if !l.mayConsolidate(bins, candidates) {
 		return
@@ -55,7 +55,7 @@
 	return !slices.ContainsFunc(bins, func(b *provisioning.Bin) bool { return b.ToProvision })
 }
 
-// anyPending reports whether tasks wait for room, other than those that fail on every machine.
+// anyPending reports whether tasks wait for capacity, other than those that fail on every machine.
 func anyPending(candidates []*candidate) bool {
 	return slices.ContainsFunc(candidates, func(c *candidate) bool { return len(c.Pending) > 0 && !c.Faulty })
 }
@@ -219,7 +219,7 @@
 func (p *consolidation) zoneCapacity(job *cluster.Job, zone string, bound func(string) int) int {
 	n := bound(zone) - p.movedToZone[jobZone{job, zone}]
 	if zone == p.source.Zone {
-		n++ // the replica leaves its place there
+		n++ // the replica that moves no longer counts there
 	}
 	return n
 }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -60,7 +60,7 @@
 	jobCountsDueAt      time.Duration
 	jobCounts           map[string]wire.JobCount // last digest of the leader
 	regions             regions
-	// pullsAreSequential is what the leader last told of how machines fetch images.
+	// pullsAreSequential is what the leader's last digest says of how machines pull images.
 	pullsAreSequential bool
 }
 
@@ -121,7 +121,7 @@
 	return c.leader.scheduler.Evaluations()
 }
 
-// onTick does what has become due.
+// onTick runs the periodic work that is due.
 func (c *Core) onTick() {
 	c.election.Tick()
 	c.tickMachineTypes()
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -10,10 +10,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A job with dependencies that are not done has its place in the dependency graph (package
+// A job with dependencies that are not done is a node of the dependency graph (package
 // depgraph) and nothing else: it is pending, outside its team's limit and guarantee, and none of
 // its tasks may be placed. It is ready when its open record says so (ReadyAt), which is written on
-// the condition that the open records of its dependencies are gone, after their ends were read or
+// the condition that its dependencies have no open records any more, after their ends were read or
 // written as done. Every placement is conditional on that record in turn, so that no start relies
 // on what a leader remembers of an end.
 //
@@ -172,7 +172,7 @@
 	l.recomputeUrgency(affected)
 }
 
-// hasLiveDependents reports whether any dependent of a job is not over, or may not be.
+// hasLiveDependents reports whether any dependent of a job has not ended, or may not have.
 func (l *leader) hasLiveDependents(id string) bool {
 	if job := l.Jobs[id]; job != nil && l.mayHaveUnknownDependents(job) {
 		return true
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -1,50 +1,17 @@
 package core
 
 import (
-	"fmt"
 	"math"
 	"strings"
 	"testing"
 
-	stdjson "encoding/json"
-
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
-	"github.com/brookwalk/brookwalk/internal/core/persistence"
 	"github.com/brookwalk/brookwalk/internal/core/records"
-	"github.com/brookwalk/brookwalk/internal/kv"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// newLeadingHarness makes a harness whose controller leads and has loaded its records.
-func newLeadingHarness(t *testing.T, change func(*config.Settings)) (*harness, *leader) {
-	t.Helper()
-	harness := newHarness(t, testMachineTypes)
-	change(harness.core.settings)
-	harness.write(election.KeyTerm, "", []byte("5"))
-	leader := harness.lead()
-	leader.recordsLoaded = true
-	return harness, leader
-}
-
-// addRecord writes a job's open record and tells the leader of it.
-func addRecord(harness *harness, leader *leader, spec wire.Job, change func(*records.Open)) {
-	if spec.Class == "" {
-		spec.Class, spec.Team, spec.Shape, spec.Priority, spec.CPUs, spec.MemGB = "c", "vision", wire.ShapeArray, wire.PriorityIdle, 4, 1
-	}
-	if spec.Tasks == 0 {
-		spec.Tasks = 1
-	}
-	rec := records.Open{Job: spec, SubmittedAt: harness.core.wallClockMS}
-	if change != nil {
-		change(&rec)
-	}
-	key := records.OpenKey(spec.ID)
-	harness.write(key, "", kv.Encode(rec))
-	leader.applyOpenRecord(spec.ID, harness.store[key].Version, rec)
-}
-
 // TestInheritance gives a job the highest priority of its dependents and the earliest deadline, less
 // the estimates on the way, also where it runs already; what its dependents lose, it loses.
 func TestInheritance(t *testing.T) {
@@ -72,9 +39,9 @@
 	}
 }
 
-// TestWaitingHoldsNothing lets a job wait for a dependency: it asks for no machine and claims no part
+// TestWaitingJobUsesNothing lets a job wait for a dependency: it asks for no machine and claims no part
 // of its team's guarantee until its record says that it is ready.
-func TestWaitingHoldsNothing(t *testing.T) {
+func TestWaitingJobUsesNothing(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, nil) // 4 of 8 CPUs guaranteed
@@ -136,7 +103,7 @@
 	if a := harness.request("POST", "/submissions", body()); a.Status != 201 {
 		t.Fatalf("%d %s", a.Status, a.Body)
 	}
-	if a := harness.request("POST", "/submissions", submissionAwaiting(9, `["`+id+`"]`)); a.Status != 201 {
+	if a := harness.request("POST", "/submissions", submissionWithDependencies(9, `["`+id+`"]`)); a.Status != 201 {
 		t.Fatalf("%d %s", a.Status, a.Body)
 	}
 	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
@@ -153,131 +120,6 @@
 	}
 }
 
-// TestPlacementsAreDeleted ends a job that has more placement records than fit in one transaction:
-// none is left.
-func TestPlacementsAreDeleted(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
-		s.Deployment.Store.TxnOps, s.Deployment.Store.ValueKB = 5, 1
-	})
-	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
-	job := leader.Jobs["job-1"]
-	for i := range job.PlacementRecords {
-		harness.write(job.PlacementRecords[i].Key, "", []byte(`{"n":1}`))
-		job.PlacementRecords[i].Version = harness.store[job.PlacementRecords[i].Key].Version
-	}
-	if len(job.PlacementRecords) < 10 {
-		t.Fatalf("%d records", len(job.PlacementRecords))
-	}
-	for i := range job.TaskStates {
-		leader.markDone(job, i)
-	}
-	harness.run(2e9)
-	if harness.store[records.FinalKey("job-1")].Key == "" {
-		t.Error("the job is not over")
-	}
-	for k := range harness.store {
-		if strings.HasPrefix(k, records.PrefixPlacement) {
-			t.Errorf("%s is left", k)
-		}
-	}
-}
-
-// TestLayoutChanges moves a job from numbered records to those that name their range. A copy of an
-// earlier write of the numbered record, carried out late, must fail: it would restore what the new
-// records have replaced.
-func TestLayoutChanges(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
-		s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1}
-	})
-	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
-	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
-	job := leader.Jobs["job-1"]
-	for i := range job.TaskStates[:60] {
-		machine := leader.machineNamed(fmt.Sprintf("n-%06d", i))
-		job.TaskStates[i] = cluster.Task{Attempt: uint64(i + 1), Zone: "a", Incarnation: 1, PlacedThisTerm: true}
-		job.NextAttempt = uint64(i + 2)
-		leader.place(job, i, machine)
-		leader.writer.MarkPlacement(job, i)
-	}
-	harness.run(1e9)
-	late := ""
-	for _, c := range harness.commits {
-		if strings.Contains(c, `"put":"p/job-1/0"`) {
-			late = c
-		}
-	}
-	if late == "" || strings.Contains(strings.Join(harness.commits, "\n"), "p/job-1/0-") {
-		t.Fatalf("while a controller has the earlier version, its layout is written: %v", sortedKeys(harness.store))
-	}
-	// The answer to that write was lost, and it may still come: as a first one
-	// would, on the condition that no record exists.
-	delete(harness.store, "p/job-1/0")
-	job.PlacementRecords[0].Version, job.PlacementRecords[0].Dirty, job.PlacementRecords[0].DueAt = 0, true, 0
-	leader.writer.MarkDirty()
-	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersion}}})
-	harness.run(1e9)
-	if status, _ := harness.commit([]byte(late)); status != 409 {
-		t.Errorf("the late copy is answered %d, want 409", status)
-	}
-	named := 0
-	for k, it := range harness.store {
-		if strings.HasPrefix(k, "p/job-1/") {
-			named++
-			if len(it.Value) > 1024 || !strings.Contains(k, "-1") && !strings.Contains(k, "-2") && strings.Count(k, "-") < 2 {
-				t.Errorf("%s: %d bytes", k, len(it.Value))
-			}
-		}
-	}
-	if named < 5 {
-		t.Errorf("%d records", named)
-	}
-	// A next leader finds all of it.
-	successor := newLeader(harness.core, election.Leadership{Term: 6, TermVersion: leader.leadership.TermVersion, Lease: 1})
-	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
-	var found []persistence.LoadedPlacement
-	for _, k := range sortedKeys(harness.store) {
-		if strings.HasPrefix(k, records.PrefixPlacement) {
-			r, ok := records.ParsePlacementKey(k, leader.writer.TasksPerNumberedRecord())
-			p := persistence.LoadedPlacement{PlacementRange: r, Key: k, Version: harness.store[k].Version}
-			if !ok || stdjson.Unmarshal(harness.store[k].Value, &p.Record) != nil {
-				t.Fatalf("%s is not read", k)
-			}
-			found = append(found, p)
-		}
-	}
-	successor.writer.Adopt(successor.Jobs["job-1"], found)
-	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.Numbered {
-		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.Numbered)
-	}
-}
-
-// TestAdoptPrefersRanges reads records of both layouts that disagree: those that name their range take
-// precedence over the numbered ones.
-func TestAdoptPrefersRanges(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1} })
-	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 30}, nil)
-	job := leader.Jobs["job-1"]
-	leader.writer.Adopt(job, []persistence.LoadedPlacement{
-		{Key: "p/job-1/0", Version: 5, PlacementRange: records.PlacementRange{From: 0, To: 128, Numbered: true}, Record: records.Placement{NextAttempt: 40, Done: []int{3}, Tasks: []records.PlacedTask{
-			{Task: 1, Attempt: 1, Machine: "n-000001", Zone: "a", Incarnation: 1}, {Task: 20, Attempt: 2, Machine: "n-000001", Zone: "a", Incarnation: 1},
-		}}},
-		{Key: "p/job-1/0-12", Version: 9, PlacementRange: records.PlacementRange{From: 0, To: 12}, Record: records.Placement{NextAttempt: 50, Tasks: []records.PlacedTask{
-			{Task: 2, Attempt: 45, Machine: "n-000002", Zone: "b", Incarnation: 3},
-		}}},
-	})
-	if job.TaskStates[1].Machine != nil || job.TaskStates[2].Machine == nil || job.TaskStates[2].Machine.Name != "n-000002" || job.TaskStates[20].Machine == nil || !job.TaskStates[3].Done || job.NextAttempt != 50 {
-		t.Errorf("read as %+v", job.TaskStates[:21])
-	}
-	for i := range job.TaskStates {
-		if ch := job.PlacementRecordOf(i); i < ch.From || i >= ch.To || strings.Count(ch.Key, "-") != 2 {
-			t.Errorf("task %d is covered by %s", i, ch.Key)
-		}
-	}
-	if keys := job.PlacementKeys(); len(keys) != 2 {
-		t.Errorf("records to delete at the end: %v", keys)
-	}
-}
-
 // TestPreemptionPriority orders a job by the priority of its dependent at once, and lets it preempt
 // with that only once the chain has less time left than the job takes.
 func TestPreemptionPriority(t *testing.T) {
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -72,10 +72,10 @@
 	}
 }
 
-// TestClaimsCost submits a job with a deadline and a priority behind large graphs, and cancels it.
+// TestInheritanceCost submits a job with a deadline and a priority behind large graphs, and cancels it.
 // The cost of inheritance grows with the jobs and their dependencies, not with the paths: of
 // these, layers have more than can ever be followed.
-func TestClaimsCost(t *testing.T) {
+func TestInheritanceCost(t *testing.T) {
 	due := 1e6
 	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
@@ -232,7 +232,7 @@
 		}
 		leader.applyOpenRecord(id, harness.store[key].Version, harness.openRecord(id))
 	}
-	leader.takeUpWork()
+	leader.startDeciding()
 	return leader
 }
 
@@ -249,7 +249,7 @@
 					t.Fatalf("%s still waits though its dependencies are done", id)
 				}
 				j := leader.Jobs[id]
-				j.Waiting, j.DependenciesDone = false, false // as when its record says that it goes on
+				j.Waiting, j.DependenciesDone = false, false // as when its record says that it is ready
 				leader.dependencies.DropDependencies(id)
 				delete(leader.Jobs, id)
 				leader.dependencyEnded(id, wire.StatusDone)
@@ -264,9 +264,9 @@
 	}
 }
 
-// TestEndsAgain cancels a chain while the store refuses transactions, or carries them out without
+// TestEndsAreRetried cancels a chain while the store refuses transactions, or carries them out without
 // an answer: every job ends, and none before its dependents.
-func TestEndsAgain(t *testing.T) {
+func TestEndsAreRetried(t *testing.T) {
 	for name, answer := range map[string]func(carryOut func() int) int{
 		"429":                  func(func() int) int { return 429 },
 		"503":                  func(func() int) int { return 503 },
@@ -360,7 +360,7 @@
 				return carryOut()
 			}
 			for _, status := range []int{201, 200} {
-				a := other.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
+				a := other.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`))
 				if a.Status != status || !strings.Contains(string(a.Body), `"status":"`+string(tc.status)+`"`) {
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, status, tc.status)
 				}
@@ -369,7 +369,7 @@
 				t.Fatal("nothing was written")
 			}
 			syncRevision(harness, other)
-			if a := harness.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
+			if a := harness.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
 				t.Errorf("the repeat elsewhere is answered %d %s", a.Status, a.Body)
 			}
 			_, open := harness.store[records.OpenKey(jobID(2))]
@@ -394,7 +394,7 @@
 				if !accepted && len(txn.Writes) > 0 {
 					accepted = true
 					syncRevision(other, harness)
-					if a := other.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`)); a.Status != 201 {
+					if a := other.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`)); a.Status != 201 {
 						t.Fatalf("%d %s", a.Status, a.Body)
 					}
 					syncRevision(harness, other)
@@ -417,7 +417,7 @@
 			case cancelled && !harness.hasEnded(jobID(2)):
 				t.Error("the dependent has not ended")
 			case !cancelled && (dependent == nil || dependent.Waiting):
-				t.Error("the dependent does not go on")
+				t.Error("the dependent does not become ready")
 			}
 		})
 	}
@@ -430,14 +430,14 @@
 	harness.step(Result{ID: harness.core.nextCall})
 }
 
-// TestAwaitsLongOver has dependencies that ended long ago: of these only the final record is left,
+// TestDependenciesEndedLongAgo has dependencies that ended long ago: of these only the final record is left,
 // and no controller remembers it.
-func TestAwaitsLongOver(t *testing.T) {
+func TestDependenciesEndedLongAgo(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	harness.write(records.FinalKey(jobID(1)), "", []byte(`{"s":"done","n":1}`))
 	harness.write(records.FinalKey(jobID(2)), "", []byte(`{"s":"withdrawn","n":1}`))
 	// A record that names them was written before they ended, and the leader that recorded their
-	// ends is gone.
+	// ends has stepped down.
 	runInStep(harness, func() {
 		addRecord(harness, leader, wire.Job{ID: jobID(3), Dependencies: []string{jobID(1)}}, nil)
 		addRecord(harness, leader, wire.Job{ID: jobID(4), Dependencies: []string{jobID(1), jobID(2)}}, nil)
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -21,6 +21,7 @@
 // under smallLimits.
 const longListLength = 400
 
+// smallLimits lowers the store's limits to 2 KB in a value and 5 writes in a transaction.
 func smallLimits(s *config.Settings) {
 	s.Deployment.Store.ValueKB, s.Deployment.Store.TxnOps = 2, 5
 }
@@ -70,7 +71,7 @@
 	smallLimits(harness.core.settings)
 	names = openJobs(harness, longListLength)
 	id = jobID(9)
-	if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
+	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	return id, names
@@ -111,7 +112,7 @@
 		}
 	}
 	commits := len(harness.commits)
-	if a := harness.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 200 {
+	if a := harness.request("POST", "/submissions", submissionWithDependencies(9, jsonNames(names))); a.Status != 200 {
 		t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 	}
 	if len(harness.listKeys()) != ref.Records || len(harness.commits) > commits+2 {
@@ -132,7 +133,7 @@
 				harness.core.settings.Deployment.Store.ValueKB, harness.core.settings.Deployment.Store.TxnOps = 1, 2
 				names := openJobs(harness, 300)
 				answersLost := loseAnswer(harness, lost, send)
-				if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
+				if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
 					t.Fatalf("answered %d %s", a.Status, a.Body)
 				}
 				recorded := harness.openRecord(jobID(9)).Job.Dependencies
@@ -183,14 +184,14 @@
 	harness.run(3 * time.Second)
 	var a Answer
 	for range 8 {
-		a = harness.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names)))
+		a = harness.request("POST", "/submissions", submissionWithDependencies(9, jsonNames(names)))
 		harness.run(time.Second)
 	}
 	if a.Status != 503 || a.RetryAfter == 0 || len(harness.listKeys()) > 0 {
 		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(harness.listKeys()))
 	}
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists}}})
-	if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
+	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
 		t.Errorf("after the upgrade: %d %s", a.Status, a.Body)
 	}
 }
@@ -209,9 +210,9 @@
 	h.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
 }
 
-// TestLongListHoldsTheJob lets a new leader read a list from its records: the job goes on when the
+// TestLongListDelaysJob lets a new leader read a list from its records: the job is ready when the
 // last dependency is done, no earlier, and its end deletes the list.
-func TestLongListHoldsTheJob(t *testing.T) {
+func TestLongListDelaysJob(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, harness)
 	for _, name := range names[1:] {
@@ -228,7 +229,7 @@
 	leader.markDone(first, 0)
 	harness.run(2 * time.Second)
 	if job.Waiting || len(job.PendingTasks()) == 0 {
-		t.Fatal("with all of them done it does not go on")
+		t.Fatal("with all of them done it does not become ready")
 	}
 	for i := range job.TaskStates {
 		leader.markDone(job, i)
@@ -268,9 +269,9 @@
 	}
 }
 
-// TestUnreadListHoldsEnds keeps a cancelled job with dependents from ending while a list is not
+// TestUnreadListDelaysEnds keeps a cancelled job with dependents from ending while a list is not
 // read that may name it.
-func TestUnreadListHoldsEnds(t *testing.T) {
+func TestUnreadListDelaysEnds(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, harness)
 	leader := leadWithRecords(harness)
@@ -300,7 +301,7 @@
 	}
 	first := harness.store["a/job-7/x-1/0"].Version
 	record("a/job-7/x-2/0", -harness.core.listCleanupInterval())
-	record("a/job-8/y-1/3", old) // its first record is gone
+	record("a/job-8/y-1/3", old) // its first record is deleted
 	leadWithRecords(harness)
 	harness.run(harness.core.listCleanupInterval() + 5*time.Second)
 	var left []string
@@ -336,7 +337,7 @@
 		return carryOut()
 	}
 	for range 20 {
-		if a := harness.request("POST", "/submissions", submissionAwaiting(9, jsonNames(names))); a.Status != 503 {
+		if a := harness.request("POST", "/submissions", submissionWithDependencies(9, jsonNames(names))); a.Status != 503 {
 			t.Fatalf("answered %d %s", a.Status, a.Body)
 		}
 		if acceptance != nil {
@@ -382,7 +383,7 @@
 }
 
 // TestManyUnknownNames looks up the jobs of a long list, none of which the controller remembers,
-// without taking all room for users' queries.
+// without using all capacity for users' queries.
 func TestManyUnknownNames(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	names := openJobs(harness, longListLength)
@@ -390,7 +391,7 @@
 	harness.core.jobCache.ForgetAllOpen()
 	longest := 0
 	harness.afterStep = func() { longest = max(longest, harness.core.frontEnd.WaitingLookups()) }
-	if a := harness.requestWithRetry(submissionAwaiting(9, jsonNames(names))); a.Status != 201 {
+	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	if longest > 20 {
--- a/internal/core/frontend_host.go
+++ b/internal/core/frontend_host.go
@@ -28,7 +28,7 @@
 	h.core.refuse(uint64(request), refusal)
 }
 
-// MachineTypes are those that can be rented, by name.
+// MachineTypes are those that the cloud offers, by name.
 func (h frontEndHost) MachineTypes() map[string]*wire.MachineType { return h.core.machineTypes }
 
 // TeamLimit is a team's limit by the settings.
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"net/url"
+	"strconv"
 	"strings"
 	"testing"
 	"time"
@@ -42,6 +43,8 @@
 	{"label":"large","cpus":96,"accelerators":8,"memGb":768,"berths":["b","c"]},
 	{"label":"lone","cpus":8,"accelerators":1,"memGb":32,"berths":["c"]}]}`
 
+// newHarness makes a harness without peers whose core has run for a second; types is the cloud's
+// list of machine types, empty for none.
 func newHarness(tb testing.TB, types string) *harness {
 	tb.Helper()
 	cfg := &config.Settings{Name: "n0", Deployment: config.Deployment{
@@ -248,8 +251,8 @@
 	return Answer{}
 }
 
-// goodFields is a submission that is accepted, field by field.
-var goodFields = [][2]string{
+// validFields is a submission that is accepted, field by field.
+var validFields = [][2]string{
 	{"nameId", `"job-000412"`},
 	{"jobclass", `"train"`},
 	{"crew", `"vision"`},
@@ -282,7 +285,7 @@
 		to[change[i]] = change[i+1]
 	}
 	var parts []string
-	for _, f := range goodFields {
+	for _, f := range validFields {
 		v := f[1]
 		if n, ok := to[f[0]]; ok {
 			v = n
@@ -302,3 +305,40 @@
 func testLeadership(term uint64) election.Leadership {
 	return election.Leadership{Term: term, TermVersion: 1, Lease: 1}
 }
+
+// newLeadingHarness makes a harness whose controller leads and has loaded its records.
+func newLeadingHarness(t *testing.T, change func(*config.Settings)) (*harness, *leader) {
+	t.Helper()
+	harness := newHarness(t, testMachineTypes)
+	change(harness.core.settings)
+	harness.write(election.KeyTerm, "", []byte("5"))
+	leader := harness.lead()
+	leader.recordsLoaded = true
+	return harness, leader
+}
+
+// addRecord writes a job's open record and tells the leader of it.
+func addRecord(harness *harness, leader *leader, spec wire.Job, change func(*records.Open)) {
+	if spec.Class == "" {
+		spec.Class, spec.Team, spec.Shape, spec.Priority, spec.CPUs, spec.MemGB = "c", "vision", wire.ShapeArray, wire.PriorityIdle, 4, 1
+	}
+	if spec.Tasks == 0 {
+		spec.Tasks = 1
+	}
+	rec := records.Open{Job: spec, SubmittedAt: harness.core.wallClockMS}
+	if change != nil {
+		change(&rec)
+	}
+	key := records.OpenKey(spec.ID)
+	harness.write(key, "", kv.Encode(rec))
+	leader.applyOpenRecord(spec.ID, harness.store[key].Version, rec)
+}
+
+// setPeers gives a controller peers that it has not heard yet.
+func setPeers(c *Core, peers ...config.Peer) {
+	c.settings.Peers = peers
+	c.membership = c.newMembership()
+}
+
+// jobID is the ID of the job n of a test.
+func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
--- a/internal/core/heartbeat_forwarding.go
+++ b/internal/core/heartbeat_forwarding.go
@@ -106,7 +106,7 @@
 	return false
 }
 
-// extendLease answers a heartbeat in the leader's place, without commands. It returns false if
+// extendLease answers a heartbeat on behalf of the leader, without commands. It returns false if
 // this controller may not extend the worker's lease.
 func (c *Core) extendLease(requestID uint64, body []byte) bool {
 	heartbeat, ok := decodeHeartbeat(body)
--- a/internal/core/heartbeat_forwarding_test.go
+++ b/internal/core/heartbeat_forwarding_test.go
@@ -18,12 +18,6 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// setPeers gives a controller peers that it has not heard yet.
-func setPeers(c *Core, peers ...config.Peer) {
-	c.settings.Peers = peers
-	c.membership = c.newMembership()
-}
-
 // presentAttempt is the attempt that a leader of the version in production takes for a task's
 // present one.
 func presentAttempt(heartbeat *wire.Heartbeat, task string) wire.TaskStatus {
--- a/internal/core/huge_array_test.go
+++ b/internal/core/huge_array_test.go
@@ -36,7 +36,7 @@
 }
 
 // A plan provisions for all of a service or a gang however large, and for so many tasks of an array
-// that a machine is worth its boot.
+// that a machine is worth the time that it takes to boot.
 func TestPlannedTasks(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -53,7 +53,7 @@
 		{"a small array", wire.ShapeArray, 60, 1, 60},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			_, leader := bestEffortLeader(t) // its machines boot in 30 s
+			_, leader := newBestEffortLeader(t) // its machines boot in 30 s
 			j := addArray(leader, "job-1", "vision", "sweep", test.tasks, 0)
 			j.Shape, j.EstimatedRunS = test.shape, test.estimate
 			if got := leader.plannedTasks(&candidate{Job: j, Pending: j.UnplacedTasks()}); got != test.want {
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -16,8 +16,8 @@
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// pullingLeader leads with an empty machine.
-func pullingLeader(t *testing.T) (leader *leader, first *cluster.Machine) {
+// newPullingLeader leads with an empty machine.
+func newPullingLeader(t *testing.T) (leader *leader, first *cluster.Machine) {
 	t.Helper()
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}}
@@ -48,7 +48,7 @@
 		{"a little longer than by itself", 28 * time.Second, false},
 		{"a little shorter than both", 32 * time.Second, true},
 	} {
-		leader, machine := pullingLeader(t)
+		leader, machine := newPullingLeader(t)
 		startPull(leader, "job-1", "x", machine)
 		startPull(leader, "job-2", "y", machine)
 		leader.core.now += 20 * time.Second
@@ -66,7 +66,7 @@
 
 // A pull whose start is not known, since an earlier leader placed the task, is no evidence.
 func TestPullOfUnknownAge(t *testing.T) {
-	leader, machine := pullingLeader(t)
+	leader, machine := newPullingLeader(t)
 	startPull(leader, "job-1", "x", machine)
 	startPull(leader, "job-2", "y", machine)
 	machine.Pulls = nil
@@ -96,18 +96,18 @@
 	}
 	harness := newHarness(t, testMachineTypes)
 	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
-	for _, told := range []bool{true, false, true} {
-		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: told}}})
-		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !told}}})
-		if got := newLeader(harness.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != told {
-			t.Errorf("sequential %v for the new leader, %v for the previous one", got, told)
+	for _, sequential := range []bool{true, false, true} {
+		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: sequential}}})
+		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !sequential}}})
+		if got := newLeader(harness.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != sequential {
+			t.Errorf("sequential %v for the new leader, %v for the previous one", got, sequential)
 		}
 	}
 }
 
 // A leader tells the other controllers how machines pull images.
 func TestPullEvidenceIsShared(t *testing.T) {
-	leader, _ := pullingLeader(t)
+	leader, _ := newPullingLeader(t)
 	leader.core.leader = leader
 	setPeers(leader.core, config.Peer{Name: "n1", Zone: "b"})
 	for _, sequential := range []int{0, 1} {
--- a/internal/core/input.go
+++ b/internal/core/input.go
@@ -17,6 +17,7 @@
 	Body   []byte
 }
 
+// apply routes the request.
 func (r Request) apply(c *Core) { c.onRequest(r) }
 
 // Result ends a Call.
@@ -27,6 +28,7 @@
 	NotSent bool // the call certainly was not, and will not be, carried out
 }
 
+// apply hands the result to whoever made the call; one of a call that has ended is dropped.
 func (r Result) apply(c *Core) {
 	handle, open := c.pendingCalls[r.ID]
 	if !open {
@@ -41,9 +43,11 @@
 	Message *wire.PeerMessage
 }
 
+// apply handles the message.
 func (p PeerInput) apply(c *Core) { c.onPeerMessage(p.Message) }
 
 // Tick tells the core that time has passed. Ticks come many times in a heartbeat interval.
 type Tick struct{}
 
+// apply runs the periodic work.
 func (Tick) apply(c *Core) { c.onTick() }
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -1,10 +1,13 @@
 package core
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -101,3 +104,28 @@
 		})
 	}
 }
+
+// TestAgeOfKnownMachines takes the age of a machine that a new leader knows from the records
+// from the cloud's list, once the machine has sent a heartbeat.
+func TestAgeOfKnownMachines(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	recorded, provisioned, silent := leader.machineNamed("n-000001"), leader.machineNamed("n-000002"), leader.machineNamed("n-000004")
+	recorded.LastHeartbeat, provisioned.LastHeartbeat = harness.core.now, harness.core.now
+	provisioned.CreatedAt = harness.core.now - 90*time.Second
+	for _, name := range []string{"n-000001", "n-000002", "n-000003", "n-000004"} {
+		leader.recordListed(&wire.Machine{Name: name, Type: "small", Zone: "a", Status: "running", AgeS: 80})
+	}
+	for machine, want := range map[*cluster.Machine]time.Duration{
+		recorded:                    80 * time.Second,
+		provisioned:                 90 * time.Second,
+		leader.Machines["n-000003"]: 80 * time.Second,
+		silent:                      0,
+	} {
+		if age := harness.core.now - machine.CreatedAt; age != want {
+			t.Errorf("%s is %v old, want %v", machine.Name, age, want)
+		}
+	}
+	if slices.Contains(sortedKeys(leader.fleet.pendingReturns), "n-000001") {
+		t.Error("returned")
+	}
+}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -58,7 +58,7 @@
 	// Provisioning.
 	fleet                 fleet
 	returnedMachines      map[string]time.Duration // when the cloud confirmed their return
-	controllersOutgrown   bool                     // the fleet is larger than the controllers carry, see checkFleetSize
+	controllersOutgrown   bool                     // the fleet is larger than the controllers can serve, see checkFleetSize
 	arrivalsByClass       map[string]*classArrivals
 	runTimesByClass       map[string]*forecast.RunTimes
 	provisioningLatencies *bootlatency.History
@@ -97,7 +97,7 @@
 	return wire.Condition{Key: election.KeyTerm, Version: l.leadership.TermVersion}
 }
 
-// tick does what has become due.
+// tick runs the periodic work of a leader that is due.
 func (l *leader) tick() {
 	l.loader.Tick()
 	if !l.recordsLoaded {
--- a/internal/core/cancel_leader.go
+++ b/internal/core/leader_cancellation.go
@@ -57,7 +57,7 @@
 }
 
 // handlePeerCancellations handles the cancellations that another controller has recorded, and
-// tells it what has become of the jobs.
+// answers with the states of the jobs.
 func (l *leader) handlePeerCancellations(from string, cancellations []wire.Cancelled) {
 	ends := wire.Ends{TermVersion: l.leadership.TermVersion}
 	for _, cancelled := range cancellations {
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -104,7 +104,7 @@
 	return pending[:1]
 }
 
-// cordon stops a machine from taking tasks; it is returned once empty. What runs there goes on: a
+// cordon stops a machine from taking tasks; it is returned once empty. Its tasks keep running: a
 // machine that fails new tasks may well serve old ones, and stopping a replica before another
 // machine holds its image costs more.
 func (l *leader) cordon(machine *cluster.Machine, reason cluster.DrainReason) {
--- /dev/null
+++ b/internal/core/outliers_test.go
@@ -0,0 +1,32 @@
+package core
+
+import (
+	"testing"
+
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// A job that fails on every machine is tried one task at a time and preempts nothing.
+func TestFaultyJobIsTriedAlone(t *testing.T) {
+	_, leader := newBestEffortLeader(t)
+	job := addArray(leader, "job-1", "vision", "sweep", 4, 1)
+	only := idleMachine(leader, "n-9", "g4")
+	for _, name := range []string{"n-1", "n-2", "n-3"} {
+		leader.outliers.RecordFailure(job.ID, name)
+	}
+	candidates := leader.candidates()
+	if len(candidates) != 1 || len(candidates[0].Pending) != 1 || candidates[0].WithinQuota || candidates[0].PreemptionPriority != 0 || !candidates[0].Faulty {
+		t.Fatalf("candidates %+v", candidates)
+	}
+	leader.bindTasks(job, candidates[0].Pending, []*cluster.Machine{only})
+	if candidates := leader.candidates(); len(candidates) != 0 {
+		t.Errorf("another task is tried beside the first: %+v", candidates[0])
+	}
+	job.TaskStates[0].State, job.TaskStates[0].RunningSince = wire.TaskRunning, leader.core.now
+	leader.core.now += healthyAfterHeartbeats * leader.core.heartbeatInterval()
+	leader.recordRunning(only.Placements[0])
+	if candidates := leader.candidates(); len(candidates) != 1 || len(candidates[0].Pending) != 3 || candidates[0].Faulty {
+		t.Errorf("after a start without failure: %+v", candidates)
+	}
+}
--- a/internal/core/unreachable_test.go
+++ b/internal/core/overdue_cancellation_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 	"testing"
 	"time"
 
@@ -17,8 +16,8 @@
 // nothing. It is returned in time for the user's last retries, or, where the user was told
 // that the job is cancelled, within cancel_s.
 func TestUnreachableMachineIsGivenTime(t *testing.T) {
-	for _, told := range []bool{false, true} {
-		t.Run(fmt.Sprintf("told %v", told), func(t *testing.T) {
+	for _, acknowledged := range []bool{false, true} {
+		t.Run(fmt.Sprintf("acknowledged %v", acknowledged), func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
 			job := leader.Jobs["job-1"]
@@ -27,7 +26,7 @@
 			job.TaskStates[0].Persisted, job.TaskStates[0].StartSent = true, true
 			leader.markCancelled(job)
 			early, late := frontend.UserRetryPeriod*3/4, frontend.UserRetryPeriod-2*leader.core.heartbeatInterval()
-			if told {
+			if acknowledged {
 				job.Cancellation.Acknowledge(harness.now)
 				early, late = leader.core.cancelGracePeriod()/2, leader.core.cancelGracePeriod()*3/4
 			}
@@ -47,12 +46,12 @@
 	}
 }
 
-// TestMachineJustBackIsKept sends a heartbeat of a machine that was cut off when the time for a
+// TestReconnectedMachineIsKept sends a heartbeat of a machine that was cut off when the time for a
 // cancelled task on it is over. The machine is not returned, with all that it runs, before it
 // has had a chance to stop the task; if it does not, it is.
-func TestMachineJustBackIsKept(t *testing.T) {
-	for _, told := range []bool{false, true} {
-		t.Run(fmt.Sprintf("told %v", told), func(t *testing.T) {
+func TestReconnectedMachineIsKept(t *testing.T) {
+	for _, acknowledged := range []bool{false, true} {
+		t.Run(fmt.Sprintf("acknowledged %v", acknowledged), func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
 			job := leader.Jobs["job-1"]
@@ -60,7 +59,7 @@
 			leader.place(job, 0, machine)
 			leader.markCancelled(job)
 			job.Cancellation.Request(harness.core.now - frontend.UserRetryPeriod)
-			if told {
+			if acknowledged {
 				job.Cancellation.Acknowledge(harness.core.now - leader.core.cancelGracePeriod())
 			}
 			returned := func() bool {
@@ -68,8 +67,8 @@
 				return leader.fleet.pendingReturns[machine.Name]
 			}
 			machine.LastHeartbeat, machine.RegularSince = harness.core.now, harness.core.now
-			if returned() != told {
-				t.Errorf("returned with its first heartbeat: %v", !told)
+			if returned() != acknowledged {
+				t.Errorf("returned with its first heartbeat: %v", !acknowledged)
 			}
 			harness.core.now += 2 * leader.core.heartbeatInterval()
 			machine.LastHeartbeat = harness.core.now
@@ -79,28 +78,3 @@
 		})
 	}
 }
-
-// TestAgeOfKnownMachines takes the age of a machine that a new leader knows from the records
-// from the cloud's list, once the machine has sent a heartbeat.
-func TestAgeOfKnownMachines(t *testing.T) {
-	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
-	recorded, provisioned, silent := leader.machineNamed("n-000001"), leader.machineNamed("n-000002"), leader.machineNamed("n-000004")
-	recorded.LastHeartbeat, provisioned.LastHeartbeat = harness.core.now, harness.core.now
-	provisioned.CreatedAt = harness.core.now - 90*time.Second
-	for _, name := range []string{"n-000001", "n-000002", "n-000003", "n-000004"} {
-		leader.recordListed(&wire.Machine{Name: name, Type: "small", Zone: "a", Status: "running", AgeS: 80})
-	}
-	for machine, want := range map[*cluster.Machine]time.Duration{
-		recorded:                    80 * time.Second,
-		provisioned:                 90 * time.Second,
-		leader.Machines["n-000003"]: 80 * time.Second,
-		silent:                      0,
-	} {
-		if age := harness.core.now - machine.CreatedAt; age != want {
-			t.Errorf("%s is %v old, want %v", machine.Name, age, want)
-		}
-	}
-	if slices.Contains(sortedKeys(leader.fleet.pendingReturns), "n-000001") {
-		t.Error("returned")
-	}
-}
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -87,14 +87,14 @@
 	h.leader.place(job, placed.Task, machine)
 }
 
-// RecordsLoaded takes up the work of the term.
-func (h persistenceHost) RecordsLoaded() { h.leader.takeUpWork() }
+// RecordsLoaded lets the leader decide from now on.
+func (h persistenceHost) RecordsLoaded() { h.leader.startDeciding() }
 
 // TermChanged ends the leadership.
 func (h persistenceHost) TermChanged() { h.leader.core.stepDown(stepDownTermChanged) }
 
-// takeUpWork begins to decide, once all records are loaded.
-func (l *leader) takeUpWork() {
+// startDeciding lets the leader decide, once all records are loaded.
+func (l *leader) startDeciding() {
 	l.recordsLoaded = true
 	l.recordsLoadedAt = l.core.now
 	l.dependencyLists.nextCleanupAt = l.core.now + l.core.listCleanupInterval()
@@ -119,7 +119,7 @@
 	job := l.Jobs[id]
 	if job == nil {
 		if final, ok := l.core.jobCache.Final(id); ok && final.Status != "" {
-			return // an old event of a job that is over
+			return // an old event of a job that has ended
 		}
 		job = l.addJob(id, version, record)
 	}
--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -35,7 +35,7 @@
 	}, quotaStore{l}, quotaHost{l})
 }
 
-// tickQuota retries a failed read, and does what is due towards other regions.
+// tickQuota retries a failed read, and runs the periodic work of the quota manager.
 func (l *leader) tickQuota() {
 	if l.quota == nil {
 		return
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -2,7 +2,7 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/election"
 
-// stopReason tells why a task is stopped. Its text is part of log lines.
+// stopReason is why a task is stopped. Its text is part of log lines.
 type stopReason string
 
 // Reasons to stop a task.
--- a/internal/core/region_demand.go
+++ b/internal/core/region_demand.go
@@ -47,7 +47,7 @@
 }
 
 // finish replaces the demand of the last plan by the collected one, and tells other regions if
-// it grows. planned is, by team, what tasks use or have room for.
+// it grows. planned is, by team, what tasks use or are planned to use.
 func (d *regionDemand) finish(planned map[string]topology.Resources) {
 	if d == nil {
 		return
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -31,6 +31,7 @@
 	return rejected
 }
 
+// largestValueBytes is the size of the largest value that a transaction writes.
 func largestValueBytes(txn *wire.Txn) int {
 	n := 0
 	for _, w := range txn.Writes {
@@ -47,6 +48,7 @@
 	}
 }
 
+// withoutAnnouncement leaves the settings as they are.
 func withoutAnnouncement(*config.Settings) {}
 
 // placeAndRecord places tasks of a job on machines of its own and records them.
@@ -151,7 +153,7 @@
 				}
 			}
 			if !harness.hasEnded(jobID(8)) || !strings.Contains(string(harness.store[records.OpenKey(jobID(9))].Value), `"ra":`) {
-				t.Error("the job that is done has not ended, or its dependent does not go on")
+				t.Error("the job that is done has not ended, or its dependent does not become ready")
 			}
 			if *rejected > tc.most {
 				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
@@ -225,10 +227,10 @@
 	}
 }
 
-// TestLongDescriptionGoesOn lets a job go on whose open record is larger than the store takes by
+// TestLongDescriptionRuns runs a job whose open record is larger than the store takes by
 // now: its tasks are placed and recorded, and other jobs' records are not held up. So do jobs
 // whose placement records change their layout.
-func TestLongDescriptionGoesOn(t *testing.T) {
+func TestLongDescriptionRuns(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		settings func(*config.Settings)
@@ -258,7 +260,7 @@
 			}
 			job := leader.Jobs[jobID(2)]
 			if job.Waiting || len(job.PendingTasks()) != 40 {
-				t.Errorf("it does not go on: waits %v, %d tasks may be placed", job.Waiting, len(job.PendingTasks()))
+				t.Errorf("it does not run: waits %v, %d tasks may be placed", job.Waiting, len(job.PendingTasks()))
 			}
 			for i := range other.TaskStates {
 				if !other.TaskStates[i].Persisted {
@@ -280,9 +282,9 @@
 	}
 }
 
-// TestLongDescriptionsGoOn lets many such jobs go on together. With two of them in one
+// TestLongDescriptionsRun runs many such jobs together. With two of them in one
 // transaction, nobody can tell which one is rejected.
-func TestLongDescriptionsGoOn(t *testing.T) {
+func TestLongDescriptionsRun(t *testing.T) {
 	harness, leader := newLeadingHarness(t, withoutAnnouncement)
 	addRecord(harness, leader, wire.Job{ID: jobID(0)}, nil)
 	for n := range 9 {
@@ -298,7 +300,7 @@
 	harness.run(20 * time.Second)
 	for n := range 9 {
 		if leader.Jobs[jobID(1+n)].Waiting {
-			t.Errorf("%s does not go on", jobID(1+n))
+			t.Errorf("%s does not become ready", jobID(1+n))
 		}
 	}
 	if *rejected > 70 {
@@ -336,10 +338,10 @@
 	}
 }
 
-// TestLongDescriptionIsAwaited submits dependents of a job whose open record is larger than the
+// TestLongDescriptionHasDependents submits dependents of a job whose open record is larger than the
 // store takes by now. They are accepted though it cannot be marked as having dependents. Its
 // cancellation is recorded as that of a job with dependents, and cancels them as well.
-func TestLongDescriptionIsAwaited(t *testing.T) {
+func TestLongDescriptionHasDependents(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		settings func(*config.Settings)
@@ -371,7 +373,7 @@
 				}
 			}
 			dependent := jobID(2)
-			if a := harness.request("POST", "/submissions", submissionAwaiting(2, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
+			if a := harness.request("POST", "/submissions", submissionWithDependencies(2, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 				t.Fatalf("the dependent is answered %d %s", a.Status, a.Body)
 			}
 			if request.HasDependents {
--- a/internal/core/scale_out_plan_test.go
+++ b/internal/core/scale_out_plan_test.go
@@ -23,8 +23,8 @@
 }
 
 // offer names an offer.
-func offer(typ, zone string, spot bool) provisioning.Offer {
-	return provisioning.Offer{Type: typ, Zone: zone, Spot: spot}
+func offer(machineType, zone string, spot bool) provisioning.Offer {
+	return provisioning.Offer{Type: machineType, Zone: zone, Spot: spot}
 }
 
 // shortfallsWithoutPurpose is what a plan wants to provision, without the purposes.
@@ -38,9 +38,9 @@
 }
 
 // bootingMachine adds a machine that boots.
-func bootingMachine(leader *leader, name, typ, zone string) *cluster.Machine {
+func bootingMachine(leader *leader, name, machineType, zone string) *cluster.Machine {
 	machine := leader.machineNamed(name)
-	leader.describe(machine, "", typ, zone, false)
+	leader.describe(machine, "", machineType, zone, false)
 	machine.CreatedAt = leader.core.now
 	return machine
 }
@@ -51,15 +51,15 @@
 }
 
 // refuseType records that the cloud has refused all that it offers of a machine type in a zone.
-func refuseType(leader *leader, typ, zone string) {
-	refuse(leader, offer(typ, zone, false))
-	refuse(leader, offer(typ, zone, true))
+func refuseType(leader *leader, machineType, zone string) {
+	refuse(leader, offer(machineType, zone, false))
+	refuse(leader, offer(machineType, zone, true))
 }
 
 // refuseZone records that the cloud has refused all that it offers in a zone.
 func refuseZone(leader *leader, zone string) {
-	for _, typ := range sortedKeys(leader.core.machineTypes) {
-		refuseType(leader, typ, zone)
+	for _, machineType := range sortedKeys(leader.core.machineTypes) {
+		refuseType(leader, machineType, zone)
 	}
 }
 
--- a/internal/core/scheduler_host.go
+++ b/internal/core/scheduler_host.go
@@ -25,8 +25,8 @@
 	earliest  time.Duration // when the next pass may begin
 }
 
-// runPlacementPass places tasks, makes room for those that find none, and plans to scale out for
-// the rest.
+// runPlacementPass places tasks, preempts others where they find no machine, and plans to scale
+// out for the rest.
 func (l *leader) runPlacementPass() {
 	before := l.scheduler.Evaluations()
 	usage := l.refreshUsage()
@@ -95,7 +95,7 @@
 	return h.leader.throttleFaultyJob(job, pending)
 }
 
-// PlaceTask makes a task count on a machine and has the placement recorded.
+// PlaceTask places a task on a machine and marks the placement to be recorded.
 func (h schedulerHost) PlaceTask(job *cluster.Job, task int, m *cluster.Machine) {
 	h.leader.place(job, task, m)
 	h.leader.writer.MarkPlacement(job, task)
--- a/internal/core/scheduler_host_test.go
+++ b/internal/core/scheduler_host_test.go
@@ -11,14 +11,14 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// tasksOfMachine is how many tasks each machine of a busy fleet runs, in these benchmarks.
-const tasksOfMachine = 29
+// busyTasksPerMachine is how many tasks each machine of a busy fleet runs, in these benchmarks.
+const busyTasksPerMachine = 29
 
-// busyFleet makes a leader of a fleet whose machines hold three more tasks each.
-func busyFleet(tb testing.TB, machines int) *leader {
+// newBusyFleetLeader makes a leader of a fleet whose machines hold three more tasks each.
+func newBusyFleetLeader(tb testing.TB, machines int) *leader {
 	tb.Helper()
 	harness := newHarness(tb, testMachineTypes)
-	harness.core.machineTypes = map[string]*wire.MachineType{"plain": {Name: "plain", CPUs: tasksOfMachine + 3, GPUs: 8, MemGB: 1000, PullGBPerS: 10, Price: 1, BootS: 10, Zones: []string{"a", "b", "c"}}}
+	harness.core.machineTypes = map[string]*wire.MachineType{"plain": {Name: "plain", CPUs: busyTasksPerMachine + 3, GPUs: 8, MemGB: 1000, PullGBPerS: 10, Price: 1, BootS: 10, Zones: []string{"a", "b", "c"}}}
 	harness.core.settings.Deployment.Teams = []config.Team{{Name: "vision", CPUs: 1e6, GPUs: 1e6}}
 	harness.core.now = time.Hour
 	leader := newLeader(harness.core, testLeadership(5))
@@ -27,7 +27,7 @@
 		machine := leader.machineNamed(fmt.Sprintf("n-%06d", i))
 		leader.describe(machine, "", "plain", []string{"a", "b", "c"}[i%3], false)
 		machine.FencingToken, machine.LastHeartbeat, machine.FirstHeartbeat, machine.Incarnation = 5, harness.core.now, 1, 1
-		job := addJob(leader, wire.Job{ID: fmt.Sprintf("job-%06d", i), Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 1, MemGB: 1, Tasks: tasksOfMachine})
+		job := addJob(leader, wire.Job{ID: fmt.Sprintf("job-%06d", i), Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 1, MemGB: 1, Tasks: busyTasksPerMachine})
 		for k := range job.TaskStates {
 			leader.place(job, k, machine)
 			job.TaskStates[k].State, job.TaskStates[k].Observed = wire.TaskRunning, true
@@ -51,7 +51,7 @@
 func BenchmarkPass(b *testing.B) {
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			leader := busyFleet(b, machines)
+			leader := newBusyFleetLeader(b, machines)
 			for b.Loop() {
 				leader.runPlacementPass()
 			}
@@ -59,11 +59,11 @@
 	}
 }
 
-// BenchmarkRentalPlan plans for as many tasks that wait as the fleet has room for.
-func BenchmarkRentalPlan(b *testing.B) {
+// BenchmarkScaleOutPlan plans for as many waiting tasks as the fleet has capacity for.
+func BenchmarkScaleOutPlan(b *testing.B) {
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
-			leader := busyFleet(b, machines)
+			leader := newBusyFleetLeader(b, machines)
 			for i := range machines / 100 {
 				addJob(leader, wire.Job{ID: fmt.Sprintf("job-9%05d", i), Class: "sweep", Shape: wire.ShapeArray, Priority: wire.PriorityNormal, CPUs: 1, MemGB: 1, Tasks: 300})
 			}
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -8,15 +8,13 @@
 	"github.com/brookwalk/brookwalk/internal/core/records"
 )
 
-func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
-
-// submissionAwaiting is a submission body of the job n with dependencies.
-func submissionAwaiting(n int, awaits string) string {
+// submissionWithDependencies is a submission body of the job n with dependencies.
+func submissionWithDependencies(n int, awaits string) string {
 	return strings.TrimSuffix(body("nameId", `"`+jobID(n)+`"`), "}") + `,"awaits":` + awaits + "}"
 }
 
-// TestAwaits submits jobs with dependencies in every state, well and badly named.
-func TestAwaits(t *testing.T) {
+// TestDependenciesOfSubmission submits jobs with dependencies in every state, well and badly named.
+func TestDependenciesOfSubmission(t *testing.T) {
 	open, done, cancelled, service, cancelling := jobID(1), jobID(2), jobID(3), jobID(4), jobID(5)
 	for _, tc := range []struct {
 		name, awaits string
@@ -79,7 +77,7 @@
 				if !known {
 					harness.core.jobCache.ForgetAllOpen() // accepted by another controller
 				}
-				a := harness.request("POST", "/submissions", submissionAwaiting(9, tc.awaits))
+				a := harness.request("POST", "/submissions", submissionWithDependencies(9, tc.awaits))
 				if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
 				}
@@ -95,7 +93,7 @@
 					t.Error("the dependency is not marked as having dependents")
 				}
 				if tc.status == 201 {
-					if a := harness.request("POST", "/submissions", submissionAwaiting(9, tc.awaits)); a.Status != 200 {
+					if a := harness.request("POST", "/submissions", submissionWithDependencies(9, tc.awaits)); a.Status != 200 {
 						t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 					}
 				}
@@ -104,8 +102,8 @@
 	}
 }
 
-// TestAwaitsMany names more dependencies than a transaction has conditions or writes.
-func TestAwaitsMany(t *testing.T) {
+// TestManyDependencies names more dependencies than a transaction has conditions or writes.
+func TestManyDependencies(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	harness.core.settings.Deployment.Store.TxnOps = 5
 	var names []string
@@ -116,7 +114,7 @@
 		names = append(names, `"`+jobID(n)+`"`)
 	}
 	harness.core.jobCache.ForgetAllOpen()
-	if a := harness.request("POST", "/submissions", submissionAwaiting(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
+	if a := harness.request("POST", "/submissions", submissionWithDependencies(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	for n := range 50 {
@@ -126,9 +124,9 @@
 	}
 }
 
-// TestAwaitsRace cancels a dependency between the moment at which it is read and the one at which
+// TestDependencyCancelledDuringSubmission cancels a dependency between the moment at which it is read and the one at which
 // its dependent is recorded.
-func TestAwaitsRace(t *testing.T) {
+func TestDependencyCancelledDuringSubmission(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	if a := harness.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
@@ -137,7 +135,7 @@
 	if harness.core.jobCache.Open(jobID(1)).Record.Cancelled {
 		t.Fatal("known already")
 	}
-	a := harness.request("POST", "/submissions", submissionAwaiting(2, `["`+jobID(1)+`"]`))
+	a := harness.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`))
 	if a.Status != 201 || !strings.Contains(string(a.Body), "withdrawn") {
 		t.Errorf("answered %d %s, want 201 and withdrawn", a.Status, a.Body)
 	}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -214,7 +214,7 @@
 // accepts is JSON, within the bounds, and recorded as it was read.
 func FuzzSubmission(f *testing.F) {
 	f.Add([]byte(body()))
-	for _, field := range goodFields {
+	for _, field := range validFields {
 		for _, v := range []string{missing, `null`, `""`, `-1`, `1e999`, `[null]`, `{}`, `"\ud800"`, `1e-320`} {
 			f.Add([]byte(body(field[0], v)))
 		}
--- a/internal/core/task_accounting.go
+++ b/internal/core/task_accounting.go
@@ -5,7 +5,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// place makes a task count on a machine: with what it uses there, and in its team's limit.
+// place counts a task on a machine: in what is used there, and against its team's limit.
 func (l *leader) place(job *cluster.Job, index int, machine *cluster.Machine) {
 	t := &job.TaskStates[index]
 	t.Machine = machine
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -45,7 +45,7 @@
 	recountAt time.Duration
 }
 
-// add adds a number of a job's tasks; a negative number takes them out.
+// add adds a number of a job's tasks; a negative number subtracts them.
 func (u *teamUsage) add(job *cluster.Job, tasks int) {
 	u.Add(job.Team, cluster.TaskSize(&job.Job), tasks)
 }
--- a/internal/core/termination_test.go
+++ b/internal/core/termination_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestEarlierAttemptListed sends heartbeats that list an exited attempt at a task beside the
-// running one, in either order: the running one goes on counting. It was once mistaken for lost,
+// running one, in either order: the running one still counts. It was once mistaken for lost,
 // started elsewhere, and ran twice.
 func TestEarlierAttemptListed(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
--- a/internal/core/urgency_inheritance.go
+++ b/internal/core/urgency_inheritance.go
@@ -38,7 +38,7 @@
 }
 
 // recomputeUrgency works out the urgency of jobs, and of their dependencies, after a dependent of
-// theirs is gone or cancelled.
+// theirs has ended or was cancelled.
 func (l *leader) recomputeUrgency(ids []string) {
 	var changed depgraph.Worklist
 	for _, id := range ids {
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -22,9 +22,9 @@
 	start := leader.core.now
 	job.WaitingSinceMS = leader.core.wallClockMS
 	for _, step := range []struct {
-		at   time.Duration
-		why  cluster.WaitReason
-		told bool
+		at     time.Duration
+		reason cluster.WaitReason
+		logged bool
 	}{
 		{0, cluster.WaitForMachines, false},
 		{10 * time.Second, cluster.WaitNoOffer, false},
@@ -36,9 +36,9 @@
 	} {
 		out.Reset()
 		leader.core.now, leader.core.wallClockMS = start+step.at, job.WaitingSinceMS+step.at.Milliseconds()
-		leader.logWait(job, step.why)
-		if told := strings.Contains(out.String(), string(step.why)); told != step.told {
-			t.Errorf("after %v: told %v, want %v (%s)", step.at, told, step.told, out.String())
+		leader.logWait(job, step.reason)
+		if logged := strings.Contains(out.String(), string(step.reason)); logged != step.logged {
+			t.Errorf("after %v: logged %v, want %v (%s)", step.at, logged, step.logged, out.String())
 		}
 	}
 }
--- a/internal/core/zone_loss_test.go
+++ b/internal/core/zone_loss_test.go
@@ -8,12 +8,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// zoneLossLeader makes a leader of a fleet that has just lost a zone: a third of the tasks of
+// newZoneLossLeader makes a leader of a fleet that has just lost a zone: a third of the tasks of
 // every job has no machine. The machines left are full; a third of the jobs and an array
 // are of the lowest priority, so that they may be preempted.
-func zoneLossLeader(tb testing.TB, machines int) *leader {
+func newZoneLossLeader(tb testing.TB, machines int) *leader {
 	tb.Helper()
-	leader := busyFleet(tb, machines)
+	leader := newBusyFleetLeader(tb, machines)
 	for i, job := range leader.JobsBySubmission {
 		leader.writer.InitPlacementRecords(job)
 		job.SpreadZones = i%2 == 0
@@ -65,7 +65,7 @@
 			var longest time.Duration
 			for b.Loop() {
 				b.StopTimer()
-				leader := zoneLossLeader(b, machines)
+				leader := newZoneLossLeader(b, machines)
 				b.StartTimer()
 				for range 20 {
 					start := time.Now()
