--- a/internal/core/placement_records_test.go
+++ b/internal/core/placement_records_test.go
@@ -44,6 +44,31 @@
 	}
 }
 
+// loadPlacements reads the placement records of a job as a leader does. Every placement record in
+// the store has to be readable.
+func loadPlacements(harness *harness, leader *leader, id string) []persistence.LoadedPlacement {
+	harness.t.Helper()
+	var found []persistence.LoadedPlacement
+	for _, key := range sortedKeys(harness.store) {
+		if !strings.HasPrefix(key, records.PrefixPlacement) {
+			continue
+		}
+		placementRange, ok := records.ParsePlacementKey(key, leader.writer.TasksPerNumberedRecord())
+		if !ok {
+			harness.t.Fatalf("%s is not read", key)
+		}
+		if placementRange.Job != id {
+			continue
+		}
+		loaded := persistence.LoadedPlacement{PlacementRange: placementRange, Key: key, Version: harness.store[key].Version}
+		if err := stdjson.Unmarshal(harness.store[key].Value, &loaded.Record); err != nil {
+			harness.t.Fatalf("%s: %v", key, err)
+		}
+		found = append(found, loaded)
+	}
+	return found
+}
+
 // TestLayoutChanges moves a job from numbered records to those that name their range. A copy of an
 // earlier write of the numbered record, carried out late, must fail: it would restore what the new
 // records have replaced.
@@ -81,9 +106,24 @@
 	if status, _ := harness.commit([]byte(late)); status != 409 {
 		t.Errorf("the late copy is answered %d, want 409", status)
 	}
+	expectNamedRanges(t, harness, "job-1")
+	// A next leader finds all of it.
+	successor := newLeader(harness.core, election.Leadership{Term: 6, TermVersion: leader.leadership.TermVersion, Lease: 1})
+	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
+	found := loadPlacements(harness, leader, "job-1")
+	successor.writer.Adopt(successor.Jobs["job-1"], found)
+	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.Numbered {
+		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.Numbered)
+	}
+}
+
+// expectNamedRanges checks that a job has several placement records, each of at most 1 KB and with
+// a key that names its range.
+func expectNamedRanges(t *testing.T, harness *harness, id string) {
+	t.Helper()
 	named := 0
 	for k, it := range harness.store {
-		if strings.HasPrefix(k, "p/job-1/") {
+		if strings.HasPrefix(k, records.PrefixPlacement+id+"/") {
 			named++
 			if len(it.Value) > 1024 || !strings.Contains(k, "-1") && !strings.Contains(k, "-2") && strings.Count(k, "-") < 2 {
 				t.Errorf("%s: %d bytes", k, len(it.Value))
@@ -93,24 +133,6 @@
 	if named < 5 {
 		t.Errorf("%d records", named)
 	}
-	// A next leader finds all of it.
-	successor := newLeader(harness.core, election.Leadership{Term: 6, TermVersion: leader.leadership.TermVersion, Lease: 1})
-	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
-	var found []persistence.LoadedPlacement
-	for _, k := range sortedKeys(harness.store) {
-		if strings.HasPrefix(k, records.PrefixPlacement) {
-			r, ok := records.ParsePlacementKey(k, leader.writer.TasksPerNumberedRecord())
-			p := persistence.LoadedPlacement{PlacementRange: r, Key: k, Version: harness.store[k].Version}
-			if !ok || stdjson.Unmarshal(harness.store[k].Value, &p.Record) != nil {
-				t.Fatalf("%s is not read", k)
-			}
-			found = append(found, p)
-		}
-	}
-	successor.writer.Adopt(successor.Jobs["job-1"], found)
-	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.Numbered {
-		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.Numbered)
-	}
 }
 
 // TestAdoptPrefersRanges reads records of both layouts that disagree: those that name their range take
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -6,8 +6,6 @@
 	"testing"
 	"time"
 
-	stdjson "encoding/json"
-
 	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/election"
@@ -65,17 +63,7 @@
 func recordedTasks(harness *harness, id string, tasks int) int {
 	leader := newLeader(harness.core, election.Leadership{Term: 5, TermVersion: harness.store[election.KeyTerm].Version, Lease: 1})
 	leader.applyOpenRecord(id, harness.store[records.OpenKey(id)].Version, harness.openRecord(id))
-	var found []persistence.LoadedPlacement
-	for _, key := range sortedKeys(harness.store) {
-		if r, ok := records.ParsePlacementKey(key, leader.writer.TasksPerNumberedRecord()); strings.HasPrefix(key, records.PrefixPlacement) && ok && r.Job == id {
-			var rec records.Placement
-			if err := stdjson.Unmarshal(harness.store[key].Value, &rec); err != nil {
-				harness.t.Fatalf("%s: %v", key, err)
-			}
-			found = append(found, persistence.LoadedPlacement{PlacementRange: r, Key: key, Version: harness.store[key].Version, Record: rec})
-		}
-	}
-	leader.writer.Adopt(leader.Jobs[id], found)
+	leader.writer.Adopt(leader.Jobs[id], loadPlacements(harness, leader, id))
 	n := 0
 	for i := range tasks {
 		if leader.Jobs[id].TaskStates[i].Machine != nil {
@@ -85,6 +73,54 @@
 	return n
 }
 
+// addNumberedJob adds a job whose tasks are all placed, with placement records as an earlier version
+// writes them: numbered, as large as they are now.
+func addNumberedJob(harness *harness, leader *leader, id string, tasks int) {
+	const tasksPerRecord = 128
+	addRecord(harness, leader, wire.Job{ID: id, Tasks: tasks}, nil)
+	job := leader.Jobs[id]
+	job.PlacementRecords, job.Numbered = nil, true
+	for from := 0; from < tasks; from += tasksPerRecord {
+		job.PlacementRecords = append(job.PlacementRecords, cluster.PlacementRecord{
+			Key: records.NumberedKey(job.ID, from/tasksPerRecord), From: from, To: min(from+tasksPerRecord, tasks),
+		})
+	}
+	for i := range job.PlacementRecords {
+		record := &job.PlacementRecords[i]
+		placeAndRecord(leader, job, record.From, record.To)
+		body, _ := persistence.EncodePlacement(job, record)
+		harness.write(record.Key, "", body)
+		record.Version, record.Dirty = harness.store[record.Key].Version, false
+	}
+	for i := range job.TaskStates {
+		job.TaskStates[i].Persisted = true
+	}
+}
+
+// changeAttempts changes the attempt of every seventh task of a job, so that all of its placement
+// records have to be written again.
+func changeAttempts(leader *leader, job *cluster.Job) {
+	for i := 0; i < len(job.TaskStates); i += 7 {
+		job.TaskStates[i].Attempt, job.TaskStates[i].Persisted = job.NextAttempt, false
+		job.NextAttempt++
+		leader.writer.MarkPlacement(job, i)
+	}
+}
+
+// expectRecorded checks that all tasks of a job are on record, where a next leader finds them.
+func expectRecorded(t *testing.T, harness *harness, job *cluster.Job) {
+	t.Helper()
+	tasks := len(job.TaskStates)
+	for i := range job.TaskStates {
+		if !job.TaskStates[i].Persisted {
+			t.Fatalf("task %d of %s is not recorded", i, job.ID)
+		}
+	}
+	if got := recordedTasks(harness, job.ID, tasks); got != tasks {
+		t.Errorf("a next leader finds %d tasks of %s placed, want %d", got, job.ID, tasks)
+	}
+}
+
 // TestLimitsFall lowers the limits under jobs with placement records of 10 KiB and open records of
 // many sizes. All is recorded in the end, and transactions beyond the limits are sent a few
 // times at most.
@@ -107,23 +143,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
 			for n := range 6 {
-				addRecord(harness, leader, wire.Job{ID: jobID(n), Tasks: 300}, nil)
-				job := leader.Jobs[jobID(n)]
-				// As an earlier version records: numbered, as large as they are now.
-				job.PlacementRecords, job.Numbered = nil, true
-				for from := 0; from < 300; from += 128 {
-					job.PlacementRecords = append(job.PlacementRecords, cluster.PlacementRecord{Key: records.NumberedKey(job.ID, from/128), From: from, To: min(from+128, 300)})
-				}
-				for i := range job.PlacementRecords {
-					ch := &job.PlacementRecords[i]
-					placeAndRecord(leader, job, ch.From, ch.To)
-					body, _ := persistence.EncodePlacement(job, ch)
-					harness.write(ch.Key, "", body)
-					ch.Version, ch.Dirty = harness.store[ch.Key].Version, false
-				}
-				for i := range job.TaskStates {
-					job.TaskStates[i].Persisted = true
-				}
+				addNumberedJob(harness, leader, jobID(n), 300)
 			}
 			addRecord(harness, leader, wire.Job{ID: jobID(8)}, nil)
 			addRecord(harness, leader, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
@@ -132,25 +152,12 @@
 				leader.writer.AllowNamedRanges() // as once every controller reads them
 			}
 			for n := range 6 {
-				job := leader.Jobs[jobID(n)]
-				for i := 0; i < 300; i += 7 {
-					job.TaskStates[i].Attempt, job.TaskStates[i].Persisted = job.NextAttempt, false
-					job.NextAttempt++
-					leader.writer.MarkPlacement(job, i)
-				}
+				changeAttempts(leader, leader.Jobs[jobID(n)])
 			}
 			leader.markDone(leader.Jobs[jobID(8)], 0)
 			harness.run(20 * time.Second)
 			for n := range 6 {
-				job := leader.Jobs[jobID(n)]
-				for i := range job.TaskStates {
-					if !job.TaskStates[i].Persisted {
-						t.Fatalf("task %d of %s is not recorded", i, job.ID)
-					}
-				}
-				if got := recordedTasks(harness, job.ID, 300); got != 300 {
-					t.Errorf("a next leader finds %d tasks of %s placed", got, job.ID)
-				}
+				expectRecorded(t, harness, leader.Jobs[jobID(n)])
 			}
 			if !harness.hasEnded(jobID(8)) || !strings.Contains(string(harness.store[records.OpenKey(jobID(9))].Value), `"ra":`) {
 				t.Error("the job that is done has not ended, or its dependent does not become ready")
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -9,19 +9,53 @@
 )
 
 // submissionWithDependencies is a submission body of the job n with dependencies.
-func submissionWithDependencies(n int, awaits string) string {
-	return strings.TrimSuffix(body("nameId", `"`+jobID(n)+`"`), "}") + `,"awaits":` + awaits + "}"
+func submissionWithDependencies(n int, dependencies string) string {
+	return strings.TrimSuffix(body("nameId", `"`+jobID(n)+`"`), "}") + `,"awaits":` + dependencies + "}"
+}
+
+// Numbers of the jobs that a submission depends on in these tests, by their state.
+const (
+	openJob           = 1
+	doneJob           = 2
+	cancelledJob      = 3
+	openService       = 4
+	jobBeingCancelled = 5
+	submittedJob      = 9
+)
+
+// dependencyCase is a submission with dependencies and what becomes of it.
+type dependencyCase struct {
+	name         string
+	dependencies string // JSON
+	status       int
+	state        string // of the answer
+	recorded     string // the dependencies on record; "" for none
+}
+
+// newHarnessWithDependencies makes a harness with a job in each state.
+func newHarnessWithDependencies(t *testing.T) *harness {
+	t.Helper()
+	harness := newHarness(t, testMachineTypes)
+	for _, submission := range []string{
+		body("nameId", `"`+jobID(openJob)+`"`),
+		body("nameId", `"`+jobID(openService)+`"`, "shape", `"daemon"`),
+		body("nameId", `"`+jobID(jobBeingCancelled)+`"`),
+	} {
+		if a := harness.request("POST", "/submissions", submission); a.Status != 201 {
+			t.Fatalf("%s: %d %s", submission, a.Status, a.Body)
+		}
+	}
+	harness.write(records.FinalKey(jobID(doneJob)), "", []byte(`{"s":"done","n":16}`))
+	harness.write(records.FinalKey(jobID(cancelledJob)), "", []byte(`{"s":"withdrawn","n":16}`))
+	harness.requestCancellation(jobID(jobBeingCancelled), 1)
+	harness.core.jobCache.ForgetOpen(jobID(jobBeingCancelled))
+	return harness
 }
 
 // TestDependenciesOfSubmission submits jobs with dependencies in every state, well and badly named.
 func TestDependenciesOfSubmission(t *testing.T) {
-	open, done, cancelled, service, cancelling := jobID(1), jobID(2), jobID(3), jobID(4), jobID(5)
-	for _, tc := range []struct {
-		name, awaits string
-		status       int
-		state        string // of the answer
-		recorded     string // what it awaits, as recorded; "" for no list
-	}{
+	open, done, cancelled, service, cancelling := jobID(openJob), jobID(doneJob), jobID(cancelledJob), jobID(openService), jobID(jobBeingCancelled)
+	for _, tc := range []dependencyCase{
 		{"null", `null`, 201, "pending", ""},
 		{"none", `[]`, 201, "pending", ""},
 		{"an open job", `["` + open + `"]`, 201, "pending", open},
@@ -31,7 +65,7 @@
 		{"a cancelled job", `["` + open + `","` + cancelled + `"]`, 201, "withdrawn", ""},
 		{"a job that is being cancelled", `["` + cancelling + `"]`, 201, "withdrawn", ""},
 		{"a service", `["` + service + `"]`, 422, "", ""},
-		{"itself", `["` + jobID(9) + `"]`, 422, "", ""},
+		{"itself", `["` + jobID(submittedJob) + `"]`, 422, "", ""},
 		{"never accepted", `["` + open + `","` + jobID(7) + `"]`, 422, "", ""},
 		{"no list", `"` + open + `"`, 400, "", ""},
 		{"an object", `{}`, 400, "", ""},
@@ -50,7 +84,7 @@
 		{"a job id without digits", `["job-"]`, 400, "", ""},
 		{"a list that is not closed", `["` + open + `"`, 400, "", ""},
 		{"the field twice", `["` + open + `"],"awaits":null`, 400, "", ""},
-		{"itself among others", `["` + open + `","` + jobID(9) + `"]`, 422, "", ""},
+		{"itself among others", `["` + open + `","` + jobID(submittedJob) + `"]`, 422, "", ""},
 		{"a service among others", `["` + done + `","` + service + `"]`, 422, "", ""},
 		{"never accepted beside a cancelled one", `["` + cancelled + `","` + jobID(7) + `"]`, 422, "", ""},
 		{"a done job twice and an open one twice", `["` + done + `","` + open + `","` + done + `","` + open + `"]`, 201, "pending", open},
@@ -61,47 +95,42 @@
 	} {
 		for _, known := range []bool{true, false} {
 			t.Run(tc.name+"/known here "+strconv.FormatBool(known), func(t *testing.T) {
-				harness := newHarness(t, testMachineTypes)
-				for n, change := range [][]string{1: nil, 4: {"shape", `"daemon"`}, 5: nil} {
-					if n == 0 || n == 2 || n == 3 {
-						continue
-					}
-					if a := harness.request("POST", "/submissions", body(append([]string{"nameId", `"` + jobID(n) + `"`}, change...)...)); a.Status != 201 {
-						t.Fatalf("job %d: %d %s", n, a.Status, a.Body)
-					}
-				}
-				harness.write(records.FinalKey(done), "", []byte(`{"s":"done","n":16}`))
-				harness.write(records.FinalKey(cancelled), "", []byte(`{"s":"withdrawn","n":16}`))
-				harness.requestCancellation(cancelling, 1)
-				harness.core.jobCache.ForgetOpen(cancelling)
-				if !known {
-					harness.core.jobCache.ForgetAllOpen() // accepted by another controller
-				}
-				a := harness.request("POST", "/submissions", submissionWithDependencies(9, tc.awaits))
-				if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
-					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
-				}
-				_, isOpen := harness.store[records.OpenKey(jobID(9))]
-				_, isFinal := harness.store[records.FinalKey(jobID(9))]
-				if isOpen != (tc.state == "pending") || isFinal != (tc.state == "withdrawn") {
-					t.Errorf("open on record: %v, final: %v", isOpen, isFinal)
-				}
-				if got := strings.Join(harness.openRecord(jobID(9)).Job.Dependencies, ","); got != tc.recorded {
-					t.Errorf("dependencies %q on record, want %q", got, tc.recorded)
-				}
-				if tc.recorded != "" && !strings.Contains(string(harness.store[records.OpenKey(open)].Value), `"nd":true`) {
-					t.Error("the dependency is not marked as having dependents")
-				}
-				if tc.status == 201 {
-					if a := harness.request("POST", "/submissions", submissionWithDependencies(9, tc.awaits)); a.Status != 200 {
-						t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
-					}
-				}
+				checkSubmission(t, tc, known)
 			})
 		}
 	}
 }
 
+// checkSubmission submits a job with dependencies, to a controller that knows them or to one that does
+// not, since another one accepted them.
+func checkSubmission(t *testing.T, tc dependencyCase, known bool) {
+	t.Helper()
+	harness := newHarnessWithDependencies(t)
+	if !known {
+		harness.core.jobCache.ForgetAllOpen() // accepted by another controller
+	}
+	a := harness.request("POST", "/submissions", submissionWithDependencies(submittedJob, tc.dependencies))
+	if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
+		t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
+	}
+	_, isOpen := harness.store[records.OpenKey(jobID(submittedJob))]
+	_, isFinal := harness.store[records.FinalKey(jobID(submittedJob))]
+	if isOpen != (tc.state == "pending") || isFinal != (tc.state == "withdrawn") {
+		t.Errorf("open on record: %v, final: %v", isOpen, isFinal)
+	}
+	if got := strings.Join(harness.openRecord(jobID(submittedJob)).Job.Dependencies, ","); got != tc.recorded {
+		t.Errorf("dependencies %q on record, want %q", got, tc.recorded)
+	}
+	if tc.recorded != "" && !strings.Contains(string(harness.store[records.OpenKey(jobID(openJob))].Value), `"nd":true`) {
+		t.Error("the dependency is not marked as having dependents")
+	}
+	if tc.status == 201 {
+		if a := harness.request("POST", "/submissions", submissionWithDependencies(submittedJob, tc.dependencies)); a.Status != 200 {
+			t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
+		}
+	}
+}
+
 // TestManyDependencies names more dependencies than a transaction has conditions or writes.
 func TestManyDependencies(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
