--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -3,7 +3,6 @@
 import (
 	"math"
 	"slices"
-	"time"
 
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
@@ -79,14 +78,6 @@
 	return false
 }
 
-// maxIdleTime is how long a machine that nothing needs is kept.
-func (l *leader) maxIdleTime() time.Duration {
-	if s := l.core.operatorSettings.IdleReturnS; s != nil {
-		return time.Duration(*s * float64(time.Second))
-	}
-	return 3 * l.core.workerLease()
-}
-
 // emptyOrContains reports whether a list names something; an empty list names all.
 func emptyOrContains(list []string, name string) bool {
 	return len(list) == 0 || slices.Contains(list, name)
--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -53,6 +53,7 @@
 	return leader
 }
 
+// TestCheapTypes lists the types that are not expensive for a task, of those that it fits.
 func TestCheapTypes(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -67,9 +68,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newExpensiveFleetLeader(t)
-			j := addArray(leader, "job-1", "lab", "scan", 1, tc.gpus)
-			j.MachineTypes = tc.types
-			if got := leader.cheapTypes(&j.Job); !slices.Equal(got, tc.want) {
+			job := addArray(leader, "job-1", "lab", "scan", 1, tc.gpus)
+			job.MachineTypes = tc.types
+			if got := leader.cheapTypes(&job.Job); !slices.Equal(got, tc.want) {
 				t.Errorf("cheap types %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -33,7 +33,7 @@
 	if machine.UsedByLevel[cluster.PriorityLevel[wire.PriorityUrgent]].CPUs != 4 || machine.UsedByLevel[0].CPUs != 0 {
 		t.Errorf("the machine counts %v by priority", machine.UsedByLevel)
 	}
-	leader.forget(leader.Jobs["job-3"])
+	leader.forgetJob(leader.Jobs["job-3"])
 	if j := leader.Jobs["job-1"]; j.Level != 0 || !math.IsInf(j.Deadline, 1) {
 		t.Errorf("without its dependent: level %d, deadline %v", j.Level, j.Deadline)
 	}
@@ -54,8 +54,8 @@
 		t.Errorf("%d tasks of a waiting job may be placed", n)
 	}
 	since := leader.Jobs["job-2"].WaitingSinceMS
-	j := leader.Jobs["job-1"]
-	j.TasksDone, j.TaskStates[0].Done = 1, true
+	job := leader.Jobs["job-1"]
+	job.TasksDone, job.TaskStates[0].Done = 1, true
 	leader.writer.MarkDirty()
 	harness.run(2e9)
 	if len(leader.Jobs["job-2"].PendingTasks()) != 1 || !strings.Contains(string(harness.store[records.OpenKey("job-2")].Value), `"ra":`) {
--- a/internal/core/dependency_lifecycle_test.go
+++ b/internal/core/dependency_lifecycle_test.go
@@ -60,7 +60,7 @@
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	harness.run(2 * time.Second)
-	if j := leader.Jobs[jobID(2)]; j == nil || j.Cancellation.Requested() || j.Waiting {
+	if job := leader.Jobs[jobID(2)]; job == nil || job.Cancellation.Requested() || job.Waiting {
 		t.Error("its dependent does not become ready")
 	}
 }
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -82,14 +82,14 @@
 			waiting.Waiting = true
 			other := dependentJob("job-3", 1)
 			leader.JobsBySubmission = []*cluster.Job{dependency, waiting, other}
-			for _, j := range leader.JobsBySubmission {
-				leader.Jobs[j.ID] = j
+			for _, job := range leader.JobsBySubmission {
+				leader.Jobs[job.ID] = job
 			}
 			leader.dependencies.Add(waiting.ID, []string{dependency.ID})
 			tc.change(leader, dependency, waiting)
-			p := newScaleOutPlan(leader)
-			p.packDependents(map[string]topology.Resources{})
-			if got := shortfallsWithoutPurpose(p); !slices.Equal(got, tc.want) {
+			plan := newScaleOutPlan(leader)
+			plan.packDependents(map[string]topology.Resources{})
+			if got := shortfallsWithoutPurpose(plan); !slices.Equal(got, tc.want) {
 				t.Errorf("provisions %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -25,6 +25,7 @@
 	return newLeader(harness.core, testLeadership(5))
 }
 
+// TestLeadTime finds the machine type that is ready first of those that may run a job.
 func TestLeadTime(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -47,6 +48,7 @@
 	}
 }
 
+// TestExpectedTasks forecasts tasks from arrivals, for objectives with several shares.
 func TestExpectedTasks(t *testing.T) {
 	two := 2
 	for _, tc := range []struct {
@@ -84,6 +86,7 @@
 	}
 }
 
+// TestRecordArrival records one submission and counts the arrivals that it is.
 func TestRecordArrival(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -152,14 +152,14 @@
 	if ops := h.core.settings.Deployment.Store.TxnOps; len(txn.Writes) > ops || len(txn.Conditions) > 4*ops {
 		h.t.Fatalf("a transaction of %d writes and %d conditions", len(txn.Writes), len(txn.Conditions))
 	}
-	tr := wire.TxnResult{Revision: h.revision}
+	result := wire.TxnResult{Revision: h.revision}
 	for _, c := range txn.Conditions {
 		if h.store[c.Key].Version != c.Version {
-			tr.Conflicts = append(tr.Conflicts, c.Key)
+			result.Conflicts = append(result.Conflicts, c.Key)
 		}
 	}
-	if tr.Conflicts != nil {
-		return 409, kv.Encode(tr)
+	if result.Conflicts != nil {
+		return 409, kv.Encode(result)
 	}
 	// All writes of a transaction have one revision.
 	at := h.revision
@@ -167,8 +167,8 @@
 		h.revision = at
 		h.write(w.Put, w.Delete, w.Value)
 	}
-	tr.Revision = h.revision
-	return 200, kv.Encode(tr)
+	result.Revision = h.revision
+	return 200, kv.Encode(result)
 }
 
 // pageItems is the size of a page, smaller than the store's so that tests read several.
@@ -325,13 +325,13 @@
 	if spec.Tasks == 0 {
 		spec.Tasks = 1
 	}
-	rec := records.Open{Job: spec, SubmittedAt: harness.core.wallClockMS}
+	record := records.Open{Job: spec, SubmittedAt: harness.core.wallClockMS}
 	if change != nil {
-		change(&rec)
+		change(&record)
 	}
 	key := records.OpenKey(spec.ID)
-	harness.write(key, "", kv.Encode(rec))
-	leader.applyOpenRecord(spec.ID, harness.store[key].Version, rec)
+	harness.write(key, "", kv.Encode(record))
+	leader.applyOpenRecord(spec.ID, harness.store[key].Version, record)
 }
 
 // setPeers gives a controller peers that it has not heard yet.
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 )
 
@@ -15,6 +16,13 @@
 	return l.core.reconcileTiming().HeartbeatOverdueAfter()
 }
 
+// leaseExpired reports whether the lease of a worker with missed heartbeats has
+// certainly expired, although other controllers may have extended it.
+func (l *leader) leaseExpired(machine *cluster.Machine) bool {
+	lastRenewal := max(machine.LastAnswered, machine.LeaseExtendedAt)
+	return l.core.membership.LeaseExpired(lastRenewal, l.leaseExpiryBound())
+}
+
 // healthCheck is a check of the machines' health at this moment.
 func (l *leader) healthCheck() *reconcile.HealthCheck {
 	return &reconcile.HealthCheck{
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// handleHeartbeat handles a worker's heartbeat, which came by a controller, and returns the
-// answer.
+// handleHeartbeat handles a worker's heartbeat and returns the status and the body of the answer.
+// controller is the one that the worker sent it to.
 func (l *leader) handleHeartbeat(body []byte, controller string) (int, []byte) {
 	heartbeat, ok := decodeHeartbeat(body)
 	if !ok {
@@ -52,7 +52,7 @@
 }
 
 // recordHeartbeat records that a heartbeat, which is newer than the machine's last one, arrived
-// by a controller.
+// at a controller.
 func (l *leader) recordHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, controller string) {
 	if machine.FirstHeartbeat == 0 {
 		l.recordProvisioningLatency(machine)
--- a/internal/core/huge_array_test.go
+++ b/internal/core/huge_array_test.go
@@ -8,7 +8,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// An array of 100,000 tasks that finds 4,200 empty machines is placed over several passes,
+// TestHugeArrayInPasses places an array of 100,000 tasks on 4,200 empty machines, over several passes
 // each of which costs little more than a pass may: the scale-out plan comes on top.
 func TestHugeArrayInPasses(t *testing.T) {
 	const machines, tasksPerMachine = 4200, 16
@@ -35,8 +35,8 @@
 	}
 }
 
-// A plan provisions for all of a service or a gang however large, and for so many tasks of an array
-// that a machine is worth the time that it takes to boot.
+// TestPlannedTasks provisions for all of a service or a gang however large, and for so many tasks of
+// an array that a machine is worth the time that it takes to boot.
 func TestPlannedTasks(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -54,9 +54,9 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			_, leader := newBestEffortLeader(t) // its machines boot in 30 s
-			j := addArray(leader, "job-1", "vision", "sweep", test.tasks, 0)
-			j.Shape, j.EstimatedRunS = test.shape, test.estimate
-			if got := leader.plannedTasks(&candidate{Job: j, Pending: j.UnplacedTasks()}); got != test.want {
+			job := addArray(leader, "job-1", "vision", "sweep", test.tasks, 0)
+			job.Shape, job.EstimatedRunS = test.shape, test.estimate
+			if got := leader.plannedTasks(&candidate{Job: job, Pending: job.UnplacedTasks()}); got != test.want {
 				t.Errorf("%d tasks, want %d", got, test.want)
 			}
 		})
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -36,7 +36,7 @@
 	leader.bindTasks(job, []int{0}, []*cluster.Machine{machine})
 }
 
-// How machines pull images is learned from pulls that began behind others.
+// TestPullEvidence learns how machines pull images from pulls that began behind others.
 func TestPullEvidence(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -64,7 +64,8 @@
 	}
 }
 
-// A pull whose start is not known, since an earlier leader placed the task, is no evidence.
+// TestPullOfUnknownAge ends a pull whose start is not known, since an earlier leader placed the task:
+// it is no evidence.
 func TestPullOfUnknownAge(t *testing.T) {
 	leader, machine := newPullingLeader(t)
 	startPull(leader, "job-1", "x", machine)
@@ -78,7 +79,8 @@
 	}
 }
 
-// A new leader uses the evidence of the previous one, until it has its own.
+// TestPullEvidenceAfterFailover lets a new leader use the evidence of the previous one, until it has
+// its own.
 func TestPullEvidenceAfterFailover(t *testing.T) {
 	for _, tc := range []struct {
 		e    pullEvidence
@@ -105,7 +107,7 @@
 	}
 }
 
-// A leader tells the other controllers how machines pull images.
+// TestPullEvidenceIsShared checks that a leader's digest says how machines pull images.
 func TestPullEvidenceIsShared(t *testing.T) {
 	leader, _ := newPullingLeader(t)
 	leader.core.leader = leader
--- a/internal/core/outliers_test.go
+++ b/internal/core/outliers_test.go
@@ -7,7 +7,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A job that fails on every machine is tried one task at a time and preempts nothing.
+// TestFaultyJobIsTriedAlone places a job that fails on every machine: one task at a time, and it
+// preempts nothing.
 func TestFaultyJobIsTriedAlone(t *testing.T) {
 	_, leader := newBestEffortLeader(t)
 	job := addArray(leader, "job-1", "vision", "sweep", 4, 1)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/membership"
 	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 	"github.com/brookwalk/brookwalk/wire"
@@ -59,7 +58,7 @@
 	}
 }
 
-// onDigest applies what another controller says of itself.
+// onDigest applies another controller's digest.
 func (c *Core) onDigest(from string, digest *wire.Digest) {
 	c.membership.RecordDigest(from, digest)
 	if c.leader != nil {
@@ -109,13 +108,6 @@
 	}
 }
 
-// leaseExpired reports whether the lease of a worker with missed heartbeats has
-// certainly expired, although other controllers may have extended it.
-func (l *leader) leaseExpired(machine *cluster.Machine) bool {
-	lastRenewal := max(machine.LastAnswered, machine.LeaseExtendedAt)
-	return l.core.membership.LeaseExpired(lastRenewal, l.leaseExpiryBound())
-}
-
 // maxDigestJobs is how many jobs' counts go into one message: a message stays small however
 // many jobs there are.
 const maxDigestJobs = 1000
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -35,36 +35,37 @@
 	h.leader.addCancelledEnds(add)
 }
 
-// CancelledEndFailed is told that the end of a cancelled job was not recorded.
+// CancelledEndFailed queues a cancelled job whose end was not recorded, for the next batch.
 func (h persistenceHost) CancelledEndFailed(job *cluster.Job) {
 	h.leader.cancelledWithoutDependents = append(h.leader.cancelledWithoutDependents, job)
 }
 
-// JobEnded is told that a job's end is on record.
+// JobEnded handles a job's end, which is on record now.
 func (h persistenceHost) JobEnded(job *cluster.Job, end wire.JobEnd) {
 	h.leader.core.frontEnd.JobEnded(end)
-	h.leader.forget(job)
+	h.leader.forgetJob(job)
 	h.leader.dependencyEnded(job.ID, wire.JobState(end.Status))
 }
 
-// JobEndedBefore is told that a job's end was found on record.
+// JobEndedBefore handles a job whose end was found on record.
 func (h persistenceHost) JobEndedBefore(job *cluster.Job) {
-	h.leader.forget(job)
+	h.leader.forgetJob(job)
 	h.leader.lookUpDependency(job.ID)
 }
 
-// BatchAnswered is told that a transaction was answered.
+// BatchAnswered handles the answer to a transaction: it sends the ends that are on record now to the
+// other controllers, and requests a placement pass.
 func (h persistenceHost) BatchAnswered(ends []wire.JobEnd) {
 	h.leader.sendJobEnds(wire.Ends{Over: ends})
 	h.leader.passes.requested = true
 }
 
-// OpenRecordWritten is told that the leader has changed a job's open record.
+// OpenRecordWritten caches a job's open record, which the leader has changed.
 func (h persistenceHost) OpenRecordWritten(job *cluster.Job, record records.Open, version uint64) {
 	h.leader.core.jobCache.PutOpen(job.ID, &jobcache.OpenJob{Version: version, Record: record})
 }
 
-// DependenciesMayBeReady is told that a job's open record has changed.
+// DependenciesMayBeReady makes a job ready if its open record, which has changed, says so.
 func (h persistenceHost) DependenciesMayBeReady(job *cluster.Job) { h.leader.markReady(job) }
 
 // StartTasks starts tasks whose placements are on record now.
@@ -72,12 +73,12 @@
 	h.leader.sendStarts(placed)
 }
 
-// OpenRecordRead is told of an open record, new or changed.
+// OpenRecordRead applies an open record, new or changed.
 func (h persistenceHost) OpenRecordRead(job string, version uint64, record records.Open) {
 	h.leader.applyOpenRecord(job, version, record)
 }
 
-// PlacementRead is told that a task may be on a machine.
+// PlacementRead places a task where its placement record says that it may be.
 func (h persistenceHost) PlacementRead(job *cluster.Job, placed records.PlacedTask) {
 	machine := h.leader.machineNamed(placed.Machine)
 	task := &job.TaskStates[placed.Task]
--- a/internal/core/placement_records_test.go
+++ b/internal/core/placement_records_test.go
@@ -37,9 +37,9 @@
 	if harness.store[records.FinalKey("job-1")].Key == "" {
 		t.Error("the job is not over")
 	}
-	for k := range harness.store {
-		if strings.HasPrefix(k, records.PrefixPlacement) {
-			t.Errorf("%s is left", k)
+	for key := range harness.store {
+		if strings.HasPrefix(key, records.PrefixPlacement) {
+			t.Errorf("%s is left", key)
 		}
 	}
 }
@@ -122,11 +122,11 @@
 func expectNamedRanges(t *testing.T, harness *harness, id string) {
 	t.Helper()
 	named := 0
-	for k, it := range harness.store {
-		if strings.HasPrefix(k, records.PrefixPlacement+id+"/") {
+	for key, item := range harness.store {
+		if strings.HasPrefix(key, records.PrefixPlacement+id+"/") {
 			named++
-			if len(it.Value) > 1024 || !strings.Contains(k, "-1") && !strings.Contains(k, "-2") && strings.Count(k, "-") < 2 {
-				t.Errorf("%s: %d bytes", k, len(it.Value))
+			if len(item.Value) > 1024 || !strings.Contains(key, "-1") && !strings.Contains(key, "-2") && strings.Count(key, "-") < 2 {
+				t.Errorf("%s: %d bytes", key, len(item.Value))
 			}
 		}
 	}
--- a/internal/core/regions.go
+++ b/internal/core/regions.go
@@ -18,13 +18,13 @@
 // JoinRegions makes the teams of a regions file share their limits with other regions. It is
 // called before the first step. The limits of the file, and its guarantees in this region,
 // replace those of the settings; teams that the file does not name keep theirs.
-func (c *Core) JoinRegions(p *plan.Plan, self string) {
-	c.regions = regions{plan: p, self: self, sharedTeams: map[string]bool{}}
+func (c *Core) JoinRegions(regionPlan *plan.Plan, self string) {
+	c.regions = regions{plan: regionPlan, self: self, sharedTeams: map[string]bool{}}
 	settings := *c.settings
 	settings.Deployment.Teams = append([]config.Team(nil), settings.Deployment.Teams...)
 	c.settings = &settings
-	for i := range p.Teams {
-		team := &p.Teams[i]
+	for i := range regionPlan.Teams {
+		team := &regionPlan.Teams[i]
 		c.regions.sharedTeams[team.Name] = true
 		planned := regionalTeam(team, self)
 		if configured := c.team(team.Name); configured != nil {
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -209,17 +209,17 @@
 			placeAndRecord(leader, job, 0, 1)
 			harness.run(time.Second)
 			rejected := lowerLimits(harness, 5, 2048)
-			var rec records.Open // with the request
+			var request records.Open // with the request
 			harness.afterCommit = func() {
 				if !harness.hasEnded(jobID(1)) {
-					rec = harness.openRecord(jobID(1))
+					request = harness.openRecord(jobID(1))
 				}
 			}
 			harness.nextReq++
 			harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
 			harness.run(3 * time.Second)
-			if !rec.Cancelled || rec.Job.Tasks != 40 || rec.Job.Team != "vision" || rec.Job.CPUs != 4 || rec.Job.Class != "c" {
-				t.Fatalf("recorded %+v", rec)
+			if !request.Cancelled || request.Job.Tasks != 40 || request.Job.Team != "vision" || request.Job.CPUs != 4 || request.Job.Class != "c" {
+				t.Fatalf("recorded %+v", request)
 			}
 			if !harness.hasEnded(jobID(2)) {
 				t.Error("its dependent has not ended")
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -119,6 +119,14 @@
 // minBilledTime is the least time that the cloud charges for a machine.
 const minBilledTime = scalein.MinBilledTime
 
+// maxIdleTime is how long a machine that nothing needs is kept.
+func (l *leader) maxIdleTime() time.Duration {
+	if s := l.core.operatorSettings.IdleReturnS; s != nil {
+		return time.Duration(*s * float64(time.Second))
+	}
+	return 3 * l.core.workerLease()
+}
+
 // scaleInPolicy decides at this moment which machines are not needed.
 func (l *leader) scaleInPolicy() *scalein.Policy {
 	return &scalein.Policy{
--- a/internal/core/scheduler_host.go
+++ b/internal/core/scheduler_host.go
@@ -19,7 +19,7 @@
 	objectiveGuarantee = scheduler.ObjectiveGuarantee
 )
 
-// passState says when the next placement pass is.
+// passState is when the next placement pass may run, and whether one is needed.
 type passState struct {
 	requested bool          // there may be something to place
 	earliest  time.Duration // when the next pass may begin
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -95,20 +95,19 @@
 	} {
 		for _, known := range []bool{true, false} {
 			t.Run(tc.name+"/known here "+strconv.FormatBool(known), func(t *testing.T) {
-				checkSubmission(t, tc, known)
+				harness := newHarnessWithDependencies(t)
+				if !known {
+					harness.core.jobCache.ForgetAllOpen() // accepted by another controller
+				}
+				checkSubmission(t, harness, tc)
 			})
 		}
 	}
 }
 
-// checkSubmission submits a job with dependencies, to a controller that knows them or to one that does
-// not, since another one accepted them.
-func checkSubmission(t *testing.T, tc dependencyCase, known bool) {
+// checkSubmission submits the job of a case, and repeats the submission if it is accepted.
+func checkSubmission(t *testing.T, harness *harness, tc dependencyCase) {
 	t.Helper()
-	harness := newHarnessWithDependencies(t)
-	if !known {
-		harness.core.jobCache.ForgetAllOpen() // accepted by another controller
-	}
 	a := harness.request("POST", "/submissions", submissionWithDependencies(submittedJob, tc.dependencies))
 	if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
 		t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
--- a/internal/core/submission_pacing_test.go
+++ b/internal/core/submission_pacing_test.go
@@ -10,9 +10,9 @@
 	harness.nextReq++
 	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Request{ID: harness.nextReq, Method: "POST", Path: "/submissions", Body: []byte(body)})
 	var commits []Call
-	for _, k := range out.Calls {
-		if k.Destination == DestinationStore && k.Path == "/commit" {
-			commits = append(commits, k)
+	for _, call := range out.Calls {
+		if call.Destination == DestinationStore && call.Path == "/commit" {
+			commits = append(commits, call)
 		}
 	}
 	return commits
@@ -35,9 +35,9 @@
 		}
 	}
 	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Result{ID: first[0].ID, Status: 200, Body: []byte(`{"logline":2}`)})
-	for _, k := range out.Calls {
-		if k.Path == "/commit" && (k.Urgent || k.Writes != ops) {
-			t.Fatalf("%d submissions at a time: %d changes, urgent %v", ops, k.Writes, k.Urgent)
+	for _, call := range out.Calls {
+		if call.Path == "/commit" && (call.Urgent || call.Writes != ops) {
+			t.Fatalf("%d submissions at a time: %d changes, urgent %v", ops, call.Writes, call.Urgent)
 		}
 	}
 	if len(out.Calls) == 0 {
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -241,18 +241,18 @@
 		if err := stdjson.Unmarshal(a.Body, &got); err != nil || got.Status != wire.StatusPending {
 			t.Fatalf("answered %s: %v", a.Body, err)
 		}
-		var rec records.Open
-		it := harness.store[records.OpenKey(got.ID)]
-		if err := stdjson.Unmarshal(it.Value, &rec); err != nil || rec.Job.ID != got.ID {
-			t.Fatalf("recorded %s: %v", it.Value, err)
+		var record records.Open
+		item := harness.store[records.OpenKey(got.ID)]
+		if err := stdjson.Unmarshal(item.Value, &record); err != nil || record.Job.ID != got.ID {
+			t.Fatalf("recorded %s: %v", item.Value, err)
 		}
-		if len(it.Value) > 16<<10 {
-			t.Fatalf("a record of %d bytes", len(it.Value))
+		if len(item.Value) > 16<<10 {
+			t.Fatalf("a record of %d bytes", len(item.Value))
 		}
 		amountInRange := func(amount float64) bool { return amount >= 0 && amount <= 1e9 }
-		if j := rec.Job; j.Tasks < 1 || j.Tasks > 100000 || !amountInRange(j.CPUs) || !amountInRange(j.GPUs) || !amountInRange(j.MemGB) || !amountInRange(j.ImageGB) ||
-			!amountInRange(j.EstimatedRunS) || !amountInRange(j.CheckpointIntervalS) || !amountInRange(j.CheckpointDurationS) || j.DeadlineS != nil && !amountInRange(*j.DeadlineS) {
-			t.Fatalf("recorded %s", it.Value)
+		if job := record.Job; job.Tasks < 1 || job.Tasks > 100000 || !amountInRange(job.CPUs) || !amountInRange(job.GPUs) || !amountInRange(job.MemGB) || !amountInRange(job.ImageGB) ||
+			!amountInRange(job.EstimatedRunS) || !amountInRange(job.CheckpointIntervalS) || !amountInRange(job.CheckpointDurationS) || job.DeadlineS != nil && !amountInRange(*job.DeadlineS) {
+			t.Fatalf("recorded %s", item.Value)
 		}
 	})
 }
--- a/internal/core/task_accounting.go
+++ b/internal/core/task_accounting.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// forget drops a job whose end is on record. Copies of its tasks that still count on machines
+// forgetJob drops a job whose end is on record. Copies of its tasks that still count on machines
 // do so until they have certainly terminated.
-func (l *leader) forget(job *cluster.Job) {
+func (l *leader) forgetJob(job *cluster.Job) {
 	l.DropJob(job)
 	delete(l.cancelledJobs, job.ID)
 	delete(l.dependencyLists.unread, job.ID)
--- a/internal/core/task_ends_test.go
+++ b/internal/core/task_ends_test.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Ends of an array's tasks that come with successive heartbeats are one change of its record. The
-// job's own end is recorded at once, in place of what was deferred.
+// TestTaskEndsAreDeferred ends tasks of an array with successive heartbeats: that is one change of its
+// record. The job's own end is recorded at once, in place of what was deferred.
 func TestTaskEndsAreDeferred(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 8}, nil)
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -11,7 +11,7 @@
 // have run.
 
 // reconcilePlacements compares a machine's placements with the worker's newest message.
-// workerKnowsTerm says that the worker had seen this term when it sent the message.
+// workerKnowsTerm is whether the worker had seen this term when it sent the message.
 func (l *leader) reconcilePlacements(machine *cluster.Machine, workerKnowsTerm bool) {
 	for _, placement := range machine.Placements {
 		if placement.Task().Machine != machine {
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Why a job waits is logged for operators once it has waited for long, each reason once and at a
-// bounded rate.
+// TestWaitReasons logs why a job waits once it has waited for long, each reason once and at a bounded
+// rate.
 func TestWaitReasons(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
@@ -43,7 +43,7 @@
 	}
 }
 
-// The plan names the reason that holds for a candidate.
+// TestPlanNamesWaitReason checks that a plan names the reason that holds for a candidate.
 func TestPlanNamesWaitReason(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -59,15 +59,15 @@
 		leader := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
 		tc.setUp(leader, c)
-		p := newScaleOutPlan(leader)
-		p.packPending([]*candidate{c}, map[string]topology.Resources{})
+		plan := newScaleOutPlan(leader)
+		plan.packPending([]*candidate{c}, map[string]topology.Resources{})
 		if got := c.Job.WaitLog.LastReason; got != tc.want {
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// A provisioned machine and one that is kept are logged with their purpose.
+// TestPlanNamesPurposes logs a provisioned machine and one that is kept, with their purposes.
 func TestPlanNamesPurposes(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
