--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -16,27 +16,27 @@
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// pullingLeader leads with an empty machine.
-func pullingLeader(t *testing.T) (l *leader, first *cluster.Machine) {
+// newPullingLeader leads with an empty machine.
+func newPullingLeader(t *testing.T) (leader *leader, first *cluster.Machine) {
 	t.Helper()
-	b, l := newLeadingHarness(t, func(s *config.Settings) {
+	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
 	})
-	b.core.machineTypes = pullTypes
-	b.core.now = 1000 * time.Second
-	return l, idleMachine(l, "n-1", "g4")
+	harness.core.machineTypes = pullTypes
+	harness.core.now = 1000 * time.Second
+	return leader, idleMachine(leader, "n-1", "g4")
 }
 
 // startPull adds a service with one replica, and places it on a machine that pulls its image of
 // 20 GB.
-func startPull(l *leader, id, image string, m *cluster.Machine) {
-	j := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20}}, 1)
-	l.writer.InitPlacementRecords(j)
-	l.bindTasks(j, []int{0}, []*cluster.Machine{m})
+func startPull(leader *leader, id, image string, machine *cluster.Machine) {
+	job := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20}}, 1)
+	leader.writer.InitPlacementRecords(job)
+	leader.bindTasks(job, []int{0}, []*cluster.Machine{machine})
 }
 
-// How machines pull images is learned from pulls that began behind others.
+// TestPullEvidence learns how machines pull images from pulls that began behind others.
 func TestPullEvidence(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -48,7 +48,7 @@
 		{"a little longer than by itself", 28 * time.Second, false},
 		{"a little shorter than both", 32 * time.Second, true},
 	} {
-		leader, machine := pullingLeader(t)
+		leader, machine := newPullingLeader(t)
 		startPull(leader, "job-1", "x", machine)
 		startPull(leader, "job-2", "y", machine)
 		leader.core.now += 20 * time.Second
@@ -64,21 +64,23 @@
 	}
 }
 
-// A pull whose start is not known, since an earlier leader placed the task, is no evidence.
+// TestPullOfUnknownAge ends a pull whose start is not known, since an earlier leader placed the task:
+// it is no evidence.
 func TestPullOfUnknownAge(t *testing.T) {
-	l, m := pullingLeader(t)
-	startPull(l, "job-1", "x", m)
-	startPull(l, "job-2", "y", m)
-	m.Pulls = nil
-	m.RefreshPulls()
-	l.core.now += time.Second
-	l.recordPulled(m, "y")
-	if l.pullStatistics != (pullEvidence{}) {
-		t.Errorf("evidence %+v, want none", l.pullStatistics)
+	leader, machine := newPullingLeader(t)
+	startPull(leader, "job-1", "x", machine)
+	startPull(leader, "job-2", "y", machine)
+	machine.Pulls = nil
+	machine.RefreshPulls()
+	leader.core.now += time.Second
+	leader.recordPulled(machine, "y")
+	if leader.pullStatistics != (pullEvidence{}) {
+		t.Errorf("evidence %+v, want none", leader.pullStatistics)
 	}
 }
 
-// A new leader uses the evidence of the previous one, until it has its own.
+// TestPullEvidenceAfterFailover lets a new leader use the evidence of the previous one, until it has
+// its own.
 func TestPullEvidenceAfterFailover(t *testing.T) {
 	for _, tc := range []struct {
 		e    pullEvidence
@@ -94,20 +96,20 @@
 			t.Errorf("%+v: %v, want %v", tc.e, got, tc.want)
 		}
 	}
-	b := newHarness(t, testMachineTypes)
-	setPeers(b.core, config.Peer{Name: "n1", Zone: "b"})
-	for _, told := range []bool{true, false, true} {
-		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: told}}})
-		b.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !told}}})
-		if got := newLeader(b.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != told {
-			t.Errorf("sequential %v for the new leader, %v for the previous one", got, told)
+	harness := newHarness(t, testMachineTypes)
+	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
+	for _, sequential := range []bool{true, false, true} {
+		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: sequential}}})
+		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !sequential}}})
+		if got := newLeader(harness.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != sequential {
+			t.Errorf("sequential %v for the new leader, %v for the previous one", got, sequential)
 		}
 	}
 }
 
-// A leader tells the other controllers how machines pull images.
+// TestPullEvidenceIsShared checks that a leader's digest says how machines pull images.
 func TestPullEvidenceIsShared(t *testing.T) {
-	leader, _ := pullingLeader(t)
+	leader, _ := newPullingLeader(t)
 	leader.core.leader = leader
 	setPeers(leader.core, config.Peer{Name: "n1", Zone: "b"})
 	for _, sequential := range []int{0, 1} {
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -1,10 +1,13 @@
 package core
 
 import (
+	"slices"
 	"testing"
 	"time"
 
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/wire"
 )
 
@@ -25,23 +28,23 @@
 		{"second page not decodable", httpstatus.OK, `{"hosts":[`, false, time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			vanished := l.machineNamed("n-0")
-			vanished.ListedAt = l.core.now - 10*l.listLag()
-			l.startListing()
-			if got := lastCall(t, l).Path; got != "/machines?limit=500" {
+			leader := newForecastLeader(t)
+			vanished := leader.machineNamed("n-0")
+			vanished.ListedAt = leader.core.now - 10*leader.listLag()
+			leader.startListing()
+			if got := lastCall(t, leader).Path; got != "/machines?limit=500" {
 				t.Errorf("first page: %s", got)
 			}
-			answerLastCall(t, l, httpstatus.OK, first)
-			if got := lastCall(t, l).Path; got != "/machines?limit=500&since=n-2" {
+			answerLastCall(t, leader, httpstatus.OK, first)
+			if got := lastCall(t, leader).Path; got != "/machines?limit=500&since=n-2" {
 				t.Errorf("second page: %s", got)
 			}
-			answerLastCall(t, l, tc.number, tc.body)
-			if got := l.fleet.pendingReturns["n-0"]; got != tc.returned {
+			answerLastCall(t, leader, tc.number, tc.body)
+			if got := leader.fleet.pendingReturns["n-0"]; got != tc.returned {
 				t.Errorf("machine that is not listed returned: %v, want %v", got, tc.returned)
 			}
-			if l.fleet.listInFlight || l.fleet.nextListAt != l.core.now+tc.nextIn {
-				t.Errorf("next list at %v, now is %v", l.fleet.nextListAt, l.core.now)
+			if leader.fleet.listInFlight || leader.fleet.nextListAt != leader.core.now+tc.nextIn {
+				t.Errorf("next list at %v, now is %v", leader.fleet.nextListAt, leader.core.now)
 			}
 		})
 	}
@@ -61,13 +64,13 @@
 		{"known from records, without a heartbeat", true, 0, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
+			leader := newForecastLeader(t)
 			if tc.known {
-				l.machineNamed("n-1").LastHeartbeat = tc.lastHeartbeat
+				leader.machineNamed("n-1").LastHeartbeat = tc.lastHeartbeat
 			}
-			l.recordListed(&wire.Machine{Name: "n-1", Addr: "10.0.0.1:1", Type: "small", Zone: "b", Spot: true, AgeS: ageS, Status: wire.MachineBooting})
-			machine := l.Machines["n-1"]
-			if got := l.core.now - machine.CreatedAt; got != tc.want {
+			leader.recordListed(&wire.Machine{Name: "n-1", Addr: "10.0.0.1:1", Type: "small", Zone: "b", Spot: true, AgeS: ageS, Status: wire.MachineBooting})
+			machine := leader.Machines["n-1"]
+			if got := leader.core.now - machine.CreatedAt; got != tc.want {
 				t.Errorf("age %v, want %v", got, tc.want)
 			}
 			if machine.Offer() != offer("small", "b", true) || machine.Address != "10.0.0.1:1" || machine.ListedAs != wire.MachineBooting {
@@ -89,15 +92,40 @@
 		{"the list is newer", 1, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newForecastLeader(t)
-			l.returnedMachines["n-1"] = l.core.now - 4*l.listLag() - tc.ago
-			l.recordListed(&wire.Machine{Name: "n-1", Type: "small", Zone: "b"})
-			if got := l.fleet.pendingReturns["n-1"]; got != tc.want {
+			leader := newForecastLeader(t)
+			leader.returnedMachines["n-1"] = leader.core.now - 4*leader.listLag() - tc.ago
+			leader.recordListed(&wire.Machine{Name: "n-1", Type: "small", Zone: "b"})
+			if got := leader.fleet.pendingReturns["n-1"]; got != tc.want {
 				t.Errorf("returned again: %v, want %v", got, tc.want)
 			}
-			if l.Machines["n-1"] != nil {
+			if leader.Machines["n-1"] != nil {
 				t.Error("the machine is known again")
 			}
 		})
 	}
 }
+
+// TestAgeOfKnownMachines takes the age of a machine that a new leader knows from the records
+// from the cloud's list, once the machine has sent a heartbeat.
+func TestAgeOfKnownMachines(t *testing.T) {
+	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	recorded, provisioned, silent := leader.machineNamed("n-000001"), leader.machineNamed("n-000002"), leader.machineNamed("n-000004")
+	recorded.LastHeartbeat, provisioned.LastHeartbeat = harness.core.now, harness.core.now
+	provisioned.CreatedAt = harness.core.now - 90*time.Second
+	for _, name := range []string{"n-000001", "n-000002", "n-000003", "n-000004"} {
+		leader.recordListed(&wire.Machine{Name: name, Type: "small", Zone: "a", Status: "running", AgeS: 80})
+	}
+	for machine, want := range map[*cluster.Machine]time.Duration{
+		recorded:                    80 * time.Second,
+		provisioned:                 90 * time.Second,
+		leader.Machines["n-000003"]: 80 * time.Second,
+		silent:                      0,
+	} {
+		if age := harness.core.now - machine.CreatedAt; age != want {
+			t.Errorf("%s is %v old, want %v", machine.Name, age, want)
+		}
+	}
+	if slices.Contains(sortedKeys(leader.fleet.pendingReturns), "n-000001") {
+		t.Error("returned")
+	}
+}
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -170,16 +170,16 @@
 		{"cancelled", `{"s":"withdrawn","n":2}`, wire.JobStatus{ID: id, Status: wire.StatusCancelled}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b := newHarness(t, testMachineTypes)
-			if a := b.request("POST", "/submissions", body()); a.Status != 201 {
+			first := newHarness(t, testMachineTypes)
+			if a := first.request("POST", "/submissions", body()); a.Status != 201 {
 				t.Fatalf("accepted: %d %s", a.Status, a.Body)
 			}
 			if tc.final != "" {
-				b.write(records.FinalKey(id), records.OpenKey(id), []byte(tc.final))
+				first.write(records.FinalKey(id), records.OpenKey(id), []byte(tc.final))
 			}
 			fresh := newHarness(t, testMachineTypes)
-			fresh.store, fresh.revision = b.store, b.revision
-			for _, at := range []*harness{b, fresh} {
+			fresh.store, fresh.revision = first.store, first.revision
+			for _, at := range []*harness{first, fresh} {
 				expectRepeats(t, at, tc.want)
 				if tc.final != "" {
 					expectStatus(t, "cancelled", at.request("POST", "/submissions/"+id+"/cancel", ""), tc.want)
@@ -214,7 +214,7 @@
 // accepts is JSON, within the bounds, and recorded as it was read.
 func FuzzSubmission(f *testing.F) {
 	f.Add([]byte(body()))
-	for _, field := range goodFields {
+	for _, field := range validFields {
 		for _, v := range []string{missing, `null`, `""`, `-1`, `1e999`, `[null]`, `{}`, `"\ud800"`, `1e-320`} {
 			f.Add([]byte(body(field[0], v)))
 		}
@@ -223,8 +223,8 @@
 	f.Add([]byte(`{"cpus":1,"cpus":2}`))
 	f.Add([]byte(`{"x":[[[[`))
 	f.Fuzz(func(t *testing.T, in []byte) {
-		b := newHarness(t, testMachineTypes)
-		a := b.request("POST", "/submissions", string(in))
+		harness := newHarness(t, testMachineTypes)
+		a := harness.request("POST", "/submissions", string(in))
 		if a.Status != 201 && a.Status != 400 && a.Status != 422 {
 			t.Fatalf("%d %s", a.Status, a.Body)
 		}
@@ -241,18 +241,18 @@
 		if err := stdjson.Unmarshal(a.Body, &got); err != nil || got.Status != wire.StatusPending {
 			t.Fatalf("answered %s: %v", a.Body, err)
 		}
-		var rec records.Open
-		it := b.store[records.OpenKey(got.ID)]
-		if err := stdjson.Unmarshal(it.Value, &rec); err != nil || rec.Job.ID != got.ID {
-			t.Fatalf("recorded %s: %v", it.Value, err)
+		var record records.Open
+		item := harness.store[records.OpenKey(got.ID)]
+		if err := stdjson.Unmarshal(item.Value, &record); err != nil || record.Job.ID != got.ID {
+			t.Fatalf("recorded %s: %v", item.Value, err)
 		}
-		if len(it.Value) > 16<<10 {
-			t.Fatalf("a record of %d bytes", len(it.Value))
+		if len(item.Value) > 16<<10 {
+			t.Fatalf("a record of %d bytes", len(item.Value))
 		}
 		amountInRange := func(amount float64) bool { return amount >= 0 && amount <= 1e9 }
-		if j := rec.Job; j.Tasks < 1 || j.Tasks > 100000 || !amountInRange(j.CPUs) || !amountInRange(j.GPUs) || !amountInRange(j.MemGB) || !amountInRange(j.ImageGB) ||
-			!amountInRange(j.EstimatedRunS) || !amountInRange(j.CheckpointIntervalS) || !amountInRange(j.CheckpointDurationS) || j.DeadlineS != nil && !amountInRange(*j.DeadlineS) {
-			t.Fatalf("recorded %s", it.Value)
+		if job := record.Job; job.Tasks < 1 || job.Tasks > 100000 || !amountInRange(job.CPUs) || !amountInRange(job.GPUs) || !amountInRange(job.MemGB) || !amountInRange(job.ImageGB) ||
+			!amountInRange(job.EstimatedRunS) || !amountInRange(job.CheckpointIntervalS) || !amountInRange(job.CheckpointDurationS) || job.DeadlineS != nil && !amountInRange(*job.DeadlineS) {
+			t.Fatalf("recorded %s", item.Value)
 		}
 	})
 }
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Why a job waits is logged for operators once it has waited for long, each reason once and at a
-// bounded rate.
+// TestWaitReasons logs why a job waits once it has waited for long, each reason once and at a bounded
+// rate.
 func TestWaitReasons(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
@@ -22,9 +22,9 @@
 	start := leader.core.now
 	job.WaitingSinceMS = leader.core.wallClockMS
 	for _, step := range []struct {
-		at   time.Duration
-		why  cluster.WaitReason
-		told bool
+		at     time.Duration
+		reason cluster.WaitReason
+		logged bool
 	}{
 		{0, cluster.WaitForMachines, false},
 		{10 * time.Second, cluster.WaitNoOffer, false},
@@ -36,38 +36,38 @@
 	} {
 		out.Reset()
 		leader.core.now, leader.core.wallClockMS = start+step.at, job.WaitingSinceMS+step.at.Milliseconds()
-		leader.logWait(job, step.why)
-		if told := strings.Contains(out.String(), string(step.why)); told != step.told {
-			t.Errorf("after %v: told %v, want %v (%s)", step.at, told, step.told, out.String())
+		leader.logWait(job, step.reason)
+		if logged := strings.Contains(out.String(), string(step.reason)); logged != step.logged {
+			t.Errorf("after %v: logged %v, want %v (%s)", step.at, logged, step.logged, out.String())
 		}
 	}
 }
 
-// The plan names the reason that holds for a candidate.
+// TestPlanNamesWaitReason checks that a plan names the reason that holds for a candidate.
 func TestPlanNamesWaitReason(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		setUp func(l *leader, c *candidate)
+		setUp func(leader *leader, c *candidate)
 		want  cluster.WaitReason
 	}{
 		{"a machine is provisioned", func(*leader, *candidate) {}, cluster.WaitForMachines},
-		{"a machine boots", func(l *leader, _ *candidate) { bootingMachine(l, "n-1", "large", "a") }, cluster.WaitForMachines},
-		{"the limit", func(l *leader, _ *candidate) { l.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
-		{"no capacity", func(l *leader, _ *candidate) { refuseZone(l, "a"); refuseZone(l, "b") }, cluster.WaitNoOffer},
+		{"a machine boots", func(leader *leader, _ *candidate) { bootingMachine(leader, "n-1", "large", "a") }, cluster.WaitForMachines},
+		{"the limit", func(leader *leader, _ *candidate) { leader.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
+		{"no capacity", func(leader *leader, _ *candidate) { refuseZone(leader, "a"); refuseZone(leader, "b") }, cluster.WaitNoOffer},
 		{"tasks are preempted", func(_ *leader, c *candidate) { c.Reserved = 1 }, cluster.WaitForPreemption},
 	} {
-		l := newForecastLeader(t)
+		leader := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
-		tc.setUp(l, c)
-		p := newScaleOutPlan(l)
-		p.packPending([]*candidate{c}, map[string]topology.Resources{})
+		tc.setUp(leader, c)
+		plan := newScaleOutPlan(leader)
+		plan.packPending([]*candidate{c}, map[string]topology.Resources{})
 		if got := c.Job.WaitLog.LastReason; got != tc.want {
 			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// A provisioned machine and one that is kept are logged with their purpose.
+// TestPlanNamesPurposes logs a provisioned machine and one that is kept, with their purposes.
 func TestPlanNamesPurposes(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
