--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -1,5 +1,7 @@
 package config
 
+import "time"
+
 // Settings is the file that the platform hands to every controller. Unknown fields are ignored.
 type Settings struct {
 	// Name is the controller's name and Zone the one that it runs in.
@@ -82,6 +84,15 @@
 	CancelS float64 `toml:"cancel_s"`
 }
 
+// Lease is how long a worker keeps its tasks without an answer to a heartbeat.
+func (w *WorkerTimings) Lease() time.Duration { return Seconds(w.LeaseS) }
+
+// HeartbeatInterval is the time between two heartbeats of a worker, plus or minus a quarter.
+func (w *WorkerTimings) HeartbeatInterval() time.Duration { return Seconds(w.ReportS) }
+
+// CancelTime is within what time a cancelled job's tasks have to have terminated.
+func (w *WorkerTimings) CancelTime() time.Duration { return Seconds(w.CancelS) }
+
 // StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
 	// RPS is requests a second, WriteRPS puts and deletes a second.
--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -51,7 +51,7 @@
 			if a.Status != tc.status {
 				t.Errorf("answered %d %s, want %d", a.Status, a.Body, tc.status)
 			}
-			if a.Status == 503 && a.RetryAfter == 0 {
+			if a.Status == 503 && a.RetryAfterS == 0 {
 				t.Error("asked to retry without saying when")
 			}
 			acknowledged := strings.Contains(string(harness.store[records.OpenKey(id)].Value), `"ca":`+strconv.FormatInt(harness.core.wallClockMS, 10))
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -61,7 +61,7 @@
 	list := wire.CommandList{FencingToken: l.leadership.Term, Incarnation: incarnation, Commands: commands}
 	l.core.call(Call{
 		Destination: DestinationWorker,
-		Addr:        machine.Address,
+		Address:     machine.Address,
 		Method:      "POST",
 		Path:        "/do",
 		Body:        kv.Encode(list),
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -152,17 +152,17 @@
 	if value != nil {
 		body = kv.Encode(value)
 	}
-	c.out.Answers = append(c.out.Answers, Answer{ID: requestID, Status: status, Body: body, RetryAfter: retryAfter})
+	c.out.Answers = append(c.out.Answers, Answer{ID: requestID, Status: status, Body: body, RetryAfterS: retryAfter})
 }
 
 // workerLease is how long a worker keeps its tasks without an answer to a heartbeat.
 func (c *Core) workerLease() time.Duration {
-	return config.Seconds(c.settings.Deployment.Workers.LeaseS)
+	return c.settings.Deployment.Workers.Lease()
 }
 
 // heartbeatInterval is the time between two heartbeats of a worker, plus or minus a quarter.
 func (c *Core) heartbeatInterval() time.Duration {
-	return config.Seconds(c.settings.Deployment.Workers.ReportS)
+	return c.settings.Deployment.Workers.HeartbeatInterval()
 }
 
 // sortedKeys returns a map's keys in order, so that map order has no effect.
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -111,7 +111,7 @@
 	harness.nextReq++
 	harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + id + "/cancel"})
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Gone: []string{id}, TermVersion: harness.store[election.KeyTerm].Version}}})
-	if a := harness.answers[harness.nextReq]; a.Status != 503 || a.RetryAfter == 0 {
+	if a := harness.answers[harness.nextReq]; a.Status != 503 || a.RetryAfterS == 0 {
 		t.Errorf("answered %d %s, want 503 and when to come back", a.Status, a.Body)
 	}
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Over: []wire.JobEnd{{ID: id, Status: string(wire.StatusCancelled), Tasks: 16}}}}})
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -187,7 +187,7 @@
 		a = harness.request("POST", "/submissions", submissionWithDependencies(9, jsonNames(names)))
 		harness.run(time.Second)
 	}
-	if a.Status != 503 || a.RetryAfter == 0 || len(harness.listKeys()) > 0 {
+	if a.Status != 503 || a.RetryAfterS == 0 || len(harness.listKeys()) > 0 {
 		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(harness.listKeys()))
 	}
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists}}})
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -81,7 +81,7 @@
 		incarnation: incarnation,
 		lookups:     lookups{waiters: map[string][]*lookupWaiter{}},
 	}
-	f.cancellations = cancellation.New(f.cancellationTimeout(), config.Seconds(deployment.Workers.CancelS))
+	f.cancellations = cancellation.New(f.cancellationTimeout(), deployment.Workers.CancelTime())
 	return f
 }
 
@@ -109,7 +109,7 @@
 func (f *FrontEnd) storeOverdue() bool { return f.store.UnavailableFor() > f.store.Timeout()/4 }
 
 func (f *FrontEnd) heartbeatInterval() time.Duration {
-	return config.Seconds(f.deployment.Workers.ReportS)
+	return f.deployment.Workers.HeartbeatInterval()
 }
 
 // recordGrowth is what a cancellation and other changes may add to an open record, in bytes.
@@ -158,5 +158,5 @@
 // preloadRetryInterval is the time from a failed preload to the next one: that of a leader's
 // lease.
 func (f *FrontEnd) preloadRetryInterval() time.Duration {
-	return config.Seconds(f.deployment.Workers.LeaseS) / 5
+	return f.deployment.Workers.Lease() / 5
 }
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 	"github.com/brookwalk/brookwalk/internal/core/frontend"
 	"github.com/brookwalk/brookwalk/internal/core/records"
@@ -156,5 +155,5 @@
 
 // cancelGracePeriod is cancel_s: how long tasks may run after their cancellation is acknowledged.
 func (c *Core) cancelGracePeriod() time.Duration {
-	return config.Seconds(c.settings.Deployment.Workers.CancelS)
+	return c.settings.Deployment.Workers.CancelTime()
 }
--- a/internal/core/output.go
+++ b/internal/core/output.go
@@ -18,17 +18,17 @@
 
 // Answer is the response to a Request.
 type Answer struct {
-	ID         uint64 // of the request
-	Status     int
-	Body       []byte // JSON
-	RetryAfter int    // in seconds; 0 for none
+	ID          uint64 // of the request
+	Status      int
+	Body        []byte // JSON
+	RetryAfterS int    // in seconds; 0 for none
 }
 
 // Call asks for an HTTP call. It ends with one Result.
 type Call struct {
 	ID          uint64 // of its Result
 	Destination Destination
-	Addr        string // of the worker, for DestinationWorker
+	Address     string // of the worker, for DestinationWorker
 	Method      string
 	Path        string
 	Body        []byte
--- a/internal/core/persistence/writer.go
+++ b/internal/core/persistence/writer.go
@@ -56,7 +56,7 @@
 // deletes the record.
 func (w *Writer) MarkPlacementDeferred(job *cluster.Job, task int) {
 	record := job.PlacementRecordOf(task)
-	w.markDue(record, w.host.Now()+deferralHeartbeats*config.Seconds(w.deployment.Workers.ReportS))
+	w.markDue(record, w.host.Now()+deferralHeartbeats*w.deployment.Workers.HeartbeatInterval())
 	if job.IsFinished() || job.IsOver() {
 		w.dirty = true
 		return
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -28,7 +28,7 @@
 	sentAt := l.core.now
 	l.core.call(Call{
 		Destination: DestinationWorker,
-		Addr:        machine.Address,
+		Address:     machine.Address,
 		Method:      "GET",
 		Path:        "/status",
 		Timeout:     timing.ProbeTimeout(),
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -91,5 +91,5 @@
 
 // heartbeatInterval is the time between two heartbeats of a worker.
 func (s *Scheduler) heartbeatInterval() time.Duration {
-	return config.Seconds(s.deployment.Workers.ReportS)
+	return s.deployment.Workers.HeartbeatInterval()
 }
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -88,8 +88,8 @@
 	if status == 400 {
 		want = 400
 	}
-	if a := newHarness(t, "").request("POST", "/submissions", body); a.Status != want || (want == 503) != (a.RetryAfter > 0) {
-		t.Errorf("without types: %d %s, Retry-After %d, want %d", a.Status, a.Body, a.RetryAfter, want)
+	if a := newHarness(t, "").request("POST", "/submissions", body); a.Status != want || (want == 503) != (a.RetryAfterS > 0) {
+		t.Errorf("without types: %d %s, Retry-After %d, want %d", a.Status, a.Body, a.RetryAfterS, want)
 	}
 }
 
--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -201,7 +201,7 @@
 	}
 	c.countTraffic(from, httpwire.AppendRequest(nil, method, path, c.listen, body),
 		httpwire.AppendResponse(nil, httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: retryAfter, Close: response.Close}))
-	return core.Answer{Status: response.Status, Body: response.Body, RetryAfter: retryAfter}
+	return core.Answer{Status: response.Status, Body: response.Body, RetryAfterS: retryAfter}
 }
 
 // countTraffic counts a request with its response.
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -36,9 +36,9 @@
 	}
 }
 
-func (c *Client) workerLease() time.Duration { return config.Seconds(c.workers.LeaseS) }
+func (c *Client) workerLease() time.Duration { return c.workers.Lease() }
 
-func (c *Client) heartbeatInterval() time.Duration { return config.Seconds(c.workers.ReportS) }
+func (c *Client) heartbeatInterval() time.Duration { return c.workers.HeartbeatInterval() }
 
 // Timeout bounds a call to the store: several tries must fit before a worker's lease expires.
 func (c *Client) Timeout() time.Duration { return c.workerLease() / 5 }
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -3,7 +3,6 @@
 import (
 	"time"
 
-	"github.com/brookwalk/brookwalk/internal/config"
 	"github.com/brookwalk/brookwalk/internal/peer"
 	"github.com/brookwalk/brookwalk/wire"
 	"github.com/tidwall/evio"
@@ -93,7 +92,7 @@
 // a zone is partitioned nobody closes the workers' ends of their connections, and what is left of
 // them would take the sockets of those that reconnect.
 func (n *Node) closeIdleConnections(now time.Time) {
-	timeout := config.Seconds(n.cfg.Deployment.Workers.LeaseS)
+	timeout := n.cfg.Deployment.Workers.Lease()
 	for conn := range n.connections {
 		if conn.awaitingAnswer || !conn.servesHTTP() {
 			continue
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -69,7 +69,7 @@
 
 // heartbeatInterval is the time between two heartbeats of a worker.
 func heartbeatInterval(cfg *config.Settings) time.Duration {
-	return config.Seconds(cfg.Deployment.Workers.ReportS)
+	return cfg.Deployment.Workers.HeartbeatInterval()
 }
 
 // The order of the addresses that a node listens on.
--- a/internal/node/step.go
+++ b/internal/node/step.go
@@ -37,7 +37,7 @@
 		if conn == nil || conn.closed {
 			continue
 		}
-		conn.answer(httpwire.Reply{Status: answer.Status, Body: answer.Body, RetryAfter: answer.RetryAfter})
+		conn.answer(httpwire.Reply{Status: answer.Status, Body: answer.Body, RetryAfter: answer.RetryAfterS})
 		if conn != current {
 			conn.socket.Wake()
 		}
--- a/internal/sim/checker_mutations_test.go
+++ b/internal/sim/checker_mutations_test.go
@@ -137,7 +137,7 @@
 		for _, text := range strings.Split(string(call.Body), `"shard":"`)[1:] {
 			commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: text[:strings.IndexByte(text, '"')], Attempt: 99})
 		}
-		commanded := c.world.cloud.byAddress[call.Addr]
+		commanded := c.world.cloud.byAddress[call.Address]
 		c.world.after(20*time.Second, func() {
 			others := sortedMachinesUp(c.world)
 			if i := slices.IndexFunc(others, func(m *machine) bool { return m != commanded }); i >= 0 {
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -254,7 +254,7 @@
 
 func (p *pendingCall) callWorker() {
 	world := p.controller.world
-	m := world.cloud.byAddress[p.Addr]
+	m := world.cloud.byAddress[p.Address]
 	if m == nil {
 		return
 	}
--- a/internal/sim/fingerprint_test.go
+++ b/internal/sim/fingerprint_test.go
@@ -46,10 +46,10 @@
 func (f fingerprint) recordCores(world *World) {
 	world.mutate = func(controller *controller, out *core.Output) {
 		for _, a := range out.Answers {
-			f.add(world.now, controller.name, a.ID, a.Status, string(a.Body), a.RetryAfter)
+			f.add(world.now, controller.name, a.ID, a.Status, string(a.Body), a.RetryAfterS)
 		}
 		for _, c := range out.Calls {
-			f.add(world.now, controller.name, c.ID, int(c.Destination), c.Addr, c.Method, c.Path, string(c.Body), c.Timeout, c.Writes, c.Urgent, c.Watch)
+			f.add(world.now, controller.name, c.ID, int(c.Destination), c.Address, c.Method, c.Path, string(c.Body), c.Timeout, c.Writes, c.Urgent, c.Watch)
 		}
 		for _, s := range out.PeerSends {
 			f.add(world.now, controller.name, s.To)
--- a/internal/sim/upgrade_child_test.go
+++ b/internal/sim/upgrade_child_test.go
@@ -161,7 +161,7 @@
 func (c *child) decode(message childOutput) core.Output {
 	var out core.Output
 	for _, answer := range message.Answers {
-		out.Answers = append(out.Answers, core.Answer{ID: answer.ID, Status: answer.Status, Body: answer.Body, RetryAfter: answer.RetryAfter})
+		out.Answers = append(out.Answers, core.Answer{ID: answer.ID, Status: answer.Status, Body: answer.Body, RetryAfterS: answer.RetryAfter})
 	}
 	for _, call := range message.Calls {
 		destination, known := childDestinations[call.Dest]
@@ -169,7 +169,7 @@
 			c.test.Fatalf("unknown destination %q", call.Dest)
 		}
 		out.Calls = append(out.Calls, core.Call{
-			ID: call.ID, Destination: destination, Addr: call.Addr, Method: call.Method, Path: call.Path,
+			ID: call.ID, Destination: destination, Address: call.Addr, Method: call.Method, Path: call.Path,
 			Body: call.Body, Timeout: call.Timeout, Writes: call.Writes, Urgent: call.Urgent, Watch: call.Watch,
 		})
 	}
--- a/internal/sim/user_cancel.go
+++ b/internal/sim/user_cancel.go
@@ -33,7 +33,7 @@
 		if accepted && isRefusal(answer.Status) {
 			u.world.checker.addViolation("forgotten", "%s: its cancellation got %d", job.id, answer.Status)
 		}
-		wait := max(userRetryDelay, min(maxRetryDelay, time.Duration(answer.RetryAfter)*time.Second))
+		wait := max(userRetryDelay, min(maxRetryDelay, time.Duration(answer.RetryAfterS)*time.Second))
 		if u.world.now+wait < until {
 			u.world.after(wait, func() { u.tryCancel(job, until) })
 		}
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -53,7 +53,7 @@
 		return core.Result{ID: call.ID, NotSent: true}
 	}
 	defer c.semaphore.Release()
-	conn := c.acquire(call.Addr)
+	conn := c.acquire(call.Address)
 	defer c.release(conn)
 	return httpcall.Do(&conn.http, &call, deadline)
 }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -58,7 +58,7 @@
 
 // status asks a worker for its state.
 func status(client *Client, addr string, timeout time.Duration) core.Result {
-	return client.Do(core.Call{Addr: addr, Method: "GET", Path: "/status", Timeout: timeout})
+	return client.Do(core.Call{Address: addr, Method: "GET", Path: "/status", Timeout: timeout})
 }
 
 // TestConnectionLimit sends commands to more workers than there are sockets for. The
