--- /dev/null
+++ b/internal/core/leader_placement_test.go
@@ -0,0 +1,229 @@
+package core
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/brookwalk/brookwalk/internal/config"
+	"github.com/brookwalk/brookwalk/internal/core/cluster"
+	"github.com/brookwalk/brookwalk/internal/core/records"
+	"github.com/brookwalk/brookwalk/wire"
+)
+
+// The tests of package scheduler have a host of their own. The cases below are played by a leader,
+// with its limits, offers, usage and stops.
+
+// placedJob is a job that runs on machines.
+type placedJob struct {
+	wire.Job
+	on     []string
+	ranFor time.Duration
+}
+
+// leaderCase is a fleet that runs jobs, and a job for whose tasks there is no room.
+type leaderCase struct {
+	name       string
+	machines   map[string]string   // their zones
+	images     map[string][]string // that they hold, by machine
+	cpus       float64             // of a machine
+	offered    []string            // zones in which the cloud has machines
+	limit      float64             // of the team vision, in GPUs
+	sequential int                 // evidence that a machine pulls one image after the other
+	pulls      map[string]string   // the image that a machine pulls
+	running    []placedJob
+	job        wire.Job
+	waited     time.Duration
+
+	stopped  []string
+	graceS   float64  // of the tasks that are stopped
+	to       []string // machines to which the stopped replicas move
+	reserved []string
+	placed   []string // machines of the job's tasks
+}
+
+// TestLeaderPlaces plays passes of the scheduler with a leader as its host.
+func TestLeaderPlaces(t *testing.T) {
+	array := func(id, team string, priority wire.Priority, gpus float64) wire.Job {
+		return wire.Job{ID: id, Team: team, Shape: wire.ShapeArray, Priority: priority, Tasks: 1, GPUs: gpus, MemGB: 1}
+	}
+	service := func(id, class, image string, gpus, imageGB float64) wire.Job {
+		return wire.Job{ID: id, Team: "vision", Class: class, Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: gpus, MemGB: 1, Image: image, ImageGB: imageGB}
+	}
+	saving := func(job wire.Job) wire.Job {
+		job.CheckpointIntervalS, job.CheckpointDurationS = 10, 2
+		return job
+	}
+	settled := 60 * time.Second
+	one, two := map[string]string{"n-1": "a"}, map[string]string{"n-1": "a", "n-2": "a"}
+	idle := array("job-1", "vision", wire.PriorityIdle, 4)
+	idleGang := wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityIdle, Tasks: 2, GPUs: 4, MemGB: 1, OneZone: true}
+	urgentGang := wire.Job{ID: "job-9", Team: "vision", Class: "train", Shape: wire.ShapeGang, Priority: wire.PriorityUrgent, Tasks: 2, GPUs: 4, MemGB: 1, OneZone: true, Image: "g", ImageGB: 1}
+	var onFour []placedJob
+	for i, machine := range []string{"n-1", "n-2", "n-3", "n-4"} {
+		onFour = append(onFour, placedJob{service(fmt.Sprintf("job-%d", i+1), "", "x", 1, 1), []string{machine}, settled})
+	}
+	four := map[string]string{"n-1": "a", "n-2": "a", "n-3": "b", "n-4": "b"}
+	imageX := map[string][]string{"n-1": {"x"}, "n-2": {"x"}, "n-3": {"x"}, "n-4": {"x"}}
+	for _, tc := range []leaderCase{
+		{
+			name: "a lower priority is preempted", machines: one,
+			running: []placedJob{{idle, []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			stopped: []string{"job-1/0"}, reserved: []string{"n-1"},
+		},
+		{
+			name: "and gets the time to save a checkpoint", machines: one,
+			running: []placedJob{{saving(idle), []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			stopped: []string{"job-1/0"}, graceS: 2, reserved: []string{"n-1"},
+		},
+		{
+			name: "a gang stops as a whole", machines: two,
+			running: []placedJob{{idleGang, []string{"n-1", "n-2"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			stopped: []string{"job-1/0", "job-1/1"}, reserved: []string{"n-1"},
+		},
+		{
+			name: "not beyond the team's limit", machines: one, limit: 3,
+			running: []placedJob{{array("job-1", "other", wire.PriorityIdle, 4), []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+		},
+		{
+			name: "at the limit, the team's own lower priority is preempted though a machine is idle", machines: two, limit: 4,
+			running: []placedJob{{idle, []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			stopped: []string{"job-1/0"}, reserved: []string{"n-2"},
+		},
+		{
+			name: "at the limit, a gang stops as a whole, and all of it counts", limit: 5, machines: map[string]string{"n-1": "a", "n-2": "a", "n-3": "a"},
+			running: []placedJob{
+				{wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityIdle, Tasks: 2, GPUs: 2, MemGB: 1}, []string{"n-1", "n-2"}, 0},
+				{array("job-2", "vision", wire.PriorityIdle, 1), []string{"n-1"}, 900 * time.Second},
+			},
+			job:     array("job-9", "vision", wire.PriorityNormal, 4),
+			stopped: []string{"job-1/0", "job-1/1"}, reserved: []string{"n-3"},
+		},
+		{
+			name: "a replica moves from where the image is", machines: two, cpus: 16, images: map[string][]string{"n-1": {"x", "y"}, "n-2": {"y"}},
+			running: []placedJob{{service("job-1", "chat", "y", 4, 40), []string{"n-1"}, settled}}, job: service("job-9", "chat", "x", 4, 40),
+			stopped: []string{"job-1/0"}, to: []string{"n-2"}, reserved: []string{"n-1"},
+		},
+		{
+			name: "not for a team at its limit", machines: two, cpus: 16, limit: 4, images: map[string][]string{"n-1": {"x", "y"}, "n-2": {"y"}},
+			running: []placedJob{{service("job-1", "chat", "y", 4, 40), []string{"n-1"}, settled}}, job: service("job-9", "chat", "x", 4, 40),
+		},
+		{
+			name: "replicas of one zone move for a gang", machines: four, cpus: 16, images: imageX, running: onFour, job: urgentGang, waited: 3 * time.Minute,
+			stopped: []string{"job-1/0", "job-2/0"}, to: []string{"n-3", "n-4"}, reserved: []string{"n-1", "n-2"},
+		},
+		{
+			name: "not while machines can be provisioned", machines: four, cpus: 16, images: imageX, offered: []string{"a", "b"}, running: onFour, job: urgentGang, waited: 3 * time.Minute,
+		},
+		{
+			name: "pulls are spread over machines if they are sequential", machines: two, cpus: 16, sequential: 1, pulls: map[string]string{"n-1": "x"},
+			running: []placedJob{{service("job-1", "chat", "x", 1, 20), []string{"n-1"}, 0}}, job: service("job-9", "chat", "y", 1, 20),
+			placed: []string{"n-2"},
+		},
+		{
+			name: "not if they are parallel", machines: two, cpus: 16, pulls: map[string]string{"n-1": "x"},
+			running: []placedJob{{service("job-1", "chat", "x", 1, 20), []string{"n-1"}, 0}}, job: service("job-9", "chat", "y", 1, 20),
+			placed: []string{"n-1"},
+		},
+	} {
+		t.Run(tc.name, tc.run)
+	}
+}
+
+func (tc *leaderCase) run(t *testing.T) {
+	_, l := newLeadingHarness(t, func(s *config.Settings) {
+		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "other", GPUsMax: 100}}
+		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
+	})
+	l.core.machineTypes = map[string]*wire.MachineType{
+		"g4": {Name: "g4", CPUs: cmp.Or(tc.cpus, 4), GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4, Zones: tc.offered},
+	}
+	l.core.now = 1000 * time.Second
+	l.pullStatistics.sequential = tc.sequential
+	tc.addMachines(l)
+	running := tc.addRunning(l)
+	job := cluster.NewJob(records.Open{Job: tc.job}, 9)
+	job.Loaded, job.WaitingSinceMS = true, l.core.wallClockMS-tc.waited.Milliseconds()
+	l.writer.InitPlacementRecords(job)
+	l.Jobs[job.ID], l.JobsBySubmission = job, []*cluster.Job{job}
+
+	l.scheduler.Place(l.scheduler.Candidates(), l.refreshUsage())
+
+	tc.checkStops(t, running)
+	var reserved, placed []string
+	for _, m := range l.MachinesByName {
+		if m.ReservedFor == job {
+			reserved = append(reserved, m.Name)
+		}
+	}
+	for i := range job.TaskStates {
+		if m := job.TaskStates[i].Machine; m != nil {
+			placed = append(placed, m.Name)
+		}
+	}
+	if !slices.Equal(reserved, tc.reserved) || !slices.Equal(placed, tc.placed) {
+		t.Errorf("reserved %q and placed on %q, want %q and %q", reserved, placed, tc.reserved, tc.placed)
+	}
+}
+
+// addMachines adds the case's machines.
+func (tc *leaderCase) addMachines(l *leader) {
+	for _, name := range sortedKeys(tc.machines) {
+		m := idleMachine(l, name, "g4")
+		l.describe(m, "", "g4", tc.machines[name], false)
+		for _, image := range tc.images[name] {
+			l.recordImageUse(m, image, tc.job.ImageGB)
+		}
+		if image := tc.pulls[name]; image != "" {
+			m.BeginPull(image, tc.job.ImageGB, l.core.now)
+		}
+	}
+}
+
+// addRunning places the case's jobs that run.
+func (tc *leaderCase) addRunning(l *leader) []*cluster.Job {
+	var running []*cluster.Job
+	for _, r := range tc.running {
+		job := cluster.NewJob(records.Open{Job: r.Job}, 1)
+		l.writer.InitPlacementRecords(job)
+		for i, name := range r.on {
+			m := l.Machines[name]
+			job.TaskStates[i] = cluster.Task{
+				Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true, StartSent: true,
+				State: wire.TaskRunning, RunningSince: l.core.now - r.ranFor,
+			}
+			if tc.pulls[name] != "" {
+				job.TaskStates[i].State = wire.TaskPulling
+			}
+			l.place(job, i, m)
+		}
+		running = append(running, job)
+	}
+	return running
+}
+
+// checkStops compares which tasks are stopped, how, and where they are to run.
+func (tc *leaderCase) checkStops(t *testing.T, running []*cluster.Job) {
+	t.Helper()
+	var stopped, to []string
+	for _, job := range running {
+		for i := range job.TaskStates {
+			stop := job.TaskStates[i].Stop
+			if stop == nil {
+				continue
+			}
+			stopped = append(stopped, cluster.TaskName(job.ID, i))
+			if stop.GracePeriodS != tc.graceS {
+				t.Errorf("%s has %v s to save, want %v", cluster.TaskName(job.ID, i), stop.GracePeriodS, tc.graceS)
+			}
+			if target := job.ReschedulingTargets[i]; target != nil {
+				to = append(to, target.Name)
+			}
+		}
+	}
+	if !slices.Equal(stopped, tc.stopped) || !slices.Equal(to, tc.to) {
+		t.Errorf("%q stop and move to %q, want %q to %q", stopped, to, tc.stopped, tc.to)
+	}
+}
