--- a/internal/core/commands_test.go
+++ b/internal/core/commands_test.go
@@ -33,19 +33,19 @@
 		{"an exit on a worker that has not heard this term", nil, exited, func(_ *cluster.Job, machine *cluster.Machine) { machine.FencingToken-- }, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, l := newLeadingHarness(t, withoutAnnouncement)
-			addRecord(b, l, wire.Job{ID: "job-101"}, nil)
-			job, machine := l.Jobs["job-101"], l.machineNamed("n-1")
-			machine.FencingToken, machine.ReportedTasks = l.leadership.Term, tc.listed
+			harness, leader := newLeadingHarness(t, withoutAnnouncement)
+			addRecord(harness, leader, wire.Job{ID: "job-101"}, nil)
+			job, machine := leader.Jobs["job-101"], leader.machineNamed("n-1")
+			machine.FencingToken, machine.ReportedTasks = leader.leadership.Term, tc.listed
 			if tc.placed != nil {
 				job.TaskStates[0] = *tc.placed
-				l.place(job, 0, machine)
+				leader.place(job, 0, machine)
 			}
 			if tc.change != nil {
 				tc.change(job, machine)
 			}
 			var got []string
-			for _, c := range l.commandsFor(machine) {
+			for _, c := range leader.commandsFor(machine) {
 				text := fmt.Sprintf("%s %d", c.Verb, c.Attempt)
 				if c.GracePeriodS != nil {
 					text += fmt.Sprintf(" in %v s", *c.GracePeriodS)
--- a/internal/core/leader_placement_test.go
+++ b/internal/core/leader_placement_test.go
@@ -133,27 +133,27 @@
 }
 
 func (tc *leaderCase) run(t *testing.T) {
-	_, l := newLeadingHarness(t, func(s *config.Settings) {
+	_, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "other", GPUsMax: 100}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
 	})
-	l.core.machineTypes = map[string]*wire.MachineType{
+	leader.core.machineTypes = map[string]*wire.MachineType{
 		"g4": {Name: "g4", CPUs: cmp.Or(tc.cpus, 4), GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4, Zones: tc.offered},
 	}
-	l.core.now = 1000 * time.Second
-	l.pullStatistics.sequential = tc.sequential
-	tc.addMachines(l)
-	running := tc.addRunning(l)
+	leader.core.now = 1000 * time.Second
+	leader.pullStatistics.sequential = tc.sequential
+	tc.addMachines(leader)
+	running := tc.addRunning(leader)
 	job := cluster.NewJob(records.Open{Job: tc.job}, 9)
-	job.Loaded, job.WaitingSinceMS = true, l.core.wallClockMS-tc.waited.Milliseconds()
-	l.writer.InitPlacementRecords(job)
-	l.Jobs[job.ID], l.JobsBySubmission = job, []*cluster.Job{job}
+	job.Loaded, job.WaitingSinceMS = true, leader.core.wallClockMS-tc.waited.Milliseconds()
+	leader.writer.InitPlacementRecords(job)
+	leader.Jobs[job.ID], leader.JobsBySubmission = job, []*cluster.Job{job}
 
-	l.scheduler.Place(l.scheduler.Candidates(), l.refreshUsage())
+	leader.scheduler.Place(leader.scheduler.Candidates(), leader.refreshUsage())
 
 	tc.checkStops(t, running)
 	var reserved, placed []string
-	for _, m := range l.MachinesByName {
+	for _, m := range leader.MachinesByName {
 		if m.ReservedFor == job {
 			reserved = append(reserved, m.Name)
 		}
@@ -169,35 +169,35 @@
 }
 
 // addMachines adds the case's machines.
-func (tc *leaderCase) addMachines(l *leader) {
+func (tc *leaderCase) addMachines(leader *leader) {
 	for _, name := range sortedKeys(tc.machines) {
-		m := idleMachine(l, name, "g4")
-		l.describe(m, "", "g4", tc.machines[name], false)
+		m := idleMachine(leader, name, "g4")
+		leader.describe(m, "", "g4", tc.machines[name], false)
 		for _, image := range tc.images[name] {
-			l.recordImageUse(m, image, tc.job.ImageGB)
+			leader.recordImageUse(m, image, tc.job.ImageGB)
 		}
 		if image := tc.pulls[name]; image != "" {
-			m.BeginPull(image, tc.job.ImageGB, l.core.now)
+			m.BeginPull(image, tc.job.ImageGB, leader.core.now)
 		}
 	}
 }
 
 // addRunning places the case's jobs that run.
-func (tc *leaderCase) addRunning(l *leader) []*cluster.Job {
+func (tc *leaderCase) addRunning(leader *leader) []*cluster.Job {
 	var running []*cluster.Job
 	for _, r := range tc.running {
 		job := cluster.NewJob(records.Open{Job: r.Job}, 1)
-		l.writer.InitPlacementRecords(job)
+		leader.writer.InitPlacementRecords(job)
 		for i, name := range r.on {
-			m := l.Machines[name]
+			m := leader.Machines[name]
 			job.TaskStates[i] = cluster.Task{
 				Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true, StartSent: true,
-				State: wire.TaskRunning, RunningSince: l.core.now - r.ranFor,
+				State: wire.TaskRunning, RunningSince: leader.core.now - r.ranFor,
 			}
 			if tc.pulls[name] != "" {
 				job.TaskStates[i].State = wire.TaskPulling
 			}
-			l.place(job, i, m)
+			leader.place(job, i, m)
 		}
 		running = append(running, job)
 	}
