--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -167,7 +167,7 @@
 	for _, id := range ids {
 		l.core.log.Info("job cancelled", "job", id, "dependency", dependency)
 		l.markCancelled(l.Jobs[id])
-		l.dependencies.EachDependency(id, func(other string) { affected = append(affected, other) })
+		affected = append(affected, l.dependencies.Dependencies(id)...)
 	}
 	l.recomputeUrgency(affected)
 }
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -76,6 +76,13 @@
 	})
 }
 
+// Dependencies lists the open dependencies of a job, in the order in which they were added.
+func (g *Graph) Dependencies(id string) []string {
+	var dependencies []string
+	g.EachDependency(id, func(dependency string) { dependencies = append(dependencies, dependency) })
+	return dependencies
+}
+
 // EachDependency calls visit for each dependency of a job that is not done, in the order in which
 // they were added.
 func (g *Graph) EachDependency(id string, visit func(dependency string)) {
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -20,9 +20,7 @@
 		if record.CancelRequestedAt != 0 {
 			job.Cancellation.Request(l.steadyTime(record.CancelRequestedAt, 0))
 		}
-		var dependencies []string
-		l.dependencies.EachDependency(job.ID, func(dependency string) { dependencies = append(dependencies, dependency) })
-		l.recomputeUrgency(dependencies)
+		l.recomputeUrgency(l.dependencies.Dependencies(job.ID))
 		l.cancelDependents(job.ID)
 	}
 	if record.Acknowledged() {
--- a/internal/core/persistence/batch_test.go
+++ b/internal/core/persistence/batch_test.go
@@ -58,6 +58,7 @@
 func (l *fakeLeader) StartTasks(*cluster.Job, []records.PlacedTask)        {}
 func (l *fakeLeader) OpenRecordRead(string, uint64, records.Open)          {}
 func (l *fakeLeader) PlacementRead(*cluster.Job, records.PlacedTask)       {}
+func (l *fakeLeader) RejectedWrites(int) bool                              { return true }
 func (l *fakeLeader) TermChanged()                                         {}
 
 // addJob adds a job with an open record.
--- a/internal/core/persistence/persistence.go
+++ b/internal/core/persistence/persistence.go
@@ -44,6 +44,9 @@
 	// PeersReadNamedRanges reports whether every peer has said that it reads placement records
 	// that name their range.
 	PeersReadNamedRanges() bool
+	// RejectedWrites records that the store rejected a transaction with a number of writes. It
+	// reports whether smaller transactions may do.
+	RejectedWrites(writes int) bool
 
 	// AddCancelledEnds calls add for each cancelled job whose end may be recorded, until add
 	// returns false because the transaction is full.
--- a/internal/core/persistence/rejections.go
+++ b/internal/core/persistence/rejections.go
@@ -24,7 +24,7 @@
 	w.AllowNamedRanges()
 	switch {
 	case len(txn.Writes) > 2:
-		w.rejectedWrites(len(txn.Writes))
+		w.host.RejectedWrites(len(txn.Writes))
 	case !w.store.SmallValues() && writesLargeValue(txn, records.PrefixPlacement):
 		w.store.RejectedValue()
 		w.log.Info("store takes smaller values only", "bytes", kv.SmallValue)
@@ -38,13 +38,6 @@
 	}
 }
 
-// rejectedWrites records that the store takes fewer writes in a transaction.
-func (w *Writer) rejectedWrites(writes int) {
-	if w.store.RejectedWrites(writes) {
-		w.log.Info("store takes fewer writes in a transaction", "writes", w.store.MaxWrites())
-	}
-}
-
 // backOff delays the records of a job that the store rejected, longer each time.
 func (w *Writer) backOff(job *cluster.Job, txn *wire.Txn) {
 	if writesLargeValue(txn, records.PrefixOpen) && !job.OpenRecordTooLarge {
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -30,6 +30,9 @@
 	return h.leader.core.membership.AllPeersSupport(wire.PeerVersionRanges)
 }
 
+// RejectedWrites records that the store rejected a transaction with a number of writes.
+func (h persistenceHost) RejectedWrites(writes int) bool { return h.leader.core.rejectedWrites(writes) }
+
 // AddCancelledEnds adds the ends of cancelled jobs to a batch.
 func (h persistenceHost) AddCancelledEnds(add func(*cluster.Job) bool) {
 	h.leader.addCancelledEnds(add)
--- a/internal/core/task_accounting.go
+++ b/internal/core/task_accounting.go
@@ -18,7 +18,8 @@
 	job.TasksPlaced++
 }
 
-// unplace ends the counting of a task. termination.go alone decides when it may.
+// unplace ends the counting of a task. termination.go alone calls it for a task that may have run;
+// stopTask does for one whose start was never sent.
 func (l *leader) unplace(job *cluster.Job, index int) {
 	task := &job.TaskStates[index]
 	machine := task.Machine
@@ -56,8 +57,7 @@
 	delete(l.cancelledJobs, job.ID)
 	delete(l.dependencyLists.unread, job.ID)
 	l.outliers.ForgetJob(job.ID)
-	var dependencies []string
-	l.dependencies.EachDependency(job.ID, func(a string) { dependencies = append(dependencies, a) })
+	dependencies := l.dependencies.Dependencies(job.ID)
 	l.dependencies.DropDependencies(job.ID)
 	for _, id := range dependencies {
 		if dependency := l.Jobs[id]; dependency != nil && dependency.Cancellation.Requested() && !l.dependencies.HasDependents(id) {
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -53,7 +53,7 @@
 
 // ShrinkValues reports whether values are, or are announced to become, smaller than the settings
 // allow at present.
-func (l *Limits) ShrinkValues() bool { return l.bound().ValueKB < l.announced.ValueKB || l.smallValues }
+func (l *Limits) ShrinkValues() bool { return l.AnnouncedToShrink() || l.smallValues }
 
 // AnnouncedToShrink reports whether the settings announce smaller values for later.
 func (l *Limits) AnnouncedToShrink() bool { return l.bound().ValueKB < l.announced.ValueKB }
