--- a/internal/core/bootlatency/bootlatency.go
+++ b/internal/core/bootlatency/bootlatency.go
@@ -1,78 +1,79 @@
-// Package bootlatency learns from the machines that boot, or do not, whether machines that take too
-// long to boot are to be expected nevertheless.
+// Package bootlatency records how long machines take to boot and decides from that whether a late
+// machine is still expected to boot or has to be replaced.
 //
-// A single late machine is replaced: others boot in time, so its replacement will. Where all
-// machines of a kind are late, a replacement would be late as well, and its replacement too; half
-// of the late ones are expected then, which bounds what is provisioned for the same work to twice
-// of it. The package owns this history only, does no I/O and is given the time. The leader of
-// package core records boots, and asks when it plans provisioning.
+// Where other machines of the same kind boot on time, a late machine is replaced: its replacement
+// will boot on time too. Where all machines of a kind are late, replacements would be late as well
+// and would be replaced in turn. Half of the late machines are then expected to boot, which limits
+// the machines provisioned for the same work to twice the number needed. The package owns this
+// history only, does no I/O and takes the time from its caller. The leader of package core records
+// boots and queries the history when it plans provisioning.
 package bootlatency
 
 import "time"
 
-// Kind names machines whose boot times are alike.
+// Kind identifies the machines whose boot times are recorded together.
 type Kind struct{ Type, Zone string }
 
-// LateFactor times its type's boot time is when a booting machine becomes late. Boot times are
-// usually 0.6 to 1.5 times the type's.
+// LateFactor is the multiple of its type's boot time after which a booting machine is late. Boot
+// times are usually 0.6 to 1.5 times that of the type.
 const LateFactor = 1.6
 
-// windowBootTimes is how long an observation counts, in boot times of the type.
-const windowBootTimes = 8
+// windowFactor is how long a recorded boot counts, as a multiple of the type's boot time.
+const windowFactor = 8
 
-// observations is when machines of a kind last booted.
-type observations struct {
-	lastOnTime, lastLate time.Duration // 0 for never
-	window               time.Duration // for how long they count
+// recentBoots records when machines of one kind last booted on time and late.
+type recentBoots struct {
+	lastOnTime, lastLate time.Duration // 0 if never
+	window               time.Duration // for how long both count
 }
 
-// History is what was observed of the machines of all kinds.
-type History struct{ byKind map[Kind]*observations }
+// History records the recent boots of machines of all kinds.
+type History struct{ byKind map[Kind]*recentBoots }
 
-// New makes a history without observations.
-func New() *History { return &History{byKind: map[Kind]*observations{}} }
+// New returns an empty history.
+func New() *History { return &History{byKind: map[Kind]*recentBoots{}} }
 
-// RecordBoot records that a machine has booted now, and how long it and its type's machines usually
-// take.
-func (h *History) RecordBoot(kind Kind, now, took, usual time.Duration) {
-	observed := h.byKind[kind]
-	if observed == nil {
-		observed = &observations{}
-		h.byKind[kind] = observed
+// RecordBoot records that a machine has booted now after bootTime. typicalBootTime is the boot time
+// of its type.
+func (h *History) RecordBoot(kind Kind, now, bootTime, typicalBootTime time.Duration) {
+	boots := h.byKind[kind]
+	if boots == nil {
+		boots = &recentBoots{}
+		h.byKind[kind] = boots
 	}
-	observed.window = windowBootTimes * usual
-	if float64(took) <= LateFactor*float64(usual) {
-		observed.lastOnTime = now
+	boots.window = windowFactor * typicalBootTime
+	if float64(bootTime) <= LateFactor*float64(typicalBootTime) {
+		boots.lastOnTime = now
 	} else {
-		observed.lastLate = now
+		boots.lastLate = now
 	}
 }
 
-// BootsOnTime reports whether machines of a kind were lately observed to boot in time and none to
-// boot late: one that is late is an exception, and may well never boot.
+// BootsOnTime reports whether machines of a kind have recently booted on time and none late. A late
+// machine is then an exception and may never boot.
 func (h *History) BootsOnTime(kind Kind, now time.Duration) bool {
-	observed := h.byKind[kind]
-	if observed == nil {
+	boots := h.byKind[kind]
+	if boots == nil {
 		return false
 	}
-	recent := func(at time.Duration) bool { return at != 0 && now-at <= observed.window }
-	return recent(observed.lastOnTime) && !recent(observed.lastLate)
+	recent := func(at time.Duration) bool { return at != 0 && now-at <= boots.window }
+	return recent(boots.lastOnTime) && !recent(boots.lastLate)
 }
 
-// LateCounter decides, machine by machine, which of the late ones are expected.
+// LateCounter decides for each late machine in turn whether it is expected to boot.
 type LateCounter struct {
 	history *History
 	now     time.Duration
-	counted map[Kind]int
+	counted map[Kind]int // late machines so far
 }
 
-// NewLateCounter begins to count the late machines of a moment.
+// NewLateCounter returns a counter for the machines that are late at the time now.
 func (h *History) NewLateCounter(now time.Duration) *LateCounter {
 	return &LateCounter{history: h, now: now, counted: map[Kind]int{}}
 }
 
 // Expect counts one more late machine of a kind and reports whether it is expected to boot: every
-// second one is, unless others of its kind boot in time.
+// second one is, unless other machines of the kind boot on time.
 func (c *LateCounter) Expect(kind Kind) bool {
 	c.counted[kind]++
 	return c.counted[kind]%2 == 0 && !c.history.BootsOnTime(kind, c.now)
--- a/internal/core/bootlatency/bootlatency_test.go
+++ b/internal/core/bootlatency/bootlatency_test.go
@@ -7,8 +7,8 @@
 
 var kind = Kind{"small", "east"}
 
-// expectedOf is how many of a number of late machines are expected to boot.
-func expectedOf(history *History, now time.Duration, late int) int {
+// countExpected returns how many of a number of late machines are expected to boot.
+func countExpected(history *History, now time.Duration, late int) int {
 	counter, expected := history.NewLateCounter(now), 0
 	for range late {
 		if counter.Expect(kind) {
@@ -18,16 +18,17 @@
 	return expected
 }
 
-// TestExpect expects late machines to boot by how long others took.
+// TestExpect checks that half of the late machines are expected to boot, and none of them if other
+// machines of the kind have recently booted on time and none late.
 func TestExpect(t *testing.T) {
 	const usual = 20 * time.Second
 	for _, test := range []struct {
 		name string
-		took []time.Duration // by machines that booted, one after the other
-		at   time.Duration   // when ten are late
+		took []time.Duration // boot times of other machines, in the order recorded
+		at   time.Duration   // when ten machines are late
 		want int
 	}{
-		{"none booted", nil, time.Minute, 5},
+		{"no machine booted", nil, time.Minute, 5},
 		{"others on time", []time.Duration{usual}, time.Minute, 0},
 		{"others late", []time.Duration{3 * usual}, time.Minute, 5},
 		{"some on time, some late", []time.Duration{usual, 3 * usual}, time.Minute, 5},
@@ -38,9 +39,9 @@
 			for _, took := range test.took {
 				h.RecordBoot(kind, 30*time.Second, took, usual)
 			}
-			h.RecordBoot(Kind{"small", "west"}, 30*time.Second, usual, usual) // in another zone, which says nothing of this one
-			if got := expectedOf(h, test.at, 10); got != test.want {
-				t.Errorf("%d of 10 late machines are expected, want %d", got, test.want)
+			h.RecordBoot(Kind{"small", "west"}, 30*time.Second, usual, usual) // another zone does not count
+			if got := countExpected(h, test.at, 10); got != test.want {
+				t.Errorf("late machines expected to boot: got %d of 10, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/core/forecast/arrivals.go
+++ b/internal/core/forecast/arrivals.go
@@ -1,7 +1,7 @@
-// Package forecast learns from past jobs what to expect: how many tasks of a class will be
-// submitted, and how long its tasks run compared with their owners' estimates. It owns these
-// statistics only. It has no clock: times are those of the caller's steady clock. Package core
-// feeds it and plans provisioning and deadlines by it.
+// Package forecast estimates from past jobs how many tasks of a class will be submitted and how
+// long they run compared with their owners' estimates. It owns these statistics only. It reads no
+// clock: all times come from the caller's monotonic clock. Package core records jobs and runs in
+// it and uses the forecasts to plan provisioning and deadlines.
 package forecast
 
 import (
@@ -9,26 +9,27 @@
 	"time"
 )
 
-// Window is how long an arrival counts.
+// Window is the sliding window over which arrivals are counted.
 const Window = 120 * time.Second
 
-// MaxTasksPerJob is how many tasks of one job count as arrivals: a huge job is one event, not the
-// rate of those to come.
+// MaxTasksPerJob is the maximum number of tasks of one job that the statistics count. A huge job
+// is a single event and does not predict the rate of later arrivals.
 const MaxTasksPerJob = 64
 
-// jobSizeSamples is the number of jobs over which their size is averaged.
+// jobSizeSamples is the number of jobs over which the moving average of the job size is taken.
 const jobSizeSamples = 8
 
-// Arrivals keeps the times of a class's latest submissions. The zero value has none.
+// Arrivals holds the recent task arrivals and the average job size of one class. The zero value
+// has no arrivals.
 type Arrivals struct {
 	times   []time.Duration // of each task, in the order in which they were recorded
-	jobSize float64         // moving average of the tasks of a job; 0 before the first one
+	jobSize float64         // moving average of tasks per job; 0 before the first job
 }
 
-// Record counts a job that was submitted at a time. starts is how many of its tasks are expected
-// to start separately: one of an array, all of a service or a gang.
-func (a *Arrivals) Record(at, now time.Duration, tasks, starts int) {
-	for range min(starts, MaxTasksPerJob) {
+// Record records a job that was submitted at the time at. tasks is its number of tasks; arrivals
+// is how many of them count as arrivals: one for an array, all for a service or a gang.
+func (a *Arrivals) Record(at, now time.Duration, tasks, arrivals int) {
+	for range min(arrivals, MaxTasksPerJob) {
 		a.times = append(a.times, at)
 	}
 	a.recordJobSize(float64(min(tasks, MaxTasksPerJob)))
@@ -44,7 +45,7 @@
 	a.jobSize += (tasks - a.jobSize) / jobSizeSamples
 }
 
-// Recent counts the tasks that arrived within the window before now.
+// Recent returns the number of arrivals within the window before now.
 func (a *Arrivals) Recent(now time.Duration) int {
 	count := 0
 	for _, at := range a.times {
@@ -55,29 +56,29 @@
 	return count
 }
 
-// Active reports whether the last task arrived within the window before now.
+// Active reports whether the arrival recorded last is within the window before now.
 func (a *Arrivals) Active(now time.Duration) bool {
 	return len(a.times) > 0 && now-a.times[len(a.times)-1] <= Window
 }
 
-// JobSize is how many tasks a job of the class has, on average over the last ones.
+// JobSize returns the moving average of the number of tasks per job.
 func (a *Arrivals) JobSize() float64 { return a.jobSize }
 
-// Bounds of the probability of a forecast.
+// Bounds of the probability that a forecast is computed for.
 const (
 	minProbability = 0.5
 	maxProbability = 0.99
 )
 
-// Expected is how many tasks may arrive within a time, in seconds: as many as are not exceeded
-// with the given probability, and at least one.
-func (a *Arrivals) Expected(now time.Duration, withinS, probability float64) int {
-	mean := float64(a.Recent(now)) / Window.Seconds() * withinS
+// Expected returns the number of arrivals in the next horizonS seconds that is not exceeded with
+// the given probability, and at least 1.
+func (a *Arrivals) Expected(now time.Duration, horizonS, probability float64) int {
+	mean := float64(a.Recent(now)) / Window.Seconds() * horizonS
 	return max(1, poissonQuantile(mean, min(max(probability, minProbability), maxProbability)))
 }
 
-// poissonQuantile is the number that arrivals of a mean do not exceed with a probability, by the
-// normal approximation of the Poisson distribution.
+// poissonQuantile returns the quantile of a Poisson distribution with the given mean, by its normal
+// approximation.
 func poissonQuantile(mean, probability float64) int {
 	return int(math.Ceil(mean + math.Sqrt2*math.Erfinv(2*probability-1)*math.Sqrt(mean)))
 }
--- a/internal/core/forecast/arrivals_test.go
+++ b/internal/core/forecast/arrivals_test.go
@@ -9,21 +9,22 @@
 
 func TestRecord(t *testing.T) {
 	for _, tc := range []struct {
-		name          string
-		tasks, starts int
-		age           time.Duration
-		want          int
+		name            string
+		tasks, arrivals int
+		age             time.Duration
+		want            int
 	}{
-		{"an array is one arrival", 10, 1, 0, 1},
-		{"a service's tasks", 10, 10, 0, 10},
-		{"a huge job is bounded", 1000, 1000, 0, MaxTasksPerJob},
-		{"an old submission is out of the window", 10, 10, Window + time.Second, 0},
+		{"array counts as one arrival", 10, 1, 0, 1},
+		{"each task of a service counts", 10, 10, 0, 10},
+		{"huge job counts up to the limit", 1000, 1000, 0, MaxTasksPerJob},
+		{"submission before the window", 10, 10, Window + time.Second, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var arrivals Arrivals
-			arrivals.Record(now-tc.age, now, tc.tasks, tc.starts)
+			arrivals.Record(now-tc.age, now, tc.tasks, tc.arrivals)
 			if got := arrivals.Recent(now); got != tc.want || len(arrivals.times) != tc.want || arrivals.Active(now) != (tc.want > 0) {
-				t.Errorf("%d arrivals, active %v; want %d", got, arrivals.Active(now), tc.want)
+				t.Errorf("got %d recent arrivals, %d kept, active %v; want %d recent and kept, active %v",
+					got, len(arrivals.times), arrivals.Active(now), tc.want, tc.want > 0)
 			}
 		})
 	}
@@ -36,11 +37,11 @@
 		probability float64
 		want        int
 	}{
-		{"an even chance", 60, 0, 0.5, 30},
-		{"a higher probability needs more", 60, 0, 0.95, 40},
-		{"below the lowest probability", 60, 0, 0.1, 30},
-		{"above the highest probability", 60, 0, 1, 43},
-		{"old arrivals do not count", 4, 60, 0.5, 2},
+		{"probability 0.5 gives the mean", 60, 0, 0.5, 30},
+		{"higher probability gives more", 60, 0, 0.95, 40},
+		{"probability below the minimum", 60, 0, 0.1, 30},
+		{"probability above the maximum", 60, 0, 1, 43},
+		{"arrivals before the window do not count", 4, 60, 0.5, 2},
 		{"at least one", 0, 60, 0.5, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -52,7 +53,7 @@
 				arrivals.Record(now-Window, now, 1, 1)
 			}
 			if got := arrivals.Expected(now, 60, tc.probability); got != tc.want {
-				t.Errorf("%d tasks, want %d", got, tc.want)
+				t.Errorf("expected arrivals: got %d, want %d", got, tc.want)
 			}
 		})
 	}
@@ -63,6 +64,6 @@
 	arrivals.Record(now, now, 8, 1)
 	arrivals.Record(now, now, 16, 1)
 	if got := arrivals.JobSize(); got != 9 {
-		t.Errorf("%v tasks, want 9", got)
+		t.Errorf("average job size: got %v tasks, want 9", got)
 	}
 }
--- a/internal/core/forecast/run_times.go
+++ b/internal/core/forecast/run_times.go
@@ -2,27 +2,28 @@
 
 import "time"
 
-// Bounds of what one run may teach: its ratio to the estimate, and its weight.
+// Bounds on the effect of one run: its ratio of run time to estimate is clamped to minRatio and
+// maxRatio, and its weight in the moving average is at least minWeight.
 const (
 	minRatio  = 0.25
 	maxRatio  = 4
 	minWeight = 0.05
 )
 
-// RunTimes is a class's learned ratio of run times to the owners' estimates. The zero value trusts
-// the owners.
+// RunTimes holds the moving average of a class's ratio of run times to the owners' estimates. The
+// zero value leaves estimates unchanged.
 type RunTimes struct {
-	correction float64 // the ratio less one
+	correction float64 // average ratio minus 1
 	runs       int
 }
 
-// Observe records a run that was estimated at some seconds.
-func (r *RunTimes) Observe(run time.Duration, estimateS float64) {
+// Observe records the run time of a task whose owner estimated it at estimateS seconds.
+func (r *RunTimes) Observe(runTime time.Duration, estimateS float64) {
 	r.runs++
 	weight := max(1/float64(r.runs+1), minWeight)
-	ratio := min(max(run.Seconds()/estimateS, minRatio), maxRatio)
+	ratio := min(max(runTime.Seconds()/estimateS, minRatio), maxRatio)
 	r.correction += (ratio - 1 - r.correction) * weight
 }
 
-// Correct is an estimate in seconds, corrected by the learned ratio.
+// Correct returns an estimate in seconds, multiplied by the average ratio.
 func (r *RunTimes) Correct(estimateS float64) float64 { return estimateS * (1 + r.correction) }
--- a/internal/core/scalein/policy_test.go
+++ b/internal/core/scalein/policy_test.go
@@ -15,7 +15,7 @@
 	maxIdle   = 30 * time.Second
 )
 
-// fakeHost answers the same for each machine.
+// fakeHost gives the same answers for every machine.
 type fakeHost struct {
 	bootTimeRatio float64
 	mayBeHealthy  bool
@@ -37,7 +37,7 @@
 	}
 }
 
-// idleMachine is a machine that has been idle for exactly as long as one is kept.
+// idleMachine returns a machine that has been idle for exactly the maximum idle time.
 func idleMachine() *cluster.Machine {
 	machine := cluster.NewMachine("n-1", now-MinBilledTime)
 	machine.LastHeartbeat = now - heartbeat
@@ -45,7 +45,7 @@
 	return machine
 }
 
-// bootingMachine is a machine without a heartbeat.
+// bootingMachine returns a machine without a heartbeat.
 func bootingMachine() *cluster.Machine { return cluster.NewMachine("n-1", now-200*time.Second) }
 
 func addTask(machine *cluster.Machine) {
@@ -83,7 +83,7 @@
 			change:  func(m *cluster.Machine) { m.IdleSince++ },
 		},
 		{
-			name:    "idle, billed for longer",
+			name:    "idle, within the minimum billed time",
 			machine: idleMachine(),
 			change:  func(m *cluster.Machine) { m.CreatedAt++ },
 		},
@@ -112,7 +112,7 @@
 			want:    cluster.DrainOutlier,
 		},
 		{
-			name:    "drained, empty and perhaps healthy",
+			name:    "drained, empty and may be healthy",
 			machine: idleMachine(),
 			host:    fakeHost{mayBeHealthy: true},
 			change:  func(m *cluster.Machine) { m.DrainReason = cluster.DrainOutlier },
@@ -123,30 +123,30 @@
 			change:  func(m *cluster.Machine) { m.DrainReason = cluster.DrainOutlier; addTask(m) },
 		},
 		{
-			name:    "boots for too long",
+			name:    "boot failed",
 			machine: bootingMachine(),
 			host:    fakeHost{bootTimeRatio: failedBootFactor + 0.1},
 			want:    cluster.DrainBootTimeout,
 		},
 		{
-			name:    "boots for long",
+			name:    "boots for as long as allowed",
 			machine: bootingMachine(),
 			host:    fakeHost{bootTimeRatio: failedBootFactor},
 		},
 		{
-			name:     "boots for too long, new leader",
+			name:     "boot too long, new leader",
 			machine:  bootingMachine(),
 			host:     fakeHost{bootTimeRatio: 9},
 			loadedAt: now - lease,
 		},
 		{
-			name:    "boots for too long, has a placement",
+			name:    "boot too long, has a placement",
 			machine: bootingMachine(),
 			host:    fakeHost{bootTimeRatio: 9},
 			change:  addTask,
 		},
 		{
-			name:    "boots for too long, has answered a probe",
+			name:    "boot too long, has answered a probe",
 			machine: bootingMachine(),
 			host:    fakeHost{bootTimeRatio: 9},
 			change:  func(m *cluster.Machine) { m.LastContact = now - lease },
@@ -159,17 +159,17 @@
 			policy := newPolicy(tc.host)
 			policy.RecordsLoadedAt = tc.loadedAt
 			if got := policy.ReturnReason(tc.machine); got != tc.want {
-				t.Errorf("reason %q, want %q", got, tc.want)
+				t.Errorf("return reason: got %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
 func TestUnlistedTooLong(t *testing.T) {
-	// Long enough ago in each respect, by the shortest time.
+	// The latest times that are long enough ago for the machine to be returned.
 	const (
-		lastListed    = now - unlistedLags*listLag - 1
-		lastHeartbeat = now - unlistedHeartbeats*heartbeat - 1
+		lastListed    = now - unlistedListLagFactor*listLag - 1
+		lastHeartbeat = now - unlistedHeartbeatFactor*heartbeat - 1
 	)
 	for _, tc := range []struct {
 		name     string
@@ -177,14 +177,14 @@
 		change   func(m *cluster.Machine)
 		want     bool
 	}{
-		{"neither listed nor heard", 0, func(*cluster.Machine) {}, true},
-		{"listed lately", 0, func(m *cluster.Machine) { m.ListedAt++ }, false},
-		{"heard lately", 0, func(m *cluster.Machine) { m.LastHeartbeat++ }, false},
+		{"neither listed nor heartbeat for long enough", 0, func(*cluster.Machine) {}, true},
+		{"listed recently", 0, func(m *cluster.Machine) { m.ListedAt++ }, false},
+		{"heartbeat received recently", 0, func(m *cluster.Machine) { m.LastHeartbeat++ }, false},
 		{"being returned", 0, func(m *cluster.Machine) { m.Returning = true }, false},
 		{"never listed", 0, func(m *cluster.Machine) { m.ListedAt = 0 }, false},
 		{"known from records alone", lastListed, func(m *cluster.Machine) { m.ListedAt, m.LastHeartbeat = 0, 0; addTask(m) }, true},
 		{"known from records alone, new leader", lastListed + 1, func(m *cluster.Machine) { m.ListedAt, m.LastHeartbeat = 0, 0; addTask(m) }, false},
-		{"never listed, heard earlier", lastListed, func(m *cluster.Machine) { m.ListedAt = 0; addTask(m) }, false},
+		{"never listed, heartbeat received earlier", lastListed, func(m *cluster.Machine) { m.ListedAt = 0; addTask(m) }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			machine := cluster.NewMachine("n-1", 0)
@@ -193,7 +193,7 @@
 			policy := newPolicy(fakeHost{})
 			policy.RecordsLoadedAt = tc.loadedAt
 			if got := policy.UnlistedTooLong(machine); got != tc.want {
-				t.Errorf("got %v, want %v", got, tc.want)
+				t.Errorf("unlisted too long: got %v, want %v", got, tc.want)
 			}
 		})
 	}
