--- a/internal/core/forecast/arrivals_test.go
+++ b/internal/core/forecast/arrivals_test.go
@@ -23,8 +23,7 @@
 			var arrivals Arrivals
 			arrivals.Record(now-tc.age, now, tc.tasks, tc.arrivals)
 			if got := arrivals.Recent(now); got != tc.want || len(arrivals.times) != tc.want || arrivals.Active(now) != (tc.want > 0) {
-				t.Errorf("got %d recent arrivals, %d kept, active %v; want %d recent and kept, active %v",
-					got, len(arrivals.times), arrivals.Active(now), tc.want, tc.want > 0)
+				t.Errorf("got %d recent arrivals, active %v; want %d recent and kept, active if any", got, arrivals.Active(now), tc.want)
 			}
 		})
 	}
--- a/internal/core/provisioning/availability.go
+++ b/internal/core/provisioning/availability.go
@@ -10,58 +10,59 @@
 // MaxMachinesPerRequest is how many machines one provisioning request may ask for.
 const MaxMachinesPerRequest = cloudapi.MaxMachinesPerProvision
 
-// slowStartLimit is how many machines may be requested of an offer that was refused lately. Each
-// grant in full doubles the limit, up to a whole request; then it is lifted. Unlimited at once, a
-// cheap offer that had no capacity got all pending tasks at each retry, and of the more expensive
-// offers nothing was provisioned for minutes.
-const slowStartLimit = MaxMachinesPerRequest / 6
+// initialSlowStartLimit is how many machines of an offer may be requested after a refusal. Each full
+// grant doubles the limit, which is lifted once it would exceed the size of one request. Without
+// slow start, a cheap offer without capacity was planned for all pending tasks at every retry, and
+// nothing was provisioned from the more expensive offers for minutes.
+const initialSlowStartLimit = MaxMachinesPerRequest / 6
 
-// Unlimited is the availability of an offer that was not refused lately.
+// Unlimited is the availability of an offer without a backoff or a slow-start limit.
 const Unlimited = math.MaxInt
 
-// Availability is how many machines of each offer may be requested, as learned from the cloud's
-// answers: none for a while after a refusal, then a few more with each grant.
+// Availability tracks how many machines of each offer may be requested, based on the cloud's
+// answers: none during the backoff after a refusal, then up to a slow-start limit that doubles with
+// each full grant.
 type Availability struct {
-	refusedUntil map[Offer]time.Duration
-	slowStart    map[Offer]int // limits of offers that were refused lately
+	backoffUntil    map[Offer]time.Duration
+	slowStartLimits map[Offer]int // limits after refusals; no entry if unlimited
 }
 
-// NewAvailability makes an availability by which no offer was refused.
+// NewAvailability returns an Availability in which all offers are unlimited.
 func NewAvailability() *Availability {
-	return &Availability{refusedUntil: map[Offer]time.Duration{}, slowStart: map[Offer]int{}}
+	return &Availability{backoffUntil: map[Offer]time.Duration{}, slowStartLimits: map[Offer]int{}}
 }
 
-// Refuse records that the cloud has no capacity for an offer, which is not to be requested until a
-// time.
+// Refuse records that the cloud has refused an offer, which must not be requested again before the
+// time until.
 func (a *Availability) Refuse(offer Offer, until time.Duration) {
-	a.refusedUntil[offer] = until
-	a.slowStart[offer] = slowStartLimit
+	a.backoffUntil[offer] = until
+	a.slowStartLimits[offer] = initialSlowStartLimit
 }
 
 // Grant records that a request for an offer was granted in full.
 func (a *Availability) Grant(offer Offer) {
-	limit, limited := a.slowStart[offer]
+	limit, limited := a.slowStartLimits[offer]
 	switch {
 	case !limited:
 	case 2*limit > MaxMachinesPerRequest:
-		delete(a.slowStart, offer)
+		delete(a.slowStartLimits, offer)
 	default:
-		a.slowStart[offer] = 2 * limit
+		a.slowStartLimits[offer] = 2 * limit
 	}
 }
 
-// Refused reports whether an offer is not to be requested now.
+// Refused reports whether an offer is in the backoff after a refusal.
 func (a *Availability) Refused(offer Offer, now time.Duration) bool {
-	return now < a.refusedUntil[offer]
+	return now < a.backoffUntil[offer]
 }
 
-// Machines is how many machines of an offer may be requested now, in addition to a number that is
-// requested already.
+// Machines returns how many machines of an offer may be requested now, in addition to the number
+// requested already. It is negative if that number exceeds the limit.
 func (a *Availability) Machines(offer Offer, now time.Duration, requested int) int {
 	if a.Refused(offer, now) {
 		return 0
 	}
-	limit, limited := a.slowStart[offer]
+	limit, limited := a.slowStartLimits[offer]
 	if !limited {
 		return Unlimited
 	}
--- a/internal/core/provisioning/availability_test.go
+++ b/internal/core/provisioning/availability_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestAvailability follows an offer that is refused once and granted in full from then on. The
-// other offer stays unlimited.
+// TestAvailability checks the limits of an offer that is refused once and then granted in full each
+// time, while another offer stays unlimited.
 func TestAvailability(t *testing.T) {
 	const refusedFor = 6 * time.Second
 	offer, other := Offer{Type: "small", Zone: "a"}, Offer{Type: "small", Zone: "a", Spot: true}
 	availability := NewAvailability()
 	if got := availability.Machines(offer, 0, 10); got != Unlimited {
-		t.Errorf("%d machines before any refusal", got)
+		t.Errorf("machines before any refusal: got %d, want no limit", got)
 	}
 	availability.Grant(offer)
 	availability.Refuse(offer, refusedFor)
@@ -32,20 +32,20 @@
 		{refusedFor, 7, Unlimited, false},
 	} {
 		if got := availability.Machines(offer, step.now, step.requested); got != step.want {
-			t.Errorf("%+v: %d machines", step, got)
+			t.Errorf("step %+v: got %d machines, want the number in the step", step, got)
 		}
 		if got := availability.Refused(offer, step.now); got != (step.now < refusedFor) {
-			t.Errorf("%+v: refused %v", step, got)
+			t.Errorf("step %+v: got refused %v, want the opposite", step, got)
 		}
 		if got := availability.Machines(other, step.now, 0); got != Unlimited {
-			t.Errorf("%+v: %d machines of the other offer", step, got)
+			t.Errorf("step %+v: got %d machines of the other offer, want no limit", step, got)
 		}
 		if step.grant {
 			availability.Grant(offer)
 		}
 	}
 	availability.Refuse(offer, 2*refusedFor)
-	if got := availability.Machines(offer, 2*refusedFor, 0); got != slowStartLimit {
-		t.Errorf("%d machines after another refusal", got)
+	if got := availability.Machines(offer, 2*refusedFor, 0); got != initialSlowStartLimit {
+		t.Errorf("machines after another refusal: got %d, want the initial slow-start limit", got)
 	}
 }
--- a/internal/core/provisioning/bin.go
+++ b/internal/core/provisioning/bin.go
@@ -2,23 +2,23 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/topology"
 
-// Bin is a machine that tasks are packed into: one that is running or boots, one that is requested,
-// or one to be provisioned.
+// Bin is a machine that tasks are packed into: a running or booting one, a requested one or one to
+// be provisioned.
 type Bin struct {
-	Machine string // its name; empty for one that is requested or to be provisioned
+	Machine string // name; empty if the machine is requested or to be provisioned
 	Offer   Offer
 	Free    topology.Resources
-	// Preemptible is what tasks of each priority level hold.
+	// Preemptible is the capacity used by the tasks of each priority level.
 	Preemptible [PriorityLevels]topology.Resources
-	Used        bool   // a task was packed into it
-	ToProvision bool   // the plan wants it provisioned
-	Purpose     string // of the first task that was packed into it
+	Used        bool   // a task has been packed into it
+	ToProvision bool   // the plan has added it, to be provisioned
+	Purpose     string // that of the first task packed into it, for log lines
 
 	index int // in Plan.bins
 }
 
-// availableTo is the capacity that a task may use: what is free and, for a forecast task, what
-// tasks of lower priority levels hold.
+// availableTo returns the capacity that a task may use: the free capacity and, for a forecast task,
+// also that used by tasks of lower priority levels.
 func (b *Bin) availableTo(task *TaskSpec) topology.Resources {
 	available := b.Free
 	if task.Forecast {
@@ -29,10 +29,10 @@
 	return available
 }
 
-// fits reports whether the bin has capacity for a task.
+// fits reports whether a task fits into the bin.
 func (b *Bin) fits(task *TaskSpec) bool { return b.availableTo(task).Holds(task.Resources) }
 
-// pack counts a task on the bin.
+// pack adds a task to the bin.
 func (b *Bin) pack(task *TaskSpec, purpose string) {
 	b.Free = b.Free.Sub(task.Resources)
 	if !task.Forecast {
@@ -43,7 +43,7 @@
 	}
 }
 
-// tighterThan orders bins by free capacity, the scarcest resource first, then by index.
+// tighterThan orders bins by free capacity, compared from the scarcest resource on, then by index.
 func (b *Bin) tighterThan(other *Bin) bool {
 	if b.Free.Less(other.Free) {
 		return true
@@ -51,15 +51,15 @@
 	return !other.Free.Less(b.Free) && b.index < other.index
 }
 
-// binArena allocates bins many at a time.
+// binArena allocates bins in blocks.
 type binArena struct{ free []Bin }
 
-// arenaSize is how many bins are allocated at once.
-const arenaSize = 256
+// arenaBlockSize is the number of bins in one allocated block.
+const arenaBlockSize = 256
 
 func (a *binArena) allocate() *Bin {
 	if len(a.free) == 0 {
-		a.free = make([]Bin, arenaSize)
+		a.free = make([]Bin, arenaBlockSize)
 	}
 	bin := &a.free[0]
 	a.free = a.free[1:]
--- a/internal/core/provisioning/bin_index.go
+++ b/internal/core/provisioning/bin_index.go
@@ -7,17 +7,17 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// binIndex finds bins of one offer by their free capacity. Bins with the same capacity are kept in
-// one group and evaluated once.
+// binIndex indexes the bins of one offer by their free capacity. Bins with the same capacity form a
+// group, which is evaluated once.
 type binIndex struct {
 	offer           Offer
-	groups          []*binGroup // none is empty; by free capacity once sorted is set
+	groups          []*binGroup // without empty groups; ordered by free capacity if sorted is set
 	groupByCapacity map[binCapacity]*binGroup
-	binsAdded       int // also counts those that were removed
+	binsAdded       int // including bins that have been removed
 	sorted          bool
 }
 
-// binCapacity is what bins of a group have in common.
+// binCapacity is the capacity that all bins of a group share.
 type binCapacity struct {
 	free        topology.Resources
 	preemptible [PriorityLevels]topology.Resources
@@ -25,13 +25,13 @@
 
 func capacityOf(bin *Bin) binCapacity { return binCapacity{bin.Free, bin.Preemptible} }
 
-// binGroup is bins with the same capacity.
+// binGroup holds the bins with the same capacity.
 type binGroup struct {
 	binCapacity
-	bins []*Bin // by index
+	bins []*Bin // ordered by index
 }
 
-// position is where the group has, or would have, a bin.
+// position returns the position of a bin in the group, or the one at which to insert it.
 func (g *binGroup) position(bin *Bin) int {
 	return sort.Search(len(g.bins), func(i int) bool { return g.bins[i].index >= bin.index })
 }
@@ -41,7 +41,7 @@
 func (g *binGroup) remove(bin *Bin) {
 	i := g.position(bin)
 	if i == 0 {
-		g.bins = g.bins[1:] // nearly always: no other bin moves
+		g.bins = g.bins[1:] // the usual case, in which no other bin is moved
 		return
 	}
 	g.bins = slices.Delete(g.bins, i, i+1)
@@ -51,10 +51,10 @@
 	return &binIndex{offer: offer, groupByCapacity: map[binCapacity]*binGroup{}}
 }
 
-// insert adds a bin.
+// insert adds a bin to the index.
 func (x *binIndex) insert(bin *Bin) { x.group(capacityOf(bin)).insert(bin) }
 
-// group finds or makes the group of a capacity.
+// group returns the group of bins with a capacity and adds it if there is none.
 func (x *binIndex) group(capacity binCapacity) *binGroup {
 	if group := x.groupByCapacity[capacity]; group != nil {
 		return group
@@ -69,8 +69,8 @@
 	return group
 }
 
-// sortGroups sorts the groups before the first search. Once for all machines it costs less than to
-// insert each in its place.
+// sortGroups sorts the groups before the first search. Sorting once after all machines are added is
+// cheaper than inserting each new group in order.
 func (x *binIndex) sortGroups() {
 	if x.sorted {
 		return
@@ -87,7 +87,7 @@
 	})
 }
 
-// remove removes a bin, whose capacity must be as it was when it was inserted.
+// remove removes a bin, whose capacity must not have changed since it was inserted.
 func (x *binIndex) remove(bin *Bin) {
 	x.sortGroups()
 	group := x.groupByCapacity[capacityOf(bin)]
@@ -101,13 +101,14 @@
 	delete(x.groupByCapacity, group.binCapacity)
 	i := sort.Search(len(x.groups), func(i int) bool { return !x.groups[i].free.Less(group.free) })
 	for x.groups[i] != group {
-		i++ // groups with the same free capacity differ in what is preemptible
+		i++ // groups with equal free capacity differ in their preemptible capacity
 	}
 	x.groups = slices.Delete(x.groups, i, i+1)
 }
 
-// tightestBin finds the bin with the least free capacity that a task fits into, of equal ones the
-// first; nil if there is none. evaluations counts the groups that were evaluated.
+// tightestBin returns the bin with the least free capacity that a task fits into, and among equal
+// ones that with the lowest index; nil if there is none. It adds the number of groups evaluated to
+// evaluations.
 func (x *binIndex) tightestBin(task *TaskSpec, evaluations *int) *Bin {
 	x.sortGroups()
 	var best *Bin
@@ -124,11 +125,11 @@
 	return best
 }
 
-// searchStart is the index of the first group that a task may fit into: groups are ordered by
-// their free GPUs first.
+// searchStart returns the index of the first group with enough free GPUs for a task: groups are
+// ordered by free GPUs first.
 func (x *binIndex) searchStart(task *TaskSpec) int {
 	if task.Forecast {
-		return 0 // it may use more than what is free
+		return 0 // it may also use preemptible capacity
 	}
 	required := topology.Resources{GPUs: task.Resources.GPUs}
 	return sort.Search(len(x.groups), func(i int) bool {
@@ -136,8 +137,8 @@
 	})
 }
 
-// countFitting counts how many tasks fit into free capacity, at most limit. evaluations counts the
-// groups that were evaluated.
+// countFitting returns how many equal tasks fit into the free capacity of the bins, at most limit.
+// It adds the number of groups evaluated to evaluations.
 func (x *binIndex) countFitting(task *TaskSpec, limit int, evaluations *int) int {
 	x.sortGroups()
 	count := 0
--- a/internal/core/provisioning/offer.go
+++ b/internal/core/provisioning/offer.go
@@ -2,7 +2,8 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/topology"
 
-// Offer names what the cloud provisions: a machine type in a zone, as a spot machine or not.
+// Offer identifies what the cloud provisions: a machine type in a zone, as spot or on-demand
+// machines.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
@@ -12,12 +13,12 @@
 type OfferDetails struct {
 	Offer
 	Capacity topology.Resources
-	Price    float64 // an hour
-	// Available is how many machines may be requested in addition to those requested already.
+	Price    float64 // per machine and hour
+	// Available is how many more machines may be requested; Unlimited if there is no limit.
 	Available int
 }
 
-// reserve counts a machine that the plan wants.
+// reserve reduces Available by a machine that the plan provisions.
 func (d *OfferDetails) reserve() {
 	if d.Available != Unlimited {
 		d.Available--
--- a/internal/core/provisioning/plan.go
+++ b/internal/core/provisioning/plan.go
@@ -1,32 +1,32 @@
-// Package provisioning plans which machines to provision. It packs the pending tasks, and those
-// that are forecast, into the machines of the fleet, those that are requested and those that the
-// cloud offers, the tightest first, and sums up how many machines of each offer are missing.
+// Package provisioning plans which machines to provision. It packs pending and forecast tasks by
+// best fit into the machines of the fleet and those already requested, adds machines of the
+// cheapest offers for the tasks that do not fit, and counts the added machines of each offer.
 //
-// The cost of a plan grows with the kinds of tasks and with what differs between machines, not
-// with tasks times machines: machines of one offer with the same free capacity are indexed
-// together, and a search that found nothing is not repeated. The package does no I/O and keeps no
-// time. Package core makes a plan at each placement pass of a leader.
+// The cost of a plan depends on the number of different task specs and of different machine
+// capacities, not on tasks times machines: machines of one offer with the same free capacity are
+// indexed together, and a search that found no machine is not repeated. The package does no I/O and
+// reads no clock. Package core makes a plan in each placement pass of a leader.
 package provisioning
 
 import "github.com/brookwalk/brookwalk/internal/core/topology"
 
-// Plan is a plan in the making. Machines are added first, then tasks are packed.
+// Plan is a provisioning plan under construction. Machines are added first, then tasks are packed.
 type Plan struct {
 	bins         []*Bin
 	binsByZone   map[string]int // number of bins
-	indexes      []*binIndex    // one for each offer, in a fixed order
+	indexes      []*binIndex    // one for each offer, in the order in which they were added
 	indexByOffer map[Offer]*binIndex
 	offers       []*OfferDetails
-	kinds        map[TaskSpec]*taskKind
-	lastPacked   *Bin // the bin of the last task; it is in no index meanwhile
+	stateBySpec  map[TaskSpec]*packingState
+	lastPacked   *Bin // bin of the last task packed, or nil; it is in no index until reindexed
 	arena        binArena
 	evaluations  int
 }
 
-// New begins a plan. Of offers at the same price, the earlier ones are preferred. The plan counts
-// down their Available.
+// New returns a plan without machines. Among offers at the same price per task in zones with equally
+// many bins, the first one is preferred. The plan decrements Available in the given slice.
 func New(offers []OfferDetails) *Plan {
-	plan := &Plan{indexByOffer: map[Offer]*binIndex{}, binsByZone: map[string]int{}, kinds: map[TaskSpec]*taskKind{}}
+	plan := &Plan{indexByOffer: map[Offer]*binIndex{}, binsByZone: map[string]int{}, stateBySpec: map[TaskSpec]*packingState{}}
 	for i := range offers {
 		plan.offers = append(plan.offers, &offers[i])
 		plan.offerIndex(offers[i].Offer)
@@ -34,7 +34,7 @@
 	return plan
 }
 
-// offerIndex finds or makes the index of an offer's bins.
+// offerIndex returns the index of an offer's bins and adds it if there is none.
 func (p *Plan) offerIndex(offer Offer) *binIndex {
 	index := p.indexByOffer[offer]
 	if index == nil {
@@ -45,14 +45,15 @@
 	return index
 }
 
-// AddMachine adds a machine with its free capacity and what tasks of each priority level hold.
+// AddMachine adds a machine with its free capacity and the capacity used by the tasks of each
+// priority level.
 func (p *Plan) AddMachine(name string, offer Offer, free topology.Resources, preemptible [PriorityLevels]topology.Resources) {
 	bin := p.arena.allocate()
 	bin.Machine, bin.Offer, bin.Free, bin.Preemptible = name, offer, free, preemptible
 	p.addBin(bin)
 }
 
-// AddRequested adds machines that are requested and not yet granted.
+// AddRequested adds machines that have been requested but not yet granted.
 func (p *Plan) AddRequested(offer Offer, capacity topology.Resources, count int) {
 	for range count {
 		p.addBin(&Bin{Offer: offer, Free: capacity})
@@ -73,10 +74,10 @@
 
 func (f ZoneFilter) allows(zone string) bool { return f == nil || f(zone) }
 
-// Pack finds a bin for a task: the tightest one with free capacity, or else a machine of the
-// cheapest offer, of equal ones in the zone with the fewest machines; nil if there is none. last
-// is the bin of an equal task just before, or nil: it was the tightest, so it still is where it
-// has capacity for one more.
+// Pack packs a task into the tightest bin that it fits into, or else into a new machine of the
+// cheapest offer, and returns the bin; nil if there is none. Among equally cheap offers, it takes
+// one in the zone with the fewest bins. last is the bin of an equal task packed just before, or nil:
+// it was the tightest bin then, so it still is if another task fits.
 func (p *Plan) Pack(task *TaskSpec, zones ZoneFilter, last *Bin, purpose string) *Bin {
 	p.evaluations++
 	bin := last
@@ -90,14 +91,14 @@
 	return bin
 }
 
-// findBin is the tightest bin for a task, or a new one; nil if there is none.
+// findBin returns the tightest bin for a task, or a new one; nil if there is none.
 func (p *Plan) findBin(task *TaskSpec, zones ZoneFilter) *Bin {
 	p.reindexLastPacked()
-	kind := p.taskKind(task)
-	if bin := kind.tightestBin(task, zones, &p.evaluations); bin != nil {
+	state := p.packingState(task)
+	if bin := state.tightestBin(task, zones, &p.evaluations); bin != nil {
 		return bin
 	}
-	return p.provisionCheapest(kind, zones)
+	return p.provisionCheapest(state, zones)
 }
 
 // assign packs a task into a bin.
@@ -110,7 +111,7 @@
 	bin.pack(task, purpose)
 }
 
-// reindexLastPacked inserts the bin of the last task into its index again.
+// reindexLastPacked reinserts the bin of the last task packed into its index.
 func (p *Plan) reindexLastPacked() {
 	if p.lastPacked != nil {
 		p.indexByOffer[p.lastPacked.Offer].insert(p.lastPacked)
@@ -118,9 +119,10 @@
 	}
 }
 
-// provisionCheapest adds a machine of the cheapest offer; nil if there is none.
-func (p *Plan) provisionCheapest(kind *taskKind, zones ZoneFilter) *Bin {
-	best := p.cheapestOffer(kind, zones)
+// provisionCheapest adds a machine of the cheapest offer and returns its bin; nil if there is no
+// offer.
+func (p *Plan) provisionCheapest(state *packingState, zones ZoneFilter) *Bin {
+	best := p.cheapestOffer(state, zones)
 	if best == nil {
 		return nil
 	}
@@ -130,12 +132,12 @@
 	return bin
 }
 
-// cheapestOffer is the offer with the lowest price for a task, of equal ones that in the zone with
-// the fewest bins; nil if there is none.
-func (p *Plan) cheapestOffer(kind *taskKind, zones ZoneFilter) *OfferDetails {
+// cheapestOffer returns the available offer with the lowest price per task, and among equal ones
+// that in the zone with the fewest bins; nil if there is none.
+func (p *Plan) cheapestOffer(state *packingState, zones ZoneFilter) *OfferDetails {
 	var best *offerCost
-	for i := range kind.offers {
-		candidate := &kind.offers[i]
+	for i := range state.offers {
+		candidate := &state.offers[i]
 		if best != nil && candidate.costPerTask > best.costPerTask {
 			break
 		}
@@ -152,32 +154,33 @@
 	return best.OfferDetails
 }
 
-// Bins lists all bins in the order in which they were added.
+// Bins returns all bins in the order in which they were added.
 func (p *Plan) Bins() []*Bin { return p.bins }
 
-// Evaluations counts the tasks and groups of bins that the plan has evaluated so far: its cost,
-// independent of any clock.
+// Evaluations returns the number of tasks and groups of bins evaluated so far. It measures the cost
+// of the plan independently of any clock.
 func (p *Plan) Evaluations() int { return p.evaluations }
 
-// A Shortfall is how many machines of an offer are to be provisioned.
+// A Shortfall is a number of machines of one offer to be provisioned.
 type Shortfall struct {
 	Offer   Offer
 	Count   int
-	Purpose string // of the first machine
+	Purpose string // that of the first machine, for log lines
 }
 
-// Shortfalls lists what is to be provisioned, the most urgent first.
+// Shortfalls returns the machines to be provisioned by offer, in the order in which the plan first
+// added a machine of each: the most urgent first if the most urgent tasks were packed first.
 func (p *Plan) Shortfalls() []Shortfall {
 	var shortfalls []Shortfall
-	position := map[Offer]int{}
+	positionByOffer := map[Offer]int{}
 	for _, bin := range p.bins {
 		if !bin.ToProvision {
 			continue
 		}
-		i, ok := position[bin.Offer]
+		i, ok := positionByOffer[bin.Offer]
 		if !ok {
 			i = len(shortfalls)
-			position[bin.Offer] = i
+			positionByOffer[bin.Offer] = i
 			shortfalls = append(shortfalls, Shortfall{Offer: bin.Offer, Purpose: bin.Purpose})
 		}
 		shortfalls[i].Count++
--- a/internal/core/provisioning/plan_test.go
+++ b/internal/core/provisioning/plan_test.go
@@ -11,7 +11,7 @@
 
 func cpus(n float64) topology.Resources { return topology.Resources{CPUs: n, MemGB: n} }
 
-// offersOf offers a machine type in zones a and b at a price, without spot machines.
+// offersOf returns on-demand offers of a machine type at the same price in zones a and b.
 func offersOf(machineType string, capacity topology.Resources, price float64, available int) []OfferDetails {
 	var out []OfferDetails
 	for _, zone := range []string{"a", "b"} {
@@ -31,14 +31,14 @@
 		unplaced int // tasks without a bin
 	}{
 		{
-			name:   "the cheapest offer, zones in turn",
+			name:   "cheapest offer, alternating zones",
 			offers: append(slices.Clone(expensive), cheap...),
 			task:   TaskSpec{Resources: cpus(4)},
 			count:  3,
 			want:   []Shortfall{{Offer{"cheap", "a", false}, 2, "x"}, {Offer{"cheap", "b", false}, 1, "x"}},
 		},
 		{
-			name:   "an offer with few machines, then the next one",
+			name:   "next offer once the cheapest has no more machines",
 			offers: append(offersOf("cheap", cpus(4), 1, 1), expensive...),
 			task:   TaskSpec{Resources: cpus(2)},
 			count:  6,
@@ -49,28 +49,28 @@
 			},
 		},
 		{
-			name:   "the allowed machine type",
+			name:   "only an allowed machine type",
 			offers: append(slices.Clone(expensive), cheap...),
 			task:   TaskSpec{Resources: cpus(4), MachineTypes: "other,expensive"},
 			count:  1,
 			want:   []Shortfall{{Offer{"expensive", "a", false}, 1, "x"}},
 		},
 		{
-			name:   "the allowed zone",
+			name:   "only the allowed zone",
 			offers: cheap,
 			task:   TaskSpec{Resources: cpus(4), Zone: "b"},
 			count:  2,
 			want:   []Shortfall{{Offer{"cheap", "b", false}, 2, "x"}},
 		},
 		{
-			name:     "no machine is large enough",
+			name:     "no machine type is large enough",
 			offers:   cheap,
 			task:     TaskSpec{Resources: cpus(5)},
 			count:    2,
 			unplaced: 2,
 		},
 		{
-			name:     "more tasks than machines",
+			name:     "more tasks than available machines",
 			offers:   offersOf("cheap", cpus(4), 1, 1),
 			task:     TaskSpec{Resources: cpus(4)},
 			count:    5,
@@ -87,15 +87,15 @@
 				}
 			}
 			if got := plan.Shortfalls(); !slices.Equal(got, tc.want) || unplaced != tc.unplaced {
-				t.Errorf("shortfalls %v, %d tasks unplaced; want %v, %d", got, unplaced, tc.want, tc.unplaced)
+				t.Errorf("got shortfalls %v, %d tasks unplaced; want %v, %d unplaced", got, unplaced, tc.want, tc.unplaced)
 			}
 		})
 	}
 }
 
-// TestForecastTaskCountsOnPreemptible packs tasks into a machine that tasks of priority level 1
-// use: a forecast task of a higher level counts on their capacity, a pending one does not.
-func TestForecastTaskCountsOnPreemptible(t *testing.T) {
+// TestForecastTaskUsesPreemptibleCapacity packs tasks into a machine with tasks of priority level 1:
+// a forecast task of a higher level may use their capacity, a pending task may not.
+func TestForecastTaskUsesPreemptibleCapacity(t *testing.T) {
 	plan := New(nil)
 	plan.AddMachine("n-1", Offer{Type: "t", Zone: "a"}, cpus(1), [PriorityLevels]topology.Resources{1: cpus(3)})
 	for _, tc := range []struct {
@@ -107,37 +107,37 @@
 		{TaskSpec{Resources: cpus(2), PriorityLevel: 2, Forecast: true}, true},
 	} {
 		if got := plan.Pack(&tc.task, nil, nil, "") != nil; got != tc.want {
-			t.Errorf("%+v: packed %v, want %v", tc.task, got, tc.want)
+			t.Errorf("task %+v: got packed %v, want %v", tc.task, got, tc.want)
 		}
 	}
 }
 
 func TestChooseZone(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		offers []OfferDetails
-		inB    int // machines in zone b with capacity for two tasks each
-		want   string
+		name        string
+		offers      []OfferDetails
+		machinesInB int // machines in zone b with capacity for two tasks each
+		want        string
 	}{
-		{"most free capacity", nil, 1, "b"},
-		{"least to provision", offersOf("t", cpus(4), 1, Unlimited), 1, "b"},
-		{"the first of equal zones", offersOf("t", cpus(4), 1, Unlimited), 0, "a"},
-		{"not where too few machines are available", []OfferDetails{{Offer{"t", "a", false}, cpus(4), 1, 1}, {Offer{"t", "b", false}, cpus(4), 9, 2}}, 0, "b"},
+		{"only zone with free capacity", nil, 1, "b"},
+		{"lowest cost to provision", offersOf("t", cpus(4), 1, Unlimited), 1, "b"},
+		{"first of equal zones by name", offersOf("t", cpus(4), 1, Unlimited), 0, "a"},
+		{"zone with enough available machines in spite of its price", []OfferDetails{{Offer{"t", "a", false}, cpus(4), 1, 1}, {Offer{"t", "b", false}, cpus(4), 9, 2}}, 0, "b"},
 		{"no capacity in any zone", nil, 0, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			plan := New(tc.offers)
-			for i := range tc.inB {
+			for i := range tc.machinesInB {
 				plan.AddMachine(fmt.Sprint(i), Offer{Type: "t", Zone: "b"}, cpus(4), [PriorityLevels]topology.Resources{})
 			}
 			if got := plan.ChooseZone(&TaskSpec{Resources: cpus(2)}, 4); got != tc.want {
-				t.Errorf("zone %q, want %q", got, tc.want)
+				t.Errorf("chosen zone: got %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// packByScan is the bin that Pack is to choose, found by a scan of all bins.
+// packByScan returns the bin that Pack has to choose, found by a linear scan of all bins.
 func packByScan(bins []*Bin, task *TaskSpec, last *Bin) *Bin {
 	if last != nil && last.fits(task) {
 		return last
@@ -151,7 +151,7 @@
 	return best
 }
 
-// addRandomMachines adds 5 to 64 machines in use.
+// addRandomMachines adds 5 to 64 machines with random free and preemptible capacity.
 func addRandomMachines(random *rand.Rand, plan *Plan) {
 	for i := range 5 + random.IntN(60) {
 		free := topology.Resources{CPUs: float64(random.IntN(9)) / 2, GPUs: float64(random.IntN(4)), MemGB: float64(1 + random.IntN(8))}
@@ -172,8 +172,8 @@
 	}
 }
 
-// TestPackMatchesLinearScan packs random tasks into random machines. Each has to go where a scan
-// of all of them would place it.
+// TestPackMatchesLinearScan packs random tasks into random machines and checks that Pack chooses
+// the same machines as a linear scan.
 func TestPackMatchesLinearScan(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 3))
@@ -186,7 +186,7 @@
 				want := packByScan(plan.Bins(), &task, last)
 				got := plan.Pack(&task, nil, last, "")
 				if got != want {
-					t.Fatalf("seed %d: %+v goes into %+v, want %+v", seed, task, got, want)
+					t.Fatalf("seed %d: task %+v: got packed into %+v, want %+v", seed, task, got, want)
 				}
 				if last = got; got == nil {
 					break
@@ -196,9 +196,9 @@
 	}
 }
 
-// TestCostGrowsWithKinds packs tasks of few kinds into fleets of two sizes. The cost of a task
-// may not grow with the fleet.
-func TestCostGrowsWithKinds(t *testing.T) {
+// TestPackCostIndependentOfFleetSize packs tasks with few different specs into fleets of two sizes
+// and checks that the cost per task does not grow with the fleet.
+func TestPackCostIndependentOfFleetSize(t *testing.T) {
 	cost := func(machines int) float64 {
 		plan := New(offersOf("t", cpus(32), 1, Unlimited))
 		for i := range machines {
@@ -211,6 +211,7 @@
 		return float64(plan.Evaluations()) / float64(tasks)
 	}
 	if small, large := cost(100), cost(3000); large > 1.5*small {
-		t.Errorf("%.1f evaluations a task among 3,000 machines, %.1f among 100", large, small)
+		t.Errorf("evaluations per task: got %.1f with 3,000 machines, want at most 1.5 times the %.1f with 100",
+			large, small)
 	}
 }
--- a/internal/core/provisioning/queue.go
+++ b/internal/core/provisioning/queue.go
@@ -8,54 +8,55 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// MaxOpenRequests is how many provisioning requests may be without an answer.
+// MaxOpenRequests is the maximum number of provisioning requests without an answer.
 const MaxOpenRequests = 4
 
-// A Request is a provisioning request without an answer. It is idempotent: repeated under its ID
-// until it is answered, it provisions machines once.
+// A Request is a provisioning request without an answer. It is idempotent: it is retried with the
+// same ID until it is answered and provisions machines only once.
 type Request struct {
 	wire.ProvisionRequest
-	Purpose  string        // of the first machine
-	InFlight bool          // it was sent and may still be answered
-	RetryAt  time.Duration // it is not sent again before
+	Purpose  string        // that of the first machine, for log lines
+	InFlight bool          // a call that sent it has not completed
+	RetryAt  time.Duration // earliest time of the next retry
 }
 
-// Offer is what the request asks for.
+// Offer returns the requested offer.
 func (r *Request) Offer() Offer { return Offer{Type: r.Type, Zone: r.Zone, Spot: r.Spot} }
 
-// Queue turns shortfalls into provisioning requests at the pace that the cloud's rate allows.
-// Shortfalls accumulate between two requests, instead of being requested machine by machine.
+// Queue turns shortfalls into provisioning requests within the cloud's rate limit. Shortfalls
+// accumulate between two requests, so that machines are requested in batches instead of one by one.
 type Queue struct {
-	idPrefix   string
-	interval   time.Duration
-	shortfalls []Shortfall // of the last plan, not requested yet
-	open       []*Request  // replaced and never changed in place
-	nextAt     time.Duration
-	sequence   int
+	idPrefix      string
+	interval      time.Duration
+	shortfalls    []Shortfall // of the last plan, not yet requested
+	open          []*Request  // never modified in place, so that a loop over Open may close requests
+	nextRequestAt time.Duration
+	sequence      int
 }
 
-// NewQueue makes an empty queue for a leader's term, with an interval between two requests.
+// NewQueue returns an empty queue for a leader's term, with a minimum interval between requests.
 func NewQueue(term uint64, interval time.Duration) *Queue {
 	return &Queue{idPrefix: "r-" + strconv.FormatUint(term, 10) + "-", interval: interval}
 }
 
-// Replace replaces the shortfalls by those of a new plan, the most urgent first.
+// Replace replaces the shortfalls with those of a new plan, which are ordered most urgent first.
 func (q *Queue) Replace(shortfalls []Shortfall) { q.shortfalls = slices.Clone(shortfalls) }
 
-// Drop forgets the shortfalls of an offer without capacity: the next plan takes another one.
+// Drop removes the shortfalls of an offer without capacity. The next plan uses other offers.
 func (q *Queue) Drop(offer Offer) {
 	q.shortfalls = slices.DeleteFunc(q.shortfalls, func(s Shortfall) bool { return s.Offer == offer })
 }
 
-// Waiting reports whether shortfalls are not requested yet.
+// Waiting reports whether any shortfall has not been requested yet.
 func (q *Queue) Waiting() bool { return len(q.shortfalls) > 0 }
 
-// Next opens the request for the most urgent shortfall; nil if there is none or it is too early.
+// Next opens and returns the request for the most urgent shortfall; nil if there is no shortfall,
+// the interval has not passed or MaxOpenRequests are open.
 func (q *Queue) Next(now time.Duration) *Request {
-	if len(q.shortfalls) == 0 || now < q.nextAt || len(q.open) >= MaxOpenRequests {
+	if len(q.shortfalls) == 0 || now < q.nextRequestAt || len(q.open) >= MaxOpenRequests {
 		return nil
 	}
-	q.nextAt = now + q.interval
+	q.nextRequestAt = now + q.interval
 	q.sequence++
 	shortfall := &q.shortfalls[0]
 	request := &Request{
@@ -76,10 +77,10 @@
 	return request
 }
 
-// Open lists the requests without an answer.
+// Open returns the requests without an answer.
 func (q *Queue) Open() []*Request { return q.open }
 
-// Requested counts the machines of an offer in open requests.
+// Requested returns the number of machines of an offer in open requests.
 func (q *Queue) Requested(offer Offer) int {
 	count := 0
 	for _, request := range q.open {
@@ -90,7 +91,7 @@
 	return count
 }
 
-// Close forgets a request that was answered.
+// Close removes a request that has been answered.
 func (q *Queue) Close(request *Request) {
 	q.open = slices.DeleteFunc(slices.Clone(q.open), func(other *Request) bool { return other == request })
 }
--- a/internal/core/provisioning/queue_test.go
+++ b/internal/core/provisioning/queue_test.go
@@ -9,7 +9,8 @@
 
 const requestInterval = 250 * time.Millisecond
 
-// TestQueueNext requests more machines than one request may ask for, and a second offer.
+// TestQueueNext checks that a shortfall that exceeds one request is split, that shortfalls of another
+// offer follow and that requests keep the interval.
 func TestQueueNext(t *testing.T) {
 	queue := NewQueue(7, requestInterval)
 	queue.Replace([]Shortfall{
@@ -23,21 +24,22 @@
 	} {
 		now := time.Duration(i) * requestInterval
 		if !queue.Waiting() {
-			t.Fatalf("nothing is waiting before %+v", want)
+			t.Fatalf("no shortfall is waiting, want request %+v", want)
 		}
 		if got := queue.Next(now); got == nil || got.ProvisionRequest != want {
-			t.Errorf("got %+v, want %+v", got, want)
+			t.Errorf("request: got %+v, want %+v", got, want)
 		}
 		if got := queue.Next(now + requestInterval - 1); got != nil {
-			t.Errorf("%+v within the interval", got)
+			t.Errorf("request within the interval: got %+v, want none", got)
 		}
 	}
 	if queue.Waiting() || queue.Next(time.Hour) != nil {
-		t.Error("something is left")
+		t.Error("shortfalls are left after the last request, want none")
 	}
 }
 
-// TestQueueOpen opens as many requests as may be without an answer, and closes one.
+// TestQueueOpen checks that the number of open requests is limited, that their machines are counted
+// by offer and that closing a request allows another one.
 func TestQueueOpen(t *testing.T) {
 	offer := Offer{Type: "small", Zone: "a"}
 	queue := NewQueue(7, requestInterval)
@@ -52,33 +54,33 @@
 		open()
 	}
 	if got := len(queue.Open()); got != MaxOpenRequests {
-		t.Fatalf("%d open requests, want %d", got, MaxOpenRequests)
+		t.Fatalf("open requests: got %d, want %d", got, MaxOpenRequests)
 	}
 	if got := queue.Requested(offer); got != 2*MaxOpenRequests {
-		t.Errorf("%d machines requested, want %d", got, 2*MaxOpenRequests)
+		t.Errorf("machines requested: got %d, want %d", got, 2*MaxOpenRequests)
 	}
 	if got := queue.Requested(Offer{Type: "small", Zone: "b"}); got != 0 {
-		t.Errorf("%d machines of another offer requested", got)
+		t.Errorf("machines requested of another offer: got %d, want 0", got)
 	}
 	queue.Close(first)
 	if got := queue.Requested(offer); got != 2*(MaxOpenRequests-1) {
-		t.Errorf("%d machines requested after a request was closed", got)
+		t.Errorf("machines requested after a request was closed: got %d, want those of one request less", got)
 	}
 	if open() == nil {
-		t.Error("no request in place of the closed one")
+		t.Error("no request opened after another was closed, want one")
 	}
 }
 
-// TestQueueDrop drops the shortfalls of an offer without capacity.
+// TestQueueDrop checks that the shortfalls of a dropped offer are not requested.
 func TestQueueDrop(t *testing.T) {
 	refused, other := Offer{Type: "small", Zone: "a"}, Offer{Type: "small", Zone: "b"}
 	queue := NewQueue(7, requestInterval)
 	queue.Replace([]Shortfall{{Offer: refused, Count: 1}, {Offer: other, Count: 1}})
 	queue.Drop(refused)
 	if got := queue.Next(0); got == nil || got.Offer() != other {
-		t.Errorf("requested %+v, want %+v", got, other)
+		t.Errorf("request: got %+v, want offer %+v", got, other)
 	}
 	if queue.Waiting() {
-		t.Error("the dropped shortfall is waiting")
+		t.Error("the dropped shortfall is still waiting")
 	}
 }
--- a/internal/core/provisioning/zone_choice.go
+++ b/internal/core/provisioning/zone_choice.go
@@ -2,22 +2,22 @@
 
 import "math"
 
-// All tasks of a one-zone job have to be placed in one zone. That zone is chosen for the whole job
-// before its first task is packed. Chosen by the capacity for the first task alone, it was one in
-// which the cloud had no machine for the last task, and a gang waited for minutes while another
-// zone had capacity for all of it.
+// All tasks of a one-zone job have to be placed in the same zone, which is chosen for the whole job
+// before its first task is packed. When it was chosen by the capacity for the first task alone, the
+// cloud had no machine for the last task there, and a gang waited for minutes while another zone had
+// capacity for all of its tasks.
 
-// zoneChoice is what a zone has for a one-zone job.
-type zoneChoice struct {
+// zoneCandidate is a zone with the capacity that it has for a one-zone job.
+type zoneCandidate struct {
 	zone     string
-	unplaced int     // tasks for which it has no capacity, nor any to be provisioned
-	cost     float64 // an hour, of what has to be provisioned
+	unplaced int     // tasks that fit neither on its machines nor on any to be provisioned
+	cost     float64 // per hour, of the tasks on machines to be provisioned
 	bins     int     // number of bins in the zone
 }
 
-// betterThan orders choices: capacity for the most tasks, at the least cost, in the zone with the
-// fewest machines, then by name.
-func (c *zoneChoice) betterThan(other *zoneChoice) bool {
+// betterThan orders candidates by the most tasks placed, the lowest cost, the fewest bins and then
+// the zone's name.
+func (c *zoneCandidate) betterThan(other *zoneCandidate) bool {
 	switch {
 	case c.unplaced != other.unplaced:
 		return c.unplaced < other.unplaced
@@ -29,8 +29,9 @@
 	return c.zone < other.zone
 }
 
-// provision counts as many of the unplaced tasks as possible on machines of an offer.
-func (c *zoneChoice) provision(offer *offerCost) {
+// provision places as many of the unplaced tasks as possible on new machines of an offer and adds
+// their cost.
+func (c *zoneCandidate) provision(offer *offerCost) {
 	if c.unplaced == 0 || offer.Available < 1 {
 		return
 	}
@@ -43,38 +44,38 @@
 	c.unplaced -= tasks
 }
 
-// ChooseZone chooses the zone for a number of equal tasks of a one-zone job none of which is
-// placed; empty if no zone has capacity for any.
+// ChooseZone returns the best zone for count equal tasks of a one-zone job that has no task placed
+// yet; empty if no zone has capacity for any of them.
 func (p *Plan) ChooseZone(task *TaskSpec, count int) string {
-	best := &zoneChoice{unplaced: count, cost: math.Inf(1)}
-	for _, choice := range p.zoneChoices(task, count) { // in any order: betterThan is a total order
-		if choice.unplaced < count && (best.zone == "" || choice.betterThan(best)) {
-			best = choice
+	best := &zoneCandidate{unplaced: count, cost: math.Inf(1)}
+	for _, candidate := range p.zoneCandidates(task, count) { // any order: betterThan is a total order
+		if candidate.unplaced < count && (best.zone == "" || candidate.betterThan(best)) {
+			best = candidate
 		}
 	}
 	return best.zone
 }
 
-// zoneChoices finds, by zone, how many of a number of equal tasks it has capacity for.
-func (p *Plan) zoneChoices(task *TaskSpec, count int) map[string]*zoneChoice {
+// zoneCandidates returns the candidates for count equal tasks, by zone name.
+func (p *Plan) zoneCandidates(task *TaskSpec, count int) map[string]*zoneCandidate {
 	p.reindexLastPacked()
-	kind := p.taskKind(task)
-	choices := map[string]*zoneChoice{}
-	choiceFor := func(zone string) *zoneChoice {
-		choice := choices[zone]
-		if choice == nil {
-			choice = &zoneChoice{zone: zone, unplaced: count, bins: p.binsByZone[zone]}
-			choices[zone] = choice
+	state := p.packingState(task)
+	candidates := map[string]*zoneCandidate{}
+	candidateFor := func(zone string) *zoneCandidate {
+		candidate := candidates[zone]
+		if candidate == nil {
+			candidate = &zoneCandidate{zone: zone, unplaced: count, bins: p.binsByZone[zone]}
+			candidates[zone] = candidate
 		}
-		return choice
+		return candidate
 	}
-	for _, index := range kind.indexes {
-		choice := choiceFor(index.offer.Zone)
-		choice.unplaced -= index.countFitting(task, choice.unplaced, &p.evaluations)
+	for _, index := range state.indexes {
+		candidate := candidateFor(index.offer.Zone)
+		candidate.unplaced -= index.countFitting(task, candidate.unplaced, &p.evaluations)
 	}
-	for i := range kind.offers { // the cheapest first
-		offer := &kind.offers[i]
-		choiceFor(offer.Zone).provision(offer)
+	for i := range state.offers { // the cheapest first
+		offer := &state.offers[i]
+		candidateFor(offer.Zone).provision(offer)
 	}
-	return choices
+	return candidates
 }
