--- a/internal/core/forecast.go
+++ b/internal/core/forecast.go
@@ -77,7 +77,7 @@
 	tasks := arrivals.Expected(l.core.now, leadS, objective.Share)
 	if objective.Kind == objectiveGuarantee && arrivals.lastJob.Shape == wire.ShapeArray {
 		// The objective counts an array's wait up to the start of its last task.
-		tasks *= int(math.Round(arrivals.JobSize()))
+		tasks *= int(math.Round(arrivals.AverageJobSize()))
 	}
 	if limit := l.core.operatorSettings.WarmMachines; limit != nil {
 		tasks = min(tasks, *limit)
--- a/internal/core/forecast/arrivals.go
+++ b/internal/core/forecast/arrivals.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// Window is the sliding window over which arrivals are counted.
-const Window = 120 * time.Second
+// ArrivalWindow is the sliding window over which arrivals are counted.
+const ArrivalWindow = 120 * time.Second
 
-// MaxTasksPerJob is the maximum number of tasks of one job that the statistics count. A huge job
-// is a single event and does not predict the rate of later arrivals.
-const MaxTasksPerJob = 64
+// MaxCountedTasksPerJob is the maximum number of tasks of one job that the statistics count. A huge
+// job is a single event and does not predict the rate of later arrivals.
+const MaxCountedTasksPerJob = 64
 
 // jobSizeSamples is the number of jobs over which the moving average of the job size is taken.
 const jobSizeSamples = 8
@@ -29,11 +29,11 @@
 // Record records a job that was submitted at the time at. tasks is its number of tasks; arrivals
 // is how many of them count as arrivals: one for an array, all for a service or a gang.
 func (a *Arrivals) Record(at, now time.Duration, tasks, arrivals int) {
-	for range min(arrivals, MaxTasksPerJob) {
+	for range min(arrivals, MaxCountedTasksPerJob) {
 		a.times = append(a.times, at)
 	}
-	a.recordJobSize(float64(min(tasks, MaxTasksPerJob)))
-	for len(a.times) > 0 && now-a.times[0] > Window {
+	a.recordJobSize(float64(min(tasks, MaxCountedTasksPerJob)))
+	for len(a.times) > 0 && now-a.times[0] > ArrivalWindow {
 		a.times = a.times[1:]
 	}
 }
@@ -49,7 +49,7 @@
 func (a *Arrivals) Recent(now time.Duration) int {
 	count := 0
 	for _, at := range a.times {
-		if now-at <= Window {
+		if now-at <= ArrivalWindow {
 			count++
 		}
 	}
@@ -58,11 +58,11 @@
 
 // Active reports whether the arrival recorded last is within the window before now.
 func (a *Arrivals) Active(now time.Duration) bool {
-	return len(a.times) > 0 && now-a.times[len(a.times)-1] <= Window
+	return len(a.times) > 0 && now-a.times[len(a.times)-1] <= ArrivalWindow
 }
 
-// JobSize returns the moving average of the number of tasks per job.
-func (a *Arrivals) JobSize() float64 { return a.jobSize }
+// AverageJobSize returns the moving average of the number of tasks per job.
+func (a *Arrivals) AverageJobSize() float64 { return a.jobSize }
 
 // Bounds of the probability that a forecast is computed for.
 const (
@@ -73,7 +73,7 @@
 // Expected returns the number of arrivals in the next horizonS seconds that is not exceeded with
 // the given probability, and at least 1.
 func (a *Arrivals) Expected(now time.Duration, horizonS, probability float64) int {
-	mean := float64(a.Recent(now)) / Window.Seconds() * horizonS
+	mean := float64(a.Recent(now)) / ArrivalWindow.Seconds() * horizonS
 	return max(1, poissonQuantile(mean, min(max(probability, minProbability), maxProbability)))
 }
 
--- a/internal/core/forecast/arrivals_test.go
+++ b/internal/core/forecast/arrivals_test.go
@@ -16,8 +16,8 @@
 	}{
 		{"array counts as one arrival", 10, 1, 0, 1},
 		{"each task of a service counts", 10, 10, 0, 10},
-		{"huge job counts up to the limit", 1000, 1000, 0, MaxTasksPerJob},
-		{"submission before the window", 10, 10, Window + time.Second, 0},
+		{"huge job counts up to the limit", 1000, 1000, 0, MaxCountedTasksPerJob},
+		{"submission before the window", 10, 10, ArrivalWindow + time.Second, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var arrivals Arrivals
@@ -46,10 +46,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			var arrivals Arrivals
 			for range tc.old {
-				arrivals.Record(now-Window-time.Second, now, 1, 1)
+				arrivals.Record(now-ArrivalWindow-time.Second, now, 1, 1)
 			}
 			for range tc.recent {
-				arrivals.Record(now-Window, now, 1, 1)
+				arrivals.Record(now-ArrivalWindow, now, 1, 1)
 			}
 			if got := arrivals.Expected(now, 60, tc.probability); got != tc.want {
 				t.Errorf("expected arrivals: got %d, want %d", got, tc.want)
@@ -58,11 +58,11 @@
 	}
 }
 
-func TestJobSize(t *testing.T) {
+func TestAverageJobSize(t *testing.T) {
 	var arrivals Arrivals
 	arrivals.Record(now, now, 8, 1)
 	arrivals.Record(now, now, 16, 1)
-	if got := arrivals.JobSize(); got != 9 {
+	if got := arrivals.AverageJobSize(); got != 9 {
 		t.Errorf("average job size: got %v tasks, want 9", got)
 	}
 }
--- a/internal/core/forecast/run_times.go
+++ b/internal/core/forecast/run_time_correction.go
@@ -10,15 +10,15 @@
 	minWeight = 0.05
 )
 
-// RunTimes holds the moving average of a class's ratio of run times to the owners' estimates. The
+// RunTimeCorrection holds the moving average of a class's ratio of run times to the owners' estimates. The
 // zero value leaves estimates unchanged.
-type RunTimes struct {
+type RunTimeCorrection struct {
 	correction float64 // average ratio minus 1
 	runs       int
 }
 
 // Observe records the run time of a task whose owner estimated it at estimateS seconds.
-func (r *RunTimes) Observe(runTime time.Duration, estimateS float64) {
+func (r *RunTimeCorrection) Observe(runTime time.Duration, estimateS float64) {
 	r.runs++
 	weight := max(1/float64(r.runs+1), minWeight)
 	ratio := min(max(runTime.Seconds()/estimateS, minRatio), maxRatio)
@@ -26,4 +26,4 @@
 }
 
 // Correct returns an estimate in seconds, multiplied by the average ratio.
-func (r *RunTimes) Correct(estimateS float64) float64 { return estimateS * (1 + r.correction) }
+func (r *RunTimeCorrection) Correct(estimateS float64) float64 { return estimateS * (1 + r.correction) }
--- a/internal/core/forecast/run_times_test.go
+++ b/internal/core/forecast/run_time_correction_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// TestRunTimes checks that the correction converges to the ratio of the observed runs, here 2, and
+// TestRunTimeCorrection checks that the correction converges to the ratio of the observed runs, here 2, and
 // that the ratio of an outlier is clamped to 4.
-func TestRunTimes(t *testing.T) {
-	var runTimes RunTimes
+func TestRunTimeCorrection(t *testing.T) {
+	var runTimes RunTimeCorrection
 	if got := runTimes.Correct(10); got != 10 {
 		t.Errorf("estimate before any run: got %v s, want 10 s", got)
 	}
@@ -19,7 +19,7 @@
 			t.Errorf("corrected estimate: got %v s, want %v s", got, want)
 		}
 	}
-	var outlier RunTimes
+	var outlier RunTimeCorrection
 	outlier.Observe(time.Hour, 10)
 	if got := outlier.Correct(10); got != 25 {
 		t.Errorf("estimate corrected by an outlier: got %v s, want 25 s", got)
--- a/internal/core/forecast_objectives_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -57,8 +57,8 @@
 // TestHugeArrayIsNotForecast submits a huge array: it is one event, not the size of future ones.
 func TestHugeArrayIsNotForecast(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
-	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxTasksPerJob}, nil)
-	if size := leader.arrivalsByClass["c"].JobSize(); size > forecast.MaxTasksPerJob {
+	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxCountedTasksPerJob}, nil)
+	if size := leader.arrivalsByClass["c"].AverageJobSize(); size > forecast.MaxCountedTasksPerJob {
 		t.Errorf("arrays of %v tasks are forecast", size)
 	}
 }
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -74,10 +74,10 @@
 			leader.core.operatorSettings = &config.Operator{WarmMachines: tc.warm}
 			arrivals := &classArrivals{lastJob: &cluster.Job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
 			for range tc.old {
-				arrivals.Record(leader.core.now-forecast.Window-time.Second, leader.core.now, 1, 1)
+				arrivals.Record(leader.core.now-forecast.ArrivalWindow-time.Second, leader.core.now, 1, 1)
 			}
 			for range tc.recent {
-				arrivals.Record(leader.core.now-forecast.Window, leader.core.now, 1, 1)
+				arrivals.Record(leader.core.now-forecast.ArrivalWindow, leader.core.now, 1, 1)
 			}
 			if got := leader.expectedTasks(arrivals, tc.objective); got != tc.want {
 				t.Errorf("%d tasks, want %d", got, tc.want)
@@ -97,7 +97,7 @@
 	}{
 		{"an array is one arrival", wire.ShapeArray, 10, 0, 1},
 		{"a service's tasks", wire.ShapeService, 10, 0, 10},
-		{"a huge job is bounded", wire.ShapeService, 1000, 0, forecast.MaxTasksPerJob},
+		{"a huge job is bounded", wire.ShapeService, 1000, 0, forecast.MaxCountedTasksPerJob},
 		{"an old submission is out of the window", wire.ShapeService, 10, 121, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -60,7 +60,7 @@
 	returnedMachines      map[string]time.Duration // when the cloud confirmed their return
 	controllersOutgrown   bool                     // the fleet is larger than the controllers can serve, see checkFleetSize
 	arrivalsByClass       map[string]*classArrivals
-	runTimesByClass       map[string]*forecast.RunTimes
+	runTimesByClass       map[string]*forecast.RunTimeCorrection
 	provisioningLatencies *bootlatency.History
 }
 
@@ -79,7 +79,7 @@
 		dependencyLists:       dependencyLists{unread: map[string]time.Duration{}},
 		bestEffortTeams:       scheduler.BestEffortTeams(c.settings.Deployment.Teams),
 		arrivalsByClass:       map[string]*classArrivals{},
-		runTimesByClass:       map[string]*forecast.RunTimes{},
+		runTimesByClass:       map[string]*forecast.RunTimeCorrection{},
 		fleet:                 newFleet(&c.settings.Deployment, leadership.Term),
 		pullStatistics:        pullEvidence{inherited: c.pullsAreSequential},
 		outliers:              outlier.New(),
--- a/internal/core/run_estimate.go
+++ b/internal/core/run_estimate.go
@@ -12,7 +12,7 @@
 		return
 	}
 	if l.runTimesByClass[job.Class] == nil {
-		l.runTimesByClass[job.Class] = &forecast.RunTimes{}
+		l.runTimesByClass[job.Class] = &forecast.RunTimeCorrection{}
 	}
 	l.runTimesByClass[job.Class].Observe(run, job.EstimatedRunS)
 }
