--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -85,7 +85,7 @@
 		refuseType(leader, "small", "a")
 		addArray(leader, "job-1", team, "scan", 4, 0)
 		leader.planScaleOut(leader.candidates(), leader.refreshUsage())
-		if requests := len(leader.fleet.requests.Open()); (requests > 0) != (team == "vision") {
+		if requests := len(leader.fleet.requests.OpenRequests()); (requests > 0) != (team == "vision") {
 			t.Errorf("%d provisioning requests for team %s", requests, team)
 		}
 	}
--- a/internal/core/forecast_objectives_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -44,7 +44,7 @@
 			leader.markWithinQuota()
 			leader.planScaleOut(nil, map[string]topology.Resources{})
 			provisioned := 0.0
-			for _, request := range leader.fleet.requests.Open() {
+			for _, request := range leader.fleet.requests.OpenRequests() {
 				provisioned += 8 * float64(request.Count)
 			}
 			if (provisioned > 0) != tc.want || tc.want && provisioned < 2*float64(tc.tasks) {
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -50,7 +50,7 @@
 	for _, name := range sortedKeys(l.core.machineTypes) {
 		machineType := l.core.machineTypes[name]
 		for offer := range l.offersOf(machineType) {
-			machines := l.fleet.availability.Machines(offer, l.core.now, l.fleet.requests.Requested(offer))
+			machines := l.fleet.availability.AllowedMachines(offer, l.core.now, l.fleet.requests.RequestedMachines(offer))
 			if machines <= 0 {
 				continue
 			}
@@ -72,7 +72,7 @@
 			continue
 		}
 		for offer := range l.offersOf(machineType) {
-			if eligible(job, offer.Type, offer.Zone, offer.Spot) && !l.fleet.availability.Refused(offer, l.core.now) {
+			if eligible(job, offer.Type, offer.Zone, offer.Spot) && !l.fleet.availability.InBackoff(offer, l.core.now) {
 				return true
 			}
 		}
@@ -90,7 +90,7 @@
 // backOffOffer records that the cloud has no more machines of an offer. The next plan takes
 // another one.
 func (l *leader) backOffOffer(offer provisioning.Offer, backoff time.Duration) {
-	l.fleet.availability.Refuse(offer, l.core.now+backoff)
-	l.fleet.requests.Drop(offer)
+	l.fleet.availability.RecordRefusal(offer, l.core.now+backoff)
+	l.fleet.requests.DropOffer(offer)
 	l.passes.requested = true
 }
--- a/internal/core/provisioning/availability.go
+++ b/internal/core/provisioning/availability.go
@@ -32,15 +32,15 @@
 	return &Availability{backoffUntil: map[Offer]time.Duration{}, slowStartLimits: map[Offer]int{}}
 }
 
-// Refuse records that the cloud has refused an offer, which must not be requested again before the
-// time until.
-func (a *Availability) Refuse(offer Offer, until time.Duration) {
+// RecordRefusal records that the cloud has refused an offer, which must not be requested again before
+// the time until.
+func (a *Availability) RecordRefusal(offer Offer, until time.Duration) {
 	a.backoffUntil[offer] = until
 	a.slowStartLimits[offer] = initialSlowStartLimit
 }
 
-// Grant records that a request for an offer was granted in full.
-func (a *Availability) Grant(offer Offer) {
+// RecordFullGrant records that a request for an offer was granted in full.
+func (a *Availability) RecordFullGrant(offer Offer) {
 	limit, limited := a.slowStartLimits[offer]
 	switch {
 	case !limited:
@@ -51,15 +51,15 @@
 	}
 }
 
-// Refused reports whether an offer is in the backoff after a refusal.
-func (a *Availability) Refused(offer Offer, now time.Duration) bool {
+// InBackoff reports whether an offer is in the backoff after a refusal.
+func (a *Availability) InBackoff(offer Offer, now time.Duration) bool {
 	return now < a.backoffUntil[offer]
 }
 
-// Machines returns how many machines of an offer may be requested now, in addition to the number
-// requested already. It is negative if that number exceeds the limit.
-func (a *Availability) Machines(offer Offer, now time.Duration, requested int) int {
-	if a.Refused(offer, now) {
+// AllowedMachines returns how many machines of an offer may be requested now, in addition to those
+// requested already. It is negative if more than the limit are requested.
+func (a *Availability) AllowedMachines(offer Offer, now time.Duration, requested int) int {
+	if a.InBackoff(offer, now) {
 		return 0
 	}
 	limit, limited := a.slowStartLimits[offer]
--- a/internal/core/provisioning/availability_test.go
+++ b/internal/core/provisioning/availability_test.go
@@ -11,11 +11,11 @@
 	const refusedFor = 6 * time.Second
 	offer, other := Offer{Type: "small", Zone: "a"}, Offer{Type: "small", Zone: "a", Spot: true}
 	availability := NewAvailability()
-	if got := availability.Machines(offer, 0, 10); got != Unlimited {
+	if got := availability.AllowedMachines(offer, 0, 10); got != Unlimited {
 		t.Errorf("machines before any refusal: got %d, want no limit", got)
 	}
-	availability.Grant(offer)
-	availability.Refuse(offer, refusedFor)
+	availability.RecordFullGrant(offer)
+	availability.RecordRefusal(offer, refusedFor)
 	for _, step := range []struct {
 		now       time.Duration
 		requested int
@@ -31,21 +31,21 @@
 		{refusedFor, 0, Unlimited, true},
 		{refusedFor, 7, Unlimited, false},
 	} {
-		if got := availability.Machines(offer, step.now, step.requested); got != step.want {
+		if got := availability.AllowedMachines(offer, step.now, step.requested); got != step.want {
 			t.Errorf("step %+v: got %d machines, want the number in the step", step, got)
 		}
-		if got := availability.Refused(offer, step.now); got != (step.now < refusedFor) {
+		if got := availability.InBackoff(offer, step.now); got != (step.now < refusedFor) {
 			t.Errorf("step %+v: got refused %v, want the opposite", step, got)
 		}
-		if got := availability.Machines(other, step.now, 0); got != Unlimited {
+		if got := availability.AllowedMachines(other, step.now, 0); got != Unlimited {
 			t.Errorf("step %+v: got %d machines of the other offer, want no limit", step, got)
 		}
 		if step.grant {
-			availability.Grant(offer)
+			availability.RecordFullGrant(offer)
 		}
 	}
-	availability.Refuse(offer, 2*refusedFor)
-	if got := availability.Machines(offer, 2*refusedFor, 0); got != initialSlowStartLimit {
+	availability.RecordRefusal(offer, 2*refusedFor)
+	if got := availability.AllowedMachines(offer, 2*refusedFor, 0); got != initialSlowStartLimit {
 		t.Errorf("machines after another refusal: got %d, want the initial slow-start limit", got)
 	}
 }
--- a/internal/core/provisioning/queue.go
+++ b/internal/core/provisioning/queue.go
@@ -29,7 +29,7 @@
 	idPrefix      string
 	interval      time.Duration
 	shortfalls    []Shortfall // of the last plan, not yet requested
-	open          []*Request  // never modified in place, so that a loop over Open may close requests
+	open          []*Request  // never modified in place: a loop over OpenRequests may close some
 	nextRequestAt time.Duration
 	sequence      int
 }
@@ -42,13 +42,13 @@
 // Replace replaces the shortfalls with those of a new plan, which are ordered most urgent first.
 func (q *Queue) Replace(shortfalls []Shortfall) { q.shortfalls = slices.Clone(shortfalls) }
 
-// Drop removes the shortfalls of an offer without capacity. The next plan uses other offers.
-func (q *Queue) Drop(offer Offer) {
+// DropOffer removes the shortfalls of a refused offer. The next plan uses other offers.
+func (q *Queue) DropOffer(offer Offer) {
 	q.shortfalls = slices.DeleteFunc(q.shortfalls, func(s Shortfall) bool { return s.Offer == offer })
 }
 
-// Waiting reports whether any shortfall has not been requested yet.
-func (q *Queue) Waiting() bool { return len(q.shortfalls) > 0 }
+// HasShortfalls reports whether any shortfall has not been requested yet.
+func (q *Queue) HasShortfalls() bool { return len(q.shortfalls) > 0 }
 
 // Next opens and returns the request for the most urgent shortfall; nil if there is no shortfall,
 // the interval has not passed or MaxOpenRequests are open.
@@ -77,11 +77,11 @@
 	return request
 }
 
-// Open returns the requests without an answer.
-func (q *Queue) Open() []*Request { return q.open }
+// OpenRequests returns the requests without an answer.
+func (q *Queue) OpenRequests() []*Request { return q.open }
 
-// Requested returns the number of machines of an offer in open requests.
-func (q *Queue) Requested(offer Offer) int {
+// RequestedMachines returns the number of machines of an offer in open requests.
+func (q *Queue) RequestedMachines(offer Offer) int {
 	count := 0
 	for _, request := range q.open {
 		if request.Offer() == offer {
--- a/internal/core/provisioning/queue_test.go
+++ b/internal/core/provisioning/queue_test.go
@@ -23,7 +23,7 @@
 		{ID: "r-7-3", Type: "large", Zone: "b", Count: 2},
 	} {
 		now := time.Duration(i) * requestInterval
-		if !queue.Waiting() {
+		if !queue.HasShortfalls() {
 			t.Fatalf("no shortfall is waiting, want request %+v", want)
 		}
 		if got := queue.Next(now); got == nil || got.ProvisionRequest != want {
@@ -33,7 +33,7 @@
 			t.Errorf("request within the interval: got %+v, want none", got)
 		}
 	}
-	if queue.Waiting() || queue.Next(time.Hour) != nil {
+	if queue.HasShortfalls() || queue.Next(time.Hour) != nil {
 		t.Error("shortfalls are left after the last request, want none")
 	}
 }
@@ -53,17 +53,17 @@
 	for range 2 * MaxOpenRequests {
 		open()
 	}
-	if got := len(queue.Open()); got != MaxOpenRequests {
+	if got := len(queue.OpenRequests()); got != MaxOpenRequests {
 		t.Fatalf("open requests: got %d, want %d", got, MaxOpenRequests)
 	}
-	if got := queue.Requested(offer); got != 2*MaxOpenRequests {
+	if got := queue.RequestedMachines(offer); got != 2*MaxOpenRequests {
 		t.Errorf("machines requested: got %d, want %d", got, 2*MaxOpenRequests)
 	}
-	if got := queue.Requested(Offer{Type: "small", Zone: "b"}); got != 0 {
+	if got := queue.RequestedMachines(Offer{Type: "small", Zone: "b"}); got != 0 {
 		t.Errorf("machines requested of another offer: got %d, want 0", got)
 	}
 	queue.Close(first)
-	if got := queue.Requested(offer); got != 2*(MaxOpenRequests-1) {
+	if got := queue.RequestedMachines(offer); got != 2*(MaxOpenRequests-1) {
 		t.Errorf("machines requested after a request was closed: got %d, want those of one request less", got)
 	}
 	if open() == nil {
@@ -76,11 +76,11 @@
 	refused, other := Offer{Type: "small", Zone: "a"}, Offer{Type: "small", Zone: "b"}
 	queue := NewQueue(7, requestInterval)
 	queue.Replace([]Shortfall{{Offer: refused, Count: 1}, {Offer: other, Count: 1}})
-	queue.Drop(refused)
+	queue.DropOffer(refused)
 	if got := queue.Next(0); got == nil || got.Offer() != other {
 		t.Errorf("request: got %+v, want offer %+v", got, other)
 	}
-	if queue.Waiting() {
+	if queue.HasShortfalls() {
 		t.Error("the dropped shortfall is still waiting")
 	}
 }
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -41,7 +41,7 @@
 func (l *leader) requestShortfalls(shortfalls []provisioning.Shortfall) {
 	l.fleet.requests.Replace(shortfalls)
 	l.sendScaleOuts()
-	if l.fleet.requests.Waiting() {
+	if l.fleet.requests.HasShortfalls() {
 		l.passes.requested = true
 	}
 }
@@ -62,7 +62,7 @@
 
 // retryScaleOuts repeats requests whose last call failed.
 func (l *leader) retryScaleOuts() {
-	for _, request := range l.fleet.requests.Open() {
+	for _, request := range l.fleet.requests.OpenRequests() {
 		if !request.InFlight && l.core.now >= request.RetryAt {
 			l.sendScaleOut(request)
 		}
@@ -120,7 +120,7 @@
 	if len(result.Machines) < request.Count {
 		l.backOffOffer(offer, l.offerBackoff())
 	} else {
-		l.fleet.availability.Grant(offer)
+		l.fleet.availability.RecordFullGrant(offer)
 	}
 	l.passes.requested = true
 }
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -79,7 +79,7 @@
 
 // addRequested adds the machines of provisioning requests without an answer.
 func (p *scaleOutPlan) addRequested() {
-	for _, request := range p.leader.fleet.requests.Open() {
+	for _, request := range p.leader.fleet.requests.OpenRequests() {
 		if machineType := p.leader.core.machineTypes[request.Type]; machineType != nil {
 			p.AddRequested(request.Offer(), cluster.TypeCapacity(machineType), request.Count)
 		}
--- a/internal/core/scale_out_plan_test.go
+++ b/internal/core/scale_out_plan_test.go
@@ -47,7 +47,7 @@
 
 // refuse records that the cloud has refused an offer, for a second.
 func refuse(leader *leader, offer provisioning.Offer) {
-	leader.fleet.availability.Refuse(offer, leader.core.now+time.Second)
+	leader.fleet.availability.RecordRefusal(offer, leader.core.now+time.Second)
 }
 
 // refuseType records that the cloud has refused all that it offers of a machine type in a zone.
@@ -223,7 +223,7 @@
 		{Offer: offer("large", "b", false), Count: 1},
 	}
 	leader.requestShortfalls(shortfalls)
-	open := leader.fleet.requests.Open()
+	open := leader.fleet.requests.OpenRequests()
 	if len(open) != 1 || open[0].Count != provisioning.MaxMachinesPerRequest {
 		t.Fatalf("%d requests, the first one %+v", len(open), open[0])
 	}
@@ -234,7 +234,7 @@
 		leader.core.now += time.Second
 		leader.requestShortfalls(shortfalls)
 	}
-	if n := len(leader.fleet.requests.Open()); n != provisioning.MaxOpenRequests {
+	if n := len(leader.fleet.requests.OpenRequests()); n != provisioning.MaxOpenRequests {
 		t.Errorf("%d requests without an answer, at most %d allowed", n, provisioning.MaxOpenRequests)
 	}
 }
--- a/internal/core/scale_out_test.go
+++ b/internal/core/scale_out_test.go
@@ -47,7 +47,7 @@
 			leader.requestShortfalls([]provisioning.Shortfall{{Offer: requested, Count: 2}})
 			Result{ID: lastCall(t, leader).ID, Status: tc.number, Body: []byte(tc.body)}.apply(leader.core)
 
-			open := leader.fleet.requests.Open()
+			open := leader.fleet.requests.OpenRequests()
 			if (len(open) > 0) != tc.open {
 				t.Errorf("%d open requests", len(open))
 			}
@@ -55,7 +55,7 @@
 				t.Errorf("not repeated: %+v", open[0])
 			}
 			availability := leader.fleet.availability
-			if tc.backoff > 0 && !availability.Refused(requested, leader.core.now+tc.backoff-1) || availability.Refused(requested, leader.core.now+tc.backoff) {
+			if tc.backoff > 0 && !availability.InBackoff(requested, leader.core.now+tc.backoff-1) || availability.InBackoff(requested, leader.core.now+tc.backoff) {
 				t.Errorf("backoff is not %v", tc.backoff)
 			}
 			if len(leader.Machines) != tc.machines {
