--- a/internal/core/persistence/batch.go
+++ b/internal/core/persistence/batch.go
@@ -7,44 +7,43 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Estimates of the bytes that a write takes in a transaction.
+// Estimates for the size of a transaction, in bytes.
 const (
-	// maxBatchBytes is the size from which a batch takes no further record.
+	// maxBatchBytes is the estimated size at which a batch accepts no further record.
 	maxBatchBytes = 44 << 10
-	// jobEndBytes is what the end of a job takes.
+	// jobEndBytes is the size of all writes for the end of a job.
 	jobEndBytes = 400
-	// recordOverhead is what a record takes in addition to its value.
+	// recordOverhead is the size of a write without the record's value.
 	recordOverhead = 300
 )
 
-// jobEndWrites is the number of writes that every end of a job takes: the deletion of the
-// open record and the final record.
+// jobEndWrites is the number of writes that the end of every job needs: one deletes the open
+// record, one puts the final record.
 const jobEndWrites = 2
 
-// A batch collects the record writes of one transaction and what is to be done with its
-// outcome.
+// A batch collects the record writes of one transaction, and the handlers for its outcome.
 type batch struct {
 	*Writer
 	txn         *wire.Txn
 	maxWrites   int
-	namedRanges bool // placement records name their range
-	bytes       int  // estimate of the size
-	incomplete  bool // records that are due were left out
-
-	dependencyConditions int             // conditions on dependencies
-	jobs                 []*cluster.Job  // whose records are written
-	ends                 []wire.JobEnd   // that were committed
-	deletions            int             // orphaned records that are deleted
+	namedRanges bool // the keys of placement records name a range
+	bytes       int  // estimated size
+	incomplete  bool // due records were left out
+
+	dependencyConditions int             // conditions on the open records of dependencies
+	jobs                 []*cluster.Job  // jobs whose records are written
+	ends                 []wire.JobEnd   // job ends that were committed
+	deletions            int             // number of orphaned records deleted
 	handlers             []func(outcome) // in the order of the writes
 }
 
-// An outcome is what became of a batch.
+// An outcome says whether the transaction of a batch was committed.
 type outcome struct {
 	committed bool
-	revision  uint64 // of the records that were written
+	revision  uint64 // version of the written records
 }
 
-// newBatch makes an empty batch under the limits that hold now.
+// newBatch returns an empty batch with the current limits of the store.
 func (w *Writer) newBatch() *batch {
 	return &batch{
 		Writer:      w,
@@ -54,7 +53,7 @@
 	}
 }
 
-// fill adds the records that are due, ends of jobs ahead of placements.
+// fill adds the due records. Ends of jobs come before placements.
 func (b *batch) fill() {
 	b.addFinishedEnds()
 	b.host.AddCancelledEnds(b.addEnd)
@@ -63,7 +62,7 @@
 	b.addDeletions()
 }
 
-// hasRoom reports whether the batch takes a number of further writes.
+// hasRoom reports whether the batch can take this number of further writes.
 func (b *batch) hasRoom(writes int) bool {
 	if b.singleJobTransactions && !b.empty() {
 		return false
@@ -71,8 +70,9 @@
 	return len(b.txn.Writes)+writes <= b.maxWrites && b.bytes < maxBatchBytes
 }
 
-// reserve is hasRoom for a record that is due: without room, it is left out.
-func (b *batch) reserve(writes int) bool {
+// checkRoom is hasRoom for a due record. If there is no room, it marks the batch incomplete, since
+// the record is left out.
+func (b *batch) checkRoom(writes int) bool {
 	if b.hasRoom(writes) {
 		return true
 	}
@@ -82,16 +82,17 @@
 
 func (b *batch) empty() bool { return len(b.txn.Writes) == 0 }
 
-// moreDue reports whether records that are due are not in the batch.
+// moreDue reports whether due records have been left out of the batch.
 func (b *batch) moreDue() bool { return b.incomplete || len(b.orphans) > b.deletions }
 
-// addCondition makes the batch conditional on the version of a record; 0 is none.
+// addCondition makes the batch conditional on the version of a record. Version 0 means that the
+// record does not exist.
 func (b *batch) addCondition(key string, version uint64) {
 	b.txn.Conditions = append(b.txn.Conditions, wire.Condition{Key: key, Version: version})
 }
 
-// addJob adds a job whose records the batch writes, on the condition that its open record is
-// unchanged.
+// addJob adds a job whose records the batch writes, and makes the batch conditional on the job's
+// open record being unchanged.
 func (b *batch) addJob(job *cluster.Job) {
 	b.addCondition(records.OpenKey(job.ID), job.OpenVersion)
 	b.jobs = append(b.jobs, job)
@@ -105,10 +106,10 @@
 	b.txn.Writes = append(b.txn.Writes, wire.Write{Delete: key})
 }
 
-// onOutcome registers a function that is called with the outcome, after those registered before.
+// onOutcome registers a handler for the outcome. Handlers are called in the order of registration.
 func (b *batch) onOutcome(handle func(outcome)) { b.handlers = append(b.handlers, handle) }
 
-// addFinishedEnds adds the ends of jobs that were not cancelled.
+// addFinishedEnds adds the ends of finished jobs that were not cancelled.
 func (b *batch) addFinishedEnds() {
 	for _, job := range b.state.JobsBySubmission {
 		if !job.Cancellation.Requested() && b.EndRecordable(job) && !b.addEnd(job) {
@@ -120,8 +121,8 @@
 // addEnd adds the end of a job. It returns false if there is no room for it.
 func (b *batch) addEnd(job *cluster.Job) bool {
 	keys := job.RecordKeys()
-	writes := min(jobEndWrites+len(keys), b.maxWrites) // the rest is deleted afterwards
-	if !b.reserve(writes) {
+	writes := min(jobEndWrites+len(keys), b.maxWrites) // later batches delete the remaining records
+	if !b.checkRoom(writes) {
 		return false
 	}
 	final := records.Final{Status: wire.StatusDone, Tasks: len(job.TaskStates)}
@@ -141,8 +142,8 @@
 	return true
 }
 
-// endOutcome handles the outcome of a job's end. Records that are left over are deleted by
-// later batches.
+// endOutcome handles the outcome of recording a job's end. Later batches delete the left-over
+// records.
 func (b *batch) endOutcome(job *cluster.Job, final records.Final, leftOver []string, o outcome) {
 	job.EndWritePending = false
 	if !o.committed {
@@ -160,8 +161,8 @@
 	b.host.JobEnded(job, end)
 }
 
-// addOpenRecords adds the open records of jobs whose dependencies are all done, and of those
-// that have to be written before others.
+// addOpenRecords adds the open records of jobs whose dependencies are all done, and of jobs whose
+// open record has to be written before their placement records.
 func (b *batch) addOpenRecords() {
 	for _, job := range b.state.JobsBySubmission {
 		if !job.RecordsWritable() || job.Cancellation.Requested() {
@@ -170,19 +171,19 @@
 		if !job.DependenciesDone && !job.RewriteOpenFirst || !b.mayWriteOpenRecord(job) {
 			continue
 		}
-		if !b.reserve(1) {
+		if !b.checkRoom(1) {
 			return
 		}
 		b.addOpenRecord(job)
 	}
 }
 
-// addOpenRecord adds the open record of a job, for which there is room.
+// addOpenRecord adds the open record of a job. The caller has checked that there is room.
 func (b *batch) addOpenRecord(job *cluster.Job) {
 	record := job.Record
 	if job.DependenciesDone {
 		record.ReadyAt = b.host.WallClockMS()
-		b.requireDependenciesOver(job)
+		b.requireDependenciesEnded(job)
 	}
 	body := kv.Encode(record)
 	b.bytes += len(body) + recordOverhead
@@ -192,9 +193,11 @@
 	b.onOutcome(func(o outcome) { b.openRecordOutcome(job, record, o) })
 }
 
-// requireDependenciesOver makes the batch conditional on the ends of a job's dependencies, which
-// deleted their open records, as far as conditions are left.
-func (b *batch) requireDependenciesOver(job *cluster.Job) {
+// requireDependenciesEnded makes the batch conditional on a job's dependencies having ended: the
+// end of a job deletes its open record. The store takes four conditions for each write that it
+// allows. The term needs one and each write at most two, so 2*maxWrites-1 are left for
+// dependencies. Those that exceed this number are not checked.
+func (b *batch) requireDependenciesEnded(job *cluster.Job) {
 	for _, dependency := range job.Dependencies {
 		if b.dependencyConditions >= 2*b.maxWrites-1 {
 			return
@@ -222,7 +225,7 @@
 	}
 }
 
-// addPlacements adds the placement records that have changed.
+// addPlacements adds the due placement records of all jobs.
 func (b *batch) addPlacements() {
 	for _, job := range b.state.JobsBySubmission {
 		if !job.RecordsWritable() || b.inBackoff(job) {
@@ -236,7 +239,7 @@
 	}
 }
 
-// addPlacementsOf adds the placement records of a job that are due, as far as there is room.
+// addPlacementsOf adds a job's due placement records until the batch is full.
 func (b *batch) addPlacementsOf(job *cluster.Job) {
 	first := true
 	for i := range job.PlacementRecords {
@@ -245,10 +248,10 @@
 			continue
 		}
 		if b.host.Now() < record.DueAt {
-			b.schedule(record.DueAt)
+			b.scheduleWrite(record.DueAt)
 			continue
 		}
-		if !b.reserve(1) {
+		if !b.checkRoom(1) {
 			return
 		}
 		if first {
@@ -259,7 +262,7 @@
 	}
 }
 
-// addPlacement adds a placement record, for which there is room.
+// addPlacement adds a placement record. The caller has checked that there is room.
 func (b *batch) addPlacement(job *cluster.Job, record *cluster.PlacementRecord) {
 	body, starts := EncodePlacement(job, record)
 	b.bytes += len(body) + recordOverhead
@@ -269,8 +272,8 @@
 	b.onOutcome(func(o outcome) { b.placementOutcome(job, record, starts, o) })
 }
 
-// placementOutcome handles the outcome of writing a placement record: tasks that it is the
-// first to place are started now.
+// placementOutcome handles the outcome of writing a placement record: tasks whose placement it
+// records for the first time are started.
 func (w *Writer) placementOutcome(job *cluster.Job, record *cluster.PlacementRecord, starts []records.PlacedTask, o outcome) {
 	record.WritePending = false
 	if !o.committed {
@@ -286,7 +289,7 @@
 	w.host.StartTasks(job, starts)
 }
 
-// addDeletions adds deletions of orphaned records, if all else that is due is in the batch.
+// addDeletions adds deletions of orphaned records if the batch contains everything else due.
 func (b *batch) addDeletions() {
 	for _, key := range b.orphans {
 		if b.incomplete || !b.hasRoom(1) {
@@ -300,14 +303,14 @@
 	}
 }
 
-// deletionsOutcome forgets the orphaned records that were deleted.
+// deletionsOutcome removes the deleted records from the list of orphans.
 func (b *batch) deletionsOutcome(o outcome) {
 	if o.committed {
 		b.orphans = b.orphans[b.deletions:]
 	}
 }
 
-// onResult handles the result of the transaction.
+// onResult handles the store's response to the transaction.
 func (b *batch) onResult(r kv.TxnResult) {
 	b.transactionOpen = false
 	if b.host.SteppedDown() {
@@ -321,7 +324,7 @@
 	b.host.BatchAnswered(b.ends)
 }
 
-// outcomeOf returns the outcome for a result, and handles the cause if the batch was not committed.
+// outcomeOf converts a result to an outcome. If the batch was not committed, it handles the cause.
 func (b *batch) outcomeOf(r kv.TxnResult) outcome {
 	switch r.Status {
 	case kv.OK:
--- a/internal/core/persistence/batch_test.go
+++ b/internal/core/persistence/batch_test.go
@@ -15,12 +15,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// fakeLeader is a leader with jobs and a writer, whose requests are discarded.
+// fakeLeader is a WriterHost with jobs and a Writer. Its requests to the store are discarded.
 type fakeLeader struct {
 	state  cluster.State
 	writer *Writer
 	now    time.Duration
-	// cancelled are the jobs whose ends AddCancelledEnds adds.
+	// cancelled lists the jobs whose ends AddCancelledEnds adds.
 	cancelled []*cluster.Job
 }
 
@@ -72,7 +72,7 @@
 	return job
 }
 
-// placedJob adds a job all of whose tasks have a placement to be recorded.
+// placedJob adds a job whose tasks all have a placement that is due to be recorded.
 func (l *fakeLeader) placedJob(id string, tasks int) {
 	job := l.addJob(id, tasks)
 	for i := range tasks {
@@ -85,7 +85,7 @@
 	}
 }
 
-// doneJob adds a job whose end is to be recorded.
+// doneJob adds a job whose end is due to be recorded.
 func (l *fakeLeader) doneJob(id string) *cluster.Job {
 	job := l.addJob(id, 1)
 	job.TaskStates[0].Done = true
@@ -96,7 +96,7 @@
 
 func jobID(n int) string { return fmt.Sprintf("job-%06d", n) }
 
-// recordKinds names the kind of each write of a transaction.
+// recordKinds returns the kind of each write of a transaction, in order.
 func recordKinds(txn *wire.Txn) []string {
 	kinds := []string{}
 	for _, w := range txn.Writes {
@@ -118,16 +118,16 @@
 	return kinds
 }
 
-// TestRecordBatch fills a batch with records that are due: which ones it takes, in which order,
-// and whether it reports that others are left.
+// TestRecordBatch fills a batch with due records. It checks which records the batch contains, in
+// which order, and whether the batch reports that others are left.
 func TestRecordBatch(t *testing.T) {
 	end := []string{"remove open", "final"}
 	for _, tc := range []struct {
-		name    string
-		maxOps  int
-		prepare func(l *fakeLeader)
-		want    []string
-		more    bool
+		name      string
+		maxWrites int
+		prepare   func(l *fakeLeader)
+		want      []string
+		more      bool
 	}{
 		{"nothing due", 16, func(*fakeLeader) {}, nil, false},
 		{"an end ahead of an earlier job's placement", 16, func(l *fakeLeader) {
@@ -178,7 +178,7 @@
 		}, []string{"place"}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l := newFakeLeader(tc.maxOps)
+			l := newFakeLeader(tc.maxWrites)
 			tc.prepare(l)
 			b := l.writer.newBatch()
 			b.fill()
@@ -186,7 +186,7 @@
 				t.Errorf("writes %q, want %q", got, tc.want)
 			}
 			if b.moreDue() != tc.more {
-				t.Errorf("more is due: %v, want %v", b.moreDue(), tc.more)
+				t.Errorf("more records due: %v, want %v", b.moreDue(), tc.more)
 			}
 			checkConditions(t, l, b.txn)
 		})
@@ -198,7 +198,7 @@
 func checkConditions(t *testing.T, l *fakeLeader, txn *wire.Txn) {
 	t.Helper()
 	if len(txn.Conditions) == 0 || txn.Conditions[0] != l.writer.termCondition {
-		t.Errorf("not conditional on the term first: %+v", txn.Conditions)
+		t.Errorf("conditions %+v, want the condition on the term first", txn.Conditions)
 	}
 	for _, w := range txn.Writes {
 		_, rest, _ := strings.Cut(w.Put, "/")
@@ -208,12 +208,13 @@
 		}
 		condition := wire.Condition{Key: records.OpenKey(id), Version: l.state.Jobs[id].OpenVersion}
 		if !slices.Contains(txn.Conditions, condition) {
-			t.Errorf("%s is put without the condition %+v", w.Put, condition)
+			t.Errorf("write of %s: want the condition %+v, which the transaction does not have", w.Put, condition)
 		}
 	}
 }
 
-// TestRecordBatchBytes fills a batch with more bytes than a transaction may have.
+// TestRecordBatchBytes has more bytes due than a transaction may have: the batch stays within the
+// store's limit and reports that records are left.
 func TestRecordBatchBytes(t *testing.T) {
 	const jobs = 16
 	l := newFakeLeader(16)
@@ -228,9 +229,9 @@
 	}
 	const storeMax = 64 << 10
 	if total > storeMax {
-		t.Errorf("%d bytes in a transaction, of which the store takes %d", total, storeMax)
+		t.Errorf("%d bytes in a transaction, want at most the %d that the store accepts", total, storeMax)
 	}
 	if len(b.txn.Writes) == jobs || !b.moreDue() {
-		t.Errorf("%d bytes in %d writes, more due: %v; want some left for later", total, len(b.txn.Writes), b.moreDue())
+		t.Errorf("batch of %d bytes with %d writes, more due: %v; want fewer writes than due records, and true", total, len(b.txn.Writes), b.moreDue())
 	}
 }
--- a/internal/core/persistence/conflicts.go
+++ b/internal/core/persistence/conflicts.go
@@ -11,8 +11,8 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// resolveConflicts reads again the records that have changed by a failed condition: by another
-// controller's cancellation, or by a transaction of this leader whose answer got lost.
+// resolveConflicts re-reads the records whose conditions failed. Another controller's cancellation
+// has changed them, or a transaction of this leader whose response was lost.
 func (w *Writer) resolveConflicts(keys []string) {
 	for _, key := range keys {
 		if key == election.KeyTerm {
@@ -22,8 +22,8 @@
 		if job, ok := strings.CutPrefix(key, records.PrefixOpen); ok {
 			w.resolveOpenConflict(job)
 		}
-		if task, ok := strings.CutPrefix(key, records.PrefixPlacement); ok {
-			w.resolvePlacementConflict(cluster.JobIDOf(task), key)
+		if rest, ok := strings.CutPrefix(key, records.PrefixPlacement); ok {
+			w.resolvePlacementConflict(cluster.JobIDOf(rest), key)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 	if job == nil {
 		return
 	}
-	record := placementRecord(job, key)
+	record := findPlacementRecord(job, key)
 	if record == nil || record.VersionUnknown {
 		return
 	}
@@ -50,16 +50,16 @@
 	w.refreshPlacementRecord(job, key)
 }
 
-// placementRecord finds a job's placement record by its key; nil if there is none.
-func placementRecord(job *cluster.Job, key string) *cluster.PlacementRecord {
-	at := slices.IndexFunc(job.PlacementRecords, func(r cluster.PlacementRecord) bool { return r.Key == key })
-	if at < 0 {
+// findPlacementRecord returns a job's placement record by its key, or nil if there is none.
+func findPlacementRecord(job *cluster.Job, key string) *cluster.PlacementRecord {
+	index := slices.IndexFunc(job.PlacementRecords, func(r cluster.PlacementRecord) bool { return r.Key == key })
+	if index < 0 {
 		return nil
 	}
-	return &job.PlacementRecords[at]
+	return &job.PlacementRecords[index]
 }
 
-// refreshOpenRecord reads a job's open record until it is answered.
+// refreshOpenRecord re-reads a job's open record, and retries until the store answers.
 func (w *Writer) refreshOpenRecord(job *cluster.Job) {
 	w.store.Get(records.OpenKey(job.ID), func(r kv.GetResult) {
 		if w.host.SteppedDown() {
@@ -72,8 +72,8 @@
 			w.dirty = true
 			w.host.OpenRecordRead(job.ID, r.Item.Version, record)
 		case r.Status == kv.NotFound:
-			// This leader's own end of it, recorded by a transaction whose answer was
-			// lost: nobody else deletes an open record in this term.
+			// This leader has recorded the job's end in a transaction whose response was
+			// lost: no other controller deletes an open record during this term.
 			job.OpenVersionUnknown = false
 			job.EndRecorded = true
 			w.log.Info("job ended", "job", job.ID, "status", "recorded earlier")
@@ -85,13 +85,14 @@
 	})
 }
 
-// refreshPlacementRecord reads the version of a placement record until it is answered.
+// refreshPlacementRecord re-reads the version of a placement record, and retries until the store
+// answers.
 func (w *Writer) refreshPlacementRecord(job *cluster.Job, key string) {
 	w.store.Get(key, func(r kv.GetResult) {
 		if w.host.SteppedDown() {
 			return
 		}
-		record := placementRecord(job, key)
+		record := findPlacementRecord(job, key)
 		if record == nil {
 			return
 		}
--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -9,40 +9,41 @@
 	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
-// Placement records say which of a job's tasks may be on which machine. Each covers a range
-// of its tasks, so that its value stays within the limits of the store. There are two
-// layouts:
+// Placement records store which of a job's tasks may be running on which machine. Each covers a
+// range of the tasks, so that its value stays within the size limit of the store. There are two
+// layouts of keys:
 //
-//   - p/JOB/N covers as many tasks as value_kb allows, the Nth such range. It is what
-//     versions before wire.PeerVersionRanges read and write;
-//   - p/JOB/FROM-TO names its range. It is written where the limits are to become smaller
-//     than that, once every controller reads it. For the tasks of its range it takes
-//     precedence over any record of the first layout, which is left as it is until the
-//     job is over.
-
-// placementEntryBytes is about what a task takes in a record, at most. numberedEntryBytes is
-// what the numbered layout allows for it, and can no longer change.
+//   - Numbered: p/JOB/N is the Nth range of as many tasks as fit into value_kb. Versions before
+//     wire.PeerVersionRanges read and write only this layout.
+//   - Named ranges: p/JOB/FROM-TO names its range. It is written where values have to be smaller
+//     than value_kb now allows, once every controller reads it or the store has rejected a
+//     transaction. For the tasks of its range it takes precedence over any numbered record. The
+//     numbered records stay unchanged until the job has ended.
+
+// placementEntryMaxBytes is the approximate maximum size of a task's entry in a record.
+// numberedEntryBytes is the size that the numbered layout reserves for it. It must not change:
+// every version derives the range of a numbered record from it.
 const (
-	placementEntryBytes = 85
-	numberedEntryBytes  = 128
+	placementEntryMaxBytes = 85
+	numberedEntryBytes     = 128
 )
 
-// TasksPerNumberedRecord is how many tasks a numbered record covers. It goes by the limits that
-// hold now, as in the versions that know no other layout.
+// TasksPerNumberedRecord returns how many tasks a numbered record covers. It uses the current
+// value limit of the settings, not an announced one, as versions that know only this layout do.
 func (w *Writer) TasksPerNumberedRecord() int {
 	return max(1, int(w.deployment.Store.ValueKB*1024)/numberedEntryBytes)
 }
 
-// AllowNamedRanges allows records that name their range though not every peer has said that it
-// reads them: the store no longer accepts the numbered ones.
+// AllowNamedRanges allows records with named ranges before every peer has announced that it reads
+// them. It is called when the store no longer accepts the numbered records.
 func (w *Writer) AllowNamedRanges() { w.namedRangesAllowed = true }
 
-// writesNamedRanges reports whether records that name their range are to be written.
+// writesNamedRanges reports whether to write records with named ranges.
 func (w *Writer) writesNamedRanges() bool {
 	return w.store.ShrinkValues() && (w.namedRangesAllowed || w.host.PeersReadNamedRanges())
 }
 
-// InitPlacementRecords lays out the placement records of a job that has none.
+// InitPlacementRecords divides a job's tasks into new placement records, which are not stored yet.
 func (w *Writer) InitPlacementRecords(job *cluster.Job) {
 	job.PlacementRecords = nil
 	if w.writesNamedRanges() {
@@ -53,14 +54,14 @@
 	w.addNumberedRecords(job)
 }
 
-// addRangeRecords adds records that name their range for the tasks that none covers.
+// addRangeRecords adds records with named ranges for the tasks that no record covers.
 func (w *Writer) addRangeRecords(job *cluster.Job) {
-	perRecord := max(1, w.store.MaxPlacementValue()/placementEntryBytes)
+	tasksPerRecord := max(1, w.store.MaxPlacementValue()/placementEntryMaxBytes)
 	var added []cluster.PlacementRecord
 	from := 0
 	coverUpTo := func(to int) {
-		for ; from < to; from += perRecord {
-			end := min(from+perRecord, to)
+		for ; from < to; from += tasksPerRecord {
+			end := min(from+tasksPerRecord, to)
 			added = append(added, cluster.PlacementRecord{Key: records.RangeKey(job.ID, from, end), From: from, To: end})
 		}
 	}
@@ -77,19 +78,19 @@
 	slices.SortFunc(placementRecords, func(a, b cluster.PlacementRecord) int { return cmp.Compare(a.From, b.From) })
 }
 
-// addNumberedRecords adds numbered records for the tasks that none covers.
+// addNumberedRecords adds numbered records for the tasks that no record covers.
 func (w *Writer) addNumberedRecords(job *cluster.Job) {
 	known := map[string]cluster.PlacementRecord{}
 	for _, record := range job.PlacementRecords {
 		known[record.Key] = record
 	}
-	perRecord := w.TasksPerNumberedRecord()
+	tasksPerRecord := w.TasksPerNumberedRecord()
 	job.PlacementRecords = nil
-	for from := 0; from < len(job.TaskStates); from += perRecord {
+	for from := 0; from < len(job.TaskStates); from += tasksPerRecord {
 		record := cluster.PlacementRecord{
-			Key:  records.NumberedKey(job.ID, from/perRecord),
+			Key:  records.NumberedKey(job.ID, from/tasksPerRecord),
 			From: from,
-			To:   min(from+perRecord, len(job.TaskStates)),
+			To:   min(from+tasksPerRecord, len(job.TaskStates)),
 		}
 		if k, ok := known[record.Key]; ok {
 			record = k
@@ -98,14 +99,14 @@
 	}
 }
 
-// switchToNamedRanges moves a job from numbered records to those that name their range. The
-// old ones stay valid for ranges that are not written yet.
+// switchToNamedRanges moves a job from numbered records to records with named ranges. A numbered
+// record stays valid for the tasks whose new record is not written yet.
 func (w *Writer) switchToNamedRanges(job *cluster.Job) {
-	before := job.PlacementRecords
+	oldRecords := job.PlacementRecords
 	job.SupersededKeys = job.PlacementKeys()
 	job.PlacementRecords, job.Numbered = nil, false
 	w.addRangeRecords(job)
-	for _, old := range before {
+	for _, old := range oldRecords {
 		for i := range job.PlacementRecords {
 			if record := &job.PlacementRecords[i]; old.Dirty && record.From < old.To && old.From < record.To {
 				record.Dirty = true
@@ -114,10 +115,12 @@
 	}
 }
 
-// mayWriteNamedRanges reports whether a job's placements may be written, now that records name
-// their range. Before the layout changes, the open record is written once: a copy of an
-// earlier write that is still under way, conditional on that record, has no effect then.
-// It would restore what the new records have replaced.
+// mayWriteNamedRanges reports whether a job's placements may be written to records with named
+// ranges, and switches a job with numbered records to them if necessary. If this term has already
+// sent placements of the job, its open record is rewritten first: a delayed copy of an earlier
+// write could otherwise still be applied and restore what the new records have replaced. Such a
+// copy is conditional on the old version of the open record. The open records of cancelled jobs
+// are not rewritten (see addOpenRecords).
 func (w *Writer) mayWriteNamedRanges(job *cluster.Job) bool {
 	if !job.Numbered {
 		return true
@@ -138,8 +141,8 @@
 }
 
 // EncodePlacement encodes the value of a placement record. It also returns the tasks whose
-// placement no record has yet.
-func EncodePlacement(job *cluster.Job, record *cluster.PlacementRecord) (value []byte, first []records.PlacedTask) {
+// placement has not been recorded yet.
+func EncodePlacement(job *cluster.Job, record *cluster.PlacementRecord) (value []byte, unpersisted []records.PlacedTask) {
 	placement := records.Placement{NextAttempt: job.NextAttempt}
 	for i := record.From; i < record.To; i++ {
 		t := &job.TaskStates[i]
@@ -152,13 +155,13 @@
 		placed := records.PlacedTask{Task: i, Attempt: t.Attempt, Machine: t.Machine.Name, Zone: t.Zone, Incarnation: t.Incarnation}
 		placement.Tasks = append(placement.Tasks, placed)
 		if !t.Persisted {
-			first = append(first, placed)
+			unpersisted = append(unpersisted, placed)
 		}
 	}
-	return kv.Encode(placement), first
+	return kv.Encode(placement), unpersisted
 }
 
-// LoadedPlacement is a placement record as a new leader finds it.
+// LoadedPlacement is a placement record as a new leader reads it from the store.
 type LoadedPlacement struct {
 	records.PlacementRange
 	Key     string
@@ -166,11 +169,11 @@
 	Record  records.Placement
 }
 
-// Adopt takes over a job's placement records of an earlier term.
+// Adopt restores a job's placements from the placement records of earlier terms.
 func (w *Writer) Adopt(job *cluster.Job, found []LoadedPlacement) {
-	covered, named := namedRanges(found, len(job.TaskStates))
+	covered, named := coveredByNamedRanges(found, len(job.TaskStates))
 	if named && !w.store.AnnouncedToShrink() {
-		// An earlier leader found out that the store takes less than the settings say.
+		// The store rejected values of an earlier leader that the settings allow.
 		w.store.AssumeSmallValues()
 		w.AllowNamedRanges()
 	}
@@ -183,7 +186,7 @@
 			record := cluster.PlacementRecord{Key: f.Key, From: f.From, To: f.To, Version: f.Version}
 			job.PlacementRecords = append(job.PlacementRecords, record)
 		}
-		w.adoptTasks(job, f, covered)
+		w.restoreTasks(job, f, covered)
 	}
 	sortByRange(job.PlacementRecords)
 	job.Numbered = !named
@@ -194,9 +197,9 @@
 	}
 }
 
-// namedRanges returns which tasks are covered by records that name their range, and whether
+// coveredByNamedRanges returns which tasks are covered by records with named ranges, and whether
 // there are any such records.
-func namedRanges(found []LoadedPlacement, tasks int) (covered []bool, named bool) {
+func coveredByNamedRanges(found []LoadedPlacement, tasks int) (covered []bool, named bool) {
 	covered = make([]bool, tasks)
 	for _, f := range found {
 		if f.Numbered {
@@ -210,9 +213,9 @@
 	return covered, named
 }
 
-// adoptTasks takes over what a placement record says of a job's tasks. What a numbered one says
-// of a task that another record covers is out of date.
-func (w *Writer) adoptTasks(job *cluster.Job, found LoadedPlacement, covered []bool) {
+// restoreTasks restores the state of a job's tasks from a placement record. A numbered record's
+// placement of a task is out of date if a record with a named range covers that task.
+func (w *Writer) restoreTasks(job *cluster.Job, found LoadedPlacement, covered []bool) {
 	job.NextAttempt = max(job.NextAttempt, found.Record.NextAttempt)
 	for _, i := range found.Record.Done {
 		if i < len(job.TaskStates) && !job.TaskStates[i].Done {
--- a/internal/core/persistence/loader.go
+++ b/internal/core/persistence/loader.go
@@ -13,11 +13,11 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// watchHold is how long a watch stays open without a change.
+// watchHold is the long-poll timeout of a watch: how long the store waits for a change.
 const watchHold = 20 * time.Second
 
-// A Loader reads the records for a leader whose term has begun, and follows changes of open
-// jobs from then on: submissions and cancellations by any controller come this way.
+// A Loader reads all records for a leader whose term has started, and then watches the open
+// records: this is how the leader receives submissions and cancellations by any controller.
 type Loader struct {
 	store  *kv.Client
 	state  *cluster.State
@@ -26,27 +26,27 @@
 	log    *slog.Logger
 
 	loaded       bool
-	retry        func() // repeats what was not answered; nil if nothing has to be retried
+	retry        func() // repeats a failed read; nil if there is none to retry
 	retryAt      time.Duration
-	revision     uint64        // of the store, from which changes are followed
+	revision     uint64        // of the store, after which changes are watched
 	watchRetryAt time.Duration // when to watch again; 0 while a watch is open
 }
 
-// NewLoader makes a loader for a leader with a writer.
+// NewLoader returns a loader for a leader. It passes the loaded placements to the writer.
 func NewLoader(store *kv.Client, state *cluster.State, host LoaderHost, writer *Writer, log *slog.Logger) *Loader {
 	return &Loader{store: store, state: state, host: host, writer: writer, log: log}
 }
 
-// Load reads the open jobs, then the placements, and follows the changes of open jobs.
+// Load reads the open records, then the placement records, and then watches the open records.
 func (l *Loader) Load() {
 	l.revision = 0
-	l.loadOpen("")
+	l.loadOpenRecords("")
 }
 
-// RetryWith makes the next tick call a function.
+// RetryWith makes the next Tick call a function.
 func (l *Loader) RetryWith(retry func()) { l.retry, l.retryAt = retry, 0 }
 
-// Tick retries what was not answered.
+// Tick retries failed reads and watches that are due.
 func (l *Loader) Tick() {
 	now := l.host.Now()
 	if retry := l.retry; retry != nil && now >= l.retryAt {
@@ -59,7 +59,7 @@
 	}
 }
 
-// loadPage reads a page of records, again and again until it is answered.
+// loadPage reads a page of records, and retries until the store answers.
 func (l *Loader) loadPage(prefix, after string, handle func(wire.Page)) {
 	l.store.ListUrgent(prefix, after, func(r kv.ListResult) {
 		switch {
@@ -73,19 +73,20 @@
 	})
 }
 
-// loadOpen reads the open records after a key, then the placements.
-func (l *Loader) loadOpen(after string) {
+// loadOpenRecords reads the open records after a key. Then it reads the placement records, or, if
+// they have been loaded before, resumes the watch.
+func (l *Loader) loadOpenRecords(after string) {
 	l.loadPage(records.PrefixOpen, after, func(page wire.Page) {
 		if after == "" {
 			l.revision = page.Revision
 		}
 		for _, item := range page.Items {
 			after = item.Key
-			l.handleOpen(item.Key, item.Value, item.Version)
+			l.handleOpenRecord(item.Key, item.Value, item.Version)
 		}
 		switch {
 		case page.More:
-			l.loadOpen(after)
+			l.loadOpenRecords(after)
 		case l.loaded:
 			l.watch()
 		default:
@@ -94,22 +95,22 @@
 	})
 }
 
-// handleOpen passes an open record to the leader.
-func (l *Loader) handleOpen(key string, value json.RawMessage, version uint64) {
+// handleOpenRecord decodes an open record and passes it to the leader.
+func (l *Loader) handleOpenRecord(key string, value json.RawMessage, version uint64) {
 	var record records.Open
 	if err := json.Unmarshal(value, &record); err != nil {
-		l.log.Error("open record is not readable", "key", key, "error", err)
+		l.log.Error("cannot decode open record; ignoring it", "key", key, "error", err)
 		return
 	}
 	l.host.OpenRecordRead(key[len(records.PrefixOpen):], version, record)
 }
 
-// loadPlacements reads the placements of open jobs. Records of jobs that are over are orphaned.
+// loadPlacements reads the placement records. Those of jobs that have ended are orphans.
 func (l *Loader) loadPlacements(after string, found map[string][]LoadedPlacement) {
 	l.loadPage(records.PrefixPlacement, after, func(page wire.Page) {
 		for _, item := range page.Items {
 			after = item.Key
-			l.handlePlacement(item, found)
+			l.handlePlacementRecord(item, found)
 		}
 		if page.More {
 			l.loadPlacements(after, found)
@@ -118,16 +119,16 @@
 		for _, id := range slices.Sorted(maps.Keys(found)) {
 			l.writer.Adopt(l.state.Jobs[id], found[id])
 		}
-		l.complete()
+		l.finishLoading()
 	})
 }
 
-// handlePlacement adds a placement record to those that were found, by job.
-func (l *Loader) handlePlacement(item wire.Item, found map[string][]LoadedPlacement) {
+// handlePlacementRecord decodes a placement record and adds it to those found for its job.
+func (l *Loader) handlePlacementRecord(item wire.Item, found map[string][]LoadedPlacement) {
 	covers, ok := records.ParsePlacementKey(item.Key, l.writer.TasksPerNumberedRecord())
 	var record records.Placement
 	if !ok || json.Unmarshal(item.Value, &record) != nil {
-		l.log.Error("placement record is not readable", "key", item.Key)
+		l.log.Error("cannot decode placement record; ignoring it", "key", item.Key)
 		return
 	}
 	if l.state.Jobs[covers.Job] == nil {
@@ -138,20 +139,20 @@
 	found[covers.Job] = append(found[covers.Job], loaded)
 }
 
-// complete begins to watch, and notifies the leader that all records are read.
-func (l *Loader) complete() {
+// finishLoading notifies the leader that all records have been read, and starts the watch.
+func (l *Loader) finishLoading() {
 	l.loaded = true
 	l.host.RecordsLoaded()
 	l.watch()
 }
 
-// watch follows the open jobs.
+// watch receives changes of open records from the store until the term is over.
 func (l *Loader) watch() {
 	l.store.Watch(records.PrefixOpen, l.revision, watchHold, func(r kv.WatchResult) {
 		switch {
 		case l.host.SteppedDown():
 		case r.Status == kv.Compacted:
-			l.loadOpen("")
+			l.loadOpenRecords("")
 		case r.Status != kv.OK:
 			l.watchRetryAt = l.host.Now() + l.host.LeaderLease()/8
 		default:
@@ -164,7 +165,7 @@
 func (l *Loader) handleChanges(changes wire.Changes) {
 	for _, event := range changes.Events {
 		if event.Put != "" {
-			l.handleOpen(event.Put, event.Value, event.Version)
+			l.handleOpenRecord(event.Put, event.Value, event.Version)
 		}
 	}
 	l.revision = max(l.revision, changes.Revision)
--- a/internal/core/persistence/rejections.go
+++ b/internal/core/persistence/rejections.go
@@ -9,17 +9,17 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// This file handles records that the store no longer accepts: its limits may fall at any moment,
-// without notice and below what the settings say. What it holds stays readable, but a record that
-// is too large cannot be written again, and in a transaction with others it would block these for
-// ever.
+// This file handles records that the store no longer accepts: its limits may drop at any time,
+// without notice and below the values in the settings. Stored records stay readable, but a record
+// that is too large cannot be written again. In a transaction with other records it would block
+// them permanently.
 
-// maxBackoffDoublings bounds the time between two attempts to write a job's records.
+// maxBackoffDoublings limits the exponential backoff between attempts to write a job's records.
 const maxBackoffDoublings = 8
 
-// onRejected handles a transaction that the store found malformed. Either it has too many
-// writes, or a value is too large: of two writes, which any store takes, it can only be a
-// value.
+// onRejected handles a transaction that the store rejected as invalid. Either it has too many
+// writes, or a value is too large. Every store accepts two writes, so with two or fewer the cause
+// is a value.
 func (w *Writer) onRejected(txn *wire.Txn, jobs []*cluster.Job) {
 	w.AllowNamedRanges()
 	switch {
@@ -27,7 +27,7 @@
 		w.host.RejectedWrites(len(txn.Writes))
 	case !w.store.SmallValues() && writesLargeValue(txn, records.PrefixPlacement):
 		w.store.RejectedValue()
-		w.log.Info("store takes smaller values only", "bytes", kv.SmallValue)
+		w.log.Info("store rejected a large placement record; reducing the size of placement records", "bytes", kv.SmallValue)
 	case len(jobs) > 1:
 		w.singleJobTransactions = true
 	default:
@@ -38,7 +38,7 @@
 	}
 }
 
-// backOff delays the records of a job that the store rejected, longer each time.
+// backOff delays writes of a job's records that the store rejected, with exponential backoff.
 func (w *Writer) backOff(job *cluster.Job, txn *wire.Txn) {
 	if writesLargeValue(txn, records.PrefixOpen) && !job.OpenRecordTooLarge {
 		job.OpenRecordTooLarge = true
@@ -47,10 +47,10 @@
 	job.Rejections++
 	delay := w.host.LeaderLease() << min(job.Rejections, maxBackoffDoublings) / 8
 	job.WriteBackoffUntil = w.host.Now() + delay
-	w.log.Info("store rejects a job's records", "job", job.ID, "times", job.Rejections)
+	w.log.Info("store rejected a job's records; delaying the next attempt", "job", job.ID, "times", job.Rejections)
 }
 
-// writesLargeValue reports whether a transaction writes a large record of a kind.
+// writesLargeValue reports whether a transaction writes a large value to a key with a prefix.
 func writesLargeValue(txn *wire.Txn, prefix string) bool {
 	for _, write := range txn.Writes {
 		if strings.HasPrefix(write.Put, prefix) && len(write.Value) > kv.SmallValue/2 {
@@ -60,23 +60,23 @@
 	return false
 }
 
-// inBackoff reports whether a job's records are not to be written yet. If so, they are due
-// once that is over.
+// inBackoff reports whether writes of a job's records are still delayed. If so, it schedules a
+// write for the end of the delay.
 func (w *Writer) inBackoff(job *cluster.Job) bool {
 	if w.host.Now() >= job.WriteBackoffUntil {
 		return false
 	}
-	w.schedule(job.WriteBackoffUntil)
+	w.scheduleWrite(job.WriteBackoffUntil)
 	return true
 }
 
-// mayWriteOpenRecord reports whether a job's open record is to be written. One that is too large
-// is left as it is, and the job continues without:
-//   - that all its dependencies are done is in their final records, which never change. The
-//     next leader reads them again; only the time of the last end is lost.
-//   - a copy of a numbered placement record that is still under way can take effect until
-//     the records that replace it are written, which they are at once: whatever was sent
-//     without an answer counts as changed.
+// mayWriteOpenRecord reports whether a job's open record may be written now. A record that is too
+// large for the store is not written, and the job continues without the write:
+//   - The final records of the dependencies show that all of them are done, and never change. The
+//     next leader reads them again. Only the time at which the last dependency ended is lost.
+//   - A delayed copy of a write to a numbered placement record can still be applied until the
+//     records that replace it are written. They are written at once, because records whose write
+//     was not answered count as changed.
 func (w *Writer) mayWriteOpenRecord(job *cluster.Job) bool {
 	record := job.Record
 	record.ReadyAt = max(record.ReadyAt, w.host.WallClockMS())
