--- a/internal/core/dependencylist/attempt.go
+++ b/internal/core/dependencylist/attempt.go
@@ -8,17 +8,17 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// An Attempt is what the store holds of an attempt to submit a job with a list.
+// An Attempt is an attempt to submit a job with a dependency list, as found in the store.
 type Attempt struct {
 	Ref          records.DependencyListRef // without the number of records
 	Job          string
-	FirstVersion uint64 // of the first record; 0 if it is deleted
-	StartedAtMS  int64  // time of day
+	FirstVersion uint64 // version of the first record; 0 if it is deleted or cannot be decoded
+	StartedAtMS  int64  // Unix time; 0 where FirstVersion is 0
 	Keys         []string
 }
 
-// AddItem adds a list record to the attempts that were found before it, in the order of keys.
-// Other items are skipped.
+// AddItem adds a list record to the attempts found so far. Items must be added in the order of
+// their keys. Items that are no list records are skipped.
 func AddItem(found []Attempt, item wire.Item) []Attempt {
 	ref, job, ok := parseKey(item.Key)
 	if !ok {
@@ -36,7 +36,7 @@
 	return found
 }
 
-// parseKey returns the attempt that a list record belongs to.
+// parseKey returns the attempt and the job that a list record belongs to.
 func parseKey(key string) (ref records.DependencyListRef, job string, ok bool) {
 	parts := strings.Split(key, "/")
 	if len(parts) != 4 {
@@ -45,9 +45,9 @@
 	return records.DependencyListRef{Prefix: strings.Join(parts[:3], "/") + "/"}, parts[1], true
 }
 
-// DeletionTxn returns the transaction that deletes as many records of the attempt as it may
-// have writes. It is conditional: the job may just have been accepted, or the first record just
-// have been written.
+// DeletionTxn returns a transaction that deletes up to maxWrites records of the attempt. It is
+// conditional on the leader's term, and on the open record and the first list record being as they
+// were found: in the meantime the job may have been accepted, or the first record written.
 func (a *Attempt) DeletionTxn(leader wire.Condition, maxWrites int) *wire.Txn {
 	txn := &wire.Txn{Conditions: []wire.Condition{
 		leader,
@@ -60,7 +60,7 @@
 	return txn
 }
 
-// Deleted records that a transaction of DeletionTxn was committed.
+// Deleted records that a transaction from DeletionTxn was committed.
 func (a *Attempt) Deleted(txn *wire.Txn) {
 	a.Keys, a.FirstVersion = a.Keys[len(txn.Writes):], 0
 }
--- a/internal/core/dependencylist/dependencylist.go
+++ b/internal/core/dependencylist/dependencylist.go
@@ -1,24 +1,24 @@
-// Package dependencylist stores lists of dependencies that do not fit into the open record of
-// their job.
+// Package dependencylist encodes and decodes lists of dependencies that are too large for the open
+// record of their job.
 //
-// Such a list is spread over list records, a/JOB/TOKEN/0 and following. They are written in
-// bounded transactions before the job is accepted; the token differs for each attempt, so that
-// two attempts never share a record. The open record then holds a reference to the list in
-// place of the names.
+// Such a list is split into list records with the keys a/JOB/TOKEN/0, a/JOB/TOKEN/1 and so on. They
+// are written in transactions of bounded size before the job is accepted. Each attempt to submit
+// the job has a different token, so that two attempts never share a record. The open record holds a
+// reference to the list in place of the names.
 //
-// The first record represents the whole attempt: the others are written, and the job is accepted,
-// on the condition that it is unchanged. Deleting what is left of an abandoned attempt deletes the
-// first record before or together with the others. So a transaction of that attempt that is carried
-// out late has no effect, and a job that is accepted has its whole list.
+// The first record guards the whole attempt: the other records are written, and the job is
+// accepted, only on the condition that the first record is unchanged. When an abandoned attempt is
+// deleted, its first record is deleted before the others or together with them. A delayed
+// transaction of that attempt therefore has no effect, and an accepted job has its complete list.
 //
-// Versions before wire.PeerVersionLists do not know these records. To them the reference is
-// the name of a job that does not exist: they never start the job, but do not cancel it with
-// one of its dependencies either. Lists are therefore written only once every controller knows
-// them.
+// Versions before wire.PeerVersionLists do not support list records. They take the reference for
+// the name of a job that does not exist, so they never start the job, but they also fail to cancel
+// it when one of its dependencies is cancelled. Lists are therefore written only once every
+// controller supports them.
 //
-// The package does no I/O and keeps no time: it makes and reads values and transactions; the
-// keys are those of records.DependencyListRef.
-// The front end writes lists, the leader reads them and deletes abandoned ones.
+// The package has no clock and does no I/O: it builds transactions, and encodes and decodes values.
+// The keys are those of records.DependencyListRef. The front end writes lists; the leader reads
+// them and deletes abandoned ones.
 package dependencylist
 
 import (
@@ -29,24 +29,24 @@
 
 // A Record is the value of one list record.
 type Record struct {
-	StartedAtMS int64    `json:"at"` // time of day at which the attempt began
+	StartedAtMS int64    `json:"at"` // Unix time at which the attempt started
 	Names       []string `json:"w"`
 }
 
 const (
 	// recordOverhead is the size of a list record without its names, in bytes.
 	recordOverhead = 50
-	// nameOverhead is what a name takes in addition to its letters, in bytes.
+	// nameOverhead is the size of a name's quotes and comma in a list record, in bytes.
 	nameOverhead = 3
 )
 
-// Split spreads names over records of at most limit bytes.
-func Split(names []string, startedAtMS int64, limit int) []Record {
+// Split splits names into records of at most maxBytes each.
+func Split(names []string, startedAtMS int64, maxBytes int) []Record {
 	var split []Record
-	bytes := limit
+	bytes := maxBytes
 	for _, name := range names {
 		size := len(name) + nameOverhead
-		if bytes+size > limit {
+		if bytes+size > maxBytes {
 			split = append(split, Record{StartedAtMS: startedAtMS})
 			bytes = recordOverhead
 		}
@@ -61,28 +61,29 @@
 type Writer struct {
 	ref          records.DependencyListRef
 	records      []Record
-	written      int
-	firstVersion uint64 // of the first record; 0 before it is written
+	written      int    // number of records written
+	firstVersion uint64 // version of the first record; 0 before it is written
 }
 
-// NewWriter makes a writer of some records for an attempt at a job.
+// NewWriter returns a writer of the records of a list, for an attempt to submit a job.
 func NewWriter(job, token string, split []Record) *Writer {
 	prefix := records.PrefixDependencyList + job + "/" + token + "/"
 	return &Writer{ref: records.DependencyListRef{Prefix: prefix, Records: len(split)}, records: split}
 }
 
-// Ref refers to the list that is written.
+// Ref returns the reference to the list.
 func (w *Writer) Ref() records.DependencyListRef { return w.ref }
 
-// FirstUnchanged is the condition that the attempt has not been deleted.
+// FirstUnchanged returns the condition that the first record is unchanged: the attempt has not been
+// deleted.
 func (w *Writer) FirstUnchanged() wire.Condition {
 	return wire.Condition{Key: w.ref.Key(0), Version: w.firstVersion}
 }
 
-// Complete reports whether all records are written.
+// Complete reports whether all records have been written.
 func (w *Writer) Complete() bool { return w.written == len(w.records) }
 
-// NextTxn returns the transaction that writes as many further records as fit into it.
+// NextTxn returns a transaction that writes as many of the remaining records as fit.
 func (w *Writer) NextTxn(maxWrites int) *wire.Txn {
 	txn := &wire.Txn{Conditions: []wire.Condition{w.FirstUnchanged()}}
 	bytes := 0
@@ -97,7 +98,7 @@
 	return txn
 }
 
-// Committed records that a transaction of NextTxn was committed.
+// Committed records that a transaction from NextTxn was committed with a revision.
 func (w *Writer) Committed(txn *wire.Txn, revision uint64) {
 	if w.written == 0 {
 		w.firstVersion = revision
--- a/internal/core/dependencylist/dependencylist_test.go
+++ b/internal/core/dependencylist/dependencylist_test.go
@@ -12,7 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestSplit keeps every record within its limit and every name in order.
+// TestSplit checks that no record exceeds the size limit and that the records hold all names in
+// order.
 func TestSplit(t *testing.T) {
 	var names []string
 	for n := range 3000 {
@@ -22,24 +23,25 @@
 		var got []string
 		for _, record := range Split(names, 1_700_000_000_000, limit) {
 			if size := len(kv.Encode(record)); size > limit || len(record.Names) == 0 {
-				t.Errorf("limit %d: a record of %d bytes with %d names", limit, size, len(record.Names))
+				t.Errorf("limit %d: got a record of %d bytes with %d names, want no more bytes than the limit and at least 1 name", limit, size, len(record.Names))
 			}
 			got = append(got, record.Names...)
 		}
 		if !slices.Equal(got, names) {
-			t.Errorf("limit %d: %d names, want %d", limit, len(got), len(names))
+			t.Errorf("limit %d: got %d names, want the %d original names in order", limit, len(got), len(names))
 		}
 	}
 }
 
-// TestRecordForm compares a record with its form in the store, which never changes.
+// TestRecordForm checks the JSON form of a list record, which must not change between versions.
 func TestRecordForm(t *testing.T) {
 	if got, want := string(kv.Encode(Record{StartedAtMS: 5, Names: []string{"job-1"}})), `{"at":5,"w":["job-1"]}`; got != want {
 		t.Errorf("encoded as %s, want %s", got, want)
 	}
 }
 
-// listPage is a page of list records of job-7, each with one name.
+// listPage returns a page of list records of job-7 with the numbers from from to to-1. Each holds
+// one name.
 func listPage(from, to int) []wire.Item {
 	var items []wire.Item
 	for n := from; n < to; n++ {
@@ -49,7 +51,7 @@
 	return items
 }
 
-// TestReader puts the pages of a list together.
+// TestReader checks that a reader assembles a list from several pages.
 func TestReader(t *testing.T) {
 	r := NewReader(records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 5})
 	for _, items := range [][]wire.Item{listPage(0, 2), listPage(2, 4)} {
@@ -58,17 +60,17 @@
 		}
 	}
 	if r.After() != "a/job-7/x-1/3" {
-		t.Errorf("the next page begins after %q", r.After())
+		t.Errorf("start of the next page: got %q, want a/job-7/x-1/3", r.After())
 	}
 	if err := r.AddPage(listPage(4, 5)); err != nil {
 		t.Fatal(err)
 	}
 	if names, err := r.Names(); err != nil || !slices.Equal(names, []string{"job-0", "job-1", "job-2", "job-3", "job-4"}) {
-		t.Errorf("%q, %v", names, err)
+		t.Errorf("got names %q, error %v; want job-0 to job-4, no error", names, err)
 	}
 }
 
-// TestReaderErrors reports what is wrong with a list.
+// TestReaderErrors checks the errors for a list with a missing and with an undecodable record.
 func TestReaderErrors(t *testing.T) {
 	r := NewReader(records.DependencyListRef{Prefix: "a/job-7/x-1/", Records: 5})
 	if err := r.AddPage(listPage(0, 4)); err != nil {
@@ -76,15 +78,15 @@
 	}
 	var incomplete *IncompleteError
 	if _, err := r.Names(); !errors.As(err, &incomplete) || incomplete.Read != 4 || incomplete.Expected != 5 {
-		t.Errorf("with a record missing: %v", err)
+		t.Errorf("with a record missing: got error %v, want an IncompleteError with 4 of 5 records", err)
 	}
 	var unreadable *UnreadableError
 	if err := r.AddPage([]wire.Item{{Key: "a/job-7/x-1/4", Value: []byte(`{`)}}); !errors.As(err, &unreadable) || unreadable.Key != "a/job-7/x-1/4" {
-		t.Errorf("a record that is not JSON: %v", err)
+		t.Errorf("record that is not JSON: got error %v, want an UnreadableError for a/job-7/x-1/4", err)
 	}
 }
 
-// TestWriter writes a list in transactions of bounded size, each of them conditional on the
+// TestWriter checks that a list is written in transactions of bounded size, each conditional on the
 // first record.
 func TestWriter(t *testing.T) {
 	const revision = 70
@@ -96,7 +98,7 @@
 			t.Errorf("conditions %+v, want %+v", txn.Conditions, want)
 		}
 		if len(txn.Writes) > 3 {
-			t.Errorf("%d writes", len(txn.Writes))
+			t.Errorf("transaction with %d writes, want at most 3", len(txn.Writes))
 		}
 		for _, write := range txn.Writes {
 			keys = append(keys, write.Put)
@@ -108,7 +110,7 @@
 	}
 }
 
-// TestAttempts groups list records by the attempts that they belong to.
+// TestAttempts checks that list records are grouped by attempt and that other items are skipped.
 func TestAttempts(t *testing.T) {
 	var found []Attempt
 	for n, item := range []wire.Item{
@@ -121,18 +123,19 @@
 		found = AddItem(found, item)
 	}
 	if len(found) != 2 {
-		t.Fatalf("%d attempts: %+v", len(found), found)
+		t.Fatalf("got %d attempts, want 2: %+v", len(found), found)
 	}
 	first, second := found[0], found[1]
 	if first.Job != "job-7" || first.FirstVersion != 1 || first.StartedAtMS != 5 || len(first.Keys) != 2 {
-		t.Errorf("first: %+v", first)
+		t.Errorf("first attempt: got %+v, want job-7 with first version 1, started at 5, 2 keys", first)
 	}
 	if second.FirstVersion != 0 || !slices.Equal(second.Keys, []string{"a/job-7/x-2/3"}) {
-		t.Errorf("second: %+v", second)
+		t.Errorf("second attempt: got %+v, want first version 0 and only the key a/job-7/x-2/3", second)
 	}
 }
 
-// TestDeletion deletes an attempt in transactions of bounded size, the first record first.
+// TestDeletion checks that an attempt is deleted in transactions of bounded size, starting with its
+// first record.
 func TestDeletion(t *testing.T) {
 	leader := wire.Condition{Key: "term", Version: 9}
 	attempt := Attempt{
@@ -161,6 +164,6 @@
 		attempt.Deleted(txn)
 	}
 	if len(attempt.Keys) != 0 {
-		t.Errorf("left: %q", attempt.Keys)
+		t.Errorf("keys left after the last deletion: %q, want none", attempt.Keys)
 	}
 }
--- a/internal/core/dependencylist/reader.go
+++ b/internal/core/dependencylist/reader.go
@@ -11,21 +11,21 @@
 // A Reader assembles a list from the pages of its records.
 type Reader struct {
 	ref   records.DependencyListRef
-	last  string // key of the last record that was read
+	last  string // key of the last record read
 	names []string
-	count int
+	count int // number of records read
 }
 
-// NewReader makes a reader of the list of an accepted job.
+// NewReader returns a reader for the list of an accepted job.
 func NewReader(ref records.DependencyListRef) *Reader { return &Reader{ref: ref} }
 
-// Prefix is that of the keys of the list's records.
+// Prefix returns the common prefix of the keys of the list's records.
 func (r *Reader) Prefix() string { return r.ref.Prefix }
 
-// After is the key after which the next page begins; empty for the first page.
+// After returns the key after which the next page starts. It is empty for the first page.
 func (r *Reader) After() string { return r.last }
 
-// AddPage adds the records of a page. The error is an *UnreadableError.
+// AddPage adds the records of a page. An error is always an *UnreadableError.
 func (r *Reader) AddPage(items []wire.Item) error {
 	for _, item := range items {
 		r.last = item.Key
@@ -39,8 +39,8 @@
 	return nil
 }
 
-// Names returns the whole list after the last page. The error is an *IncompleteError: since a
-// job is accepted with its whole list, it is worth another attempt.
+// Names returns the complete list after the last page. An error is always an *IncompleteError. The
+// caller may retry the read, since all list records exist when a job is accepted.
 func (r *Reader) Names() ([]string, error) {
 	if r.count < r.ref.Records {
 		return nil, &IncompleteError{Read: r.count, Expected: r.ref.Records}
@@ -48,20 +48,20 @@
 	return r.names, nil
 }
 
-// An UnreadableError is a list record that cannot be decoded.
+// An UnreadableError reports a list record that cannot be decoded.
 type UnreadableError struct {
 	Key string
 	Err error
 }
 
-func (e *UnreadableError) Error() string { return fmt.Sprintf("record %s: %v", e.Key, e.Err) }
+func (e *UnreadableError) Error() string { return fmt.Sprintf("list record %s: %v", e.Key, e.Err) }
 
 // Unwrap returns the decoder's error.
 func (e *UnreadableError) Unwrap() error { return e.Err }
 
-// An IncompleteError is a list some of whose records were not found.
+// An IncompleteError reports a list of which some records were not found.
 type IncompleteError struct{ Read, Expected int }
 
 func (e *IncompleteError) Error() string {
-	return fmt.Sprintf("read %d of %d records", e.Read, e.Expected)
+	return fmt.Sprintf("dependency list is incomplete: found %d of %d records", e.Read, e.Expected)
 }
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -1,29 +1,29 @@
-// Package depgraph is the dependency graph (DAG) of unfinished jobs.
+// Package depgraph implements the dependency graph (DAG) of unfinished jobs.
 //
-// It owns the edges between jobs and a level for each job, by which a caller visits dependents
-// ahead of their dependencies. It knows jobs by their IDs only: it sees no records and no state of
-// package cluster, and it has no clock and does no I/O. The leader of package core owns one graph:
-// it adds a job when its open record is read, removes edges as jobs end, and passes priorities and
-// deadlines on from dependents to dependencies (urgency_inheritance.go).
+// A graph holds the edges between jobs, and a topological level for each job, by which callers can
+// visit dependents before their dependencies. Jobs are only IDs here: the package uses no records
+// and no state of package cluster, has no clock and does no I/O. The leader of package core has one
+// graph. It adds a job when its open record is read, removes edges as jobs end, and propagates
+// priorities and deadlines from dependents to dependencies (urgency_inheritance.go).
 package depgraph
 
-// Graph holds which jobs each job still depends on, and which jobs depend on it. Every operation
-// costs in proportion to the edges that it changes or returns.
+// Graph holds the unfinished dependencies of each job, and its dependents. The cost of an operation
+// is proportional to the number of edges that it changes or visits.
 type Graph struct {
-	dependencies map[string]*nameSet // by dependent: its dependencies that are not done yet
-	dependents   map[string]*nameSet // by dependency, in the order in which they were added
-	// levels has a greater level for a job than for any of its dependencies, so that values which
-	// are passed on along the edges are computed once for each job.
-	levels map[string]int
-	steps  int // edges visited so far
+	dependencies map[string]*nameSet // by dependent: its dependencies that are not done
+	dependents   map[string]*nameSet // by dependency
+	// levels has a higher level for a job than for any of its dependencies. Visiting jobs by level
+	// computes each value that is propagated along the edges only once per job.
+	levels       map[string]int
+	edgesVisited int // number of edges visited since the graph was made
 }
 
-// New makes an empty graph.
+// New returns an empty graph.
 func New() *Graph {
 	return &Graph{dependencies: map[string]*nameSet{}, dependents: map[string]*nameSet{}, levels: map[string]int{}}
 }
 
-// Add adds dependencies of a job.
+// Add adds dependencies to a job.
 func (g *Graph) Add(id string, dependencies []string) {
 	if len(dependencies) == 0 {
 		return
@@ -33,7 +33,7 @@
 	}
 	level := g.levels[id]
 	for _, dependency := range dependencies {
-		g.steps++
+		g.edgesVisited++
 		if g.dependents[dependency] == nil {
 			g.dependents[dependency] = newNameSet()
 		}
@@ -44,18 +44,18 @@
 	g.raiseLevel(id, level)
 }
 
-// raiseLevel raises a job's level, and with it the levels of its dependents that are not above it.
-// There are such dependents only where a job is added after them, as when a leader loads its
+// raiseLevel raises a job's level, and the levels of dependents that are no longer above it. Such
+// dependents exist only if they were added before the job, which happens when a leader loads its
 // records.
 func (g *Graph) raiseLevel(id string, level int) {
 	g.levels[id] = level
 	for queue := []string{id}; len(queue) > 0; queue = queue[1:] {
-		above := g.levels[queue[0]] + 1
+		minLevel := g.levels[queue[0]] + 1
 		g.EachDependent(queue[0], func(dependent string) {
-			// A job that depends on itself, as only a corrupt record can make it, has no valid
-			// level. It is not raised again, so that a cycle through it ends.
-			if g.levels[dependent] < above && dependent != id {
-				g.levels[dependent] = above
+			// Only corrupt records can contain a cycle, which has no valid levels. The job
+			// itself is not raised again, so that the loop terminates for a cycle through the job.
+			if g.levels[dependent] < minLevel && dependent != id {
+				g.levels[dependent] = minLevel
 				queue = append(queue, dependent)
 			}
 		})
@@ -68,7 +68,7 @@
 // HasDependents reports whether a job has dependents.
 func (g *Graph) HasDependents(id string) bool { return g.dependents[id] != nil }
 
-// EachDependent calls visit for each dependent of a job, in the order in which they were added.
+// EachDependent calls visit for each dependent of a job, in the order of their addition.
 func (g *Graph) EachDependent(id string, visit func(dependent string)) {
 	g.AnyDependent(id, func(dependent string) bool {
 		visit(dependent)
@@ -76,15 +76,15 @@
 	})
 }
 
-// Dependencies lists the open dependencies of a job, in the order in which they were added.
+// Dependencies returns a job's dependencies that are not done, in the order of their addition.
 func (g *Graph) Dependencies(id string) []string {
 	var dependencies []string
 	g.EachDependency(id, func(dependency string) { dependencies = append(dependencies, dependency) })
 	return dependencies
 }
 
-// EachDependency calls visit for each dependency of a job that is not done, in the order in which
-// they were added.
+// EachDependency calls visit for each of a job's dependencies that is not done, in the order of
+// their addition.
 func (g *Graph) EachDependency(id string, visit func(dependency string)) {
 	g.AnyDependency(id, func(dependency string) bool {
 		visit(dependency)
@@ -92,27 +92,28 @@
 	})
 }
 
-// AnyDependency reports whether matches is true for a dependency of a job that is not done. It
-// stops at the first one.
+// AnyDependency reports whether matches returns true for one of a job's dependencies that are not
+// done. It stops at the first match.
 func (g *Graph) AnyDependency(id string, matches func(dependency string) bool) bool {
-	return g.anyIn(g.dependencies[id], matches)
+	return g.anyMatch(g.dependencies[id], matches)
 }
 
-// AnyDependent reports whether matches is true for a dependent of a job. It stops at the first one.
+// AnyDependent reports whether matches returns true for a dependent of a job. It stops at the first
+// match.
 func (g *Graph) AnyDependent(id string, matches func(dependent string) bool) bool {
-	return g.anyIn(g.dependents[id], matches)
+	return g.anyMatch(g.dependents[id], matches)
 }
 
-// anyIn reports whether matches is true for a name of a set, which may be nil.
-func (g *Graph) anyIn(set *nameSet, matches func(name string) bool) bool {
+// anyMatch reports whether matches returns true for a name in a set. The set may be nil.
+func (g *Graph) anyMatch(set *nameSet, matches func(name string) bool) bool {
 	if set == nil {
 		return false
 	}
 	for _, name := range set.names {
-		if name == removed {
+		if name == tombstone {
 			continue
 		}
-		g.steps++
+		g.edgesVisited++
 		if matches(name) {
 			return true
 		}
@@ -120,8 +121,8 @@
 	return false
 }
 
-// Done removes a job that is done, and returns its dependents that have no other dependency left,
-// in the order in which they were added.
+// Done removes the edges from a job that is done to its dependents. It returns the dependents that
+// have no other dependency left, in the order of their addition.
 func (g *Graph) Done(id string) []string {
 	var ready []string
 	g.EachDependent(id, func(dependent string) {
@@ -136,8 +137,8 @@
 	return ready
 }
 
-// DropDependencies removes all dependencies of a job that no longer waits for them, done or not.
-// Its own dependents stay.
+// DropDependencies removes the edges from a job to all its dependencies, when the job no longer
+// waits for them. The edges to its dependents stay.
 func (g *Graph) DropDependencies(id string) {
 	g.EachDependency(id, func(dependency string) {
 		if g.dependents[dependency].remove(id) == 0 {
@@ -149,25 +150,27 @@
 	g.dropUnusedLevel(id)
 }
 
-// Level is greater for a job than for any of its dependencies; 0 for a job without edges.
+// Level returns a job's level, which is higher than the level of any of its dependencies. A job
+// without edges has level 0.
 func (g *Graph) Level(id string) int { return g.levels[id] }
 
-// Steps counts the edges visited so far: a measure of the graph's cost that needs no clock.
-func (g *Graph) Steps() int { return g.steps }
+// Steps returns the number of edges visited since the graph was made. Tests use it to bound the
+// cost of operations without a clock.
+func (g *Graph) Steps() int { return g.edgesVisited }
 
-// Empty reports whether the graph holds nothing of any job.
+// Empty reports whether the graph has no edges and no levels.
 func (g *Graph) Empty() bool { return len(g.dependencies)+len(g.dependents)+len(g.levels) == 0 }
 
-// dropUnusedLevel forgets the level of a job without edges.
+// dropUnusedLevel deletes the level of a job that has no edges left.
 func (g *Graph) dropUnusedLevel(id string) {
 	if g.dependencies[id] == nil && g.dependents[id] == nil {
 		delete(g.levels, id)
 	}
 }
 
-// TransitiveDependents returns the jobs that depend on a job, directly or through others, nearest
-// first and each once. If include is not nil, it leaves out the jobs for which include is false,
-// and those that depend on the job only through them.
+// TransitiveDependents returns the direct and indirect dependents of a job in breadth-first order.
+// If include is not nil, jobs for which it returns false are left out, and so are jobs that depend
+// on the given one only through them.
 func (g *Graph) TransitiveDependents(id string, include func(dependent string) bool) []string {
 	var found []string
 	seen := map[string]bool{id: true}
--- a/internal/core/depgraph/depgraph_test.go
+++ b/internal/core/depgraph/depgraph_test.go
@@ -22,15 +22,15 @@
 	}
 }
 
-// TestGraph checks dependents and dependencies as jobs end, drop their dependencies, and are added
-// late.
+// TestGraph checks dependents and dependencies while jobs end, drop their dependencies, and are
+// added to a graph from which jobs have been removed.
 func TestGraph(t *testing.T) {
 	graph := diamondWithTail()
 	checkJobs(t, "dependents of a", graph.TransitiveDependents("a", nil), "b", "c", "e", "d")
 	checkJobs(t, "dependents of d", graph.TransitiveDependents("d", nil), "e")
 	checkJobs(t, "ready after a", graph.Done("a"), "b", "c")
 	if graph.HasDependencies("b") || !graph.HasDependencies("d") || !graph.HasDependencies("e") {
-		t.Error("after a: want b without dependencies, d and e with some")
+		t.Error("HasDependencies after a is done: want false for b, true for d and e")
 	}
 	checkJobs(t, "ready after b", graph.Done("b"))
 	checkJobs(t, "ready after c", graph.Done("c"), "d")
@@ -41,12 +41,12 @@
 	checkJobs(t, "ready after d", graph.Done("d"), "f")
 	checkJobs(t, "ready after d again", graph.Done("d"))
 	if !graph.Empty() {
-		t.Errorf("not empty: %v %v %v", graph.dependencies, graph.dependents, graph.levels)
+		t.Errorf("graph has dependencies %v, dependents %v, levels %v; want it empty", graph.dependencies, graph.dependents, graph.levels)
 	}
 }
 
-// TestTransitiveDependentsInclude leaves out a job, and what depends on the first one only through
-// it.
+// TestTransitiveDependentsInclude excludes a job. Jobs that depend on the given one only through
+// the excluded job must be left out as well.
 func TestTransitiveDependentsInclude(t *testing.T) {
 	graph := diamondWithTail()
 	graph.Add("f", []string{"c"})
@@ -54,8 +54,8 @@
 	checkJobs(t, "dependents of a without c", graph.TransitiveDependents("a", withoutC), "b", "e", "d")
 }
 
-// TestLevels adds jobs in every kind of order: the level of each is above the levels of its
-// dependencies.
+// TestLevels adds jobs in different orders, before and after their dependencies. Each job's level
+// must be above the levels of its dependencies.
 func TestLevels(t *testing.T) {
 	dependenciesByJob := map[string][]string{"b": {"a"}, "c": {"a"}, "d": {"b", "c"}, "e": {"d", "a"}, "f": {"e", "c"}}
 	for _, order := range []string{"bcdef", "fedcb", "dfbec", "fbdce", "ecfdb"} {
@@ -67,7 +67,7 @@
 			for job, dependencies := range dependenciesByJob {
 				for _, dependency := range dependencies {
 					if graph.Level(job) <= graph.Level(dependency) {
-						t.Errorf("%s has level %d, its dependency %s %d", job, graph.Level(job), dependency, graph.Level(dependency))
+						t.Errorf("level of %s: got %d, want more than that of its dependency %s, %d", job, graph.Level(job), dependency, graph.Level(dependency))
 					}
 				}
 			}
@@ -75,14 +75,15 @@
 	}
 }
 
-// TestCycle adds a cycle, which only corrupt records can contain: Add returns.
+// TestCycle checks that Add terminates for a cycle, which only corrupt records can contain.
 func TestCycle(*testing.T) {
 	graph := New()
 	graph.Add("a", []string{"b"})
 	graph.Add("b", []string{"a"})
 }
 
-// TestNameSetKeepsOrder removes most names while a loop visits them: the others stay in order.
+// TestNameSetKeepsOrder removes most names while a loop visits them. The loop visits all names, and
+// the remaining ones stay in order.
 func TestNameSetKeepsOrder(t *testing.T) {
 	set := newNameSet()
 	all := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i", "j"}
@@ -97,15 +98,15 @@
 		}
 	}
 	checkJobs(t, "visited", visited, all...)
-	left := slices.DeleteFunc(slices.Clone(set.names), func(name string) bool { return name == removed })
+	left := slices.DeleteFunc(slices.Clone(set.names), func(name string) bool { return name == tombstone })
 	checkJobs(t, "left", left, "c", "i")
 	if n := set.remove("c"); n != 1 {
-		t.Errorf("%d names left, want 1", n)
+		t.Errorf("names left after the removal of c: got %d, want 1", n)
 	}
 }
 
-// TestWorklist visits the highest level first, a level in the order in which its jobs were added,
-// and each job once.
+// TestWorklist checks the order of jobs: the highest level first, and in order of addition within a
+// level. A job that is added twice is returned once.
 func TestWorklist(t *testing.T) {
 	var list Worklist
 	for _, item := range []workItem{{id: "a", level: 0}, {id: "b", level: 2}, {id: "c", level: 1}, {id: "d", level: 2}, {id: "b", level: 2}} {
--- a/internal/core/depgraph/name_set.go
+++ b/internal/core/depgraph/name_set.go
@@ -1,18 +1,19 @@
 package depgraph
 
-// nameSet is a set of names in the order in which they were added. Adding or removing a name takes
-// constant time on average: a removed name leaves a gap, and the gaps are closed once they
-// outnumber the names.
+// nameSet is an insertion-ordered set of names. Adding and removing a name take amortized constant
+// time: a removed name leaves a tombstone, and the tombstones are compacted away once they
+// outnumber the names by more than compactionSlack.
 type nameSet struct {
-	names    []string       // with gaps
-	position map[string]int // of each name in names
+	names    []string       // with tombstones
+	position map[string]int // index of each name in names
 }
 
-// removed takes the position of a removed name: no job has an empty ID.
-const removed = ""
+// tombstone replaces a removed name. No job has an empty ID.
+const tombstone = ""
 
-// minGapsToClose keeps the gaps of small sets, which are not worth closing.
-const minGapsToClose = 4
+// compactionSlack is how many more tombstones than names a set may have. Without it, small sets
+// would be compacted too often to be worth the cost.
+const compactionSlack = 4
 
 func newNameSet() *nameSet { return &nameSet{position: map[string]int{}} }
 
@@ -24,24 +25,24 @@
 	s.names = append(s.names, name)
 }
 
-// remove removes a name and returns how many names are left.
+// remove removes a name and returns the number of names left.
 func (s *nameSet) remove(name string) int {
 	if i, exists := s.position[name]; exists {
-		s.names[i] = removed
+		s.names[i] = tombstone
 		delete(s.position, name)
-		if len(s.names) > 2*len(s.position)+minGapsToClose {
-			s.closeGaps()
+		if len(s.names) > 2*len(s.position)+compactionSlack {
+			s.compact()
 		}
 	}
 	return len(s.position)
 }
 
-// closeGaps closes the gaps. It replaces the slice, since a caller may be in a loop over the old
-// one.
-func (s *nameSet) closeGaps() {
+// compact removes the tombstones. It makes a new slice, because a caller may be iterating over the
+// old one.
+func (s *nameSet) compact() {
 	names := make([]string, 0, len(s.position))
 	for _, name := range s.names {
-		if name != removed {
+		if name != tombstone {
 			s.position[name] = len(names)
 			names = append(names, name)
 		}
--- a/internal/core/depgraph/worklist.go
+++ b/internal/core/depgraph/worklist.go
@@ -2,15 +2,16 @@
 
 import "container/heap"
 
-// Worklist is a priority queue of jobs to be visited, each at most once: the highest level first,
-// so dependents ahead of their dependencies. The zero value is empty.
+// Worklist is a priority queue of jobs to visit. It returns the highest level first, and so
+// dependents before their dependencies. A job is queued at most once at a time. The zero value is
+// an empty queue.
 type Worklist struct {
-	items  itemHeap
-	queued map[string]bool
-	added  int // jobs that were added so far
+	items    itemHeap
+	queued   map[string]bool
+	sequence int // sequence number of the last item
 }
 
-// Add adds a job of a level, unless it is queued already.
+// Add adds a job with its level, unless the job is already queued.
 func (w *Worklist) Add(id string, level int) {
 	if w.queued == nil {
 		w.queued = map[string]bool{}
@@ -19,11 +20,11 @@
 		return
 	}
 	w.queued[id] = true
-	w.added++
-	heap.Push(&w.items, workItem{id, level, w.added})
+	w.sequence++
+	heap.Push(&w.items, workItem{id, level, w.sequence})
 }
 
-// Next removes and returns the next job; ok is false if there is none.
+// Next removes and returns the next job. ok is false if the queue is empty.
 func (w *Worklist) Next() (id string, ok bool) {
 	if len(w.items) == 0 {
 		return "", false
@@ -37,10 +38,10 @@
 type workItem struct {
 	id       string
 	level    int
-	sequence int // order within a level: that in which the jobs were added
+	sequence int // orders jobs of the same level by their addition
 }
 
-// itemHeap is a heap.Interface of items, the highest level first.
+// itemHeap implements heap.Interface, with the highest level first.
 type itemHeap []workItem
 
 func (h itemHeap) Len() int { return len(h) }
--- a/internal/core/jobcache/jobcache.go
+++ b/internal/core/jobcache/jobcache.go
@@ -1,30 +1,30 @@
-// Package jobcache keeps what a controller knows of jobs: the open records of unfinished jobs
-// and the final records of ended ones, each up to a number of jobs. A final record never
-// changes; an open one may have changed since, so users see it only after the store has
-// confirmed its version. The front end and the leader share a controller's cache. The
-// package does no I/O and keeps no time.
+// Package jobcache is a controller's cache of job records: the open records of unfinished jobs and
+// the final records of ended jobs, each up to a maximum number. Final records never change. A
+// cached open record may be out of date, so users receive it only after the store has confirmed its
+// version. The front end and the leader of a controller share one cache. The package has no clock
+// and does no I/O.
 package jobcache
 
 import "github.com/brookwalk/brookwalk/internal/core/records"
 
-// An OpenJob is an unfinished job as its open record was at a version.
+// An OpenJob is the open record of an unfinished job at a version.
 type OpenJob struct {
 	Version uint64
 	Record  records.Open
-	// TooLargeToWrite: the store no longer accepts a record of this size.
+	// TooLargeToWrite is true if the store no longer accepts a record of this size.
 	TooLargeToWrite bool
 }
 
-// A Cache holds open and final records. Forgetting one is safe: the job is read again.
+// A Cache holds open and final records. An evicted record is read from the store again.
 type Cache struct {
 	capacity   int
 	open       map[string]*OpenJob
-	openOrder  []string // oldest first; some may be forgotten already
+	openOrder  []string // oldest first; may contain removed jobs
 	final      map[string]records.Final
 	finalOrder []string // oldest first
 }
 
-// New makes an empty cache for as many open jobs as capacity, and as many ended ones.
+// New returns an empty cache for up to capacity open jobs and up to capacity ended jobs.
 func New(capacity int) *Cache {
 	return &Cache{
 		capacity: capacity,
@@ -33,16 +33,16 @@
 	}
 }
 
-// Open returns an open job; nil if it is not known.
+// Open returns an open job, or nil if it is not cached.
 func (c *Cache) Open(id string) *OpenJob { return c.open[id] }
 
-// Final returns the final record of a job, if it is known.
+// Final returns the final record of a job. It returns false if the record is not cached.
 func (c *Cache) Final(id string) (records.Final, bool) {
 	final, ended := c.final[id]
 	return final, ended
 }
 
-// PutOpen adds an open job, or replaces what is known of it. The oldest ones are evicted.
+// PutOpen adds or replaces an open job. If the cache is full, the oldest open jobs are evicted.
 func (c *Cache) PutOpen(id string, job *OpenJob) {
 	if c.open[id] == nil {
 		c.openOrder = append(c.openOrder, id)
@@ -56,8 +56,9 @@
 	}
 }
 
-// PutNewer adds an open job that was read from the store and returns what is known of the job then.
-// What was learned while the answer was under way is newer, and is kept: a user may have seen it.
+// PutNewer adds an open job that was read from the store, unless the cache has a final record or an
+// open record that is at least as new, stored while the read was in flight. Users may already have
+// received that record. PutNewer returns the record that is cached afterwards.
 func (c *Cache) PutNewer(id string, read *OpenJob) (open *OpenJob, final *records.Final) {
 	if final, ended := c.final[id]; ended {
 		return nil, &final
@@ -69,7 +70,8 @@
 	return read, nil
 }
 
-// PutFinal adds the final record of a job. The oldest ones are evicted.
+// PutFinal adds the final record of a job and removes its open record. If the cache is full, the
+// oldest final record is evicted.
 func (c *Cache) PutFinal(id string, final records.Final) {
 	delete(c.open, id)
 	if _, known := c.final[id]; !known {
@@ -82,8 +84,8 @@
 	c.final[id] = final
 }
 
-// ForgetOpen forgets an open job, whose record has changed.
+// ForgetOpen removes an open job whose record has changed.
 func (c *Cache) ForgetOpen(id string) { delete(c.open, id) }
 
-// ForgetAllOpen forgets every open job.
+// ForgetAllOpen removes all open jobs.
 func (c *Cache) ForgetAllOpen() { clear(c.open) }
--- a/internal/core/jobcache/jobcache_test.go
+++ b/internal/core/jobcache/jobcache_test.go
@@ -7,7 +7,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestPutOpenEvictsTheOldest keeps the newest open jobs, however often they are replaced.
+// TestPutOpenEvictsTheOldest checks that the oldest open job is evicted, and that replacing a job
+// does not count as adding one.
 func TestPutOpenEvictsTheOldest(t *testing.T) {
 	c := New(2)
 	c.PutOpen("a", &OpenJob{Version: 1})
@@ -15,52 +16,52 @@
 	c.PutOpen("b", &OpenJob{Version: 3})
 	c.PutOpen("c", &OpenJob{Version: 4})
 	if c.Open("a") != nil {
-		t.Error("the oldest job is not evicted")
+		t.Error("the oldest job is cached, want it evicted")
 	}
 	if b := c.Open("b"); b == nil || b.Version != 3 {
-		t.Errorf("b is known as %+v, want version 3", b)
+		t.Errorf("cached job b: got %+v, want version 3", b)
 	}
 	if c.Open("c") == nil {
-		t.Error("the newest job is evicted")
+		t.Error("the newest job is not cached")
 	}
 }
 
-// TestPutOpenAfterForget never evicts the job that is added, though its name is in the order
-// from before it was forgotten.
+// TestPutOpenAfterForget adds a job again after its removal. The job must not be evicted, although
+// the eviction order still contains its earlier entry.
 func TestPutOpenAfterForget(t *testing.T) {
 	c := New(1)
 	c.PutOpen("a", &OpenJob{Version: 1})
 	c.ForgetOpen("a")
 	c.PutOpen("a", &OpenJob{Version: 2})
 	if a := c.Open("a"); a == nil || a.Version != 2 {
-		t.Errorf("known as %+v, want version 2", a)
+		t.Errorf("cached job a: got %+v, want version 2", a)
 	}
 }
 
-// TestPutFinal forgets the open record, and evicts the oldest final one.
+// TestPutFinal checks that PutFinal removes the open record and evicts the oldest final record.
 func TestPutFinal(t *testing.T) {
 	c := New(1)
 	done := records.Final{Status: wire.StatusDone, Tasks: 3}
 	c.PutOpen("a", &OpenJob{Version: 1})
 	c.PutFinal("a", done)
 	if c.Open("a") != nil {
-		t.Error("an ended job is still open")
+		t.Error("the open record of an ended job is cached, want it removed")
 	}
 	if final, ended := c.Final("a"); !ended || final != done {
-		t.Errorf("known as %+v, %v", final, ended)
+		t.Errorf("final record: got %+v, cached %v; want done with 3 tasks, true", final, ended)
 	}
 	c.PutFinal("b", done)
 	if _, ended := c.Final("a"); ended {
-		t.Error("the oldest final record is not evicted")
+		t.Error("the oldest final record is cached, want it evicted")
 	}
 }
 
-// TestPutNewer keeps what was learned while a read was under way.
+// TestPutNewer checks that a newer record, stored while a read was in flight, is kept.
 func TestPutNewer(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		meanwhile func(c *Cache)
-		version   uint64 // of the open job that is known then; 0 for none
+		version   uint64 // of the open job cached afterwards; 0 for none
 		ended     bool
 	}{
 		{"nothing", func(*Cache) {}, 5, false},
@@ -73,16 +74,16 @@
 			tc.meanwhile(c)
 			open, final := c.PutNewer("a", &OpenJob{Version: 5})
 			if (final != nil) != tc.ended {
-				t.Errorf("ended: %v, want %v", final != nil, tc.ended)
+				t.Errorf("final record returned: %v, want %v", final != nil, tc.ended)
 			}
 			if tc.version == 0 {
 				if open != nil || c.Open("a") != nil {
-					t.Error("an ended job is open again")
+					t.Error("the open record of an ended job is cached or returned, want none")
 				}
 				return
 			}
 			if open == nil || open.Version != tc.version || c.Open("a") != open {
-				t.Errorf("known as %+v, want version %d", open, tc.version)
+				t.Errorf("open job: got %+v, want version %d returned and cached", open, tc.version)
 			}
 		})
 	}
--- a/internal/core/records/dependency_list.go
+++ b/internal/core/records/dependency_list.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// PrefixDependencyList is the prefix of the keys of dependency lists: a/JOB/TOKEN/N. The token
-// differs for each attempt to submit a job.
+// PrefixDependencyList is the prefix of the keys of dependency lists: a/JOB/TOKEN/N. Each attempt
+// to submit a job has a different token.
 const PrefixDependencyList = "a/"
 
-// DependencyListRef refers to a list of dependencies that is spread over records, since it does
-// not fit into the open record of its job.
+// DependencyListRef refers to a list of dependencies that is split into several records, because
+// it is too large for the job's open record.
 type DependencyListRef struct {
-	Prefix  string // of the records' keys: a/JOB/TOKEN/
+	Prefix  string // of the keys of the records: a/JOB/TOKEN/
 	Records int
 }
 
-// String is the reference as an open record has it, in place of the list.
+// String returns the reference in the form in which an open record holds it in place of the list.
 func (r DependencyListRef) String() string { return r.Prefix + strconv.Itoa(r.Records) }
 
-// Key is the key of the nth record.
+// Key returns the key of the nth record.
 func (r DependencyListRef) Key(n int) string { return r.Prefix + strconv.Itoa(n) }
 
-// Keys are the keys of all records.
+// Keys returns the keys of all records.
 func (r DependencyListRef) Keys() []string {
 	keys := make([]string, r.Records)
 	for n := range keys {
@@ -31,8 +31,8 @@
 	return keys
 }
 
-// ParseDependencyListRef returns the reference that replaces an open record's list of
-// dependencies; false if the record has the list itself.
+// ParseDependencyListRef parses the dependencies of an open record as a reference to a list. It
+// returns false if the open record contains the list itself.
 func ParseDependencyListRef(dependencies []string) (DependencyListRef, bool) {
 	if len(dependencies) != 1 || !strings.HasPrefix(dependencies[0], PrefixDependencyList) {
 		return DependencyListRef{}, false
--- a/internal/core/records/dependency_list_test.go
+++ b/internal/core/records/dependency_list_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestDependencyListRef reads what it writes, and nothing else.
+// TestDependencyListRef checks that only the string form of a reference parses as one, and that it
+// parses to the same reference.
 func TestDependencyListRef(t *testing.T) {
 	ref := DependencyListRef{Prefix: "a/job-7/x-1/", Records: 12}
 	for _, tc := range []struct {
@@ -20,11 +21,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got, ok := ParseDependencyListRef(tc.dependencies); got != tc.want || ok != tc.ok {
-				t.Errorf("got %+v, %v, want %+v, %v", got, ok, tc.want, tc.ok)
+				t.Errorf("reference %+v, valid %v; want %+v, %v", got, ok, tc.want, tc.ok)
 			}
 		})
 	}
 	if keys := ref.Keys(); len(keys) != 12 || keys[0] != "a/job-7/x-1/0" || keys[11] != "a/job-7/x-1/11" {
-		t.Errorf("keys %q", keys)
+		t.Errorf("keys %q, want a/job-7/x-1/0 to a/job-7/x-1/11", keys)
 	}
 }
--- a/internal/core/records/records_test.go
+++ b/internal/core/records/records_test.go
@@ -19,7 +19,7 @@
 		t.Run(tc.key, func(t *testing.T) {
 			got, ok := ParsePlacementKey(tc.key, 10)
 			if ok != tc.ok || ok && got != tc.want {
-				t.Errorf("%+v %v, want %+v %v", got, ok, tc.want, tc.ok)
+				t.Errorf("range %+v, valid %v; want %+v, %v", got, ok, tc.want, tc.ok)
 			}
 		})
 	}
