--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -259,7 +259,7 @@
 		return "leader", &election.LeaderValue{}
 	case key == election.KeyTerm:
 		return "term", new(uint64)
-	case key == records.KeyTypes:
+	case key == records.KeyMachineTypes:
 		return "types", &wire.MachineTypes{}
 	case strings.HasPrefix(key, records.PrefixOpen):
 		return "open", &records.Open{}
@@ -344,7 +344,7 @@
 // TestProductionKeys pins the keys under which both versions look for records.
 func TestProductionKeys(t *testing.T) {
 	for got, want := range map[string]string{
-		election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
+		election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyMachineTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
 		records.FinalKey("job-000001"): "f/job-000001", records.NumberedKey("job-000001", 1): "p/job-000001/1", records.RangeKey("job-000001", 12, 24): "p/job-000001/12-24",
 	} {
 		if got != want {
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -48,14 +48,14 @@
 	c.machineTypesStored = raw
 	txn := &wire.Txn{
 		Conditions: []wire.Condition{c.leader.termCondition()},
-		Writes:     []wire.Write{{Put: records.KeyTypes, Value: body}},
+		Writes:     []wire.Write{{Put: records.KeyMachineTypes, Value: body}},
 	}
 	c.store.Commit(txn, func(kv.TxnResult) {}) // if it fails, the next answer of the cloud is kept
 }
 
 // loadMachineTypes reads the stored answer of the cloud, for a controller that has had none.
 func (c *Core) loadMachineTypes() {
-	c.store.Get(records.KeyTypes, func(result kv.GetResult) {
+	c.store.Get(records.KeyMachineTypes, func(result kv.GetResult) {
 		if result.Status == kv.OK && len(c.machineTypes) == 0 {
 			c.setMachineTypes(result.Item.Value)
 		}
--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -24,8 +24,8 @@
 	PrefixPlacement = "p/"
 )
 
-// KeyTypes is the key of the machine types from the cloud's latest list.
-const KeyTypes = "types"
+// KeyMachineTypes is the key of the machine types from the cloud's latest list.
+const KeyMachineTypes = "types"
 
 // OpenKey returns the key of a job's open record.
 func OpenKey(job string) string { return PrefixOpen + job }
