--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -165,7 +165,7 @@
 // batchConflicted continues with the submissions of a transaction of which some conditions did not
 // hold.
 func (f *FrontEnd) batchConflicted(batch *submissionBatch, conflicts []string) {
-	changed := records.Jobs(conflicts)
+	changed := records.JobIDs(conflicts)
 	for _, pending := range batch.submissions {
 		job := pending.record.Job.ID
 		switch {
--- a/internal/core/frontend/lookup.go
+++ b/internal/core/frontend/lookup.go
@@ -140,7 +140,7 @@
 		f.lookups.calls--
 		changed := map[string]bool{}
 		if r.Status == kv.Conflict {
-			changed = records.Jobs(r.Conflicts)
+			changed = records.JobIDs(r.Conflicts)
 		}
 		for _, job := range jobs {
 			f.finishConfirmation(job, waiting[job], r.Status, changed[job])
--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -17,7 +17,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Prefixes of the keys of a job's records. All have the same length, which Jobs relies on.
+// Prefixes of the keys of a job's records. All have the same length, which JobIDs relies on.
 const (
 	PrefixOpen      = "o/"
 	PrefixFinal     = "f/"
@@ -33,8 +33,8 @@
 // FinalKey returns the key of a job's final record.
 func FinalKey(job string) string { return PrefixFinal + job }
 
-// Jobs returns the set of job IDs in the keys of open or final records.
-func Jobs(keys []string) map[string]bool {
+// JobIDs returns the set of job IDs in the keys of open or final records.
+func JobIDs(keys []string) map[string]bool {
 	ids := make(map[string]bool, len(keys))
 	for _, key := range keys {
 		ids[key[len(PrefixOpen):]] = true
--- a/internal/core/records/records_test.go
+++ b/internal/core/records/records_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-func TestJobs(t *testing.T) {
-	got := Jobs([]string{OpenKey("a"), FinalKey("b"), OpenKey("a")})
+func TestJobIDs(t *testing.T) {
+	got := JobIDs([]string{OpenKey("a"), FinalKey("b"), OpenKey("a")})
 	if len(got) != 2 || !got["a"] || !got["b"] {
-		t.Errorf("jobs %v, want a and b", got)
+		t.Errorf("job IDs %v, want a and b", got)
 	}
 }
