--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -63,7 +63,7 @@
 			f.host.Refuse(request.id, storeUnavailable)
 		case !result.found():
 			f.host.Refuse(request.id, NoSuchJob)
-		case result.Final != nil || result.Open.Record.Acknowledged():
+		case result.Final != nil || result.Open.Record.CancelAcknowledged():
 			f.host.Answer(request.id, httpstatus.OK, f.status(request.job, result))
 		case result.Open.Record.Cancelled:
 			f.waitForTermination(request, result.Open)
--- a/internal/core/frontend/query.go
+++ b/internal/core/frontend/query.go
@@ -34,7 +34,7 @@
 	if result.Final != nil {
 		return result.Final.JobStatus(job)
 	}
-	if result.Open.Record.Acknowledged() {
+	if result.Open.Record.CancelAcknowledged() {
 		return wire.JobStatus{ID: job, Status: wire.StatusCancelled}
 	}
 	count := f.host.TaskCounts(job)
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -15,7 +15,7 @@
 // recordCancellation applies what an open record says of a cancellation.
 func (l *leader) recordCancellation(job *cluster.Job, record records.Open) {
 	if record.Cancelled && !job.Cancellation.Requested() {
-		l.core.log.Info("job cancelled", "job", job.ID, "acknowledged", record.Acknowledged())
+		l.core.log.Info("job cancelled", "job", job.ID, "acknowledged", record.CancelAcknowledged())
 		l.markCancelled(job)
 		if record.CancelRequestedAt != 0 {
 			job.Cancellation.Request(l.steadyTime(record.CancelRequestedAt, 0))
@@ -23,7 +23,7 @@
 		l.recomputeUrgency(l.dependencies.Dependencies(job.ID))
 		l.cancelDependents(job.ID)
 	}
-	if record.Acknowledged() {
+	if record.CancelAcknowledged() {
 		// Not from when this leader learns of it, if that is on record.
 		at := l.core.now
 		if record.CancelAcknowledgedAt != 0 {
--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -60,8 +60,8 @@
 	ReadyAt int64 `json:"ra,omitempty"`
 }
 
-// Acknowledged reports whether the cancellation of the job may have been acknowledged to the user.
-func (r *Open) Acknowledged() bool {
+// CancelAcknowledged reports whether the job's cancellation may have been acknowledged to the user.
+func (r *Open) CancelAcknowledged() bool {
 	return r.Cancelled && (r.CancelAcknowledgedAt != 0 || r.CancelRequestedAt == 0)
 }
 
