--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -81,7 +81,7 @@
 		t.Run(name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			recordGraph(harness, leader, g)
-			before := leader.dependencies.Steps()
+			before := leader.dependencies.EdgesVisited()
 			if most := 20 * (len(g.order) + g.edges()); before > most {
 				t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", before, len(g.order), g.edges(), most)
 			}
@@ -97,17 +97,17 @@
 					t.Fatalf("%s: level %d, deadline %f, want %v %f", id, job.Level, job.Deadline, inherits, deadline)
 				}
 			}
-			if steps, most := leader.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
+			if steps, most := leader.dependencies.EdgesVisited()-before, 3*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("inheritance took %d steps, want at most %d", steps, most)
 			}
-			before = leader.dependencies.Steps()
+			before = leader.dependencies.EdgesVisited()
 			addRecord(harness, leader, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
 			for _, id := range g.order {
 				if job := leader.Jobs[id]; job.Level != 0 || !math.IsInf(job.Deadline, 1) {
 					t.Fatalf("%s without the dependent: level %d, deadline %f", id, job.Level, job.Deadline)
 				}
 			}
-			if steps, most := leader.dependencies.Steps()-before, 5*(len(g.order)+g.edges()); steps > most {
+			if steps, most := leader.dependencies.EdgesVisited()-before, 5*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("to take it back took %d steps, want at most %d", steps, most)
 			}
 		})
@@ -176,7 +176,7 @@
 		}
 	}
 	harness.commits = nil
-	stepsBefore := map[*leader]int{current: current.dependencies.Steps()} // a new leader begins with none
+	stepsBefore := map[*leader]int{current: current.dependencies.EdgesVisited()} // a new leader begins with none
 	current = cancel(harness, current, root)
 	harness.run(5 * time.Second)
 	for _, id := range g.order {
@@ -187,7 +187,7 @@
 	if ends, most := endTransactions(harness), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
 		t.Errorf("%d transactions for %d ends, want at most %d", ends, len(cancelled), most)
 	}
-	if steps, most := current.dependencies.Steps()-stepsBefore[current], 20*(len(g.order)+g.edges()); steps > most {
+	if steps, most := current.dependencies.EdgesVisited()-stepsBefore[current], 20*(len(g.order)+g.edges()); steps > most {
 		t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", steps, len(g.order), g.edges(), most)
 	}
 }
@@ -243,7 +243,7 @@
 		t.Run(name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			recordGraph(harness, leader, g)
-			before := leader.dependencies.Steps()
+			before := leader.dependencies.EdgesVisited()
 			for _, id := range g.order {
 				if j := leader.Jobs[id]; j.Waiting && !j.DependenciesDone {
 					t.Fatalf("%s still waits though its dependencies are done", id)
@@ -254,7 +254,7 @@
 				delete(leader.Jobs, id)
 				leader.dependencyEnded(id, wire.StatusDone)
 			}
-			if steps, most := leader.dependencies.Steps()-before, 3*(len(g.order)+g.edges()); steps > most {
+			if steps, most := leader.dependencies.EdgesVisited()-before, 3*(len(g.order)+g.edges()); steps > most {
 				t.Errorf("%d steps, want at most %d", steps, most)
 			}
 			if !leader.dependencies.Empty() {
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -154,9 +154,9 @@
 // without edges has level 0.
 func (g *Graph) Level(id string) int { return g.levels[id] }
 
-// Steps returns the number of edges visited since the graph was made. Tests use it to bound the
-// cost of operations without a clock.
-func (g *Graph) Steps() int { return g.edgesVisited }
+// EdgesVisited returns the number of edges visited since the graph was made. Tests use it to bound
+// the cost of operations without a clock.
+func (g *Graph) EdgesVisited() int { return g.edgesVisited }
 
 // Empty reports whether the graph has no edges and no levels.
 func (g *Graph) Empty() bool { return len(g.dependencies)+len(g.dependents)+len(g.levels) == 0 }
