--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -131,7 +131,7 @@
 		l.cancelDependents(id)
 		return
 	}
-	for _, dependent := range l.dependencies.Done(id) {
+	for _, dependent := range l.dependencies.MarkDone(id) {
 		if job := l.Jobs[dependent]; job != nil && job.Waiting && !job.Cancellation.Requested() {
 			job.DependenciesDone = true
 			l.writer.MarkDirty()
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -121,9 +121,9 @@
 	return false
 }
 
-// Done removes the edges from a job that is done to its dependents. It returns the dependents that
-// have no other dependency left, in the order of their addition.
-func (g *Graph) Done(id string) []string {
+// MarkDone removes the edges from a job that is done to its dependents. It returns the dependents
+// that have no other dependency left, in the order of their addition.
+func (g *Graph) MarkDone(id string) []string {
 	var ready []string
 	g.EachDependent(id, func(dependent string) {
 		if g.dependencies[dependent].remove(id) == 0 {
--- a/internal/core/depgraph/depgraph_test.go
+++ b/internal/core/depgraph/depgraph_test.go
@@ -28,18 +28,18 @@
 	graph := diamondWithTail()
 	checkJobs(t, "dependents of a", graph.TransitiveDependents("a", nil), "b", "c", "e", "d")
 	checkJobs(t, "dependents of d", graph.TransitiveDependents("d", nil), "e")
-	checkJobs(t, "ready after a", graph.Done("a"), "b", "c")
+	checkJobs(t, "ready after a", graph.MarkDone("a"), "b", "c")
 	if graph.HasDependencies("b") || !graph.HasDependencies("d") || !graph.HasDependencies("e") {
 		t.Error("HasDependencies after a is done: want false for b, true for d and e")
 	}
-	checkJobs(t, "ready after b", graph.Done("b"))
-	checkJobs(t, "ready after c", graph.Done("c"), "d")
+	checkJobs(t, "ready after b", graph.MarkDone("b"))
+	checkJobs(t, "ready after c", graph.MarkDone("c"), "d")
 	graph.Add("f", []string{"d"})
 	checkJobs(t, "dependents of d with f", graph.TransitiveDependents("d", nil), "e", "f")
 	graph.DropDependencies("e")
 	checkJobs(t, "dependents of d without e", graph.TransitiveDependents("d", nil), "f")
-	checkJobs(t, "ready after d", graph.Done("d"), "f")
-	checkJobs(t, "ready after d again", graph.Done("d"))
+	checkJobs(t, "ready after d", graph.MarkDone("d"), "f")
+	checkJobs(t, "ready after d again", graph.MarkDone("d"))
 	if !graph.Empty() {
 		t.Errorf("graph has dependencies %v, dependents %v, levels %v; want it empty", graph.dependencies, graph.dependents, graph.levels)
 	}
