--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -169,8 +169,8 @@
 	Record  records.Placement
 }
 
-// Adopt restores a job's placements from the placement records of earlier terms.
-func (w *Writer) Adopt(job *cluster.Job, found []LoadedPlacement) {
+// RestorePlacements restores a job's placements from the placement records of earlier terms.
+func (w *Writer) RestorePlacements(job *cluster.Job, found []LoadedPlacement) {
 	covered, named := coveredByNamedRanges(found, len(job.TaskStates))
 	if named && !w.store.AnnouncedToShrink() {
 		// The store rejected values of an earlier leader that the settings allow.
--- a/internal/core/persistence/loader.go
+++ b/internal/core/persistence/loader.go
@@ -117,7 +117,7 @@
 			return
 		}
 		for _, id := range slices.Sorted(maps.Keys(found)) {
-			l.writer.Adopt(l.state.Jobs[id], found[id])
+			l.writer.RestorePlacements(l.state.Jobs[id], found[id])
 		}
 		l.finishLoading()
 	})
--- a/internal/core/placement_records_test.go
+++ b/internal/core/placement_records_test.go
@@ -111,7 +111,7 @@
 	successor := newLeader(harness.core, election.Leadership{Term: 6, TermVersion: leader.leadership.TermVersion, Lease: 1})
 	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
 	found := loadPlacements(harness, leader, "job-1")
-	successor.writer.Adopt(successor.Jobs["job-1"], found)
+	successor.writer.RestorePlacements(successor.Jobs["job-1"], found)
 	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.Numbered {
 		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.Numbered)
 	}
@@ -141,7 +141,7 @@
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1} })
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 30}, nil)
 	job := leader.Jobs["job-1"]
-	leader.writer.Adopt(job, []persistence.LoadedPlacement{
+	leader.writer.RestorePlacements(job, []persistence.LoadedPlacement{
 		{Key: "p/job-1/0", Version: 5, PlacementRange: records.PlacementRange{From: 0, To: 128, Numbered: true}, Record: records.Placement{NextAttempt: 40, Done: []int{3}, Tasks: []records.PlacedTask{
 			{Task: 1, Attempt: 1, Machine: "n-000001", Zone: "a", Incarnation: 1}, {Task: 20, Attempt: 2, Machine: "n-000001", Zone: "a", Incarnation: 1},
 		}}},
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -63,7 +63,7 @@
 func recordedTasks(harness *harness, id string, tasks int) int {
 	leader := newLeader(harness.core, election.Leadership{Term: 5, TermVersion: harness.store[election.KeyTerm].Version, Lease: 1})
 	leader.applyOpenRecord(id, harness.store[records.OpenKey(id)].Version, harness.openRecord(id))
-	leader.writer.Adopt(leader.Jobs[id], loadPlacements(harness, leader, id))
+	leader.writer.RestorePlacements(leader.Jobs[id], loadPlacements(harness, leader, id))
 	n := 0
 	for i := range tasks {
 		if leader.Jobs[id].TaskStates[i].Machine != nil {
