--- a/internal/core/persistence/batch.go
+++ b/internal/core/persistence/batch.go
@@ -218,7 +218,7 @@
 	if job.OpenVersion < o.revision {
 		job.OpenVersion, job.Record = o.revision, record
 	}
-	w.host.DependenciesMayBeReady(job)
+	w.host.JobMayBeReady(job)
 	if job.RewriteOpenFirst {
 		job.RewriteOpenFirst, w.dirty = false, true
 		w.switchToNamedRanges(job)
--- a/internal/core/persistence/conflicts.go
+++ b/internal/core/persistence/conflicts.go
@@ -78,7 +78,7 @@
 			job.EndRecorded = true
 			w.log.Info("job ended", "job", job.ID, "status", "recorded earlier")
 			w.AddOrphans(job.RecordKeys()...)
-			w.host.JobEndedBefore(job)
+			w.host.JobEndAlreadyRecorded(job)
 		default:
 			w.refreshOpenRecord(job)
 		}
--- a/internal/core/persistence/persistence.go
+++ b/internal/core/persistence/persistence.go
@@ -56,17 +56,17 @@
 	CancelledEndFailed(job *cluster.Job)
 	// JobEnded is called when a job's end has been recorded.
 	JobEnded(job *cluster.Job, end wire.JobEnd)
-	// JobEndedBefore is called when a job's end turns out to have been recorded by an earlier
+	// JobEndAlreadyRecorded is called when a job's end turns out to have been recorded by an earlier
 	// transaction whose response was lost.
-	JobEndedBefore(job *cluster.Job)
+	JobEndAlreadyRecorded(job *cluster.Job)
 	// BatchAnswered is called after each response to a transaction, committed or not, with the
 	// job ends that the transaction recorded.
 	BatchAnswered(ends []wire.JobEnd)
 	// OpenRecordWritten is called when Writer has written a job's open record.
 	OpenRecordWritten(job *cluster.Job, record records.Open, version uint64)
-	// DependenciesMayBeReady is called when a job's open record has been written, or has changed
+	// JobMayBeReady is called when a job's open record has been written, or has changed
 	// but is too large to write: its ReadyAt may now show that all dependencies are done.
-	DependenciesMayBeReady(job *cluster.Job)
+	JobMayBeReady(job *cluster.Job)
 	// StartTasks starts tasks whose placements have just been recorded.
 	StartTasks(job *cluster.Job, placed []records.PlacedTask)
 	// PlacementRead is called with a task that may be running on a machine, according to a
--- a/internal/core/persistence/rejections.go
+++ b/internal/core/persistence/rejections.go
@@ -85,7 +85,7 @@
 	}
 	if job.DependenciesDone {
 		job.Record = record
-		w.host.DependenciesMayBeReady(job)
+		w.host.JobMayBeReady(job)
 	}
 	if job.RewriteOpenFirst {
 		job.RewriteOpenFirst, w.dirty = false, true
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -50,8 +50,8 @@
 	h.leader.dependencyEnded(job.ID, wire.JobState(end.Status))
 }
 
-// JobEndedBefore handles a job whose end was found on record.
-func (h persistenceHost) JobEndedBefore(job *cluster.Job) {
+// JobEndAlreadyRecorded handles a job whose end was found on record.
+func (h persistenceHost) JobEndAlreadyRecorded(job *cluster.Job) {
 	h.leader.forgetJob(job)
 	h.leader.lookUpDependency(job.ID)
 }
@@ -68,8 +68,8 @@
 	h.leader.core.jobCache.PutOpen(job.ID, &jobcache.OpenJob{Version: version, Record: record})
 }
 
-// DependenciesMayBeReady makes a job ready if its open record, which has changed, says so.
-func (h persistenceHost) DependenciesMayBeReady(job *cluster.Job) { h.leader.markReady(job) }
+// JobMayBeReady makes a job ready if its open record, which has changed, says so.
+func (h persistenceHost) JobMayBeReady(job *cluster.Job) { h.leader.markReady(job) }
 
 // StartTasks starts tasks whose placements are on record now.
 func (h persistenceHost) StartTasks(job *cluster.Job, placed []records.PlacedTask) {
