--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -200,7 +200,7 @@
 func leadWithRecords(harness *harness) *leader {
 	harness.write(election.KeyTerm, "", []byte("5"))
 	leader := harness.lead()
-	leader.loader.RetryWith(leader.loader.Load)
+	leader.loader.RetryOnNextTick(leader.loader.Load)
 	harness.run(time.Second)
 	return leader
 }
@@ -370,7 +370,7 @@
 		}
 	}
 	harness.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
-	leader.loader.RetryWith(func() {
+	leader.loader.RetryOnNextTick(func() {
 		leader.deleteAbandonedLists([]dependencylist.Attempt{
 			{Ref: records.DependencyListRef{Prefix: accepted}, Job: "job-7", FirstVersion: harness.store[accepted+"0"].Version, Keys: []string{accepted + "0", accepted + "1"}},
 			{Ref: records.DependencyListRef{Prefix: begun}, Job: "job-8", Keys: []string{begun + "1"}},
--- a/internal/core/persistence/loader.go
+++ b/internal/core/persistence/loader.go
@@ -43,8 +43,8 @@
 	l.loadOpenRecords("")
 }
 
-// RetryWith makes the next Tick call a function.
-func (l *Loader) RetryWith(retry func()) { l.retry, l.retryAt = retry, 0 }
+// RetryOnNextTick makes the next Tick call a function.
+func (l *Loader) RetryOnNextTick(retry func()) { l.retry, l.retryAt = retry, 0 }
 
 // Tick retries failed reads and watches that are due.
 func (l *Loader) Tick() {
