--- a/internal/core/persistence/batch_test.go
+++ b/internal/core/persistence/batch_test.go
@@ -51,10 +51,10 @@
 
 func (l *fakeLeader) CancelledEndFailed(*cluster.Job)                      {}
 func (l *fakeLeader) JobEnded(*cluster.Job, wire.JobEnd)                   {}
-func (l *fakeLeader) JobEndAlreadyRecorded(*cluster.Job)                          {}
+func (l *fakeLeader) JobEndAlreadyRecorded(*cluster.Job)                   {}
 func (l *fakeLeader) BatchAnswered([]wire.JobEnd)                          {}
 func (l *fakeLeader) OpenRecordWritten(*cluster.Job, records.Open, uint64) {}
-func (l *fakeLeader) JobMayBeReady(*cluster.Job)                  {}
+func (l *fakeLeader) JobMayBeReady(*cluster.Job)                           {}
 func (l *fakeLeader) StartTasks(*cluster.Job, []records.PlacedTask)        {}
 func (l *fakeLeader) OpenRecordRead(string, uint64, records.Open)          {}
 func (l *fakeLeader) PlacementRead(*cluster.Job, records.PlacedTask)       {}
