--- a/internal/core/dependency_lists.go
+++ b/internal/core/dependency_lists.go
@@ -132,7 +132,7 @@
 			return
 		}
 		l.core.log.Debug("records of an abandoned dependency list deleted", "job", attempt.Job, "records", len(txn.Writes))
-		attempt.Deleted(txn)
+		attempt.MarkDeleted(txn)
 		l.deleteAbandonedLists(found)
 	})
 }
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -314,7 +314,7 @@
 		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(harness.listKeys())-len(left), accepted)
 	}
 	list := dependencylist.NewWriter("job-7", "x-1", make([]dependencylist.Record, 12))
-	list.Committed(list.NextTxn(11), first)
+	list.MarkCommitted(list.NextTxn(11), first)
 	if status, _ := harness.commit(kv.Encode(list.NextTxn(5))); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
 	}
--- a/internal/core/dependencylist/attempt.go
+++ b/internal/core/dependencylist/attempt.go
@@ -60,7 +60,7 @@
 	return txn
 }
 
-// Deleted records that a transaction from DeletionTxn was committed.
-func (a *Attempt) Deleted(txn *wire.Txn) {
+// MarkDeleted records that a transaction from DeletionTxn was committed.
+func (a *Attempt) MarkDeleted(txn *wire.Txn) {
 	a.Keys, a.FirstVersion = a.Keys[len(txn.Writes):], 0
 }
--- a/internal/core/dependencylist/dependencylist.go
+++ b/internal/core/dependencylist/dependencylist.go
@@ -74,9 +74,9 @@
 // Ref returns the reference to the list.
 func (w *Writer) Ref() records.DependencyListRef { return w.ref }
 
-// FirstUnchanged returns the condition that the first record is unchanged: the attempt has not been
-// deleted.
-func (w *Writer) FirstUnchanged() wire.Condition {
+// FirstRecordUnchanged returns the condition that the first record is unchanged: the attempt has
+// not been deleted.
+func (w *Writer) FirstRecordUnchanged() wire.Condition {
 	return wire.Condition{Key: w.ref.Key(0), Version: w.firstVersion}
 }
 
@@ -85,7 +85,7 @@
 
 // NextTxn returns a transaction that writes as many of the remaining records as fit.
 func (w *Writer) NextTxn(maxWrites int) *wire.Txn {
-	txn := &wire.Txn{Conditions: []wire.Condition{w.FirstUnchanged()}}
+	txn := &wire.Txn{Conditions: []wire.Condition{w.FirstRecordUnchanged()}}
 	bytes := 0
 	for n := w.written; n < len(w.records) && len(txn.Writes) < maxWrites; n++ {
 		value := kv.Encode(w.records[n])
@@ -98,8 +98,8 @@
 	return txn
 }
 
-// Committed records that a transaction from NextTxn was committed with a revision.
-func (w *Writer) Committed(txn *wire.Txn, revision uint64) {
+// MarkCommitted records that a transaction from NextTxn was committed with a revision.
+func (w *Writer) MarkCommitted(txn *wire.Txn, revision uint64) {
 	if w.written == 0 {
 		w.firstVersion = revision
 	}
--- a/internal/core/dependencylist/dependencylist_test.go
+++ b/internal/core/dependencylist/dependencylist_test.go
@@ -103,7 +103,7 @@
 		for _, write := range txn.Writes {
 			keys = append(keys, write.Put)
 		}
-		list.Committed(txn, revision+uint64(len(keys)-len(txn.Writes)))
+		list.MarkCommitted(txn, revision+uint64(len(keys)-len(txn.Writes)))
 	}
 	if !slices.Equal(keys, list.Ref().Keys()) {
 		t.Errorf("wrote %q, want %q", keys, list.Ref().Keys())
@@ -161,7 +161,7 @@
 		if !slices.Equal(deleted, want.deleted) {
 			t.Errorf("deletes %q, want %q", deleted, want.deleted)
 		}
-		attempt.Deleted(txn)
+		attempt.MarkDeleted(txn)
 	}
 	if len(attempt.Keys) != 0 {
 		t.Errorf("keys left after the last deletion: %q, want none", attempt.Keys)
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -50,7 +50,7 @@
 		return txn, true
 	}
 	if pending.list != nil {
-		txn.conditions = append(txn.conditions, pending.list.FirstUnchanged())
+		txn.conditions = append(txn.conditions, pending.list.FirstRecordUnchanged())
 	}
 	for _, dependency := range pending.unfinished {
 		if !f.prepareDependency(&txn, dependency) {
--- a/internal/core/frontend/dependency_list.go
+++ b/internal/core/frontend/dependency_list.go
@@ -28,7 +28,7 @@
 	f.store.Commit(txn, func(r kv.TxnResult) {
 		switch r.Status {
 		case kv.OK:
-			list.Committed(txn, r.Revision)
+			list.MarkCommitted(txn, r.Revision)
 			if !list.Complete() {
 				f.writeListRecords(pending)
 				return
