--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -218,7 +218,7 @@
 	for _, name := range names[1:] {
 		harness.recordEnd(name, wire.StatusDone)
 	}
-	harness.core.jobCache.ForgetAllOpen()
+	harness.core.jobCache.RemoveAllOpen()
 	leader := leadWithRecords(harness)
 	harness.run(10 * time.Second)
 	job := leader.Jobs[id]
@@ -388,7 +388,7 @@
 	harness := newHarness(t, testMachineTypes)
 	names := openJobs(harness, longListLength)
 	harness.core.settings.Deployment.MachineLimits.MaxConnections = 40
-	harness.core.jobCache.ForgetAllOpen()
+	harness.core.jobCache.RemoveAllOpen()
 	longest := 0
 	harness.afterStep = func() { longest = max(longest, harness.core.frontEnd.WaitingLookups()) }
 	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -190,7 +190,7 @@
 	for _, job := range jobs {
 		if changed[job] {
 			found = true
-			f.cache.ForgetOpen(job)
+			f.cache.RemoveOpen(job)
 		}
 	}
 	return found
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -132,7 +132,7 @@
 	f.store.CommitUrgent(txn, func(r kv.TxnResult) {
 		if !r.Committed() {
 			if r.Status == kv.Conflict {
-				f.cache.ForgetOpen(job)
+				f.cache.RemoveOpen(job)
 			}
 			done(nil, r.Status)
 			return
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -298,7 +298,7 @@
 		return true
 	case kv.Conflict, kv.Unanswered:
 		for _, job := range jobs {
-			f.cache.ForgetOpen(job)
+			f.cache.RemoveOpen(job)
 		}
 		return true
 	case kv.Rejected:
--- a/internal/core/frontend/lookup.go
+++ b/internal/core/frontend/lookup.go
@@ -158,7 +158,7 @@
 	case status != kv.OK && status != kv.Conflict:
 		resolveAll(waiting, LookupResult{Failed: true})
 	case changed || f.cache.Open(job) == nil:
-		f.cache.ForgetOpen(job)
+		f.cache.RemoveOpen(job)
 		f.readJob(job, waiting)
 	default:
 		resolveAll(waiting, LookupResult{Open: f.cache.Open(job)})
@@ -201,7 +201,7 @@
 		}
 		if r.Status == kv.OK {
 			if read := decodeOpen(r.Item); read != nil {
-				open, final := f.cache.PutNewer(job, read)
+				open, final := f.cache.PutIfNewer(job, read)
 				done(LookupResult{Open: open, Final: final})
 				return
 			}
@@ -217,7 +217,7 @@
 		var final records.Final
 		switch {
 		case r.Status == kv.NotFound:
-			f.cache.ForgetOpen(job)
+			f.cache.RemoveOpen(job)
 			done(LookupResult{})
 		case r.Status == kv.OK && json.Unmarshal(r.Item.Value, &final) == nil:
 			f.cache.PutFinal(job, final)
--- a/internal/core/jobcache/jobcache.go
+++ b/internal/core/jobcache/jobcache.go
@@ -56,10 +56,10 @@
 	}
 }
 
-// PutNewer adds an open job that was read from the store, unless the cache has a final record or an
+// PutIfNewer adds an open job that was read from the store, unless the cache has a final record or an
 // open record that is at least as new, stored while the read was in flight. Users may already have
-// received that record. PutNewer returns the record that is cached afterwards.
-func (c *Cache) PutNewer(id string, read *OpenJob) (open *OpenJob, final *records.Final) {
+// received that record. PutIfNewer returns the record that is cached afterwards.
+func (c *Cache) PutIfNewer(id string, read *OpenJob) (open *OpenJob, final *records.Final) {
 	if final, ended := c.final[id]; ended {
 		return nil, &final
 	}
@@ -84,8 +84,8 @@
 	c.final[id] = final
 }
 
-// ForgetOpen removes an open job whose record has changed.
-func (c *Cache) ForgetOpen(id string) { delete(c.open, id) }
+// RemoveOpen removes an open job whose record has changed.
+func (c *Cache) RemoveOpen(id string) { delete(c.open, id) }
 
-// ForgetAllOpen removes all open jobs.
-func (c *Cache) ForgetAllOpen() { clear(c.open) }
+// RemoveAllOpen removes all open jobs.
+func (c *Cache) RemoveAllOpen() { clear(c.open) }
--- a/internal/core/jobcache/jobcache_test.go
+++ b/internal/core/jobcache/jobcache_test.go
@@ -26,12 +26,12 @@
 	}
 }
 
-// TestPutOpenAfterForget adds a job again after its removal. The job must not be evicted, although
+// TestPutOpenAfterRemoval adds a job again after its removal. The job must not be evicted, although
 // the eviction order still contains its earlier entry.
-func TestPutOpenAfterForget(t *testing.T) {
+func TestPutOpenAfterRemoval(t *testing.T) {
 	c := New(1)
 	c.PutOpen("a", &OpenJob{Version: 1})
-	c.ForgetOpen("a")
+	c.RemoveOpen("a")
 	c.PutOpen("a", &OpenJob{Version: 2})
 	if a := c.Open("a"); a == nil || a.Version != 2 {
 		t.Errorf("cached job a: got %+v, want version 2", a)
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestPutNewer checks that a newer record, stored while a read was in flight, is kept.
-func TestPutNewer(t *testing.T) {
+// TestPutIfNewer checks that a newer record, stored while a read was in flight, is kept.
+func TestPutIfNewer(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
 		meanwhile func(c *Cache)
@@ -72,7 +72,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(10)
 			tc.meanwhile(c)
-			open, final := c.PutNewer("a", &OpenJob{Version: 5})
+			open, final := c.PutIfNewer("a", &OpenJob{Version: 5})
 			if (final != nil) != tc.ended {
 				t.Errorf("final record returned: %v, want %v", final != nil, tc.ended)
 			}
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -48,7 +48,7 @@
 	harness.write(records.FinalKey(jobID(doneJob)), "", []byte(`{"s":"done","n":16}`))
 	harness.write(records.FinalKey(jobID(cancelledJob)), "", []byte(`{"s":"withdrawn","n":16}`))
 	harness.requestCancellation(jobID(jobBeingCancelled), 1)
-	harness.core.jobCache.ForgetOpen(jobID(jobBeingCancelled))
+	harness.core.jobCache.RemoveOpen(jobID(jobBeingCancelled))
 	return harness
 }
 
@@ -97,7 +97,7 @@
 			t.Run(tc.name+"/known here "+strconv.FormatBool(known), func(t *testing.T) {
 				harness := newHarnessWithDependencies(t)
 				if !known {
-					harness.core.jobCache.ForgetAllOpen() // accepted by another controller
+					harness.core.jobCache.RemoveAllOpen() // accepted by another controller
 				}
 				checkSubmission(t, harness, tc)
 			})
@@ -141,7 +141,7 @@
 		}
 		names = append(names, `"`+jobID(n)+`"`)
 	}
-	harness.core.jobCache.ForgetAllOpen()
+	harness.core.jobCache.RemoveAllOpen()
 	if a := harness.request("POST", "/submissions", submissionWithDependencies(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
