--- a/internal/core/dependencylist/dependencylist_test.go
+++ b/internal/core/dependencylist/dependencylist_test.go
@@ -40,8 +40,7 @@
 	}
 }
 
-// listPage returns a page of list records of job-7 with the numbers from from to to-1. Each holds
-// one name.
+// listPage returns a page of list records of job-7, numbered [from, to). Each holds one name.
 func listPage(from, to int) []wire.Item {
 	var items []wire.Item
 	for n := from; n < to; n++ {
--- a/internal/core/depgraph/depgraph_test.go
+++ b/internal/core/depgraph/depgraph_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// TestCycle checks that Add terminates for a cycle, which only corrupt records can contain.
+// TestCycle checks that Add terminates for a cycle of two jobs. Only corrupt records can contain a
+// cycle.
 func TestCycle(*testing.T) {
 	graph := New()
 	graph.Add("a", []string{"b"})
--- a/internal/core/jobcache/jobcache.go
+++ b/internal/core/jobcache/jobcache.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// PutIfNewer adds an open job that was read from the store, unless the cache has a final record or an
-// open record that is at least as new, stored while the read was in flight. Users may already have
-// received that record. PutIfNewer returns the record that is cached afterwards.
+// PutIfNewer adds an open job that was read from the store, unless the cache has a final record or
+// an open record that is at least as new, stored while the read was in flight. Users may already
+// have received that record. PutIfNewer returns the record that is cached afterwards.
 func (c *Cache) PutIfNewer(id string, read *OpenJob) (open *OpenJob, final *records.Final) {
 	if final, ended := c.final[id]; ended {
 		return nil, &final
--- a/internal/core/persistence/batch.go
+++ b/internal/core/persistence/batch.go
@@ -194,9 +194,9 @@
 }
 
 // requireDependenciesEnded makes the batch conditional on a job's dependencies having ended: the
-// end of a job deletes its open record. The store takes four conditions for each write that it
+// end of a job deletes its open record. The store accepts four conditions for each write that it
 // allows. The term needs one and each write at most two, so 2*maxWrites-1 are left for
-// dependencies. Those that exceed this number are not checked.
+// dependencies. Dependencies beyond that number are not checked.
 func (b *batch) requireDependenciesEnded(job *cluster.Job) {
 	for _, dependency := range job.Dependencies {
 		if b.dependencyConditions >= 2*b.maxWrites-1 {
