--- a/internal/core/jobcache/jobcache.go
+++ b/internal/core/jobcache/jobcache.go
@@ -19,7 +19,7 @@
 type Cache struct {
 	capacity   int
 	open       map[string]*OpenJob
-	openOrder  []string // oldest first; may contain removed jobs
+	openOrder  []string // oldest first; may contain removed jobs and duplicates
 	final      map[string]records.Final
 	finalOrder []string // oldest first
 }
