--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -200,7 +200,7 @@
 func leadWithRecords(harness *harness) *leader {
 	harness.write(election.KeyTerm, "", []byte("5"))
 	leader := harness.lead()
-	leader.loader.RetryWith(leader.loader.Load)
+	leader.loader.RetryOnNextTick(leader.loader.Load)
 	harness.run(time.Second)
 	return leader
 }
@@ -218,7 +218,7 @@
 	for _, name := range names[1:] {
 		harness.recordEnd(name, wire.StatusDone)
 	}
-	harness.core.jobCache.ForgetAllOpen()
+	harness.core.jobCache.RemoveAllOpen()
 	leader := leadWithRecords(harness)
 	harness.run(10 * time.Second)
 	job := leader.Jobs[id]
@@ -314,7 +314,7 @@
 		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(harness.listKeys())-len(left), accepted)
 	}
 	list := dependencylist.NewWriter("job-7", "x-1", make([]dependencylist.Record, 12))
-	list.Committed(list.NextTxn(11), first)
+	list.MarkCommitted(list.NextTxn(11), first)
 	if status, _ := harness.commit(kv.Encode(list.NextTxn(5))); status != 409 {
 		t.Errorf("a late list record is answered %d, want 409", status)
 	}
@@ -370,7 +370,7 @@
 		}
 	}
 	harness.write(records.OpenKey("job-7"), "", kv.Encode(records.Open{Job: wire.Job{ID: "job-7", Tasks: 1, Dependencies: []string{accepted + "2"}}}))
-	leader.loader.RetryWith(func() {
+	leader.loader.RetryOnNextTick(func() {
 		leader.deleteAbandonedLists([]dependencylist.Attempt{
 			{Ref: records.DependencyListRef{Prefix: accepted}, Job: "job-7", FirstVersion: harness.store[accepted+"0"].Version, Keys: []string{accepted + "0", accepted + "1"}},
 			{Ref: records.DependencyListRef{Prefix: begun}, Job: "job-8", Keys: []string{begun + "1"}},
@@ -388,7 +388,7 @@
 	harness := newHarness(t, testMachineTypes)
 	names := openJobs(harness, longListLength)
 	harness.core.settings.Deployment.MachineLimits.MaxConnections = 40
-	harness.core.jobCache.ForgetAllOpen()
+	harness.core.jobCache.RemoveAllOpen()
 	longest := 0
 	harness.afterStep = func() { longest = max(longest, harness.core.frontEnd.WaitingLookups()) }
 	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -165,7 +165,7 @@
 // batchConflicted continues with the submissions of a transaction of which some conditions did not
 // hold.
 func (f *FrontEnd) batchConflicted(batch *submissionBatch, conflicts []string) {
-	changed := records.Jobs(conflicts)
+	changed := records.JobIDs(conflicts)
 	for _, pending := range batch.submissions {
 		job := pending.record.Job.ID
 		switch {
@@ -190,7 +190,7 @@
 	for _, job := range jobs {
 		if changed[job] {
 			found = true
-			f.cache.ForgetOpen(job)
+			f.cache.RemoveOpen(job)
 		}
 	}
 	return found
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -63,7 +63,7 @@
 			f.host.Refuse(request.id, storeUnavailable)
 		case !result.found():
 			f.host.Refuse(request.id, NoSuchJob)
-		case result.Final != nil || result.Open.Record.Acknowledged():
+		case result.Final != nil || result.Open.Record.CancelAcknowledged():
 			f.host.Answer(request.id, httpstatus.OK, f.status(request.job, result))
 		case result.Open.Record.Cancelled:
 			f.waitForTermination(request, result.Open)
@@ -132,7 +132,7 @@
 	f.store.CommitUrgent(txn, func(r kv.TxnResult) {
 		if !r.Committed() {
 			if r.Status == kv.Conflict {
-				f.cache.ForgetOpen(job)
+				f.cache.RemoveOpen(job)
 			}
 			done(nil, r.Status)
 			return
