--- a/internal/core/cancellation/cancellation.go
+++ b/internal/core/cancellation/cancellation.go
@@ -59,10 +59,10 @@
 	pending.waiters = append(pending.waiters, waiter{id: id, expiresAt: now + r.requestTimeout})
 }
 
-// Dismiss removes and returns the requests that wait for a job, whose users are to retry. The
+// TakeWaiters removes and returns the requests that wait for a job, whose users are to retry. The
 // cancellation itself is kept. While a confirmation is in progress, it does nothing and returns
 // none.
-func (r *Registry) Dismiss(job string) []RequestID {
+func (r *Registry) TakeWaiters(job string) []RequestID {
 	pending := r.pending[job]
 	if pending == nil || pending.confirming {
 		return nil
@@ -72,9 +72,9 @@
 	return ids
 }
 
-// End removes the cancellation of a job whose end is recorded, and returns the requests that wait
-// for it.
-func (r *Registry) End(job string) []RequestID {
+// JobEnded removes the cancellation of a job whose end is recorded, and returns the requests that
+// wait for it.
+func (r *Registry) JobEnded(job string) []RequestID {
 	pending := r.pending[job]
 	if pending == nil {
 		return nil
@@ -89,9 +89,9 @@
 	return pending != nil && !pending.confirming && len(pending.waiters) > 0
 }
 
-// Version returns the version of the open record that holds the request to cancel a job; 0 for a
+// RecordVersion returns the version of the open record that holds the request to cancel a job; 0 for a
 // job whose cancellation is not registered.
-func (r *Registry) Version(job string) uint64 {
+func (r *Registry) RecordVersion(job string) uint64 {
 	if pending := r.pending[job]; pending != nil {
 		return pending.version
 	}
@@ -104,30 +104,30 @@
 	pending *pendingCancellation
 }
 
-// Confirm begins a confirmation for a job that needs one, see NeedsConfirmation. The job's
-// requests neither expire nor are dismissed until its outcome is known.
-func (r *Registry) Confirm(job string) *Confirmation {
+// BeginConfirmation begins a confirmation for a job that needs one, see NeedsConfirmation. The
+// job's requests are neither expired nor taken until its outcome is known.
+func (r *Registry) BeginConfirmation(job string) *Confirmation {
 	pending := r.pending[job]
 	pending.confirming = true
 	return &Confirmation{job: job, pending: pending}
 }
 
-// Confirmed ends a confirmation that succeeded: it removes the cancellation and returns the
+// ConfirmationSucceeded ends a confirmation that succeeded: it removes the cancellation and returns the
 // requests to acknowledge. There are none if the job's end was recorded meanwhile.
-func (r *Registry) Confirmed(confirmation *Confirmation) []RequestID {
+func (r *Registry) ConfirmationSucceeded(confirmation *Confirmation) []RequestID {
 	if !r.endConfirmation(confirmation) {
 		return nil
 	}
-	return r.End(confirmation.job)
+	return r.JobEnded(confirmation.job)
 }
 
-// NotConfirmed ends a confirmation that failed: it removes and returns the requests, whose users
-// are to retry. There are none if the job's end was recorded meanwhile.
-func (r *Registry) NotConfirmed(confirmation *Confirmation) []RequestID {
+// ConfirmationFailed ends a confirmation that failed: it removes and returns the requests, whose
+// users are to retry. There are none if the job's end was recorded meanwhile.
+func (r *Registry) ConfirmationFailed(confirmation *Confirmation) []RequestID {
 	if !r.endConfirmation(confirmation) {
 		return nil
 	}
-	return r.Dismiss(confirmation.job)
+	return r.TakeWaiters(confirmation.job)
 }
 
 // endConfirmation ends a confirmation, and reports whether its cancellation is still registered:
--- a/internal/core/cancellation/cancellation_test.go
+++ b/internal/core/cancellation/cancellation_test.go
@@ -26,32 +26,32 @@
 	}
 }
 
-func TestEndAnswersEachRequestOnce(t *testing.T) {
+func TestJobEndedReturnsEachRequestOnce(t *testing.T) {
 	r := newTestRegistry()
 	r.Add("b", 1, 3, 10*time.Second)
-	if v := r.Version("a"); v != 7 {
+	if v := r.RecordVersion("a"); v != 7 {
 		t.Errorf("got version %d, want 7, the highest", v)
 	}
-	checkRequests(t, "end", r.End("a"), 1, 2)
-	checkRequests(t, "second end", r.End("a"))
-	checkRequests(t, "end of a job without a registered cancellation", r.End("c"))
-	if jobs := r.Jobs(); !slices.Equal(jobs, []string{"b"}) || r.Version("a") != 0 {
+	checkRequests(t, "end", r.JobEnded("a"), 1, 2)
+	checkRequests(t, "second end", r.JobEnded("a"))
+	checkRequests(t, "end of a job without a registered cancellation", r.JobEnded("c"))
+	if jobs := r.Jobs(); !slices.Equal(jobs, []string{"b"}) || r.RecordVersion("a") != 0 {
 		t.Errorf("got registered jobs %v, want only b, and version 0 for a", jobs)
 	}
 }
 
-func TestDismissKeepsTheCancellation(t *testing.T) {
+func TestTakeWaitersKeepsCancellation(t *testing.T) {
 	r := newTestRegistry()
-	checkRequests(t, "dismissed", r.Dismiss("a"), 1, 2)
-	checkRequests(t, "dismissed again", r.Dismiss("a"))
-	if r.NeedsConfirmation("a") || r.Version("a") != 7 {
-		t.Errorf("got NeedsConfirmation %v and version %d, want false and 7", r.NeedsConfirmation("a"), r.Version("a"))
+	checkRequests(t, "waiters taken", r.TakeWaiters("a"), 1, 2)
+	checkRequests(t, "waiters taken again", r.TakeWaiters("a"))
+	if r.NeedsConfirmation("a") || r.RecordVersion("a") != 7 {
+		t.Errorf("got NeedsConfirmation %v and version %d, want false and 7", r.NeedsConfirmation("a"), r.RecordVersion("a"))
 	}
 	r.Add("a", 8, 3, 12*time.Second)
 	if !r.NeedsConfirmation("a") {
 		t.Error("NeedsConfirmation: got false after the user has retried, want true")
 	}
-	checkRequests(t, "end", r.End("a"), 3)
+	checkRequests(t, "end", r.JobEnded("a"), 3)
 }
 
 func TestExpire(t *testing.T) {
@@ -78,24 +78,24 @@
 		finishIDs    []RequestID // returned by finish
 		wantJobs     int         // jobs registered afterwards
 	}{
-		{"succeeds", nil, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
-		{"fails", nil, nil, (*Registry).NotConfirmed, []RequestID{1, 2}, 1},
-		{"waiters are not dismissed meanwhile", func(r *Registry) []RequestID { return r.Dismiss("a") }, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
-		{"requests do not expire meanwhile", func(r *Registry) []RequestID { return r.Expire(time.Hour) }, nil, (*Registry).Confirmed, []RequestID{1, 2}, 0},
-		{"the job's end comes first", func(r *Registry) []RequestID { return r.End("a") }, []RequestID{1, 2}, (*Registry).Confirmed, nil, 0},
+		{"succeeds", nil, nil, (*Registry).ConfirmationSucceeded, []RequestID{1, 2}, 0},
+		{"fails", nil, nil, (*Registry).ConfirmationFailed, []RequestID{1, 2}, 1},
+		{"waiters are not taken meanwhile", func(r *Registry) []RequestID { return r.TakeWaiters("a") }, nil, (*Registry).ConfirmationSucceeded, []RequestID{1, 2}, 0},
+		{"requests do not expire meanwhile", func(r *Registry) []RequestID { return r.Expire(time.Hour) }, nil, (*Registry).ConfirmationSucceeded, []RequestID{1, 2}, 0},
+		{"the job's end comes first", func(r *Registry) []RequestID { return r.JobEnded("a") }, []RequestID{1, 2}, (*Registry).ConfirmationSucceeded, nil, 0},
 		{"the job's end comes first, then another request", func(r *Registry) []RequestID {
-			ids := r.End("a")
+			ids := r.JobEnded("a")
 			r.Add("a", 9, 3, time.Minute)
 			return ids
-		}, []RequestID{1, 2}, (*Registry).Confirmed, nil, 1},
+		}, []RequestID{1, 2}, (*Registry).ConfirmationSucceeded, nil, 1},
 		{"another request is added meanwhile", func(r *Registry) []RequestID {
 			r.Add("a", 9, 3, time.Minute)
 			return nil
-		}, nil, (*Registry).Confirmed, []RequestID{1, 2, 3}, 0},
+		}, nil, (*Registry).ConfirmationSucceeded, []RequestID{1, 2, 3}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := newTestRegistry()
-			confirmation := r.Confirm("a")
+			confirmation := r.BeginConfirmation("a")
 			if r.NeedsConfirmation("a") {
 				t.Error("NeedsConfirmation: got true while a confirmation is in progress, want false")
 			}
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -154,12 +154,12 @@
 	}
 	f.cancellations.Add(request.job, open.Version, request.id, f.host.Now())
 	if delayed := f.host.StopTasks(request.job, open); delayed {
-		f.dismissCancellation(request.job)
+		f.askWaitersToRetry(request.job)
 	}
 }
 
-// dismissCancellation asks the users who wait for a job's cancellation to retry.
-func (f *FrontEnd) dismissCancellation(job string) { f.askToRetry(f.cancellations.Dismiss(job)) }
+// askWaitersToRetry asks the users who wait for a job's cancellation to retry.
+func (f *FrontEnd) askWaitersToRetry(job string) { f.askToRetry(f.cancellations.TakeWaiters(job)) }
 
 // askToRetry asks users to retry because tasks of their jobs are still being stopped.
 func (f *FrontEnd) askToRetry(requests []RequestID) {
@@ -180,7 +180,7 @@
 func (f *FrontEnd) JobEnded(end wire.JobEnd) {
 	final := records.Final{Status: wire.JobState(end.Status), Tasks: end.Tasks}
 	f.cache.PutFinal(end.ID, final)
-	f.answerEnded(f.cancellations.End(end.ID), final.JobStatus(end.ID))
+	f.answerEnded(f.cancellations.JobEnded(end.ID), final.JobStatus(end.ID))
 }
 
 // HandleEnds handles a message about cancelled jobs from the leader, which is another controller.
@@ -189,7 +189,7 @@
 		f.JobEnded(end)
 	}
 	for _, job := range ends.Held {
-		f.dismissCancellation(job)
+		f.askWaitersToRetry(job)
 	}
 	for _, job := range ends.Gone {
 		f.confirmTermination(job, ends.TermVersion)
@@ -200,7 +200,7 @@
 func (f *FrontEnd) Cancellations() []wire.Cancelled {
 	var cancelled []wire.Cancelled
 	for _, job := range f.cancellations.Jobs() {
-		cancelled = append(cancelled, wire.Cancelled{ID: job, Version: f.cancellations.Version(job)})
+		cancelled = append(cancelled, wire.Cancelled{ID: job, Version: f.cancellations.RecordVersion(job)})
 	}
 	return cancelled
 }
@@ -213,20 +213,20 @@
 		return
 	}
 	open := f.cache.Open(job)
-	if open == nil || open.Version != f.cancellations.Version(job) || open.Record.HasDependents {
+	if open == nil || open.Version != f.cancellations.RecordVersion(job) || open.Record.HasDependents {
 		// The leader's report does not suffice for a job with dependents: while the leader
 		// cannot read the store, there may be dependents that it does not know.
-		f.dismissCancellation(job)
+		f.askWaitersToRetry(job)
 		return
 	}
-	confirmation := f.cancellations.Confirm(job)
+	confirmation := f.cancellations.BeginConfirmation(job)
 	termUnchanged := []wire.Condition{{Key: election.KeyTerm, Version: termVersion}}
 	f.writeOpen(job, open.Version, f.acknowledgedRecord(open.Record), termUnchanged, func(written *jobcache.OpenJob, _ kv.Status) {
 		if written == nil {
-			f.askToRetry(f.cancellations.NotConfirmed(confirmation))
+			f.askToRetry(f.cancellations.ConfirmationFailed(confirmation))
 			return
 		}
-		f.answerEnded(f.cancellations.Confirmed(confirmation), wire.JobStatus{ID: job, Status: wire.StatusCancelled})
+		f.answerEnded(f.cancellations.ConfirmationSucceeded(confirmation), wire.JobStatus{ID: job, Status: wire.StatusCancelled})
 	})
 }
 
