--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -83,7 +83,7 @@
 	if _, ok := l.lookups.dueAt[id]; ok || !l.dependencies.HasDependents(id) {
 		return
 	}
-	if l.lookups.running >= l.core.frontEnd.MaxWaiting()/8 {
+	if l.lookups.running >= l.core.frontEnd.MaxWaitingRequests()/8 {
 		l.lookups.dueAt[id] = l.core.now // users' requests share the same calls
 		return
 	}
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -390,7 +390,7 @@
 	harness.core.settings.Deployment.MachineLimits.MaxConnections = 40
 	harness.core.jobCache.ForgetAllOpen()
 	longest := 0
-	harness.afterStep = func() { longest = max(longest, harness.core.frontEnd.WaitingLookups()) }
+	harness.afterStep = func() { longest = max(longest, harness.core.frontEnd.QueuedLookups()) }
 	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -196,8 +196,9 @@
 	}
 }
 
-// Cancellations lists the recorded cancellations that are not acknowledged yet, sorted by job ID.
-func (f *FrontEnd) Cancellations() []wire.Cancelled {
+// PendingCancellations lists the recorded cancellations that are not acknowledged yet, sorted by
+// job ID.
+func (f *FrontEnd) PendingCancellations() []wire.Cancelled {
 	var cancelled []wire.Cancelled
 	for _, job := range f.cancellations.Jobs() {
 		cancelled = append(cancelled, wire.Cancelled{ID: job, Version: f.cancellations.RecordVersion(job)})
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -148,7 +148,7 @@
 	// A submission's lookups use at most a quarter of the waiting requests, which leaves capacity
 	// for others. Results are cached, so the next round, or the user's next attempt, looks up the
 	// rest.
-	unknown = unknown[:min(len(unknown), f.MaxWaiting()/4)]
+	unknown = unknown[:min(len(unknown), f.MaxWaitingRequests()/4)]
 	lookups := &dependencyLookups{remaining: len(unknown)}
 	for _, job := range unknown {
 		f.Lookup(job, func(result LookupResult) {
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -97,13 +97,13 @@
 	f.askToRetry(f.cancellations.Expire(f.host.Now()))
 }
 
-// MaxWaiting returns the maximum number of waiting requests: each occupies a connection.
-func (f *FrontEnd) MaxWaiting() int { return f.deployment.MachineLimits.MaxConnections }
+// MaxWaitingRequests returns the maximum number of waiting requests: each occupies a connection.
+func (f *FrontEnd) MaxWaitingRequests() int { return f.deployment.MachineLimits.MaxConnections }
 
 // mustShed reports whether a new request has to be refused immediately (load shedding), given the
 // number of requests that are waiting.
 func (f *FrontEnd) mustShed(waiting int) bool {
-	return waiting >= f.MaxWaiting() || f.storeUnresponsive()
+	return waiting >= f.MaxWaitingRequests() || f.storeUnresponsive()
 }
 
 // storeUnresponsive reports whether the store has been unavailable for so long that requests are
--- a/internal/core/frontend/lookup.go
+++ b/internal/core/frontend/lookup.go
@@ -51,7 +51,7 @@
 		done(LookupResult{Final: &final})
 		return
 	}
-	if f.mustShed(f.WaitingLookups()) {
+	if f.mustShed(f.QueuedLookups()) {
 		done(LookupResult{Failed: true})
 		return
 	}
@@ -60,8 +60,8 @@
 	f.startLookups()
 }
 
-// WaitingLookups returns the number of jobs whose lookup has not started.
-func (f *FrontEnd) WaitingLookups() int { return len(f.lookups.queue) }
+// QueuedLookups returns the number of jobs whose lookup has not started.
+func (f *FrontEnd) QueuedLookups() int { return len(f.lookups.queue) }
 
 // expireLookups fails the queued lookups that have timed out.
 func (f *FrontEnd) expireLookups() {
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -127,7 +127,7 @@
 func (c *Core) newDigest() wire.Digest {
 	digest := wire.Digest{Version: wire.PeerVersion, Term: c.election.Term(), StoreOK: c.store.Available()}
 	c.membership.FillDigest(&digest)
-	digest.Cancelled = c.frontEnd.Cancellations()
+	digest.Cancelled = c.frontEnd.PendingCancellations()
 	if c.leader == nil {
 		return digest
 	}
