--- a/internal/core/cancellation/cancellation_test.go
+++ b/internal/core/cancellation/cancellation_test.go
@@ -146,7 +146,7 @@
 // TestAnnounceOnce checks that a termination is announced only once.
 func TestAnnounceOnce(t *testing.T) {
 	var p Progress
-	if !p.Announce() || p.Announce() {
+	if !p.AnnounceOnce() || p.AnnounceOnce() {
 		t.Error("got two announcements or none, want exactly one")
 	}
 }
--- a/internal/core/cancellation/progress.go
+++ b/internal/core/cancellation/progress.go
@@ -50,9 +50,9 @@
 // Terminated reports whether no task is left.
 func (p *Progress) Terminated() bool { return p.terminatedAt != 0 }
 
-// Announce reports whether the other controllers have not been told yet that no task is left, and
+// AnnounceOnce reports whether the other controllers have not been told yet that no task is left, and
 // records that they are told now: it returns true once.
-func (p *Progress) Announce() bool {
+func (p *Progress) AnnounceOnce() bool {
 	first := !p.announced
 	p.announced = true
 	return first
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -127,7 +127,7 @@
 		job := l.cancelledJobs[id]
 		tasksLeft := !job.Loaded || job.TasksPlaced > 0 || l.hasLiveDependents(id)
 		job.Cancellation.UpdateTasks(tasksLeft, l.core.now)
-		if l.mayAnnounceTermination(job) && job.Cancellation.Announce() {
+		if l.mayAnnounceTermination(job) && job.Cancellation.AnnounceOnce() {
 			ends.Gone = append(ends.Gone, id)
 		}
 	}
