--- a/internal/core/cancellation/cancellation.go
+++ b/internal/core/cancellation/cancellation.go
@@ -89,8 +89,8 @@
 	return pending != nil && !pending.confirming && len(pending.waiters) > 0
 }
 
-// RecordVersion returns the version of the open record that holds the request to cancel a job; 0 for a
-// job whose cancellation is not registered.
+// RecordVersion returns the version of the open record that holds the request to cancel a job; 0
+// for a job whose cancellation is not registered.
 func (r *Registry) RecordVersion(job string) uint64 {
 	if pending := r.pending[job]; pending != nil {
 		return pending.version
@@ -112,8 +112,8 @@
 	return &Confirmation{job: job, pending: pending}
 }
 
-// ConfirmationSucceeded ends a confirmation that succeeded: it removes the cancellation and returns the
-// requests to acknowledge. There are none if the job's end was recorded meanwhile.
+// ConfirmationSucceeded ends a confirmation that succeeded: it removes the cancellation and returns
+// the requests to acknowledge. There are none if the job's end was recorded meanwhile.
 func (r *Registry) ConfirmationSucceeded(confirmation *Confirmation) []RequestID {
 	if !r.endConfirmation(confirmation) {
 		return nil
--- a/internal/core/cancellation/progress.go
+++ b/internal/core/cancellation/progress.go
@@ -50,8 +50,8 @@
 // Terminated reports whether no task is left.
 func (p *Progress) Terminated() bool { return p.terminatedAt != 0 }
 
-// AnnounceOnce reports whether the other controllers have not been told yet that no task is left, and
-// records that they are told now: it returns true once.
+// AnnounceOnce reports whether the other controllers have not been told yet that no task is left,
+// and records that they are told now: it returns true once.
 func (p *Progress) AnnounceOnce() bool {
 	first := !p.announced
 	p.announced = true
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -72,8 +72,8 @@
 }
 
 // New returns a front end. The incarnation must be unique among all runs of all controllers of
-// the region. Team limits come from Host.TeamLimit rather than from the deployment, because teams
-// that share limits with other regions replace the deployment's teams later.
+// the region. Team limits come from Host.TeamLimit, not from the deployment: limits that are shared
+// with other regions replace the configured ones after New is called.
 func New(host Host, store *kv.Client, cache *jobcache.Cache, deployment *config.Deployment, incarnation uint64) *FrontEnd {
 	f := &FrontEnd{
 		host:        host,
