--- a/internal/core/placement/memo.go
+++ b/internal/core/placement/memo.go
@@ -2,34 +2,34 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/topology"
 
-// Requirements is what a task of a job requires of a machine.
+// Requirements are what a task of a job requires of a machine.
 type Requirements struct {
 	Size  topology.Resources
-	Types string // allowed machine types, joined
-	Zone  string // empty for any
+	Types string // allowed machine types, joined into one string
+	Zone  string // empty for any zone
 	Spot  bool   // spot machines are allowed
 }
 
-// EquivalenceClass is what decides whether the tasks of a job fit, apart from spreading over zones
-// and failures. Many jobs share one.
+// EquivalenceClass is all that decides whether the tasks of a job fit, except for spreading over
+// zones and for machines on which the job failed. Many jobs share a class.
 type EquivalenceClass struct {
 	Requirements
 	OneZone     bool
 	GangTasks   int // tasks that start together; 0 if each starts separately
-	Priority    int // level with which the job may preempt
+	Priority    int // priority level below which the job may preempt
 	WithinQuota bool
 	Team        string
 }
 
-// Memo remembers what a pass has found not to fit. It is not tried again in that pass: free
-// capacity only shrinks.
+// Memo caches the searches of a pass that found no fit. They need not be repeated in that pass,
+// because free capacity only decreases during a pass.
 type Memo struct {
 	doesNotFit    map[EquivalenceClass]bool
 	noVictims     map[EquivalenceClass]bool
 	noMachineFits map[Requirements]bool
 }
 
-// NewMemo begins a pass.
+// NewMemo returns an empty memo for a new pass.
 func NewMemo() *Memo {
 	return &Memo{
 		doesNotFit:    map[EquivalenceClass]bool{},
@@ -38,22 +38,22 @@
 	}
 }
 
-// RecordFull records whether there is no room for tasks of a class.
+// RecordFull records whether the search for machines for tasks of a class failed.
 func (m *Memo) RecordFull(class EquivalenceClass, full bool) { m.doesNotFit[class] = full }
 
-// RecordMachineFits records whether any machine holds a task.
+// RecordMachineFits records whether a task fits on any machine.
 func (m *Memo) RecordMachineFits(task Requirements, fits bool) { m.noMachineFits[task] = !fits }
 
-// RecordNoVictims records whether nothing may be preempted for tasks of a class.
+// RecordNoVictims records whether preemption for tasks of a class failed.
 func (m *Memo) RecordNoVictims(class EquivalenceClass, none bool) { m.noVictims[class] = none }
 
-// MayFit reports whether a search for machines for tasks of a class may succeed.
+// MayFit reports whether a search for machines for tasks of a class may still succeed.
 func (m *Memo) MayFit(class EquivalenceClass) bool {
 	return !m.doesNotFit[class] && !m.noMachineFits[class.Requirements]
 }
 
-// MachineMayFit reports whether a machine may hold a task.
+// MachineMayFit reports whether a task may fit on any machine.
 func (m *Memo) MachineMayFit(task Requirements) bool { return !m.noMachineFits[task] }
 
-// MayPreempt reports whether there may be something to preempt for tasks of a class.
+// MayPreempt reports whether preemption for tasks of a class may still succeed.
 func (m *Memo) MayPreempt(class EquivalenceClass) bool { return !m.noVictims[class] }
--- a/internal/core/placement/memo_test.go
+++ b/internal/core/placement/memo_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-// TestMemo records what does not fit for one class; another class with the same requirements is
-// only affected by what holds for every machine.
+// TestMemo checks that failures recorded for one class do not affect another class with the same
+// requirements, while a task that fits on no machine affects both.
 func TestMemo(t *testing.T) {
 	task := Requirements{Types: "small"}
 	class, sameTask := EquivalenceClass{Requirements: task, Priority: 1}, EquivalenceClass{Requirements: task, Priority: 2}
 	memo := NewMemo()
 	if !memo.MayFit(class) || !memo.MachineMayFit(task) || !memo.MayPreempt(class) {
-		t.Error("a pass begins with something that does not fit")
+		t.Errorf("new memo: MayFit %v, MachineMayFit %v, MayPreempt %v; want all true", memo.MayFit(class), memo.MachineMayFit(task), memo.MayPreempt(class))
 	}
 	memo.RecordFull(class, true)
 	memo.RecordNoVictims(class, true)
 	if memo.MayFit(class) || memo.MayPreempt(class) {
-		t.Error("the class is tried again")
+		t.Errorf("class recorded as full and without victims: MayFit %v, MayPreempt %v; want false", memo.MayFit(class), memo.MayPreempt(class))
 	}
 	if !memo.MayFit(sameTask) || !memo.MayPreempt(sameTask) {
-		t.Error("another class is not tried")
+		t.Errorf("another class with the same requirements: MayFit %v, MayPreempt %v; want true", memo.MayFit(sameTask), memo.MayPreempt(sameTask))
 	}
 	memo.RecordMachineFits(task, false)
 	if memo.MayFit(sameTask) || memo.MachineMayFit(task) {
-		t.Error("tried again though no machine holds a task")
+		t.Errorf("task that fits on no machine: MayFit %v, MachineMayFit %v; want false", memo.MayFit(sameTask), memo.MachineMayFit(task))
 	}
 }
--- a/internal/core/placement/order.go
+++ b/internal/core/placement/order.go
@@ -1,6 +1,7 @@
-// Package placement holds what a placement pass needs apart from the machines: the order in which
-// jobs are tried, which tasks are equivalent, and what has been found not to fit. It knows no
-// machines, no leader and no clock. The passes of package scheduler call it.
+// Package placement holds the parts of a placement pass that do not depend on the machines: the
+// order in which jobs are tried, the equivalence classes of tasks, and the cache of searches that
+// found no fit. It has no access to machines, the leader or a clock. Package scheduler uses it in
+// its passes.
 package placement
 
 import (
@@ -15,12 +16,13 @@
 	Priority      int     // priority level, higher first
 	BestEffort    bool    // its team has no guarantee, and it has not waited too long
 	Slack         float64 // seconds until it has to start to meet its deadline
-	RemainingWork float64 // seconds of a task's work; 0 where that does not count
+	RemainingWork float64 // task-seconds left to run; 0 if they do not affect the order
 	Submission    uint64  // submission order
 }
 
-// Compare is negative if a comes before b: faulty jobs last, those within quota first, then by
-// priority, best-effort jobs last, then by slack, the least work and submission.
+// Compare returns a negative number if a comes before b. Faulty jobs come last and jobs within quota
+// first; then the order is by priority, best-effort jobs last, then by slack, remaining work and
+// submission.
 func (a Urgency) Compare(b Urgency) int {
 	return cmp.Or(
 		compareTrueFirst(!a.Faulty, !b.Faulty),
@@ -33,7 +35,7 @@
 	)
 }
 
-// compareTrueFirst is negative if a is true and b is not.
+// compareTrueFirst orders true before false.
 func compareTrueFirst(a, b bool) int {
 	switch {
 	case a == b:
@@ -44,7 +46,7 @@
 	return 1
 }
 
-// Sort orders candidates by their urgency; those that are equal keep their order.
+// Sort sorts candidates by urgency. The sort is stable.
 func Sort[C any](candidates []C, urgency func(C) Urgency) {
 	slices.SortStableFunc(candidates, func(a, b C) int { return urgency(a).Compare(urgency(b)) })
 }
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestCompare lets each field decide, with all fields after it in favor of the other job.
+// TestCompare checks each field of Urgency in turn: it decides although later fields would give the
+// opposite order.
 func TestCompare(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -19,7 +20,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.before.Compare(tc.after) >= 0 || tc.after.Compare(tc.before) <= 0 {
-				t.Error("it does not come first")
+				t.Errorf("Compare: got %d and, reversed, %d; want a negative and a positive number", tc.before.Compare(tc.after), tc.after.Compare(tc.before))
 			}
 		})
 	}
--- a/internal/core/preemption/preemption.go
+++ b/internal/core/preemption/preemption.go
@@ -1,6 +1,6 @@
-// Package preemption finds out which running tasks have to stop to make room for others, at the
-// least cost. It knows sizes and costs only: which tasks may be stopped, and what a stop costs, is
-// decided by package scheduler, which calls it. The package does no I/O and keeps no time.
+// Package preemption selects the running tasks to stop so that other tasks fit, at the least cost.
+// It works on sizes and costs only: package scheduler, its caller, decides which tasks may be
+// stopped and what a stop costs. The package does no I/O and reads no clock.
 package preemption
 
 import (
@@ -12,41 +12,41 @@
 
 // Task is a running task.
 type Task interface {
-	// Size is what becomes free when it stops.
+	// Size returns the resources that its stop frees.
 	Size() topology.Resources
-	// Gang identifies the gang that stops along with it; empty if it stops alone.
+	// Gang identifies the gang that is stopped with it; empty if it is stopped alone.
 	Gang() string
 }
 
 // Victim is a task that may be stopped; T identifies it for the caller.
 type Victim[T Task] struct {
 	Task T
-	Loss float64 // seconds of a task's work, weighed
+	Loss float64 // weighted seconds of lost work
 }
 
-// Slot is room for one more task on a machine, and which tasks have to stop for it.
+// Slot is capacity for one more task on a machine, and the tasks that have to stop for it.
 type Slot[T Task] struct {
 	Machine string
 	Zone    string
 	Victims []Victim[T]
-	// Cost is the sum of the victims' losses, and no less than that of the slots before it on
-	// the machine.
+	// Cost is the sum of the victims' losses, raised to the cost of the previous slot on the
+	// machine if that is higher.
 	Cost float64
 }
 
-// Machine is a machine on which room can be made.
+// Machine is a machine on which tasks may be preempted.
 type Machine[T Task] struct {
 	Name string
 	Zone string
 	Free topology.Resources // what no task uses
-	// Victims is called once the free resources are used up. It lists the tasks that may be
-	// stopped, in any order, and returns the free resources with what tasks use that are being
-	// stopped already. The list is sorted in place and not kept.
+	// Victims is called at most once, when the free resources are used up. It returns the tasks
+	// that may be stopped, in any order, and the free resources plus those of tasks that are
+	// already being stopped. SlotsOn sorts the list in place and does not retain it.
 	Victims func(free topology.Resources) ([]Victim[T], topology.Resources)
 }
 
-// SlotsOn lists the slots for up to wanted tasks of a size on a machine, the cheapest first; each
-// presumes those before it. Free resources are used first.
+// SlotsOn lists the slots for up to wanted tasks of a size on a machine, the cheapest first. Each
+// slot is valid only together with those before it. Free resources are used first.
 func SlotsOn[T Task](machine *Machine[T], size topology.Resources, wanted int) []Slot[T] {
 	free := machine.Free
 	var victims []Victim[T]
@@ -78,10 +78,10 @@
 	return slots
 }
 
-// ChooseSlots chooses up to wanted slots of those of all machines, the cheapest first, as far as
-// the zones' bounds allow; zoneBound may be nil. The slots of one machine presume each other and
-// never get cheaper, so the order by cost keeps theirs. A gang is a victim of the first slot only
-// that it stops for.
+// ChooseSlots chooses up to wanted of the slots of all machines, the cheapest first, within the
+// bounds of the zones; zoneBound may be nil. Each slot of a machine depends on those before it;
+// since their costs never decrease, the stable sort by cost keeps their order. A gang is listed as
+// a victim only in the first chosen slot that stops it.
 func ChooseSlots[T Task](slots []Slot[T], wanted int, zoneBound func(zone string) int) []Slot[T] {
 	slices.SortStableFunc(slots, func(a, b Slot[T]) int { return cmp.Compare(a.Cost, b.Cost) })
 	var chosen []Slot[T]
@@ -101,10 +101,10 @@
 	return chosen
 }
 
-// withoutStoppedGangs leaves out the tasks of gangs that stop already, and adds the gangs of the
-// others to those.
+// withoutStoppedGangs returns the victims except for the tasks of gangs in stopped, and adds the
+// gangs of the returned ones to stopped.
 func withoutStoppedGangs[T Task](victims []Victim[T], stopped map[string]bool) []Victim[T] {
-	var left []Victim[T]
+	var remaining []Victim[T]
 	for _, v := range victims {
 		if gang := v.Task.Gang(); gang != "" {
 			if stopped[gang] {
@@ -112,12 +112,12 @@
 			}
 			stopped[gang] = true
 		}
-		left = append(left, v)
+		remaining = append(remaining, v)
 	}
-	return left
+	return remaining
 }
 
-// TotalCost is the sum of the costs of slots.
+// TotalCost returns the sum of the costs of slots.
 func TotalCost[T Task](slots []Slot[T]) float64 {
 	sum := 0.0
 	for _, slot := range slots {
--- a/internal/core/teamlimit/guarantee.go
+++ b/internal/core/teamlimit/guarantee.go
@@ -2,16 +2,16 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/topology"
 
-// Guarantee is what a team is guaranteed, in CPUs and GPUs; 0 for nothing.
+// Guarantee is the capacity that a team is guaranteed, in CPUs and GPUs; 0 for none.
 type Guarantee struct{ CPUs, GPUs float64 }
 
 // IsZero reports whether a team has no guarantee.
 func (g Guarantee) IsZero() bool { return g.CPUs <= 0 && g.GPUs <= 0 }
 
-// Claims find out which jobs are within quota: they fit into their team's guarantee in addition to
-// the team's jobs before them. A resource of which no team has a guarantee does not count; a team
-// without any guarantee has no job within quota either: where only GPUs are guaranteed, jobs
-// without GPUs of such a team counted as guaranteed and came before those of other teams.
+// Claims determines which jobs are within quota: those that fit into their team's guarantee in
+// addition to the team's earlier jobs. A resource of which no team has a guarantee is ignored. A
+// team without any guarantee never has a job within quota: otherwise, where only GPUs are
+// guaranteed, its jobs without GPUs counted as guaranteed and came before those of other teams.
 type Claims struct {
 	guarantees map[string]Guarantee
 	anyCPUs    bool // some team has a guarantee of CPUs
@@ -19,7 +19,7 @@
 	claimed    map[string]topology.Resources
 }
 
-// NewClaims begins with nothing claimed of the guarantees, which are by team.
+// NewClaims returns Claims with nothing claimed yet. guarantees is by team.
 func NewClaims(guarantees map[string]Guarantee) *Claims {
 	c := &Claims{guarantees: guarantees, claimed: map[string]topology.Resources{}}
 	for _, g := range guarantees {
@@ -29,7 +29,8 @@
 	return c
 }
 
-// Claim claims an amount for a team's next job and reports whether the job is within quota.
+// Claim adds an amount for a team's next job and reports whether the job is within quota. A job
+// beyond quota counts towards the sum as well.
 func (c *Claims) Claim(team string, amount topology.Resources) bool {
 	g, known := c.guarantees[team]
 	if !known || g.IsZero() {
--- a/internal/core/teamlimit/limit.go
+++ b/internal/core/teamlimit/limit.go
@@ -1,8 +1,7 @@
-// Package teamlimit holds the arithmetic of teams' limits and guarantees: what a limit still
-// allows, what is reserved within it, which of a team's own tasks have to stop for others of the
-// team, and which jobs are within quota. It knows no jobs, machines or clock; amounts are
-// topology.Resources, of which memory is not limited. Packages scheduler, submission and core use
-// it.
+// Package teamlimit computes with the limits and guarantees of teams: what a limit still allows,
+// what is reserved within it, which tasks of a team have to stop for other tasks of the team, and
+// which jobs are within quota. It does not depend on jobs, machines or a clock. Amounts are
+// topology.Resources, but memory is not limited. Packages scheduler, submission and core use it.
 package teamlimit
 
 import (
@@ -11,17 +10,17 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// tolerance makes up for the rounding of sums.
+// tolerance allows for rounding errors in sums.
 const tolerance = 1e-6
 
-// Limit is the most that a team's tasks may use at a time, in CPUs and GPUs; +Inf for a
-// resource without a limit.
+// Limit is the maximum that a team's tasks may use at a time, in CPUs and GPUs; +Inf for a resource
+// without a limit.
 type Limit struct{ CPUs, GPUs float64 }
 
 // UnknownTeam is the limit of a team that does not exist: it allows no task at all.
 var UnknownTeam = Limit{CPUs: -1, GPUs: -1}
 
-// FromSettings is the limit that settings name, in which 0 means none.
+// FromSettings returns the limit for values from the settings, where 0 means no limit.
 func FromSettings(cpus, gpus float64) Limit {
 	l := Limit{CPUs: cpus, GPUs: gpus}
 	if cpus == 0 {
@@ -33,14 +32,15 @@
 	return l
 }
 
-// Allows reports whether a number of tasks of a size may be added to what is used.
+// Allows reports whether the limit allows count more tasks of a size in addition to what is used.
 func (l Limit) Allows(used, task topology.Resources, count int) bool {
 	n := float64(count)
 	return used.CPUs+task.CPUs*n <= l.CPUs+tolerance && used.GPUs+task.GPUs*n <= l.GPUs+tolerance
 }
 
-// isRelievedBy reports whether the end of a task brings a usage above the limit closer to it.
-func (l Limit) isRelievedBy(used, task topology.Resources) bool {
+// reducesExcess reports whether the end of a task reduces the part of a usage that exceeds the
+// limit.
+func (l Limit) reducesExcess(used, task topology.Resources) bool {
 	cpus := used.CPUs > l.CPUs+tolerance && task.CPUs > 0
 	gpus := used.GPUs > l.GPUs+tolerance && task.GPUs > 0
 	return cpus || gpus
@@ -52,10 +52,10 @@
 	Amount   topology.Resources
 }
 
-// Reservations are those of all teams, by team.
+// Reservations are the reservations of all teams, by team.
 type Reservations map[string][]Reservation
 
-// AbovePriority adds up what of a team's limit is reserved for jobs above a priority level.
+// AbovePriority returns the part of a team's limit that is reserved for jobs above a priority level.
 func (r Reservations) AbovePriority(team string, level int) topology.Resources {
 	var sum topology.Resources
 	for _, reservation := range r[team] {
@@ -66,7 +66,7 @@
 	return sum
 }
 
-// Total adds up all that is reserved of a team's limit.
+// Total returns the part of a team's limit that is reserved for any job.
 func (r Reservations) Total(team string) topology.Resources {
 	var sum topology.Resources
 	for _, reservation := range r[team] {
--- a/internal/core/teamlimit/limit_test.go
+++ b/internal/core/teamlimit/limit_test.go
@@ -6,7 +6,9 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// What was freed within a limit went to other work of the team in the next pass.
+// TestReservationsAbovePriority checks which reservations count for a job of a priority level.
+// Without reservations, capacity that preemption had freed within a team's limit was taken in the
+// next pass by other work of the team.
 func TestReservationsAbovePriority(t *testing.T) {
 	reservations := Reservations{"vision": {
 		{Priority: 3, Amount: topology.Resources{GPUs: 4}},
@@ -14,7 +16,7 @@
 	}}
 	for level, want := range []float64{6, 4, 4, 0} {
 		if got := reservations.AbovePriority("vision", level); got.GPUs != want {
-			t.Errorf("%v GPUs are reserved above level %d, want %v", got.GPUs, level, want)
+			t.Errorf("GPUs reserved above level %d: got %v, want %v", level, got.GPUs, want)
 		}
 	}
 }
--- a/internal/core/teamlimit/usage.go
+++ b/internal/core/teamlimit/usage.go
@@ -6,16 +6,16 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// Usage is what the tasks of each team use. Until the first Reset it counts nothing.
+// Usage tracks what the tasks of each team use. It counts nothing before the first Reset.
 type Usage struct{ byTeam map[string]topology.Resources }
 
-// Started reports whether the usage is counted.
+// Started reports whether Reset was called, so that the usage is counted.
 func (u *Usage) Started() bool { return u.byTeam != nil }
 
-// Reset begins to count from zero, so that rounding errors of sums do not add up.
+// Reset sets the usage to zero. Regular recounts keep rounding errors of sums from accumulating.
 func (u *Usage) Reset() { u.byTeam = map[string]topology.Resources{} }
 
-// Add adds n tasks of a size to what a team uses; n may be negative.
+// Add adds n tasks of a size to a team's usage; n may be negative.
 func (u *Usage) Add(team string, task topology.Resources, n int) {
 	if u.byTeam == nil {
 		return
@@ -23,8 +23,8 @@
 	u.byTeam[team] = u.byTeam[team].Add(task.Times(n))
 }
 
-// Snapshot is a copy of what each team uses, by team.
+// Snapshot returns a copy of the usage by team.
 func (u *Usage) Snapshot() map[string]topology.Resources { return maps.Clone(u.byTeam) }
 
-// ForTeam is what a team uses.
+// ForTeam returns what a team uses.
 func (u *Usage) ForTeam(team string) topology.Resources { return u.byTeam[team] }
--- a/internal/core/teamlimit/victims.go
+++ b/internal/core/teamlimit/victims.go
@@ -2,15 +2,16 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/topology"
 
-// Victim is a task that may be stopped, or a whole gang. Key identifies what stops together.
+// Victim is a task that may be stopped. Key identifies the tasks that are stopped together: a task
+// alone, or a gang.
 type Victim[K comparable] struct {
 	Key      K
 	TaskSize topology.Resources // of one task
-	Freed    topology.Resources // by all that stops
+	Freed    topology.Resources // by all tasks that are stopped together
 }
 
-// Shortage is a number of tasks that are to be added to what a team uses, though its limit may not
-// allow them.
+// Shortage describes tasks that are to be added to what a team uses and that its limit may not
+// allow yet.
 type Shortage struct {
 	Limit Limit
 	Used  topology.Resources
@@ -21,27 +22,27 @@
 // isResolved reports whether the limit allows the tasks.
 func (s *Shortage) isResolved() bool { return s.Limit.Allows(s.Used, s.Task, s.Count) }
 
-// isRelievedBy reports whether the end of a task of a size makes the shortage smaller.
-func (s *Shortage) isRelievedBy(task topology.Resources) bool {
-	return s.Limit.isRelievedBy(s.Used.Add(s.Task.Times(s.Count)), task)
+// isReducedBy reports whether the end of a task of a size reduces the shortage.
+func (s *Shortage) isReducedBy(task topology.Resources) bool {
+	return s.Limit.reducesExcess(s.Used.Add(s.Task.Times(s.Count)), task)
 }
 
-// ChooseVictims chooses, in their order, which of a team's own victims have to stop in addition to
-// those that stop anyway, to resolve a shortage. It returns their indices in own; not ok if all
-// together are not enough.
-func ChooseVictims[K comparable](shortage Shortage, anyway, own []Victim[K]) (chosen []int, ok bool) {
+// ChooseVictims chooses candidates, in their order, until the shortage is resolved; the victims in
+// alreadyChosen stop in any case and count as well. It returns the indices of the chosen candidates;
+// ok is false if all candidates together are not enough.
+func ChooseVictims[K comparable](shortage Shortage, alreadyChosen, candidates []Victim[K]) (chosen []int, ok bool) {
 	stopped := map[K]bool{}
-	for _, victim := range anyway {
+	for _, victim := range alreadyChosen {
 		if !stopped[victim.Key] {
 			stopped[victim.Key] = true
 			shortage.Used = shortage.Used.Sub(victim.Freed)
 		}
 	}
-	for i, victim := range own {
+	for i, victim := range candidates {
 		if shortage.isResolved() {
 			return chosen, true
 		}
-		if stopped[victim.Key] || !shortage.isRelievedBy(victim.TaskSize) {
+		if stopped[victim.Key] || !shortage.isReducedBy(victim.TaskSize) {
 			continue
 		}
 		shortage.Used = shortage.Used.Sub(victim.Freed)
--- a/internal/core/teamlimit/victims_test.go
+++ b/internal/core/teamlimit/victims_test.go
@@ -9,41 +9,41 @@
 
 func gpus(n float64) topology.Resources { return topology.Resources{GPUs: n} }
 
-// singleTask is a victim that stops alone.
+// singleTask returns a victim that is stopped alone.
 func singleTask(key string, size topology.Resources) Victim[string] {
 	return Victim[string]{Key: key, TaskSize: size, Freed: size}
 }
 
-// TestChooseVictims resolves a shortage of two tasks of one GPU within a limit of four GPUs.
+// TestChooseVictims adds two tasks of one GPU each within a limit of four GPUs.
 func TestChooseVictims(t *testing.T) {
 	gang := Victim[string]{Key: "gang", TaskSize: gpus(1), Freed: gpus(3)}
 	for _, tc := range []struct {
-		name   string
-		used   float64 // GPUs
-		anyway []Victim[string]
-		own    []Victim[string]
-		want   []int
-		ok     bool
+		name          string
+		used          float64 // GPUs
+		alreadyChosen []Victim[string]
+		candidates    []Victim[string]
+		want          []int
+		ok            bool
 	}{
 		{"no shortage", 2, nil, []Victim[string]{singleTask("a", gpus(1))}, nil, true},
 		{"as many as necessary", 4, nil, []Victim[string]{singleTask("a", gpus(1)), singleTask("b", gpus(1)), singleTask("c", gpus(1))}, []int{0, 1}, true},
 		{"not enough", 4, nil, []Victim[string]{singleTask("a", gpus(1))}, []int{0}, false},
-		{"others stop anyway", 4, []Victim[string]{singleTask("a", gpus(1))}, []Victim[string]{singleTask("a", gpus(1)), singleTask("b", gpus(1))}, []int{1}, true},
-		{"a gang that stops anyway counts once", 5, []Victim[string]{gang, gang}, nil, nil, true},
-		{"all of a gang counts", 5, nil, []Victim[string]{gang}, []int{0}, true},
-		{"no task without the scarce resource", 3, nil, []Victim[string]{singleTask("a", topology.Resources{CPUs: 8}), singleTask("b", gpus(1))}, []int{1}, true},
+		{"a victim chosen before counts", 4, []Victim[string]{singleTask("a", gpus(1))}, []Victim[string]{singleTask("a", gpus(1)), singleTask("b", gpus(1))}, []int{1}, true},
+		{"a gang chosen before counts once", 5, []Victim[string]{gang, gang}, nil, nil, true},
+		{"all tasks of a gang count", 5, nil, []Victim[string]{gang}, []int{0}, true},
+		{"no task that uses none of the exceeded resource", 3, nil, []Victim[string]{singleTask("a", topology.Resources{CPUs: 8}), singleTask("b", gpus(1))}, []int{1}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			shortage := Shortage{Limit: FromSettings(0, 4), Used: gpus(tc.used), Task: gpus(1), Count: 2}
-			got, ok := ChooseVictims(shortage, tc.anyway, tc.own)
+			got, ok := ChooseVictims(shortage, tc.alreadyChosen, tc.candidates)
 			if !slices.Equal(got, tc.want) || ok != tc.ok {
-				t.Errorf("victims %v, %v; want %v, %v", got, ok, tc.want, tc.ok)
+				t.Errorf("victims: got %v, ok %v; want %v, ok %v", got, ok, tc.want, tc.ok)
 			}
 		})
 	}
 }
 
-// TestClaims claims parts of guarantees, job after job.
+// TestClaims claims parts of guarantees for one job after another.
 func TestClaims(t *testing.T) {
 	claims := NewClaims(map[string]Guarantee{"vision": {GPUs: 4}, "lab": {}})
 	for _, step := range []struct {
@@ -53,28 +53,28 @@
 	}{
 		{"vision", gpus(3), true},
 		{"vision", gpus(2), false},
-		{"vision", topology.Resources{CPUs: 99}, false}, // the job before it has claimed its part too
+		{"vision", topology.Resources{CPUs: 99}, false}, // the previous claim counts though it was beyond quota
 		{"lab", gpus(0), false},
 		{"unknown", gpus(0), false},
 	} {
 		if got := claims.Claim(step.team, step.amount); got != step.want {
-			t.Errorf("%+v: within quota %v", step, got)
+			t.Errorf("claim of %+v for team %s: within quota %v, want %v", step.amount, step.team, got, step.want)
 		}
 	}
 }
 
-// TestUsage counts tasks from the first Reset on.
+// TestUsage checks that tasks count only after the first Reset, and that a snapshot does not change.
 func TestUsage(t *testing.T) {
 	var usage Usage
 	usage.Add("vision", gpus(1), 3)
 	if usage.Started() || usage.ForTeam("vision") != gpus(0) {
-		t.Errorf("counted before Reset: %+v", usage.ForTeam("vision"))
+		t.Errorf("before Reset: started %v, usage %+v; want false and no usage", usage.Started(), usage.ForTeam("vision"))
 	}
 	usage.Reset()
 	usage.Add("vision", gpus(1), 3)
 	snapshot := usage.Snapshot()
 	usage.Add("vision", gpus(1), -2)
 	if !usage.Started() || usage.ForTeam("vision") != gpus(1) || snapshot["vision"] != gpus(3) {
-		t.Errorf("vision uses %+v, in the snapshot %+v", usage.ForTeam("vision"), snapshot["vision"])
+		t.Errorf("started %v, usage %+v, snapshot %+v; want true, 1 GPU and 3 GPUs", usage.Started(), usage.ForTeam("vision"), snapshot["vision"])
 	}
 }
--- a/internal/core/topology/place.go
+++ b/internal/core/topology/place.go
@@ -2,12 +2,12 @@
 
 import "sort"
 
-// domain is a part of the tree that may hold a whole request.
+// domain is a subtree, a zone or a machine, that may fit a whole request.
 type domain struct {
 	level   Level
 	name    string
 	free    Resources
-	fit     int // tasks that it holds
+	fit     int // how many tasks of the request fit
 	penalty int
 	price   float64
 	leaves  []*leaf
@@ -16,12 +16,13 @@
 // leaf is a machine that may take tasks of a request.
 type leaf struct {
 	machine *Machine
-	fit     int // tasks that it holds
+	fit     int // how many tasks of the request fit
 	penalty int
 }
 
-// Place chooses machines for the tasks of a request, which start together, lowers the free
-// resources of the machines and returns them in task order; nil if the request must wait.
+// Place chooses machines for the tasks of a request, which start together. It subtracts the tasks
+// from the free resources of the machines and returns the machines in task order, or nil if the
+// request does not fit now.
 func (t *Tree) Place(request Request) []*Machine {
 	if request.Count < 1 {
 		return nil
@@ -33,7 +34,7 @@
 	if request.Required == LevelMachine {
 		return nil
 	}
-	if zone := tightestZone(zones, request.Count); zone != nil {
+	if zone := bestZone(zones, request.Count); zone != nil {
 		return t.assign(request, zone.leaves, "")
 	}
 	if request.Required < LevelRoot {
@@ -42,13 +43,14 @@
 	return t.placeOverZones(request, zones)
 }
 
-// domains counts how many tasks of a request fit into each zone, the zones by name, and finds the
-// tightest machine that holds all of them, if there is one.
+// domains counts how many tasks of a request fit into each zone and returns the zones sorted by
+// name. It also returns the best machine that fits all tasks, see isBetterDomain; nil if there is
+// none.
 func (t *Tree) domains(request Request) (zones []*domain, machine *domain) {
 	byName := map[string]*domain{}
 	t.evaluations += len(t.machines)
 	for _, m := range t.machines {
-		leaf := request.leaf(m)
+		leaf := request.evaluate(m)
 		if leaf == nil {
 			continue
 		}
@@ -62,7 +64,7 @@
 		if leaf.fit < request.Count {
 			continue
 		}
-		if d := machineDomain(leaf); machine == nil || tighter(d, machine) {
+		if d := machineDomain(leaf); machine == nil || isBetterDomain(d, machine) {
 			machine = d
 		}
 	}
@@ -82,7 +84,7 @@
 	d.fit += l.fit
 }
 
-// machineDomain is the domain of one machine.
+// machineDomain returns the domain of a single machine.
 func machineDomain(l *leaf) *domain {
 	return &domain{
 		level:   LevelMachine,
@@ -95,8 +97,9 @@
 	}
 }
 
-// leaf counts how many of a request's tasks a machine may take; nil if none.
-func (r *Request) leaf(m *Machine) *leaf {
+// evaluate returns the leaf of a machine with the number of the request's tasks that it may take;
+// nil if it may take none.
+func (r *Request) evaluate(m *Machine) *leaf {
 	if !r.allows(m) {
 		return nil
 	}
@@ -110,19 +113,20 @@
 	return &leaf{machine: m, fit: fit, penalty: r.penalty(m)}
 }
 
-// tightestZone finds the tightest zone that holds a number of tasks; nil if there is none.
-func tightestZone(zones []*domain, count int) *domain {
+// bestZone returns the best zone that fits a number of tasks, see isBetterDomain; nil if there is
+// none.
+func bestZone(zones []*domain, count int) *domain {
 	var best *domain
 	for _, zone := range zones {
-		if zone.fit >= count && (best == nil || tighter(zone, best)) {
+		if zone.fit >= count && (best == nil || isBetterDomain(zone, best)) {
 			best = zone
 		}
 	}
 	return best
 }
 
-// placeOverZones places a request that no zone holds: the zone that holds most of it comes first,
-// the other machines follow.
+// placeOverZones places a request that fits in no single zone. It fills the zone that fits the
+// most tasks first, then the machines of the other zones.
 func (t *Tree) placeOverZones(request Request, zones []*domain) []*Machine {
 	fit := 0
 	var leaves []*leaf
@@ -133,18 +137,19 @@
 	if fit < request.Count {
 		return nil
 	}
-	most := zones[0]
+	preferred := zones[0]
 	for _, zone := range zones[1:] {
-		if zone.fit > most.fit || zone.fit == most.fit && tighter(zone, most) {
-			most = zone
+		if zone.fit > preferred.fit || zone.fit == preferred.fit && isBetterDomain(zone, preferred) {
+			preferred = zone
 		}
 	}
-	return t.assign(request, leaves, most.name)
+	return t.assign(request, leaves, preferred.name)
 }
 
-// tighter orders domains of which each holds a request: smaller levels first, then machines of a
-// lower penalty, then the least free resources.
-func tighter(a, b *domain) bool {
+// isBetterDomain reports whether domain a is preferred to b, where both fit the request. It prefers
+// the lower level, then, among machines, the lower penalty, then the least free resources (best
+// fit), the lower price and the name.
+func isBetterDomain(a, b *domain) bool {
 	if a.level != b.level {
 		return a.level < b.level
 	}
@@ -160,8 +165,8 @@
 	return a.name < b.name
 }
 
-// assign distributes the tasks of a request over leaves, see closer; nil if they do not hold all
-// of them.
+// assign distributes the tasks of a request over leaves in the order of isBetterLeaf. It returns
+// nil, and changes no free resources, if the leaves do not fit all tasks.
 func (t *Tree) assign(request Request, leaves []*leaf, preferredZone string) []*Machine {
 	state := &assignment{
 		request:       &request,
@@ -195,11 +200,11 @@
 	leaves        []*leaf
 	preferredZone string
 	used          map[*leaf]bool
-	inZone        map[string]int // tasks assigned
+	inZone        map[string]int // assigned tasks by zone
 }
 
-// next finds the leaf that comes next, and how many of the remaining tasks it takes; nil if no
-// unused leaf takes any.
+// next returns the best unused leaf and how many of the remaining tasks it takes; nil if no unused
+// leaf takes any.
 func (a *assignment) next(remaining int) (best *leaf, bestFit int) {
 	for _, l := range a.leaves {
 		if a.used[l] {
@@ -212,17 +217,17 @@
 		if fit < 1 {
 			continue
 		}
-		if best == nil || closer(l, fit, best, bestFit, a.preferredZone) {
+		if best == nil || isBetterLeaf(l, fit, best, bestFit, a.preferredZone) {
 			best, bestFit = l, fit
 		}
 	}
 	return best, bestFit
 }
 
-// closer orders leaves: those of the preferred zone first, then those of the lowest penalty, then
-// the one that takes most of the remaining tasks, then the tightest. fitA and fitB are how many
-// tasks they take.
-func closer(a *leaf, fitA int, b *leaf, fitB int, preferredZone string) bool {
+// isBetterLeaf reports whether leaf a is preferred to b. It prefers a leaf in the preferred zone,
+// then the lower penalty, then the leaf that takes more of the remaining tasks, then the one with
+// the least free resources. fitA and fitB are how many tasks they take.
+func isBetterLeaf(a *leaf, fitA int, b *leaf, fitB int, preferredZone string) bool {
 	if inA, inB := a.machine.Zone == preferredZone, b.machine.Zone == preferredZone; inA != inB {
 		return inA
 	}
--- a/internal/core/topology/place_each.go
+++ b/internal/core/topology/place_each.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// PlaceEach chooses machines for a number of tasks that start one by one, lowers the free
-// resources of the machines and returns them in task order; tasks that no machine holds have no
-// entry. It chooses as Place would for one task after the other. Count and Required of the request
-// do not matter; ZoneBound bounds the tasks of the whole call, a negative penalty counts as 0, and
-// a machine's penalty must not rise when it takes a task.
+// PlaceEach chooses machines for a number of tasks that start independently. It subtracts the tasks
+// from the free resources of the machines and returns the machines in task order; the result is
+// shorter than the number of tasks if the last ones fit nowhere. It chooses the same machines as
+// one call of Place for each task. It ignores Count and Required of the request; ZoneBound bounds
+// the tasks of the whole call, and a negative penalty counts as 0. The penalty of a machine must
+// not increase when it takes a task.
 func (t *Tree) PlaceEach(request Request, tasks int) []*Machine {
 	placement := &eachPlacement{
 		tree:    t,
@@ -18,10 +19,10 @@
 		placed:  make([]*Machine, 0, tasks),
 		inZone:  map[string]int{},
 	}
-	// Each machine is evaluated once. Searched again after each that was filled, the next one
-	// of a fleet of thousands cost an evaluation of all of them.
+	// Each machine is evaluated once per call. Repeating the search after each filled machine
+	// evaluated all machines of a fleet of thousands again.
 	var penalized []penalizedMachine
-	for _, m := range slices.Clone(t.mayFit(request.Task)) {
+	for _, m := range slices.Clone(t.machinesWithFreeGPUs(request.Task)) {
 		if placement.isComplete() {
 			return placement.placed
 		}
@@ -42,7 +43,8 @@
 	return placement.placed
 }
 
-// penalizedMachine is a machine that may take a request's tasks, but not before others.
+// penalizedMachine is a machine that takes tasks of a request only after the machines of a lower
+// penalty.
 type penalizedMachine struct {
 	*Machine
 	penalty int
@@ -54,28 +56,28 @@
 	request *Request
 	tasks   int
 	placed  []*Machine
-	inZone  map[string]int // tasks placed
+	inZone  map[string]int // placed tasks by zone
 }
 
 // isComplete reports whether all tasks are placed.
 func (p *eachPlacement) isComplete() bool { return len(p.placed) == p.tasks }
 
-// fill places tasks on a machine while it holds them: with less free than before, it stays the
-// tightest.
+// fill places as many tasks on a machine as fit. Each task leaves less free there, so the machine
+// remains the best fit for the next one.
 func (p *eachPlacement) fill(m *Machine) {
 	bound := p.tasks
 	if p.request.MachineBound != nil {
 		bound = p.request.MachineBound(m)
 	}
 	last := min(p.tasks, len(p.placed)+bound)
-	for len(p.placed) < last && m.Free.Holds(p.request.Task) && p.zoneHasRoom(m.Zone) {
+	for len(p.placed) < last && m.Free.Holds(p.request.Task) && p.zoneAllowsMore(m.Zone) {
 		p.tree.Take(m, p.request.Task)
 		p.inZone[m.Zone]++
 		p.placed = append(p.placed, m)
 	}
 }
 
-// zoneHasRoom reports whether a zone may take another task.
-func (p *eachPlacement) zoneHasRoom(zone string) bool {
+// zoneAllowsMore reports whether the zone's bound allows another task.
+func (p *eachPlacement) zoneAllowsMore(zone string) bool {
 	return p.request.ZoneBound == nil || p.inZone[zone] < p.request.ZoneBound(zone)
 }
--- a/internal/core/topology/resources.go
+++ b/internal/core/topology/resources.go
@@ -1,9 +1,9 @@
 package topology
 
-// Resources are amounts of a machine's resources.
+// Resources are amounts of CPUs, GPUs and memory.
 type Resources struct{ CPUs, GPUs, MemGB float64 }
 
-// tolerance makes up for the rounding of sums.
+// tolerance allows for rounding errors in sums.
 const tolerance = 1e-6
 
 // Add returns r+o.
@@ -27,7 +27,7 @@
 	return o.CPUs <= r.CPUs+tolerance && o.GPUs <= r.GPUs+tolerance && o.MemGB <= r.MemGB+tolerance
 }
 
-// Less orders amounts by the scarcest resource first.
+// Less compares amounts by GPUs, the scarcest resource, then by CPUs and memory.
 func (r Resources) Less(o Resources) bool {
 	if r.GPUs != o.GPUs {
 		return r.GPUs < o.GPUs
@@ -38,20 +38,21 @@
 	return r.MemGB < o.MemGB
 }
 
-// Fit returns how many tasks of a size fit into r, at most limit.
+// Fit returns how many tasks of a size fit into r, up to limit.
 func (r Resources) Fit(task Resources, limit int) int {
-	n := min(fitOne(r.CPUs, task.CPUs, limit), fitOne(r.GPUs, task.GPUs, limit), fitOne(r.MemGB, task.MemGB, limit))
+	n := min(fitCount(r.CPUs, task.CPUs, limit), fitCount(r.GPUs, task.GPUs, limit), fitCount(r.MemGB, task.MemGB, limit))
 	return max(n, 0)
 }
 
-// fitOne returns how many times an amount of one resource fits into another, at most limit.
-func fitOne(have, want float64, limit int) int {
-	if want <= 0 {
+// fitCount returns how many times a requested amount of one resource fits into what is available,
+// up to limit.
+func fitCount(available, requested float64, limit int) int {
+	if requested <= 0 {
 		return limit
 	}
-	// Compared before the conversion to an integer: of a tiny amount more fit than an integer
-	// holds.
-	if n := (have + tolerance) / want; n < float64(limit) {
+	// The limit is compared before the conversion: for a tiny request the quotient overflows an
+	// integer.
+	if n := (available + tolerance) / requested; n < float64(limit) {
 		return int(n)
 	}
 	return limit
--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -1,7 +1,7 @@
-// Package topology places tasks over a tree of root, zones and machines. It counts bottom up how
-// many tasks fit in each domain and takes the fitting domain with the least free resources (bin
-// packing). A pass of package scheduler builds a tree of the machines as they are. The package does
-// no I/O and keeps no time.
+// Package topology places tasks on a tree of root, zones and machines. It counts bottom up how
+// many tasks fit in each domain and chooses the domain with the least free resources that fits the
+// request (best-fit bin packing). Each pass of package scheduler builds a tree of the current
+// machines. The package does no I/O and reads no clock.
 package topology
 
 import (
@@ -10,7 +10,7 @@
 	"strings"
 )
 
-// Level is a level of the tree, from the machines up.
+// Level is a level of the tree; machines are the lowest.
 type Level int
 
 // The levels of the tree.
@@ -20,7 +20,7 @@
 	LevelRoot
 )
 
-// Machine is a leaf of the tree. Its free resources change by Take and Give only.
+// Machine is a leaf of the tree. Only Take and Give may change its free resources.
 type Machine struct {
 	Name  string
 	Zone  string
@@ -32,11 +32,11 @@
 // Tree holds the machines that may take tasks.
 type Tree struct {
 	machines    []*Machine // by name
-	byFree      []*Machine // the least free resources first, see compareFree
+	byFree      []*Machine // least free resources first, see compareFree
 	evaluations int
 }
 
-// New builds a tree over machines.
+// New builds a tree of machines.
 func New(machines []*Machine) *Tree {
 	t := &Tree{machines: slices.Clone(machines)}
 	slices.SortFunc(t.machines, func(a, b *Machine) int { return strings.Compare(a.Name, b.Name) })
@@ -45,17 +45,17 @@
 	return t
 }
 
-// Evaluations counts the machines that were evaluated so far: what the tree cost, independent of
-// any clock.
+// Evaluations returns how many machines have been evaluated so far. It measures the cost of the
+// tree's searches without a clock.
 func (t *Tree) Evaluations() int { return t.evaluations }
 
-// Take lowers a machine's free resources.
+// Take subtracts resources from what is free on a machine.
 func (t *Tree) Take(m *Machine, r Resources) { t.setFree(m, m.Free.Sub(r)) }
 
-// Give raises a machine's free resources.
+// Give adds resources to what is free on a machine.
 func (t *Tree) Give(m *Machine, r Resources) { t.setFree(m, m.Free.Add(r)) }
 
-// setFree changes a machine's free resources and its place in the order.
+// setFree sets a machine's free resources and moves it to its new position in byFree.
 func (t *Tree) setFree(m *Machine, free Resources) {
 	from, _ := slices.BinarySearchFunc(t.byFree, m, compareFree)
 	m.Free = free
@@ -80,17 +80,17 @@
 	return strings.Compare(a.Name, b.Name)
 }
 
-// mayFit lists the machines that may hold a task, those with the least free resources first:
-// machines with too few free GPUs are left out.
-func (t *Tree) mayFit(task Resources) []*Machine {
+// machinesWithFreeGPUs lists the machines with enough free GPUs for a task, those with the least
+// free resources first. CPUs and memory may not be enough.
+func (t *Tree) machinesWithFreeGPUs(task Resources) []*Machine {
 	least := Resources{GPUs: task.GPUs}
 	first := sort.Search(len(t.byFree), func(i int) bool { return Resources{GPUs: t.byFree[i].Free.GPUs}.Holds(least) })
 	return t.byFree[first:]
 }
 
-// AnyFits reports whether an allowed machine holds a task.
+// AnyFits reports whether a task fits on any allowed machine.
 func (t *Tree) AnyFits(task Resources, allowed func(*Machine) bool) bool {
-	for _, m := range t.mayFit(task) {
+	for _, m := range t.machinesWithFreeGPUs(task) {
 		t.evaluations++
 		if m.Free.Holds(task) && allowed(m) {
 			return true
@@ -99,9 +99,9 @@
 	return false
 }
 
-// Request asks for machines for tasks.
+// Request describes tasks to be placed and which machines they may use.
 type Request struct {
-	// Task is the size of the largest task; all count as this.
+	// Task is the size of the largest task, which is used for all of them.
 	Task Resources
 	// Count is the number of tasks.
 	Count int
@@ -111,19 +111,19 @@
 	MachineBound func(*Machine) int
 	// ZoneBound bounds the tasks in a zone; nil sets no bound.
 	ZoneBound func(zone string) int
-	// Required is the level at or below which the whole request must be placed; LevelRoot
-	// requires nothing. The preferred level is always the zone.
+	// Required is the highest level at which the whole request may be placed in one domain;
+	// LevelRoot sets no requirement. Place always prefers a single machine, then a single zone.
 	Required Level
-	// Penalty orders the allowed machines, lower first; nil for 0 on all of them.
+	// Penalty ranks the allowed machines, the lowest first; nil means 0 for all.
 	Penalty func(*Machine) int
 }
 
-// allows reports whether a machine may take the tasks of a request and holds at least one.
+// allows reports whether a machine may take the tasks of a request and at least one fits.
 func (r *Request) allows(m *Machine) bool {
 	return m.Free.Holds(r.Task) && (r.Allowed == nil || r.Allowed(m))
 }
 
-// penalty is a machine's penalty.
+// penalty returns a machine's penalty.
 func (r *Request) penalty(m *Machine) int {
 	if r.Penalty == nil {
 		return 0
--- a/internal/core/topology/topology_test.go
+++ b/internal/core/topology/topology_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// newTree builds a tree of machines that are written as zone/name/free GPUs.
+// newTree builds a tree of machines, each given as "zone/name/free GPUs".
 func newTree(specs ...string) (*Tree, []*Machine) {
 	var machines []*Machine
 	for _, spec := range specs {
@@ -34,14 +34,14 @@
 		request Request
 		want    string
 	}{
-		{"the tightest machine that holds all", []string{"a/x/8", "a/y/3", "b/z/2"}, Request{Task: one, Count: 3, Required: LevelRoot}, "y y y"},
-		{"the tightest zone when no machine does", []string{"a/x/4", "a/y/4", "b/z/3", "b/w/3"}, Request{Task: one, Count: 6, Required: LevelRoot}, "w w w z z z"},
-		{"within a zone, the fullest part first", []string{"a/x/4", "a/y/2", "a/z/1"}, Request{Task: one, Count: 6, Required: LevelZone}, "x x x x y y"},
-		{"a required zone waits though enough is free over two", []string{"a/x/2", "b/y/2"}, Request{Task: one, Count: 3, Required: LevelZone}, ""},
-		{"without one, the zone that holds most first, then the others", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{Task: one, Count: 4, Required: LevelRoot}, "y y w x"},
+		{"the machine with the least free resources that fits all", []string{"a/x/8", "a/y/3", "b/z/2"}, Request{Task: one, Count: 3, Required: LevelRoot}, "y y y"},
+		{"the zone with the least free resources when no machine fits all", []string{"a/x/4", "a/y/4", "b/z/3", "b/w/3"}, Request{Task: one, Count: 6, Required: LevelRoot}, "w w w z z z"},
+		{"within a zone, the machine that takes the most tasks first", []string{"a/x/4", "a/y/2", "a/z/1"}, Request{Task: one, Count: 6, Required: LevelZone}, "x x x x y y"},
+		{"no placement over two zones when one zone is required", []string{"a/x/2", "b/y/2"}, Request{Task: one, Count: 3, Required: LevelZone}, ""},
+		{"with no required zone, the zone that fits the most tasks first", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{Task: one, Count: 4, Required: LevelRoot}, "y y w x"},
 		{"nothing fits", []string{"a/x/1"}, Request{Task: Resources{GPUs: 2}, Count: 1, Required: LevelRoot}, ""},
 		{"a zone's bound", []string{"a/x/8", "b/y/8", "c/z/8"}, Request{Task: one, Count: 4, Required: LevelRoot, ZoneBound: func(string) int { return 2 }}, "x x y y"},
-		{"the lower penalty decides between machines that hold all", []string{"a/x/2", "a/y/4"}, Request{
+		{"the lower penalty among machines that fit all", []string{"a/x/2", "a/y/4"}, Request{
 			Task: one, Count: 1, Required: LevelRoot,
 			Penalty: func(m *Machine) int { return strings.Index("yx", m.Name) },
 		}, "y"},
@@ -54,14 +54,14 @@
 			}
 			got := tree.Place(tc.request)
 			if names(got) != tc.want {
-				t.Fatalf("placed on %q, want %q", names(got), tc.want)
+				t.Fatalf("machines: got %q, want %q", names(got), tc.want)
 			}
 			for _, m := range got {
 				before[m.Name] = before[m.Name].Sub(tc.request.Task)
 			}
 			for _, m := range machines {
 				if m.Free != before[m.Name] {
-					t.Errorf("%s has %v free, want %v", m.Name, m.Free, before[m.Name])
+					t.Errorf("free resources of %s: got %v, want %v", m.Name, m.Free, before[m.Name])
 				}
 			}
 		})
@@ -82,12 +82,12 @@
 		{Resources{-1, 2, 16}, Resources{CPUs: 1}, 0},
 	} {
 		if got := tc.free.Fit(tc.task, 100); got != tc.want {
-			t.Errorf("%v fits %v %d times, want %d", tc.task, tc.free, got, tc.want)
+			t.Errorf("tasks of %v that fit into %v: got %d, want %d", tc.task, tc.free, got, tc.want)
 		}
 	}
 }
 
-// randomTree builds the same tree for the same seed.
+// randomTree builds a random tree; the same seed gives the same tree.
 func randomTree(seed uint64) *Tree {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var machines []*Machine
@@ -103,7 +103,7 @@
 	return New(machines)
 }
 
-// placeOneByOne places tasks of a request, at most bound in a zone.
+// placeOneByOne places tasks of a request with one call of Place each, at most bound in a zone.
 func placeOneByOne(tree *Tree, request Request, tasks, bound int) []*Machine {
 	var placed []*Machine
 	inZone := map[string]int{}
@@ -119,9 +119,9 @@
 	return placed
 }
 
-// TestPlaceEachAsPlace places random tasks one by one and all in one call. Both have to choose the
-// same machines.
-func TestPlaceEachAsPlace(t *testing.T) {
+// TestPlaceEachMatchesPlace checks that PlaceEach chooses the same machines for random tasks as one
+// call of Place for each task.
+func TestPlaceEachMatchesPlace(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 2))
 		one, each := randomTree(seed), randomTree(seed)
@@ -138,7 +138,7 @@
 			want := placeOneByOne(one, request, tasks, bound)
 			request.ZoneBound = func(string) int { return bound }
 			if got := each.PlaceEach(request, tasks); names(got) != names(want) {
-				t.Fatalf("seed %d: %d tasks of %v on %q, one by one on %q", seed, tasks, task, names(got), names(want))
+				t.Fatalf("seed %d: machines for %d tasks of %v: PlaceEach got %q, Place one by one %q", seed, tasks, task, names(got), names(want))
 			}
 		}
 	}
