--- a/internal/core/placement/memo_test.go
+++ b/internal/core/placement/memo_test.go
@@ -9,18 +9,18 @@
 	class, sameTask := EquivalenceClass{Requirements: task, Priority: 1}, EquivalenceClass{Requirements: task, Priority: 2}
 	memo := NewMemo()
 	if !memo.MayFit(class) || !memo.MachineMayFit(task) || !memo.MayPreempt(class) {
-		t.Errorf("new memo: MayFit %v, MachineMayFit %v, MayPreempt %v; want all true", memo.MayFit(class), memo.MachineMayFit(task), memo.MayPreempt(class))
+		t.Error("new memo: MayFit, MachineMayFit or MayPreempt is false, want all true")
 	}
 	memo.RecordFull(class, true)
 	memo.RecordNoVictims(class, true)
 	if memo.MayFit(class) || memo.MayPreempt(class) {
-		t.Errorf("class recorded as full and without victims: MayFit %v, MayPreempt %v; want false", memo.MayFit(class), memo.MayPreempt(class))
+		t.Error("class recorded as full and without victims: MayFit or MayPreempt is true, want both false")
 	}
 	if !memo.MayFit(sameTask) || !memo.MayPreempt(sameTask) {
-		t.Errorf("another class with the same requirements: MayFit %v, MayPreempt %v; want true", memo.MayFit(sameTask), memo.MayPreempt(sameTask))
+		t.Error("another class with the same requirements: MayFit or MayPreempt is false, want both true")
 	}
 	memo.RecordMachineFits(task, false)
 	if memo.MayFit(sameTask) || memo.MachineMayFit(task) {
-		t.Errorf("task that fits on no machine: MayFit %v, MachineMayFit %v; want false", memo.MayFit(sameTask), memo.MachineMayFit(task))
+		t.Error("task that fits on no machine: MayFit or MachineMayFit is true, want both false")
 	}
 }
--- a/internal/core/placement/order_test.go
+++ b/internal/core/placement/order_test.go
@@ -20,7 +20,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.before.Compare(tc.after) >= 0 || tc.after.Compare(tc.before) <= 0 {
-				t.Errorf("Compare: got %d and, reversed, %d; want a negative and a positive number", tc.before.Compare(tc.after), tc.after.Compare(tc.before))
+				t.Error("Compare does not order the job before the other one in both directions")
 			}
 		})
 	}
--- a/internal/core/scheduler/binding.go
+++ b/internal/core/scheduler/binding.go
@@ -8,13 +8,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// evaluationsPerBinding is about how many evaluations of machines take as long as binding a
-// task.
+// evaluationsPerBinding is the approximate cost of binding a task, in evaluations of machines.
 const evaluationsPerBinding = 10
 
-// bindFitting places the tasks of a candidate that machines with free capacity and its team's
-// limit hold, a gang as a whole.
-func (p *pass) bindFitting(candidate *Candidate, policy imagePolicy) {
+// bindFitting places the tasks of a candidate that fit into the free capacity of machines and
+// within the team's limit. A gang is placed as a whole.
+func (p *pass) bindFitting(candidate *Candidate, policy pullTimePolicy) {
 	job, batch := candidate.Job, 1
 	if job.Shape == wire.ShapeGang {
 		batch = len(candidate.Pending)
@@ -37,15 +36,16 @@
 	}
 }
 
-// bindEach places the tasks of a candidate that fit, which start separately, in one call.
-func (p *pass) bindEach(candidate *Candidate, policy imagePolicy) {
+// bindEach places the fitting tasks of a candidate whose tasks start independently, with a single
+// search.
+func (p *pass) bindEach(candidate *Candidate, policy pullTimePolicy) {
 	job := candidate.Job
 	count := p.countWithinLimit(candidate)
 	if count < 1 {
 		return
 	}
 	// Binding the tens of thousands of tasks of a huge array at once would delay the
-	// answers to heartbeats.
+	// responses to heartbeats.
 	if affordable := max(1, (p.evaluationLimit-p.evaluations)/evaluationsPerBinding); count > affordable {
 		count, p.truncated = affordable, true
 	}
@@ -60,8 +60,8 @@
 	candidate.Pending = candidate.Pending[len(leaves):]
 }
 
-// countWithinLimit is how many of a candidate's tasks its team's limit allows, in addition to
-// those for which machines are reserved.
+// countWithinLimit returns how many of a candidate's tasks without a reserved machine its team's
+// limit allows.
 func (p *pass) countWithinLimit(candidate *Candidate) int {
 	job := candidate.Job
 	limit, size := p.host.Limit(job.Team), cluster.TaskSize(&job.Job)
@@ -71,9 +71,9 @@
 	})
 }
 
-// bindTogether places the first tasks of a candidate, which start together. It reports whether
-// machines were found for all of them.
-func (s *Scheduler) bindTogether(tree *topology.Tree, candidate *Candidate, count int, policy imagePolicy) bool {
+// bindTogether places the first count pending tasks of a candidate, which start together. It
+// reports whether it found machines for all of them.
+func (s *Scheduler) bindTogether(tree *topology.Tree, candidate *Candidate, count int, policy pullTimePolicy) bool {
 	defer s.countEvaluations(tree)()
 	job, tasks := candidate.Job, candidate.Pending[:count]
 	request := s.placementRequest(job, tasks, policy)
@@ -82,13 +82,13 @@
 		return false
 	}
 	if s.gangWaitExceeded(job, s.machinesOf(leaves)) {
-		leaves = s.placePullingTogether(tree, request, job, leaves)
+		leaves = s.placeWithoutCachedImage(tree, request, job, leaves)
 	}
 	s.bindTasks(job, tasks, s.machinesOf(leaves))
 	return true
 }
 
-// machinesOf lists the machines that leaves of the pass's tree represent.
+// machinesOf returns the machines that leaves of the pass's tree represent.
 func (s *Scheduler) machinesOf(leaves []*topology.Machine) []*cluster.Machine {
 	machines := make([]*cluster.Machine, len(leaves))
 	for i, leaf := range leaves {
@@ -97,8 +97,8 @@
 	return machines
 }
 
-// placementRequest asks for machines for tasks of a job that start together.
-func (s *Scheduler) placementRequest(job *cluster.Job, tasks []int, policy imagePolicy) topology.Request {
+// placementRequest builds the request to the tree for tasks of a job that start together.
+func (s *Scheduler) placementRequest(job *cluster.Job, tasks []int, policy pullTimePolicy) topology.Request {
 	maxPullS := s.maxPullTime(job.Class)
 	request := topology.Request{
 		Task:      cluster.TaskSize(&job.Job),
@@ -124,8 +124,8 @@
 	return request
 }
 
-// bindTasks places tasks that start together on machines, given in their order. The tasks of a
-// gang share an attempt.
+// bindTasks places tasks on machines, one machine per task in the same order. The tasks of a gang
+// share an attempt.
 func (s *Scheduler) bindTasks(job *cluster.Job, tasks []int, machines []*cluster.Machine) {
 	if job.Shape == wire.ShapeGang {
 		for i, index := range tasks {
@@ -141,7 +141,7 @@
 	}
 }
 
-// bindTask places a task on a machine for an attempt.
+// bindTask places a task on a machine with an attempt number.
 func (s *Scheduler) bindTask(job *cluster.Job, index int, machine *cluster.Machine, attempt uint64) {
 	task := &job.TaskStates[index]
 	task.Attempt = attempt
--- a/internal/core/scheduler/candidates.go
+++ b/internal/core/scheduler/candidates.go
@@ -9,26 +9,26 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Candidate is a job with tasks to place, and what orders it among the others.
+// Candidate is a job with tasks to place, and its urgency among the candidates of a pass.
 type Candidate struct {
 	Job                *cluster.Job
 	WithinQuota        bool
 	Pending            []int // tasks to place, by index
-	Reserved           int   // of them, those for which machines are reserved
+	Reserved           int   // number of pending tasks for which machines are reserved
 	PreemptionPriority int   // priority level below which it may preempt
 	Faulty             bool  // its tasks fail on every machine
 	BestEffort         bool  // its team has no guarantee, and it has not waited too long
 
 	slack           float64 // seconds until it has to start to meet its deadline
-	remainingWork   float64 // seconds of a task's work; 0 where that does not count
+	remainingWork   float64 // task-seconds left to run; 0 if they do not affect the order
 	cannotProvision bool    // the cloud has no machine for it now
-	ownTeamOnly     bool    // it may preempt work of its own team only
+	ownTeamOnly     bool    // it may preempt tasks of its own team only
 }
 
-// needsRoom reports whether there are tasks to place without a reserved machine.
-func (c *Candidate) needsRoom() bool { return len(c.Pending) > c.Reserved }
+// hasUnreservedTasks reports whether there are pending tasks without a reserved machine.
+func (c *Candidate) hasUnreservedTasks() bool { return len(c.Pending) > c.Reserved }
 
-// urgency orders a candidate among the others.
+// urgency returns the sort key of a candidate.
 func (c *Candidate) urgency() placement.Urgency {
 	return placement.Urgency{
 		Faulty:        c.Faulty,
@@ -56,7 +56,8 @@
 	return list
 }
 
-// candidatesOf makes the candidates of a job with tasks to place.
+// candidatesOf returns the candidates of a job with pending tasks: usually one, none if a faulty
+// job has to wait, and two for an array whose start is overdue.
 func (s *Scheduler) candidatesOf(job *cluster.Job, pending []int) []*Candidate {
 	candidate := &Candidate{
 		Job:                job,
@@ -74,8 +75,9 @@
 	if job.Shape != wire.ShapeArray || len(pending) == 1 || !overdue {
 		return []*Candidate{candidate}
 	}
-	// A job has started with its first task. Where more jobs wait than there is room for, all
-	// tasks of one before the next kept every job of a class from starting for six minutes.
+	// A job counts as started with its first task, so the first task of an overdue array is a
+	// candidate of its own. When more jobs waited than fit, placing all tasks of one job before
+	// the next kept every job of a class from starting for six minutes.
 	first := &Candidate{
 		Job:                job,
 		WithinQuota:        job.WithinQuota,
@@ -88,8 +90,8 @@
 	return []*Candidate{first, candidate}
 }
 
-// faultyCandidate restricts the candidate of a job whose tasks fail on every machine; none if no
-// task of it may be tried now.
+// faultyCandidate restricts the candidate of a job whose tasks fail on every machine. It returns
+// none if no task of the job may be tried now.
 func (s *Scheduler) faultyCandidate(candidate *Candidate) []*Candidate {
 	candidate.Pending = s.host.ThrottleFaultyJob(candidate.Job, candidate.Pending)
 	if len(candidate.Pending) == 0 {
@@ -99,8 +101,9 @@
 	return []*Candidate{candidate}
 }
 
-// preemptionPriority is the priority level with which a job may preempt others. That inherited
-// from a dependent counts once the dependent would be late without it.
+// preemptionPriority returns the priority level below which a job may preempt others. A level
+// inherited from a dependent counts only once the job's slack is no longer than its estimated run
+// time, when the dependent is at risk of being late.
 func (s *Scheduler) preemptionPriority(job *cluster.Job) int {
 	if own := cluster.PriorityLevel[job.Priority]; job.Level > own && s.slack(job) > s.host.RunEstimate(job) {
 		return own
@@ -108,28 +111,30 @@
 	return job.Level
 }
 
-// noDeadline is the slack of a job without a deadline: behind all others.
-const noDeadline = 1e9
+// slackWithoutDeadlineS is the slack of a job without a deadline, which sorts it after all others.
+const slackWithoutDeadlineS = 1e9
 
-// slack is how long a job can still wait to be done by its deadline, in seconds.
+// slack returns how long a job can still wait and finish by its deadline, in seconds.
 func (s *Scheduler) slack(job *cluster.Job) float64 {
 	if math.IsInf(job.Deadline, 1) {
-		return noDeadline
+		return slackWithoutDeadlineS
 	}
 	return job.Deadline - float64(s.host.WallClockMS())/1000 - s.host.RunEstimate(job)
 }
 
-// maxStartWait is half the time within which the protocol wants the largest jobs to start.
+// maxStartWait is half the time within which the protocol requires the largest jobs to start.
 const maxStartWait = 120 * time.Second
 
-// startOverdue reports whether a job has waited long without a task placed.
+// startOverdue reports whether a job has waited longer than maxStartWait with no task placed or
+// done.
 func (s *Scheduler) startOverdue(job *cluster.Job) bool {
 	return job.TasksDone+job.TasksPlaced == 0 && s.WaitingTime(job) > maxStartWait
 }
 
-// remainingWork is what a job still has to run, in seconds of a task, if its class is to be
-// finished within some time; else 0. Where not all can be done in time, the least work first gets
-// the most jobs done; a job whose start is overdue goes first, so that large jobs start too.
+// remainingWork returns the task-seconds that a job still has to run if its class has a
+// "finished" objective; otherwise 0. If not all jobs can be done in time, placing those with the
+// least work first finishes the most jobs. A job whose start is overdue gets 0 and so goes first, so
+// that large jobs start too.
 func (s *Scheduler) remainingWork(job *cluster.Job, pending int) float64 {
 	for _, o := range s.deployment.Objectives {
 		if o.Kind == ObjectiveFinished && o.Class == job.Class {
--- a/internal/core/scheduler/candidates_test.go
+++ b/internal/core/scheduler/candidates_test.go
@@ -10,7 +10,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// newBestEffortHarness has a team with a guarantee of GPUs and a best-effort team.
+// newBestEffortHarness creates a harness with a team that has a guarantee of GPUs and a best-effort
+// team.
 func newBestEffortHarness(t *testing.T) *harness {
 	t.Helper()
 	return newHarness(t, pullTypes, []config.Team{{Name: "vision", GPUs: 4, GPUsMax: 100}, {Name: "lab"}},
@@ -19,12 +20,12 @@
 		config.Objective{Kind: ObjectiveGuarantee, WithinS: 10, Share: 0.9})
 }
 
-// Where only GPUs are guaranteed, work without GPUs of a best-effort team once counted as
-// guaranteed.
+// TestBestEffortIsNeverWithinQuota guards against jobs of a best-effort team counting as within
+// quota: where only GPUs are guaranteed, its jobs without GPUs did.
 func TestBestEffortIsNeverWithinQuota(t *testing.T) {
 	h := newBestEffortHarness(t)
 	bestEffort := h.addArray("job-1", "lab", "scan", 8, 0)
-	owner := h.addArray("job-2", "vision", "sweep", 4, 1)
+	guaranteed := h.addArray("job-2", "vision", "sweep", 4, 1)
 	withoutGPUs := h.addArray("job-3", "vision", "sweep", 4, 0)
 	h.markWithinQuota()
 	for _, tc := range []struct {
@@ -33,17 +34,17 @@
 		want bool
 	}{
 		{"best effort", bestEffort, false},
-		{"owner", owner, true},
-		{"owner without GPUs", withoutGPUs, true},
+		{"team with a guarantee", guaranteed, true},
+		{"team with a guarantee, job without GPUs", withoutGPUs, true},
 	} {
 		if tc.job.WithinQuota != tc.want {
-			t.Errorf("%s: within quota %v, want %v", tc.name, tc.job.WithinQuota, tc.want)
+			t.Errorf("%s: within quota: got %v, want %v", tc.name, tc.job.WithinQuota, tc.want)
 		}
 	}
 }
 
-// Best-effort jobs come last within their priority, except for the first task of an array that has
-// waited for two minutes.
+// TestBestEffortComesLast checks that best-effort jobs come last within their priority, except for
+// the first task of an array whose start is overdue.
 func TestBestEffortComesLast(t *testing.T) {
 	h := newBestEffortHarness(t)
 	h.addArray("job-1", "lab", "scan", 8, 0)
@@ -55,45 +56,46 @@
 		return ids
 	}
 	if got, want := order(), []string{"job-2", "job-1"}; !slices.Equal(got, want) {
-		t.Errorf("order %v, want %v", got, want)
+		t.Errorf("order of candidates: got %v, want %v", got, want)
 	}
 	h.state.Jobs["job-1"].WaitingSinceMS -= (maxStartWait + time.Second).Milliseconds()
 	if got, want := order(), []string{"job-1", "job-2", "job-1"}; !slices.Equal(got, want) {
-		t.Errorf("after two minutes: order %v, want %v", got, want)
+		t.Errorf("order of candidates after maxStartWait: got %v, want %v", got, want)
 	}
 }
 
-// Work within quota gets all of its room in one pass, other work a few tasks at a time.
-func TestPreemptionLimit(t *testing.T) {
+// TestMaxPreemptingTasks checks that a pass preempts for all tasks of a job within quota at once,
+// but only for a few tasks of other jobs.
+func TestMaxPreemptingTasks(t *testing.T) {
 	h := newBestEffortHarness(t)
 	candidate := candidateOf(h.addArray("job-1", "vision", "sweep", 60, 1))
-	if n := h.preemptionLimit(candidate); n != maxPreemptionsPerPass {
-		t.Errorf("room for %d tasks beyond quota", n)
+	if n := h.maxPreemptingTasks(candidate); n != maxPreemptingTasksPerPass {
+		t.Errorf("tasks to preempt for beyond quota: got %d, want maxPreemptingTasksPerPass", n)
 	}
 	candidate.WithinQuota = true
-	if n := h.preemptionLimit(candidate); n != 60 {
-		t.Errorf("room for %d tasks within quota", n)
+	if n := h.maxPreemptingTasks(candidate); n != 60 {
+		t.Errorf("tasks to preempt for within quota: got %d, want 60", n)
 	}
 }
 
-// A victim gets the grace period that the preempting job can wait for, and none if that alone makes
-// the job late.
+// TestPreemptionGrace checks that a victim gets a grace period unless the grace period alone makes
+// the preempting job start too late.
 func TestPreemptionGrace(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		class       string
-		imageGB     float64 // pulled at 1 GB/s; 0 if the machine holds it
+		imageGB     float64 // pulled at 1 GB/s; 0 for no pull
 		waited      time.Duration
 		withinQuota bool
 		want        float64
 	}{
 		{"no objective", "sweep", 0, 0, false, 3},
-		{"a wait that a save does not put at risk", "train", 0, 0, false, 3},
-		{"late by the save alone", "train", 2, 0, false, 0},
-		{"late in any case", "train", 8, 0, false, 3},
-		{"late already", "train", 0, 6 * time.Second, false, 3},
-		{"a guarantee", "sweep", 7, 0, true, 0},
-		{"a guarantee that a save does not put at risk", "sweep", 3, 0, true, 3},
+		{"in time even with the save", "train", 0, 0, false, 3},
+		{"late only because of the save", "train", 2, 0, false, 0},
+		{"late even without the save", "train", 8, 0, false, 3},
+		{"already late", "train", 0, 6 * time.Second, false, 3},
+		{"guarantee objective missed only because of the save", "sweep", 7, 0, true, 0},
+		{"guarantee objective met even with the save", "sweep", 3, 0, true, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newBestEffortHarness(t)
@@ -103,25 +105,26 @@
 			job.Image, job.ImageGB, job.WithinQuota = "x", tc.imageGB, tc.withinQuota
 			job.WaitingSinceMS -= tc.waited.Milliseconds()
 			if got := h.preemptionGrace(job, machine, victim); got != tc.want {
-				t.Errorf("%v s to save, want %v", got, tc.want)
+				t.Errorf("grace period: got %v s, want %v s", got, tc.want)
 			}
 		})
 	}
 }
 
-// A job's own priority counts at all times, an inherited one once time is short.
+// TestPreemptionPriority checks that a job's own priority always counts, and an inherited one only
+// when the job has little slack left.
 func TestPreemptionPriority(t *testing.T) {
 	critical, idle := cluster.PriorityLevel[wire.PriorityCritical], cluster.PriorityLevel[wire.PriorityIdle]
 	for _, tc := range []struct {
 		name     string
 		priority wire.Priority
-		spareS   float64 // until the deadline, beside the estimated run of 30 s
+		spareS   float64 // slack: time until the deadline minus the estimated run of 30 s
 		want     int
 	}{
-		{"its own, with time to spare", wire.PriorityCritical, 50, critical},
-		{"its own, without", wire.PriorityCritical, 25, critical},
-		{"inherited, with time to spare", wire.PriorityIdle, 50, idle},
-		{"inherited, without", wire.PriorityIdle, 25, critical},
+		{"own priority, much slack", wire.PriorityCritical, 50, critical},
+		{"own priority, little slack", wire.PriorityCritical, 25, critical},
+		{"inherited priority, much slack", wire.PriorityIdle, 50, idle},
+		{"inherited priority, little slack", wire.PriorityIdle, 25, critical},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h := newBestEffortHarness(t)
@@ -129,7 +132,7 @@
 			job.Priority, job.Level, job.EstimatedRunS = tc.priority, critical, 30
 			job.Deadline = float64(h.wallClockMS)/1000 + job.EstimatedRunS + tc.spareS
 			if got := h.preemptionPriority(job); got != tc.want {
-				t.Errorf("level %d, want %d", got, tc.want)
+				t.Errorf("priority level: got %d, want %d", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/scheduler/defragmentation.go
+++ b/internal/core/scheduler/defragmentation.go
@@ -8,30 +8,30 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A gang whose tasks take whole machines may find no room for ever, while enough of it is
-// fragmented over machines that run a few replicas each, and the cloud has no machine left. Once
-// the start of such a gang is overdue, replicas are rescheduled so that machines of one zone become
-// free for it.
+// A gang whose tasks need whole machines may never fit although enough capacity is free, because the
+// free capacity is fragmented over machines that run a few replicas each and the cloud has no more
+// machines. Once the start of such a gang is overdue, replicas are rescheduled so that machines of
+// one zone become free for it.
 
 // maxMovesPerSlot bounds how many replicas are rescheduled for one task of a gang.
 const maxMovesPerSlot = 4
 
-// gangSlot is a machine for one task of a gang, which replicas move from it, and which tasks stop
-// there.
+// gangSlot is a machine for one task of a gang, with the replicas that move away from it and the
+// tasks that are stopped there.
 type gangSlot struct {
 	machine *cluster.Machine
 	moves   []replicaMove
 	stops   []cluster.TaskReference
 }
 
-// defragmentFor makes room for a gang whose start is overdue, if no machine can be provisioned for
-// it.
+// defragmentFor makes room in one zone for a gang whose start is overdue, if no machine can be
+// provisioned for it. It chooses the zone where the fewest replicas have to move.
 func (p *pass) defragmentFor(candidate *Candidate) {
 	job := candidate.Job
 	if job.Shape != wire.ShapeGang || !candidate.cannotProvision || candidate.Reserved > 0 {
 		return
 	}
-	if !p.startOverdue(job) || p.preemptionTarget(candidate, p.usage) == 0 {
+	if !p.startOverdue(job) || p.preemptingTaskCount(candidate, p.usage) == 0 {
 		return
 	}
 	var best []gangSlot
@@ -46,7 +46,7 @@
 	}
 }
 
-// freeSlots moves and stops what runs in the slots of a gang, and reserves their machines.
+// freeSlots carries out the moves and stops of the slots of a gang, and reserves their machines.
 func (p *pass) freeSlots(candidate *Candidate, gangSlots []gangSlot) {
 	job := candidate.Job
 	var slots []slot
@@ -62,7 +62,7 @@
 	p.reserve(job, p.machinesOfSlots(slots), p.stopVictims(job, slots))
 }
 
-// countMoves counts the replicas that move.
+// countMoves returns the number of replicas that move.
 func countMoves(slots []gangSlot) int {
 	moves := 0
 	for _, s := range slots {
@@ -71,10 +71,10 @@
 	return moves
 }
 
-// gangSlots finds a machine of a zone for each task of a gang, those with the fewest tasks first;
-// nil if there are not enough.
+// gangSlots finds a machine of a zone for each task of a gang. It tries the machines with the fewest
+// tasks first and returns nil if not enough can be freed.
 func (p *pass) gangSlots(candidate *Candidate, zone string) []gangSlot {
-	machines := p.defragmentable(candidate.Job, zone)
+	machines := p.defragmentationMachines(candidate.Job, zone)
 	plan := &defragmentation{
 		pass:        p,
 		candidate:   candidate,
@@ -83,7 +83,7 @@
 		emptied:     map[*cluster.Machine]bool{},
 	}
 	defer plan.rollBack()
-	// The machines that are tried first are no targets of moves.
+	// Replicas do not move to the machines that are tried first.
 	for _, m := range machines[:min(len(candidate.Pending), len(machines))] {
 		plan.emptied[m] = true
 	}
@@ -99,9 +99,9 @@
 	return plan.slots
 }
 
-// defragmentable lists the machines of a zone that a job's tasks may use, those with the fewest
-// tasks first.
-func (p *pass) defragmentable(job *cluster.Job, zone string) []*cluster.Machine {
+// defragmentationMachines returns the machines of a zone that a job's tasks may use, those with the
+// fewest tasks first.
+func (p *pass) defragmentationMachines(job *cluster.Job, zone string) []*cluster.Machine {
 	var machines []*cluster.Machine
 	for _, m := range p.machines {
 		if m.Zone == zone && p.isFeasible(job, m) && !p.isReserved(m) {
@@ -112,18 +112,18 @@
 	return machines
 }
 
-// defragmentation is an attempt to find all machines of a gang in a zone. Moves that it plans are
-// subtracted from the free capacity of the pass's tree until rollBack.
+// defragmentation is a plan to free machines in a zone for all tasks of a gang. Planned moves are
+// subtracted from the free capacity in the pass's tree until rollBack.
 type defragmentation struct {
 	pass        *pass
 	candidate   *Candidate
 	slots       []gangSlot
-	targets     map[*cluster.Machine]*cluster.Job // machines that replicas move to, and whose replicas
-	movedToZone map[jobZone]int                   // replicas of a job that move to a zone
-	emptied     map[*cluster.Machine]bool         // machines that are to be free
+	targets     map[*cluster.Machine]*cluster.Job // the job whose replicas move to a machine
+	movedToZone map[jobZone]int                   // number of replicas of a job that move to a zone
+	emptied     map[*cluster.Machine]bool         // machines to be freed for the gang
 }
 
-// jobZone names a job in a zone.
+// jobZone is the key of counts by job and zone.
 type jobZone struct {
 	job  *cluster.Job
 	zone string
@@ -142,7 +142,7 @@
 		if free.Holds(needed) {
 			break
 		}
-		if !d.evictTask(&slot, ref) {
+		if !d.planEviction(&slot, ref) {
 			d.discard(slot)
 			return
 		}
@@ -155,8 +155,9 @@
 	d.slots = append(d.slots, slot)
 }
 
-// evictTask plans that a task leaves the machine of a slot. It reports whether it may.
-func (d *defragmentation) evictTask(slot *gangSlot, ref cluster.TaskReference) bool {
+// planEviction plans the stop or the move of a task on the machine of a slot, unless the task is
+// already being stopped. It reports whether the task can be evicted.
+func (d *defragmentation) planEviction(slot *gangSlot, ref cluster.TaskReference) bool {
 	switch {
 	case ref.Task().Stop != nil:
 		return true
@@ -166,7 +167,7 @@
 	case len(slot.moves) == maxMovesPerSlot || !d.pass.isMovable(ref):
 		return false
 	}
-	target := d.chooseTarget(ref, slot.machine)
+	target := d.planMove(ref, slot.machine)
 	if target == nil {
 		return false
 	}
@@ -174,15 +175,15 @@
 	return true
 }
 
-// chooseTarget finds a machine for a replica and counts the replica there; nil if there is none. A
-// machine is reserved for one job at a time, and a spread job gets one more replica in a zone at
-// most.
-func (d *defragmentation) chooseTarget(replica cluster.TaskReference, from *cluster.Machine) *topology.Machine {
+// planMove chooses the target machine of a replica and subtracts the replica from its free capacity;
+// nil if there is none. A target takes replicas of a single job only, because a machine is reserved
+// for one job at a time. Into another zone, at most one replica of a spread job moves.
+func (d *defragmentation) planMove(replica cluster.TaskReference, from *cluster.Machine) *topology.Machine {
 	job := replica.Job
 	leaf := d.pass.moveTarget(replica, from, func(m *cluster.Machine) bool {
 		other := d.targets[m]
-		crowded := job.SpreadZones && m.Zone != from.Zone && d.movedToZone[jobZone{job, m.Zone}] > 0
-		return !d.emptied[m] && !crowded && (other == nil || other == job)
+		zoneUsed := job.SpreadZones && m.Zone != from.Zone && d.movedToZone[jobZone{job, m.Zone}] > 0
+		return !d.emptied[m] && !zoneUsed && (other == nil || other == job)
 	})
 	if leaf == nil {
 		return nil
@@ -194,7 +195,8 @@
 	return leaf
 }
 
-// discard takes back the moves of a slot that cannot be freed. Their targets still get no slots.
+// discard reverts the planned moves of a slot that cannot be freed. The targets of these moves stay
+// in d.targets, so they are not used as slots.
 func (d *defragmentation) discard(slot gangSlot) {
 	delete(d.emptied, slot.machine)
 	for _, move := range slot.moves {
@@ -203,7 +205,8 @@
 	}
 }
 
-// rollBack gives back the capacity that the plan has subtracted: moveReplicas does it for good.
+// rollBack adds the capacity that the plan has subtracted back to the tree. moveReplicas subtracts
+// it again if the plan is carried out.
 func (d *defragmentation) rollBack() {
 	for _, slot := range d.slots {
 		for _, move := range slot.moves {
@@ -212,7 +215,7 @@
 	}
 }
 
-// machineOf is the machine that a leaf represents.
+// machineOf returns the machine that a leaf represents.
 func (d *defragmentation) machineOf(leaf *topology.Machine) *cluster.Machine {
 	return d.pass.machines[leaf.Index]
 }
--- a/internal/core/scheduler/equivalence_class.go
+++ b/internal/core/scheduler/equivalence_class.go
@@ -8,7 +8,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// equivalenceClass is the class of candidates that find room where a candidate does.
+// equivalenceClass returns the class of candidates that fit where this candidate fits.
 func equivalenceClass(candidate *Candidate) placement.EquivalenceClass {
 	job := candidate.Job
 	class := placement.EquivalenceClass{
@@ -25,7 +25,7 @@
 	if job.Shape == wire.ShapeGang {
 		class.GangTasks, class.OneZone = len(candidate.Pending), job.OneZone
 	} else if job.OneZone {
-		class.Zone = job.ID // in a class of its own: bound to the zone of its other tasks
+		class.Zone = job.ID // a class of its own, because its other tasks decide the zone
 	}
 	return class
 }
--- a/internal/core/scheduler/filter.go
+++ b/internal/core/scheduler/filter.go
@@ -5,8 +5,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// ZoneBound returns how many more tasks of a job each zone may take, counting every task that
-// has not certainly terminated; nil if nothing bounds it.
+// ZoneBound returns a function for how many more tasks of a job a zone may take; nil if there is no
+// bound. Every task that still has a machine counts, even if it may have terminated.
 func ZoneBound(job *cluster.Job) func(zone string) int {
 	if !job.SpreadZones && !job.OneZone {
 		return nil
@@ -29,13 +29,14 @@
 	}
 }
 
-// Allows reports whether a job's tasks may be on a machine of a type, in a zone, and on a spot
-// machine if it is one.
+// Allows reports whether a job's tasks may run on a machine of a type, in a zone, and on a spot
+// machine if spot is set.
 func Allows(job *wire.Job, machineType, zone string, spot bool) bool {
 	return cluster.AllowsType(job, machineType) && (job.Zone == "" || job.Zone == zone) && (!spot || job.AllowSpot)
 }
 
-// AllowsMachine reports whether a job's tasks may be on a machine of this type, zone and kind.
+// AllowsMachine reports whether a job's tasks may run on a machine, by the machine's type, its zone
+// and whether it is a spot machine.
 func AllowsMachine(job *cluster.Job, machine *cluster.Machine) bool {
 	return Allows(&job.Job, machine.TypeName, machine.Zone, machine.Spot)
 }
@@ -45,43 +46,43 @@
 	return machine.ReservedFor != nil && s.host.Now() < machine.ReservedUntil
 }
 
-// isFeasible reports whether a machine may take a job's tasks, however little of it is free.
+// isFeasible reports whether a machine may take a job's tasks, regardless of its free capacity.
 func (s *Scheduler) isFeasible(job *cluster.Job, machine *cluster.Machine) bool {
-	return s.host.Usable(machine) && AllowsMachine(job, machine) && !s.avoids(job, machine)
+	return s.host.Usable(machine) && AllowsMachine(job, machine) && !s.isExcluded(job, machine)
 }
 
-// passesFilters reports whether a usable machine may take a job's tasks, if they fit. The pull
-// of its image may take maxPullS seconds.
-func (s *Scheduler) passesFilters(job *cluster.Job, machine *cluster.Machine, policy imagePolicy, maxPullS float64) bool {
-	if !AllowsMachine(job, machine) || s.avoids(job, machine) || machine.TaskRowsLeft() < 1 {
+// passesFilters reports whether a usable machine may take a job's tasks, if they fit. With
+// pullInTime, the pull of the job's image may take at most maxPullS seconds.
+func (s *Scheduler) passesFilters(job *cluster.Job, machine *cluster.Machine, policy pullTimePolicy, maxPullS float64) bool {
+	if !AllowsMachine(job, machine) || s.isExcluded(job, machine) || machine.TaskRowsLeft() < 1 {
 		return false
 	}
 	if s.isReserved(machine) {
-		// A reserved machine is used though the image comes late there: otherwise the
-		// job waited for three heartbeats, until the reservation ended.
+		// A machine that is reserved for the job is used even if the pull is too slow:
+		// otherwise the job waited for three heartbeats, until the reservation expired.
 		return machine.ReservedFor == job
 	}
 	return policy == anyPullTime || !s.pullTooSlow(job, machine, maxPullS)
 }
 
-// avoids keeps a job away from machines on which it failed, until it has failed on so many that
-// the job is the likelier cause.
-func (s *Scheduler) avoids(job *cluster.Job, machine *cluster.Machine) bool {
+// isExcluded reports whether a job is kept off a machine because it failed there. A job that has
+// failed on so many machines that it is itself the likelier cause is kept off none.
+func (s *Scheduler) isExcluded(job *cluster.Job, machine *cluster.Machine) bool {
 	return s.outliers.FailedOn(job.ID, machine.Name) && !s.outliers.JobFaulty(job.ID)
 }
 
-// Penalties of machines for a task: the machine with the lowest sum is preferred.
+// Penalties of a machine for a task; the machine with the lowest sum is preferred.
 const (
 	penaltyReschedulingTarget = -1
 	penaltyImagePull          = 1
 	penaltySlowPull           = 1
-	maxPenaltyPulls           = 4 // other pulls that count
+	maxPenaltyPulls           = 4 // pulls of other images beyond this add no penalty
 	penaltyFailures           = penaltyImagePull + penaltySlowPull + maxPenaltyPulls + 1
 )
 
-// machinePenalty scores a machine for a job's tasks: one on which tasks fail comes last, one
-// that holds the image first. Of the others, those come first that pull fewer images, if pulls
-// are sequential.
+// machinePenalty scores a machine for a job's tasks, lower is better. Machines with the image cached
+// come first and machines on which tasks fail come last. In between, if pulls are sequential, a
+// machine with fewer pulls ahead comes first.
 func (s *Scheduler) machinePenalty(job *cluster.Job, machine *cluster.Machine, maxPullS float64) int {
 	penalty := 0
 	if s.outliers.HasFailures(machine.Name) {
--- a/internal/core/scheduler/filter_test.go
+++ b/internal/core/scheduler/filter_test.go
@@ -8,12 +8,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pullTypes pulls 1 GB a second.
+// pullTypes is one machine type that pulls 1 GB/s.
 var pullTypes = map[string]*wire.MachineType{
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// newPullHarness has two empty machines.
+// newPullHarness creates a harness with two empty machines.
 func newPullHarness(t *testing.T) (h *harness, first, second *cluster.Machine) {
 	t.Helper()
 	h = newHarness(t, pullTypes, []config.Team{{Name: "vision", GPUsMax: 100}},
@@ -21,7 +21,7 @@
 	return h, h.addMachine("n-1", "g4", "a"), h.addMachine("n-2", "g4", "a")
 }
 
-// addPullingReplica adds a service with one replica, whose image of 20 GB no machine holds.
+// addPullingReplica adds a service with one replica, whose image of 20 GB no machine has cached.
 func (h *harness) addPullingReplica(id, image string) *cluster.Job {
 	return h.addJob(wire.Job{
 		ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical,
@@ -29,7 +29,8 @@
 	})
 }
 
-// Replicas of different images were packed onto one machine, which pulled one after the other.
+// TestPullsAreSpread guards against replicas of different images being packed onto one machine that
+// pulls one image at a time.
 func TestPullsAreSpread(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -38,10 +39,10 @@
 		stopped    bool // the task whose image is being pulled
 		want       string
 	}{
-		{"to a machine that pulls nothing", true, "y", false, "n-2"},
-		{"to the one that pulls the image already", true, "x", false, "n-1"},
-		{"to the tightest, where pulls are parallel", false, "y", false, "n-1"},
-		{"to the tightest, where no task waits for a pull any more", true, "y", true, "n-1"},
+		{"to a machine without pulls", true, "y", false, "n-2"},
+		{"to the machine that already pulls the image", true, "x", false, "n-1"},
+		{"to the machine with the least free capacity if pulls are parallel", false, "y", false, "n-1"},
+		{"to the machine with the least free capacity if no task waits for its pull any more", true, "y", true, "n-1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			h, machine, _ := newPullHarness(t)
@@ -54,13 +55,14 @@
 			job := h.addPullingReplica("job-2", tc.image)
 			h.place(job)
 			if got := job.TaskStates[0].Machine; got == nil || got.Name != tc.want {
-				t.Errorf("placed on %v, want %s", got, tc.want)
+				t.Errorf("machine of the task: got %v, want %s", got, tc.want)
 			}
 		})
 	}
 }
 
-// A machine on which tasks fail is the last choice, however many images the others pull.
+// TestFailingMachineComesLast checks that a machine on which tasks fail has a higher penalty than a
+// machine that pulls many images.
 func TestFailingMachineComesLast(t *testing.T) {
 	h, pulling, failing := newPullHarness(t)
 	h.sequential = true
@@ -71,6 +73,6 @@
 	job := h.addPullingReplica("job-2", "y")
 	maxPullS := h.maxPullTime(job.Class)
 	if a, b := h.machinePenalty(job, pulling, maxPullS), h.machinePenalty(job, failing, maxPullS); a >= b {
-		t.Errorf("penalty %d of a machine that pulls, %d of one that fails tasks", a, b)
+		t.Errorf("penalty of a pulling machine is %d, want less than the %d of a machine on which tasks fail", a, b)
 	}
 }
--- a/internal/core/scheduler/gang_pull.go
+++ b/internal/core/scheduler/gang_pull.go
@@ -6,9 +6,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// gangWaitExceeded reports whether a gang would fail on machines before it starts: tasks whose
-// image is cached wait for those that pull it, and give up after gang_wait_s. The failure ends the
-// pulls as well, so the next attempt fared no better.
+// gangWaitExceeded reports whether a gang would fail on machines before it starts: the tasks whose
+// image is cached wait for those that pull it, and fail after gang_wait_s. The failure also aborts
+// the pulls, so that the next attempt failed in the same way.
 func (s *Scheduler) gangWaitExceeded(job *cluster.Job, machines []*cluster.Machine) bool {
 	if job.Shape != wire.ShapeGang {
 		return false
@@ -24,9 +24,10 @@
 	return cached > 0 && longest*slowestPullFactor > s.deployment.Workers.GangWaitS
 }
 
-// placePullingTogether moves a gang from leaves on which it would exceed gang_wait_s to machines
-// all of which have to pull its image, if there are any; else it returns the leaves.
-func (s *Scheduler) placePullingTogether(tree *topology.Tree, request topology.Request, job *cluster.Job, leaves []*topology.Machine) []*topology.Machine {
+// placeWithoutCachedImage moves a gang from leaves on which it would exceed gang_wait_s to machines
+// that all have to pull its image, so that its tasks become ready together. If there are not enough
+// such machines, it returns the given leaves.
+func (s *Scheduler) placeWithoutCachedImage(tree *topology.Tree, request topology.Request, job *cluster.Job, leaves []*topology.Machine) []*topology.Machine {
 	for _, leaf := range leaves {
 		tree.Give(leaf, request.Task)
 	}
@@ -34,8 +35,8 @@
 	request.Allowed = func(leaf *topology.Machine) bool {
 		return allowed(leaf) && !s.machines[leaf.Index].HasImage(job.Image)
 	}
-	if together := tree.Place(request); together != nil {
-		return together
+	if uncached := tree.Place(request); uncached != nil {
+		return uncached
 	}
 	for _, leaf := range leaves {
 		tree.Take(leaf, request.Task)
--- a/internal/core/scheduler/harness_test.go
+++ b/internal/core/scheduler/harness_test.go
@@ -14,17 +14,17 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// harness is a scheduler with a host that carries out its decisions at once.
+// harness is a scheduler with a fake host that applies its decisions immediately.
 type harness struct {
 	*Scheduler
 	state       cluster.State
 	now         time.Duration
 	wallClockMS int64
 	types       map[string]*wire.MachineType
-	sequential  bool // machines pull one image after the other
+	sequential  bool // machines pull one image at a time
 }
 
-// newHarness makes a scheduler for teams, with some machine types and objectives.
+// newHarness creates a scheduler with machine types, teams and objectives.
 func newHarness(tb testing.TB, types map[string]*wire.MachineType, teams []config.Team, objectives ...config.Objective) *harness {
 	tb.Helper()
 	h := &harness{state: cluster.NewState(), now: 1000 * time.Second, wallClockMS: 1e12, types: types}
@@ -46,13 +46,13 @@
 	return m
 }
 
-// cachedMachine is a machine and the images that it holds.
+// cachedMachine is a machine and the images that it has cached.
 type cachedMachine struct {
 	name, zone string
 	images     []string
 }
 
-// addCachedMachines adds machines that hold images of a size.
+// addCachedMachines adds machines with cached images of a size.
 func (h *harness) addCachedMachines(machines []cachedMachine, machineType string, imageGB float64) {
 	for _, cached := range machines {
 		m := h.addMachine(cached.name, machineType, cached.zone)
@@ -78,26 +78,26 @@
 	})
 }
 
-// candidateOf is the candidate of a job all of whose tasks are to be placed.
+// candidateOf returns a candidate with all unplaced tasks of a job.
 func candidateOf(job *cluster.Job) *Candidate {
 	return &Candidate{Job: job, Pending: job.UnplacedTasks(), PreemptionPriority: job.Level}
 }
 
-// runningJob is a job whose tasks run on machines, one each.
+// runningJob is a running job; machines names the machine of each task.
 type runningJob struct {
 	wire.Job
-	on          []string
+	machines    []string
 	withinQuota bool
 	ranFor      time.Duration
 }
 
-// addRunning adds jobs that run on the machines that they name.
+// addRunning adds running jobs to their machines.
 func (h *harness) addRunning(jobs []runningJob) []*cluster.Job {
 	var running []*cluster.Job
 	for _, r := range jobs {
 		job := cluster.NewJob(records.Open{Job: r.Job}, 1)
 		job.WithinQuota = r.withinQuota
-		for i, name := range r.on {
+		for i, name := range r.machines {
 			m := h.state.Machines[name]
 			job.TaskStates[i] = cluster.Task{
 				Attempt: 1, Zone: m.Zone, Incarnation: 1, Observed: true, Persisted: true,
@@ -110,7 +110,7 @@
 	return running
 }
 
-// usage refreshes the machines and returns what the teams use.
+// usage refreshes the machines and returns what each team uses.
 func (h *harness) usage() map[string]topology.Resources {
 	usage := map[string]topology.Resources{}
 	for _, m := range h.state.MachinesByName {
@@ -122,12 +122,12 @@
 	return usage
 }
 
-// place tries the candidate of a job in a pass of its own.
+// place runs a pass for a single job.
 func (h *harness) place(job *cluster.Job) {
 	h.newPass(h.usage()).placeCandidate(candidateOf(job))
 }
 
-// stoppedTasks names the tasks of jobs that are being stopped.
+// stoppedTasks returns the names of the tasks of jobs that are being stopped.
 func stoppedTasks(jobs []*cluster.Job) []string {
 	var stopped []string
 	for _, job := range jobs {
@@ -140,7 +140,7 @@
 	return stopped
 }
 
-// reservedMachines names the machines that are reserved for a job.
+// reservedMachines returns the names of the machines that are reserved for a job.
 func (h *harness) reservedMachines(job *cluster.Job) []string {
 	var reserved []string
 	for _, m := range h.state.MachinesByName {
@@ -151,7 +151,7 @@
 	return reserved
 }
 
-// harnessHost is the host of a harness.
+// harnessHost is the fake Host of a harness.
 type harnessHost struct{ h *harness }
 
 func (host harnessHost) Now() time.Duration                         { return host.h.now }
@@ -200,20 +200,20 @@
 
 func (host harnessHost) Preempt(task cluster.TaskReference, graceS float64) {
 	if task.Job.Shape != wire.ShapeGang {
-		host.stop(task.Task(), graceS)
+		host.stopTask(task.Task(), graceS)
 		return
 	}
 	for i := range task.Job.TaskStates {
 		if t := &task.Job.TaskStates[i]; t.Machine != nil {
-			host.stop(t, graceS)
+			host.stopTask(t, graceS)
 		}
 	}
 }
 
-func (host harnessHost) Reschedule(replica cluster.TaskReference) { host.stop(replica.Task(), 0) }
+func (host harnessHost) Reschedule(replica cluster.TaskReference) { host.stopTask(replica.Task(), 0) }
 
-// stop stops a task, unless it is being stopped already.
-func (host harnessHost) stop(t *cluster.Task, graceS float64) {
+// stopTask requests the stop of a task, unless it is already being stopped.
+func (host harnessHost) stopTask(t *cluster.Task, graceS float64) {
 	if t.Stop == nil {
 		t.Stop = &cluster.StopRequest{GracePeriodS: graceS, RequestedAt: host.h.now, Killed: graceS == 0}
 		t.Machine.EvaluationStale = true
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -7,14 +7,14 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// imagePolicy is which machines may be used, by how long the pull of the task's image takes there.
-type imagePolicy int
+// pullTimePolicy selects machines by how long the pull of the task's image takes there.
+type pullTimePolicy int
 
 const (
 	// anyPullTime allows all machines.
-	anyPullTime imagePolicy = iota
-	// pullInTime allows machines that hold the image, or pull it before the wait that the
-	// class allows is at risk.
+	anyPullTime pullTimePolicy = iota
+	// pullInTime allows only machines that have the image cached or pull it within the time
+	// that the wait objective of the class leaves, see maxPullTime.
 	pullInTime
 )
 
@@ -23,15 +23,15 @@
 	*Scheduler
 	tree            *topology.Tree
 	usage           map[string]topology.Resources // by team
-	reservations    teamlimit.Reservations        // of the teams' limits
-	*placement.Memo                               // what was found not to fit
-	evaluationLimit int                           // of Scheduler.evaluations, at which the pass ends
-	truncated       bool                          // a job's tasks were not all tried within the limit
+	reservations    teamlimit.Reservations        // within the teams' limits
+	*placement.Memo                               // searches that found no fit
+	evaluationLimit int                           // value of Scheduler.evaluations at which the pass ends
+	truncated       bool                          // not all tasks of a job were tried within the limit
 	leaves          []*topology.Machine
-	leavesByImage   map[string][]*topology.Machine // with free capacity; nil until they are needed
+	leavesByImage   map[string][]*topology.Machine // those with free capacity; nil until needed
 }
 
-// newPass begins a pass over the machines as they are.
+// newPass begins a pass on the current machines.
 func (s *Scheduler) newPass(usage map[string]topology.Resources) *pass {
 	tree, leaves := s.buildTree()
 	return &pass{
@@ -45,8 +45,8 @@
 	}
 }
 
-// buildTree builds the tree of the machines that may take tasks, and returns its leaves too.
-// The machines become those of the pass; a leaf's Index is its machine's place among them.
+// buildTree builds the tree of the machines that may take tasks, and also returns its leaves. It
+// sets s.machines to these machines; the Index of a leaf is the index of its machine there.
 func (s *Scheduler) buildTree() (*topology.Tree, []*topology.Machine) {
 	leaves := make([]*topology.Machine, 0, len(s.state.MachinesByName))
 	allocated := make([]topology.Machine, len(s.state.MachinesByName))
@@ -70,9 +70,10 @@
 	return topology.New(leaves), leaves
 }
 
-// Place is one pass: it places the tasks of candidates, in their order, and makes room for those
-// that find none. It adds what is placed to the usage, which is by team. It reports whether it has
-// tried all candidates; if the pass has cost what it may before, the next one resumes there.
+// Place runs one pass: it places the tasks of candidates, in their order, and makes room for tasks
+// that fit on no machine. It adds what it places to usage, which is by team. It reports whether it
+// has tried all candidates; if the evaluation budget is used up before, the next pass resumes at the
+// first candidate that was not finished.
 func (s *Scheduler) Place(candidates []*Candidate, usage map[string]topology.Resources) (complete bool) {
 	p := s.newPass(usage)
 	for _, candidate := range s.resumeOrder(candidates) {
@@ -92,16 +93,17 @@
 	return true
 }
 
-// placeCandidate places a candidate's tasks and makes room for those that no machine holds.
+// placeCandidate places a candidate's tasks and makes room for those that fit on no machine.
 func (p *pass) placeCandidate(candidate *Candidate) {
 	if candidate.Faulty {
-		// It gets free capacity only: nothing is preempted for tasks that fail everywhere.
+		// Only free capacity is used: nothing is preempted for tasks that fail on every
+		// machine.
 		p.bindFitting(candidate, anyPullTime)
 		return
 	}
 	class := equivalenceClass(candidate)
 	if p.limitsPullTime(candidate.Job.Class) {
-		p.placeInTime(candidate, class)
+		p.placeWithTimelyPull(candidate, class)
 	}
 	if !p.truncated {
 		p.placeAnywhere(candidate, class)
@@ -111,9 +113,10 @@
 	}
 }
 
-// placeInTime places the tasks of a candidate whose class may wait only for so long: on
-// machines that hold the image or pull it in time, if there is room or room can be made there.
-func (p *pass) placeInTime(candidate *Candidate, class placement.EquivalenceClass) {
+// placeWithTimelyPull places the tasks of a candidate whose class has a wait objective on machines
+// that have the image cached or pull it in time. Where these have no free capacity, it preempts or
+// reschedules tasks there.
+func (p *pass) placeWithTimelyPull(candidate *Candidate, class placement.EquivalenceClass) {
 	if p.MachineMayFit(class.Requirements) {
 		p.bindFitting(candidate, pullInTime)
 		if p.truncated {
@@ -123,7 +126,7 @@
 	if len(candidate.Pending) > 0 && p.MayPreempt(class) {
 		p.preempt(candidate, pullInTime)
 	}
-	if candidate.needsRoom() {
+	if candidate.hasUnreservedTasks() {
 		p.rescheduleFor(candidate)
 	}
 }
@@ -131,22 +134,22 @@
 // placeAnywhere places a candidate's tasks on any machine, and records for the rest of the pass
 // what does not fit.
 func (p *pass) placeAnywhere(candidate *Candidate, class placement.EquivalenceClass) {
-	if !candidate.needsRoom() || !p.MayFit(class) {
+	if !candidate.hasUnreservedTasks() || !p.MayFit(class) {
 		return
 	}
 	p.bindFitting(candidate, anyPullTime)
-	if p.truncated || !candidate.needsRoom() || p.ReservedTasks(candidate.Job) > 0 {
+	if p.truncated || !candidate.hasUnreservedTasks() || p.ReservedTasks(candidate.Job) > 0 {
 		return
 	}
 	p.RecordFull(class, p.representsClass(candidate.Job))
-	// Whether a spread job finds room depends on where its other tasks are; that no
-	// machine has any depends on the machines alone.
+	// Whether a spread job fits depends on where its other tasks run, so its result does not
+	// hold for its class. Whether a task fits on any machine depends on the machines alone.
 	p.RecordMachineFits(class.Requirements, p.anyMachineFits(p.tree, candidate.Job))
 }
 
-// makeRoom preempts or reschedules tasks for those of a candidate that found no room.
+// makeRoom preempts or reschedules tasks for those tasks of a candidate that fit on no machine.
 func (p *pass) makeRoom(candidate *Candidate, class placement.EquivalenceClass) {
-	if !candidate.needsRoom() || !p.MayPreempt(class) {
+	if !candidate.hasUnreservedTasks() || !p.MayPreempt(class) {
 		return
 	}
 	noVictims := p.preempt(candidate, anyPullTime)
@@ -155,16 +158,17 @@
 	p.RecordNoVictims(class, candidate.Reserved == 0 && representative)
 }
 
-// representsClass reports whether what one job finds holds for all jobs of its equivalence
-// class: not for one that has to keep away from machines or zones.
+// representsClass reports whether the result of a search for a job holds for all jobs of its
+// equivalence class. It does not if the job is kept off machines on which it failed, or is spread
+// over zones.
 func (s *Scheduler) representsClass(job *cluster.Job) bool {
 	return s.outliers.FailedMachineCount(job.ID) == 0 && !job.SpreadZones
 }
 
-// preempt preempts tasks for a candidate, see preemptFor. The part of the team's limit that
-// becomes free by that is reserved from now on: less urgent work that came later in the same pass
-// took it, and a gang that needs all of the limit never started.
-func (p *pass) preempt(candidate *Candidate, policy imagePolicy) (noVictims bool) {
+// preempt preempts tasks for a candidate, see preemptFor. It reserves at once the part of the team's
+// limit that this frees: otherwise less urgent work later in the same pass took it, and a gang that
+// needs all of the limit never started.
+func (p *pass) preempt(candidate *Candidate, policy pullTimePolicy) (noVictims bool) {
 	before := candidate.Job.PreemptedWithinTeam
 	noVictims = p.preemptFor(candidate, p.usage, policy)
 	if candidate.Job.PreemptedWithinTeam && !before {
@@ -173,7 +177,8 @@
 	return noVictims
 }
 
-// anyMachineFits reports whether any machine of a kind that a job may use has room for a task.
+// anyMachineFits reports whether a task of a job fits on any machine of a type, zone and kind that
+// the job may use.
 func (s *Scheduler) anyMachineFits(tree *topology.Tree, job *cluster.Job) bool {
 	defer s.countEvaluations(tree)()
 	return tree.AnyFits(cluster.TaskSize(&job.Job), func(leaf *topology.Machine) bool {
@@ -181,8 +186,8 @@
 	})
 }
 
-// countEvaluations begins to count the machines that a tree evaluates; the function that it
-// returns adds them to the pass's cost.
+// countEvaluations starts to count the machines that a tree evaluates. The returned function adds
+// the count to the scheduler's evaluations.
 func (s *Scheduler) countEvaluations(tree *topology.Tree) func() {
 	before := tree.Evaluations()
 	return func() { s.evaluations += tree.Evaluations() - before }
--- a/internal/core/scheduler/pass_test.go
+++ b/internal/core/scheduler/pass_test.go
@@ -12,7 +12,8 @@
 // tasksPerMachine is how many tasks each machine of a busy fleet runs.
 const tasksPerMachine = 29
 
-// newBusyFleet has machines that hold three more tasks each and run services of a priority.
+// newBusyFleet creates machines that run services of a priority and have capacity for three more
+// tasks of one CPU each.
 func newBusyFleet(tb testing.TB, machines int, priority wire.Priority) *harness {
 	tb.Helper()
 	zones := []string{"a", "b", "c"}
@@ -34,7 +35,7 @@
 	return h
 }
 
-// addUrgentService adds a service whose tasks fit nowhere without preemption.
+// addUrgentService adds a service whose tasks fit on no machine without preemption.
 func (h *harness) addUrgentService(tasks int) *cluster.Job {
 	return h.addJob(wire.Job{
 		ID: "job-999999", Team: "vision", Image: "img", Class: "gate", Shape: wire.ShapeService,
@@ -42,9 +43,9 @@
 	})
 }
 
-// TestPassCostCountsTasks makes room for a job on a fleet full of less urgent work. What a pass
-// costs there grows with the tasks that may be preempted: counted by machines alone, passes after
-// the loss of a zone took more than a second of a leader's time.
+// TestPassCostCountsTasks checks that the cost of a search for victims grows with the tasks that may
+// be preempted. When only machines were counted, passes after the loss of a zone took more than a
+// second of the leader's time.
 func TestPassCostCountsTasks(t *testing.T) {
 	const machines = 50
 	h := newBusyFleet(t, machines, wire.PriorityIdle)
@@ -52,7 +53,7 @@
 	before := h.Evaluations()
 	h.findSlots(candidateOf(job), 1, "", anyPullTime)
 	if got := h.Evaluations() - before; got < machines*tasksPerMachine {
-		t.Errorf("%d evaluations for %d tasks", got, machines*tasksPerMachine)
+		t.Errorf("evaluations: got %d, want at least %d, one for each task", got, machines*tasksPerMachine)
 	}
 }
 
@@ -74,8 +75,8 @@
 	}
 }
 
-// BenchmarkPreemptions searches a fleet full of less urgent work for room for eight tasks. It also
-// reports what that takes for each task that is weighed as a victim.
+// BenchmarkPreemptions searches a fleet full of less urgent tasks for slots for eight tasks. It also
+// reports the time for each task that is evaluated as a victim.
 func BenchmarkPreemptions(b *testing.B) {
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -7,40 +7,41 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// slot is room for one more task on a machine, and which tasks have to stop for it.
+// slot is capacity for one more task on a machine, and the tasks that have to stop for it.
 type slot = preemption.Slot[cluster.TaskReference]
 
 // victim is a task that may be preempted.
 type victim = preemption.Victim[cluster.TaskReference]
 
-// maxPreemptionsPerPass bounds the tasks of an array or a service beyond quota for which a pass
-// preempts others: what is preempted has to be placed again. Work within quota gets its room at
-// once: eight tasks at a time took an array of sixty half a minute.
-const maxPreemptionsPerPass = 8
+// maxPreemptingTasksPerPass bounds the tasks of an array or a service beyond quota for which a pass
+// preempts others, because preempted tasks have to be placed again. There is no bound within quota:
+// with eight tasks per pass, an array of sixty took half a minute.
+const maxPreemptingTasksPerPass = 8
 
-// machinesPerPreemption is the number of machines for each task of that bound on a large fleet, so
+// machinesPerPreemptingTask scales that bound on large fleets to one task per so many machines, so
 // that making room takes no longer there.
-const machinesPerPreemption = 40
+const machinesPerPreemptingTask = 40
 
-// preemptionLimit is the number of a candidate's tasks for which a pass may preempt others.
-func (s *Scheduler) preemptionLimit(candidate *Candidate) int {
+// maxPreemptingTasks returns for how many of a candidate's tasks a pass may preempt others.
+func (s *Scheduler) maxPreemptingTasks(candidate *Candidate) int {
 	if candidate.WithinQuota || candidate.Job.Shape == wire.ShapeGang {
 		return len(candidate.Pending)
 	}
-	return min(len(candidate.Pending), max(maxPreemptionsPerPass, len(s.state.MachinesByName)/machinesPerPreemption))
+	return min(len(candidate.Pending), max(maxPreemptingTasksPerPass, len(s.state.MachinesByName)/machinesPerPreemptingTask))
 }
 
-// preemptFor makes room for tasks of a candidate that no machine holds. It stops work of lower
-// priority, and, for a job within quota, work of other teams beyond theirs. A gang gets all of
-// its room in one domain, at the least cost, or nothing is stopped for it. The machines are
-// reserved for the job until the room is there.
+// preemptFor makes room for tasks of a candidate that fit on no machine. It stops tasks of lower
+// priority and, for a job within quota, tasks of other teams that are beyond their quota. For a
+// gang it makes room for all tasks, at the least cost, or stops nothing; if the gang must run in
+// one zone, all of the room is in one zone. The machines are reserved for the job until the victims
+// have stopped.
 //
-// With pullInTime, only machines where the image is in time are used, and only lower priorities
-// are stopped: elsewhere there may well be room without that.
+// With pullInTime, it uses only machines where the image is cached or can be pulled in time, and
+// stops only lower priorities: other machines may have room without preemption.
 //
-// It reports whether no machine runs anything that may be stopped, wherever the other tasks of
-// the job are.
-func (s *Scheduler) preemptFor(candidate *Candidate, usage map[string]topology.Resources, policy imagePolicy) (noVictims bool) {
+// It reports whether no machine runs tasks that may be stopped for the candidate. This does not
+// depend on where the other tasks of the job run.
+func (s *Scheduler) preemptFor(candidate *Candidate, usage map[string]topology.Resources, policy pullTimePolicy) (noVictims bool) {
 	job := candidate.Job
 	if candidate.Reserved = s.ReservedTasks(job); candidate.Reserved > 0 {
 		return false
@@ -49,7 +50,7 @@
 		return true
 	}
 	candidate.cannotProvision = !s.host.AnyOfferFor(&job.Job)
-	wanted := s.preemptionTarget(candidate, usage)
+	wanted := s.preemptingTaskCount(candidate, usage)
 	if wanted == 0 {
 		if policy == anyPullTime && candidate.PreemptionPriority > 0 {
 			return s.preemptWithinLimit(candidate, usage[job.Team])
@@ -68,9 +69,9 @@
 	return false
 }
 
-// preemptionTarget is the number of a candidate's tasks for which room is to be made, within its
+// preemptingTaskCount returns for how many of a candidate's tasks room is to be made, within its
 // team's limit.
-func (s *Scheduler) preemptionTarget(candidate *Candidate, usage map[string]topology.Resources) int {
+func (s *Scheduler) preemptingTaskCount(candidate *Candidate, usage map[string]topology.Resources) int {
 	job := candidate.Job
 	limit, size := s.host.Limit(job.Team), cluster.TaskSize(&job.Job)
 	if job.Shape == wire.ShapeGang {
@@ -79,15 +80,15 @@
 		}
 		return len(candidate.Pending)
 	}
-	wanted := s.preemptionLimit(candidate)
+	wanted := s.maxPreemptingTasks(candidate)
 	for wanted > 0 && !limit.Allows(usage[job.Team], size, wanted) {
 		wanted--
 	}
 	return wanted
 }
 
-// stopVictims stops the victims of slots for a job, and returns the longest time that one of them
-// gets to save a checkpoint, in seconds.
+// stopVictims stops the victims of slots for a job, and returns their longest grace period, in
+// seconds.
 func (s *Scheduler) stopVictims(job *cluster.Job, slots []slot) float64 {
 	longest := 0.0
 	for _, slot := range slots {
@@ -103,7 +104,7 @@
 	return longest
 }
 
-// stopVictim stops a task, or all of its gang, with a grace period in seconds.
+// stopVictim stops a task, or all tasks of its gang, with a grace period in seconds.
 func (s *Scheduler) stopVictim(ref cluster.TaskReference, graceS float64) {
 	if ref.Job.Shape == wire.ShapeGang {
 		ref.Job.GangPreemptions++
@@ -111,7 +112,7 @@
 	s.host.Preempt(ref, graceS)
 }
 
-// machinesOfSlots lists the machines of slots, in their order.
+// machinesOfSlots returns the machines of slots, in the same order.
 func (s *Scheduler) machinesOfSlots(slots []slot) []*cluster.Machine {
 	machines := make([]*cluster.Machine, len(slots))
 	for i := range slots {
@@ -120,10 +121,10 @@
 	return machines
 }
 
-// mayPreempt reports whether tasks of a job may be stopped for a candidate: for a higher
-// priority, or, if the candidate is within quota, because another team runs them beyond its own.
-// In the second case only work of the same priority that saves checkpoints is stopped; the
-// protocol would allow any.
+// mayPreempt reports whether tasks of a job may be stopped for a candidate: if the candidate has a
+// higher priority, or if it is within quota and the victim, of another team, is beyond that team's
+// quota. In the second case only jobs of the same priority that save checkpoints are stopped,
+// although the protocol allows any.
 func mayPreempt(candidate *Candidate, victim *cluster.Job) bool {
 	if candidate.ownTeamOnly && victim.Team != candidate.Job.Team {
 		return false
@@ -138,8 +139,8 @@
 }
 
 // worthPreemptingGang reports whether a gang may be stopped for a candidate for which a machine
-// could be provisioned instead: not if that frees more than the candidate needs, all of which the
-// gang has to find again.
+// could be provisioned instead. It may not if the stop frees more than the candidate needs, because
+// the gang needs all of that capacity again.
 func worthPreemptingGang(candidate *Candidate, gang *cluster.Job) bool {
 	freed, needed := float64(len(gang.TaskStates)), float64(len(candidate.Pending))
 	if gang.GPUs > 0 {
--- a/internal/core/scheduler/preempt_test.go
+++ b/internal/core/scheduler/preempt_test.go
@@ -12,12 +12,13 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// preemptTypes is one machine type, of which the cloud has no more machines.
+// preemptTypes is one machine type of which no more machines can be provisioned.
 var preemptTypes = map[string]*wire.MachineType{
 	"g4": {Name: "g4", CPUs: 4, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, Price: 4, Zones: nil},
 }
 
-// preemptCase is a fleet full of work, and a job for whose tasks there is no room.
+// preemptCase is a fleet with running jobs, and a job whose tasks cannot be placed without
+// preemption.
 type preemptCase struct {
 	name        string
 	machines    []string // name and zone
@@ -39,11 +40,11 @@
 		j.Shape, j.Tasks, j.OneZone = wire.ShapeGang, tasks, true
 		return j
 	}
-	saving := func(j wire.Job) wire.Job {
+	withCheckpoints := func(j wire.Job) wire.Job {
 		j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
 		return j
 	}
-	otherTeam := func(j wire.Job) wire.Job {
+	ofOtherTeam := func(j wire.Job) wire.Job {
 		j.Team = "other"
 		return j
 	}
@@ -52,151 +53,151 @@
 		{
 			name:     "a lower priority is preempted",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
+			running:  []runningJob{{Job: idle, machines: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
 			want:     []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "the same priority is not",
+			name:     "the same priority is not preempted",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
+			running:  []runningJob{{Job: idle, machines: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityIdle, 4),
 		},
 		{
-			name:     "a higher priority is not",
+			name:     "a higher priority is not preempted",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: array("job-1", wire.PriorityUrgent, 4), on: []string{"n-1"}}},
+			running:  []runningJob{{Job: array("job-1", wire.PriorityUrgent, 4), machines: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
 		},
 		{
-			name:     "within quota, the same priority of another team beyond its own, if it saves checkpoints",
+			name:     "a job within quota preempts the same priority of another team beyond its quota that saves checkpoints",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: saving(otherTeam(idle)), on: []string{"n-1"}}},
+			running:  []runningJob{{Job: withCheckpoints(ofOtherTeam(idle)), machines: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 			want: []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "not work that saves no checkpoints",
+			name:     "a job within quota does not preempt the same priority without checkpoints",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: otherTeam(idle), on: []string{"n-1"}}},
+			running:  []runningJob{{Job: ofOtherTeam(idle), machines: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 		},
 		{
-			name:     "not work that is within quota itself",
+			name:     "a job within quota does not preempt the same priority that is within quota",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: saving(otherTeam(idle)), on: []string{"n-1"}, withinQuota: true}},
+			running:  []runningJob{{Job: withCheckpoints(ofOtherTeam(idle)), machines: []string{"n-1"}, withinQuota: true}},
 			job:      array("job-9", wire.PriorityIdle, 4), withinQuota: true,
 		},
 		{
-			name:     "the least loss first",
+			name:     "the task with the least lost work is preempted",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
-				{Job: array("job-1", wire.PriorityIdle, 4), on: []string{"n-1"}, ranFor: 100 * time.Second},
-				{Job: array("job-2", wire.PriorityIdle, 4), on: []string{"n-2"}, ranFor: 10 * time.Second},
+				{Job: array("job-1", wire.PriorityIdle, 4), machines: []string{"n-1"}, ranFor: 100 * time.Second},
+				{Job: array("job-2", wire.PriorityIdle, 4), machines: []string{"n-2"}, ranFor: 10 * time.Second},
 			},
 			job:  array("job-9", wire.PriorityNormal, 4),
 			want: []string{"job-2/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "the lowest priority, for the same loss",
+			name:     "the lowest priority is preempted if the lost work is the same",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
-				{Job: array("job-1", wire.PriorityNormal, 4), on: []string{"n-1"}, ranFor: 10 * time.Second},
-				{Job: array("job-2", wire.PriorityIdle, 4), on: []string{"n-2"}, ranFor: 10 * time.Second},
+				{Job: array("job-1", wire.PriorityNormal, 4), machines: []string{"n-1"}, ranFor: 10 * time.Second},
+				{Job: array("job-2", wire.PriorityIdle, 4), machines: []string{"n-2"}, ranFor: 10 * time.Second},
 			},
 			job:  array("job-9", wire.PriorityUrgent, 4),
 			want: []string{"job-2/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "no more than necessary",
+			name:     "no more tasks are preempted than necessary",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
-				{Job: array("job-1", wire.PriorityIdle, 2), on: []string{"n-1"}, ranFor: 20 * time.Second},
-				{Job: array("job-2", wire.PriorityIdle, 2), on: []string{"n-1"}, ranFor: 10 * time.Second},
+				{Job: array("job-1", wire.PriorityIdle, 2), machines: []string{"n-1"}, ranFor: 20 * time.Second},
+				{Job: array("job-2", wire.PriorityIdle, 2), machines: []string{"n-1"}, ranFor: 10 * time.Second},
 			},
 			job:  array("job-9", wire.PriorityNormal, 2),
 			want: []string{"job-2/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beside a lower priority, not the same one",
+			name:     "of two tasks, the lower priority is preempted and not the same one",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
-				{Job: array("job-1", wire.PriorityNormal, 2), on: []string{"n-1"}, ranFor: time.Second},
-				{Job: array("job-2", wire.PriorityIdle, 2), on: []string{"n-1"}, ranFor: 100 * time.Second},
+				{Job: array("job-1", wire.PriorityNormal, 2), machines: []string{"n-1"}, ranFor: time.Second},
+				{Job: array("job-2", wire.PriorityIdle, 2), machines: []string{"n-1"}, ranFor: 100 * time.Second},
 			},
 			job:  array("job-9", wire.PriorityNormal, 2),
 			want: []string{"job-2/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beside a lower priority, not a higher one",
+			name:     "of two tasks, the lower priority is preempted and not a higher one",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
-				{Job: saving(array("job-1", wire.PriorityUrgent, 2)), on: []string{"n-1"}},
-				{Job: array("job-2", wire.PriorityIdle, 2), on: []string{"n-1"}, ranFor: 900 * time.Second},
+				{Job: withCheckpoints(array("job-1", wire.PriorityUrgent, 2)), machines: []string{"n-1"}},
+				{Job: array("job-2", wire.PriorityIdle, 2), machines: []string{"n-1"}, ranFor: 900 * time.Second},
 			},
 			job:  array("job-9", wire.PriorityNormal, 2),
 			want: []string{"job-2/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beside it, neither work without checkpoints nor of the same team nor within quota",
+			name:     "a job within quota preempts only the task of another team beyond quota with checkpoints",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
-				{Job: otherTeam(array("job-1", wire.PriorityIdle, 1)), on: []string{"n-1"}},
-				{Job: saving(array("job-2", wire.PriorityIdle, 1)), on: []string{"n-1"}},
-				{Job: saving(otherTeam(array("job-3", wire.PriorityIdle, 1))), on: []string{"n-1"}, withinQuota: true},
-				{Job: saving(otherTeam(array("job-4", wire.PriorityIdle, 1))), on: []string{"n-1"}},
+				{Job: ofOtherTeam(array("job-1", wire.PriorityIdle, 1)), machines: []string{"n-1"}},
+				{Job: withCheckpoints(array("job-2", wire.PriorityIdle, 1)), machines: []string{"n-1"}},
+				{Job: withCheckpoints(ofOtherTeam(array("job-3", wire.PriorityIdle, 1))), machines: []string{"n-1"}, withinQuota: true},
+				{Job: withCheckpoints(ofOtherTeam(array("job-4", wire.PriorityIdle, 1))), machines: []string{"n-1"}},
 			},
 			job: array("job-9", wire.PriorityIdle, 1), withinQuota: true,
 			want: []string{"job-4/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "beyond quota, nothing of the same priority",
+			name:     "a job beyond quota does not preempt the same priority",
 			machines: []string{"n-1 a"},
 			running: []runningJob{
-				{Job: saving(otherTeam(array("job-1", wire.PriorityNormal, 2))), on: []string{"n-1"}},
-				{Job: array("job-2", wire.PriorityIdle, 2), on: []string{"n-1"}, ranFor: 100 * time.Second},
+				{Job: withCheckpoints(ofOtherTeam(array("job-1", wire.PriorityNormal, 2))), machines: []string{"n-1"}},
+				{Job: array("job-2", wire.PriorityIdle, 2), machines: []string{"n-1"}, ranFor: 100 * time.Second},
 			},
 			job:  array("job-9", wire.PriorityNormal, 2),
 			want: []string{"job-2/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "a gang gets all of its room in one zone",
+			name:     "room for a gang is made in one zone",
 			machines: []string{"n-1 a", "n-2 b", "n-3 b"},
 			running: []runningJob{
-				{Job: array("job-1", wire.PriorityIdle, 4), on: []string{"n-1"}},
-				{Job: array("job-2", wire.PriorityIdle, 4), on: []string{"n-2"}},
-				{Job: array("job-3", wire.PriorityIdle, 4), on: []string{"n-3"}},
+				{Job: array("job-1", wire.PriorityIdle, 4), machines: []string{"n-1"}},
+				{Job: array("job-2", wire.PriorityIdle, 4), machines: []string{"n-2"}},
+				{Job: array("job-3", wire.PriorityIdle, 4), machines: []string{"n-3"}},
 			},
 			job:  gang("job-9", wire.PriorityNormal, 4, 2),
 			want: []string{"job-2/0", "job-3/0"}, reserved: []string{"n-2", "n-3"},
 		},
 		{
-			name:     "or nothing is stopped",
+			name:     "nothing is preempted if no zone has room for all of a gang",
 			machines: []string{"n-1 a", "n-2 b"},
 			running: []runningJob{
-				{Job: array("job-1", wire.PriorityIdle, 4), on: []string{"n-1"}},
-				{Job: array("job-2", wire.PriorityIdle, 4), on: []string{"n-2"}},
+				{Job: array("job-1", wire.PriorityIdle, 4), machines: []string{"n-1"}},
+				{Job: array("job-2", wire.PriorityIdle, 4), machines: []string{"n-2"}},
 			},
 			job: gang("job-9", wire.PriorityNormal, 4, 2),
 		},
 		{
-			name:     "a gang stops as a whole",
+			name:     "a gang is preempted as a whole",
 			machines: []string{"n-1 a", "n-2 a"},
-			running:  []runningJob{{Job: gang("job-1", wire.PriorityIdle, 4, 2), on: []string{"n-1", "n-2"}}},
+			running:  []runningJob{{Job: gang("job-1", wire.PriorityIdle, 4, 2), machines: []string{"n-1", "n-2"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
 			want:     []string{"job-1/0", "job-1/1"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "not beyond the team's limit",
+			name:     "nothing is preempted beyond the team's limit",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: otherTeam(idle), on: []string{"n-1"}}},
+			running:  []runningJob{{Job: ofOtherTeam(idle), machines: []string{"n-1"}}},
 			job:      array("job-9", wire.PriorityNormal, 4),
 			change:   func(h *harness, job *cluster.Job) { h.deployment.Teams[0].GPUsMax = 3 },
 		},
 		{
-			name:     "not on a machine of another zone than the job's",
+			name:     "nothing is preempted in another zone than the job's",
 			machines: []string{"n-1 a"},
-			running:  []runningJob{{Job: idle, on: []string{"n-1"}}},
+			running:  []runningJob{{Job: idle, machines: []string{"n-1"}}},
 			job: func() wire.Job {
 				j := array("job-9", wire.PriorityNormal, 4)
 				j.Zone = "b"
@@ -204,11 +205,11 @@
 			}(),
 		},
 		{
-			name:     "not again while machines are reserved",
+			name:     "nothing is preempted while machines are reserved for the job",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
-				{Job: array("job-1", wire.PriorityIdle, 4), on: []string{"n-1"}},
-				{Job: array("job-2", wire.PriorityIdle, 4), on: []string{"n-2"}},
+				{Job: array("job-1", wire.PriorityIdle, 4), machines: []string{"n-1"}},
+				{Job: array("job-2", wire.PriorityIdle, 4), machines: []string{"n-2"}},
 			},
 			job: array("job-9", wire.PriorityNormal, 4),
 			change: func(h *harness, job *cluster.Job) {
@@ -236,9 +237,9 @@
 	candidate.WithinQuota = tc.withinQuota
 	h.preemptFor(candidate, h.usage(), anyPullTime)
 	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) {
-		t.Errorf("stopped %q, want %q", stopped, tc.want)
+		t.Errorf("stopped tasks: got %q, want %q", stopped, tc.want)
 	}
 	if reserved := h.reservedMachines(job); !slices.Equal(reserved, tc.reserved) {
-		t.Errorf("reserved %q, want %q", reserved, tc.reserved)
+		t.Errorf("reserved machines: got %q, want %q", reserved, tc.reserved)
 	}
 }
--- a/internal/core/scheduler/preemption_cost.go
+++ b/internal/core/scheduler/preemption_cost.go
@@ -6,9 +6,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// checkpointGrace is the time that a preempted job gets to save a checkpoint, in seconds. A stop
-// without it loses half an interval between checkpoints on average; with it, victim and successor
-// both wait for the save.
+// checkpointGrace returns the grace period in which a preempted job can save a checkpoint, in
+// seconds. A stop without a save loses half a checkpoint interval on average; with a save, both the
+// victim and the preempting job wait for it. So there is no grace period if two saves take at least
+// half an interval.
 func checkpointGrace(job *cluster.Job) float64 {
 	if job.CheckpointIntervalS == 0 || job.CheckpointIntervalS/2 <= 2*job.CheckpointDurationS {
 		return 0
@@ -16,9 +17,9 @@
 	return job.CheckpointDurationS
 }
 
-// preemptionGrace is the time, in seconds, that a victim on a machine gets to save a checkpoint
-// when it is preempted for a job: none if that alone makes the job start too late. Beside victims
-// that save for three seconds, nothing that was to start within five ever did.
+// preemptionGrace returns the grace period, in seconds, of a victim on a machine that is preempted
+// for a job. It is 0 if the job would start in time without the grace period but not with it: with
+// victims that saved for three seconds, no job that had to start within five seconds ever did.
 func (s *Scheduler) preemptionGrace(job *cluster.Job, machine *cluster.Machine, victim *cluster.Job) float64 {
 	grace := checkpointGrace(victim)
 	if grace == 0 {
@@ -32,8 +33,8 @@
 	return grace
 }
 
-// preemptionLoss is what the stop of a task loses, in seconds of its work.
-func (s *Scheduler) preemptionLoss(job *cluster.Job, task *cluster.Task) float64 {
+// lostWork returns the work that is lost if a task is stopped, in seconds.
+func (s *Scheduler) lostWork(job *cluster.Job, task *cluster.Task) float64 {
 	if job.CheckpointIntervalS == 0 {
 		if task.RunningSince == 0 {
 			return 0
@@ -46,9 +47,10 @@
 	return job.CheckpointDurationS
 }
 
-// victimCost weighs a stop: the work that is lost, by the share of a machine of that capacity
-// which it uses, by its priority level, and by how often it was preempted before: otherwise the
-// same cheap victim is stopped again and again.
+// victimCost returns the cost of stopping a task, or its gang: the lost work, multiplied by the
+// share of the machine's capacity that the task uses, by the number of tasks that stop, by a weight
+// for the priority level and by a factor that grows with how often the gang was preempted before.
+// Without this factor the same cheap gang would be preempted again and again.
 func (s *Scheduler) victimCost(job *cluster.Job, task *cluster.Task, capacity topology.Resources) float64 {
 	share := 0.0
 	if capacity.GPUs > 0 {
@@ -59,8 +61,8 @@
 	}
 	stopped := 1
 	if job.Shape == wire.ShapeGang {
-		stopped = len(job.TaskStates) // it stops as a whole
+		stopped = len(job.TaskStates) // a gang is stopped as a whole
 	}
 	weight := float64(1 + job.Level)
-	return (s.preemptionLoss(job, task) + 1) * share * float64(stopped) * weight * weight * float64(1+job.GangPreemptions)
+	return (s.lostWork(job, task) + 1) * share * float64(stopped) * weight * weight * float64(1+job.GangPreemptions)
 }
--- a/internal/core/scheduler/preemption_slots.go
+++ b/internal/core/scheduler/preemption_slots.go
@@ -9,9 +9,9 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// chooseSlots finds slots for up to wanted tasks at the least cost. For a job whose tasks share a
-// zone they are those of the zone with the most of them.
-func (s *Scheduler) chooseSlots(candidate *Candidate, wanted int, policy imagePolicy) []slot {
+// chooseSlots finds slots for up to wanted tasks at the least cost. For a job that runs in one zone,
+// all slots are in the zone with the most slots, or the cheapest of these zones.
+func (s *Scheduler) chooseSlots(candidate *Candidate, wanted int, policy pullTimePolicy) []slot {
 	if !candidate.Job.OneZone {
 		return s.findSlots(candidate, wanted, "", policy)
 	}
@@ -26,9 +26,9 @@
 	return best
 }
 
-// findSlots finds slots for up to wanted tasks in a zone, or in all zones if none is named, at the
-// least cost: free capacity first.
-func (s *Scheduler) findSlots(candidate *Candidate, wanted int, zone string, policy imagePolicy) []slot {
+// findSlots finds slots for up to wanted tasks in a zone, or in all zones if zone is empty, at the
+// least cost. Free capacity costs nothing and comes first.
+func (s *Scheduler) findSlots(candidate *Candidate, wanted int, zone string, policy pullTimePolicy) []slot {
 	maxPullS := s.maxPullTime(candidate.Job.Class)
 	zoneBound := ZoneBound(candidate.Job)
 	var slots []slot
@@ -48,8 +48,8 @@
 	return preemption.ChooseSlots(slots, wanted, zoneBound)
 }
 
-// slotsOn lists slots for up to wanted tasks of a candidate on one machine.
-func (s *Scheduler) slotsOn(candidate *Candidate, machine *cluster.Machine, wanted int, policy imagePolicy) []slot {
+// slotsOn returns slots for up to wanted tasks of a candidate on one machine.
+func (s *Scheduler) slotsOn(candidate *Candidate, machine *cluster.Machine, wanted int, policy pullTimePolicy) []slot {
 	return preemption.SlotsOn(&preemption.Machine[cluster.TaskReference]{
 		Name: machine.Name,
 		Zone: machine.Zone,
@@ -60,14 +60,14 @@
 	}, cluster.TaskSize(&candidate.Job.Job), wanted)
 }
 
-// evaluationsPerVictim is about how many evaluations of machines take as long as that of a task
-// as a victim, see BenchmarkPreemptions.
+// evaluationsPerVictim is the approximate cost of evaluating a task as a victim, in evaluations of
+// machines, see BenchmarkPreemptions.
 const evaluationsPerVictim = 3
 
-// victimsOn lists the tasks on a machine that may be stopped for a candidate, and adds to the
-// free capacity what tasks use that are being stopped already. The list is valid until the next
-// call.
-func (s *Scheduler) victimsOn(candidate *Candidate, machine *cluster.Machine, free topology.Resources, policy imagePolicy) ([]victim, topology.Resources) {
+// victimsOn returns the tasks on a machine that may be stopped for a candidate, and the free
+// capacity plus that of tasks that are already being stopped. The list is valid until the next call,
+// which reuses its memory.
+func (s *Scheduler) victimsOn(candidate *Candidate, machine *cluster.Machine, free topology.Resources, policy pullTimePolicy) ([]victim, topology.Resources) {
 	capacity, _ := s.capacityOf(machine)
 	s.evaluations += evaluationsPerVictim * len(machine.Placements)
 	victims := s.victimBuffer[:0]
@@ -96,8 +96,8 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// canPreemptAnywhere reports whether any machine of a kind that the candidate's job may use would
-// hold a task if all that may be stopped for it were gone.
+// canPreemptAnywhere reports whether a task of the candidate would fit on any machine of a type,
+// zone and kind that the job may use if all possible victims there were stopped.
 func (s *Scheduler) canPreemptAnywhere(candidate *Candidate) bool {
 	s.evaluations += len(s.machines)
 	size := cluster.TaskSize(&candidate.Job.Job)
@@ -114,8 +114,9 @@
 	return s.freeAfterPreemption(candidate, machine).Holds(cluster.TaskSize(&candidate.Job.Job)) && s.isFeasible(candidate.Job, machine) && !s.isReserved(machine)
 }
 
-// freeAfterPreemption is the most that stops for a candidate can free on a machine. It costs
-// next to nothing, so that the tasks of a machine are examined only where that can be of use.
+// freeAfterPreemption returns an upper bound of the free capacity on a machine after preemption for
+// a candidate. It is cheap to compute, so that the tasks of a machine are evaluated only where
+// preemption may help.
 func (s *Scheduler) freeAfterPreemption(candidate *Candidate, machine *cluster.Machine) topology.Resources {
 	free := s.freeCapacity(machine).Add(machine.StoppingUse)
 	for _, used := range machine.UsedByLevel[:candidate.PreemptionPriority] {
@@ -127,7 +128,7 @@
 	return free
 }
 
-// capacityOf is all that a machine offers, if that is known.
+// capacityOf returns the total capacity of a machine; false if it is not known.
 func (s *Scheduler) capacityOf(machine *cluster.Machine) (topology.Resources, bool) {
 	t := s.host.MachineType(machine)
 	if t == nil || !machine.Described {
@@ -136,7 +137,7 @@
 	return cluster.TypeCapacity(t), true
 }
 
-// freeCapacity is what no task uses on a machine.
+// freeCapacity returns the capacity of a machine that no task uses.
 func (s *Scheduler) freeCapacity(machine *cluster.Machine) topology.Resources {
 	capacity, _ := s.capacityOf(machine)
 	return capacity.Sub(machine.Used)
--- a/internal/core/scheduler/quota.go
+++ b/internal/core/scheduler/quota.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// BestEffortTeams names the teams without a guarantee, if others have one. Their work gets what
-// the others leave.
+// BestEffortTeams returns the names of the teams without a guarantee, if any other team has one.
+// Their jobs get the capacity that the others leave.
 func BestEffortTeams(teams []config.Team) map[string]bool {
 	bestEffort := map[string]bool{}
 	if !slices.ContainsFunc(teams, func(t config.Team) bool { return !guaranteeOf(&t).IsZero() }) {
@@ -31,12 +31,13 @@
 	})
 }
 
-// guaranteeOf is a team's guarantee by the settings.
+// guaranteeOf returns a team's guarantee from the settings.
 func guaranteeOf(t *config.Team) teamlimit.Guarantee {
 	return teamlimit.Guarantee{CPUs: t.CPUs, GPUs: t.GPUs}
 }
 
-// guarantees lists each team's guarantee, by name; the first of two teams of one name counts.
+// guarantees returns each team's guarantee by name. If two teams have the same name, the first one
+// counts.
 func guarantees(teams []config.Team) map[string]teamlimit.Guarantee {
 	byTeam := make(map[string]teamlimit.Guarantee, len(teams))
 	for i := range teams {
@@ -47,8 +48,9 @@
 	return byTeam
 }
 
-// markWithinQuota marks the jobs that fit into their team's guarantee in addition to the team's
-// earlier jobs. A job that waits for dependencies claims no part of it.
+// markWithinQuota sets WithinQuota of the jobs that fit into their team's guarantee in addition to
+// the team's earlier jobs. A job that is being cancelled or waits for dependencies is not within
+// quota and claims no part of the guarantee.
 func (s *Scheduler) markWithinQuota() {
 	claims := teamlimit.NewClaims(guarantees(s.deployment.Teams))
 	for _, job := range s.state.JobsBySubmission {
--- a/internal/core/scheduler/rescheduling.go
+++ b/internal/core/scheduler/rescheduling.go
@@ -8,26 +8,26 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Where the pull of a job's image takes longer than its class may wait, its tasks start in time
-// only on machines that hold the image. If those are full, a replica that runs there may be
-// rescheduled to another machine that holds its own image and has free capacity: it is away for a
-// moment, where the new task would wait for the whole pull.
+// If the pull of a job's image takes longer than its class may wait, its tasks start in time only on
+// machines that have the image cached. If these are full, a replica that runs there may be
+// rescheduled to another machine with free capacity that has the replica's image cached: the replica
+// is down only briefly, while the new task would have to wait for the whole pull.
 
-// minRunBeforeMove is how long a replica has to have run before it is rescheduled: by the protocol
-// a start that is stopped sooner does not count.
+// minRunBeforeMove is how long a replica must have run before it is rescheduled: by the protocol, a
+// start that is stopped sooner does not count.
 const minRunBeforeMove = 30 * time.Second
 
 // maxMovesPerTask bounds how many replicas are rescheduled for one task.
 const maxMovesPerTask = 2
 
-// replicaMove is a replica that is rescheduled, and where it goes.
+// replicaMove is a replica that is rescheduled, and its target machine.
 type replicaMove struct {
 	replica cluster.TaskReference
 	target  *topology.Machine
 }
 
-// rescheduleFor makes room for a candidate's tasks on machines that hold its image by rescheduling
-// replicas.
+// rescheduleFor makes room for a candidate's tasks on machines that have its image cached, by
+// rescheduling replicas.
 func (p *pass) rescheduleFor(candidate *Candidate) {
 	job := candidate.Job
 	if job.Shape == wire.ShapeGang {
@@ -36,67 +36,68 @@
 	if candidate.Reserved = p.ReservedTasks(job); candidate.Reserved > 0 {
 		return
 	}
-	room := &roomByMoves{
-		wanted:    p.preemptionTarget(candidate, p.usage),
+	plan := &reschedulingPlan{
+		wanted:    p.preemptingTaskCount(candidate, p.usage),
 		zoneBound: ZoneBound(job),
 		inZone:    map[string]int{},
 	}
 	for _, m := range p.machines {
-		if room.isComplete() || p.evaluations > p.evaluationLimit {
+		if plan.isComplete() || p.evaluations > p.evaluationLimit {
 			break
 		}
 		if m.HasImage(job.Image) && p.isFeasible(job, m) && !p.isReserved(m) {
-			p.rescheduleOn(candidate, m, room)
+			p.rescheduleFrom(candidate, m, plan)
 		}
 	}
-	if len(room.machines) > 0 {
-		candidate.Reserved = len(room.machines)
-		p.reserve(job, room.machines, 0)
+	if len(plan.machines) > 0 {
+		candidate.Reserved = len(plan.machines)
+		p.reserve(job, plan.machines, 0)
 	}
 }
 
-// roomByMoves is the room that is made for a candidate by moves.
-type roomByMoves struct {
-	wanted    int // tasks
+// reschedulingPlan collects the machines on which moves have made room for a candidate.
+type reschedulingPlan struct {
+	wanted    int // number of tasks
 	zoneBound func(zone string) int
-	inZone    map[string]int
-	machines  []*cluster.Machine // one for each task
+	inZone    map[string]int     // tasks by zone
+	machines  []*cluster.Machine // one entry for each task
 }
 
 // isComplete reports whether there is room for all tasks.
-func (r *roomByMoves) isComplete() bool { return len(r.machines) == r.wanted }
+func (r *reschedulingPlan) isComplete() bool { return len(r.machines) == r.wanted }
 
-// wantsMoreIn reports whether room for another task in a zone is of use.
-func (r *roomByMoves) wantsMoreIn(zone string) bool {
+// wantsMoreIn reports whether more tasks are wanted and the zone's bound allows another one.
+func (r *reschedulingPlan) wantsMoreIn(zone string) bool {
 	return len(r.machines) < r.wanted && (r.zoneBound == nil || r.inZone[zone] < r.zoneBound(zone))
 }
 
 // add adds room for a task on a machine.
-func (r *roomByMoves) add(machine *cluster.Machine) {
+func (r *reschedulingPlan) add(machine *cluster.Machine) {
 	r.inZone[machine.Zone]++
 	r.machines = append(r.machines, machine)
 }
 
-// rescheduleOn makes room for as many of a candidate's tasks on a machine as moves free.
-func (p *pass) rescheduleOn(candidate *Candidate, machine *cluster.Machine, room *roomByMoves) {
+// rescheduleFrom makes room for as many of a candidate's tasks on a machine as moves away from it
+// allow.
+func (p *pass) rescheduleFrom(candidate *Candidate, machine *cluster.Machine, plan *reschedulingPlan) {
 	free := p.freeCapacity(machine)
-	for room.wantsMoreIn(machine.Zone) {
+	for plan.wantsMoreIn(machine.Zone) {
 		moves := p.findMoves(candidate, machine, free)
 		if moves == nil {
 			return
 		}
 		p.moveReplicas(moves)
-		free = free.Add(freedByMoves(moves)).Sub(cluster.TaskSize(&candidate.Job.Job))
-		room.add(machine)
+		free = free.Add(sizeOfMoves(moves)).Sub(cluster.TaskSize(&candidate.Job.Job))
+		plan.add(machine)
 	}
 }
 
-// findMoves finds the replicas on a machine that have to be rescheduled to make room for one task
-// of a candidate, and where they go; nil if there are none. free is the free capacity there.
+// findMoves finds the moves away from a machine that make room for one task of a candidate; nil if
+// there are none. free is the free capacity of the machine.
 func (p *pass) findMoves(candidate *Candidate, machine *cluster.Machine, free topology.Resources) []replicaMove {
 	needed := cluster.TaskSize(&candidate.Job.Job)
-	// Of the replicas that would go to one machine only the first does: it may have no room
-	// for more, and the zones of one job's replicas count together.
+	// At most one replica moves to each target: the target may have no capacity for more, and
+	// several replicas of one job would have to be counted together against the zone bound.
 	var moves []replicaMove
 	for _, replica := range machine.Placements {
 		if !p.isMovable(replica) || replica.Job == candidate.Job || replica.Job.Level > candidate.Job.Level {
@@ -113,14 +114,14 @@
 			moves = append(moves, replicaMove{replica, target})
 		}
 	}
-	if free.Add(freedByMoves(moves)).Holds(needed) {
+	if free.Add(sizeOfMoves(moves)).Holds(needed) {
 		return moves
 	}
 	return nil
 }
 
-// freedByMoves is what moves free on the machine that they are from.
-func freedByMoves(moves []replicaMove) topology.Resources {
+// sizeOfMoves returns the total size of the replicas that move.
+func sizeOfMoves(moves []replicaMove) topology.Resources {
 	var sum topology.Resources
 	for _, move := range moves {
 		sum = sum.Add(move.replica.Size())
@@ -128,7 +129,7 @@
 	return sum
 }
 
-// isMovable reports whether a task is a replica that runs and may be rescheduled.
+// isMovable reports whether a task is a running replica that may be rescheduled.
 func (s *Scheduler) isMovable(ref cluster.TaskReference) bool {
 	t := ref.Task()
 	if ref.Job.Shape != wire.ShapeService || ref.Job.OneZone {
@@ -137,8 +138,8 @@
 	return t.State == wire.TaskRunning && t.Stop == nil && t.RunningSince != 0 && s.host.Now()-t.RunningSince >= minRunBeforeMove
 }
 
-// moveTarget finds the machine with the least free capacity that holds a replica and its image.
-// allowed may be nil.
+// moveTarget finds, among the machines where a replica fits and has its image cached, the one with
+// the least free capacity. allowed may be nil.
 func (p *pass) moveTarget(replica cluster.TaskReference, from *cluster.Machine, allowed func(*cluster.Machine) bool) *topology.Machine {
 	job := replica.Job
 	zoneBound := ZoneBound(job)
@@ -162,7 +163,7 @@
 	return best
 }
 
-// mayMoveTo reports whether a replica of a job may be rescheduled to a machine, if it fits there.
+// mayMoveTo reports whether a replica of a job may be rescheduled to a machine if it fits there.
 func (s *Scheduler) mayMoveTo(job *cluster.Job, machine *cluster.Machine) bool {
 	if !AllowsMachine(job, machine) || s.outliers.HasFailures(machine.Name) {
 		return false
@@ -170,7 +171,7 @@
 	return machine.ReservedFor == job || !s.isReserved(machine)
 }
 
-// leavesWithImage lists the machines with free capacity that hold an image.
+// leavesWithImage returns the machines with free CPUs that have an image cached.
 func (p *pass) leavesWithImage(image string) []*topology.Machine {
 	if p.leavesByImage == nil {
 		p.leavesByImage = map[string][]*topology.Machine{}
@@ -186,7 +187,7 @@
 	return p.leavesByImage[image]
 }
 
-// moveReplicas stops replicas, which run elsewhere then, and reserves their machines.
+// moveReplicas stops replicas to reschedule them, and reserves their target machines.
 func (p *pass) moveReplicas(moves []replicaMove) {
 	for _, move := range moves {
 		replica, job := move.replica, move.replica.Job
--- a/internal/core/scheduler/rescheduling_test.go
+++ b/internal/core/scheduler/rescheduling_test.go
@@ -10,20 +10,22 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// slowPullTypes pulls an image for longer than the class chat may wait.
+// slowPullTypes is one machine type that pulls the images of 40 GB for longer than the class chat
+// may wait.
 var slowPullTypes = map[string]*wire.MachineType{
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// rescheduleCase is a fleet of replicas, and a job whose image only full machines hold.
+// rescheduleCase is a fleet of running replicas, and a job whose image only full machines have
+// cached.
 type rescheduleCase struct {
 	name     string
 	machines []cachedMachine
 	running  []runningJob
 	job      wire.Job
-	limit    float64 // GPUs that the job's team may use; 100 if 0
-	want     []string
-	to       []string // where they go, in the same order
+	limit    float64  // GPUs that the job's team may use; 100 if 0
+	want     []string // replicas that are rescheduled
+	targets  []string // their target machines, in the same order
 	reserved []string // machines reserved for the job
 }
 
@@ -35,157 +37,157 @@
 		change(&j)
 		return j
 	}
-	settled := 60 * time.Second
-	two := []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"y"}}}
+	longRun := 60 * time.Second
+	twoMachines := []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"y"}}}
 	for _, tc := range []rescheduleCase{
 		{
-			name:     "a replica makes room where the image is",
-			machines: two,
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
+			name:     "a replica moves away from a machine with the image",
+			machines: twoMachines,
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      service("job-9", "x", 4, 1),
-			want:     []string{"job-1/0"}, to: []string{"n-2"}, reserved: []string{"n-1"},
+			want:     []string{"job-1/0"}, targets: []string{"n-2"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "not one that has just started",
-			machines: two,
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: 10 * time.Second}},
+			name:     "a replica that has just started does not move",
+			machines: twoMachines,
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: 10 * time.Second}},
 			job:      service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not one whose image no other machine holds",
+			name:     "a replica whose image no other machine has does not move",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"z"}}},
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not one that finds no room elsewhere",
-			machines: two,
+			name:     "a replica that fits on no other machine does not move",
+			machines: twoMachines,
 			running: []runningJob{
-				{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-2", "y", 1, 1), on: []string{"n-2"}, ranFor: settled},
+				{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-2", "y", 1, 1), machines: []string{"n-2"}, ranFor: longRun},
 			},
 			job: service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not one of a higher priority",
-			machines: two,
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
+			name:     "a replica of a higher priority does not move",
+			machines: twoMachines,
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      with(service("job-9", "x", 4, 1), func(j *wire.Job) { j.Priority = wire.PriorityUrgent }),
 		},
 		{
-			name:     "not a task that runs to completion",
-			machines: two,
-			running:  []runningJob{{Job: with(service("job-1", "y", 4, 1), func(j *wire.Job) { j.Shape = wire.ShapeArray }), on: []string{"n-1"}, ranFor: settled}},
+			name:     "a task of an array does not move",
+			machines: twoMachines,
+			running:  []runningJob{{Job: with(service("job-1", "y", 4, 1), func(j *wire.Job) { j.Shape = wire.ShapeArray }), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not for a gang",
-			machines: two,
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
+			name:     "nothing moves for a gang",
+			machines: twoMachines,
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      with(service("job-9", "x", 4, 1), func(j *wire.Job) { j.Shape = wire.ShapeGang }),
 		},
 		{
-			name:     "not for a class that may wait for the pull",
-			machines: two,
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
+			name:     "nothing moves for a class without a wait objective",
+			machines: twoMachines,
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      with(service("job-9", "x", 4, 1), func(j *wire.Job) { j.Class = "batch" }),
 		},
 		{
-			name:     "not for a team at its limit",
-			machines: two,
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
+			name:     "nothing moves for a team at its limit",
+			machines: twoMachines,
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      service("job-9", "x", 4, 1), limit: 4,
 		},
 		{
-			name:     "two where one is not enough, of two jobs and to two machines",
+			name:     "two replicas of two jobs move to two machines if one is not enough",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y", "z"}}, {"n-2", "a", []string{"y"}}, {"n-3", "a", []string{"z"}}},
 			running: []runningJob{
-				{Job: service("job-1", "y", 2, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-2", "z", 2, 1), on: []string{"n-1"}, ranFor: settled},
+				{Job: service("job-1", "y", 2, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-2", "z", 2, 1), machines: []string{"n-1"}, ranFor: longRun},
 			},
 			job:  service("job-9", "x", 4, 1),
-			want: []string{"job-1/0", "job-2/0"}, to: []string{"n-2", "n-3"}, reserved: []string{"n-1"},
+			want: []string{"job-1/0", "job-2/0"}, targets: []string{"n-2", "n-3"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "one for each task, while there is room for them",
+			name:     "one replica moves for each task, as long as replicas fit elsewhere",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"y"}}},
 			running: []runningJob{
-				{Job: service("job-1", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-2", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-3", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-4", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-5", "w", 3, 1), on: []string{"n-2"}, ranFor: settled},
+				{Job: service("job-1", "y", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-2", "y", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-3", "y", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-4", "y", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-5", "w", 3, 1), machines: []string{"n-2"}, ranFor: longRun},
 			},
 			job:  service("job-9", "x", 1, 3),
-			want: []string{"job-1/0"}, to: []string{"n-2"}, reserved: []string{"n-1"},
+			want: []string{"job-1/0"}, targets: []string{"n-2"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "not in a zone that has its share of a spread job",
+			name:     "a spread job's replica does not move to another zone beyond the zone bound",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "b", []string{"y"}}},
 			running: []runningJob{
-				{Job: with(service("job-1", "y", 4, 2), func(j *wire.Job) { j.SpreadZones = true }), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-2", "y", 1, 1), on: []string{"n-2"}, ranFor: settled},
+				{Job: with(service("job-1", "y", 4, 2), func(j *wire.Job) { j.SpreadZones = true }), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-2", "y", 1, 1), machines: []string{"n-2"}, ranFor: longRun},
 			},
 			job: service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not on a machine that does not hold the image",
+			name:     "nothing moves away from a machine without the image",
 			machines: []cachedMachine{{"n-1", "a", []string{"y"}}, {"n-2", "a", []string{"y"}}},
-			running:  []runningJob{{Job: service("job-1", "y", 4, 1), on: []string{"n-1"}, ranFor: settled}},
+			running:  []runningJob{{Job: service("job-1", "y", 4, 1), machines: []string{"n-1"}, ranFor: longRun}},
 			job:      service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "for a spread job no more than its share of a zone",
+			name:     "room for a spread job is made only up to the zone bound",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"y"}}, {"n-3", "a", []string{"y"}}},
 			running: []runningJob{
-				{Job: service("job-1", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-2", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-3", "w", 2, 1), on: []string{"n-1"}},
+				{Job: service("job-1", "y", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-2", "y", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-3", "w", 2, 1), machines: []string{"n-1"}},
 			},
 			job:  with(service("job-9", "x", 1, 2), func(j *wire.Job) { j.SpreadZones = true }),
-			want: []string{"job-1/0"}, to: []string{"n-2"}, reserved: []string{"n-1"},
+			want: []string{"job-1/0"}, targets: []string{"n-2"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "a spread job's replica does not move to a zone that has its share",
+			name:     "a spread job's replica does not move to a zone at the zone bound",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "b", []string{"y"}}},
 			running: []runningJob{
-				{Job: with(service("job-1", "y", 2, 2), func(j *wire.Job) { j.SpreadZones = true }), on: []string{"n-1", "n-2"}, ranFor: settled},
-				{Job: service("job-2", "w", 2, 1), on: []string{"n-1"}},
+				{Job: with(service("job-1", "y", 2, 2), func(j *wire.Job) { j.SpreadZones = true }), machines: []string{"n-1", "n-2"}, ranFor: longRun},
+				{Job: service("job-2", "w", 2, 1), machines: []string{"n-1"}},
 			},
 			job: service("job-9", "x", 2, 1),
 		},
 		{
-			name:     "not two replicas of one job, whose zones would have to be counted together",
+			name:     "two replicas of one job do not both move, as they would count together against the zone bound",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"y"}}, {"n-3", "a", []string{"y"}}},
-			running:  []runningJob{{Job: service("job-1", "y", 2, 2), on: []string{"n-1", "n-1"}, ranFor: settled}},
+			running:  []runningJob{{Job: service("job-1", "y", 2, 2), machines: []string{"n-1", "n-1"}, ranFor: longRun}},
 			job:      service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "not two replicas to one machine, which may hold one of them only",
+			name:     "two replicas do not move to the same machine, which may have capacity for only one",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y", "z"}}, {"n-2", "a", []string{"y", "z"}}},
 			running: []runningJob{
-				{Job: service("job-1", "y", 2, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-2", "z", 2, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-3", "w", 1, 1), on: []string{"n-2"}},
+				{Job: service("job-1", "y", 2, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-2", "z", 2, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-3", "w", 1, 1), machines: []string{"n-2"}},
 			},
 			job: service("job-9", "x", 4, 1),
 		},
 		{
-			name:     "the room that a replica moves to is taken once",
+			name:     "free capacity on a target is used only once",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "a", []string{"x", "y"}}, {"n-3", "a", []string{"y"}}},
 			running: []runningJob{
-				{Job: service("job-1", "y", 4, 2), on: []string{"n-1", "n-2"}, ranFor: settled},
+				{Job: service("job-1", "y", 4, 2), machines: []string{"n-1", "n-2"}, ranFor: longRun},
 			},
 			job:  service("job-9", "x", 4, 2),
-			want: []string{"job-1/0"}, to: []string{"n-3"}, reserved: []string{"n-1"},
+			want: []string{"job-1/0"}, targets: []string{"n-3"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "nothing where two are not enough",
+			name:     "nothing moves if two replicas are not enough",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y", "z"}}, {"n-2", "a", []string{"y"}}, {"n-3", "a", []string{"z"}}},
 			running: []runningJob{
-				{Job: service("job-1", "y", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-2", "z", 1, 1), on: []string{"n-1"}, ranFor: settled},
-				{Job: service("job-3", "w", 2, 1), on: []string{"n-1"}},
+				{Job: service("job-1", "y", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-2", "z", 1, 1), machines: []string{"n-1"}, ranFor: longRun},
+				{Job: service("job-3", "w", 2, 1), machines: []string{"n-1"}},
 			},
 			job: service("job-9", "x", 4, 1),
 		},
@@ -201,18 +203,18 @@
 	running := h.addRunning(tc.running)
 	job := h.addJob(tc.job)
 	h.place(job)
-	var to []string
+	var targets []string
 	for _, r := range running {
 		for i := range r.TaskStates {
 			if r.TaskStates[i].Stop != nil {
-				to = append(to, r.ReschedulingTargets[i].Name)
+				targets = append(targets, r.ReschedulingTargets[i].Name)
 			}
 		}
 	}
-	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) || !slices.Equal(to, tc.to) {
-		t.Errorf("%q move to %q, want %q to %q", stopped, to, tc.want, tc.to)
+	if stopped := stoppedTasks(running); !slices.Equal(stopped, tc.want) || !slices.Equal(targets, tc.targets) {
+		t.Errorf("rescheduled replicas: got %q to %q, want %q to %q", stopped, targets, tc.want, tc.targets)
 	}
 	if reserved := h.reservedMachines(job); !slices.Equal(reserved, tc.reserved) {
-		t.Errorf("reserved %q, want %q", reserved, tc.reserved)
+		t.Errorf("reserved machines: got %q, want %q", reserved, tc.reserved)
 	}
 }
--- a/internal/core/scheduler/reservations.go
+++ b/internal/core/scheduler/reservations.go
@@ -7,9 +7,9 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// reserve reserves machines for a job until the tasks that are stopped there have ended, graceS
-// seconds from now and some heartbeats later. A machine is named once for each of the job's tasks
-// that it is reserved for.
+// reserve reserves machines for a job for graceS seconds plus three heartbeat intervals, so that the
+// tasks that are being stopped there can end. A machine is listed once for each of the job's tasks
+// for which it is reserved.
 func (s *Scheduler) reserve(job *cluster.Job, machines []*cluster.Machine, graceS float64) {
 	job.ReservedMachines = nil
 	for _, m := range machines {
@@ -25,7 +25,7 @@
 	}
 }
 
-// ReservedTasks counts the tasks of a job for which machines are reserved.
+// ReservedTasks returns the number of tasks of a job for which machines are reserved.
 func (s *Scheduler) ReservedTasks(job *cluster.Job) int {
 	n := 0
 	for _, m := range job.ReservedMachines {
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -1,19 +1,19 @@
 // Package scheduler decides which task runs on which machine.
 //
-// A Scheduler iterates over the jobs that have tasks to place in passes, the most urgent first
-// (candidates.go). For each of them a pass has these phases:
+// In each pass, a Scheduler iterates over the jobs that have tasks to place, the most urgent first
+// (candidates.go). For each job a pass has these phases:
 //
 //  1. filter and score: which machines may take the tasks, and which of them are preferred
 //     (filter.go);
 //  2. bind: tasks are placed on machines with free capacity (binding.go);
-//  3. make room for the others: replicas are rescheduled (rescheduling.go, defragmentation.go) or
-//     less urgent tasks are preempted (preempt.go, team_limit.go). The machines are reserved for
-//     the job, and a later pass binds its tasks there.
+//  3. make room for the remaining tasks: replicas are rescheduled (rescheduling.go,
+//     defragmentation.go) or less urgent tasks are preempted (preempt.go, team_limit.go). The
+//     machines are reserved for the job, and a later pass binds its tasks there.
 //
-// What remains is left to provisioning. The package changes PriorityState.WithinQuota,
-// PlacingState and Reservation of package cluster, and which images a machine pulls. All else that
-// a decision changes goes by way of Host, which the leader of package core implements. The package
-// has no clock, socket or goroutine.
+// Tasks that are still not placed are left to provisioning. The package changes
+// PriorityState.WithinQuota, PlacingState and Reservation of package cluster, and which images a
+// machine pulls. Everything else that a decision changes goes through Host, which the leader of
+// package core implements. The package has no clock, socket or goroutine.
 package scheduler
 
 import (
@@ -27,38 +27,39 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Host is the leader whose jobs are placed.
+// Host is the leader whose jobs the scheduler places.
 type Host interface {
-	// Now is the steady time.
+	// Now returns the monotonic time.
 	Now() time.Duration
-	// WallClockMS is the time of day, in ms.
+	// WallClockMS returns the wall clock time, in ms.
 	WallClockMS() int64
 
 	// Usable reports whether a machine may take tasks at all.
 	Usable(machine *cluster.Machine) bool
-	// MachineType is the type of a machine; nil if it is not known.
+	// MachineType returns the type of a machine; nil if it is not known.
 	MachineType(machine *cluster.Machine) *wire.MachineType
-	// MachineTypes are all types of the cloud, by name; none while they are not known.
+	// MachineTypes returns all types of the cloud, by name; none while they are not known.
 	MachineTypes() map[string]*wire.MachineType
-	// MachinePrice is the hourly price of a machine.
+	// MachinePrice returns the hourly price of a machine.
 	MachinePrice(machine *cluster.Machine) float64
-	// PullsAreSequential reports whether a machine pulls one image after the other.
+	// PullsAreSequential reports whether a machine pulls one image at a time.
 	PullsAreSequential() bool
-	// AnyOfferFor reports whether the cloud may have a machine for a job now.
+	// AnyOfferFor reports whether the cloud may offer a machine for a job now.
 	AnyOfferFor(job *wire.Job) bool
-	// Limit is what a team's tasks may use in this region now.
+	// Limit returns what a team's tasks may use in this region now.
 	Limit(team string) teamlimit.Limit
-	// RunEstimate is a job's expected run time, in seconds.
+	// RunEstimate returns a job's expected run time, in seconds.
 	RunEstimate(job *cluster.Job) float64
-	// ThrottleFaultyJob lists which pending tasks of a job that fails on every machine may be
-	// tried now.
+	// ThrottleFaultyJob returns which pending tasks may be tried now, for a job that fails on
+	// every machine.
 	ThrottleFaultyJob(job *cluster.Job, pending []int) []int
 
-	// PlaceTask makes a task count on a machine and marks the placement to be recorded.
+	// PlaceTask assigns a task to a machine, whose usage then includes it, and marks the
+	// placement to be persisted.
 	PlaceTask(job *cluster.Job, task int, machine *cluster.Machine)
-	// Preempt stops a task, or all of its gang, with a grace period in seconds.
+	// Preempt stops a task, or all tasks of its gang, with a grace period in seconds.
 	Preempt(task cluster.TaskReference, graceS float64)
-	// Reschedule stops a replica that is to run elsewhere.
+	// Reschedule stops a replica that is to run on another machine.
 	Reschedule(replica cluster.TaskReference)
 }
 
@@ -77,7 +78,7 @@
 	victimBuffer []victim           // reused by victimsOn
 }
 
-// New makes a scheduler of a term.
+// New creates the scheduler of a term.
 func New(state *cluster.State, host Host, deployment *config.Deployment, outliers *outlier.Detector, log *slog.Logger) *Scheduler {
 	return &Scheduler{
 		state:           state,
@@ -89,7 +90,7 @@
 	}
 }
 
-// heartbeatInterval is the time between two heartbeats of a worker.
+// heartbeatInterval returns the time between two heartbeats of a worker.
 func (s *Scheduler) heartbeatInterval() time.Duration {
 	return s.deployment.Workers.HeartbeatInterval()
 }
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -10,16 +10,17 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A team that uses all of its limit has no room for another task, however many machines are idle.
-// A job of a higher priority then preempts work of its own team, as on machines that are full. The
-// part of the limit that becomes free is reserved for it: in the next pass the team's other work
-// would take it, since what is within quota goes first there.
+// If a team uses all of its limit, no further task of it can be placed, even if machines are idle. A
+// job of a higher priority then preempts tasks of its own team, as it does if the machines are full.
+// The part of the limit that this frees is reserved for the job: in the next pass other jobs of the
+// team would take it, because jobs within quota come first.
 
-// tasksPerEvaluation is how many tasks are passed over in the time of the evaluation of a machine.
+// tasksPerEvaluation is how many tasks can be skipped in the time that one evaluation of a machine
+// takes.
 const tasksPerEvaluation = 10
 
-// LimitReservations lists what of the teams' limits is reserved for jobs that preempted work of
-// their own team.
+// LimitReservations returns the parts of the teams' limits that are reserved for jobs that preempted
+// tasks of their own team. It also clears PreemptedWithinTeam of jobs whose reservations have ended.
 func (s *Scheduler) LimitReservations() teamlimit.Reservations {
 	reservations := teamlimit.Reservations{}
 	for _, job := range s.state.JobsBySubmission {
@@ -39,25 +40,25 @@
 	return reservations
 }
 
-// preemptWithinLimit makes room for a candidate whose team is at its limit, of which it uses the
-// given amount. It preempts work of the team of a lower priority until the limit allows the
-// candidate's tasks, if machines hold them, or would after stops of such work. It reports whether
-// the team has no such work.
+// preemptWithinLimit makes room for a candidate whose team is at its limit and uses the given
+// amount. If the candidate's tasks fit on machines, or would after stops of tasks of the team with a
+// lower priority, it preempts such tasks until the limit allows the candidate's. It reports whether
+// the team has no such tasks.
 func (s *Scheduler) preemptWithinLimit(candidate *Candidate, used topology.Resources) (noVictims bool) {
-	own := s.teamVictims(candidate)
-	if len(own) == 0 {
+	teamVictims := s.teamVictims(candidate)
+	if len(teamVictims) == 0 {
 		return true
 	}
 	used = used.Sub(s.stoppingUsage(candidate.Job.Team))
-	most, least := s.preemptionLimit(candidate), 1
+	maxTasks, minTasks := s.maxPreemptingTasks(candidate), 1
 	if candidate.Job.Shape == wire.ShapeGang {
-		least = most
+		minTasks = maxTasks
 	}
 	candidate.ownTeamOnly = true
-	slots := s.chooseSlots(candidate, most, anyPullTime)
+	slots := s.chooseSlots(candidate, maxTasks, anyPullTime)
 	candidate.ownTeamOnly = false
-	for ; len(slots) >= least; slots = slots[:len(slots)-1] {
-		if additional, ok := s.additionalVictims(candidate, slots, own, used); ok {
+	for ; len(slots) >= minTasks; slots = slots[:len(slots)-1] {
+		if additional, ok := s.additionalVictims(candidate, slots, teamVictims, used); ok {
 			s.preemptForLimit(candidate, slots, additional)
 			break
 		}
@@ -65,8 +66,8 @@
 	return false
 }
 
-// preemptForLimit stops the victims of slots, and those that have to stop for the limit alone, and
-// reserves the machines of the slots.
+// preemptForLimit stops the victims of slots and the additional victims, which only free part of the
+// limit, and reserves the machines of the slots.
 func (s *Scheduler) preemptForLimit(candidate *Candidate, slots, additional []slot) {
 	job := candidate.Job
 	job.PreemptedWithinTeam = true
@@ -75,8 +76,8 @@
 	s.reserve(job, s.machinesOfSlots(slots), grace)
 }
 
-// teamVictims lists the tasks of a candidate's team that may be stopped for it, the least cost
-// first. A gang is listed once, by its first task.
+// teamVictims returns the tasks of a candidate's team that may be stopped for it, the least cost
+// first. A gang is listed once, by the task that is found first.
 func (s *Scheduler) teamVictims(candidate *Candidate) []slot {
 	var victims []slot
 	for _, machine := range s.state.MachinesByName {
@@ -86,7 +87,7 @@
 		}
 		s.evaluations += 1 + len(machine.Placements)/tasksPerEvaluation
 		for _, ref := range machine.Placements {
-			if !isTeamVictim(candidate, ref) || containsGang(victims, ref.Job) {
+			if !isVictimForTeam(candidate, ref) || containsGang(victims, ref.Job) {
 				continue
 			}
 			cost := s.victimCost(ref.Job, ref.Task(), capacity)
@@ -102,12 +103,12 @@
 	return victims
 }
 
-// isTeamVictim reports whether a task may be stopped for a candidate of its team.
-func isTeamVictim(candidate *Candidate, ref cluster.TaskReference) bool {
+// isVictimForTeam reports whether a task may be stopped for a candidate of the same team.
+func isVictimForTeam(candidate *Candidate, ref cluster.TaskReference) bool {
 	return ref.Job.Team == candidate.Job.Team && ref.Job.Level < candidate.PreemptionPriority && ref.Task().Stop == nil
 }
 
-// containsGang reports whether a job is a gang that victims contain already.
+// containsGang reports whether a job is a gang that victims already contain.
 func containsGang(victims []slot, job *cluster.Job) bool {
 	if job.Shape != wire.ShapeGang {
 		return false
@@ -115,24 +116,23 @@
 	return slices.ContainsFunc(victims, func(s slot) bool { return s.Victims[0].Task.Job == job })
 }
 
-// additionalVictims chooses, of a team's own victims, those that have to stop in addition to the
-// victims of slots so that the limit allows a task in each slot; not ok if all together are not
-// enough.
-func (s *Scheduler) additionalVictims(candidate *Candidate, slots, own []slot, used topology.Resources) (additional []slot, ok bool) {
+// additionalVictims chooses the victims of a team that have to stop in addition to the victims of
+// slots so that the limit allows a task in each slot; ok is false if all of them are not enough.
+func (s *Scheduler) additionalVictims(candidate *Candidate, slots, teamVictims []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
 		Limit: s.host.Limit(candidate.Job.Team),
 		Used:  used,
 		Task:  cluster.TaskSize(&candidate.Job.Job),
 		Count: len(slots),
 	}
-	indices, ok := teamlimit.ChooseVictims(shortage, limitVictims(slots), limitVictims(own))
+	indices, ok := teamlimit.ChooseVictims(shortage, limitVictims(slots), limitVictims(teamVictims))
 	for _, i := range indices {
-		additional = append(additional, own[i])
+		additional = append(additional, teamVictims[i])
 	}
 	return additional, ok
 }
 
-// limitVictims lists what the victims of slots free of their team's limit.
+// limitVictims converts the victims of slots for package teamlimit.
 func limitVictims(slots []slot) []teamlimit.Victim[stopUnit] {
 	var victims []teamlimit.Victim[stopUnit]
 	for _, s := range slots {
@@ -147,13 +147,13 @@
 	return victims
 }
 
-// stopUnit names what stops together: a task, or all tasks of a gang.
+// stopUnit identifies what is stopped together: a task, or all tasks of a gang.
 type stopUnit struct {
 	job   *cluster.Job
 	index int // 0 for a gang
 }
 
-// stopUnitOf names what stops together with a task.
+// stopUnitOf returns the stopUnit of a task.
 func stopUnitOf(ref cluster.TaskReference) stopUnit {
 	if ref.Job.Shape == wire.ShapeGang {
 		return stopUnit{ref.Job, 0}
@@ -161,7 +161,7 @@
 	return stopUnit{ref.Job, ref.Index}
 }
 
-// freedByStop is what becomes free when a task is stopped, with all of its gang.
+// freedByStop returns the resources that the stop of a task, with all tasks of its gang, frees.
 func freedByStop(ref cluster.TaskReference) topology.Resources {
 	if ref.Job.Shape == wire.ShapeGang {
 		return ref.Size().Times(ref.Job.TasksPlaced)
@@ -169,17 +169,17 @@
 	return ref.Size()
 }
 
-// PreemptibleUsage is what tasks of a team below a priority level use.
+// PreemptibleUsage returns what the tasks of a team below a priority level use.
 func (s *Scheduler) PreemptibleUsage(team string, level int) topology.Resources {
 	return s.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Job.Level < level })
 }
 
-// stoppingUsage is what tasks of a team use that are being stopped.
+// stoppingUsage returns what the tasks of a team that are being stopped use.
 func (s *Scheduler) stoppingUsage(team string) topology.Resources {
 	return s.usageOf(func(ref cluster.TaskReference) bool { return ref.Job.Team == team && ref.Task().Stop != nil })
 }
 
-// usageOf adds up what the placed tasks use that are included.
+// usageOf returns the sum of what the included placed tasks use.
 func (s *Scheduler) usageOf(included func(cluster.TaskReference) bool) topology.Resources {
 	var sum topology.Resources
 	for _, m := range s.state.MachinesByName {
--- a/internal/core/scheduler/wait_objectives.go
+++ b/internal/core/scheduler/wait_objectives.go
@@ -11,16 +11,16 @@
 const (
 	ObjectiveWait      = "wait"      // tasks of a class start within a time
 	ObjectiveGuarantee = "guarantee" // tasks within quota start within a time
-	ObjectiveFinished  = "finished"  // jobs of a class are done within a time
+	ObjectiveFinished  = "finished"  // jobs of a class finish within a time
 )
 
-// WaitingTime is how long ago a job was submitted, or its last dependency was done.
+// WaitingTime returns the time since a job was submitted, or since its last dependency finished.
 func (s *Scheduler) WaitingTime(job *cluster.Job) time.Duration {
 	return time.Duration(s.host.WallClockMS()-job.WaitingSinceMS) * time.Millisecond
 }
 
-// maxClassWait is how long the tasks of a class may wait by its objectives, in seconds; infinite
-// without such an objective.
+// maxClassWait returns how long the tasks of a class may wait by its wait objectives, in seconds;
+// +Inf without such an objective.
 func (s *Scheduler) maxClassWait(class string) float64 {
 	within := math.Inf(1)
 	for _, o := range s.deployment.Objectives {
@@ -31,8 +31,9 @@
 	return within
 }
 
-// maxWait is how long a job's tasks may wait by the objectives of its class and, where it is
-// within quota, by those of guarantees, in seconds; infinite without such an objective.
+// maxWait returns how long a job's tasks may wait, in seconds, by the wait objectives of its class
+// and, if it is within quota and uses a guaranteed resource, by the guarantee objectives; +Inf
+// without such an objective.
 func (s *Scheduler) maxWait(job *cluster.Job) float64 {
 	within := s.maxClassWait(job.Class)
 	if !job.WithinQuota || !AnyGuaranteeFor(s.deployment.Teams, &job.Job) {
@@ -46,13 +47,14 @@
 	return within
 }
 
-// maxPullTime is how long the pull of an image may take, in seconds, before the wait that a
-// class allows is at risk: other pulls share the rate, which varies by a third.
+// maxPullTime returns how long the pull of an image may usually take, in seconds, without risk to
+// the wait objective of a class. It leaves a third of the wait as a margin, because concurrent pulls
+// share the pull rate, which varies by a third.
 func (s *Scheduler) maxPullTime(class string) float64 {
 	return s.maxClassWait(class) * 2 / 3
 }
 
-// limitsPullTime reports whether the objectives of a class bound the pull of its images.
+// limitsPullTime reports whether the class has a wait objective, which limits the time of pulls.
 func (s *Scheduler) limitsPullTime(class string) bool {
 	return !math.IsInf(s.maxPullTime(class), 1)
 }
--- a/internal/core/teamlimit/limit_test.go
+++ b/internal/core/teamlimit/limit_test.go
@@ -16,7 +16,7 @@
 	}}
 	for level, want := range []float64{6, 4, 4, 0} {
 		if got := reservations.AbovePriority("vision", level); got.GPUs != want {
-			t.Errorf("GPUs reserved above level %d: got %v, want %v", level, got.GPUs, want)
+			t.Errorf("got %v GPUs reserved above level %d, want %v", got.GPUs, level, want)
 		}
 	}
 }
--- a/internal/core/teamlimit/victims_test.go
+++ b/internal/core/teamlimit/victims_test.go
@@ -58,7 +58,7 @@
 		{"unknown", gpus(0), false},
 	} {
 		if got := claims.Claim(step.team, step.amount); got != step.want {
-			t.Errorf("claim of %+v for team %s: within quota %v, want %v", step.amount, step.team, got, step.want)
+			t.Errorf("claim %+v: got within quota %v", step, got)
 		}
 	}
 }
@@ -68,13 +68,13 @@
 	var usage Usage
 	usage.Add("vision", gpus(1), 3)
 	if usage.Started() || usage.ForTeam("vision") != gpus(0) {
-		t.Errorf("before Reset: started %v, usage %+v; want false and no usage", usage.Started(), usage.ForTeam("vision"))
+		t.Errorf("before Reset: usage %+v; want no usage and Started false", usage.ForTeam("vision"))
 	}
 	usage.Reset()
 	usage.Add("vision", gpus(1), 3)
 	snapshot := usage.Snapshot()
 	usage.Add("vision", gpus(1), -2)
 	if !usage.Started() || usage.ForTeam("vision") != gpus(1) || snapshot["vision"] != gpus(3) {
-		t.Errorf("started %v, usage %+v, snapshot %+v; want true, 1 GPU and 3 GPUs", usage.Started(), usage.ForTeam("vision"), snapshot["vision"])
+		t.Errorf("after Reset: usage %+v, snapshot %+v; want 1 GPU, 3 GPUs and Started true", usage.ForTeam("vision"), snapshot["vision"])
 	}
 }
