--- a/internal/core/scheduler/defragmentation.go
+++ b/internal/core/scheduler/defragmentation.go
@@ -191,7 +191,7 @@
 	target := d.machineOf(leaf)
 	d.targets[target] = job
 	d.movedToZone[jobZone{job, target.Zone}]++
-	d.pass.tree.Take(leaf, replica.Size())
+	d.pass.tree.Allocate(leaf, replica.Size())
 	return leaf
 }
 
@@ -200,7 +200,7 @@
 func (d *defragmentation) discard(slot gangSlot) {
 	delete(d.emptied, slot.machine)
 	for _, move := range slot.moves {
-		d.pass.tree.Give(move.target, move.replica.Size())
+		d.pass.tree.Release(move.target, move.replica.Size())
 		d.movedToZone[jobZone{move.replica.Job, d.machineOf(move.target).Zone}]--
 	}
 }
@@ -210,7 +210,7 @@
 func (d *defragmentation) rollBack() {
 	for _, slot := range d.slots {
 		for _, move := range slot.moves {
-			d.pass.tree.Give(move.target, move.replica.Size())
+			d.pass.tree.Release(move.target, move.replica.Size())
 		}
 	}
 }
--- a/internal/core/scheduler/rescheduling.go
+++ b/internal/core/scheduler/rescheduling.go
@@ -192,7 +192,7 @@
 	for _, move := range moves {
 		replica, job := move.replica, move.replica.Job
 		target := p.machines[move.target.Index]
-		p.tree.Take(move.target, replica.Size())
+		p.tree.Allocate(move.target, replica.Size())
 		job.ReschedulingTargets[replica.Index] = target
 		p.reserve(job, []*cluster.Machine{target}, 0)
 		p.log.Info("replica rescheduled", "task", replica.Name, "machine", replica.Task().Machine.Name, "target", target.Name)
--- a/internal/core/topology/place.go
+++ b/internal/core/topology/place.go
@@ -180,14 +180,14 @@
 		best, fit := state.next(request.Count - len(assigned))
 		if best == nil {
 			for _, m := range assigned {
-				t.Give(m, request.Task)
+				t.Release(m, request.Task)
 			}
 			return nil
 		}
 		state.used[best] = true
 		state.inZone[best.machine.Zone] += fit
 		for range fit {
-			t.Take(best.machine, request.Task)
+			t.Allocate(best.machine, request.Task)
 			assigned = append(assigned, best.machine)
 		}
 	}
--- a/internal/core/topology/place_each.go
+++ b/internal/core/topology/place_each.go
@@ -71,7 +71,7 @@
 	}
 	last := min(p.tasks, len(p.placed)+bound)
 	for len(p.placed) < last && m.Free.Holds(p.request.Task) && p.zoneAllowsMore(m.Zone) {
-		p.tree.Take(m, p.request.Task)
+		p.tree.Allocate(m, p.request.Task)
 		p.inZone[m.Zone]++
 		p.placed = append(p.placed, m)
 	}
--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -20,7 +20,7 @@
 	LevelRoot
 )
 
-// Machine is a leaf of the tree. Only Take and Give may change its free resources.
+// Machine is a leaf of the tree. Only Allocate and Release may change its free resources.
 type Machine struct {
 	Name  string
 	Zone  string
@@ -49,11 +49,11 @@
 // tree's searches without a clock.
 func (t *Tree) Evaluations() int { return t.evaluations }
 
-// Take subtracts resources from what is free on a machine.
-func (t *Tree) Take(m *Machine, r Resources) { t.setFree(m, m.Free.Sub(r)) }
+// Allocate subtracts resources from what is free on a machine.
+func (t *Tree) Allocate(m *Machine, r Resources) { t.setFree(m, m.Free.Sub(r)) }
 
-// Give adds resources to what is free on a machine.
-func (t *Tree) Give(m *Machine, r Resources) { t.setFree(m, m.Free.Add(r)) }
+// Release adds resources to what is free on a machine.
+func (t *Tree) Release(m *Machine, r Resources) { t.setFree(m, m.Free.Add(r)) }
 
 // setFree sets a machine's free resources and moves it to its new position in byFree.
 func (t *Tree) setFree(m *Machine, free Resources) {
