--- a/internal/core/scheduler/binding.go
+++ b/internal/core/scheduler/binding.go
@@ -101,10 +101,10 @@
 func (s *Scheduler) placementRequest(job *cluster.Job, tasks []int, policy pullTimePolicy) topology.Request {
 	maxPullS := s.maxPullTime(job.Class)
 	request := topology.Request{
-		Task:      cluster.TaskSize(&job.Job),
-		Count:     len(tasks),
-		Required:  topology.LevelRoot,
-		ZoneBound: ZoneBound(job),
+		TaskSize:      cluster.TaskSize(&job.Job),
+		Count:         len(tasks),
+		RequiredLevel: topology.LevelRoot,
+		ZoneBound:     ZoneBound(job),
 		Allowed: func(leaf *topology.Machine) bool {
 			return s.passesFilters(job, s.machines[leaf.Index], policy, maxPullS)
 		},
@@ -119,7 +119,7 @@
 		},
 	}
 	if job.OneZone {
-		request.Required = topology.LevelZone
+		request.RequiredLevel = topology.LevelZone
 	}
 	return request
 }
--- a/internal/core/scheduler/gang_pull.go
+++ b/internal/core/scheduler/gang_pull.go
@@ -29,7 +29,7 @@
 // such machines, it returns the given leaves.
 func (s *Scheduler) placeWithoutCachedImage(tree *topology.Tree, request topology.Request, job *cluster.Job, leaves []*topology.Machine) []*topology.Machine {
 	for _, leaf := range leaves {
-		tree.Release(leaf, request.Task)
+		tree.Release(leaf, request.TaskSize)
 	}
 	allowed := request.Allowed
 	request.Allowed = func(leaf *topology.Machine) bool {
@@ -39,7 +39,7 @@
 		return uncached
 	}
 	for _, leaf := range leaves {
-		tree.Allocate(leaf, request.Task)
+		tree.Allocate(leaf, request.TaskSize)
 	}
 	return leaves
 }
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -120,10 +120,10 @@
 // slots so that the limit allows a task in each slot; ok is false if all of them are not enough.
 func (s *Scheduler) additionalVictims(candidate *Candidate, slots, teamVictims []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
-		Limit: s.host.Limit(candidate.Job.Team),
-		Used:  used,
-		Task:  cluster.TaskSize(&candidate.Job.Job),
-		Count: len(slots),
+		Limit:    s.host.Limit(candidate.Job.Team),
+		Used:     used,
+		TaskSize: cluster.TaskSize(&candidate.Job.Job),
+		Count:    len(slots),
 	}
 	indices, ok := teamlimit.ChooseVictims(shortage, limitVictims(slots), limitVictims(teamVictims))
 	for _, i := range indices {
--- a/internal/core/teamlimit/victims.go
+++ b/internal/core/teamlimit/victims.go
@@ -13,18 +13,18 @@
 // Shortage describes tasks that are to be added to what a team uses and that its limit may not
 // allow yet.
 type Shortage struct {
-	Limit Limit
-	Used  topology.Resources
-	Task  topology.Resources // size of one task
-	Count int
+	Limit    Limit
+	Used     topology.Resources
+	TaskSize topology.Resources // of one task
+	Count    int
 }
 
 // isResolved reports whether the limit allows the tasks.
-func (s *Shortage) isResolved() bool { return s.Limit.Allows(s.Used, s.Task, s.Count) }
+func (s *Shortage) isResolved() bool { return s.Limit.Allows(s.Used, s.TaskSize, s.Count) }
 
 // isReducedBy reports whether the end of a task of a size reduces the shortage.
 func (s *Shortage) isReducedBy(task topology.Resources) bool {
-	return s.Limit.reducesExcess(s.Used.Add(s.Task.Times(s.Count)), task)
+	return s.Limit.reducesExcess(s.Used.Add(s.TaskSize.Times(s.Count)), task)
 }
 
 // ChooseVictims chooses candidates, in their order, until the shortage is resolved; the victims in
--- a/internal/core/teamlimit/victims_test.go
+++ b/internal/core/teamlimit/victims_test.go
@@ -34,7 +34,7 @@
 		{"no task that uses none of the exceeded resource", 3, nil, []Victim[string]{singleTask("a", topology.Resources{CPUs: 8}), singleTask("b", gpus(1))}, []int{1}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			shortage := Shortage{Limit: FromSettings(0, 4), Used: gpus(tc.used), Task: gpus(1), Count: 2}
+			shortage := Shortage{Limit: FromSettings(0, 4), Used: gpus(tc.used), TaskSize: gpus(1), Count: 2}
 			got, ok := ChooseVictims(shortage, tc.alreadyChosen, tc.candidates)
 			if !slices.Equal(got, tc.want) || ok != tc.ok {
 				t.Errorf("victims: got %v, ok %v; want %v, ok %v", got, ok, tc.want, tc.ok)
--- a/internal/core/topology/place.go
+++ b/internal/core/topology/place.go
@@ -31,13 +31,13 @@
 	if machine != nil {
 		return t.assign(request, machine.leaves, "")
 	}
-	if request.Required == LevelMachine {
+	if request.RequiredLevel == LevelMachine {
 		return nil
 	}
 	if zone := bestZone(zones, request.Count); zone != nil {
 		return t.assign(request, zone.leaves, "")
 	}
-	if request.Required < LevelRoot {
+	if request.RequiredLevel < LevelRoot {
 		return nil
 	}
 	return t.placeOverZones(request, zones)
@@ -103,7 +103,7 @@
 	if !r.allows(m) {
 		return nil
 	}
-	fit := m.Free.Fit(r.Task, r.Count)
+	fit := m.Free.Fit(r.TaskSize, r.Count)
 	if r.ZoneBound != nil {
 		fit = min(fit, r.ZoneBound(m.Zone))
 	}
@@ -180,14 +180,14 @@
 		best, fit := state.next(request.Count - len(assigned))
 		if best == nil {
 			for _, m := range assigned {
-				t.Release(m, request.Task)
+				t.Release(m, request.TaskSize)
 			}
 			return nil
 		}
 		state.used[best] = true
 		state.inZone[best.machine.Zone] += fit
 		for range fit {
-			t.Allocate(best.machine, request.Task)
+			t.Allocate(best.machine, request.TaskSize)
 			assigned = append(assigned, best.machine)
 		}
 	}
--- a/internal/core/topology/place_each.go
+++ b/internal/core/topology/place_each.go
@@ -8,9 +8,9 @@
 // PlaceEach chooses machines for a number of tasks that start independently. It subtracts the tasks
 // from the free resources of the machines and returns the machines in task order; the result is
 // shorter than the number of tasks if the last ones fit nowhere. It chooses the same machines as
-// one call of Place for each task. It ignores Count and Required of the request; ZoneBound bounds
-// the tasks of the whole call, and a negative penalty counts as 0. The penalty of a machine must
-// not increase when it takes a task.
+// one call of Place for each task. It ignores Count and RequiredLevel of the request; ZoneBound
+// bounds the tasks of the whole call, and a negative penalty counts as 0. The penalty of a machine
+// must not increase when it takes a task.
 func (t *Tree) PlaceEach(request Request, tasks int) []*Machine {
 	placement := &eachPlacement{
 		tree:    t,
@@ -22,7 +22,7 @@
 	// Each machine is evaluated once per call. Repeating the search after each filled machine
 	// evaluated all machines of a fleet of thousands again.
 	var penalized []penalizedMachine
-	for _, m := range slices.Clone(t.machinesWithFreeGPUs(request.Task)) {
+	for _, m := range slices.Clone(t.machinesWithFreeGPUs(request.TaskSize)) {
 		if placement.isComplete() {
 			return placement.placed
 		}
@@ -70,8 +70,8 @@
 		bound = p.request.MachineBound(m)
 	}
 	last := min(p.tasks, len(p.placed)+bound)
-	for len(p.placed) < last && m.Free.Holds(p.request.Task) && p.zoneAllowsMore(m.Zone) {
-		p.tree.Allocate(m, p.request.Task)
+	for len(p.placed) < last && m.Free.Holds(p.request.TaskSize) && p.zoneAllowsMore(m.Zone) {
+		p.tree.Allocate(m, p.request.TaskSize)
 		p.inZone[m.Zone]++
 		p.placed = append(p.placed, m)
 	}
--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -101,8 +101,8 @@
 
 // Request describes tasks to be placed and which machines they may use.
 type Request struct {
-	// Task is the size of the largest task, which is used for all of them.
-	Task Resources
+	// TaskSize is the size of the largest task, which is used for all of them.
+	TaskSize Resources
 	// Count is the number of tasks.
 	Count int
 	// Allowed reports whether a machine may take the tasks; nil allows all.
@@ -111,16 +111,16 @@
 	MachineBound func(*Machine) int
 	// ZoneBound bounds the tasks in a zone; nil sets no bound.
 	ZoneBound func(zone string) int
-	// Required is the highest level at which the whole request may be placed in one domain;
+	// RequiredLevel is the highest level at which the whole request may be placed in one domain;
 	// LevelRoot sets no requirement. Place always prefers a single machine, then a single zone.
-	Required Level
+	RequiredLevel Level
 	// Penalty ranks the allowed machines, the lowest first; nil means 0 for all.
 	Penalty func(*Machine) int
 }
 
 // allows reports whether a machine may take the tasks of a request and at least one fits.
 func (r *Request) allows(m *Machine) bool {
-	return m.Free.Holds(r.Task) && (r.Allowed == nil || r.Allowed(m))
+	return m.Free.Holds(r.TaskSize) && (r.Allowed == nil || r.Allowed(m))
 }
 
 // penalty returns a machine's penalty.
--- a/internal/core/topology/topology_test.go
+++ b/internal/core/topology/topology_test.go
@@ -34,15 +34,15 @@
 		request Request
 		want    string
 	}{
-		{"the machine with the least free resources that fits all", []string{"a/x/8", "a/y/3", "b/z/2"}, Request{Task: one, Count: 3, Required: LevelRoot}, "y y y"},
-		{"the zone with the least free resources when no machine fits all", []string{"a/x/4", "a/y/4", "b/z/3", "b/w/3"}, Request{Task: one, Count: 6, Required: LevelRoot}, "w w w z z z"},
-		{"within a zone, the machine that takes the most tasks first", []string{"a/x/4", "a/y/2", "a/z/1"}, Request{Task: one, Count: 6, Required: LevelZone}, "x x x x y y"},
-		{"no placement over two zones when one zone is required", []string{"a/x/2", "b/y/2"}, Request{Task: one, Count: 3, Required: LevelZone}, ""},
-		{"with no required zone, the zone that fits the most tasks first", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{Task: one, Count: 4, Required: LevelRoot}, "y y w x"},
-		{"nothing fits", []string{"a/x/1"}, Request{Task: Resources{GPUs: 2}, Count: 1, Required: LevelRoot}, ""},
-		{"a zone's bound", []string{"a/x/8", "b/y/8", "c/z/8"}, Request{Task: one, Count: 4, Required: LevelRoot, ZoneBound: func(string) int { return 2 }}, "x x y y"},
+		{"the machine with the least free resources that fits all", []string{"a/x/8", "a/y/3", "b/z/2"}, Request{TaskSize: one, Count: 3, RequiredLevel: LevelRoot}, "y y y"},
+		{"the zone with the least free resources when no machine fits all", []string{"a/x/4", "a/y/4", "b/z/3", "b/w/3"}, Request{TaskSize: one, Count: 6, RequiredLevel: LevelRoot}, "w w w z z z"},
+		{"within a zone, the machine that takes the most tasks first", []string{"a/x/4", "a/y/2", "a/z/1"}, Request{TaskSize: one, Count: 6, RequiredLevel: LevelZone}, "x x x x y y"},
+		{"no placement over two zones when one zone is required", []string{"a/x/2", "b/y/2"}, Request{TaskSize: one, Count: 3, RequiredLevel: LevelZone}, ""},
+		{"with no required zone, the zone that fits the most tasks first", []string{"a/x/2", "b/y/2", "b/w/1"}, Request{TaskSize: one, Count: 4, RequiredLevel: LevelRoot}, "y y w x"},
+		{"nothing fits", []string{"a/x/1"}, Request{TaskSize: Resources{GPUs: 2}, Count: 1, RequiredLevel: LevelRoot}, ""},
+		{"a zone's bound", []string{"a/x/8", "b/y/8", "c/z/8"}, Request{TaskSize: one, Count: 4, RequiredLevel: LevelRoot, ZoneBound: func(string) int { return 2 }}, "x x y y"},
 		{"the lower penalty among machines that fit all", []string{"a/x/2", "a/y/4"}, Request{
-			Task: one, Count: 1, Required: LevelRoot,
+			TaskSize: one, Count: 1, RequiredLevel: LevelRoot,
 			Penalty: func(m *Machine) int { return strings.Index("yx", m.Name) },
 		}, "y"},
 	} {
@@ -57,7 +57,7 @@
 				t.Fatalf("machines: got %q, want %q", names(got), tc.want)
 			}
 			for _, m := range got {
-				before[m.Name] = before[m.Name].Sub(tc.request.Task)
+				before[m.Name] = before[m.Name].Sub(tc.request.TaskSize)
 			}
 			for _, m := range machines {
 				if m.Free != before[m.Name] {
@@ -129,11 +129,11 @@
 			task := Resources{CPUs: float64(1+random.IntN(3)) / 2, GPUs: float64(random.IntN(2)), MemGB: 1}
 			bound, forbidden, tasks := random.IntN(6), random.IntN(4), 1+random.IntN(20)
 			request := Request{
-				Task:     task,
-				Count:    1,
-				Required: LevelRoot,
-				Penalty:  func(m *Machine) int { return m.Index },
-				Allowed:  func(m *Machine) bool { return m.Index != forbidden },
+				TaskSize:      task,
+				Count:         1,
+				RequiredLevel: LevelRoot,
+				Penalty:       func(m *Machine) int { return m.Index },
+				Allowed:       func(m *Machine) bool { return m.Index != forbidden },
 			}
 			want := placeOneByOne(one, request, tasks, bound)
 			request.ZoneBound = func(string) int { return bound }
