--- a/internal/core/preemption/preemption.go
+++ b/internal/core/preemption/preemption.go
@@ -21,7 +21,7 @@
 // Victim is a task that may be stopped; T identifies it for the caller.
 type Victim[T Task] struct {
 	Task T
-	Loss float64 // weighted seconds of lost work
+	Cost float64 // weighted seconds of lost work
 }
 
 // Slot is capacity for one more task on a machine, and the tasks that have to stop for it.
@@ -29,7 +29,7 @@
 	Machine string
 	Zone    string
 	Victims []Victim[T]
-	// Cost is the sum of the victims' losses, raised to the cost of the previous slot on the
+	// Cost is the sum of the victims' costs, raised to the cost of the previous slot on the
 	// machine if that is higher.
 	Cost float64
 }
@@ -57,7 +57,7 @@
 		if !listed && !free.Holds(size) {
 			listed = true
 			victims, free = machine.Victims(free)
-			slices.SortStableFunc(victims, func(a, b Victim[T]) int { return cmp.Compare(a.Loss, b.Loss) })
+			slices.SortStableFunc(victims, func(a, b Victim[T]) int { return cmp.Compare(a.Cost, b.Cost) })
 		}
 		for !free.Holds(size) {
 			if len(victims) == 0 {
@@ -67,7 +67,7 @@
 			victims = victims[1:]
 			free = free.Add(victim.Task.Size())
 			slot.Victims = append(slot.Victims, victim)
-			slot.Cost += victim.Loss
+			slot.Cost += victim.Cost
 		}
 		free = free.Sub(size)
 		if len(slots) > 0 {
--- a/internal/core/preemption/preemption_test.go
+++ b/internal/core/preemption/preemption_test.go
@@ -27,8 +27,8 @@
 	}}
 }
 
-func victim(name string, size, loss float64) Victim[task] {
-	return Victim[task]{Task: task{name: name, cpus: size}, Loss: loss}
+func victim(name string, size, cost float64) Victim[task] {
+	return Victim[task]{Task: task{name: name, cpus: size}, Cost: cost}
 }
 
 func ofGang(v Victim[task], gang string) Victim[task] {
@@ -61,7 +61,7 @@
 		{"free resources first", machine("m", "a", 2, 0, victim("x", 1, 5)), 1, 3, "m:; m:; m: x", 5},
 		{"no more slots than wanted", machine("m", "a", 9, 0), 1, 2, "m:; m:", 0},
 		{"resources of tasks that are being stopped count as free", machine("m", "a", 0, 1, victim("x", 1, 5)), 1, 2, "m:; m: x", 5},
-		{"the least loss first", machine("m", "a", 0, 0, victim("x", 1, 5), victim("y", 1, 2)), 1, 1, "m: y", 2},
+		{"the least cost first", machine("m", "a", 0, 0, victim("x", 1, 5), victim("y", 1, 2)), 1, 1, "m: y", 2},
 		{"as many victims as the size needs", machine("m", "a", 0, 0, victim("x", 1, 5), victim("y", 1, 2), victim("z", 1, 3)), 2, 2, "m: y z", 5},
 		{"the rest of what a large victim frees is the next slot", machine("m", "a", 0, 0, victim("x", 2, 5)), 1, 2, "m: x; m:", 5},
 		{"no slot", machine("m", "a", 0, 0, victim("x", 1, 5)), 2, 1, "", 0},
--- a/internal/core/scheduler/preemption_slots.go
+++ b/internal/core/scheduler/preemption_slots.go
@@ -81,7 +81,7 @@
 		if !mayPreempt(candidate, ref.Job) || policy == pullInTime && samePriority {
 			continue
 		}
-		victims = append(victims, victim{Task: ref, Loss: s.victimCost(ref.Job, task, capacity)})
+		victims = append(victims, victim{Task: ref, Cost: s.victimCost(ref.Job, task, capacity)})
 	}
 	s.victimBuffer = victims
 	return victims, free
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -94,7 +94,7 @@
 			victims = append(victims, slot{
 				Machine: machine.Name,
 				Zone:    machine.Zone,
-				Victims: []victim{{Task: ref, Loss: cost}},
+				Victims: []victim{{Task: ref, Cost: cost}},
 				Cost:    cost,
 			})
 		}
