--- a/internal/core/placement/memo.go
+++ b/internal/core/placement/memo.go
@@ -38,11 +38,11 @@
 	}
 }
 
-// RecordFull records whether the search for machines for tasks of a class failed.
-func (m *Memo) RecordFull(class EquivalenceClass, full bool) { m.doesNotFit[class] = full }
+// RecordDoesNotFit records whether the search for machines for tasks of a class failed.
+func (m *Memo) RecordDoesNotFit(class EquivalenceClass, failed bool) { m.doesNotFit[class] = failed }
 
-// RecordMachineFits records whether a task fits on any machine.
-func (m *Memo) RecordMachineFits(task Requirements, fits bool) { m.noMachineFits[task] = !fits }
+// RecordAnyMachineFits records whether a task fits on any machine.
+func (m *Memo) RecordAnyMachineFits(task Requirements, fits bool) { m.noMachineFits[task] = !fits }
 
 // RecordNoVictims records whether preemption for tasks of a class failed.
 func (m *Memo) RecordNoVictims(class EquivalenceClass, none bool) { m.noVictims[class] = none }
@@ -52,8 +52,8 @@
 	return !m.doesNotFit[class] && !m.noMachineFits[class.Requirements]
 }
 
-// MachineMayFit reports whether a task may fit on any machine.
-func (m *Memo) MachineMayFit(task Requirements) bool { return !m.noMachineFits[task] }
+// AnyMachineMayFit reports whether a task may fit on any machine.
+func (m *Memo) AnyMachineMayFit(task Requirements) bool { return !m.noMachineFits[task] }
 
 // MayPreempt reports whether preemption for tasks of a class may still succeed.
 func (m *Memo) MayPreempt(class EquivalenceClass) bool { return !m.noVictims[class] }
--- a/internal/core/placement/memo_test.go
+++ b/internal/core/placement/memo_test.go
@@ -8,10 +8,10 @@
 	task := Requirements{Types: "small"}
 	class, sameTask := EquivalenceClass{Requirements: task, Priority: 1}, EquivalenceClass{Requirements: task, Priority: 2}
 	memo := NewMemo()
-	if !memo.MayFit(class) || !memo.MachineMayFit(task) || !memo.MayPreempt(class) {
-		t.Error("new memo: MayFit, MachineMayFit or MayPreempt is false, want all true")
+	if !memo.MayFit(class) || !memo.AnyMachineMayFit(task) || !memo.MayPreempt(class) {
+		t.Error("new memo: MayFit, AnyMachineMayFit or MayPreempt is false, want all true")
 	}
-	memo.RecordFull(class, true)
+	memo.RecordDoesNotFit(class, true)
 	memo.RecordNoVictims(class, true)
 	if memo.MayFit(class) || memo.MayPreempt(class) {
 		t.Error("class recorded as full and without victims: MayFit or MayPreempt is true, want both false")
@@ -19,8 +19,8 @@
 	if !memo.MayFit(sameTask) || !memo.MayPreempt(sameTask) {
 		t.Error("another class with the same requirements: MayFit or MayPreempt is false, want both true")
 	}
-	memo.RecordMachineFits(task, false)
-	if memo.MayFit(sameTask) || memo.MachineMayFit(task) {
-		t.Error("task that fits on no machine: MayFit or MachineMayFit is true, want both false")
+	memo.RecordAnyMachineFits(task, false)
+	if memo.MayFit(sameTask) || memo.AnyMachineMayFit(task) {
+		t.Error("task that fits on no machine: MayFit or AnyMachineMayFit is true, want both false")
 	}
 }
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -117,7 +117,7 @@
 // that have the image cached or pull it in time. Where these have no free capacity, it preempts or
 // reschedules tasks there.
 func (p *pass) placeWithTimelyPull(candidate *Candidate, class placement.EquivalenceClass) {
-	if p.MachineMayFit(class.Requirements) {
+	if p.AnyMachineMayFit(class.Requirements) {
 		p.bindFitting(candidate, pullInTime)
 		if p.truncated {
 			return
@@ -141,10 +141,10 @@
 	if p.truncated || !candidate.hasUnreservedTasks() || p.ReservedTasks(candidate.Job) > 0 {
 		return
 	}
-	p.RecordFull(class, p.representsClass(candidate.Job))
+	p.RecordDoesNotFit(class, p.representsClass(candidate.Job))
 	// Whether a spread job fits depends on where its other tasks run, so its result does not
 	// hold for its class. Whether a task fits on any machine depends on the machines alone.
-	p.RecordMachineFits(class.Requirements, p.anyMachineFits(p.tree, candidate.Job))
+	p.RecordAnyMachineFits(class.Requirements, p.anyMachineFits(p.tree, candidate.Job))
 }
 
 // makeRoom preempts or reschedules tasks for those tasks of a candidate that fit on no machine.
