--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -147,7 +147,7 @@
 // what is used and reserved at this moment.
 func (h quotaHost) Demand(team string) balance.Demand {
 	demand := h.leader.regionDemands[team]
-	if !h.leader.teamUsage.Started() {
+	if !h.leader.teamUsage.IsCounting() {
 		h.leader.recountUsage()
 	}
 	current := h.leader.teamUsage.ForTeam(team).Add(h.leader.currentReservations().Total(team))
--- a/internal/core/scheduler/harness_test.go
+++ b/internal/core/scheduler/harness_test.go
@@ -186,7 +186,7 @@
 			return teamlimit.FromSettings(t.CPUsMax, t.GPUsMax)
 		}
 	}
-	return teamlimit.UnknownTeam
+	return teamlimit.UnknownTeamLimit
 }
 
 func (host harnessHost) ThrottleFaultyJob(_ *cluster.Job, pending []int) []int { return pending[:1] }
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -25,7 +25,7 @@
 func (c *Core) configuredLimit(name string) teamlimit.Limit {
 	team := c.team(name)
 	if team == nil {
-		return teamlimit.UnknownTeam
+		return teamlimit.UnknownTeamLimit
 	}
 	return teamlimit.FromSettings(team.CPUsMax, team.GPUsMax)
 }
@@ -52,7 +52,7 @@
 
 // refreshUsage brings what machines and teams use up to date, and returns the latter by team.
 func (l *leader) refreshUsage() map[string]topology.Resources {
-	if !l.teamUsage.Started() || l.core.now >= l.teamUsage.recountAt {
+	if !l.teamUsage.IsCounting() || l.core.now >= l.teamUsage.recountAt {
 		l.recountUsage()
 	}
 	for _, m := range l.MachinesByName {
--- a/internal/core/teamlimit/limit.go
+++ b/internal/core/teamlimit/limit.go
@@ -17,8 +17,8 @@
 // without a limit.
 type Limit struct{ CPUs, GPUs float64 }
 
-// UnknownTeam is the limit of a team that does not exist: it allows no task at all.
-var UnknownTeam = Limit{CPUs: -1, GPUs: -1}
+// UnknownTeamLimit is the limit of a team that does not exist: it allows no task at all.
+var UnknownTeamLimit = Limit{CPUs: -1, GPUs: -1}
 
 // FromSettings returns the limit for values from the settings, where 0 means no limit.
 func FromSettings(cpus, gpus float64) Limit {
--- a/internal/core/teamlimit/usage.go
+++ b/internal/core/teamlimit/usage.go
@@ -9,8 +9,8 @@
 // Usage tracks what the tasks of each team use. It counts nothing before the first Reset.
 type Usage struct{ byTeam map[string]topology.Resources }
 
-// Started reports whether Reset was called, so that the usage is counted.
-func (u *Usage) Started() bool { return u.byTeam != nil }
+// IsCounting reports whether Reset was called, so that the usage is counted.
+func (u *Usage) IsCounting() bool { return u.byTeam != nil }
 
 // Reset sets the usage to zero. Regular recounts keep rounding errors of sums from accumulating.
 func (u *Usage) Reset() { u.byTeam = map[string]topology.Resources{} }
--- a/internal/core/teamlimit/victims_test.go
+++ b/internal/core/teamlimit/victims_test.go
@@ -67,14 +67,14 @@
 func TestUsage(t *testing.T) {
 	var usage Usage
 	usage.Add("vision", gpus(1), 3)
-	if usage.Started() || usage.ForTeam("vision") != gpus(0) {
-		t.Errorf("before Reset: usage %+v; want no usage and Started false", usage.ForTeam("vision"))
+	if usage.IsCounting() || usage.ForTeam("vision") != gpus(0) {
+		t.Errorf("before Reset: usage %+v; want no usage and IsCounting false", usage.ForTeam("vision"))
 	}
 	usage.Reset()
 	usage.Add("vision", gpus(1), 3)
 	snapshot := usage.Snapshot()
 	usage.Add("vision", gpus(1), -2)
-	if !usage.Started() || usage.ForTeam("vision") != gpus(1) || snapshot["vision"] != gpus(3) {
-		t.Errorf("after Reset: usage %+v, snapshot %+v; want 1 GPU, 3 GPUs and Started true", usage.ForTeam("vision"), snapshot["vision"])
+	if !usage.IsCounting() || usage.ForTeam("vision") != gpus(1) || snapshot["vision"] != gpus(3) {
+		t.Errorf("after Reset: usage %+v, snapshot %+v; want 1 GPU, 3 GPUs and IsCounting true", usage.ForTeam("vision"), snapshot["vision"])
 	}
 }
