--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -15,7 +15,7 @@
 func (p *scaleOutPlan) packCandidate(candidate *candidate, usage map[string]topology.Resources) {
 	// Capacity that is being preempted for it is not provisioned as well, also where the
 	// placement pass did not come to it.
-	candidate.Reserved = max(candidate.Reserved, p.leader.reservedTasks(candidate.Job))
+	candidate.ReservedTasks = max(candidate.ReservedTasks, p.leader.reservedTasks(candidate.Job))
 	packing := p.newCandidatePacking(candidate, usage[candidate.Job.Team])
 	reason := packing.packTasks()
 	usage[candidate.Job.Team] = packing.used
@@ -66,7 +66,7 @@
 // packTasks packs the candidate's tasks and returns why they wait; empty if there are none.
 func (c *candidatePacking) packTasks() cluster.WaitReason {
 	l, demand := c.plan.leader, c.plan.demand
-	wanted := l.plannedTasks(c.candidate) - c.candidate.Reserved
+	wanted := l.plannedTasks(c.candidate) - c.candidate.ReservedTasks
 	if demand != nil && c.candidate.Job.Shape == wire.ShapeGang && !c.allows(wanted) {
 		// A part of the gang cannot start, and would only take a share from other regions.
 		demand.recordShortage(c.candidate, wanted)
@@ -84,7 +84,7 @@
 	switch {
 	case c.last != nil:
 		return cluster.WaitForMachines
-	case c.candidate.Reserved > 0:
+	case c.candidate.ReservedTasks > 0:
 		return cluster.WaitForPreemption
 	}
 	return ""
@@ -104,7 +104,7 @@
 // allowedZones is the filter for the next task's zone, by how many tasks were packed in each zone.
 func (c *candidatePacking) allowedZones() provisioning.ZoneFilter {
 	job := c.candidate.Job
-	if job.OneZone && job.TasksPlaced == 0 && c.candidate.Reserved == 0 {
+	if job.OneZone && job.TasksPlaced == 0 && c.candidate.ReservedTasks == 0 {
 		only := c.plan.ChooseZone(&c.spec, len(c.candidate.Pending))
 		return func(zone string) bool { return zone == only }
 	}
--- a/internal/core/scheduler/binding.go
+++ b/internal/core/scheduler/binding.go
@@ -24,7 +24,7 @@
 	}
 	limit, size := p.host.Limit(job.Team), cluster.TaskSize(&job.Job)
 	reserved := p.reservations.AbovePriority(job.Team, job.Level)
-	for len(candidate.Pending) >= batch+candidate.Reserved && len(candidate.Pending) > 0 {
+	for len(candidate.Pending) >= batch+candidate.ReservedTasks && len(candidate.Pending) > 0 {
 		if !limit.Allows(p.usage[job.Team].Add(reserved), size, batch) {
 			return
 		}
@@ -66,7 +66,7 @@
 	job := candidate.Job
 	limit, size := p.host.Limit(job.Team), cluster.TaskSize(&job.Job)
 	used := p.usage[job.Team].Add(p.reservations.AbovePriority(job.Team, job.Level))
-	return sort.Search(len(candidate.Pending)-candidate.Reserved, func(n int) bool {
+	return sort.Search(len(candidate.Pending)-candidate.ReservedTasks, func(n int) bool {
 		return !limit.Allows(used, size, n+1)
 	})
 }
--- a/internal/core/scheduler/candidates.go
+++ b/internal/core/scheduler/candidates.go
@@ -14,7 +14,7 @@
 	Job                *cluster.Job
 	WithinQuota        bool
 	Pending            []int // tasks to place, by index
-	Reserved           int   // number of pending tasks for which machines are reserved
+	ReservedTasks      int   // number of pending tasks for which machines are reserved
 	PreemptionPriority int   // priority level below which it may preempt
 	Faulty             bool  // its tasks fail on every machine
 	BestEffort         bool  // its team has no guarantee, and it has not waited too long
@@ -26,7 +26,7 @@
 }
 
 // hasUnreservedTasks reports whether there are pending tasks without a reserved machine.
-func (c *Candidate) hasUnreservedTasks() bool { return len(c.Pending) > c.Reserved }
+func (c *Candidate) hasUnreservedTasks() bool { return len(c.Pending) > c.ReservedTasks }
 
 // urgency returns the sort key of a candidate.
 func (c *Candidate) urgency() placement.Urgency {
--- a/internal/core/scheduler/defragmentation.go
+++ b/internal/core/scheduler/defragmentation.go
@@ -28,7 +28,7 @@
 // provisioned for it. It chooses the zone where the fewest replicas have to move.
 func (p *pass) defragmentFor(candidate *Candidate) {
 	job := candidate.Job
-	if job.Shape != wire.ShapeGang || !candidate.cannotProvision || candidate.Reserved > 0 {
+	if job.Shape != wire.ShapeGang || !candidate.cannotProvision || candidate.ReservedTasks > 0 {
 		return
 	}
 	if !p.startOverdue(job) || p.preemptingTaskCount(candidate, p.usage) == 0 {
@@ -58,7 +58,7 @@
 		}
 		slots = append(slots, freed)
 	}
-	candidate.Reserved = len(slots)
+	candidate.ReservedTasks = len(slots)
 	p.reserve(job, p.machinesOfSlots(slots), p.stopVictims(job, slots))
 }
 
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -155,7 +155,7 @@
 	noVictims := p.preempt(candidate, anyPullTime)
 	p.defragmentFor(candidate)
 	representative := p.representsClass(candidate.Job) || noVictims
-	p.RecordNoVictims(class, candidate.Reserved == 0 && representative)
+	p.RecordNoVictims(class, candidate.ReservedTasks == 0 && representative)
 }
 
 // representsClass reports whether the result of a search for a job holds for all jobs of its
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -43,7 +43,7 @@
 // depend on where the other tasks of the job run.
 func (s *Scheduler) preemptFor(candidate *Candidate, usage map[string]topology.Resources, policy pullTimePolicy) (noVictims bool) {
 	job := candidate.Job
-	if candidate.Reserved = s.ReservedTasks(job); candidate.Reserved > 0 {
+	if candidate.ReservedTasks = s.ReservedTasks(job); candidate.ReservedTasks > 0 {
 		return false
 	}
 	if candidate.PreemptionPriority == 0 && !candidate.WithinQuota {
@@ -64,7 +64,7 @@
 	if len(slots) == 0 || job.Shape == wire.ShapeGang && len(slots) < wanted {
 		return false
 	}
-	candidate.Reserved = len(slots)
+	candidate.ReservedTasks = len(slots)
 	s.reserve(job, s.machinesOfSlots(slots), s.stopVictims(job, slots))
 	return false
 }
--- a/internal/core/scheduler/rescheduling.go
+++ b/internal/core/scheduler/rescheduling.go
@@ -33,7 +33,7 @@
 	if job.Shape == wire.ShapeGang {
 		return
 	}
-	if candidate.Reserved = p.ReservedTasks(job); candidate.Reserved > 0 {
+	if candidate.ReservedTasks = p.ReservedTasks(job); candidate.ReservedTasks > 0 {
 		return
 	}
 	plan := &reschedulingPlan{
@@ -50,7 +50,7 @@
 		}
 	}
 	if len(plan.machines) > 0 {
-		candidate.Reserved = len(plan.machines)
+		candidate.ReservedTasks = len(plan.machines)
 		p.reserve(job, plan.machines, 0)
 	}
 }
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -71,7 +71,7 @@
 func (s *Scheduler) preemptForLimit(candidate *Candidate, slots, additional []slot) {
 	job := candidate.Job
 	job.PreemptedWithinTeam = true
-	candidate.Reserved = len(slots)
+	candidate.ReservedTasks = len(slots)
 	grace := max(s.stopVictims(job, slots), s.stopVictims(job, additional))
 	s.reserve(job, s.machinesOfSlots(slots), grace)
 }
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -54,7 +54,7 @@
 		{"a machine boots", func(leader *leader, _ *candidate) { bootingMachine(leader, "n-1", "large", "a") }, cluster.WaitForMachines},
 		{"the limit", func(leader *leader, _ *candidate) { leader.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
 		{"no capacity", func(leader *leader, _ *candidate) { refuseZone(leader, "a"); refuseZone(leader, "b") }, cluster.WaitNoOffer},
-		{"tasks are preempted", func(_ *leader, c *candidate) { c.Reserved = 1 }, cluster.WaitForPreemption},
+		{"tasks are preempted", func(_ *leader, c *candidate) { c.ReservedTasks = 1 }, cluster.WaitForPreemption},
 	} {
 		leader := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
