--- a/internal/core/scheduler/filter.go
+++ b/internal/core/scheduler/filter.go
@@ -59,7 +59,8 @@
 	}
 	if s.isReserved(machine) {
 		// A machine that is reserved for the job is used even if the pull is too slow:
-		// otherwise the job waited for three heartbeats, until the reservation expired.
+		// otherwise the job would wait for three heartbeats, until the reservation
+		// expires.
 		return machine.ReservedFor == job
 	}
 	return policy == anyPullTime || !s.pullTooSlow(job, machine, maxPullS)
--- a/internal/core/scheduler/gang_pull.go
+++ b/internal/core/scheduler/gang_pull.go
@@ -8,7 +8,7 @@
 
 // gangWaitExceeded reports whether a gang would fail on machines before it starts: the tasks whose
 // image is cached wait for those that pull it, and fail after gang_wait_s. The failure also aborts
-// the pulls, so that the next attempt failed in the same way.
+// the pulls, so that the next attempt would fail in the same way.
 func (s *Scheduler) gangWaitExceeded(job *cluster.Job, machines []*cluster.Machine) bool {
 	if job.Shape != wire.ShapeGang {
 		return false
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -165,9 +165,9 @@
 	return s.outliers.FailedMachineCount(job.ID) == 0 && !job.SpreadZones
 }
 
-// preempt preempts tasks for a candidate, see preemptFor. It reserves at once the part of the team's
-// limit that this frees: otherwise less urgent work later in the same pass took it, and a gang that
-// needs all of the limit never started.
+// preempt preempts tasks for a candidate, see preemptFor. It reserves the part of the team's limit
+// that this frees for the rest of the pass too: otherwise less urgent jobs later in the same pass
+// would take it, and a gang that needs all of the limit would never start.
 func (p *pass) preempt(candidate *Candidate, policy pullTimePolicy) (noVictims bool) {
 	before := candidate.Job.PreemptedWithinTeam
 	noVictims = p.preemptFor(candidate, p.usage, policy)
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -18,8 +18,8 @@
 // with eight tasks per pass, an array of sixty took half a minute.
 const maxPreemptingTasksPerPass = 8
 
-// machinesPerPreemptingTask scales that bound on large fleets to one task per so many machines, so
-// that making room takes no longer there.
+// machinesPerPreemptingTask raises that bound on large fleets to one task per so many machines, so
+// that making room takes no longer there than on small ones.
 const machinesPerPreemptingTask = 40
 
 // maxPreemptingTasks returns for how many of a candidate's tasks a pass may preempt others.
@@ -33,8 +33,8 @@
 // preemptFor makes room for tasks of a candidate that fit on no machine. It stops tasks of lower
 // priority and, for a job within quota, tasks of other teams that are beyond their quota. For a
 // gang it makes room for all tasks, at the least cost, or stops nothing; if the gang must run in
-// one zone, all of the room is in one zone. The machines are reserved for the job until the victims
-// have stopped.
+// one zone, all of the room is in one zone. The machines are reserved for the job for as long as the
+// victims may take to stop, see reserve.
 //
 // With pullInTime, it uses only machines where the image is cached or can be pulled in time, and
 // stops only lower priorities: other machines may have room without preemption.
--- a/internal/core/scheduler/preemption_cost.go
+++ b/internal/core/scheduler/preemption_cost.go
@@ -18,8 +18,8 @@
 }
 
 // preemptionGrace returns the grace period, in seconds, of a victim on a machine that is preempted
-// for a job. It is 0 if the job would start in time without the grace period but not with it: with
-// victims that saved for three seconds, no job that had to start within five seconds ever did.
+// for a job. It is 0 if the job would start in time without the grace period but not with it: when
+// victims were given three seconds to save, no job that had to start within five seconds ever did.
 func (s *Scheduler) preemptionGrace(job *cluster.Job, machine *cluster.Machine, victim *cluster.Job) float64 {
 	grace := checkpointGrace(victim)
 	if grace == 0 {
--- a/internal/core/scheduler/team_limit.go
+++ b/internal/core/scheduler/team_limit.go
@@ -117,7 +117,8 @@
 }
 
 // additionalVictims chooses the victims of a team that have to stop in addition to the victims of
-// slots so that the limit allows a task in each slot; ok is false if all of them are not enough.
+// slots so that the limit allows a task in each slot; ok is false if all of them together are not
+// enough.
 func (s *Scheduler) additionalVictims(candidate *Candidate, slots, teamVictims []slot, used topology.Resources) (additional []slot, ok bool) {
 	shortage := teamlimit.Shortage{
 		Limit:    s.host.Limit(candidate.Job.Team),
--- a/internal/core/teamlimit/guarantee.go
+++ b/internal/core/teamlimit/guarantee.go
@@ -11,7 +11,7 @@
 // Claims determines which jobs are within quota: those that fit into their team's guarantee in
 // addition to the team's earlier jobs. A resource of which no team has a guarantee is ignored. A
 // team without any guarantee never has a job within quota: otherwise, where only GPUs are
-// guaranteed, its jobs without GPUs counted as guaranteed and came before those of other teams.
+// guaranteed, its jobs without GPUs would count as guaranteed and come before those of other teams.
 type Claims struct {
 	guarantees map[string]Guarantee
 	anyCPUs    bool // some team has a guarantee of CPUs
