--- a/internal/core/cluster/cluster_test.go
+++ b/internal/core/cluster/cluster_test.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// newTestJob makes an array of loaded tasks, each of one CPU.
+// newTestJob creates a loaded array job whose tasks use one CPU each.
 func newTestJob(id string, version uint64, tasks int) *Job {
 	spec := wire.Job{ID: id, Shape: wire.ShapeArray, Priority: wire.PriorityNormal, Tasks: tasks, CPUs: 1, Image: "image-" + id, ImageGB: 2}
 	job := NewJob(records.Open{Job: spec}, version)
@@ -26,30 +26,30 @@
 	return ids
 }
 
-// TestJobsBySubmission keeps jobs in the order of their submission, those of one transaction in
-// the order in which they were added.
+// TestJobsBySubmission checks that jobs are kept in submission order, and those of one transaction
+// in the order in which they were added.
 func TestJobsBySubmission(t *testing.T) {
 	state := NewState()
 	for _, job := range []*Job{newTestJob("c", 7, 1), newTestJob("a", 5, 1), newTestJob("d", 7, 1), newTestJob("b", 5, 1)} {
 		state.AddJob(job)
 	}
 	if got, want := jobIDs(state.JobsBySubmission), []string{"a", "b", "c", "d"}; !slices.Equal(got, want) {
-		t.Errorf("jobs %q, want %q", got, want)
+		t.Errorf("jobs by submission: got %q, want %q", got, want)
 	}
 	before := state.JobsBySubmission
 	state.DropJob(state.Jobs["c"])
 	if got, want := jobIDs(state.JobsBySubmission), []string{"a", "b", "d"}; !slices.Equal(got, want) {
-		t.Errorf("after c was dropped: jobs %q, want %q", got, want)
+		t.Errorf("jobs by submission after job c was dropped: got %q, want %q", got, want)
 	}
 	if got, want := jobIDs(before), []string{"a", "b", "c", "d"}; !slices.Equal(got, want) {
-		t.Errorf("a loop that began before sees %q, want %q", got, want)
+		t.Errorf("jobs visited by a loop that began before job c was dropped: got %q, want %q", got, want)
 	}
 	if state.Jobs["c"] != nil || len(state.Jobs) != 3 {
-		t.Errorf("%d jobs are known, c: %v", len(state.Jobs), state.Jobs["c"])
+		t.Errorf("jobs after job c was dropped: got %d, job c %v; want 3, job c nil", len(state.Jobs), state.Jobs["c"])
 	}
 }
 
-// TestMachinesByName drops a machine in a loop over all of them.
+// TestMachinesByName checks that a machine may be dropped in a loop over MachinesByName.
 func TestMachinesByName(t *testing.T) {
 	state := NewState()
 	for _, name := range []string{"n-2", "n-1", "n-3", "n-2"} {
@@ -63,14 +63,14 @@
 		}
 	}
 	if want := []string{"n-1", "n-2", "n-3"}; !slices.Equal(visited, want) {
-		t.Errorf("visited %q, want %q", visited, want)
+		t.Errorf("machines visited: got %q, want %q", visited, want)
 	}
 	if len(state.MachinesByName) != 2 || state.Machines["n-1"] != nil {
-		t.Errorf("%d machines left", len(state.MachinesByName))
+		t.Errorf("machines after n-1 was dropped: got %d, n-1 %v; want 2, n-1 nil", len(state.MachinesByName), state.Machines["n-1"])
 	}
 }
 
-// TestPendingTasks lists the tasks of a job of two that may be placed.
+// TestPendingTasks checks which tasks of a job with two tasks may be placed.
 func TestPendingTasks(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -80,39 +80,39 @@
 		{"none placed", func(*Job) {}, []int{0, 1}},
 		{"one done", func(job *Job) { job.TaskStates[0].Done, job.TasksDone = true, 1 }, []int{1}},
 		{"one placed", func(job *Job) { job.TaskStates[1].Machine, job.TasksPlaced = NewMachine("n-1", 0), 1 }, []int{0}},
-		{"one placed, of a gang", func(job *Job) {
+		{"one of a gang placed", func(job *Job) {
 			job.Shape = wire.ShapeGang
 			job.TaskStates[1].Machine, job.TasksPlaced = NewMachine("n-1", 0), 1
 		}, nil},
-		{"placements not read", func(job *Job) { job.Loaded = false }, nil},
+		{"placement records not read", func(job *Job) { job.Loaded = false }, nil},
 		{"dependencies not done", func(job *Job) { job.Waiting = true }, nil},
 		{"cancelled", func(job *Job) { job.Cancellation.Request(0) }, nil},
 		{"end being recorded", func(job *Job) { job.EndWritePending = true }, nil},
 		{"end recorded", func(job *Job) { job.EndRecorded = true }, nil},
-		{"open record to be read again", func(job *Job) { job.OpenVersionUnknown = true }, nil},
+		{"version of the open record unknown", func(job *Job) { job.OpenVersionUnknown = true }, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			job := newTestJob("a", 1, 2)
 			tc.change(job)
 			if got := job.PendingTasks(); !slices.Equal(got, tc.want) {
-				t.Errorf("tasks %v, want %v", got, tc.want)
+				t.Errorf("pending tasks: got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestPlacementRecordOf finds the record that covers each task.
+// TestPlacementRecordOf checks which record covers each task.
 func TestPlacementRecordOf(t *testing.T) {
 	job := newTestJob("a", 1, 5)
 	job.PlacementRecords = []PlacementRecord{{Key: "first", To: 2}, {Key: "second", From: 2, To: 3}, {Key: "third", From: 3, To: 5}}
 	for task, want := range []string{"first", "first", "second", "third", "third"} {
 		if got := job.PlacementRecordOf(task).Key; got != want {
-			t.Errorf("task %d is covered by the %s record, want the %s", task, got, want)
+			t.Errorf("record that covers task %d: got %s, want %s", task, got, want)
 		}
 	}
 }
 
-// TestReportedAttempt distinguishes an attempt from an earlier one that is listed as well.
+// TestReportedAttempt checks that an attempt is not confused with an earlier one that is also listed.
 func TestReportedAttempt(t *testing.T) {
 	machine := NewMachine("n-1", 0)
 	machine.ReportedTasks = []wire.TaskStatus{
@@ -120,14 +120,14 @@
 		{Task: "a/0", Attempt: 2, State: wire.TaskRunning},
 	}
 	if status, listed := machine.ReportedAttempt("a/0", 2); !listed || status.State != wire.TaskRunning {
-		t.Errorf("attempt 2: %+v, %v", status, listed)
+		t.Errorf("attempt 2: got %+v, listed %v; want state %v, listed true", status, listed, wire.TaskRunning)
 	}
 	if _, listed := machine.ReportedAttempt("a/0", 3); listed {
-		t.Error("attempt 3 is listed")
+		t.Error("attempt 3: got listed, want not listed")
 	}
 }
 
-// TestUsage adds tasks to a machine and removes them in a loop over its placements.
+// TestUsage checks a machine's usage as tasks are added, and removed in a loop over its placements.
 func TestUsage(t *testing.T) {
 	machine := NewMachine("n-1", 0)
 	job := newTestJob("a", 1, 3)
@@ -136,7 +136,7 @@
 		machine.AdjustUsage(job, 1)
 	}
 	if machine.Used.CPUs != 3 || machine.UsedByLevel[job.Level].CPUs != 3 {
-		t.Errorf("used %+v, by level %+v", machine.Used, machine.UsedByLevel)
+		t.Errorf("used by three tasks: got %+v, by level %+v; want 3 CPUs each", machine.Used, machine.UsedByLevel)
 	}
 	var visited []string
 	for _, placement := range machine.Placements {
@@ -145,15 +145,15 @@
 		machine.AdjustUsage(job, -1)
 	}
 	if want := []string{"a/0", "a/1", "a/2"}; !slices.Equal(visited, want) {
-		t.Errorf("visited %q, want %q", visited, want)
+		t.Errorf("placements visited: got %q, want %q", visited, want)
 	}
 	if len(machine.Placements) != 0 || machine.Used != (topology.Resources{}) {
-		t.Errorf("%d placements left, used %+v", len(machine.Placements), machine.Used)
+		t.Errorf("after all tasks were removed: got %d placements, used %+v; want none", len(machine.Placements), machine.Used)
 	}
 }
 
-// TestRefreshPulls keeps the pulls that tasks wait for: not of a cached image, and not for tasks
-// that are being stopped.
+// TestRefreshPulls checks that only pulls that tasks wait for are kept: none of a cached image, and
+// none for tasks that are being stopped.
 func TestRefreshPulls(t *testing.T) {
 	machine := NewMachine("n-1", 0)
 	waiting, cached, stopping := newTestJob("a", 1, 1), newTestJob("b", 2, 1), newTestJob("c", 3, 1)
@@ -162,15 +162,15 @@
 		machine.BeginPull(job.Image, job.ImageGB, time.Second)
 	}
 	if ahead := machine.PullsAhead("another image"); ahead != 3 {
-		t.Errorf("%d pulls ahead, want 3", ahead)
+		t.Errorf("pulls ahead: got %d, want 3", ahead)
 	}
 	machine.CachedImages = []Image{{Name: cached.Image, GB: 2}}
 	stopping.TaskStates[0].Stop = &StopRequest{}
 	machine.Refresh()
 	if len(machine.Pulls) != 1 || machine.Pulls[0].Name != waiting.Image {
-		t.Errorf("pulls %+v, want that of %s", machine.Pulls, waiting.Image)
+		t.Errorf("pulls: got %+v, want only that of %s", machine.Pulls, waiting.Image)
 	}
 	if machine.StoppingUse.CPUs != 1 {
-		t.Errorf("tasks being stopped use %+v, want one CPU", machine.StoppingUse)
+		t.Errorf("used by tasks being stopped: got %+v, want 1 CPU", machine.StoppingUse)
 	}
 }
--- a/internal/core/cluster/drain_reason.go
+++ b/internal/core/cluster/drain_reason.go
@@ -1,22 +1,22 @@
 package cluster
 
-// DrainReason is why a machine takes no more tasks, or is returned to the cloud. It is
-// empty for one that takes tasks. Its text is part of log lines.
+// DrainReason is why a machine accepts no new tasks or is returned to the cloud; empty if the
+// machine accepts tasks. Its text appears in log lines.
 type DrainReason string
 
 // Reasons to drain a machine.
 const (
-	DrainOutlier                 DrainReason = "tasks fail on it"
+	DrainOutlier                 DrainReason = "tasks fail on the machine"
 	DrainConsolidated            DrainReason = "its replicas fit on other machines"
 	DrainCancellationUnconfirmed DrainReason = "termination of cancelled tasks is not confirmed"
 	DrainDead                    DrainReason = "does not answer probes"
-	DrainListedFailed            DrainReason = "listed as failed"
+	DrainListedFailed            DrainReason = "cloud lists the machine as failed"
 	DrainSilent                  DrainReason = "heartbeats missed"
-	DrainLeaseExpiries           DrainReason = "its lease expires repeatedly"
+	DrainLeaseExpiries           DrainReason = "worker lease expired repeatedly"
 	DrainUnreachable             DrainReason = "unreachable for commands"
-	DrainUnlisted                DrainReason = "no longer listed"
+	DrainUnlisted                DrainReason = "no longer listed by the cloud"
 	DrainBootTimeout             DrainReason = "boot timeout"
 	DrainPreemptionNotice        DrainReason = "preemption notice"
 	DrainIdle                    DrainReason = "idle"
-	DrainCostly                  DrainReason = "too expensive for the best-effort work that alone runs on it"
+	DrainCostly                  DrainReason = "runs only best-effort tasks and is too expensive for them"
 )
--- a/internal/core/cluster/heartbeat_size.go
+++ b/internal/core/cluster/heartbeat_size.go
@@ -2,23 +2,25 @@
 
 import "github.com/brookwalk/brookwalk/wire"
 
-// A heartbeat and the answer to it may have 64 KiB, so a machine can hold only so many tasks,
-// however small. A machine whose heartbeats were larger was no longer heard: its lease expired, all
-// its tasks were lost, and it was filled again.
+// A heartbeat and its response are limited to 64 KiB, which limits the number of tasks per machine,
+// however small the tasks are. Without a limit on tasks, a machine's heartbeats grew too large to be
+// received: its lease expired, all its tasks were lost, and the machine was filled with tasks again.
 const (
-	// MaxHeartbeatBytes is the largest body of a heartbeat.
+	// MaxHeartbeatBytes is the maximum size of a heartbeat's body.
 	MaxHeartbeatBytes = 64 << 10
-	// TaskRowBytes is about the most that a task takes in a heartbeat or in an answer.
+	// TaskRowBytes is the approximate maximum size of a task's entry in a heartbeat or its
+	// response.
 	TaskRowBytes = 90
-	// MaxTaskRows leaves a quarter for tasks that have exited since the last heartbeat and
-	// for those about to be forgotten.
+	// MaxTaskRows is the maximum number of tasks of a machine. It reserves a quarter of the
+	// heartbeat for tasks that exited since the last heartbeat and for exited tasks that the
+	// worker is about to be told to forget.
 	MaxTaskRows = MaxHeartbeatBytes * 3 / 4 / TaskRowBytes
 )
 
-// TaskRowsLeft is how many more tasks fit into the machine's heartbeats.
+// TaskRowsLeft returns how many more tasks fit into the machine's heartbeats.
 func (m *Machine) TaskRowsLeft() int { return MaxTaskRows - len(m.Placements) - m.ReportedEnded }
 
-// CountExited counts the tasks of a heartbeat that have exited and are still listed.
+// CountExited counts the exited tasks that a heartbeat still lists.
 func CountExited(tasks []wire.TaskStatus) int {
 	n := 0
 	for i := range tasks {
--- a/internal/core/cluster/images.go
+++ b/internal/core/cluster/images.go
@@ -11,25 +11,26 @@
 	GB   float64
 }
 
-// ImagePull is an image that tasks placed on a machine wait for.
+// ImagePull is a pull of an image that tasks placed on a machine wait for.
 type ImagePull struct {
 	Name     string
-	Since    time.Duration // 0 if it is not known when it began
-	QueuedGB float64       // being pulled when it began
-	GB       float64
+	Since    time.Duration // when the pull began; 0 if unknown
+	QueuedGB float64       // total size of the machine's pulls in progress when this one began
+	GB       float64       // size of the image
 }
 
-// HasImage reports whether the machine is believed to hold an image.
+// HasImage reports whether an image is expected to be in the machine's cache.
 func (m *Machine) HasImage(name string) bool {
 	return slices.ContainsFunc(m.CachedImages, func(i Image) bool { return i.Name == name })
 }
 
-// PullIndex finds the pull of an image; -1 if there is none.
+// PullIndex returns the index of an image's pull in Pulls, or -1 if the image is not being pulled.
 func (m *Machine) PullIndex(name string) int {
 	return slices.IndexFunc(m.Pulls, func(p ImagePull) bool { return p.Name == name })
 }
 
-// PullsAhead counts the pulls that one of an image would begin behind.
+// PullsAhead returns the number of pulls that a pull of the image would queue behind; 0 if the
+// image is being pulled already.
 func (m *Machine) PullsAhead(name string) int {
 	if m.PullIndex(name) >= 0 {
 		return 0
@@ -37,7 +38,8 @@
 	return len(m.Pulls)
 }
 
-// BeginPull records that a task which needs an image is placed on the machine.
+// BeginPull records the pull of an image for a task placed on the machine, unless the image is
+// cached or being pulled already.
 func (m *Machine) BeginPull(name string, gb float64, since time.Duration) {
 	if m.HasImage(name) || m.PullIndex(name) >= 0 {
 		return
@@ -49,8 +51,8 @@
 	m.Pulls = append(m.Pulls, ImagePull{Name: name, Since: since, QueuedGB: ahead, GB: gb})
 }
 
-// RefreshPulls drops the pulls that no task on the machine waits for now, and adds those
-// of tasks that an earlier leader placed.
+// RefreshPulls removes the pulls that no task on the machine waits for any longer, and adds the
+// missing ones, such as those of tasks placed by an earlier leader.
 func (m *Machine) RefreshPulls() {
 	m.Pulls = slices.DeleteFunc(m.Pulls, func(p ImagePull) bool { return m.HasImage(p.Name) || !m.needsImage(p.Name) })
 	for _, p := range m.Placements {
@@ -60,7 +62,7 @@
 	}
 }
 
-// needsImage reports whether a task on the machine that is not being stopped needs an image.
+// needsImage reports whether the machine has a task that uses an image and is not being stopped.
 func (m *Machine) needsImage(name string) bool {
 	return slices.ContainsFunc(m.Placements, func(p TaskReference) bool {
 		return p.Job.Image == name && p.Task().Stop == nil
--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Machine is what the leader knows of a machine. Its fields are grouped by concern; each
-// group names the part of the leader that changes it. Everything else only reads.
+// Machine is the leader's state of a machine. Its fields are grouped by concern; the comment on each
+// group names the component of the leader that changes it. All others only read it.
 type Machine struct {
 	Identity
 	HeartbeatState
@@ -21,7 +21,7 @@
 	Reservation
 }
 
-// NewMachine makes a machine that becomes known now.
+// NewMachine creates a machine that is first seen now.
 func NewMachine(name string, now time.Duration) *Machine {
 	return &Machine{
 		Identity:     Identity{Name: name},
@@ -36,103 +36,104 @@
 	Name, Address, TypeName, Zone string
 	Spot                          bool
 	Described                     bool              // type and zone are known
-	MachineType                   *wire.MachineType // as the cloud last described it; nil if not known
-	MachineTypeGeneration         int               // of the cloud's answer that MachineType is from
+	MachineType                   *wire.MachineType // as last returned by the cloud; nil if unknown
+	MachineTypeGeneration         int               // of the cloud's response that MachineType is from
 }
 
-// HeartbeatState is what heartbeats and other messages of the worker have shown.
+// HeartbeatState is the state reported by heartbeats and other messages of the worker.
 // Reconciliation sets it.
 type HeartbeatState struct {
 	Incarnation, Sequence                   uint64 // of the newest message
 	HeartbeatIncarnation, HeartbeatSequence uint64 // of the newest heartbeat
-	FencingToken                            uint64 // highest that the worker has reported
+	FencingToken                            uint64 // highest token that the worker has reported
 	LastHeartbeat                           time.Duration
-	HeartbeatController                     string        // by which the last heartbeat came
-	RegularSince                            time.Duration // heartbeats have come regularly since then
-	LastAnswered                            time.Duration // last heartbeat that was answered in this term
-	LeaseExtendedAt                         time.Duration // last extension of its lease by an unreachable controller
-	LastContact                             time.Duration // last answer to a probe or a direct command
+	HeartbeatController                     string        // controller that forwarded the last heartbeat
+	RegularSince                            time.Duration // start of the current period of regular heartbeats
+	LastAnswered                            time.Duration // when a heartbeat was last answered in this term
+	LeaseExtendedAt                         time.Duration // last lease extension by a controller without contact to the leader
+	LastContact                             time.Duration // last response to a probe or a direct command
 	FirstHeartbeat                          time.Duration
-	ReportedTasks                           []wire.TaskStatus // of the newest message, by name and attempt
-	ReportedEnded                           int               // of them, those of tasks that have exited
-	LeaseExpired                            bool              // its lease expired while it was silent
-	NewerIncarnationAt                      time.Duration     // when a direct answer showed an incarnation that no heartbeat had
-	LeaseExpiries                           int               // leases that expired while it answered
-	UnreachableSince                        time.Duration     // commands have not reached it since then, though its heartbeats arrive; 0 if they do
+	ReportedTasks                           []wire.TaskStatus // from the newest message, by name and attempt
+	ReportedEnded                           int               // number of ReportedTasks that have exited
+	LeaseExpired                            bool              // its lease expired while it sent no heartbeats
+	NewerIncarnationAt                      time.Duration     // when a direct response showed an incarnation newer than any heartbeat's
+	LeaseExpiries                           int               // times its lease expired while it was responding
+	UnreachableSince                        time.Duration     // since when its heartbeats arrive but commands do not reach it; 0 if they do
 }
 
 // CommandState is the state of direct commands and probes. Reconciliation sets it.
 type CommandState struct {
 	OpenDirectCalls   int
 	DirectRetryAt     time.Duration
-	UnconfirmedStarts map[AttemptID]int // direct starts whose outcome is unknown
-	ProbeOpen         bool
-	NextProbeAt       time.Duration
-	LastProbeFailure  time.Duration // when the last probe without an answer was sent
+	UnconfirmedStarts map[AttemptID]int // number of direct starts whose outcome is unknown
+	ProbeOpen         bool              // a probe or a term announcement is in progress
+	NextProbeAt       time.Duration     // earliest time of the next probe
+	LastProbeFailure  time.Duration     // when the last probe that failed was sent
 }
 
-// LifeCycle is the machine's life in the cloud. The inventory sets what the cloud lists,
-// provisioning and health checks the rest.
+// LifeCycle is the machine's life cycle in the cloud. The inventory sets what the cloud lists;
+// provisioning and health checks set the rest.
 type LifeCycle struct {
 	ListedAs             wire.MachineState
 	ListedAt             time.Duration
 	CreatedAt            time.Duration // estimate of when it was provisioned
-	ProvisionRequestedAt time.Duration // when this leader asked for it; 0 if another one did
-	PreemptionAt         time.Duration // when the cloud takes it back by its preemption notice; 0 without one
-	DrainReason          DrainReason   // why it takes no more tasks; empty if it does
-	DrainedAt            time.Duration // since when
-	Evicting             bool          // its tasks are stopped, to run elsewhere
+	ProvisionRequestedAt time.Duration // when this leader requested it; 0 if another leader did
+	PreemptionAt         time.Duration // when the cloud reclaims it, by its preemption notice; 0 without one
+	DrainReason          DrainReason   // why it accepts no new tasks; empty if it does
+	DrainedAt            time.Duration // when DrainReason was set by cordoning the machine
+	Evicting             bool          // its tasks are being stopped, to run elsewhere
 	Returning            bool          // its return to the cloud was requested
 }
 
-// Usage is what counts on the machine. Only placing and unplacing a task changes it.
+// Usage is the set of tasks that occupy the machine, and the resources they use. Only placing and
+// unplacing a task changes it.
 type Usage struct {
-	// Placements is ordered by name. It is replaced and never changed in place, so that
-	// a loop over it may unplace tasks; one that is unplaced on the way no longer has
-	// this machine.
+	// Placements is ordered by name. It is copied on every change, so that a loop over it may
+	// unplace tasks. A task that was unplaced during the loop no longer refers to this machine.
 	Placements          []TaskReference
 	Used                topology.Resources
-	UsedByLevel         [PriorityLevels]topology.Resources // by priority level
-	CheckpointedByLevel [PriorityLevels]topology.Resources // of it, by tasks that save checkpoints
-	StoppingUse         topology.Resources                 // by tasks that are being stopped, as of the last pass
+	UsedByLevel         [PriorityLevels]topology.Resources // Used, by priority level
+	CheckpointedByLevel [PriorityLevels]topology.Resources // part of UsedByLevel used by tasks that save checkpoints
+	StoppingUse         topology.Resources                 // used by tasks being stopped, as of the last Refresh
 	EvaluationStale     bool                               // its tasks or images have changed since the last Refresh
 	IdleSince           time.Duration
-	GuaranteedTasks     int           // tasks of teams that are not best-effort
-	GuaranteedUntil     time.Duration // when the last of them was unplaced
+	GuaranteedTasks     int           // number of tasks of teams that are not best-effort
+	GuaranteedUntil     time.Duration // when the last such task was unplaced
 }
 
-// ImageState is which images the machine is believed to hold and to pull. Reconciliation and
-// placing tasks change it.
+// ImageState is the expected state of the machine's image cache and pulls. Reconciliation and task
+// placement change it.
 type ImageState struct {
-	CachedImages []Image     // latest use first
-	Pulls        []ImagePull // images that its tasks wait for, in their order
+	CachedImages []Image     // most recently used first
+	Pulls        []ImagePull // images that its tasks wait for, in pull order
 }
 
-// Reservation reserves a machine whose tasks are preempted for the job that they make room for.
-// Preemption sets it.
+// Reservation reserves a machine for a job while tasks on the machine are preempted to make room
+// for that job. Preemption sets it.
 type Reservation struct {
 	ReservedFor   *Job
 	ReservedUntil time.Duration
-	ReservedTasks int // how many of the job's tasks it is reserved for
+	ReservedTasks int // number of the job's tasks that the machine is reserved for
 }
 
-// Offer is what the machine was provisioned as.
+// Offer returns the cloud offer (type, zone, spot or not) that the machine was provisioned from.
 func (m *Machine) Offer() provisioning.Offer {
 	return provisioning.Offer{Type: m.TypeName, Zone: m.Zone, Spot: m.Spot}
 }
 
-// ProvisioningKind names the machines whose provisioning latencies are alike.
+// ProvisioningKind returns the class of machines whose provisioning latencies are comparable.
 func (m *Machine) ProvisioningKind() bootlatency.Kind {
 	return bootlatency.Kind{Type: m.TypeName, Zone: m.Zone}
 }
 
-// HeartbeatExpected reports whether heartbeats are expected of the machine: it has sent one,
-// or tasks are recorded on it.
+// HeartbeatExpected reports whether heartbeats are expected from the machine: it has sent one, or
+// tasks are placed on it.
 func (m *Machine) HeartbeatExpected() bool { return m.LastHeartbeat != 0 || len(m.Placements) > 0 }
 
-// ReportedAttempt finds an attempt at a task in the newest message. A worker lists an earlier
-// attempt that has exited beside the present one until it is told to forget it; mistaken for
-// the present one, it made a running task seem to have vanished, and the task ran twice.
+// ReportedAttempt returns the status of an attempt at a task in the newest message. A worker lists
+// an earlier, exited attempt in addition to the current one until it is told to forget it. When the
+// earlier attempt was mistaken for the current one, the running task seemed to be missing and was
+// started a second time.
 func (m *Machine) ReportedAttempt(task string, attempt uint64) (wire.TaskStatus, bool) {
 	for i := range m.ReportedTasks {
 		if m.ReportedTasks[i].Task == task && m.ReportedTasks[i].Attempt == attempt {
@@ -142,7 +143,8 @@
 	return wire.TaskStatus{}, false
 }
 
-// SettleDirectStarts records that no further copy of direct starts can arrive.
+// SettleDirectStarts records that no further copies of the attempts' direct start commands can
+// arrive.
 func (m *Machine) SettleDirectStarts(attempts []AttemptID) {
 	for _, id := range attempts {
 		if m.UnconfirmedStarts[id]--; m.UnconfirmedStarts[id] <= 0 {
--- a/internal/core/cluster/placement_record.go
+++ b/internal/core/cluster/placement_record.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// PlacementRecord is one of a job's placement records: it covers a range of tasks.
-// Persistence changes it.
+// PlacementRecord is the state of one of a job's placement records, each of which covers a range of
+// tasks. Persistence changes it.
 type PlacementRecord struct {
 	Key            string
-	From, To       int           // tasks, To is exclusive
-	Version        uint64        // 0 if it is not on record
-	Dirty          bool          // it has changed since it was written
-	DueAt          time.Duration // when it is to be written, if dirty
+	From, To       int           // range of tasks; To is exclusive
+	Version        uint64        // 0 if the record is not stored
+	Dirty          bool          // the placements have changed since the record was written
+	DueAt          time.Duration // when the record is to be written, if dirty
 	VersionUnknown bool          // the version has to be read again
 	WritePending   bool
 }
 
-// PlacementRecordOf is the record that covers a task.
+// PlacementRecordOf returns the record that covers a task.
 func (j *Job) PlacementRecordOf(task int) *PlacementRecord {
 	n, _ := slices.BinarySearchFunc(j.PlacementRecords, task, func(record PlacementRecord, task int) int {
 		switch {
@@ -31,7 +31,7 @@
 	return &j.PlacementRecords[n]
 }
 
-// PlacementKeys lists the keys of a job's placement records that are on record.
+// PlacementKeys lists the keys of the job's stored placement records.
 func (j *Job) PlacementKeys() []string {
 	keys := slices.Clone(j.SupersededKeys)
 	for i := range j.PlacementRecords {
@@ -42,7 +42,7 @@
 	return keys
 }
 
-// RecordKeys lists the keys that a job's end deletes in addition to its open record.
+// RecordKeys lists the keys, other than that of the open record, that are deleted when the job ends.
 func (j *Job) RecordKeys() []string {
 	return append(j.PlacementKeys(), j.DependencyList.Keys()...)
 }
--- a/internal/core/cluster/priority.go
+++ b/internal/core/cluster/priority.go
@@ -8,8 +8,8 @@
 // PriorityLevels is the number of priority levels.
 const PriorityLevels = provisioning.PriorityLevels
 
-// PriorityLevel maps the priorities of the protocol to levels; a higher one may preempt a
-// lower one.
+// PriorityLevel maps the protocol's priorities to levels; tasks of a higher level may preempt those
+// of a lower one.
 var PriorityLevel = map[wire.Priority]int{
 	wire.PriorityCritical: 3,
 	wire.PriorityUrgent:   2,
--- a/internal/core/cluster/state.go
+++ b/internal/core/cluster/state.go
@@ -7,23 +7,22 @@
 	"time"
 )
 
-// State is all jobs and machines that a leader knows, in the orders in which they are
-// iterated over. The zero value is not ready for use.
+// State holds all jobs and machines that a leader knows, both indexed and in iteration order. The
+// zero value is not ready for use.
 type State struct {
-	Jobs             map[string]*Job // by ID; their ends are not recorded
+	Jobs             map[string]*Job // by ID; only jobs whose end is not recorded
 	JobsBySubmission []*Job
 	Machines         map[string]*Machine // by name
-	// MachinesByName is replaced and never changed in place, so that a loop over it may
-	// drop machines.
+	// MachinesByName is copied on every change, so that a loop over it may remove machines.
 	MachinesByName []*Machine
 }
 
-// NewState makes a state without jobs and machines.
+// NewState creates a state without jobs and machines.
 func NewState() State {
 	return State{Jobs: map[string]*Job{}, Machines: map[string]*Machine{}}
 }
 
-// AddJob adds a job behind those that were submitted before it.
+// AddJob adds a job, in submission order.
 func (s *State) AddJob(job *Job) {
 	s.Jobs[job.ID] = job
 	at := sort.Search(len(s.JobsBySubmission), func(i int) bool {
@@ -32,7 +31,8 @@
 	s.JobsBySubmission = slices.Insert(s.JobsBySubmission, at, job)
 }
 
-// DropJob forgets a job. A loop over JobsBySubmission continues over the jobs that it began with.
+// DropJob removes a job. A loop over JobsBySubmission that is in progress still visits all the jobs
+// that were listed when it began.
 func (s *State) DropJob(job *Job) {
 	delete(s.Jobs, job.ID)
 	first := sort.Search(len(s.JobsBySubmission), func(i int) bool {
@@ -46,7 +46,7 @@
 	}
 }
 
-// MachineNamed finds a machine; one that is not known is added, as known from now on.
+// MachineNamed returns the machine of a name, and adds it as created now if it is unknown.
 func (s *State) MachineNamed(name string, now time.Duration) *Machine {
 	if m := s.Machines[name]; m != nil {
 		return m
@@ -60,7 +60,7 @@
 	return m
 }
 
-// DropMachine forgets a machine.
+// DropMachine removes a machine. A loop over MachinesByName that is in progress still visits it.
 func (s *State) DropMachine(m *Machine) {
 	delete(s.Machines, m.Name)
 	m.ReservedFor = nil
--- a/internal/core/cluster/usage.go
+++ b/internal/core/cluster/usage.go
@@ -8,7 +8,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// AddTask makes a task count on the machine.
+// AddTask adds a task to the machine's placements.
 func (m *Machine) AddTask(task TaskReference) {
 	at, _ := slices.BinarySearchFunc(m.Placements, task.Name, func(r TaskReference, name string) int {
 		return strings.Compare(r.Name, name)
@@ -20,7 +20,7 @@
 	m.EvaluationStale = true
 }
 
-// RemoveTask makes a task no longer count on the machine.
+// RemoveTask removes a task from the machine's placements.
 func (m *Machine) RemoveTask(job *Job, index int) {
 	placements := make([]TaskReference, 0, len(m.Placements))
 	for _, r := range m.Placements {
@@ -32,7 +32,7 @@
 	m.EvaluationStale = true
 }
 
-// PlacementOf finds the task of a name that counts on the machine; nil if there is none.
+// PlacementOf returns the task of the given name that occupies the machine; nil if there is none.
 func (m *Machine) PlacementOf(name string) *Task {
 	for i := range m.Placements {
 		if m.Placements[i].Name == name {
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// AdjustUsage adds a number of a job's tasks to what the machine's tasks use; a negative
+// AdjustUsage adds the resources of a number of a job's tasks to the machine's usage; a negative
 // number subtracts them.
 func (m *Machine) AdjustUsage(job *Job, tasks int) {
 	size := TaskSize(&job.Job).Times(tasks)
@@ -53,15 +53,15 @@
 	}
 }
 
-// ClearUsage sets what the tasks use to exactly nothing, once the last one is removed: sums of
-// fractions leave a remainder.
+// ClearUsage sets the machine's usage to exactly zero, once the last task is removed: adding and
+// subtracting fractions leaves rounding errors.
 func (m *Machine) ClearUsage() {
 	m.Used = topology.Resources{}
 	m.UsedByLevel = [PriorityLevels]topology.Resources{}
 	m.CheckpointedByLevel = [PriorityLevels]topology.Resources{}
 }
 
-// Refresh computes what the tasks that are being stopped use, and which images the machine pulls.
+// Refresh recomputes the resources used by tasks that are being stopped and the machine's pulls.
 func (m *Machine) Refresh() {
 	m.EvaluationStale = false
 	m.StoppingUse = topology.Resources{}
@@ -73,8 +73,8 @@
 	}
 }
 
-// RunsReplicasOnly reports whether the machine runs replicas of services and nothing else, none
-// of which starts or is being stopped.
+// RunsReplicasOnly reports whether the machine has tasks and all of them are service replicas in the
+// running state that are not being stopped.
 func (m *Machine) RunsReplicasOnly() bool {
 	for _, r := range m.Placements {
 		t := r.Task()
