--- a/internal/core/reconcile/commands.go
+++ b/internal/core/reconcile/commands.go
@@ -5,8 +5,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Commands lists the commands that a worker is to get now, by the leader of a term. It records
-// which starts go out with them.
+// Commands returns the commands that the leader of a term should send to a worker now. It records
+// the start commands among them as sent.
 func Commands(machine *cluster.Machine, jobs map[string]*cluster.Job, term uint64) []wire.Command {
 	commands := []wire.Command{}
 	for _, placement := range machine.Placements {
@@ -20,7 +20,7 @@
 		}
 		switch {
 		case listed.State != wire.TaskExited:
-			// A start that was overtaken, or an attempt that is over.
+			// A start that has been superseded, or an attempt that has ended.
 			commands = append(commands, immediateStop(listed.Task, listed.Attempt))
 		case MayForget(machine, jobs, listed, term):
 			commands = append(commands, wire.Command{Verb: wire.VerbForget, Task: listed.Task, Attempt: listed.Attempt})
@@ -29,7 +29,7 @@
 	return commands
 }
 
-// appendPlaced appends the commands for a task that counts on the machine.
+// appendPlaced appends the commands for a task that occupies the machine.
 func appendPlaced(commands []wire.Command, name string, task *cluster.Task) []wire.Command {
 	if task.Observed {
 		return appendStop(commands, name, task)
@@ -41,15 +41,15 @@
 	task.StartSent = true
 	commands = append(commands, wire.Command{Verb: wire.VerbStart, Task: name, Attempt: task.Attempt})
 	if task.Stop != nil {
-		// A copy of the start may still be under way. Starting and stopping the task here
-		// pins the attempt, so that the copy has no effect when it arrives.
+		// A duplicate of the start command may still be in flight. Starting and stopping the
+		// attempt makes it known to the worker, so that the duplicate has no effect.
 		commands = append(commands, immediateStop(name, task.Attempt))
 	}
 	return commands
 }
 
-// appendStop appends the command to stop a task that a heartbeat has shown, unless the task is
-// to run on or saves its checkpoint within the grace period.
+// appendStop appends the command to stop a task that a heartbeat has listed, unless no stop was
+// requested or the task is saving its checkpoint and is not to be killed.
 func appendStop(commands []wire.Command, name string, task *cluster.Task) []wire.Command {
 	if task.Stop == nil {
 		return commands
@@ -64,14 +64,14 @@
 	return append(commands, wire.Command{Verb: wire.VerbStop, Task: name, Attempt: task.Attempt, GracePeriodS: &grace})
 }
 
-// immediateStop is the command that stops a task without a checkpoint.
+// immediateStop returns the command that stops a task without a grace period for a checkpoint.
 func immediateStop(name string, attempt uint64) wire.Command {
 	grace := 0.0
 	return wire.Command{Verb: wire.VerbStop, Task: name, Attempt: attempt, GracePeriodS: &grace}
 }
 
-// MayForget reports whether an exited task may be removed from the worker's heartbeats: its
-// outcome is on record, and no copy of its start can still arrive, which would start it again.
+// MayForget reports whether the worker may forget an exited task and stop listing it: its outcome
+// is recorded, and no duplicate of its start command can still arrive and start it again.
 func MayForget(machine *cluster.Machine, jobs map[string]*cluster.Job, exited wire.TaskStatus, term uint64) bool {
 	attempt := cluster.AttemptID{Task: exited.Task, Attempt: exited.Attempt}
 	if machine.UnconfirmedStarts[attempt] > 0 || machine.FencingToken < term {
@@ -90,7 +90,7 @@
 	return !job.EndWritePending
 }
 
-// startedAttempts lists the attempts that commands start.
+// startedAttempts lists the attempts that the commands start.
 func startedAttempts(commands []wire.Command) []cluster.AttemptID {
 	var attempts []cluster.AttemptID
 	for _, command := range commands {
--- a/internal/core/reconcile/commands_test.go
+++ b/internal/core/reconcile/commands_test.go
@@ -12,14 +12,14 @@
 
 const testTerm = 5
 
-// newTestJob makes a job of one task, whose placement record covers it.
+// newTestJob creates a job with one task and a placement record that covers it.
 func newTestJob(id string) *cluster.Job {
 	job := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Tasks: 1}}, 1)
 	job.PlacementRecords = []cluster.PlacementRecord{{To: 1}}
 	return job
 }
 
-// placeTask makes a job's only task, in a given state, count on a machine.
+// placeTask places a job's only task, in the given state, on a machine.
 func placeTask(machine *cluster.Machine, job *cluster.Job, task cluster.Task) cluster.TaskReference {
 	task.Machine = machine
 	job.TaskStates[0] = task
@@ -27,11 +27,11 @@
 	return machine.Placements[0]
 }
 
-// TestCommands checks the commands about one task that counts on the worker's machine or is
-// listed by it.
+// TestCommands checks the commands for one task that occupies the worker's machine or is listed by
+// the worker.
 func TestCommands(t *testing.T) {
 	const name = "job-101/0"
-	onRecord := cluster.Task{Attempt: 2, Persisted: true, PlacedThisTerm: true}
+	persisted := cluster.Task{Attempt: 2, Persisted: true, PlacedThisTerm: true}
 	running := wire.TaskStatus{Task: name, Attempt: 2, State: wire.TaskRunning}
 	exited := wire.TaskStatus{Task: name, Attempt: 2, State: wire.TaskExited, Cause: wire.CauseDone}
 	with := func(t cluster.Task, change func(*cluster.Task)) *cluster.Task {
@@ -40,82 +40,82 @@
 	}
 	for _, tc := range []struct {
 		name   string
-		placed *cluster.Task     // nil if none counts there
-		listed []wire.TaskStatus // by the worker
+		placed *cluster.Task     // nil if no task occupies the machine
+		listed []wire.TaskStatus // tasks that the worker lists
 		change func(job *cluster.Job, machine *cluster.Machine)
 		want   []string
 	}{
-		{name: "a start on record", placed: &onRecord, want: []string{"run 2"}},
-		{name: "a start that is not on record", placed: with(onRecord, func(t *cluster.Task) { t.Persisted = false })},
-		{name: "a start of an earlier term", placed: with(onRecord, func(t *cluster.Task) { t.PlacedThisTerm = false })},
-		{name: "a start in another incarnation", placed: with(onRecord, func(t *cluster.Task) { t.Incarnation = 7 })},
+		{name: "persisted placement", placed: &persisted, want: []string{"run 2"}},
+		{name: "placement not persisted", placed: with(persisted, func(t *cluster.Task) { t.Persisted = false })},
+		{name: "placed in an earlier term", placed: with(persisted, func(t *cluster.Task) { t.PlacedThisTerm = false })},
+		{name: "placed for another incarnation", placed: with(persisted, func(t *cluster.Task) { t.Incarnation = 7 })},
 		{
-			name:   "a stop before the start was sent",
-			placed: with(onRecord, func(t *cluster.Task) { t.Stop = &cluster.StopRequest{} }),
+			name:   "stop requested before the start was sent",
+			placed: with(persisted, func(t *cluster.Task) { t.Stop = &cluster.StopRequest{} }),
 		},
 		{
-			name:   "a stop while a copy of the start may arrive",
-			placed: with(onRecord, func(t *cluster.Task) { t.StartSent, t.Stop = true, &cluster.StopRequest{} }),
+			name:   "stop requested while a duplicate of the start may arrive",
+			placed: with(persisted, func(t *cluster.Task) { t.StartSent, t.Stop = true, &cluster.StopRequest{} }),
 			want:   []string{"run 2", "kill 2 in 0 s"},
 		},
 		{
-			name:   "a running task",
-			placed: with(onRecord, func(t *cluster.Task) { t.Observed, t.State = true, wire.TaskRunning }),
+			name:   "running task",
+			placed: with(persisted, func(t *cluster.Task) { t.Observed, t.State = true, wire.TaskRunning }),
 			listed: []wire.TaskStatus{running},
 		},
 		{
-			name: "a running task to save a checkpoint",
-			placed: with(onRecord, func(t *cluster.Task) {
+			name: "stop of a running task with a grace period",
+			placed: with(persisted, func(t *cluster.Task) {
 				t.Observed, t.State, t.Stop = true, wire.TaskRunning, &cluster.StopRequest{GracePeriodS: 5}
 			}),
 			listed: []wire.TaskStatus{running},
 			want:   []string{"kill 2 in 5 s"},
 		},
 		{
-			name: "a task that saves a checkpoint",
-			placed: with(onRecord, func(t *cluster.Task) {
+			name: "task saving a checkpoint",
+			placed: with(persisted, func(t *cluster.Task) {
 				t.Observed, t.State, t.Stop = true, wire.TaskCheckpointing, &cluster.StopRequest{GracePeriodS: 5}
 			}),
 		},
 		{
-			name: "a task that saves a checkpoint for too long",
-			placed: with(onRecord, func(t *cluster.Task) {
+			name: "task that takes too long to save a checkpoint",
+			placed: with(persisted, func(t *cluster.Task) {
 				t.Observed, t.State, t.Stop = true, wire.TaskCheckpointing, &cluster.StopRequest{GracePeriodS: 5, Killed: true}
 			}),
 			want: []string{"kill 2 in 0 s"},
 		},
-		{name: "a task that counts nowhere", listed: []wire.TaskStatus{running}, want: []string{"kill 2 in 0 s"}},
+		{name: "listed task without a placement", listed: []wire.TaskStatus{running}, want: []string{"kill 2 in 0 s"}},
 		{
-			name:   "another attempt than the one that counts",
-			placed: with(onRecord, func(t *cluster.Task) { t.Attempt, t.Observed = 3, true }),
+			name:   "listed attempt other than the placed one",
+			placed: with(persisted, func(t *cluster.Task) { t.Attempt, t.Observed = 3, true }),
 			listed: []wire.TaskStatus{running},
 			want:   []string{"kill 2 in 0 s"},
 		},
-		{name: "an exit on record", listed: []wire.TaskStatus{exited}, want: []string{"reap 2"}},
+		{name: "recorded exit", listed: []wire.TaskStatus{exited}, want: []string{"reap 2"}},
 		{
-			name:   "an exit that is not on record",
+			name:   "exit not recorded",
 			listed: []wire.TaskStatus{exited},
 			change: func(job *cluster.Job, machine *cluster.Machine) { job.PlacementRecords[0].Dirty = true },
 		},
 		{
-			name:   "an exit whose record is being written",
+			name:   "exit whose record is being written",
 			listed: []wire.TaskStatus{exited},
 			change: func(job *cluster.Job, machine *cluster.Machine) { job.PlacementRecords[0].WritePending = true },
 		},
 		{
-			name:   "an exit in a job whose end is being recorded",
+			name:   "exit of a job whose end is being recorded",
 			listed: []wire.TaskStatus{exited},
 			change: func(job *cluster.Job, machine *cluster.Machine) { job.EndWritePending = true },
 		},
 		{
-			name:   "an exit of an attempt of which a copy may arrive",
+			name:   "exit of an attempt with an unconfirmed start",
 			listed: []wire.TaskStatus{exited},
 			change: func(job *cluster.Job, machine *cluster.Machine) {
 				machine.UnconfirmedStarts[cluster.AttemptID{Task: name, Attempt: 2}] = 1
 			},
 		},
 		{
-			name:   "an exit on a worker that has not heard this term",
+			name:   "exit on a worker that has not seen this term",
 			listed: []wire.TaskStatus{exited},
 			change: func(job *cluster.Job, machine *cluster.Machine) { machine.FencingToken = testTerm - 1 },
 		},
@@ -135,13 +135,13 @@
 				got = append(got, commandText(command))
 			}
 			if !slices.Equal(got, tc.want) {
-				t.Errorf("commands %q, want %q", got, tc.want)
+				t.Errorf("commands: got %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// commandText shows a command's verb, attempt and grace.
+// commandText formats a command's verb, attempt and grace period.
 func commandText(c wire.Command) string {
 	text := fmt.Sprintf("%s %d", c.Verb, c.Attempt)
 	if c.GracePeriodS != nil {
--- a/internal/core/reconcile/direct_call.go
+++ b/internal/core/reconcile/direct_call.go
@@ -7,11 +7,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// DirectCall is a call that sends commands to a worker's address, until it has returned.
+// DirectCall is a call that sends commands directly to a worker's address.
 type DirectCall struct {
 	machine     *cluster.Machine
-	incarnation uint64 // of the worker, as the call begins
-	starts      []cluster.AttemptID
+	incarnation uint64              // of the worker when the call began
+	starts      []cluster.AttemptID // attempts that the commands start
 }
 
 // CanCallDirectly reports whether the leader of a term may send commands to a worker directly now.
@@ -20,7 +20,7 @@
 	return reachable && machine.OpenDirectCalls == 0 && now >= machine.DirectRetryAt
 }
 
-// BeginDirectCall records that commands are sent directly to the worker's present incarnation.
+// BeginDirectCall records that commands are sent directly to the worker's current incarnation.
 func BeginDirectCall(machine *cluster.Machine, commands []wire.Command) *DirectCall {
 	starts := startedAttempts(commands)
 	for _, attempt := range starts {
@@ -30,19 +30,20 @@
 	return &DirectCall{machine: machine, incarnation: machine.Incarnation, starts: starts}
 }
 
-// End records that the call has returned, with whatever result.
+// End records that the call has returned, whether it succeeded or failed.
 func (c *DirectCall) End() { c.machine.OpenDirectCalls-- }
 
-// SettleStarts records that the outcome of the commands is known: no further copy of their starts
-// can arrive. Those of an earlier incarnation are forgotten already.
+// SettleStarts records that the outcome of the commands is known: no duplicate of their start
+// commands can arrive any more. Unconfirmed starts of an earlier incarnation have been removed
+// already.
 func (c *DirectCall) SettleStarts() {
 	if c.machine.Incarnation == c.incarnation {
 		c.machine.SettleDirectStarts(c.starts)
 	}
 }
 
-// Fail records that the worker did not answer the call with its state. It is not called directly
-// for a while.
+// Fail records that the worker did not respond to the call with its state. No further direct calls
+// are made to the worker for half a worker lease.
 func (c *DirectCall) Fail(now time.Duration, timing Timing) {
 	c.machine.DirectRetryAt = now + timing.WorkerLease/2
 }
--- a/internal/core/reconcile/direct_call_test.go
+++ b/internal/core/reconcile/direct_call_test.go
@@ -9,22 +9,22 @@
 )
 
 // TestSettleStarts checks that a direct start counts as unconfirmed until its outcome is known, and
-// that the outcome of an earlier incarnation's call settles nothing of the present one.
+// that the outcome of a call to an earlier incarnation does not settle starts of the current one.
 func TestSettleStarts(t *testing.T) {
 	attempt := cluster.AttemptID{Task: "job-101/0", Attempt: 2}
 	commands := []wire.Command{{Verb: wire.VerbStart, Task: attempt.Task, Attempt: attempt.Attempt}, immediateStop("job-101/1", 1)}
 	for _, tc := range []struct {
 		name  string
 		after func(machine *cluster.Machine, call *DirectCall)
-		want  int // unconfirmed starts of the attempt
+		want  int // number of unconfirmed starts of the attempt
 	}{
-		{"under way", func(*cluster.Machine, *DirectCall) {}, 1},
-		{"returned without a known outcome", func(_ *cluster.Machine, call *DirectCall) { call.End() }, 1},
-		{"settled", func(_ *cluster.Machine, call *DirectCall) { call.End(); call.SettleStarts() }, 0},
-		{"a new incarnation", func(machine *cluster.Machine, call *DirectCall) {
+		{"call in progress", func(*cluster.Machine, *DirectCall) {}, 1},
+		{"call returned, outcome unknown", func(_ *cluster.Machine, call *DirectCall) { call.End() }, 1},
+		{"starts settled", func(_ *cluster.Machine, call *DirectCall) { call.End(); call.SettleStarts() }, 0},
+		{"new incarnation", func(machine *cluster.Machine, call *DirectCall) {
 			RecordIncarnation(machine, &wire.Heartbeat{Incarnation: 4}, time.Hour)
 		}, 0},
-		{"settled after the same start went to a new incarnation", func(machine *cluster.Machine, call *DirectCall) {
+		{"starts settled after the same start was sent to a new incarnation", func(machine *cluster.Machine, call *DirectCall) {
 			RecordIncarnation(machine, &wire.Heartbeat{Incarnation: 4}, time.Hour)
 			BeginDirectCall(machine, commands)
 			call.End()
@@ -36,11 +36,11 @@
 			machine.Incarnation = 3
 			tc.after(machine, BeginDirectCall(machine, commands))
 			if got := machine.UnconfirmedStarts[attempt]; got != tc.want {
-				t.Errorf("%d unconfirmed starts, want %d", got, tc.want)
+				t.Errorf("unconfirmed starts of %v: got %d, want %d", attempt, got, tc.want)
 			}
 			for other := range machine.UnconfirmedStarts {
 				if other != attempt {
-					t.Errorf("unconfirmed start of %v", other)
+					t.Errorf("unconfirmed starts: got one of %v, want only those of %v", other, attempt)
 				}
 			}
 		})
@@ -56,17 +56,17 @@
 		want   bool
 	}{
 		{"reachable", func(*cluster.Machine) {}, true},
-		{"its address is not known", func(machine *cluster.Machine) { machine.Address = "" }, false},
-		{"it has not heard this term", func(machine *cluster.Machine) { machine.FencingToken = testTerm - 1 }, false},
+		{"address unknown", func(machine *cluster.Machine) { machine.Address = "" }, false},
+		{"worker has not seen this term", func(machine *cluster.Machine) { machine.FencingToken = testTerm - 1 }, false},
 		{"being returned", func(machine *cluster.Machine) { machine.Returning = true }, false},
-		{"a call is open", func(machine *cluster.Machine) { BeginDirectCall(machine, nil) }, false},
-		{"a call has ended", func(machine *cluster.Machine) { BeginDirectCall(machine, nil).End() }, true},
-		{"a call has failed", func(machine *cluster.Machine) {
+		{"call in progress", func(machine *cluster.Machine) { BeginDirectCall(machine, nil) }, false},
+		{"call ended", func(machine *cluster.Machine) { BeginDirectCall(machine, nil).End() }, true},
+		{"call failed less than half a lease ago", func(machine *cluster.Machine) {
 			call := BeginDirectCall(machine, nil)
 			call.End()
 			call.Fail(now-testTiming.WorkerLease/2+1, testTiming)
 		}, false},
-		{"a call failed half a lease ago", func(machine *cluster.Machine) {
+		{"call failed half a lease ago", func(machine *cluster.Machine) {
 			call := BeginDirectCall(machine, nil)
 			call.End()
 			call.Fail(now-testTiming.WorkerLease/2, testTiming)
@@ -77,7 +77,7 @@
 			machine.Address, machine.FencingToken = "10.1.0.1:9000", testTerm
 			tc.change(machine)
 			if got := CanCallDirectly(machine, testTerm, now); got != tc.want {
-				t.Errorf("can call %v, want %v", got, tc.want)
+				t.Errorf("CanCallDirectly: got %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/reconcile/health.go
+++ b/internal/core/reconcile/health.go
@@ -7,42 +7,44 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// HealthCheck finds the machines that are silent, dead or unreachable at one moment. The maps
-// and functions are the leader's; the check only reads them.
+// HealthCheck determines which machines are silent, dead or unreachable at the time Now. The maps
+// and functions belong to the leader; the check only reads them.
 type HealthCheck struct {
 	Timing
 	Now             time.Duration
 	RecordsLoadedAt time.Duration            // when this leader's records were loaded
-	PartitionedAt   map[string]time.Duration // when a zone was last seen partitioned
-	ZoneReachedAt   map[string]time.Duration // when a machine of a zone was last reached directly
+	PartitionedAt   map[string]time.Duration // when a zone was last found partitioned, by zone
+	ZoneReachedAt   map[string]time.Duration // when a machine of a zone last answered directly, by zone
 
-	// ZoneLost reports whether a zone has controllers and none of them is heard.
+	// ZoneLost reports whether a zone has controllers and none of them is reachable.
 	ZoneLost func(zone string) bool
-	// LeaseExpired reports whether a silent worker's lease has certainly expired.
+	// LeaseExpired reports whether a silent worker's lease is guaranteed to have expired.
 	LeaseExpired func(machine *cluster.Machine) bool
 }
 
-// silenceCount counts the machines of a zone, or those whose heartbeats came by one controller.
+// silenceCount counts the machines of a zone, or those whose last heartbeat came through one
+// controller.
 type silenceCount struct {
-	expected int // machines of which heartbeats are expected
-	overdue  int // that missed a heartbeat
-	silent   int // that missed several, their leases not known to have expired
+	expected int // machines from which heartbeats are expected
+	overdue  int // machines that missed a heartbeat
+	silent   int // machines that missed several, and whose leases are not known to have expired
 }
 
-// mostOverdue reports whether most of the machines missed a heartbeat, and more than a few.
+// mostOverdue reports whether more than two machines, and more than half, missed a heartbeat.
 func (c silenceCount) mostOverdue() bool { return isMajority(c.overdue, c.expected) }
 
-// mostSilent reports whether most of the machines missed several heartbeats, and more than a few.
+// mostSilent reports whether more than two machines, and more than half, missed several heartbeats.
 func (c silenceCount) mostSilent() bool { return isMajority(c.silent, c.expected) }
 
-// isMajority reports whether a part is more than half of all, and more than two.
+// isMajority reports whether part is more than half of all, and more than two.
 func isMajority(part, all int) bool { return part > 2 && part*2 > all }
 
-// SilenceSurvey is how many machines are silent at a moment, and where.
+// SilenceSurvey holds the numbers of silent machines by zone and by controller.
 type SilenceSurvey struct {
 	byZone       map[string]silenceCount
 	byController map[string]silenceCount
-	// mostSilent: a partition of this controller is more likely than the machines' death.
+	// mostSilent is true if most of all machines are silent. A partition of this controller is
+	// then more likely than the failure of the machines.
 	mostSilent bool
 }
 
@@ -63,7 +65,7 @@
 	return survey
 }
 
-// count adds a machine to a survey, and reports whether it is silent.
+// count adds a machine to the counts of its zone and controller, and reports whether it is silent.
 func (h *HealthCheck) count(survey *SilenceSurvey, machine *cluster.Machine) (silent bool) {
 	zone, controller := survey.byZone[machine.Zone], survey.byController[machine.HeartbeatController]
 	zone.expected++
@@ -74,8 +76,8 @@
 		controller.overdue++
 	}
 	silent = silence > h.silentAfter()
-	// The heartbeats of one that a new leader has not heard yet may go to a leader of an
-	// earlier term.
+	// A machine without a heartbeat in this term may still send its heartbeats to a leader of an
+	// earlier term, so its lease is not checked.
 	if silent && silence < h.MaxLeaseExtension && (machine.LastHeartbeat == 0 || !h.LeaseExpired(machine)) {
 		zone.silent++
 	}
@@ -83,10 +85,11 @@
 	return silent
 }
 
-// PartitionedZones lists, in no order, the zones that are partitioned from this controller. Most
-// machines of a zone at once are more likely partitioned, and run on under a controller there,
-// than dead; so is a zone of a machine or two, if its controllers are unreachable along with all
-// of them.
+// PartitionedZones lists, in no particular order, the zones that are partitioned from this
+// controller. If most machines of a zone become silent at once, a partition is more likely than
+// their failure, and the machines keep running under a controller in that zone. The same holds for
+// a zone with only one or two machines if all of them are silent and none of its controllers is
+// reachable.
 func (h *HealthCheck) PartitionedZones(survey *SilenceSurvey) []string {
 	var partitioned []string
 	for zone, count := range survey.byZone {
@@ -98,7 +101,7 @@
 	return partitioned
 }
 
-// ProbeDue reports whether a machine's heartbeat is overdue, so that the machine is to be probed.
+// ProbeDue reports whether a machine is to be probed because its heartbeat is overdue.
 func (h *HealthCheck) ProbeDue(machine *cluster.Machine) bool {
 	if machine.LastHeartbeat != 0 && h.Now-machine.LastHeartbeat <= h.HeartbeatOverdueAfter() {
 		return false
@@ -106,10 +109,11 @@
 	return machine.HeartbeatExpected() || machine.ListedAs == wire.MachineRunning
 }
 
-// maxLeaseExpiries is how often a worker's lease may expire though the worker answers.
+// maxLeaseExpiries is the number of lease expiries after which a machine is returned although its
+// worker still responds.
 const maxLeaseExpiries = 3
 
-// UnhealthyReason returns why a machine is to be returned; empty if it is not.
+// UnhealthyReason returns why a machine is to be returned to the cloud; empty if it is healthy.
 func (h *HealthCheck) UnhealthyReason(machine *cluster.Machine, survey *SilenceSurvey) cluster.DrainReason {
 	maxSilence := 2 * h.LeaseExpiryBound()
 	if survey.mostSilent {
@@ -130,25 +134,27 @@
 	return ""
 }
 
-// silence is how long nothing was heard of a machine while it could have been.
+// silence returns the time since the last heartbeat or direct response of a machine. The time before
+// this leader loaded its records, and before the zone was last found partitioned, does not count.
 func (h *HealthCheck) silence(machine *cluster.Machine) time.Duration {
 	return h.Now - max(machine.LastHeartbeat, machine.LastContact, h.RecordsLoadedAt, h.PartitionedAt[machine.Zone])
 }
 
-// IsDead reports whether a silent machine is dead, hangs or is partitioned alone: it does not
-// answer this controller either, though others of its zone do and it has had the time to find
-// another controller. Its return frees its tasks sooner than its lease, however many fail at
-// once. A leader that was partitioned from the workers once returned those that took longest to
-// find another controller.
+// IsDead reports whether a silent machine has failed, hangs, or is the only one partitioned: it does
+// not answer this controller's probes, although other machines of its zone do, and it has had enough
+// time to switch to another controller. Returning such a machine releases its tasks before its lease
+// expires, no matter how many machines fail at once. Without these conditions, a leader that was
+// partitioned from the workers returned those that took longest to switch controllers.
 //
-// A machine of a zone that has just been partitioned must not be mistaken for a dead one because
-// its heartbeat was due a little earlier than the others': by the time it seems dead all of the
-// zone has missed a heartbeat. With heartbeats as far apart as the workers' change of controllers
-// takes, a third of a partitioned zone was returned before the zone counted as partitioned. The
-// same holds for those whose heartbeats came by a controller which is now unreachable. Those that a
-// new leader has not heard yet are not such a group, though all of them are silent: when they were
-// treated as one, machines that hung at a failover were considered dead no sooner than their
-// leases expired.
+// A machine of a zone that has just been partitioned must not be considered dead only because its
+// heartbeat was due slightly earlier than those of the other machines. By the time it would be
+// considered dead, all machines of the zone have missed a heartbeat, so the machine is not
+// considered dead while most machines of its zone are overdue. Without this rule, and with a
+// heartbeat interval as long as workerFailoverTime, a third of a partitioned zone was returned
+// before the zone counted as partitioned. The same rule applies to the machines whose last
+// heartbeats came through the same controller, which may have become unreachable. It does not apply
+// to the machines that have not sent a heartbeat to a new leader yet: when they were treated as such
+// a group, machines that hung during a failover were considered dead only once their leases expired.
 func (h *HealthCheck) IsDead(machine *cluster.Machine, survey *SilenceSurvey) bool {
 	probeFailed := machine.LastProbeFailure > max(machine.LastHeartbeat, h.RecordsLoadedAt)
 	if !machine.HeartbeatExpected() || !probeFailed || h.silence(machine) <= h.deadAfter() {
@@ -161,14 +167,14 @@
 	return h.pathVerified(machine, zone.expected)
 }
 
-// pathVerified reports whether the network path to a silent machine works: another machine of
-// its zone has answered since the probe that failed. Where it is the zone's only one, a machine
-// of any zone counts, unless the zone's controllers are lost too.
+// pathVerified reports whether the network path to a silent machine works: another machine of its
+// zone has answered since the failed probe. If the machine is the only one of its zone, an answer
+// from any zone is sufficient, unless the zone's controllers are unreachable too.
 func (h *HealthCheck) pathVerified(machine *cluster.Machine, machinesInZone int) bool {
 	if machinesInZone > 1 {
 		return h.ZoneReachedAt[machine.Zone] > machine.LastProbeFailure
 	}
-	for _, reachedAt := range h.ZoneReachedAt { // in any order: one suffices
+	for _, reachedAt := range h.ZoneReachedAt { // order does not matter: one is enough
 		if reachedAt > machine.LastProbeFailure {
 			return !h.ZoneLost(machine.Zone)
 		}
--- a/internal/core/reconcile/health_test.go
+++ b/internal/core/reconcile/health_test.go
@@ -16,7 +16,7 @@
 	MaxLeaseExtension: 240 * time.Second,
 }
 
-// newHealthCheck makes a check long after the leader's records were loaded. No lease has expired.
+// newHealthCheck creates a check long after the leader's records were loaded. No lease has expired.
 func newHealthCheck() *HealthCheck {
 	return &HealthCheck{
 		Timing:          testTiming,
@@ -29,7 +29,7 @@
 	}
 }
 
-// newMachines makes machines of a zone, the first of which have been silent for some time.
+// newMachines creates machines of a zone, the first of which have been silent for the given time.
 func newMachines(check *HealthCheck, zone string, count, silent int, silence time.Duration) []*cluster.Machine {
 	machines := make([]*cluster.Machine, count)
 	for i := range machines {
@@ -45,8 +45,8 @@
 	return machines
 }
 
-// TestPartitionedZones checks that a zone counts as partitioned when most of its machines are
-// silent at once, and a small one only if its controllers are lost too.
+// TestPartitionedZones checks that a zone counts as partitioned when most of its machines are silent
+// at once, and a small zone only if its controllers are unreachable too.
 func TestPartitionedZones(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -55,17 +55,17 @@
 		change        func(check *HealthCheck)
 		want          bool
 	}{
-		{name: "most are silent", count: 5, silent: 3, silence: 7 * time.Second, want: true},
-		{name: "half are silent", count: 6, silent: 3, silence: 7 * time.Second},
-		{name: "they only missed a heartbeat", count: 5, silent: 5, silence: 5 * time.Second},
-		{name: "a small zone", count: 2, silent: 2, silence: 7 * time.Second},
+		{name: "most machines silent", count: 5, silent: 3, silence: 7 * time.Second, want: true},
+		{name: "half of the machines silent", count: 6, silent: 3, silence: 7 * time.Second},
+		{name: "all machines missed only one heartbeat", count: 5, silent: 5, silence: 5 * time.Second},
+		{name: "small zone", count: 2, silent: 2, silence: 7 * time.Second},
 		{
-			name: "a small zone whose controllers are lost", count: 2, silent: 2, silence: 7 * time.Second,
+			name: "small zone whose controllers are unreachable", count: 2, silent: 2, silence: 7 * time.Second,
 			change: func(check *HealthCheck) { check.ZoneLost = func(zone string) bool { return zone == "a" } },
 			want:   true,
 		},
 		{
-			name: "their leases have expired", count: 5, silent: 5, silence: 7 * time.Second,
+			name: "leases expired", count: 5, silent: 5, silence: 7 * time.Second,
 			change: func(check *HealthCheck) { check.LeaseExpired = func(*cluster.Machine) bool { return true } },
 		},
 		{name: "silent for longer than leases are extended", count: 5, silent: 5, silence: 240 * time.Second},
@@ -82,7 +82,7 @@
 				want = []string{"a"}
 			}
 			if got := check.PartitionedZones(check.Survey(machines)); !slices.Equal(got, want) {
-				t.Errorf("partitioned zones %q, want %q", got, want)
+				t.Errorf("partitioned zones: got %q, want %q", got, want)
 			}
 		})
 	}
@@ -100,10 +100,10 @@
 		{"silent for two leases", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.LastHeartbeat = check.Now - maxSilence
 		}, ""},
-		{"silent for longer", func(check *HealthCheck, machine *cluster.Machine) {
+		{"silent for longer than two leases", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.LastHeartbeat = check.Now - maxSilence - 1
 		}, cluster.DrainSilent},
-		{"silent, in a zone that was partitioned lately", func(check *HealthCheck, machine *cluster.Machine) {
+		{"silent, in a zone that was partitioned recently", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.LastHeartbeat = check.Now - maxSilence - 1
 			check.PartitionedAt["a"] = check.Now - time.Second
 		}, ""},
@@ -111,27 +111,27 @@
 			machine.LastHeartbeat = check.Now - maxSilence - 1
 			check.RecordsLoadedAt = check.Now - time.Second
 		}, ""},
-		{"silent, while most machines are", func(check *HealthCheck, machine *cluster.Machine) {
+		{"silent, like most machines", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.LastHeartbeat = check.Now - maxSilence - 1
 			check.Now += 7 * time.Second // the others' last heartbeats are as old
 		}, ""},
-		{"its probe failed, and another machine answered since", func(check *HealthCheck, machine *cluster.Machine) {
+		{"probe failed, another machine has answered since", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.LastHeartbeat = check.Now - testTiming.deadAfter() - 1
 			machine.LastProbeFailure = check.Now - 2
 			check.ZoneReachedAt["a"] = check.Now - 1
 		}, cluster.DrainDead},
-		{"its probe failed, and no machine answered since", func(check *HealthCheck, machine *cluster.Machine) {
+		{"probe failed, no machine has answered since", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.LastHeartbeat = check.Now - testTiming.deadAfter() - 1
 			machine.LastProbeFailure = check.Now - 2
 			check.ZoneReachedAt["a"] = check.Now - 2
 		}, ""},
-		{"its probe failed, while most machines of its zone miss a heartbeat", func(check *HealthCheck, machine *cluster.Machine) {
+		{"probe failed, most machines of the zone missed a heartbeat", func(check *HealthCheck, machine *cluster.Machine) {
 			check.Now += testTiming.HeartbeatOverdueAfter() + 1 // the others' last heartbeats are as old
 			machine.LastHeartbeat = check.Now - testTiming.deadAfter() - 1
 			machine.LastProbeFailure = check.Now - 2
 			check.ZoneReachedAt["a"] = check.Now - 1
 		}, ""},
-		{"its probe failed before its last heartbeat", func(check *HealthCheck, machine *cluster.Machine) {
+		{"probe failed before the last heartbeat", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.LastHeartbeat = check.Now - testTiming.deadAfter() - 1
 			machine.LastProbeFailure = machine.LastHeartbeat
 			check.ZoneReachedAt["a"] = check.Now - 1
@@ -139,14 +139,14 @@
 		{"listed as failed", func(_ *HealthCheck, machine *cluster.Machine) {
 			machine.ListedAs = wire.MachineFailed
 		}, cluster.DrainListedFailed},
-		{"its lease expired twice", func(_ *HealthCheck, machine *cluster.Machine) { machine.LeaseExpiries = 2 }, ""},
-		{"its lease expired three times", func(_ *HealthCheck, machine *cluster.Machine) {
+		{"lease expired twice", func(_ *HealthCheck, machine *cluster.Machine) { machine.LeaseExpiries = 2 }, ""},
+		{"lease expired three times", func(_ *HealthCheck, machine *cluster.Machine) {
 			machine.LeaseExpiries = 3
 		}, cluster.DrainLeaseExpiries},
 		{"unreachable for a lease", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.UnreachableSince = check.Now - testTiming.WorkerLease
 		}, ""},
-		{"unreachable for longer", func(check *HealthCheck, machine *cluster.Machine) {
+		{"unreachable for longer than a lease", func(check *HealthCheck, machine *cluster.Machine) {
 			machine.UnreachableSince = check.Now - testTiming.WorkerLease - 1
 		}, cluster.DrainUnreachable},
 	} {
@@ -155,14 +155,14 @@
 			machines := newMachines(check, "a", 5, 0, 0)
 			tc.change(check, machines[0])
 			if got := check.UnhealthyReason(machines[0], check.Survey(machines)); got != tc.want {
-				t.Errorf("reason %q, want %q", got, tc.want)
+				t.Errorf("unhealthy reason: got %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestDetectUnreachable checks that a machine whose heartbeats arrive regularly, while the start
-// of a task never shows in them, counts as unreachable for commands.
+// TestDetectUnreachable checks that a machine counts as unreachable for commands if its heartbeats
+// arrive regularly but never list a task whose start is overdue.
 func TestDetectUnreachable(t *testing.T) {
 	now := time.Hour
 	for _, tc := range []struct {
@@ -170,14 +170,14 @@
 		change func(machine *cluster.Machine, task *cluster.Task)
 		want   bool
 	}{
-		{"the start does not show", func(*cluster.Machine, *cluster.Task) {}, true},
+		{"task never listed", func(*cluster.Machine, *cluster.Task) {}, true},
 		{"placed a moment ago", func(_ *cluster.Machine, task *cluster.Task) { task.PlacedAt = now - 8*time.Second }, false},
-		{"silent", func(machine *cluster.Machine, _ *cluster.Task) { machine.LastHeartbeat = now - 4*time.Second }, false},
-		{"heartbeats that were held back", func(machine *cluster.Machine, _ *cluster.Task) { machine.RegularSince = now - 8*time.Second }, false},
-		{"the start has shown", func(_ *cluster.Machine, task *cluster.Task) { task.Observed = true }, false},
-		{"the placement is not on record", func(_ *cluster.Machine, task *cluster.Task) { task.Persisted = false }, false},
+		{"heartbeat overdue", func(machine *cluster.Machine, _ *cluster.Task) { machine.LastHeartbeat = now - 4*time.Second }, false},
+		{"delayed heartbeats arrived at once", func(machine *cluster.Machine, _ *cluster.Task) { machine.RegularSince = now - 8*time.Second }, false},
+		{"task listed", func(_ *cluster.Machine, task *cluster.Task) { task.Observed = true }, false},
+		{"placement not persisted", func(_ *cluster.Machine, task *cluster.Task) { task.Persisted = false }, false},
 		{"placed in an earlier term", func(_ *cluster.Machine, task *cluster.Task) { task.PlacedThisTerm = false }, false},
-		{"known already", func(machine *cluster.Machine, _ *cluster.Task) { machine.UnreachableSince = time.Minute }, false},
+		{"already known to be unreachable", func(machine *cluster.Machine, _ *cluster.Task) { machine.UnreachableSince = time.Minute }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			machine := cluster.NewMachine("n-1", 0)
@@ -188,36 +188,36 @@
 			tc.change(machine, placement.Task())
 			known := machine.UnreachableSince
 			if got := DetectUnreachable(machine, placement.Task(), now, testTiming); got != tc.want {
-				t.Errorf("detected %v, want %v", got, tc.want)
+				t.Errorf("DetectUnreachable: got %v, want %v", got, tc.want)
 			}
 			want := known
 			if tc.want {
 				want = now
 			}
 			if machine.UnreachableSince != want {
-				t.Errorf("unreachable since %v, want %v", machine.UnreachableSince, want)
+				t.Errorf("UnreachableSince: got %v, want %v", machine.UnreachableSince, want)
 			}
 		})
 	}
 }
 
-// TestDeadAmongOthers checks that a machine whose probe failed is not considered dead while its
-// silence may be that of its zone, of its controller or of this leader's network.
-func TestDeadAmongOthers(t *testing.T) {
+// TestIsDead checks that a machine whose probe failed is not considered dead if a partition of its
+// zone, of its controller or of this leader may explain its silence.
+func TestIsDead(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		// change sets who else is silent: the machine is the first of zoneA.
+		// change makes other machines silent. The machine to check is the first of zoneA.
 		change func(check *HealthCheck, zoneA, zoneB []*cluster.Machine)
 		want   bool
 	}{
-		{"it alone is silent", func(*HealthCheck, []*cluster.Machine, []*cluster.Machine) {}, true},
-		{"its zone misses heartbeats", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+		{"no other machine silent", func(*HealthCheck, []*cluster.Machine, []*cluster.Machine) {}, true},
+		{"heartbeats of its zone missed", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
 			for i, machine := range zoneA {
 				machine.HeartbeatController = fmt.Sprintf("n%d", i)
 			}
 			missHeartbeat(check, zoneA[1:4])
 		}, false},
-		{"its controller's machines miss heartbeats", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+		{"heartbeats through its controller missed", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
 			for _, machine := range zoneB {
 				machine.HeartbeatController = "n1"
 			}
@@ -226,13 +226,13 @@
 			}
 			missHeartbeat(check, zoneB[:6])
 		}, false},
-		{"another controller's machines miss heartbeats", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+		{"heartbeats through another controller missed", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
 			for _, machine := range zoneB {
 				machine.HeartbeatController = "n1"
 			}
 			missHeartbeat(check, zoneB[:6])
 		}, true},
-		{"most machines are silent", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
+		{"most machines silent", func(check *HealthCheck, zoneA, zoneB []*cluster.Machine) {
 			for _, machine := range zoneB {
 				machine.HeartbeatController = "n1"
 				machine.LastHeartbeat = check.Now - testTiming.silentAfter() - 1
@@ -248,7 +248,7 @@
 			tc.change(check, zoneA, zoneB)
 			survey := check.Survey(append(append([]*cluster.Machine{}, zoneA...), zoneB...))
 			if got := check.IsDead(zoneA[0], survey); got != tc.want {
-				t.Errorf("dead %v, want %v", got, tc.want)
+				t.Errorf("IsDead: got %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -10,8 +10,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// RecordHeartbeat records that a heartbeat arrived now by a controller. The heartbeat must be
-// newer than the machine's last one: a late or repeated copy must not refresh anything.
+// RecordHeartbeat records a heartbeat that arrived now through a controller. The heartbeat must be
+// newer than the machine's last one: a delayed or duplicate heartbeat must not update any state.
 func RecordHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, controller string, now time.Duration, timing Timing) {
 	machine.HeartbeatIncarnation, machine.HeartbeatSequence = heartbeat.Incarnation, heartbeat.Sequence
 	if machine.FirstHeartbeat == 0 {
@@ -23,18 +23,18 @@
 	machine.LastHeartbeat, machine.HeartbeatController = now, controller
 }
 
-// RecordAnswer records that a heartbeat is answered now in this term: the answer renews the
-// worker's lease.
+// RecordAnswer records that a heartbeat is answered now in this term, which renews the worker's
+// lease.
 func RecordAnswer(machine *cluster.Machine, now time.Duration) { machine.LastAnswered = now }
 
-// RecordLeaseExtension records that another controller extended the worker's lease at a time.
-// A later extension may be known already.
+// RecordLeaseExtension records that another controller extended the worker's lease at the given
+// time. Extensions may be recorded out of order; the latest one is kept.
 func RecordLeaseExtension(machine *cluster.Machine, at time.Duration) {
 	machine.LeaseExtendedAt = max(machine.LeaseExtendedAt, at)
 }
 
-// RecordDirectStatus records that a worker answered a probe or a direct command now with its
-// state.
+// RecordDirectStatus records that a worker responded with its state to a probe or a direct command
+// now.
 func RecordDirectStatus(machine *cluster.Machine, status *wire.Heartbeat, now time.Duration) {
 	machine.LastContact = now
 	if machine.Incarnation != 0 && status.Incarnation > machine.Incarnation {
@@ -42,8 +42,8 @@
 	}
 }
 
-// RecordIncarnation records the incarnation and the sequence of a worker's newest message. It
-// reports whether the worker's lease has expired since the message before.
+// RecordIncarnation records the incarnation and the sequence number of a worker's newest message. It
+// reports whether the worker's lease has expired since the previous message.
 func RecordIncarnation(machine *cluster.Machine, message *wire.Heartbeat, now time.Duration) (leaseExpired bool) {
 	if message.Incarnation != machine.Incarnation {
 		leaseExpired = machine.Incarnation != 0 && message.Incarnation > machine.Incarnation
@@ -56,30 +56,30 @@
 	return leaseExpired
 }
 
-// beginIncarnation resets what was known of the incarnation before.
+// beginIncarnation resets the state of the previous incarnation.
 func beginIncarnation(machine *cluster.Machine, now time.Duration) {
 	machine.UnconfirmedStarts = map[cluster.AttemptID]int{}
-	// The new incarnation's lease began with it, at the latest now, whatever was last
-	// answered: an incarnation that a direct answer showed must not seem to have expired by
-	// the clock of the one before.
+	// The lease of the new incarnation began no later than now, so it is counted from now and not
+	// from the last response to the previous incarnation. Otherwise the lease of an incarnation
+	// first seen in a direct response could seem to have expired already.
 	machine.LastAnswered = now
 	machine.LeaseExpired = false
 	machine.UnreachableSince = 0
 }
 
-// RecordFencingToken records the highest term that a worker has heard.
+// RecordFencingToken records the highest term that a worker has seen.
 func RecordFencingToken(machine *cluster.Machine, token, term uint64, now time.Duration) {
 	if machine.FencingToken < term && token >= term {
-		// Until the worker heard this term, a leader of an earlier one may have renewed its
-		// lease, whatever late copy of a heartbeat was answered here: the lease is counted
-		// from now. Counted from the copy it seemed to have expired, and the worker's tasks
-		// ran twice.
+		// Until the worker saw this term, a leader of an earlier term may have renewed its
+		// lease, so the lease is counted from now. When it was counted from the response to a
+		// delayed duplicate of a heartbeat, it was found expired too early, and the worker's
+		// tasks ran twice.
 		machine.LastAnswered = now
 	}
 	machine.FencingToken = max(machine.FencingToken, token)
 }
 
-// RecordReportedTasks records the tasks of a worker's newest message.
+// RecordReportedTasks records the tasks that a worker's newest message lists.
 func RecordReportedTasks(machine *cluster.Machine, tasks []wire.TaskStatus) {
 	machine.ReportedTasks, machine.ReportedEnded = tasks, cluster.CountExited(tasks)
 	slices.SortFunc(machine.ReportedTasks, func(a, b wire.TaskStatus) int {
--- a/internal/core/reconcile/heartbeat_test.go
+++ b/internal/core/reconcile/heartbeat_test.go
@@ -8,9 +8,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestLeaseRestarts checks from when a worker's lease counts: not from the answer to an earlier
-// incarnation, and not from one that a leader of an earlier term may have followed by its own.
-func TestLeaseRestarts(t *testing.T) {
+// TestLeaseCountedFrom checks the time from which a worker's lease is counted: not from a response to
+// an earlier incarnation, and not from a response that preceded a renewal by a leader of an earlier
+// term.
+func TestLeaseCountedFrom(t *testing.T) {
 	const answered, now = time.Minute, time.Hour
 	for _, tc := range []struct {
 		name                string
@@ -21,9 +22,9 @@
 		wantToken           uint64
 		wantStartsForgotten bool
 	}{
-		{"the same incarnation and term", 3, testTerm, answered, 0, testTerm, false},
-		{"a later incarnation", 4, testTerm, now, 1, testTerm, true},
-		{"an earlier token", 3, testTerm - 2, answered, 0, testTerm - 1, false},
+		{"same incarnation and term", 3, testTerm, answered, 0, testTerm, false},
+		{"later incarnation", 4, testTerm, now, 1, testTerm, true},
+		{"earlier token", 3, testTerm - 2, answered, 0, testTerm - 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			machine := cluster.NewMachine("n-1", 0)
@@ -33,23 +34,23 @@
 			expired := RecordIncarnation(machine, message, now)
 			RecordFencingToken(machine, message.FencingToken, testTerm, now)
 			if machine.LastAnswered != tc.wantAnswered || machine.LeaseExpiries != tc.wantExpiries || machine.FencingToken != tc.wantToken {
-				t.Errorf("answered at %v, %d expiries, token %d; want %v, %d, %d", machine.LastAnswered,
+				t.Errorf("last answered, lease expiries, fencing token: got %v, %d, %d; want %v, %d, %d", machine.LastAnswered,
 					machine.LeaseExpiries, machine.FencingToken, tc.wantAnswered, tc.wantExpiries, tc.wantToken)
 			}
 			if expired != (tc.wantExpiries > 0) {
-				t.Errorf("expired %v", expired)
+				t.Errorf("lease expired: got %v, want %v", expired, tc.wantExpiries > 0)
 			}
 			if forgotten := len(machine.UnconfirmedStarts) == 0; forgotten != tc.wantStartsForgotten {
-				t.Errorf("unconfirmed starts forgotten %v, want %v", forgotten, tc.wantStartsForgotten)
+				t.Errorf("unconfirmed starts forgotten: got %v, want %v", forgotten, tc.wantStartsForgotten)
 			}
 		})
 	}
-	t.Run("the worker hears this term", func(t *testing.T) {
+	t.Run("worker sees this term for the first time", func(t *testing.T) {
 		machine := cluster.NewMachine("n-1", 0)
 		machine.FencingToken, machine.LastAnswered = testTerm-1, answered
 		RecordFencingToken(machine, testTerm, testTerm, now)
 		if machine.LastAnswered != now || machine.FencingToken != testTerm {
-			t.Errorf("answered at %v, token %d; want %v, %d", machine.LastAnswered, machine.FencingToken, now, testTerm)
+			t.Errorf("last answered, fencing token: got %v, %d; want %v, %d", machine.LastAnswered, machine.FencingToken, now, testTerm)
 		}
 	})
 }
--- a/internal/core/reconcile/probes.go
+++ b/internal/core/reconcile/probes.go
@@ -7,7 +7,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// CanProbe reports whether a probe may be sent to a machine now, as far as the machine goes.
+// CanProbe reports whether the state of a machine allows a probe to be sent to it now.
 func CanProbe(machine *cluster.Machine, now time.Duration) bool {
 	return machine.Address != "" && !machine.ProbeOpen && now >= machine.NextProbeAt && !machine.Returning
 }
@@ -18,28 +18,32 @@
 	machine.NextProbeAt = now + 2*timing.HeartbeatInterval
 }
 
-// BeginAnnouncement records that this term is announced to a worker; no probe is sent meanwhile.
+// BeginAnnouncement records that this term is being announced to a worker, to which no probe is sent
+// in the meantime.
 func BeginAnnouncement(machine *cluster.Machine) { machine.ProbeOpen = true }
 
 // EndProbe records that a probe or an announcement has returned.
 func EndProbe(machine *cluster.Machine) { machine.ProbeOpen = false }
 
-// RecordProbeFailure records that a probe which was sent at a time got no answer.
+// RecordProbeFailure records that the probe sent at the given time was not answered.
 func RecordProbeFailure(machine *cluster.Machine, sentAt time.Duration) {
 	machine.LastProbeFailure = sentAt
 }
 
-// ProbeReference finds a machine to probe when a silent one does not answer its probe; nil if there
-// is none to probe. Only if the reference, which was heard lately, does answer is the silent
-// machine at fault, and not the network path to it. The reference is of the same zone, or of any if
-// that zone has no other machine: the only machine of the leader's own zone was considered dead no
-// sooner than its lease expired where the heartbeats of all others came by other controllers, since
-// nothing showed that any path worked.
+// ProbeReference returns the reference machine to probe after a silent machine did not answer its
+// own probe; nil if there is none or if the path was verified recently. The reference has sent a
+// heartbeat recently. Only if it answers its probe is the silent machine at fault, and not the
+// network path to it.
+//
+// The reference is in the same zone, or in any zone if that zone has no other machine. Without the
+// second case, the only machine of the leader's zone was considered dead only once its lease expired
+// if the heartbeats of all other machines came through other controllers: nothing showed that any
+// path worked.
 func (h *HealthCheck) ProbeReference(silent *cluster.Machine, machines []*cluster.Machine) *cluster.Machine {
 	aloneInZone := !slices.ContainsFunc(machines, func(machine *cluster.Machine) bool {
 		return machine != silent && machine.Zone == silent.Zone && machine.HeartbeatExpected()
 	})
-	var reference *cluster.Machine // the one heard last
+	var reference *cluster.Machine // the one with the latest heartbeat
 	for _, machine := range machines {
 		if !aloneInZone && machine.Zone != silent.Zone || !CanProbe(machine, h.Now) {
 			continue
@@ -52,7 +56,7 @@
 		return nil
 	}
 	if h.Now-h.ZoneReachedAt[reference.Zone] <= h.ProbeTimeout()/2 {
-		return nil // the path was verified just now
+		return nil // the path was verified a moment ago
 	}
 	return reference
 }
--- a/internal/core/reconcile/probes_test.go
+++ b/internal/core/reconcile/probes_test.go
@@ -7,8 +7,8 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// TestCanProbe checks that a machine gets one probe at a time, and the next one two heartbeat
-// intervals later at the earliest.
+// TestCanProbe checks that a machine is sent one probe at a time, at least two heartbeat intervals
+// apart.
 func TestCanProbe(t *testing.T) {
 	now := time.Hour
 	for _, tc := range []struct {
@@ -17,11 +17,11 @@
 		want   bool
 	}{
 		{"never probed", func(*cluster.Machine) {}, true},
-		{"its address is not known", func(machine *cluster.Machine) { machine.Address = "" }, false},
+		{"address unknown", func(machine *cluster.Machine) { machine.Address = "" }, false},
 		{"being returned", func(machine *cluster.Machine) { machine.Returning = true }, false},
-		{"a probe is open", func(machine *cluster.Machine) { BeginProbe(machine, now-time.Minute, testTiming) }, false},
-		{"the term is being announced", BeginAnnouncement, false},
-		{"probed a moment ago", func(machine *cluster.Machine) {
+		{"probe in progress", func(machine *cluster.Machine) { BeginProbe(machine, now-time.Minute, testTiming) }, false},
+		{"term announcement in progress", BeginAnnouncement, false},
+		{"probed less than two intervals ago", func(machine *cluster.Machine) {
 			BeginProbe(machine, now-2*testTiming.HeartbeatInterval+1, testTiming)
 			EndProbe(machine)
 		}, false},
@@ -35,29 +35,29 @@
 			machine.Address = "10.1.0.1:9000"
 			tc.change(machine)
 			if got := CanProbe(machine, now); got != tc.want {
-				t.Errorf("can probe %v, want %v", got, tc.want)
+				t.Errorf("CanProbe: got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestProbeReference checks which machine is probed when a silent one does not answer.
+// TestProbeReference checks which machine is probed after a silent one did not answer its probe.
 func TestProbeReference(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(check *HealthCheck, zoneA []*cluster.Machine, zoneB []*cluster.Machine)
 		want   string
 	}{
-		{"the one of its zone that was heard last", func(*HealthCheck, []*cluster.Machine, []*cluster.Machine) {}, "n-a1"},
-		{"not one that cannot be probed", func(_ *HealthCheck, zoneA, _ []*cluster.Machine) { zoneA[1].ProbeOpen = true }, "n-a2"},
-		{"none whose heartbeat is overdue", func(check *HealthCheck, zoneA, _ []*cluster.Machine) {
+		{"machine of its zone with the latest heartbeat", func(*HealthCheck, []*cluster.Machine, []*cluster.Machine) {}, "n-a1"},
+		{"machine that cannot be probed is skipped", func(_ *HealthCheck, zoneA, _ []*cluster.Machine) { zoneA[1].ProbeOpen = true }, "n-a2"},
+		{"none if all heartbeats of the zone are overdue", func(check *HealthCheck, zoneA, _ []*cluster.Machine) {
 			zoneA[1].LastHeartbeat = check.Now - time.Minute
 			zoneA[2].LastHeartbeat = check.Now - time.Minute
 		}, ""},
-		{"none if the path worked just now", func(check *HealthCheck, _, _ []*cluster.Machine) {
+		{"none if the path was verified a moment ago", func(check *HealthCheck, _, _ []*cluster.Machine) {
 			check.ZoneReachedAt["a"] = check.Now - check.ProbeTimeout()/2
 		}, ""},
-		{"any zone's if it is alone in its own", func(_ *HealthCheck, zoneA, _ []*cluster.Machine) {
+		{"machine of another zone if it is the only one of its zone", func(_ *HealthCheck, zoneA, _ []*cluster.Machine) {
 			zoneA[1].LastHeartbeat, zoneA[2].LastHeartbeat = 0, 0
 		}, "n-b0"},
 	} {
@@ -69,14 +69,14 @@
 			for _, machine := range machines {
 				machine.Address = "10.1.0.1:9000"
 			}
-			zoneA[0].ProbeOpen = true // it is the silent one
+			zoneA[0].ProbeOpen = true // the silent machine
 			tc.change(check, zoneA, zoneB)
 			got := ""
 			if reference := check.ProbeReference(zoneA[0], machines); reference != nil {
 				got = reference.Name
 			}
 			if got != tc.want {
-				t.Errorf("reference %q, want %q", got, tc.want)
+				t.Errorf("probe reference: got %q, want %q", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -7,21 +7,22 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// This file decides when a task has certainly terminated. The rules on tasks that run twice,
-// teams' limits, zones and cancelled jobs all depend on it. A placement counts in full until one
-// of these:
+// This file decides when a task is confirmed to have terminated. The guarantees that a task does not
+// run twice, and those for teams' limits, zones and cancelled jobs, depend on it. A placement
+// occupies its full resources until one of these cases holds:
 //
-//  1. a newer heartbeat of its incarnation shows that it exited, or does not list it though
-//     the worker has heard this term and no copy of its start can still take effect;
-//  2. the worker reports a later incarnation;
-//  3. the cloud has confirmed the machine's return;
-//  4. the worker has seen this term, and its lease has certainly expired since the last answer
-//     that this term, or a controller that could not reach its leader, gave it (see
-//     package membership). A worker that has not seen this term may still have
-//     its lease renewed by a leader of an earlier one.
+//  1. A newer heartbeat of the same incarnation lists the task as exited, or does not list it
+//     although the worker has seen this term and no duplicate of its start command can still
+//     take effect.
+//  2. The worker reports a later incarnation.
+//  3. The cloud has confirmed the machine's return.
+//  4. The worker has seen this term, and its lease is guaranteed to have expired since its last
+//     renewal by this term's leader or by a controller without contact to the leader (see package
+//     membership). The lease of a worker that has not seen this term may still be renewed by a
+//     leader of an earlier term.
 
-// LossReason is why a task has certainly terminated though no exit of it was reported. Its
-// text is part of log lines.
+// LossReason is why a task is confirmed to have terminated although its exit was not reported. Its
+// text appears in log lines.
 type LossReason string
 
 // Reasons for which a task is lost.
@@ -33,15 +34,15 @@
 	LossMachineTerminated LossReason = "machine terminated"
 )
 
-// Outcome is what a worker's newest message means for a placement.
+// Outcome is the conclusion from a worker's newest message for a placement.
 type Outcome int
 
 // Outcomes for a placement.
 const (
-	Unchanged Outcome = iota // the message decides nothing
+	Unchanged Outcome = iota // the message does not change what is known of the placement
 	Listed                   // the message lists the attempt
 	Lost                     // the task has terminated without a reported exit
-	NeverSent                // the task was to be stopped before its start was sent
+	NeverSent                // the stop was requested before the start was sent
 )
 
 // Finding is the outcome for a placement, with its details.
@@ -51,8 +52,8 @@
 	Loss    LossReason      // if lost
 }
 
-// CheckPlacement finds out what a worker's newest message means for a task that counts on its
-// machine. workerKnowsTerm says that the worker had seen this term when it sent the message.
+// CheckPlacement determines what a worker's newest message means for a task that occupies its
+// machine. workerKnowsTerm is true if the worker had seen this term when it sent the message.
 func CheckPlacement(machine *cluster.Machine, placement cluster.TaskReference, workerKnowsTerm bool) Finding {
 	task := placement.Task()
 	if task.Incarnation < machine.Incarnation {
@@ -63,12 +64,12 @@
 	}
 	switch {
 	case task.Observed && workerKnowsTerm:
-		// It was listed and no longer is; only this leader makes a worker forget a task, and
-		// only after its exit.
+		// Case 1: the task was listed before and is not listed any more. A worker forgets a
+		// task only on this leader's command, which is sent only after the task's exit.
 		return Finding{Outcome: Lost, Loss: LossNotInHeartbeat}
 	case !task.PlacedThisTerm && workerKnowsTerm:
-		// Placed under an earlier term and never started: commands of that term no longer
-		// have an effect on this worker. Case 1.
+		// Case 1: the task was placed in an earlier term and never started. Commands of that
+		// term no longer have an effect on this worker.
 		return Finding{Outcome: Lost, Loss: LossNeverStarted}
 	case task.PlacedThisTerm && !task.StartSent && task.Stop != nil:
 		return Finding{Outcome: NeverSent}
@@ -83,7 +84,7 @@
 	}
 	task.Observed, task.StartSent, task.Persisted = true, true, true
 	if status.State == wire.TaskExited {
-		return // what it ran for counts from the state before
+		return // the run time is computed from the state before the exit
 	}
 	if status.State == wire.TaskRunning && task.State != wire.TaskRunning {
 		task.RunningSince = now
@@ -91,19 +92,19 @@
 	task.State = status.State
 }
 
-// LeaseExpiryDue reports whether a worker's lease may have expired, as far as this leader's own
-// answers go: the worker has seen this term, and was not answered for longer than its lease lasts.
-// Whether another controller has extended the lease is not part of the answer.
+// LeaseExpiryDue reports whether a worker's lease may have expired: the worker has seen this term,
+// and this leader has not answered its heartbeats for longer than the lease lasts. It does not
+// consider extensions of the lease by other controllers.
 func LeaseExpiryDue(machine *cluster.Machine, term uint64, now time.Duration, timing Timing) bool {
 	return machine.FencingToken >= term && machine.LastAnswered != 0 && !machine.LeaseExpired &&
 		now-machine.LastAnswered > timing.LeaseExpiryBound()
 }
 
-// RecordLeaseExpiry records that the lease of a silent worker has certainly expired.
+// RecordLeaseExpiry records that the lease of a silent worker is guaranteed to have expired.
 func RecordLeaseExpiry(machine *cluster.Machine) { machine.LeaseExpired = true }
 
-// EndsWithLease reports whether a task ends as its machine's lease expires: case 4. One that was
-// placed for a later incarnation does not.
+// EndsWithLease reports whether a task terminates when its machine's lease expires (case 4 above).
+// A task that was placed for a later incarnation does not.
 func EndsWithLease(machine *cluster.Machine, task *cluster.Task) bool {
 	return task.Machine == machine && task.Incarnation <= machine.Incarnation
 }
