--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -50,7 +50,7 @@
 	HeartbeatController                     string        // controller that forwarded the last heartbeat
 	RegularSince                            time.Duration // start of the current period of regular heartbeats
 	LastAnswered                            time.Duration // when a heartbeat was last answered in this term
-	LeaseExtendedAt                         time.Duration // last lease extension by a controller without contact to the leader
+	LeaseExtendedAt                         time.Duration // last lease extension by a controller that could not reach the leader
 	LastContact                             time.Duration // last response to a probe or a direct command
 	FirstHeartbeat                          time.Duration
 	ReportedTasks                           []wire.TaskStatus // from the newest message, by name and attempt
--- a/internal/core/membership/leader.go
+++ b/internal/core/membership/leader.go
@@ -1,6 +1,7 @@
 package membership
 
-// HearsLeader reports whether this controller leads or hears the one that does.
+// HearsLeader reports whether this controller is the leader, or has received a message from the
+// leader within the duration of a leader's lease.
 func (m *Membership) HearsLeader() bool {
 	if m.host.IsLeader() {
 		return true
@@ -8,8 +9,8 @@
 	return m.election.Leader() != "" && m.since(m.election.LeaderHeard()) < m.config.LeaderLease
 }
 
-// otherHoldsLeaderKey reports whether the key-value store showed lately that another
-// controller leads.
+// otherHoldsLeaderKey reports whether the leader key, as read recently from the key-value store,
+// names another controller.
 func (m *Membership) otherHoldsLeaderKey() bool {
 	leader, keyRead := m.election.Leader(), m.election.LeaderKeyRead()
 	if leader == "" || leader == m.config.Name || keyRead == 0 {
@@ -18,10 +19,10 @@
 	return m.since(keyRead) < m.config.LeaderLease
 }
 
-// LeaderLost reports whether the leader, though it may still renew its key, is not heard by
-// this controller and by one that agrees. A controller that hears no peer is more likely cut
-// off itself, and must not replace a leader that works; it counts as lost only if workers did
-// not reach the leader either.
+// LeaderLost reports whether the leader is to be replaced although it may still renew its key: this
+// controller and at least one peer have no contact to it, and no peer has. A controller without
+// contact to any peer is more likely partitioned itself, and must not replace a working leader. It
+// considers the leader lost only if a worker could not reach the leader either.
 func (m *Membership) LeaderLost() bool {
 	if m.HearsLeader() {
 		return false
@@ -40,7 +41,7 @@
 }
 
 // workerMissedLeader reports whether a worker that was redirected to the leader came back
-// lately, while the leader has not been heard for long.
+// recently, while this controller has had no contact to the leader for two worker leases.
 func (m *Membership) workerMissedLeader() bool {
 	if m.since(m.election.LeaderHeard()) <= 2*m.config.WorkerLease {
 		return false
--- a/internal/core/membership/lease_extension.go
+++ b/internal/core/membership/lease_extension.go
@@ -8,61 +8,61 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A zone that is cut off keeps working as long as its workers' leases are extended. A
-// controller that cannot reach the leader therefore answers heartbeats in the leader's place,
-// without commands, under the fencing token that the worker has seen. The leader counts the
-// tasks of a worker with missed heartbeats until nobody can have extended the lease for as
-// long as it lasts:
+// A partitioned zone keeps working as long as its workers' leases are extended. A controller that
+// cannot reach the leader therefore answers heartbeats in place of the leader, without commands,
+// under the fencing token that the worker has seen. The leader keeps counting the tasks of a worker
+// with missed heartbeats until no controller can have extended the worker's lease for the duration
+// of a lease:
 //
-//   - a controller's digests list the leases it has extended, until the leader is known to
-//     have received that. A digest that echoes the leader's clock was made after that time,
-//     so it testifies for all extensions until then;
-//   - a controller that has been restarted testifies only for its own incarnation: an earlier
-//     one may have extended any lease until the new one was heard;
-//   - of a controller that is not heard nothing is known. Machines that stay silent then
-//     count as terminated once the cloud confirms their return, not by lease expiry.
+//   - The digests of a controller list the leases that it has extended, until the leader is known to
+//     have received them. A digest that echoes a time of the leader's clock was created after that
+//     time, so it reports all extensions until then.
+//   - A controller that has restarted reports only the extensions of its current incarnation. An
+//     earlier incarnation may have extended any lease until the first digest of the new one arrived.
+//   - Nothing is known of a controller from which no digests arrive. Machines that stay silent then
+//     count as terminated once the cloud confirms their return, and not by lease expiry.
 //
-// Workers that have not seen the leader's term are not covered: lease expiry does not apply
-// to them, since a leader that has stepped down may extend their leases as well.
+// Workers that have not seen the leader's term are not covered: lease expiry does not apply to them,
+// since a leader that has stepped down may extend their leases as well.
 
-// leaseExtensions is what a controller knows of the leases it has extended.
+// leaseExtensions is the state of the leases that this controller has extended.
 type leaseExtensions struct {
-	leaderTerm        uint64                    // of the leader that acknowledged
-	acknowledgedUntil time.Duration             // by our clock: that leader has our digests until then
-	unacknowledged    map[string]leaseExtension // by machine; not known to the leader yet
+	leaderTerm        uint64                    // term of the leader that acknowledged extensions
+	acknowledgedUntil time.Duration             // by this controller's clock: that leader has its digests until then
+	unacknowledged    map[string]leaseExtension // by machine; extensions that the leader may not know of
 }
 
 // leaseExtension is the latest extension of a worker's lease.
 type leaseExtension struct {
 	at           time.Duration
-	fencingToken uint64 // under which it was extended
+	fencingToken uint64 // token under which it was extended
 }
 
-// maxExtensionLeases is how long a controller extends leases without having heard a leader,
-// in worker leases: long enough for a zone that is cut off, and a limit to holding on to what
-// cannot be reached.
+// maxExtensionLeases is how long a controller without contact to a leader extends leases, in worker
+// leases. It is long enough to bridge the partition of a zone, and limits how long tasks that the
+// leader cannot reach keep running.
 const maxExtensionLeases = 12
 
-// MaxExtensionTime is how long a controller that does not hear a leader extends leases.
+// MaxExtensionTime returns how long a controller without contact to a leader extends leases.
 func (m *Membership) MaxExtensionTime() time.Duration {
 	return maxExtensionLeases * m.config.WorkerLease
 }
 
-// mayExtendLeases reports whether this controller still extends leases on its own.
+// mayExtendLeases reports whether this controller may still extend leases without the leader.
 func (m *Membership) mayExtendLeases() bool {
 	return m.since(m.election.LeaderHeard()) < m.MaxExtensionTime()
 }
 
-// ExtendLease records that this controller extends the lease of a worker, in the leader's
-// place and under the fencing token that the worker has seen. It returns false if the lease
-// may not be extended: the worker has seen no term, or no leader was heard for too long.
+// ExtendLease records that this controller extends the lease of a worker, in place of the leader
+// and under the fencing token that the worker has seen. It returns false if the lease must not be
+// extended: the worker has not seen any term, or the last contact to a leader was too long ago.
 func (m *Membership) ExtendLease(machine string, fencingToken uint64) bool {
 	if fencingToken == 0 || !m.mayExtendLeases() {
 		return false
 	}
 	last, extended := m.extensions.unacknowledged[machine]
 	if !extended || m.since(last.at) > m.config.WorkerLease {
-		m.log.Debug("worker lease extended without leader", "machine", machine)
+		m.log.Debug("leader unreachable; worker lease extended by this controller", "machine", machine)
 	}
 	m.extensions.unacknowledged[machine] = leaseExtension{
 		at:           m.host.Now(),
@@ -71,7 +71,7 @@
 	return true
 }
 
-// RecordAcknowledgement drops the extensions that the leader knows of, as its digest shows.
+// RecordAcknowledgement removes the extensions that the leader, according to its digest, knows of.
 func (m *Membership) RecordAcknowledgement(digest *wire.Digest) {
 	extensions := &m.extensions
 	if digest.EchoBoot != m.config.Incarnation || digest.Term < extensions.leaderTerm {
@@ -88,13 +88,14 @@
 	}
 }
 
-// isAcknowledged reports whether the leader knows of an extension. A leader of an earlier term
-// than the worker has seen need not be the one that has to know of it.
+// isAcknowledged reports whether the leader knows of an extension. An acknowledgement by a leader of
+// an earlier term than the worker has seen is not sufficient: the leader of the later term has to
+// know of the extension.
 func (e *leaseExtensions) isAcknowledged(extension leaseExtension) bool {
 	return extension.at < e.acknowledgedUntil && extension.fencingToken <= e.leaderTerm
 }
 
-// extendedLeases lists the extensions for a digest, by machine.
+// extendedLeases lists the unacknowledged extensions for a digest, in order of machine name.
 func (m *Membership) extendedLeases() []wire.Kept {
 	var list []wire.Kept
 	for _, machine := range slices.Sorted(maps.Keys(m.extensions.unacknowledged)) {
@@ -104,16 +105,19 @@
 	return list
 }
 
-// extensionTestimony is the time up to which a peer's digests have listed the leases that it has
-// extended.
+// extensionTestimony is the state of a peer's reports on the leases that it has extended.
 type extensionTestimony struct {
-	incarnation    uint64        // of the peer; 0 before its first digest
-	clock          time.Duration // by its clock: when it made its newest digest
-	testifiedUntil time.Duration // by our clock: it has listed all extensions until then
-	uncertainUntil time.Duration // by our clock: an earlier incarnation may have extended any lease until then
+	incarnation uint64        // of the peer; 0 before its first digest
+	clock       time.Duration // by the peer's clock: when it created its newest digest
+	// testifiedUntil is a time by this controller's clock. The peer has listed all its
+	// extensions until then.
+	testifiedUntil time.Duration
+	// uncertainUntil is a time by this controller's clock. An earlier incarnation of the peer may
+	// have extended any lease until then.
+	uncertainUntil time.Duration
 }
 
-// recordTestimony records the time up to which a peer's digest testifies.
+// recordTestimony records the time up to which a peer's digest reports its extensions.
 func (m *Membership) recordTestimony(testimony *extensionTestimony, digest *wire.Digest) {
 	if digest.Boot != testimony.incarnation {
 		testimony.uncertainUntil = m.host.Now()
@@ -125,9 +129,9 @@
 	}
 }
 
-// LeaseExpired reports, on the leader, whether the lease of a worker has certainly expired:
-// there was a span of at least bound in which nobody can have extended it. lastRenewal is when
-// the leader last renewed the lease, or a peer is known to have extended it.
+// LeaseExpired reports, on the leader, whether the lease of a worker is guaranteed to have expired:
+// no controller can have extended it for at least the time bound. lastRenewal is when the leader
+// last renewed the lease or a peer is known to have last extended it, whichever is later.
 func (m *Membership) LeaseExpired(lastRenewal, bound time.Duration) bool {
 	spanBegin := lastRenewal
 	for _, p := range m.peers {
--- a/internal/core/membership/lease_extension_test.go
+++ b/internal/core/membership/lease_extension_test.go
@@ -8,35 +8,35 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestExtendLease extends leases only where that is allowed.
+// TestExtendLease checks when a lease may be extended.
 func TestExtendLease(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		token   uint64
-		unheard time.Duration // since the leader was heard
-		want    bool
+		name      string
+		token     uint64
+		noContact time.Duration // since the last contact to the leader
+		want      bool
 	}{
-		{"the leader is not heard", 5, workerLease, true},
-		{"the worker has seen no term", 0, workerLease, false},
-		{"almost the longest time", 5, maxExtensionLeases*workerLease - 1, true},
-		{"the longest time", 5, maxExtensionLeases * workerLease, false},
+		{"no contact to the leader for one lease", 5, workerLease, true},
+		{"worker has not seen any term", 0, workerLease, false},
+		{"no contact for just less than the maximum time", 5, maxExtensionLeases*workerLease - 1, true},
+		{"no contact for the maximum time", 5, maxExtensionLeases * workerLease, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestController("n0", 1)
 			c.now += time.Hour
-			c.leaderHeard = c.now - tc.unheard
+			c.leaderHeard = c.now - tc.noContact
 			if got := c.ExtendLease("m", tc.token); got != tc.want {
-				t.Errorf("extended %v, want %v", got, tc.want)
+				t.Errorf("ExtendLease: got %v, want %v", got, tc.want)
 			}
 			if got := len(c.extendedLeases()) == 1; got != tc.want {
-				t.Errorf("listed %v, want %v", got, tc.want)
+				t.Errorf("extension listed in digests: got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestAcknowledgement lists an extension until the digest of a leader shows that it has heard
-// of it.
+// TestAcknowledgement checks that an extension is listed until the digest of a leader shows that the
+// leader has received it.
 func TestAcknowledgement(t *testing.T) {
 	extendedAt := time.Minute
 	later := int64(extendedAt + 1)
@@ -46,12 +46,12 @@
 		elapsed time.Duration // since the extension
 		listed  bool
 	}{
-		{"the leader has a later digest", wire.Digest{Term: 5, EchoBoot: 1, Echo: later}, 2*workerLease + 1, false},
-		{"it has none of that time", wire.Digest{Term: 5, EchoBoot: 1, Echo: later - 1}, 2*workerLease + 1, true},
-		{"it has one of an earlier incarnation", wire.Digest{Term: 5, EchoBoot: 9, Echo: later}, 2*workerLease + 1, true},
-		{"its term is earlier than the worker's", wire.Digest{Term: 4, EchoBoot: 1, Echo: later}, 2*workerLease + 1, true},
-		{"its term is later", wire.Digest{Term: 6, EchoBoot: 1, Echo: later}, 2*workerLease + 1, false},
-		{"the extension is recent", wire.Digest{Term: 5, EchoBoot: 1, Echo: later}, 2 * workerLease, true},
+		{"leader has received a later digest", wire.Digest{Term: 5, EchoBoot: 1, Echo: later}, 2*workerLease + 1, false},
+		{"leader has received no later digest", wire.Digest{Term: 5, EchoBoot: 1, Echo: later - 1}, 2*workerLease + 1, true},
+		{"leader has received one of an earlier incarnation", wire.Digest{Term: 5, EchoBoot: 9, Echo: later}, 2*workerLease + 1, true},
+		{"leader's term earlier than the worker's", wire.Digest{Term: 4, EchoBoot: 1, Echo: later}, 2*workerLease + 1, true},
+		{"leader's term later than the worker's", wire.Digest{Term: 6, EchoBoot: 1, Echo: later}, 2*workerLease + 1, false},
+		{"extension less than two leases ago", wire.Digest{Term: 5, EchoBoot: 1, Echo: later}, 2 * workerLease, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestController("n0", 1)
@@ -59,14 +59,14 @@
 			c.now += tc.elapsed
 			c.RecordAcknowledgement(&tc.digest)
 			if got := len(c.extendedLeases()) == 1; got != tc.listed {
-				t.Errorf("listed %v, want %v", got, tc.listed)
+				t.Errorf("extension listed in digests: got %v, want %v", got, tc.listed)
 			}
 		})
 	}
 }
 
-// TestAcknowledgementOfNextTerm ignores what the leader of an earlier term has acknowledged once a
-// later one is known.
+// TestAcknowledgementOfNextTerm checks that acknowledgements by the leader of an earlier term are
+// ignored once a later term is known.
 func TestAcknowledgementOfNextTerm(t *testing.T) {
 	c := newTestController("n0", 1)
 	c.ExtendLease("m", 5)
@@ -74,188 +74,195 @@
 	c.RecordAcknowledgement(&wire.Digest{Term: 4, EchoBoot: 1, Echo: int64(c.now)})
 	c.RecordAcknowledgement(&wire.Digest{Term: 6, EchoBoot: 1, Echo: 0})
 	if len(c.extendedLeases()) != 1 {
-		t.Error("the leader of term 6 has not heard of the extension")
+		t.Errorf("extensions listed before the leader of term 6 has received them: got %d, want 1", len(c.extendedLeases()))
 	}
 	c.RecordAcknowledgement(&wire.Digest{Term: 5, EchoBoot: 1, Echo: int64(c.now)})
 	if len(c.extendedLeases()) != 1 {
-		t.Error("a leader that was replaced acknowledged the extension")
+		t.Errorf("extensions listed after an acknowledgement by a replaced leader: got %d, want 1", len(c.extendedLeases()))
 	}
 }
 
-// TestLeaseExpired asks the leader n0 about a worker that it answered last at a time zero.
+// TestLeaseExpired checks whether the leader n0 finds the lease of a worker expired that it last
+// renewed at the time zero.
 func TestLeaseExpired(t *testing.T) {
 	zero := time.Minute
-	testify := func(incarnation uint64, until time.Duration) wire.Digest {
+	report := func(incarnation uint64, until time.Duration) wire.Digest {
 		return wire.Digest{Boot: incarnation, EchoBoot: 1, Echo: int64(until)}
 	}
 	for _, tc := range []struct {
-		name   string
-		later  func(c *testController) // what n3 says after zero; n1 and n2 testify for all
-		passed time.Duration           // at last, since zero
-		want   bool
+		name string
+		// later delivers the digests of n3 after zero; those of n1 and n2 report all extensions.
+		later   func(c *testController)
+		elapsed time.Duration // since zero
+		want    bool
 	}{
-		{"all testify", func(c *testController) { c.hear("n3", testify(3, c.now)) }, 2 * workerLease, true},
-		{"the bound is not over", func(c *testController) { c.hear("n3", testify(3, c.now)) }, expiryBound, false},
-		{"one does not testify long enough", func(c *testController) { c.hear("n3", testify(3, zero+expiryBound-1)) }, 2 * workerLease, false},
-		{"one testifies just long enough", func(c *testController) { c.hear("n3", testify(3, zero+expiryBound)) }, 2 * workerLease, true},
-		{"one is not heard", func(*testController) {}, 2 * workerLease, false},
-		{"one echoes an earlier incarnation", func(c *testController) {
-			digest := testify(3, c.now)
+		{"all peers report", func(c *testController) { c.receive("n3", report(3, c.now)) }, 2 * workerLease, true},
+		{"bound not exceeded", func(c *testController) { c.receive("n3", report(3, c.now)) }, expiryBound, false},
+		{"one peer reports until just before the bound", func(c *testController) { c.receive("n3", report(3, zero+expiryBound-1)) }, 2 * workerLease, false},
+		{"one peer reports until the bound", func(c *testController) { c.receive("n3", report(3, zero+expiryBound)) }, 2 * workerLease, true},
+		{"one peer sends nothing", func(*testController) {}, 2 * workerLease, false},
+		{"one peer echoes an earlier incarnation", func(c *testController) {
+			digest := report(3, c.now)
 			digest.EchoBoot = 9
-			c.hear("n3", digest)
+			c.receive("n3", digest)
 		}, 2 * workerLease, false},
-		{"one has been restarted", func(c *testController) { c.hear("n3", testify(4, c.now)) }, 2 * workerLease, false},
+		{"one peer has restarted", func(c *testController) { c.receive("n3", report(4, c.now)) }, 2 * workerLease, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestController("n0", 1)
 			c.leads = true
 			for i, name := range []string{"n1", "n2", "n3"} {
 				c.now = zero - time.Second
-				c.hear(name, wire.Digest{Boot: uint64(i + 1)})
+				c.receive(name, wire.Digest{Boot: uint64(i + 1)})
 			}
-			c.now = zero + tc.passed
-			c.hear("n1", testify(1, c.now))
-			c.hear("n2", testify(2, c.now))
+			c.now = zero + tc.elapsed
+			c.receive("n1", report(1, c.now))
+			c.receive("n2", report(2, c.now))
 			tc.later(c)
 			if got := c.LeaseExpired(zero, expiryBound); got != tc.want {
-				t.Errorf("expired %v, want %v", got, tc.want)
+				t.Errorf("LeaseExpired: got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestUnnamedIncarnation ignores the testimony of a peer that does not name its incarnation:
-// restarts of it would not be detected.
-func TestUnnamedIncarnation(t *testing.T) {
+// TestMissingIncarnation checks that the digests of a peer that does not report its incarnation are
+// not sufficient for lease expiry: restarts of the peer would not be detected.
+func TestMissingIncarnation(t *testing.T) {
 	c := newTestController("n0", 1)
 	c.leads = true
 	lastRenewal := c.now
 	c.now += time.Hour
 	for incarnation, name := range []string{"n3", "n1", "n2"} {
-		c.hear(name, wire.Digest{Boot: uint64(incarnation), EchoBoot: 1, Echo: int64(c.now)})
+		c.receive(name, wire.Digest{Boot: uint64(incarnation), EchoBoot: 1, Echo: int64(c.now)})
 	}
-	// The digests just heard are the first of n1 and n2.
+	// These digests are the first of n1 and n2; the next ones follow two leases later.
 	c.now += 2 * workerLease
 	for incarnation, name := range []string{"n3", "n1", "n2"} {
-		c.hear(name, wire.Digest{Boot: uint64(incarnation), EchoBoot: 1, Echo: int64(c.now)})
+		c.receive(name, wire.Digest{Boot: uint64(incarnation), EchoBoot: 1, Echo: int64(c.now)})
 	}
 	if c.LeaseExpired(lastRenewal, expiryBound) {
-		t.Error("expired by the testimony of n3, which names no incarnation")
+		t.Error("LeaseExpired while n3 reports no incarnation: got true, want false")
 	}
-	c.hear("n3", wire.Digest{Boot: 3})
+	c.receive("n3", wire.Digest{Boot: 3})
 	c.now += 2 * workerLease
 	for incarnation, name := range map[uint64]string{1: "n1", 2: "n2", 3: "n3"} {
-		c.hear(name, wire.Digest{Boot: incarnation, EchoBoot: 1, Echo: int64(c.now)})
+		c.receive(name, wire.Digest{Boot: incarnation, EchoBoot: 1, Echo: int64(c.now)})
 	}
 	if !c.LeaseExpired(lastRenewal, expiryBound) {
-		t.Error("not expired though all testify")
+		t.Error("LeaseExpired after all peers reported their incarnations: got false, want true")
 	}
 }
 
-// TestExpiryIsCertain simulates random extensions, losses of digests and restarts. The leader may
-// never find a lease expired that the worker still holds, and has to find it expired once all
-// controllers are heard again.
-func TestExpiryIsCertain(t *testing.T) {
+// TestLeaseExpiryIsSafe simulates random lease extensions, lost digests and restarts. The leader must
+// not find a lease expired while the worker still holds it, and has to find it expired once digests
+// of all controllers arrive again.
+func TestLeaseExpiryIsSafe(t *testing.T) {
 	for seed := range uint64(500) {
-		w := newExtensionWorld(seed)
+		s := newExtensionSimulation(seed)
 		for range 400 {
-			w.step()
-			if w.expired() && w.holdsLease {
-				t.Fatalf("seed %d: found expired %v after an extension", seed, w.clock-w.lastExtended)
+			s.step()
+			if s.expired() && s.holdsLease {
+				t.Fatalf("seed %d: lease found expired %v after an extension, while the worker still holds it", seed, s.clock-s.lastExtended)
 			}
 		}
-		w.loss, w.restarts, w.extensions = 0, 0, 0
+		s.loss, s.restarts, s.extensions = 0, 0, 0
 		for range 200 {
-			w.step()
+			s.step()
 		}
-		if !w.expired() {
-			t.Fatalf("seed %d: not found expired though all controllers are heard", seed)
+		if !s.expired() {
+			t.Fatalf("seed %d: lease not found expired although digests of all controllers arrive", seed)
 		}
 	}
 }
 
-// extensionWorld has a leader n0 and three controllers that extend the lease of one worker.
-type extensionWorld struct {
+// extensionSimulation simulates a leader n0 and three controllers that extend the lease of one
+// worker.
+type extensionSimulation struct {
 	random        *rand.Rand
 	clock         time.Duration
 	controllers   []*testController // the first one leads
-	offsets       []time.Duration   // of their clocks
-	incarnations  uint64
-	lastExtended  time.Duration // by any controller
-	holdsLease    bool          // the worker's lease has not expired since the beginning
-	knownToLeader time.Duration // by the leader's clock: the latest extension that it knows of
+	offsets       []time.Duration   // clock offsets of the controllers
+	incarnations  uint64            // number of controller processes started
+	lastExtended  time.Duration     // last extension by any controller
+	holdsLease    bool              // the worker's lease has not expired since the start
+	knownToLeader time.Duration     // by the leader's clock: the latest extension that it knows of
 
-	loss, restarts, extensions float64 // probabilities of a step, by controller
+	// Probabilities per step: of losing each digest, and of a restart or an extension of each
+	// controller.
+	loss, restarts, extensions float64
 }
 
-func newExtensionWorld(seed uint64) *extensionWorld {
-	w := &extensionWorld{random: rand.New(rand.NewPCG(seed, 2)), holdsLease: true, loss: 0.5, restarts: 0.005, extensions: 0.05}
+func newExtensionSimulation(seed uint64) *extensionSimulation {
+	s := &extensionSimulation{random: rand.New(rand.NewPCG(seed, 2)), holdsLease: true, loss: 0.5, restarts: 0.005, extensions: 0.05}
 	for i, p := range region {
-		w.offsets = append(w.offsets, time.Duration(w.random.Int64N(int64(time.Hour))))
-		w.controllers = append(w.controllers, w.newController(p.Name))
-		w.controllers[i].leads = i == 0
+		s.offsets = append(s.offsets, time.Duration(s.random.Int64N(int64(time.Hour))))
+		s.controllers = append(s.controllers, s.newController(p.Name))
+		s.controllers[i].leads = i == 0
 	}
-	w.knownToLeader = w.controllers[0].now
-	return w
+	s.knownToLeader = s.controllers[0].now
+	return s
 }
 
 // newController starts a controller.
-func (w *extensionWorld) newController(name string) *testController {
-	w.incarnations++
-	return newTestController(name, w.incarnations)
+func (s *extensionSimulation) newController(name string) *testController {
+	s.incarnations++
+	return newTestController(name, s.incarnations)
 }
 
-// step lets the interval between two digests pass: controllers restart, extend the lease, and
-// send digests, some of which are lost.
-func (w *extensionWorld) step() {
-	w.clock += leaderLease / 4
-	w.holdsLease = w.holdsLease && w.clock-w.lastExtended < workerLease
-	for i := range w.controllers {
-		if i > 0 && w.happens(w.restarts) {
-			w.controllers[i] = w.newController(w.controllers[i].name)
-			w.offsets[i] = time.Duration(w.random.Int64N(int64(time.Hour)))
+// step advances the time by the interval between two digests: controllers restart, extend the lease,
+// and send digests, some of which are lost.
+func (s *extensionSimulation) step() {
+	s.clock += leaderLease / 4
+	s.holdsLease = s.holdsLease && s.clock-s.lastExtended < workerLease
+	for i := range s.controllers {
+		if i > 0 && s.happens(s.restarts) {
+			s.controllers[i] = s.newController(s.controllers[i].name)
+			s.offsets[i] = time.Duration(s.random.Int64N(int64(time.Hour)))
 		}
-		c := w.controllers[i]
-		c.now = time.Minute + w.offsets[i] + w.clock
+		c := s.controllers[i]
+		c.now = time.Minute + s.offsets[i] + s.clock
 		c.leader, c.leaderHeard = "n0", c.now
-		if i > 0 && w.holdsLease && w.happens(w.extensions) && c.ExtendLease("m", 5) {
-			w.lastExtended = w.clock
+		if i > 0 && s.holdsLease && s.happens(s.extensions) && c.ExtendLease("m", 5) {
+			s.lastExtended = s.clock
 		}
 	}
-	w.exchangeDigests()
+	s.exchangeDigests()
 }
 
-// happens reports whether an event of a probability happens.
-func (w *extensionWorld) happens(probability float64) bool { return w.random.Float64() < probability }
+// happens reports whether an event of the given probability happens.
+func (s *extensionSimulation) happens(probability float64) bool {
+	return s.random.Float64() < probability
+}
 
-// exchangeDigests sends a digest of each controller to each other one.
-func (w *extensionWorld) exchangeDigests() {
-	for _, from := range w.controllers {
-		for _, to := range w.controllers {
-			if from != to && !w.happens(w.loss) {
-				w.deliver(from, to)
+// exchangeDigests sends a digest from each controller to every other one, unless it is lost.
+func (s *extensionSimulation) exchangeDigests() {
+	for _, from := range s.controllers {
+		for _, to := range s.controllers {
+			if from != to && !s.happens(s.loss) {
+				s.deliver(from, to)
 			}
 		}
 	}
 }
 
-// deliver gives a controller the digest of another one.
-func (w *extensionWorld) deliver(from, to *testController) {
+// deliver delivers a digest from one controller to another.
+func (s *extensionSimulation) deliver(from, to *testController) {
 	digest := wire.Digest{Term: 5, Leader: from.leads}
 	from.FillDigest(&digest)
 	from.FillEcho(&digest, to.name)
-	to.hear(from.name, digest)
+	to.receive(from.name, digest)
 	if from.leads {
 		to.RecordAcknowledgement(&digest)
 	}
 	if to.leads {
 		for _, kept := range digest.Kept {
-			w.knownToLeader = max(w.knownToLeader, to.now-time.Duration(kept.AgeMS)*time.Millisecond)
+			s.knownToLeader = max(s.knownToLeader, to.now-time.Duration(kept.AgeMS)*time.Millisecond)
 		}
 	}
 }
 
 // expired reports whether the leader finds the lease expired.
-func (w *extensionWorld) expired() bool {
-	return w.controllers[0].LeaseExpired(w.knownToLeader, expiryBound)
+func (s *extensionSimulation) expired() bool {
+	return s.controllers[0].LeaseExpired(s.knownToLeader, expiryBound)
 }
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,15 +1,18 @@
-// Package membership keeps what one controller knows of the other controllers of its region,
-// and of the workers whose heartbeats it handles. From that it answers:
+// Package membership holds one controller's view of the other controllers of its region (its peers)
+// and of the workers whose heartbeats it handles. From that view it determines:
 //
-//   - which peers and zones it hears, and whether it hears the leader,
+//   - which peers and zones, and whether the leader, it has contact to,
 //   - whether the leader is lost, so that an election may replace it,
 //   - which controller a worker is redirected to,
-//   - which workers' leases this controller may extend while it does not hear the leader,
-//   - whether a worker's lease has certainly expired, although peers may have extended it.
+//   - which workers' leases this controller may extend while it has no contact to the leader,
+//   - whether a worker's lease is guaranteed to have expired although peers may have extended it.
 //
-// The package has no clock, socket or goroutine, and map order has no effect on its answers.
-// It sends nothing: package core passes it digests and heartbeats, queries it, and does the
-// sending. Which controller leads is decided in package election.
+// A controller has contact to a peer if it has received a message from the peer within the duration
+// of a leader's lease.
+//
+// The package has no clock, socket or goroutine, and map order has no effect on its results. It
+// sends nothing: package core passes it digests and heartbeats, queries it, and sends the messages.
+// Package election decides which controller leads.
 package membership
 
 import (
@@ -22,47 +25,48 @@
 // Config describes a controller, its peers and the region's timings.
 type Config struct {
 	Name, Zone string        // of this controller
-	Peers      []config.Peer // the region's other controllers
-	// Incarnation differs between any two runs of controllers.
+	Peers      []config.Peer // the other controllers of the region
+	// Incarnation is unique to each run of a controller process.
 	Incarnation       uint64
 	WorkerLease       time.Duration
 	HeartbeatInterval time.Duration // of workers
-	// LeaderLease is the duration of the leader's lease. A peer that has not been heard for
-	// as long counts as unreachable.
+	// LeaderLease is the duration of the leader's lease. A peer from which no message has arrived
+	// for that time counts as unreachable.
 	LeaderLease time.Duration
 }
 
 // Host is the controller that the membership belongs to.
 type Host interface {
-	// Now is the steady time.
+	// Now returns the monotonic time.
 	Now() time.Duration
-	// IsLeader reports whether this controller leads.
+	// IsLeader reports whether this controller is the leader.
 	IsLeader() bool
 }
 
-// LeaderView is what the election knows of the leader.
+// LeaderView is the election's view of the leader.
 type LeaderView interface {
-	// Leader is the name of the leader; empty if none is known.
+	// Leader returns the name of the leader; empty if none is known.
 	Leader() string
-	// LeaderHeard is when the leader was last heard.
+	// LeaderHeard returns the time of the last contact to the leader.
 	LeaderHeard() time.Duration
-	// LeaderKeyRead is when the key of another leader was last read; 0 for never.
+	// LeaderKeyRead returns when the leader key was last found to name another controller; 0 for
+	// never.
 	LeaderKeyRead() time.Duration
 }
 
-// Membership is the state of one controller's view of its peers and workers.
+// Membership is one controller's view of its peers and workers.
 type Membership struct {
 	config   Config
 	host     Host
 	election LeaderView
 	log      *slog.Logger
 
-	peers      []*peer // in the order of the settings
+	peers      []*peer // in the order of Config.Peers
 	extensions leaseExtensions
 	workers    map[string]*Worker // by machine
 }
 
-// New makes the view of a controller that has just started: it has heard nobody.
+// New creates the view of a controller that has just started and has received no messages.
 func New(settings Config, host Host, election LeaderView, log *slog.Logger) *Membership {
 	m := &Membership{
 		config: settings, host: host, election: election, log: log,
@@ -75,5 +79,5 @@
 	return m
 }
 
-// since is the time that has passed since an earlier one.
+// since returns the time elapsed since an earlier time.
 func (m *Membership) since(earlier time.Duration) time.Duration { return m.host.Now() - earlier }
--- a/internal/core/membership/peers.go
+++ b/internal/core/membership/peers.go
@@ -6,25 +6,25 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// peer is what is known of another controller.
+// peer is the state of another controller.
 type peer struct {
 	name, zone string
 
-	everHeard bool
-	heardAt   time.Duration // when its last message came
-	version   int           // highest wire.PeerVersion that it has named
+	everHeard bool          // a message has arrived from it since this controller started
+	heardAt   time.Duration // when its last message arrived
+	version   int           // highest wire.PeerVersion that it has reported
 
-	// Of its latest digest.
+	// From its latest digest.
 	reachesStore bool
 	hearsLeader  bool
 
 	testimony extensionTestimony
 }
 
-// storeStatusValidity is how long a peer's statement that the key-value store answers it counts.
+// storeStatusValidity is how long a peer's report that it can reach the key-value store is valid.
 const storeStatusValidity = 3 * time.Second
 
-// findPeer returns the peer of a name; nil if there is none.
+// findPeer returns the peer with the given name; nil if there is none.
 func (m *Membership) findPeer(name string) *peer {
 	for _, p := range m.peers {
 		if p.name == name {
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// RecordMessage records that a message of a peer arrived now. It returns false if no peer has
-// that name.
+// RecordMessage records that a message from a peer arrived now. It returns false if there is no peer
+// with that name.
 func (m *Membership) RecordMessage(from string) bool {
 	p := m.findPeer(from)
 	if p == nil {
@@ -46,7 +46,7 @@
 	return true
 }
 
-// RecordDigest records what a peer's digest says of the peer.
+// RecordDigest records the state that a peer reports in its digest.
 func (m *Membership) RecordDigest(from string, digest *wire.Digest) {
 	p := m.findPeer(from)
 	if p == nil {
@@ -58,7 +58,7 @@
 	p.hearsLeader = digest.HearsLeader
 }
 
-// FillDigest sets what this package contributes to a digest for all peers.
+// FillDigest sets the fields of a digest that this package provides for all peers.
 func (m *Membership) FillDigest(digest *wire.Digest) {
 	digest.HearsLeader = m.HearsLeader()
 	digest.Boot = m.config.Incarnation
@@ -66,7 +66,7 @@
 	digest.Kept = m.extendedLeases()
 }
 
-// FillEcho sets in a digest for one peer the echo of that peer's own clock.
+// FillEcho sets, in a digest for one peer, the echo of the latest clock time received from it.
 func (m *Membership) FillEcho(digest *wire.Digest, to string) {
 	p := m.findPeer(to)
 	if p == nil {
@@ -76,12 +76,13 @@
 	digest.Echo = int64(p.testimony.clock)
 }
 
-// heardRecently reports whether a peer was heard within the duration of a leader's lease.
+// heardRecently reports whether a message from a peer arrived within the duration of a leader's
+// lease.
 func (m *Membership) heardRecently(p *peer) bool {
 	return p.everHeard && m.since(p.heardAt) < m.config.LeaderLease
 }
 
-// HearsPeer reports whether any other controller is heard.
+// HearsPeer reports whether this controller has contact to any peer.
 func (m *Membership) HearsPeer() bool {
 	for _, p := range m.peers {
 		if m.heardRecently(p) {
@@ -91,7 +92,8 @@
 	return false
 }
 
-// LostAllPeers reports whether some peer was heard before, and none is heard now.
+// LostAllPeers reports whether this controller had contact to a peer before and has none to any peer
+// now.
 func (m *Membership) LostAllPeers() bool {
 	everHeard := false
 	for _, p := range m.peers {
@@ -100,7 +102,7 @@
 	return everHeard && !m.HearsPeer()
 }
 
-// ZoneLost reports whether another zone has controllers and none of them is heard.
+// ZoneLost reports whether another zone has controllers and there is contact to none of them.
 func (m *Membership) ZoneLost(zone string) bool {
 	if zone == m.config.Zone {
 		return false
@@ -118,15 +120,14 @@
 	return hasControllers
 }
 
-// PeerSupports reports whether a peer has said that it understands what a wire.PeerVersion
-// introduced. One that has said so once stays at that version.
+// PeerSupports reports whether a peer has reported that it supports a wire.PeerVersion. The highest
+// version that a peer has ever reported counts.
 func (m *Membership) PeerSupports(name string, version int) bool {
 	p := m.findPeer(name)
 	return p != nil && p.version >= version
 }
 
-// AllPeersSupport reports whether every peer has said that it understands what a
-// wire.PeerVersion introduced.
+// AllPeersSupport reports whether every peer has reported that it supports a wire.PeerVersion.
 func (m *Membership) AllPeersSupport(version int) bool {
 	for _, p := range m.peers {
 		if p.version < version {
@@ -136,7 +137,8 @@
 	return true
 }
 
-// PeerReachesStore reports whether a peer said lately that the key-value store answers it.
+// PeerReachesStore reports whether a peer has recently reported that it can reach the key-value
+// store.
 func (m *Membership) PeerReachesStore() bool {
 	for _, p := range m.peers {
 		if p.everHeard && p.reachesStore && m.since(p.heardAt) < storeStatusValidity {
@@ -146,7 +148,8 @@
 	return false
 }
 
-// peerHearingLeader names a peer that hears the leader; empty if there is none.
+// peerHearingLeader returns the name of a peer that has contact to the leader; empty if there is
+// none.
 func (m *Membership) peerHearingLeader() string {
 	for _, p := range m.peers {
 		if m.heardRecently(p) && p.hearsLeader {
--- a/internal/core/membership/workers.go
+++ b/internal/core/membership/workers.go
@@ -5,41 +5,40 @@
 	"time"
 )
 
-// A worker is redirected to a controller of its own zone: when the zone is cut off, it need
-// not look for one while its lease runs out. It is redirected only right after it was
-// answered, and seldom, so that a controller which cannot be reached from there costs it
-// little of its lease.
+// A worker is redirected to a controller of its own zone, so that it does not have to find one while
+// its lease is running out if the zone becomes partitioned. It is redirected rarely, and only right
+// after it was answered, so that it loses little of its lease if it cannot reach the new controller.
 
-// The limits of redirection and memory. The first two are in heartbeat intervals, the others
-// in worker leases.
+// Limits of redirection and worker retention. The first two are in heartbeat intervals, the others in
+// worker leases.
 const (
-	reconnectIntervals      = 3 // a worker that was silent for longer is logged as connected anew
-	recentAnswerIntervals   = 2 // an answer is recent for so long
-	redirectPauseLeases     = 6 // between two redirections of a worker
-	returnedFromLeaderLease = 2 // a worker that comes back within it did not reach the leader
-	forgetWorkerLeases      = 8 // a worker that was silent for longer is forgotten
+	reconnectIntervals      = 3 // a worker that was silent for longer is logged as connected again
+	recentAnswerIntervals   = 2 // how long a response counts as recent
+	redirectPauseLeases     = 6 // minimum time between two redirections of a worker
+	returnedFromLeaderLease = 2 // a worker that comes back within this time did not reach the leader
+	forgetWorkerLeases      = 8 // a worker that was silent for longer is removed
 )
 
-// Worker is a worker that sends its heartbeats to this controller. The zero value is one that
-// was not heard before.
+// Worker is the state of a worker that sends its heartbeats to this controller. The zero value is a
+// worker that has sent none yet.
 type Worker struct {
 	lastHeartbeat time.Duration
-	idle          bool // it has no tasks
-	lastAnswered  time.Duration
+	idle          bool          // it has no tasks
+	lastAnswered  time.Duration // when the leader's last response was sent to it
 	redirectedAt  time.Duration // when it was last redirected
-	redirectedTo  string        // the leader that it was redirected to
-	returnedAt    time.Duration // when it came back from there
+	redirectedTo  string        // the leader to which it was last redirected; empty for never
+	returnedAt    time.Duration // when it last came back from that leader
 }
 
-// Heartbeat is what this package needs of a worker's heartbeat.
+// Heartbeat holds the fields of a worker's heartbeat that this package uses.
 type Heartbeat struct {
 	Machine string
 	Zone    string
 	Idle    bool // the worker has no tasks
 }
 
-// RecordHeartbeat records a worker's heartbeat. It returns the worker, and the controller that
-// the worker is to be redirected to; empty if it stays here.
+// RecordHeartbeat records a worker's heartbeat. It returns the worker and the name of the controller
+// to redirect it to; the name is empty if the worker is not to be redirected.
 func (m *Membership) RecordHeartbeat(heartbeat Heartbeat) (worker *Worker, redirectTo string) {
 	worker = m.workers[heartbeat.Machine]
 	if worker == nil {
@@ -63,30 +62,32 @@
 	return worker, preferred
 }
 
-// RecordAnswer records that the leader's answer was passed on to a worker now.
+// RecordAnswer records that a response of the leader was sent to a worker now.
 func (m *Membership) RecordAnswer(worker *Worker) { worker.lastAnswered = m.host.Now() }
 
-// answeredRecently reports whether a worker has been answered a short time ago.
+// answeredRecently reports whether a response of the leader was sent to a worker within
+// recentAnswerIntervals.
 func (m *Membership) answeredRecently(worker *Worker) bool {
 	return worker.lastAnswered != 0 && m.since(worker.lastAnswered) <= recentAnswerIntervals*m.config.HeartbeatInterval
 }
 
-// mayRedirect reports whether a worker has not been redirected for a while.
+// mayRedirect reports whether the last redirection of a worker, if any, was long enough ago.
 func (m *Membership) mayRedirect(worker *Worker) bool {
 	return worker.redirectedAt == 0 || m.since(worker.redirectedAt) > redirectPauseLeases*m.config.WorkerLease
 }
 
-// RedirectWithoutLeader names the controller that a worker is to be redirected to while this
-// one does not hear the leader; empty if there is none.
+// RedirectWithoutLeader returns the name of the controller to redirect a worker to while this
+// controller has no contact to the leader; empty if there is none.
 func (m *Membership) RedirectWithoutLeader(worker *Worker) string {
 	if name := m.peerHearingLeader(); name != "" {
 		return name
 	}
 	leader := m.election.Leader()
 	if m.otherHoldsLeaderKey() && m.mayRedirect(worker) && (worker.idle || !m.mayExtendLeases()) {
-		// Only the controllers may be cut off from each other: the worker asks the leader
-		// itself, and comes back if it does not reach it either. One that has tasks is not
-		// risked while its lease can be extended.
+		// The partition may affect only the connections between controllers, so the worker is
+		// sent to the leader and comes back if it cannot reach it either. A worker with tasks
+		// is not redirected while its lease can be extended here, since it could lose its
+		// lease on the way.
 		worker.redirectedAt, worker.redirectedTo = m.host.Now(), leader
 		return leader
 	}
@@ -96,10 +97,10 @@
 	return ""
 }
 
-// preferredController names the controller of a zone that a machine's worker should send its
-// heartbeats to: one that leads or hears the leader; empty if the zone has none. Where it has
-// several, the machines are spread over them by rendezvous hashing, so that every controller
-// makes the same choice.
+// preferredController returns the name of the controller of a zone to which a machine's worker should
+// send its heartbeats: one that is the leader or has contact to it; empty if the zone has none. If
+// there are several, the machines are distributed over them by rendezvous hashing, so that every
+// controller makes the same choice.
 func (m *Membership) preferredController(machine, zone string) string {
 	preferred, highest := "", uint64(0)
 	for _, name := range m.controllersHearingLeader(zone) {
@@ -112,8 +113,9 @@
 	return preferred
 }
 
-// controllersHearingLeader lists the controllers of a zone that lead or hear the leader. This
-// controller counts as one: it asks only after it has passed on an answer of the leader.
+// controllersHearingLeader lists the controllers of a zone that are the leader or have contact to it.
+// This controller is included without a check, since it only calls this after it has sent a response
+// of the leader to the worker.
 func (m *Membership) controllersHearingLeader(zone string) []string {
 	var names []string
 	if m.config.Zone == zone {
@@ -127,7 +129,7 @@
 	return names
 }
 
-// ForgetSilentWorkers forgets workers that send their heartbeats elsewhere.
+// ForgetSilentWorkers removes workers that no longer send their heartbeats to this controller.
 func (m *Membership) ForgetSilentWorkers() {
 	for machine, worker := range m.workers {
 		if m.since(worker.lastHeartbeat) > forgetWorkerLeases*m.config.WorkerLease {
--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -1,11 +1,11 @@
-// Package outlier finds faulty jobs and faulty machines among those that fail (outlier
-// detection). A job that was submitted with a mistake fails on every machine; a faulty machine
-// fails every job. Each failure is evidence against both, so the detector weighs the two sides: a
-// job that failed on more machines than jobs failed there is the likelier cause, and so is a
-// machine that failed several jobs which succeed elsewhere.
+// Package outlier detects whether task failures are caused by faulty jobs or by faulty machines
+// (outlier detection). Tasks of a misconfigured job fail on every machine; on a faulty machine, tasks
+// of every job fail. Each failure is evidence against both, so the detector compares the two: a job
+// is the more likely cause if it failed on more machines than there are failed jobs on each of them,
+// and a machine is the more likely cause if several jobs failed on it that succeed elsewhere.
 //
-// Package core reports failures and successes to it, and decides what follows. The package does
-// no I/O and keeps no time. Its findings are not on record: a new leader begins without evidence.
+// Package core reports failures and successes to the detector and decides how to react. The package
+// performs no I/O and reads no clock. Its state is not stored: a new leader starts without evidence.
 package outlier
 
 import (
@@ -13,24 +13,22 @@
 	"slices"
 )
 
-// minFailedMachines is the number of machines on which a job has to fail before it may be found
-// faulty.
+// minFailedMachines is the minimum number of machines on which a faulty job has failed.
 const minFailedMachines = 3
 
-// minFailedJobs is the number of jobs that have to fail on a machine before it may be found faulty.
+// minFailedJobs is the minimum number of jobs that have failed on a faulty machine.
 const minFailedJobs = 2
 
-// Detector holds the failures that no success has refuted, by the IDs of jobs and the names of
-// machines.
+// Detector holds the failures that were not followed by a success, by job ID and by machine name.
 type Detector struct {
-	machinesByJob map[string]nameSet // where a job failed since its last success
-	jobsByMachine map[string]nameSet // which jobs failed on a machine since the last success there
+	machinesByJob map[string]nameSet // machines on which a job failed since its last success
+	jobsByMachine map[string]nameSet // jobs that failed on a machine since the last success there
 }
 
-// nameSet is a set of names of jobs or machines.
+// nameSet is a set of job IDs or machine names.
 type nameSet map[string]struct{}
 
-// New makes a detector without evidence.
+// New creates a detector without evidence.
 func New() *Detector {
 	return &Detector{machinesByJob: map[string]nameSet{}, jobsByMachine: map[string]nameSet{}}
 }
@@ -50,14 +48,14 @@
 }
 
 // RecordSuccess records that a task of a job succeeded on a machine: it is done, or has run for
-// longer than a start that fails. The job's failures elsewhere remain evidence against those
-// machines, and those of other jobs on this machine remain evidence against the jobs.
+// longer than a task that fails at its start. The job's failures elsewhere remain evidence against
+// those machines, and failures of other jobs on this machine remain evidence against those jobs.
 func (d *Detector) RecordSuccess(job, machine string) {
 	delete(d.machinesByJob, job)
 	delete(d.jobsByMachine, machine)
 }
 
-// ForgetJob drops the evidence about a job that has ended.
+// ForgetJob removes the evidence about a job that has ended.
 func (d *Detector) ForgetJob(job string) {
 	for machine := range d.machinesByJob[job] {
 		d.removeJob(machine, job)
@@ -73,7 +71,7 @@
 	}
 }
 
-// ForgetMachine drops the evidence against a machine that has terminated. The failures there
+// ForgetMachine removes the evidence against a machine that has terminated. Failures on that machine
 // remain evidence against the jobs.
 func (d *Detector) ForgetMachine(machine string) { delete(d.jobsByMachine, machine) }
 
@@ -83,21 +81,22 @@
 	return failed
 }
 
-// FailedMachineCount counts the machines on which a job failed since its last success.
+// FailedMachineCount returns the number of machines on which a job failed since its last success.
 func (d *Detector) FailedMachineCount(job string) int { return len(d.machinesByJob[job]) }
 
 // HasFailures reports whether any task failed on a machine since the last success there.
 func (d *Detector) HasFailures(machine string) bool { return len(d.jobsByMachine[machine]) > 0 }
 
-// JobFaulty reports whether a job is the likelier cause of its failures: it failed on several
-// machines, on several of which fewer jobs failed than it failed on machines.
+// JobFaulty reports whether a job is the more likely cause of its failures: among the machines on
+// which it failed, on at least minFailedMachines of them the number of failed jobs is lower than the
+// number of machines on which this job failed.
 func (d *Detector) JobFaulty(job string) bool {
 	machines := d.machinesByJob[job]
 	if len(machines) < minFailedMachines {
 		return false
 	}
 	healthyMachines := 0
-	for machine := range machines { // in any order: they are counted
+	for machine := range machines { // map order has no effect on the count
 		if len(d.jobsByMachine[machine]) < len(machines) {
 			healthyMachines++
 		}
@@ -105,12 +104,12 @@
 	return healthyMachines >= minFailedMachines
 }
 
-// MachineFaulty reports whether a machine is the likelier cause of the failures on it: several
-// jobs failed there that are not faulty themselves. Whether they are may show only as they are
-// tried elsewhere, so the finding may be withdrawn.
+// MachineFaulty reports whether a machine is the more likely cause of the failures on it: at least
+// minFailedJobs jobs failed there that are not faulty themselves. Such a job may turn out to be
+// faulty when it also fails on other machines, so the result may change back to false.
 func (d *Detector) MachineFaulty(machine string) bool {
 	jobs := 0
-	for job := range d.jobsByMachine[machine] { // in any order: they are counted
+	for job := range d.jobsByMachine[machine] { // map order has no effect on the count
 		if !d.JobFaulty(job) {
 			jobs++
 		}
@@ -118,8 +117,8 @@
 	return jobs >= minFailedJobs
 }
 
-// MachinesWithFailures lists, by name, the machines on which any task failed since the last
-// success there.
+// MachinesWithFailures lists, in order of name, the machines on which any task failed since the
+// last success there.
 func (d *Detector) MachinesWithFailures() []string {
 	return slices.Sorted(maps.Keys(d.jobsByMachine))
 }
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -17,9 +17,9 @@
 //  2. The worker reports a later incarnation.
 //  3. The cloud has confirmed the machine's return.
 //  4. The worker has seen this term, and its lease is guaranteed to have expired since its last
-//     renewal by this term's leader or by a controller without contact to the leader (see package
-//     membership). The lease of a worker that has not seen this term may still be renewed by a
-//     leader of an earlier term.
+//     renewal by this term's leader, or extension by a controller that could not reach the leader
+//     (see package membership). The lease of a worker that has not seen this term may still be
+//     renewed by a leader of an earlier term.
 
 // LossReason is why a task is confirmed to have terminated although its exit was not reported. Its
 // text appears in log lines.
@@ -37,7 +37,7 @@
 // Outcome is the conclusion from a worker's newest message for a placement.
 type Outcome int
 
-// Outcomes for a placement.
+// Possible outcomes for a placement.
 const (
 	Unchanged Outcome = iota // the message does not change what is known of the placement
 	Listed                   // the message lists the attempt
