--- a/internal/core/cluster/cluster_test.go
+++ b/internal/core/cluster/cluster_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("machines visited: got %q, want %q", visited, want)
 	}
 	if len(state.MachinesByName) != 2 || state.Machines["n-1"] != nil {
-		t.Errorf("machines after n-1 was dropped: got %d, n-1 %v; want 2, n-1 nil", len(state.MachinesByName), state.Machines["n-1"])
+		t.Errorf("machines after n-1 was dropped: got %d, want 2 and no n-1", len(state.MachinesByName))
 	}
 }
 
@@ -120,7 +120,7 @@
 		{Task: "a/0", Attempt: 2, State: wire.TaskRunning},
 	}
 	if status, listed := machine.ReportedAttempt("a/0", 2); !listed || status.State != wire.TaskRunning {
-		t.Errorf("attempt 2: got %+v, listed %v; want state %v, listed true", status, listed, wire.TaskRunning)
+		t.Errorf("attempt 2: got %+v, listed %v; want it listed as running", status, listed)
 	}
 	if _, listed := machine.ReportedAttempt("a/0", 3); listed {
 		t.Error("attempt 3: got listed, want not listed")
--- a/internal/core/election/campaign.go
+++ b/internal/core/election/campaign.go
@@ -5,8 +5,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// campaign tries to win the next term, given the version of the leader key: it reads the term,
-// asks for a lease for the key, and writes both.
+// campaign tries to win an election for the next term, given the version of the leader key: it reads
+// the term key, requests a lease, and writes the leader key and the term key.
 func (e *Election) campaign(leaderVersion uint64) {
 	e.callPending = true
 	e.store.Get(KeyTerm, func(r kv.GetResult) {
@@ -19,7 +19,7 @@
 	})
 }
 
-// parseTerm returns the term that was read. There is none before the first election.
+// parseTerm returns the term that was read; 0, with version 0, before the first election.
 func (e *Election) parseTerm(r kv.GetResult) (term kv.Versioned[uint64], ok bool) {
 	switch r.Status {
 	case kv.OK:
@@ -35,7 +35,8 @@
 	}
 }
 
-// grantLease asks the store for a lease, for an election that continues with it.
+// grantLease requests a lease from the store and calls next with it. If that fails, the election
+// ends.
 func (e *Election) grantLease(next func(lease uint64)) {
 	e.store.Grant(e.leaseDuration, func(r kv.GrantResult) {
 		if r.Status != kv.OK {
@@ -46,8 +47,8 @@
 	})
 }
 
-// claimTerm writes the leader key and the term after the given one, on the condition that
-// neither key has changed.
+// claimTerm writes the leader key and the term that follows last, on the condition that neither key
+// has changed (compare-and-swap).
 func (e *Election) claimTerm(leaderVersion uint64, last kv.Versioned[uint64], lease uint64) {
 	term := last.Value + 1
 	txn := &wire.Txn{
@@ -69,8 +70,8 @@
 	})
 }
 
-// becomeLeader begins to lead under a term that was won, unless another controller has won a
-// later one meanwhile.
+// becomeLeader makes this controller the leader for the term it has won, unless another controller
+// has won a later term in the meantime.
 func (e *Election) becomeLeader(won Leadership) {
 	otherLeads := e.leader != "" && e.leader != e.name
 	if otherLeads && e.term >= won.Term {
@@ -82,7 +83,7 @@
 	e.host.Lead(won)
 }
 
-// renew renews the lease of this controller's leader key.
+// renew renews the lease of the leader key, on the leader.
 func (e *Election) renew(leadership Leadership) {
 	e.store.Renew(leadership.Lease, e.leaseDuration/timeoutsPerLease, func(status kv.Status) {
 		e.host.ObserveStore(status)
@@ -100,8 +101,8 @@
 	})
 }
 
-// verifyKey reads the leader key on a leader that hears no peer: another controller may have
-// replaced it.
+// verifyKey reads the leader key, on a leader without contact with any peer: another controller may
+// have replaced it.
 func (e *Election) verifyKey(leadership Leadership) {
 	e.store.Get(KeyLeader, func(r kv.GetResult) {
 		if r.Status != kv.OK || !e.leadsUnder(leadership) {
@@ -116,7 +117,7 @@
 	})
 }
 
-// leadsUnder reports whether this controller still leads under a leadership.
+// leadsUnder reports whether the given leadership of this controller is still current.
 func (e *Election) leadsUnder(leadership Leadership) bool {
 	current, leads := e.host.Leading()
 	return leads && current == leadership
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -1,10 +1,10 @@
-// Package election decides which controller of a region leads. It is a state machine: package core,
-// which calls it, passes it ticks and the leaders that peers name; it reads and writes the
-// key-value store through Store, and begins and ends leadership through Host. It has no clock,
-// socket or goroutine.
+// Package election decides which controller of a region is the leader. It is a state machine: package
+// core calls it with ticks and with the leaders that peers report. It reads and writes the key-value
+// store through Store, and starts and ends leadership through Host. It has no clock, socket or
+// goroutine.
 //
-// The leader key is attached to a lease and shows who leads; it only decides when to hold an
-// election. Safety rests on the term key: every election raises it, every write of a leader is
+// The leader key is attached to a lease and names the leader; it only determines when to hold an
+// election. Safety depends on the term key: every election increments it, every write of a leader is
 // conditional on its version, and the term is the fencing token of commands.
 package election
 
@@ -19,26 +19,26 @@
 // StepDownReason is why a controller steps down.
 type StepDownReason string
 
-// Reasons to step down that the election itself finds.
+// Reasons to step down that this package detects.
 const (
 	ReasonHigherTerm   StepDownReason = "a higher term exists"
-	ReasonLeaseExpired StepDownReason = "the lease expired"
+	ReasonLeaseExpired StepDownReason = "the lease of the leader key expired"
 )
 
 // Leadership identifies the leadership that was won by one election.
 type Leadership struct {
 	Term        uint64
-	TermVersion uint64 // of the term key; every write of the leader is conditional on it
-	Lease       uint64 // of the leader key
+	TermVersion uint64 // version of the term key; every write of the leader is conditional on it
+	Lease       uint64 // ID of the lease of the leader key
 }
 
-// Store is the key-value store. Its results come later.
+// Store is the key-value store. Its calls are asynchronous: done is called with the result later.
 type Store interface {
 	// Get reads a key.
 	Get(key string, done func(kv.GetResult))
-	// Commit carries out a transaction.
+	// Commit executes a transaction.
 	Commit(txn *wire.Txn, done func(kv.TxnResult))
-	// Grant asks for a lease.
+	// Grant requests a new lease.
 	Grant(duration time.Duration, done func(kv.GrantResult))
 	// Renew renews a lease; the status is NotFound if it has expired.
 	Renew(lease uint64, timeout time.Duration, done func(kv.Status))
@@ -46,71 +46,72 @@
 
 // Host is the controller that takes part in elections.
 type Host interface {
-	// Now is the steady time.
+	// Now returns the monotonic time.
 	Now() time.Duration
-	// Leading returns this controller's leadership; false if it does not lead.
+	// Leading returns this controller's leadership; false if it is not the leader.
 	Leading() (Leadership, bool)
-	// Lead begins to lead.
+	// Lead makes this controller the leader.
 	Lead(Leadership)
 	// StepDown ends this controller's leadership, and calls Election.SteppedDown.
 	StepDown(StepDownReason)
-	// ObserveStore records the status of a call that shows whether the store answers.
+	// ObserveStore records the status of a call that shows whether the store is available.
 	ObserveStore(kv.Status)
-	// HearsPeer reports whether any other controller is heard.
+	// HearsPeer reports whether this controller has contact with any other controller.
 	HearsPeer() bool
-	// LeaderLost reports whether the leader is lost although it may hold its key.
+	// LeaderLost reports whether the leader is to be replaced although it may still hold its key.
 	LeaderLost() bool
-	// LeaderKnown is called when it is known which other controller leads.
+	// LeaderKnown is called whenever another controller is observed to be the leader.
 	LeaderKnown()
 }
 
-// The interval of polls and the timeout of a renewal, as parts of the leader's lease: several
-// renewals fit into one lease.
+// The interval between polls and the timeout of a renewal, as fractions of the leader's lease.
+// Several renewals fit into one lease.
 const (
 	pollsPerLease    = 4
 	timeoutsPerLease = 2
 )
 
-// Election is what a controller knows of who leads.
+// Election is one controller's state of leader election.
 type Election struct {
 	name          string        // of this controller
-	leaseDuration time.Duration // of the leader key's lease
+	leaseDuration time.Duration // duration of the leader key's lease
 	store         Store
 	host          Host
 	log           *slog.Logger
 
-	callPending bool // a poll, a renewal or an election waits for the store
-	nextPollAt  time.Duration
+	callPending bool          // a poll, a renewal or an election waits for the store
+	nextPollAt  time.Duration // time of the next poll or renewal
 
-	term          uint64 // highest term known
-	leader        string // who holds it; empty if that is not known
-	leaderHeardAt time.Duration
-	keyReadAt     time.Duration // when the key of another leader was last read
+	term          uint64        // highest term known
+	leader        string        // leader of that term; empty if unknown
+	leaderHeardAt time.Duration // last contact with the leader
+	keyReadAt     time.Duration // when the leader key last named another controller
 	keyReadOnce   bool          // the leader key was read since this controller started
 }
 
-// New makes the state of a controller that has just started. leaseDuration is that of the
+// New creates the state of a controller that has just started. leaseDuration is the duration of the
 // lease to which the leader key is attached.
 func New(name string, leaseDuration time.Duration, store Store, host Host, log *slog.Logger) *Election {
 	return &Election{name: name, leaseDuration: leaseDuration, store: store, host: host, log: log}
 }
 
-// Term is the highest term known.
+// Term returns the highest term known.
 func (e *Election) Term() uint64 { return e.term }
 
-// Leader is the name of the leader; empty if none is known.
+// Leader returns the name of the leader; empty if none is known.
 func (e *Election) Leader() string { return e.leader }
 
-// LeaderHeard is when the leader was last heard.
+// LeaderHeard returns the time of the last contact with the leader.
 func (e *Election) LeaderHeard() time.Duration { return e.leaderHeardAt }
 
-// RecordLeaderHeard records that the leader was heard now.
+// RecordLeaderHeard records contact with the leader now.
 func (e *Election) RecordLeaderHeard() { e.leaderHeardAt = e.host.Now() }
 
-// LeaderKeyRead is when the key of another leader was last read; 0 for never.
+// LeaderKeyRead returns when the leader key was last found to name another controller; 0 for never.
 func (e *Election) LeaderKeyRead() time.Duration { return e.keyReadAt }
 
-// Tick renews this controller's leadership, or reads who leads.
+// Tick renews the lease of the leader key on the leader, and reads the leader key on other
+// controllers.
 func (e *Election) Tick() {
 	now := e.host.Now()
 	if e.callPending || now < e.nextPollAt {
@@ -125,7 +126,7 @@
 	e.poll()
 }
 
-// poll reads the leader key, on a controller that does not lead.
+// poll reads the leader key, on a controller that is not the leader.
 func (e *Election) poll() {
 	e.store.Get(KeyLeader, func(r kv.GetResult) {
 		e.host.ObserveStore(r.Status)
@@ -139,19 +140,19 @@
 		case kv.NotFound:
 			e.keyReadOnce = true
 			e.campaign(0)
-		default: // the next poll reads it again
+		default: // the next poll tries again
 		}
 	})
 }
 
-// isLeader reports whether this controller leads.
+// isLeader reports whether this controller is the leader.
 func (e *Election) isLeader() bool {
 	_, leads := e.host.Leading()
 	return leads
 }
 
-// onLeaderKey handles the leader key, on a controller that does not lead. It campaigns where
-// nobody leads under the key, or where the leader is lost.
+// onLeaderKey handles the leader key that was read, on a controller that is not the leader. It starts
+// an election if the key belongs to no active leader, or if the leader is lost.
 func (e *Election) onLeaderKey(item wire.Item) {
 	key, err := decodeLeader(item)
 	if err != nil {
@@ -161,8 +162,8 @@
 	firstRead := !e.keyReadOnce
 	e.keyReadOnce = true
 	if key.Value.Name == e.name {
-		// This controller's own key, of an earlier process or of an election whose answer
-		// was lost: nobody else acts under it.
+		// The key was written by an earlier process of this controller, or in an election whose
+		// response was lost. No other controller leads under it.
 		if firstRead || key.Value.Term >= e.term {
 			e.campaign(key.Version)
 		}
@@ -171,16 +172,16 @@
 	e.ObserveLeader(key.Value.Term, key.Value.Name)
 	e.keyReadAt = e.host.Now()
 	if e.host.LeaderLost() {
-		// The leader still holds its key, but neither this controller nor another one hears
-		// it, so the workers' heartbeats do not reach it and their leases expire. Its key
-		// is replaced; its writes and commands fail by the term.
-		e.log.Info("replacing lost leader", "controller", key.Value.Name, "term", key.Value.Term)
+		// The leader still holds its key but has no contact with this controller or its peers,
+		// so the workers' heartbeats do not reach it and their leases expire. Replacing its key
+		// in a new term makes its writes and commands fail.
+		e.log.Info("leader unreachable; starting an election to replace it", "controller", key.Value.Name, "term", key.Value.Term)
 		e.campaign(key.Version)
 	}
 }
 
-// ObserveLeader records that a controller leads under a term. A leader that learns of a higher
-// term steps down.
+// ObserveLeader records that a controller is the leader of a term. If this controller is the leader
+// of a lower term, it steps down.
 func (e *Election) ObserveLeader(term uint64, name string) {
 	if term < e.term {
 		return
@@ -194,12 +195,12 @@
 	if term > e.term || e.leader != name {
 		e.term, e.leader = term, name
 		e.RecordLeaderHeard()
-		e.log.Info("new leader", "controller", name, "term", term)
+		e.log.Info("another controller is the leader", "controller", name, "term", term)
 	}
 	e.host.LeaderKnown()
 }
 
-// SteppedDown records that this controller no longer leads.
+// SteppedDown records that this controller is no longer the leader.
 func (e *Election) SteppedDown() {
 	e.RecordLeaderHeard()
 	e.leader = ""
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -13,40 +13,40 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leaseDuration of the leader key in these tests.
+// leaseDuration is the duration of the leader key's lease in these tests.
 const leaseDuration = 2 * time.Second
 
-// fakeStore is a key-value store whose answers come late, in any order or not at all.
+// fakeStore is a key-value store whose responses are delayed, reordered or lost.
 type fakeStore struct {
-	random      *rand.Rand
-	now         time.Duration
-	revision    uint64
-	keys        map[string]wire.Item
-	leases      map[uint64]time.Duration // when they expire
-	pending     []func()                 // answers under way
-	lostAnswers float64                  // probability that an answer is lost
+	random          *rand.Rand
+	now             time.Duration
+	revision        uint64
+	keys            map[string]wire.Item
+	leases          map[uint64]time.Duration // expiry times
+	pending         []func()                 // responses not delivered yet
+	lossProbability float64                  // probability that a response is lost
 }
 
-// answerLater sends an answer that deliver delivers, or loses it.
-func (s *fakeStore) answerLater(done func(kv.Response), number int, v any) {
+// respond queues a response for deliver, or queues one without a status if the response is lost.
+func (s *fakeStore) respond(done func(kv.Response), number int, v any) {
 	response := kv.Response{Number: number, Body: kv.Encode(v)}
-	if s.random.Float64() < s.lostAnswers {
+	if s.random.Float64() < s.lossProbability {
 		response = kv.Response{}
 	}
 	s.pending = append(s.pending, func() { done(response) })
 }
 
-// deliver delivers the answers under way, in a random order.
+// deliver delivers the pending responses, in a random order.
 func (s *fakeStore) deliver() {
 	pending := s.pending
 	s.pending = nil
 	s.random.Shuffle(len(pending), func(a, b int) { pending[a], pending[b] = pending[b], pending[a] })
-	for _, answer := range pending {
-		answer()
+	for _, response := range pending {
+		response()
 	}
 }
 
-// advance lets time pass: leases expire, and the keys attached to them are deleted.
+// advance advances the time: leases expire, and the keys attached to them are deleted.
 func (s *fakeStore) advance(d time.Duration) {
 	s.now += d
 	for lease, expiry := range s.leases {
@@ -63,19 +63,19 @@
 }
 
 func (s *fakeStore) Get(key string, done func(kv.GetResult)) {
-	answer := func(r kv.Response) { done(kv.ParseGet(r)) }
+	parse := func(r kv.Response) { done(kv.ParseGet(r)) }
 	if item, ok := s.keys[key]; ok {
-		s.answerLater(answer, http.StatusOK, item)
+		s.respond(parse, http.StatusOK, item)
 		return
 	}
-	s.answerLater(answer, http.StatusNotFound, struct{}{})
+	s.respond(parse, http.StatusNotFound, struct{}{})
 }
 
 func (s *fakeStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
-	answer := func(r kv.Response) { done(kv.ParseTxn(r)) }
+	parse := func(r kv.Response) { done(kv.ParseTxn(r)) }
 	for _, condition := range txn.Conditions {
 		if s.keys[condition.Key].Version != condition.Version {
-			s.answerLater(answer, http.StatusConflict, struct{}{})
+			s.respond(parse, http.StatusConflict, struct{}{})
 			return
 		}
 	}
@@ -83,35 +83,35 @@
 	for _, write := range txn.Writes {
 		s.keys[write.Put] = wire.Item{Key: write.Put, Value: write.Value, Version: s.revision, Lease: write.Lease}
 	}
-	s.answerLater(answer, http.StatusOK, wire.TxnResult{Revision: s.revision})
+	s.respond(parse, http.StatusOK, wire.TxnResult{Revision: s.revision})
 }
 
 func (s *fakeStore) Grant(duration time.Duration, done func(kv.GrantResult)) {
 	s.revision++
 	s.leases[s.revision] = s.now + duration
-	s.answerLater(func(r kv.Response) { done(kv.ParseGrant(r)) }, http.StatusOK, wire.Grant{Lease: s.revision})
+	s.respond(func(r kv.Response) { done(kv.ParseGrant(r)) }, http.StatusOK, wire.Grant{Lease: s.revision})
 }
 
 func (s *fakeStore) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
-	answer := func(r kv.Response) { done(kv.StatusOf(r.Number)) }
+	parse := func(r kv.Response) { done(kv.StatusOf(r.Number)) }
 	if _, ok := s.leases[lease]; !ok {
-		s.answerLater(answer, http.StatusNotFound, struct{}{})
+		s.respond(parse, http.StatusNotFound, struct{}{})
 		return
 	}
 	s.leases[lease] = s.now + leaseDuration
-	s.answerLater(answer, http.StatusOK, struct{}{})
+	s.respond(parse, http.StatusOK, struct{}{})
 }
 
-// controller takes part in elections.
+// controller is a controller process that takes part in elections.
 type controller struct {
 	*Election
 	store      *fakeStore
 	name       string
 	leadership *Leadership
 	stepDowns  []StepDownReason
-	leaderLost bool // what LeaderLost returns
-	hearsPeer  bool // what HearsPeer returns
-	down       bool // the process has ended
+	leaderLost bool // returned by LeaderLost
+	hearsPeer  bool // returned by HearsPeer
+	crashed    bool
 	restarts   int
 }
 
@@ -150,18 +150,18 @@
 	return &fakeStore{random: rand.New(rand.NewPCG(seed, 1)), keys: map[string]wire.Item{}, leases: map[uint64]time.Duration{}}
 }
 
-// newControllers makes controllers a, b and c.
+// newControllers creates controllers a, b and c.
 func newControllers(s *fakeStore) []*controller {
 	return []*controller{newController(s, "a"), newController(s, "b"), newController(s, "c")}
 }
 
-// run simulates some time in which all controllers tick.
+// run simulates a period in which all running controllers tick.
 func run(s *fakeStore, duration time.Duration, controllers ...*controller) {
 	const step = 100 * time.Millisecond
 	for end := s.now + duration; s.now < end; {
 		s.advance(step)
 		for _, c := range controllers {
-			if !c.down {
+			if !c.crashed {
 				c.Tick()
 			}
 		}
@@ -169,19 +169,19 @@
 	}
 }
 
-// leaders lists the controllers that lead.
+// leaders lists the running controllers that lead.
 func leaders(controllers []*controller) []*controller {
 	var leading []*controller
 	for _, c := range controllers {
-		if c.leadership != nil && !c.down {
+		if c.leadership != nil && !c.crashed {
 			leading = append(leading, c)
 		}
 	}
 	return leading
 }
 
-// TestOneLeader starts three controllers at once, then ends the leader, and the next one. One
-// leads each time, under a higher term, and the others know it.
+// TestOneLeader starts three controllers at once, and then removes one leader after the other. Each
+// time exactly one controller must lead, in a higher term, and be known to the others.
 func TestOneLeader(t *testing.T) {
 	for seed := range uint64(50) {
 		s := newFakeStore(seed)
@@ -191,13 +191,13 @@
 			run(s, 4*leaseDuration, controllers...)
 			leading := leaders(controllers)
 			if len(leading) != 1 || leading[0].leadership.Term <= term {
-				t.Fatalf("seed %d: %d lead after term %d", seed, len(leading), term)
+				t.Fatalf("seed %d: got %d leaders after term %d, want 1 in a higher term", seed, len(leading), term)
 			}
 			leader := leading[0]
 			term = leader.leadership.Term
 			for _, c := range controllers {
 				if c.Leader() != leader.name || c.Term() != term {
-					t.Errorf("seed %d: %s believes that %q leads under term %d", seed, c.name, c.Leader(), c.Term())
+					t.Errorf("seed %d: leader known to %s: got %q in term %d, want the controller that leads and its term", seed, c.name, c.Leader(), c.Term())
 				}
 			}
 			controllers = slices.DeleteFunc(controllers, func(c *controller) bool { return c == leader })
@@ -205,12 +205,12 @@
 	}
 }
 
-// TestTermsAreNeverShared simulates random ends, restarts, lost answers and failovers. No two
-// processes may ever win the same term.
-func TestTermsAreNeverShared(t *testing.T) {
+// TestOneWinnerPerTerm simulates random crashes, restarts, lost responses and failovers. No two
+// processes may win the same term.
+func TestOneWinnerPerTerm(t *testing.T) {
 	for seed := range uint64(100) {
 		s := newFakeStore(seed)
-		s.lostAnswers = 0.1
+		s.lossProbability = 0.1
 		controllers := newControllers(s)
 		winners := map[uint64]string{} // by term
 		for range 300 {
@@ -218,16 +218,17 @@
 			for i, c := range controllers {
 				recordWinner(t, seed, winners, c)
 				c.leaderLost = s.random.IntN(10) == 0
-				controllers[i] = endOrRestart(s, c)
+				controllers[i] = crashOrRestart(s, c)
 			}
 		}
 		if len(winners) < 5 {
-			t.Errorf("seed %d: %d terms only", seed, len(winners))
+			t.Errorf("seed %d: terms won: got %d, want at least 5", seed, len(winners))
 		}
 	}
 }
 
-// recordWinner records that a controller leads under its term, unless another process did.
+// recordWinner records the winner of a controller's term, and fails the test if another process has
+// won that term.
 func recordWinner(t *testing.T, seed uint64, winners map[uint64]string, c *controller) {
 	t.Helper()
 	if c.leadership == nil {
@@ -235,18 +236,18 @@
 	}
 	term, process := c.leadership.Term, fmt.Sprint(c.name, c.restarts)
 	if winner, known := winners[term]; known && winner != process {
-		t.Fatalf("seed %d: term %d was won by %s and by %s", seed, term, winner, process)
+		t.Fatalf("seed %d: term %d: got winners %s and %s, want one", seed, term, winner, process)
 	}
 	winners[term] = process
 }
 
-// endOrRestart ends a controller now and then, and restarts one that has ended.
-func endOrRestart(s *fakeStore, c *controller) *controller {
+// crashOrRestart randomly crashes a controller, or restarts one that has crashed.
+func crashOrRestart(s *fakeStore, c *controller) *controller {
 	switch s.random.IntN(20) {
 	case 0:
-		c.down = true
+		c.crashed = true
 	case 1, 2:
-		if c.down {
+		if c.crashed {
 			restarted := newController(s, c.name)
 			restarted.restarts = c.restarts + 1
 			return restarted
@@ -255,29 +256,29 @@
 	return c
 }
 
-// TestStepsDown gives a leader a reason to step down, or none.
-func TestStepsDown(t *testing.T) {
+// TestStepDown checks when a leader steps down, and for which reason.
+func TestStepDown(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(s *fakeStore, c *controller)
 		want   StepDownReason // empty if it still leads
 	}{
-		{"its lease has expired", func(s *fakeStore, _ *controller) { s.advance(2 * leaseDuration) }, ReasonLeaseExpired},
-		{"a peer leads under a higher term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term+1, "b") }, ReasonHigherTerm},
-		{"it hears nobody and reads that another one leads", func(s *fakeStore, c *controller) {
+		{"lease expired", func(s *fakeStore, _ *controller) { s.advance(2 * leaseDuration) }, ReasonLeaseExpired},
+		{"peer leads in a higher term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term+1, "b") }, ReasonHigherTerm},
+		{"no contact with peers, leader key names another controller", func(s *fakeStore, c *controller) {
 			c.hearsPeer = false
 			value := kv.Encode(LeaderValue{"b", c.leadership.Term + 1})
 			s.keys[KeyLeader] = wire.Item{Key: KeyLeader, Value: value, Version: 99}
 		}, ReasonHigherTerm},
-		{"nothing", func(*fakeStore, *controller) {}, ""},
-		{"a peer names a lower term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term-1, "b") }, ""},
+		{"no reason", func(*fakeStore, *controller) {}, ""},
+		{"peer reports a leader of a lower term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term-1, "b") }, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := newFakeStore(1)
 			c := newController(s, "a")
 			run(s, leaseDuration, c)
 			if c.leadership == nil {
-				t.Fatal("nobody leads")
+				t.Fatal("leader before the change: got none, want controller a")
 			}
 			tc.change(s, c)
 			run(s, leaseDuration/2, c)
@@ -286,25 +287,25 @@
 				first = c.stepDowns[0]
 			}
 			if first != tc.want {
-				t.Errorf("stepped down for %q, want %q", c.stepDowns, tc.want)
+				t.Errorf("reasons to step down: got %q, want %q first", c.stepDowns, tc.want)
 			}
 		})
 	}
 }
 
-// TestFailover keeps a leader that nobody hears renewing its key. A controller whose peers
-// agree replaces it; one that is alone with that does not.
+// TestFailover checks that a leader without contact with other controllers, which still renews its
+// key, is replaced if another controller considers it lost, and only then.
 func TestFailover(t *testing.T) {
-	for _, peersAgree := range []bool{true, false} {
-		t.Run(fmt.Sprintf("peers agree %v", peersAgree), func(t *testing.T) {
+	for _, leaderLost := range []bool{true, false} {
+		t.Run(fmt.Sprintf("leader lost %v", leaderLost), func(t *testing.T) {
 			s := newFakeStore(1)
 			a, b := newController(s, "a"), newController(s, "b")
 			run(s, leaseDuration, a)
 			first := a.leadership.Term
-			b.leaderLost = peersAgree
+			b.leaderLost = leaderLost
 			run(s, leaseDuration, a, b)
-			if replaced := b.leadership != nil && b.leadership.Term > first; replaced != peersAgree {
-				t.Errorf("replaced the leader: %v", replaced)
+			if replaced := b.leadership != nil && b.leadership.Term > first; replaced != leaderLost {
+				t.Errorf("leader replaced: got %v, want the opposite", replaced)
 			}
 		})
 	}
--- a/internal/core/membership/leader.go
+++ b/internal/core/membership/leader.go
@@ -20,8 +20,8 @@
 }
 
 // LeaderLost reports whether the leader is to be replaced although it may still renew its key: this
-// controller and at least one peer have no contact to it, and no peer has. A controller without
-// contact to any peer is more likely partitioned itself, and must not replace a working leader. It
+// controller and at least one peer have no contact with it, and no peer has. A controller without
+// contact with any peer is more likely partitioned itself, and must not replace a working leader. It
 // considers the leader lost only if a worker could not reach the leader either.
 func (m *Membership) LeaderLost() bool {
 	if m.HearsLeader() {
@@ -29,20 +29,20 @@
 	}
 	peerAgrees := false
 	for _, p := range m.peers {
-		if p.name == m.election.Leader() || !m.heardRecently(p) {
+		if p.name == m.election.Leader() || !m.hasContact(p) {
 			continue
 		}
-		if p.hearsLeader {
+		if p.hasLeaderContact {
 			return false
 		}
 		peerAgrees = true
 	}
-	return peerAgrees || m.workerMissedLeader()
+	return peerAgrees || m.workerReturnedFromLeader()
 }
 
-// workerMissedLeader reports whether a worker that was redirected to the leader came back
-// recently, while this controller has had no contact to the leader for two worker leases.
-func (m *Membership) workerMissedLeader() bool {
+// workerReturnedFromLeader reports whether a worker that was redirected to the leader came back
+// recently, while this controller has had no contact with the leader for two worker leases.
+func (m *Membership) workerReturnedFromLeader() bool {
 	if m.since(m.election.LeaderHeard()) <= 2*m.config.WorkerLease {
 		return false
 	}
--- a/internal/core/membership/lease_extension.go
+++ b/internal/core/membership/lease_extension.go
@@ -38,12 +38,12 @@
 	fencingToken uint64 // token under which it was extended
 }
 
-// maxExtensionLeases is how long a controller without contact to a leader extends leases, in worker
+// maxExtensionLeases is how long a controller without contact with a leader extends leases, in worker
 // leases. It is long enough to bridge the partition of a zone, and limits how long tasks that the
 // leader cannot reach keep running.
 const maxExtensionLeases = 12
 
-// MaxExtensionTime returns how long a controller without contact to a leader extends leases.
+// MaxExtensionTime returns how long a controller without contact with a leader extends leases.
 func (m *Membership) MaxExtensionTime() time.Duration {
 	return maxExtensionLeases * m.config.WorkerLease
 }
@@ -55,7 +55,7 @@
 
 // ExtendLease records that this controller extends the lease of a worker, in place of the leader
 // and under the fencing token that the worker has seen. It returns false if the lease must not be
-// extended: the worker has not seen any term, or the last contact to a leader was too long ago.
+// extended: the worker has not seen any term, or the last contact with a leader was too long ago.
 func (m *Membership) ExtendLease(machine string, fencingToken uint64) bool {
 	if fencingToken == 0 || !m.mayExtendLeases() {
 		return false
@@ -105,27 +105,27 @@
 	return list
 }
 
-// extensionTestimony is the state of a peer's reports on the leases that it has extended.
-type extensionTestimony struct {
+// extensionReports is the state of a peer's reports on the leases that it has extended.
+type extensionReports struct {
 	incarnation uint64        // of the peer; 0 before its first digest
 	clock       time.Duration // by the peer's clock: when it created its newest digest
-	// testifiedUntil is a time by this controller's clock. The peer has listed all its
+	// reportedUntil is a time by this controller's clock. The peer has listed all its
 	// extensions until then.
-	testifiedUntil time.Duration
+	reportedUntil time.Duration
 	// uncertainUntil is a time by this controller's clock. An earlier incarnation of the peer may
 	// have extended any lease until then.
 	uncertainUntil time.Duration
 }
 
-// recordTestimony records the time up to which a peer's digest reports its extensions.
-func (m *Membership) recordTestimony(testimony *extensionTestimony, digest *wire.Digest) {
-	if digest.Boot != testimony.incarnation {
-		testimony.uncertainUntil = m.host.Now()
-		testimony.incarnation, testimony.clock = digest.Boot, 0
+// recordExtensionReports records the time up to which a peer's digest reports its extensions.
+func (m *Membership) recordExtensionReports(reports *extensionReports, digest *wire.Digest) {
+	if digest.Boot != reports.incarnation {
+		reports.uncertainUntil = m.host.Now()
+		reports.incarnation, reports.clock = digest.Boot, 0
 	}
-	testimony.clock = max(testimony.clock, time.Duration(digest.Clock))
+	reports.clock = max(reports.clock, time.Duration(digest.Clock))
 	if digest.EchoBoot == m.config.Incarnation {
-		testimony.testifiedUntil = max(testimony.testifiedUntil, time.Duration(digest.Echo))
+		reports.reportedUntil = max(reports.reportedUntil, time.Duration(digest.Echo))
 	}
 }
 
@@ -135,10 +135,10 @@
 func (m *Membership) LeaseExpired(lastRenewal, bound time.Duration) bool {
 	spanBegin := lastRenewal
 	for _, p := range m.peers {
-		spanBegin = max(spanBegin, p.testimony.uncertainUntil)
+		spanBegin = max(spanBegin, p.reports.uncertainUntil)
 	}
 	for _, p := range m.peers {
-		if p.testimony.incarnation == 0 || p.testimony.testifiedUntil < spanBegin+bound {
+		if p.reports.incarnation == 0 || p.reports.reportedUntil < spanBegin+bound {
 			return false
 		}
 	}
--- a/internal/core/membership/lease_extension_test.go
+++ b/internal/core/membership/lease_extension_test.go
@@ -13,10 +13,10 @@
 	for _, tc := range []struct {
 		name      string
 		token     uint64
-		noContact time.Duration // since the last contact to the leader
+		noContact time.Duration // since the last contact with the leader
 		want      bool
 	}{
-		{"no contact to the leader for one lease", 5, workerLease, true},
+		{"no contact with the leader for one lease", 5, workerLease, true},
 		{"worker has not seen any term", 0, workerLease, false},
 		{"no contact for just less than the maximum time", 5, maxExtensionLeases*workerLease - 1, true},
 		{"no contact for the maximum time", 5, maxExtensionLeases * workerLease, false},
@@ -74,11 +74,11 @@
 	c.RecordAcknowledgement(&wire.Digest{Term: 4, EchoBoot: 1, Echo: int64(c.now)})
 	c.RecordAcknowledgement(&wire.Digest{Term: 6, EchoBoot: 1, Echo: 0})
 	if len(c.extendedLeases()) != 1 {
-		t.Errorf("extensions listed before the leader of term 6 has received them: got %d, want 1", len(c.extendedLeases()))
+		t.Error("extension before the leader of term 6 has received it: got not listed, want listed")
 	}
 	c.RecordAcknowledgement(&wire.Digest{Term: 5, EchoBoot: 1, Echo: int64(c.now)})
 	if len(c.extendedLeases()) != 1 {
-		t.Errorf("extensions listed after an acknowledgement by a replaced leader: got %d, want 1", len(c.extendedLeases()))
+		t.Error("extension after an acknowledgement by a replaced leader: got not listed, want listed")
 	}
 }
 
@@ -159,7 +159,7 @@
 // of all controllers arrive again.
 func TestLeaseExpiryIsSafe(t *testing.T) {
 	for seed := range uint64(500) {
-		s := newExtensionSimulation(seed)
+		s := newLeaseSimulator(seed)
 		for range 400 {
 			s.step()
 			if s.expired() && s.holdsLease {
@@ -176,9 +176,8 @@
 	}
 }
 
-// extensionSimulation simulates a leader n0 and three controllers that extend the lease of one
-// worker.
-type extensionSimulation struct {
+// leaseSimulator simulates a leader n0 and three controllers that extend the lease of one worker.
+type leaseSimulator struct {
 	random        *rand.Rand
 	clock         time.Duration
 	controllers   []*testController // the first one leads
@@ -193,8 +192,8 @@
 	loss, restarts, extensions float64
 }
 
-func newExtensionSimulation(seed uint64) *extensionSimulation {
-	s := &extensionSimulation{random: rand.New(rand.NewPCG(seed, 2)), holdsLease: true, loss: 0.5, restarts: 0.005, extensions: 0.05}
+func newLeaseSimulator(seed uint64) *leaseSimulator {
+	s := &leaseSimulator{random: rand.New(rand.NewPCG(seed, 2)), holdsLease: true, loss: 0.5, restarts: 0.005, extensions: 0.05}
 	for i, p := range region {
 		s.offsets = append(s.offsets, time.Duration(s.random.Int64N(int64(time.Hour))))
 		s.controllers = append(s.controllers, s.newController(p.Name))
@@ -205,14 +204,14 @@
 }
 
 // newController starts a controller.
-func (s *extensionSimulation) newController(name string) *testController {
+func (s *leaseSimulator) newController(name string) *testController {
 	s.incarnations++
 	return newTestController(name, s.incarnations)
 }
 
 // step advances the time by the interval between two digests: controllers restart, extend the lease,
 // and send digests, some of which are lost.
-func (s *extensionSimulation) step() {
+func (s *leaseSimulator) step() {
 	s.clock += leaderLease / 4
 	s.holdsLease = s.holdsLease && s.clock-s.lastExtended < workerLease
 	for i := range s.controllers {
@@ -231,12 +230,10 @@
 }
 
 // happens reports whether an event of the given probability happens.
-func (s *extensionSimulation) happens(probability float64) bool {
-	return s.random.Float64() < probability
-}
+func (s *leaseSimulator) happens(probability float64) bool { return s.random.Float64() < probability }
 
 // exchangeDigests sends a digest from each controller to every other one, unless it is lost.
-func (s *extensionSimulation) exchangeDigests() {
+func (s *leaseSimulator) exchangeDigests() {
 	for _, from := range s.controllers {
 		for _, to := range s.controllers {
 			if from != to && !s.happens(s.loss) {
@@ -247,7 +244,7 @@
 }
 
 // deliver delivers a digest from one controller to another.
-func (s *extensionSimulation) deliver(from, to *testController) {
+func (s *leaseSimulator) deliver(from, to *testController) {
 	digest := wire.Digest{Term: 5, Leader: from.leads}
 	from.FillDigest(&digest)
 	from.FillEcho(&digest, to.name)
@@ -263,6 +260,6 @@
 }
 
 // expired reports whether the leader finds the lease expired.
-func (s *extensionSimulation) expired() bool {
+func (s *leaseSimulator) expired() bool {
 	return s.controllers[0].LeaseExpired(s.knownToLeader, expiryBound)
 }
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -1,13 +1,13 @@
 // Package membership holds one controller's view of the other controllers of its region (its peers)
 // and of the workers whose heartbeats it handles. From that view it determines:
 //
-//   - which peers and zones, and whether the leader, it has contact to,
+//   - which peers and zones it has contact with, and whether it has contact with the leader,
 //   - whether the leader is lost, so that an election may replace it,
 //   - which controller a worker is redirected to,
-//   - which workers' leases this controller may extend while it has no contact to the leader,
+//   - which workers' leases this controller may extend while it has no contact with the leader,
 //   - whether a worker's lease is guaranteed to have expired although peers may have extended it.
 //
-// A controller has contact to a peer if it has received a message from the peer within the duration
+// A controller has contact with a peer if it has received a message from the peer within the duration
 // of a leader's lease.
 //
 // The package has no clock, socket or goroutine, and map order has no effect on its results. It
@@ -47,7 +47,7 @@
 type LeaderView interface {
 	// Leader returns the name of the leader; empty if none is known.
 	Leader() string
-	// LeaderHeard returns the time of the last contact to the leader.
+	// LeaderHeard returns the time of the last contact with the leader.
 	LeaderHeard() time.Duration
 	// LeaderKeyRead returns when the leader key was last found to name another controller; 0 for
 	// never.
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -63,7 +63,7 @@
 	c.RecordDigest(from, &digest)
 }
 
-// TestPeerContact checks the contact to peers and zones some time after the only message of a peer.
+// TestPeerContact checks the contact with peers and zones some time after the only message of a peer.
 func TestPeerContact(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -84,11 +84,11 @@
 			c := newTestController("n0", 1)
 			known := c.RecordMessage(tc.from)
 			if want := tc.from == "n1" || tc.from == "n2"; known != want {
-				t.Errorf("RecordMessage from %q: got %v, want %v", tc.from, known, want)
+				t.Errorf("sender known: got %v, want %v", known, want)
 			}
 			c.now += tc.elapsed
 			if got := c.HearsPeer(); got != tc.contact {
-				t.Errorf("contact to a peer: got %v, want %v", got, tc.contact)
+				t.Errorf("contact with a peer: got %v, want %v", got, tc.contact)
 			}
 			if got := c.LostAllPeers(); got != tc.lostAll {
 				t.Errorf("LostAllPeers: got %v, want %v", got, tc.lostAll)
@@ -149,18 +149,18 @@
 	for _, tc := range []struct {
 		name      string
 		leads     bool
-		noContact time.Duration   // since the last contact to n1
-		peers     map[string]bool // peers with contact to n0, and whether they have contact to n1
+		noContact time.Duration   // since the last contact with n1
+		peers     map[string]bool // peers with contact with n0, and whether they have contact with n1
 		returned  time.Duration   // since a worker came back from n1; 0 for none
 		want      bool
 	}{
 		{name: "this controller leads", leads: true, noContact: time.Minute, peers: map[string]bool{"n2": false}},
-		{name: "contact to the leader", noContact: leaderLease - 1, peers: map[string]bool{"n2": false}},
+		{name: "contact with the leader", noContact: leaderLease - 1, peers: map[string]bool{"n2": false}},
 		{name: "a peer has no contact either", noContact: leaderLease, peers: map[string]bool{"n2": false}, want: true},
 		{name: "one of two peers has contact", noContact: leaderLease, peers: map[string]bool{"n2": false, "n3": true}},
 		{name: "only the leader itself reports contact", noContact: leaderLease, peers: map[string]bool{"n1": true}},
-		{name: "no contact to any peer", noContact: time.Hour},
-		{name: "no contact to any peer, a worker came back", noContact: 2*workerLease + 1, returned: time.Second, want: true},
+		{name: "no contact with any peer", noContact: time.Hour},
+		{name: "no contact with any peer, a worker came back", noContact: 2*workerLease + 1, returned: time.Second, want: true},
 		{name: "a worker came back, contact within two leases", noContact: 2 * workerLease, returned: time.Second},
 		{name: "a worker came back a lease ago", noContact: time.Hour, returned: workerLease},
 	} {
@@ -191,7 +191,7 @@
 		zone       string
 		answered   time.Duration // since the last response; 0 for none
 		redirected time.Duration // since the last redirection; 0 for none
-		contact    bool          // n2 has contact to the leader
+		contact    bool          // n2 has contact with the leader
 		want       string
 	}{
 		{"just answered", "b", heartbeatInterval, 0, true, "n2"},
@@ -199,7 +199,7 @@
 		{"answered too long ago", "b", 2*heartbeatInterval + 1, 0, true, ""},
 		{"redirected too recently", "b", heartbeatInterval, 6 * workerLease, true, ""},
 		{"redirected long ago", "b", heartbeatInterval, 6*workerLease + 1, true, "n2"},
-		{"no controller of its zone has contact to the leader", "b", heartbeatInterval, 0, false, ""},
+		{"no controller of its zone has contact with the leader", "b", heartbeatInterval, 0, false, ""},
 		{"its zone has no controller", "d", heartbeatInterval, 0, true, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -244,19 +244,19 @@
 	}
 }
 
-// TestRedirectWithoutLeader checks where n0, without contact to the leader n1, redirects a worker.
+// TestRedirectWithoutLeader checks where n0, without contact with the leader n1, redirects a worker.
 func TestRedirectWithoutLeader(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
-		peerContact bool // n2 has contact to the leader
+		peerContact bool // n2 has contact with the leader
 		keyRead     bool // the leader key was read recently
 		idle        bool
-		noContact   time.Duration // since the last contact to the leader
+		noContact   time.Duration // since the last contact with the leader
 		redirected  time.Duration // since the last redirection to n1; 0 for none
 		want        string
 		returned    bool // counts as having come back from the leader
 	}{
-		{name: "a peer has contact to the leader", peerContact: true, keyRead: true, idle: true, noContact: time.Minute, want: "n2"},
+		{name: "a peer has contact with the leader", peerContact: true, keyRead: true, idle: true, noContact: time.Minute, want: "n2"},
 		{name: "an idle worker is redirected to the leader", keyRead: true, idle: true, noContact: time.Minute, want: "n1"},
 		{name: "a worker with tasks is not redirected", keyRead: true, noContact: time.Minute},
 		{name: "a worker with tasks whose lease is no longer extended", keyRead: true, noContact: maxExtensionLeases * workerLease, want: "n1"},
@@ -294,11 +294,11 @@
 	c.now += 8 * workerLease
 	c.ForgetSilentWorkers()
 	if len(c.workers) != 1 {
-		t.Errorf("workers after eight leases: got %d, want 1", len(c.workers))
+		t.Error("worker after eight leases: got removed, want kept")
 	}
 	c.now++
 	c.ForgetSilentWorkers()
 	if len(c.workers) != 0 {
-		t.Errorf("workers after more than eight leases: got %d, want 0", len(c.workers))
+		t.Error("worker after more than eight leases: got kept, want removed")
 	}
 }
--- a/internal/core/membership/peers.go
+++ b/internal/core/membership/peers.go
@@ -10,15 +10,15 @@
 type peer struct {
 	name, zone string
 
-	everHeard bool          // a message has arrived from it since this controller started
-	heardAt   time.Duration // when its last message arrived
-	version   int           // highest wire.PeerVersion that it has reported
+	messageReceived bool          // a message has arrived from it since this controller started
+	lastMessageAt   time.Duration // when its last message arrived
+	version         int           // highest wire.PeerVersion that it has reported
 
 	// From its latest digest.
-	reachesStore bool
-	hearsLeader  bool
+	reachesStore     bool
+	hasLeaderContact bool
 
-	testimony extensionTestimony
+	reports extensionReports
 }
 
 // storeStatusValidity is how long a peer's report that it can reach the key-value store is valid.
@@ -41,8 +41,8 @@
 	if p == nil {
 		return false
 	}
-	p.everHeard = true
-	p.heardAt = m.host.Now()
+	p.messageReceived = true
+	p.lastMessageAt = m.host.Now()
 	return true
 }
 
@@ -52,10 +52,10 @@
 	if p == nil {
 		return
 	}
-	m.recordTestimony(&p.testimony, digest)
+	m.recordExtensionReports(&p.reports, digest)
 	p.version = max(p.version, digest.Version)
 	p.reachesStore = digest.StoreOK
-	p.hearsLeader = digest.HearsLeader
+	p.hasLeaderContact = digest.HearsLeader
 }
 
 // FillDigest sets the fields of a digest that this package provides for all peers.
@@ -72,37 +72,37 @@
 	if p == nil {
 		return
 	}
-	digest.EchoBoot = p.testimony.incarnation
-	digest.Echo = int64(p.testimony.clock)
+	digest.EchoBoot = p.reports.incarnation
+	digest.Echo = int64(p.reports.clock)
 }
 
-// heardRecently reports whether a message from a peer arrived within the duration of a leader's
+// hasContact reports whether a message from a peer arrived within the duration of a leader's
 // lease.
-func (m *Membership) heardRecently(p *peer) bool {
-	return p.everHeard && m.since(p.heardAt) < m.config.LeaderLease
+func (m *Membership) hasContact(p *peer) bool {
+	return p.messageReceived && m.since(p.lastMessageAt) < m.config.LeaderLease
 }
 
-// HearsPeer reports whether this controller has contact to any peer.
+// HearsPeer reports whether this controller has contact with any peer.
 func (m *Membership) HearsPeer() bool {
 	for _, p := range m.peers {
-		if m.heardRecently(p) {
+		if m.hasContact(p) {
 			return true
 		}
 	}
 	return false
 }
 
-// LostAllPeers reports whether this controller had contact to a peer before and has none to any peer
-// now.
+// LostAllPeers reports whether this controller had contact with a peer before and has contact with
+// none now.
 func (m *Membership) LostAllPeers() bool {
-	everHeard := false
+	anyReceived := false
 	for _, p := range m.peers {
-		everHeard = everHeard || p.everHeard
+		anyReceived = anyReceived || p.messageReceived
 	}
-	return everHeard && !m.HearsPeer()
+	return anyReceived && !m.HearsPeer()
 }
 
-// ZoneLost reports whether another zone has controllers and there is contact to none of them.
+// ZoneLost reports whether another zone has controllers and there is contact with none of them.
 func (m *Membership) ZoneLost(zone string) bool {
 	if zone == m.config.Zone {
 		return false
@@ -112,7 +112,7 @@
 		if p.zone != zone {
 			continue
 		}
-		if m.heardRecently(p) {
+		if m.hasContact(p) {
 			return false
 		}
 		hasControllers = true
@@ -141,18 +141,18 @@
 // store.
 func (m *Membership) PeerReachesStore() bool {
 	for _, p := range m.peers {
-		if p.everHeard && p.reachesStore && m.since(p.heardAt) < storeStatusValidity {
+		if p.messageReceived && p.reachesStore && m.since(p.lastMessageAt) < storeStatusValidity {
 			return true
 		}
 	}
 	return false
 }
 
-// peerHearingLeader returns the name of a peer that has contact to the leader; empty if there is
-// none.
-func (m *Membership) peerHearingLeader() string {
+// peerWithLeaderContact returns the name of a peer that has contact with the leader; empty if there
+// is none.
+func (m *Membership) peerWithLeaderContact() string {
 	for _, p := range m.peers {
-		if m.heardRecently(p) && p.hearsLeader {
+		if m.hasContact(p) && p.hasLeaderContact {
 			return p.name
 		}
 	}
--- a/internal/core/membership/workers.go
+++ b/internal/core/membership/workers.go
@@ -12,11 +12,11 @@
 // Limits of redirection and worker retention. The first two are in heartbeat intervals, the others in
 // worker leases.
 const (
-	reconnectIntervals      = 3 // a worker that was silent for longer is logged as connected again
-	recentAnswerIntervals   = 2 // how long a response counts as recent
-	redirectPauseLeases     = 6 // minimum time between two redirections of a worker
-	returnedFromLeaderLease = 2 // a worker that comes back within this time did not reach the leader
-	forgetWorkerLeases      = 8 // a worker that was silent for longer is removed
+	reconnectIntervals        = 3 // a worker that was silent for longer is logged as connected again
+	recentAnswerIntervals     = 2 // how long a response counts as recent
+	minRedirectIntervalLeases = 6 // minimum time between two redirections of a worker
+	returnedFromLeaderLeases  = 2 // a worker that comes back within this time did not reach the leader
+	workerRetentionLeases     = 8 // a worker that was silent for longer is removed
 )
 
 // Worker is the state of a worker that sends its heartbeats to this controller. The zero value is a
@@ -73,13 +73,13 @@
 
 // mayRedirect reports whether the last redirection of a worker, if any, was long enough ago.
 func (m *Membership) mayRedirect(worker *Worker) bool {
-	return worker.redirectedAt == 0 || m.since(worker.redirectedAt) > redirectPauseLeases*m.config.WorkerLease
+	return worker.redirectedAt == 0 || m.since(worker.redirectedAt) > minRedirectIntervalLeases*m.config.WorkerLease
 }
 
 // RedirectWithoutLeader returns the name of the controller to redirect a worker to while this
-// controller has no contact to the leader; empty if there is none.
+// controller has no contact with the leader; empty if there is none.
 func (m *Membership) RedirectWithoutLeader(worker *Worker) string {
-	if name := m.peerHearingLeader(); name != "" {
+	if name := m.peerWithLeaderContact(); name != "" {
 		return name
 	}
 	leader := m.election.Leader()
@@ -91,19 +91,19 @@
 		worker.redirectedAt, worker.redirectedTo = m.host.Now(), leader
 		return leader
 	}
-	if worker.redirectedTo == leader && m.since(worker.redirectedAt) < returnedFromLeaderLease*m.config.WorkerLease {
+	if worker.redirectedTo == leader && m.since(worker.redirectedAt) < returnedFromLeaderLeases*m.config.WorkerLease {
 		worker.returnedAt = m.host.Now()
 	}
 	return ""
 }
 
 // preferredController returns the name of the controller of a zone to which a machine's worker should
-// send its heartbeats: one that is the leader or has contact to it; empty if the zone has none. If
+// send its heartbeats: one that is the leader or has contact with it; empty if the zone has none. If
 // there are several, the machines are distributed over them by rendezvous hashing, so that every
 // controller makes the same choice.
 func (m *Membership) preferredController(machine, zone string) string {
 	preferred, highest := "", uint64(0)
-	for _, name := range m.controllersHearingLeader(zone) {
+	for _, name := range m.controllersWithLeaderContact(zone) {
 		hash := fnv.New64a()
 		hash.Write([]byte(machine + " " + name))
 		if score := hash.Sum64(); preferred == "" || score > highest {
@@ -113,16 +113,16 @@
 	return preferred
 }
 
-// controllersHearingLeader lists the controllers of a zone that are the leader or have contact to it.
-// This controller is included without a check, since it only calls this after it has sent a response
-// of the leader to the worker.
-func (m *Membership) controllersHearingLeader(zone string) []string {
+// controllersWithLeaderContact lists the controllers of a zone that are the leader or have contact
+// with it. This controller is included without a check, since it only calls this after it has sent a
+// response of the leader to the worker.
+func (m *Membership) controllersWithLeaderContact(zone string) []string {
 	var names []string
 	if m.config.Zone == zone {
 		names = append(names, m.config.Name)
 	}
 	for _, p := range m.peers {
-		if p.zone == zone && m.heardRecently(p) && p.hearsLeader {
+		if p.zone == zone && m.hasContact(p) && p.hasLeaderContact {
 			names = append(names, p.name)
 		}
 	}
@@ -132,7 +132,7 @@
 // ForgetSilentWorkers removes workers that no longer send their heartbeats to this controller.
 func (m *Membership) ForgetSilentWorkers() {
 	for machine, worker := range m.workers {
-		if m.since(worker.lastHeartbeat) > forgetWorkerLeases*m.config.WorkerLease {
+		if m.since(worker.lastHeartbeat) > workerRetentionLeases*m.config.WorkerLease {
 			delete(m.workers, machine)
 		}
 	}
--- a/internal/core/reconcile/direct_call_test.go
+++ b/internal/core/reconcile/direct_call_test.go
@@ -36,11 +36,11 @@
 			machine.Incarnation = 3
 			tc.after(machine, BeginDirectCall(machine, commands))
 			if got := machine.UnconfirmedStarts[attempt]; got != tc.want {
-				t.Errorf("unconfirmed starts of %v: got %d, want %d", attempt, got, tc.want)
+				t.Errorf("unconfirmed starts of the attempt: got %d, want %d", got, tc.want)
 			}
 			for other := range machine.UnconfirmedStarts {
 				if other != attempt {
-					t.Errorf("unconfirmed starts: got one of %v, want only those of %v", other, attempt)
+					t.Errorf("unconfirmed starts: got one of %v, want only those of the attempt", other)
 				}
 			}
 		})
--- a/internal/core/reconcile/heartbeat_test.go
+++ b/internal/core/reconcile/heartbeat_test.go
@@ -38,7 +38,7 @@
 					machine.LeaseExpiries, machine.FencingToken, tc.wantAnswered, tc.wantExpiries, tc.wantToken)
 			}
 			if expired != (tc.wantExpiries > 0) {
-				t.Errorf("lease expired: got %v, want %v", expired, tc.wantExpiries > 0)
+				t.Errorf("lease expired: got %v, want the opposite", expired)
 			}
 			if forgotten := len(machine.UnconfirmedStarts) == 0; forgotten != tc.wantStartsForgotten {
 				t.Errorf("unconfirmed starts forgotten: got %v, want %v", forgotten, tc.wantStartsForgotten)
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -13,7 +13,7 @@
 type Timing struct {
 	WorkerLease       time.Duration
 	HeartbeatInterval time.Duration
-	// MaxLeaseExtension is how long controllers extend leases without contact to the leader.
+	// MaxLeaseExtension is how long controllers extend leases without contact with the leader.
 	MaxLeaseExtension time.Duration
 }
 
