--- a/internal/core/cluster/heartbeat_size.go
+++ b/internal/core/cluster/heartbeat_size.go
@@ -8,8 +8,7 @@
 const (
 	// MaxHeartbeatBytes is the maximum size of a heartbeat's body.
 	MaxHeartbeatBytes = 64 << 10
-	// TaskRowBytes is the approximate maximum size of a task's entry in a heartbeat or its
-	// response.
+	// TaskRowBytes is the approximate maximum size of a task's row in a heartbeat or its response.
 	TaskRowBytes = 90
 	// MaxTaskRows is the maximum number of tasks of a machine. It reserves a quarter of the
 	// heartbeat for tasks that exited since the last heartbeat and for exited tasks that the
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -195,7 +195,7 @@
 	if term > e.term || e.leader != name {
 		e.term, e.leader = term, name
 		e.RecordLeaderHeard()
-		e.log.Info("another controller is the leader", "controller", name, "term", term)
+		e.log.Info("new leader", "controller", name, "term", term)
 	}
 	e.host.LeaderKnown()
 }
