--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -40,8 +40,8 @@
 // and returns unhealthy ones.
 func (l *leader) tickMachines() {
 	check := l.healthCheck()
-	survey := check.Survey(l.MachinesByName)
-	for _, zone := range check.PartitionedZones(survey) {
+	counts := check.CountSilent(l.MachinesByName)
+	for _, zone := range check.PartitionedZones(counts) {
 		l.fleet.partitionedAt[zone] = l.core.now
 	}
 	for _, machine := range l.MachinesByName {
@@ -52,7 +52,7 @@
 		if check.ProbeDue(machine) {
 			l.probe(machine)
 		}
-		if reason := check.UnhealthyReason(machine, survey); reason != "" {
+		if reason := check.UnhealthyReason(machine, counts); reason != "" {
 			l.returnMachine(machine, reason)
 		}
 	}
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -98,7 +98,7 @@
 				leader.handleDirectStatus(machine, kv.Encode(wire.Heartbeat{Machine: "n-1", Type: "g4", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: leader.leadership.Term}))
 			}
 			check := leader.healthCheck()
-			if got := check.IsDead(machine, check.Survey(leader.MachinesByName)); got != tc.want {
+			if got := check.IsDead(machine, check.CountSilent(leader.MachinesByName)); got != tc.want {
 				t.Errorf("dead %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/core/reconcile/health.go
+++ b/internal/core/reconcile/health.go
@@ -39,8 +39,8 @@
 // isMajority reports whether part is more than half of all, and more than two.
 func isMajority(part, all int) bool { return part > 2 && part*2 > all }
 
-// SilenceSurvey holds the numbers of silent machines by zone and by controller.
-type SilenceSurvey struct {
+// SilenceCounts holds the numbers of silent machines by zone and by controller.
+type SilenceCounts struct {
 	byZone       map[string]silenceCount
 	byController map[string]silenceCount
 	// mostSilent is true if most of all machines are silent. A partition of this controller is
@@ -48,26 +48,27 @@
 	mostSilent bool
 }
 
-// Survey counts the silent machines.
-func (h *HealthCheck) Survey(machines []*cluster.Machine) *SilenceSurvey {
-	survey := &SilenceSurvey{byZone: map[string]silenceCount{}, byController: map[string]silenceCount{}}
+// CountSilent counts the silent machines.
+func (h *HealthCheck) CountSilent(machines []*cluster.Machine) *SilenceCounts {
+	counts := &SilenceCounts{byZone: map[string]silenceCount{}, byController: map[string]silenceCount{}}
 	silent, expected := 0, 0
 	for _, machine := range machines {
 		if !machine.HeartbeatExpected() {
 			continue
 		}
 		expected++
-		if h.count(survey, machine) {
+		if h.countMachine(counts, machine) {
 			silent++
 		}
 	}
-	survey.mostSilent = isMajority(silent, expected)
-	return survey
+	counts.mostSilent = isMajority(silent, expected)
+	return counts
 }
 
-// count adds a machine to the counts of its zone and controller, and reports whether it is silent.
-func (h *HealthCheck) count(survey *SilenceSurvey, machine *cluster.Machine) (silent bool) {
-	zone, controller := survey.byZone[machine.Zone], survey.byController[machine.HeartbeatController]
+// countMachine adds a machine to the counts of its zone and controller, and reports whether it is
+// silent.
+func (h *HealthCheck) countMachine(counts *SilenceCounts, machine *cluster.Machine) (silent bool) {
+	zone, controller := counts.byZone[machine.Zone], counts.byController[machine.HeartbeatController]
 	zone.expected++
 	controller.expected++
 	silence := h.Now - max(machine.LastHeartbeat, machine.LastContact, h.RecordsLoadedAt)
@@ -81,7 +82,7 @@
 	if silent && silence < h.MaxLeaseExtension && (machine.LastHeartbeat == 0 || !h.LeaseExpired(machine)) {
 		zone.silent++
 	}
-	survey.byZone[machine.Zone], survey.byController[machine.HeartbeatController] = zone, controller
+	counts.byZone[machine.Zone], counts.byController[machine.HeartbeatController] = zone, controller
 	return silent
 }
 
@@ -90,9 +91,9 @@
 // their failure, and the machines keep running under a controller in that zone. The same holds for
 // a zone with only one or two machines if all of them are silent and none of its controllers is
 // reachable.
-func (h *HealthCheck) PartitionedZones(survey *SilenceSurvey) []string {
+func (h *HealthCheck) PartitionedZones(counts *SilenceCounts) []string {
 	var partitioned []string
-	for zone, count := range survey.byZone {
+	for zone, count := range counts.byZone {
 		allSilent := count.silent > 0 && count.silent == count.expected
 		if count.mostSilent() || allSilent && h.ZoneLost(zone) {
 			partitioned = append(partitioned, zone)
@@ -114,13 +115,13 @@
 const maxLeaseExpiries = 3
 
 // UnhealthyReason returns why a machine is to be returned to the cloud; empty if it is healthy.
-func (h *HealthCheck) UnhealthyReason(machine *cluster.Machine, survey *SilenceSurvey) cluster.DrainReason {
+func (h *HealthCheck) UnhealthyReason(machine *cluster.Machine, counts *SilenceCounts) cluster.DrainReason {
 	maxSilence := 2 * h.LeaseExpiryBound()
-	if survey.mostSilent {
+	if counts.mostSilent {
 		maxSilence *= 2
 	}
 	switch {
-	case h.IsDead(machine, survey):
+	case h.IsDead(machine, counts):
 		return cluster.DrainDead
 	case machine.ListedAs == wire.MachineFailed:
 		return cluster.DrainListedFailed
@@ -155,13 +156,13 @@
 // heartbeats came through the same controller, which may have become unreachable. It does not apply
 // to the machines that have not sent a heartbeat to a new leader yet: when they were treated as such
 // a group, machines that hung during a failover were considered dead only once their leases expired.
-func (h *HealthCheck) IsDead(machine *cluster.Machine, survey *SilenceSurvey) bool {
+func (h *HealthCheck) IsDead(machine *cluster.Machine, counts *SilenceCounts) bool {
 	probeFailed := machine.LastProbeFailure > max(machine.LastHeartbeat, h.RecordsLoadedAt)
 	if !machine.HeartbeatExpected() || !probeFailed || h.silence(machine) <= h.deadAfter() {
 		return false
 	}
-	zone, controller := survey.byZone[machine.Zone], survey.byController[machine.HeartbeatController]
-	if survey.mostSilent || zone.mostOverdue() || machine.HeartbeatController != "" && controller.mostOverdue() {
+	zone, controller := counts.byZone[machine.Zone], counts.byController[machine.HeartbeatController]
+	if counts.mostSilent || zone.mostOverdue() || machine.HeartbeatController != "" && controller.mostOverdue() {
 		return false
 	}
 	return h.pathVerified(machine, zone.expected)
--- a/internal/core/reconcile/health_test.go
+++ b/internal/core/reconcile/health_test.go
@@ -81,7 +81,7 @@
 			if tc.want {
 				want = []string{"a"}
 			}
-			if got := check.PartitionedZones(check.Survey(machines)); !slices.Equal(got, want) {
+			if got := check.PartitionedZones(check.CountSilent(machines)); !slices.Equal(got, want) {
 				t.Errorf("partitioned zones: got %q, want %q", got, want)
 			}
 		})
@@ -154,7 +154,7 @@
 			check := newHealthCheck()
 			machines := newMachines(check, "a", 5, 0, 0)
 			tc.change(check, machines[0])
-			if got := check.UnhealthyReason(machines[0], check.Survey(machines)); got != tc.want {
+			if got := check.UnhealthyReason(machines[0], check.CountSilent(machines)); got != tc.want {
 				t.Errorf("unhealthy reason: got %q, want %q", got, tc.want)
 			}
 		})
@@ -246,8 +246,8 @@
 			zoneA[0].LastProbeFailure = check.Now - 2
 			check.ZoneReachedAt["a"] = check.Now - 1
 			tc.change(check, zoneA, zoneB)
-			survey := check.Survey(append(append([]*cluster.Machine{}, zoneA...), zoneB...))
-			if got := check.IsDead(zoneA[0], survey); got != tc.want {
+			counts := check.CountSilent(append(append([]*cluster.Machine{}, zoneA...), zoneB...))
+			if got := check.IsDead(zoneA[0], counts); got != tc.want {
 				t.Errorf("IsDead: got %v, want %v", got, tc.want)
 			}
 		})
