--- a/internal/core/election/campaign.go
+++ b/internal/core/election/campaign.go
@@ -95,7 +95,7 @@
 			e.host.StepDown(ReasonLeaseExpired)
 			return
 		}
-		if !e.host.HearsPeer() {
+		if !e.host.HasPeerContact() {
 			e.verifyKey(leadership)
 		}
 	})
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -56,8 +56,8 @@
 	StepDown(StepDownReason)
 	// ObserveStore records the status of a call that shows whether the store is available.
 	ObserveStore(kv.Status)
-	// HearsPeer reports whether this controller has contact with any other controller.
-	HearsPeer() bool
+	// HasPeerContact reports whether this controller has contact with any other controller.
+	HasPeerContact() bool
 	// LeaderLost reports whether the leader is to be replaced although it may still hold its key.
 	LeaderLost() bool
 	// LeaderKnown is called whenever another controller is observed to be the leader.
@@ -84,7 +84,7 @@
 
 	term          uint64        // highest term known
 	leader        string        // leader of that term; empty if unknown
-	leaderHeardAt time.Duration // last contact with the leader
+	leaderLastContact time.Duration // last contact with the leader
 	keyReadAt     time.Duration // when the leader key last named another controller
 	keyReadOnce   bool          // the leader key was read since this controller started
 }
@@ -101,14 +101,14 @@
 // Leader returns the name of the leader; empty if none is known.
 func (e *Election) Leader() string { return e.leader }
 
-// LeaderHeard returns the time of the last contact with the leader.
-func (e *Election) LeaderHeard() time.Duration { return e.leaderHeardAt }
+// LeaderLastContact returns the time of the last contact with the leader.
+func (e *Election) LeaderLastContact() time.Duration { return e.leaderLastContact }
 
-// RecordLeaderHeard records contact with the leader now.
-func (e *Election) RecordLeaderHeard() { e.leaderHeardAt = e.host.Now() }
+// RecordLeaderContact records contact with the leader now.
+func (e *Election) RecordLeaderContact() { e.leaderLastContact = e.host.Now() }
 
-// LeaderKeyRead returns when the leader key was last found to name another controller; 0 for never.
-func (e *Election) LeaderKeyRead() time.Duration { return e.keyReadAt }
+// LeaderKeyReadAt returns when the leader key was last found to name another controller; 0 for never.
+func (e *Election) LeaderKeyReadAt() time.Duration { return e.keyReadAt }
 
 // Tick renews the lease of the leader key on the leader, and reads the leader key on other
 // controllers.
@@ -194,7 +194,7 @@
 	}
 	if term > e.term || e.leader != name {
 		e.term, e.leader = term, name
-		e.RecordLeaderHeard()
+		e.RecordLeaderContact()
 		e.log.Info("new leader", "controller", name, "term", term)
 	}
 	e.host.LeaderKnown()
@@ -202,7 +202,7 @@
 
 // SteppedDown records that this controller is no longer the leader.
 func (e *Election) SteppedDown() {
-	e.RecordLeaderHeard()
+	e.RecordLeaderContact()
 	e.leader = ""
 	e.callPending = false
 	e.nextPollAt = e.host.Now()
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -110,13 +110,13 @@
 	leadership *Leadership
 	stepDowns  []StepDownReason
 	leaderLost bool // returned by LeaderLost
-	hearsPeer  bool // returned by HearsPeer
+	hasPeerContact  bool // returned by HasPeerContact
 	crashed    bool
 	restarts   int
 }
 
 func newController(s *fakeStore, name string) *controller {
-	c := &controller{store: s, name: name, hearsPeer: true}
+	c := &controller{store: s, name: name, hasPeerContact: true}
 	c.Election = New(name, leaseDuration, s, c, slog.New(slog.DiscardHandler))
 	return c
 }
@@ -140,7 +140,7 @@
 
 func (c *controller) ObserveStore(kv.Status) {}
 
-func (c *controller) HearsPeer() bool { return c.hearsPeer }
+func (c *controller) HasPeerContact() bool { return c.hasPeerContact }
 
 func (c *controller) LeaderLost() bool { return c.leaderLost }
 
@@ -266,7 +266,7 @@
 		{"lease expired", func(s *fakeStore, _ *controller) { s.advance(2 * leaseDuration) }, ReasonLeaseExpired},
 		{"peer leads in a higher term", func(_ *fakeStore, c *controller) { c.ObserveLeader(c.leadership.Term+1, "b") }, ReasonHigherTerm},
 		{"no contact with peers, leader key names another controller", func(s *fakeStore, c *controller) {
-			c.hearsPeer = false
+			c.hasPeerContact = false
 			value := kv.Encode(LeaderValue{"b", c.leadership.Term + 1})
 			s.keys[KeyLeader] = wire.Item{Key: KeyLeader, Value: value, Version: 99}
 		}, ReasonHigherTerm},
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -52,8 +52,8 @@
 // ObserveStore receives the status of calls that show whether the store answers.
 func (h electionHost) ObserveStore(status kv.Status) { h.core.store.Observe(status) }
 
-// HearsPeer reports whether any other controller is heard.
-func (h electionHost) HearsPeer() bool { return h.core.membership.HearsPeer() }
+// HasPeerContact reports whether any other controller is heard.
+func (h electionHost) HasPeerContact() bool { return h.core.membership.HasPeerContact() }
 
 // LeaderLost reports whether the leader is lost although it may hold its key.
 func (h electionHost) LeaderLost() bool { return h.core.membership.LeaderLost() }
--- a/internal/core/frontend_host.go
+++ b/internal/core/frontend_host.go
@@ -59,7 +59,7 @@
 	case h.core.leader != nil:
 		h.core.leader.applyOpenRecord(job, open.Version, open.Record)
 		return h.core.leader.terminationDelayed(job)
-	case h.core.membership.HearsLeader():
+	case h.core.membership.HasLeaderContact():
 		// The leader learns of it by its watch, or, should the store be unavailable to it just
 		// now, from the digest.
 		h.core.sendDigests()
--- a/internal/core/heartbeat_forwarding.go
+++ b/internal/core/heartbeat_forwarding.go
@@ -44,7 +44,7 @@
 		c.answerHeartbeat(requestID, body)
 		return
 	}
-	if !c.membership.HearsLeader() && c.answerWithoutLeader(requestID, worker, body) {
+	if !c.membership.HasLeaderContact() && c.answerWithoutLeader(requestID, worker, body) {
 		return
 	}
 	c.nextForwardID++
@@ -98,7 +98,7 @@
 	if c.extendLease(requestID, body) {
 		return true
 	}
-	if !c.store.Available() && !c.membership.HearsPeer() {
+	if !c.store.Available() && !c.membership.HasPeerContact() {
 		// No election can succeed from here; another controller may know more.
 		c.answer(requestID, httpstatus.ServiceUnavailable, nil, 0)
 		return true
--- a/internal/core/membership/leader.go
+++ b/internal/core/membership/leader.go
@@ -1,18 +1,18 @@
 package membership
 
-// HearsLeader reports whether this controller is the leader, or has received a message from the
+// HasLeaderContact reports whether this controller is the leader, or has received a message from the
 // leader within the duration of a leader's lease.
-func (m *Membership) HearsLeader() bool {
+func (m *Membership) HasLeaderContact() bool {
 	if m.host.IsLeader() {
 		return true
 	}
-	return m.election.Leader() != "" && m.since(m.election.LeaderHeard()) < m.config.LeaderLease
+	return m.election.Leader() != "" && m.since(m.election.LeaderLastContact()) < m.config.LeaderLease
 }
 
 // otherHoldsLeaderKey reports whether the leader key, as read recently from the key-value store,
 // names another controller.
 func (m *Membership) otherHoldsLeaderKey() bool {
-	leader, keyRead := m.election.Leader(), m.election.LeaderKeyRead()
+	leader, keyRead := m.election.Leader(), m.election.LeaderKeyReadAt()
 	if leader == "" || leader == m.config.Name || keyRead == 0 {
 		return false
 	}
@@ -24,7 +24,7 @@
 // contact with any peer is more likely partitioned itself, and must not replace a working leader. It
 // considers the leader lost only if a worker could not reach the leader either.
 func (m *Membership) LeaderLost() bool {
-	if m.HearsLeader() {
+	if m.HasLeaderContact() {
 		return false
 	}
 	peerAgrees := false
@@ -43,7 +43,7 @@
 // workerReturnedFromLeader reports whether a worker that was redirected to the leader came back
 // recently, while this controller has had no contact with the leader for two worker leases.
 func (m *Membership) workerReturnedFromLeader() bool {
-	if m.since(m.election.LeaderHeard()) <= 2*m.config.WorkerLease {
+	if m.since(m.election.LeaderLastContact()) <= 2*m.config.WorkerLease {
 		return false
 	}
 	for _, worker := range m.workers {
--- a/internal/core/membership/lease_extension.go
+++ b/internal/core/membership/lease_extension.go
@@ -50,7 +50,7 @@
 
 // mayExtendLeases reports whether this controller may still extend leases without the leader.
 func (m *Membership) mayExtendLeases() bool {
-	return m.since(m.election.LeaderHeard()) < m.MaxExtensionTime()
+	return m.since(m.election.LeaderLastContact()) < m.MaxExtensionTime()
 }
 
 // ExtendLease records that this controller extends the lease of a worker, in place of the leader
--- a/internal/core/membership/lease_extension_test.go
+++ b/internal/core/membership/lease_extension_test.go
@@ -24,7 +24,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestController("n0", 1)
 			c.now += time.Hour
-			c.leaderHeard = c.now - tc.noContact
+			c.leaderLastContact = c.now - tc.noContact
 			if got := c.ExtendLease("m", tc.token); got != tc.want {
 				t.Errorf("ExtendLease: got %v, want %v", got, tc.want)
 			}
@@ -221,7 +221,7 @@
 		}
 		c := s.controllers[i]
 		c.now = time.Minute + s.offsets[i] + s.clock
-		c.leader, c.leaderHeard = "n0", c.now
+		c.leader, c.leaderLastContact = "n0", c.now
 		if i > 0 && s.holdsLease && s.happens(s.extensions) && c.ExtendLease("m", 5) {
 			s.lastExtended = s.clock
 		}
--- a/internal/core/membership/membership.go
+++ b/internal/core/membership/membership.go
@@ -47,11 +47,11 @@
 type LeaderView interface {
 	// Leader returns the name of the leader; empty if none is known.
 	Leader() string
-	// LeaderHeard returns the time of the last contact with the leader.
-	LeaderHeard() time.Duration
-	// LeaderKeyRead returns when the leader key was last found to name another controller; 0 for
+	// LeaderLastContact returns the time of the last contact with the leader.
+	LeaderLastContact() time.Duration
+	// LeaderKeyReadAt returns when the leader key was last found to name another controller; 0 for
 	// never.
-	LeaderKeyRead() time.Duration
+	LeaderKeyReadAt() time.Duration
 }
 
 // Membership is one controller's view of its peers and workers.
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -26,15 +26,15 @@
 	now         time.Duration
 	leads       bool
 	leader      string
-	leaderHeard time.Duration
-	keyRead     time.Duration
+	leaderLastContact time.Duration
+	keyReadAt     time.Duration
 }
 
 func (c *testController) Now() time.Duration           { return c.now }
 func (c *testController) IsLeader() bool               { return c.leads }
 func (c *testController) Leader() string               { return c.leader }
-func (c *testController) LeaderHeard() time.Duration   { return c.leaderHeard }
-func (c *testController) LeaderKeyRead() time.Duration { return c.keyRead }
+func (c *testController) LeaderLastContact() time.Duration   { return c.leaderLastContact }
+func (c *testController) LeaderKeyReadAt() time.Duration { return c.keyReadAt }
 
 // region has controllers n0 and n1 in zone a, n2 in zone b, n3 in zone c.
 var region = []config.Peer{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}, {Name: "n3", Zone: "c"}}
@@ -87,7 +87,7 @@
 				t.Errorf("sender known: got %v, want %v", known, want)
 			}
 			c.now += tc.elapsed
-			if got := c.HearsPeer(); got != tc.contact {
+			if got := c.HasPeerContact(); got != tc.contact {
 				t.Errorf("contact with a peer: got %v, want %v", got, tc.contact)
 			}
 			if got := c.LostAllPeers(); got != tc.lostAll {
@@ -168,7 +168,7 @@
 			c := newTestController("n0", 1)
 			c.leads, c.leader = tc.leads, "n1"
 			c.now += time.Hour
-			c.leaderHeard = c.now - tc.noContact
+			c.leaderLastContact = c.now - tc.noContact
 			for name, contact := range tc.peers {
 				c.receive(name, wire.Digest{HearsLeader: contact})
 			}
@@ -268,9 +268,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestController("n0", 1)
 			c.now += time.Hour
-			c.leader, c.leaderHeard = "n1", c.now-tc.noContact
+			c.leader, c.leaderLastContact = "n1", c.now-tc.noContact
 			if tc.keyRead {
-				c.keyRead = c.now
+				c.keyReadAt = c.now
 			}
 			c.receive("n2", wire.Digest{HearsLeader: tc.peerContact})
 			worker, _ := c.RecordHeartbeat(Heartbeat{Machine: "m", Zone: "a", Idle: tc.idle})
--- a/internal/core/membership/peers.go
+++ b/internal/core/membership/peers.go
@@ -60,7 +60,7 @@
 
 // FillDigest sets the fields of a digest that this package provides for all peers.
 func (m *Membership) FillDigest(digest *wire.Digest) {
-	digest.HearsLeader = m.HearsLeader()
+	digest.HearsLeader = m.HasLeaderContact()
 	digest.Boot = m.config.Incarnation
 	digest.Clock = int64(m.host.Now())
 	digest.Kept = m.extendedLeases()
@@ -82,8 +82,8 @@
 	return p.messageReceived && m.since(p.lastMessageAt) < m.config.LeaderLease
 }
 
-// HearsPeer reports whether this controller has contact with any peer.
-func (m *Membership) HearsPeer() bool {
+// HasPeerContact reports whether this controller has contact with any peer.
+func (m *Membership) HasPeerContact() bool {
 	for _, p := range m.peers {
 		if m.hasContact(p) {
 			return true
@@ -99,7 +99,7 @@
 	for _, p := range m.peers {
 		anyReceived = anyReceived || p.messageReceived
 	}
-	return anyReceived && !m.HearsPeer()
+	return anyReceived && !m.HasPeerContact()
 }
 
 // ZoneLost reports whether another zone has controllers and there is contact with none of them.
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -79,7 +79,7 @@
 	if c.leader != nil || c.election.Leader() != from {
 		return
 	}
-	c.election.RecordLeaderHeard()
+	c.election.RecordLeaderContact()
 	c.membership.RecordAcknowledgement(digest)
 	c.pullsAreSequential = digest.FetchesQueue
 	c.recordJobCounts(digest)
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -43,7 +43,7 @@
 		case l.steppedDown:
 		case result.Status == kv.Conflict:
 			l.core.stepDown(stepDownTermChanged)
-		case result.Committed(), l.core.membership.HearsPeer():
+		case result.Committed(), l.core.membership.HasPeerContact():
 			// During a general outage of the store nobody is elected; a peer that knew of a
 			// higher term would have told this controller.
 			l.sendReturns()
