--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -82,11 +82,11 @@
 	callPending bool          // a poll, a renewal or an election waits for the store
 	nextPollAt  time.Duration // time of the next poll or renewal
 
-	term          uint64        // highest term known
-	leader        string        // leader of that term; empty if unknown
+	term              uint64        // highest term known
+	leader            string        // leader of that term; empty if unknown
 	leaderLastContact time.Duration // last contact with the leader
-	keyReadAt     time.Duration // when the leader key last named another controller
-	keyReadOnce   bool          // the leader key was read since this controller started
+	keyReadAt         time.Duration // when the leader key last named another controller
+	keyReadOnce       bool          // the leader key was read since this controller started
 }
 
 // New creates the state of a controller that has just started. leaseDuration is the duration of the
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -105,14 +105,14 @@
 // controller is a controller process that takes part in elections.
 type controller struct {
 	*Election
-	store      *fakeStore
-	name       string
-	leadership *Leadership
-	stepDowns  []StepDownReason
-	leaderLost bool // returned by LeaderLost
-	hasPeerContact  bool // returned by HasPeerContact
-	crashed    bool
-	restarts   int
+	store          *fakeStore
+	name           string
+	leadership     *Leadership
+	stepDowns      []StepDownReason
+	leaderLost     bool // returned by LeaderLost
+	hasPeerContact bool // returned by HasPeerContact
+	crashed        bool
+	restarts       int
 }
 
 func newController(s *fakeStore, name string) *controller {
--- a/internal/core/membership/membership_test.go
+++ b/internal/core/membership/membership_test.go
@@ -22,19 +22,19 @@
 // testController stands in for package core (Host) and the election (LeaderView).
 type testController struct {
 	*Membership
-	name        string
-	now         time.Duration
-	leads       bool
-	leader      string
+	name              string
+	now               time.Duration
+	leads             bool
+	leader            string
 	leaderLastContact time.Duration
-	keyReadAt     time.Duration
+	keyReadAt         time.Duration
 }
 
-func (c *testController) Now() time.Duration           { return c.now }
-func (c *testController) IsLeader() bool               { return c.leads }
-func (c *testController) Leader() string               { return c.leader }
-func (c *testController) LeaderLastContact() time.Duration   { return c.leaderLastContact }
-func (c *testController) LeaderKeyReadAt() time.Duration { return c.keyReadAt }
+func (c *testController) Now() time.Duration               { return c.now }
+func (c *testController) IsLeader() bool                   { return c.leads }
+func (c *testController) Leader() string                   { return c.leader }
+func (c *testController) LeaderLastContact() time.Duration { return c.leaderLastContact }
+func (c *testController) LeaderKeyReadAt() time.Duration   { return c.keyReadAt }
 
 // region has controllers n0 and n1 in zone a, n2 in zone b, n3 in zone c.
 var region = []config.Peer{{Name: "n0", Zone: "a"}, {Name: "n1", Zone: "a"}, {Name: "n2", Zone: "b"}, {Name: "n3", Zone: "c"}}
