--- a/internal/core/cluster/cluster_test.go
+++ b/internal/core/cluster/cluster_test.go
@@ -85,7 +85,7 @@
 			job.TaskStates[1].Machine, job.TasksPlaced = NewMachine("n-1", 0), 1
 		}, nil},
 		{"placement records not read", func(job *Job) { job.Loaded = false }, nil},
-		{"dependencies not done", func(job *Job) { job.Waiting = true }, nil},
+		{"dependencies not done", func(job *Job) { job.AwaitingDependencies = true }, nil},
 		{"cancelled", func(job *Job) { job.Cancellation.Request(0) }, nil},
 		{"end being recorded", func(job *Job) { job.EndWritePending = true }, nil},
 		{"end recorded", func(job *Job) { job.EndRecorded = true }, nil},
--- a/internal/core/cluster/job.go
+++ b/internal/core/cluster/job.go
@@ -28,7 +28,7 @@
 	Cancellation cancellation.Progress
 	RecordState
 	RetryState
-	PlacingState
+	PlacementState
 
 	WaitLog LoggedWait
 }
@@ -44,9 +44,9 @@
 // DependencyState is the state of a job's dependencies, in addition to the graph in package
 // depgraph. The dependency code and persistence set it.
 type DependencyState struct {
-	Waiting          bool                      // some dependencies are not done
-	DependenciesDone bool                      // all dependencies are done, which is not recorded yet
-	DependencyList   records.DependencyListRef // set if the list is spread over several records
+	AwaitingDependencies bool                      // some dependencies are not done
+	DependenciesDone     bool                      // all dependencies are done, which is not recorded yet
+	DependencyList       records.DependencyListRef // set if the list is spread over several records
 }
 
 // RecordState is the state of a job's records in the key-value store. Persistence sets it.
@@ -60,7 +60,7 @@
 
 	PlacementRecords      []PlacementRecord // ordered by task
 	SupersededKeys        []string          // keys of records whose tasks other records now cover
-	Numbered              bool              // keys contain a record number instead of a task range
+	NumberedKeys          bool              // keys contain a record number instead of a task range
 	PlacementSentThisTerm bool
 
 	EndWritePending bool
@@ -76,8 +76,8 @@
 	ConsecutiveFailures int
 }
 
-// PlacingState is the job's state for the placement of its tasks. The scheduling pass sets it.
-type PlacingState struct {
+// PlacementState is the job's state for the placement of its tasks. The scheduling pass sets it.
+type PlacementState struct {
 	GangPreemptions     int              // how often the job was preempted as a gang
 	ReschedulingTargets map[int]*Machine // targets of replicas being rescheduled, by task
 	ReservedMachines    []*Machine       // reserved for the job while tasks on them are preempted
@@ -95,7 +95,7 @@
 		TaskStates:      make([]Task, record.Job.Tasks),
 		NextAttempt:     1,
 		PriorityState:   PriorityState{Level: PriorityLevel[record.Job.Priority], Deadline: OwnDeadline(&record)},
-		PlacingState:    PlacingState{ReschedulingTargets: map[int]*Machine{}},
+		PlacementState:  PlacementState{ReschedulingTargets: map[int]*Machine{}},
 	}
 }
 
@@ -108,14 +108,14 @@
 	return float64(record.SubmittedAt)/1000 + *record.Job.DeadlineS
 }
 
-// IsOver reports whether no task of the job occupies a machine and none is still to run.
-func (j *Job) IsOver() bool {
+// IsTerminated reports whether no task of the job occupies a machine and none is still to run.
+func (j *Job) IsTerminated() bool {
 	return j.Loaded && j.TasksPlaced == 0 && (j.Cancellation.Requested() || j.allTasksDone())
 }
 
-// IsFinished reports whether the job may be recorded as done: every task is confirmed done, though
+// IsCompleted reports whether the job may be recorded as done: every task is confirmed done, though
 // other attempts at some tasks may still occupy machines.
-func (j *Job) IsFinished() bool {
+func (j *Job) IsCompleted() bool {
 	return j.Loaded && !j.Cancellation.Requested() && j.allTasksDone()
 }
 
@@ -130,7 +130,7 @@
 // PendingTasks lists the tasks that may be placed now. A gang is placed as a whole, once no task of
 // its previous attempt occupies a machine.
 func (j *Job) PendingTasks() []int {
-	if !j.Loaded || j.Waiting || j.Cancellation.Requested() {
+	if !j.Loaded || j.AwaitingDependencies || j.Cancellation.Requested() {
 		return nil
 	}
 	if j.EndWritePending || j.EndRecorded || j.OpenVersionUnknown || j.allTasksDone() {
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -39,7 +39,7 @@
 		l.recordArrival(job)
 		return
 	}
-	job.Waiting = true
+	job.AwaitingDependencies = true
 	if ref, ok := records.ParseDependencyListRef(job.Dependencies); ok {
 		job.DependencyList, job.Dependencies = ref, nil
 		l.readList(job)
@@ -63,7 +63,7 @@
 
 // resolveDependencies finds out what has become of the dependencies of a new job.
 func (l *leader) resolveDependencies(job *cluster.Job) {
-	if !job.Waiting || job.Cancellation.Requested() {
+	if !job.AwaitingDependencies || job.Cancellation.Requested() {
 		return
 	}
 	for _, id := range job.Dependencies {
@@ -132,7 +132,7 @@
 		return
 	}
 	for _, dependent := range l.dependencies.Done(id) {
-		if job := l.Jobs[dependent]; job != nil && job.Waiting && !job.Cancellation.Requested() {
+		if job := l.Jobs[dependent]; job != nil && job.AwaitingDependencies && !job.Cancellation.Requested() {
 			job.DependenciesDone = true
 			l.writer.MarkDirty()
 		}
@@ -141,11 +141,11 @@
 
 // markReady makes a job ready once its open record says that its dependencies are done.
 func (l *leader) markReady(job *cluster.Job) {
-	if !job.Waiting || job.Record.ReadyAt == 0 {
+	if !job.AwaitingDependencies || job.Record.ReadyAt == 0 {
 		return
 	}
 	l.core.log.Info("job ready", "job", job.ID)
-	job.Waiting, job.DependenciesDone = false, false
+	job.AwaitingDependencies, job.DependenciesDone = false, false
 	job.WaitingSinceMS = job.Record.ReadyAt
 	l.dependencies.DropDependencies(job.ID)
 	l.recordArrival(job)
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -245,11 +245,11 @@
 			recordGraph(harness, leader, g)
 			before := leader.dependencies.Steps()
 			for _, id := range g.order {
-				if j := leader.Jobs[id]; j.Waiting && !j.DependenciesDone {
+				if j := leader.Jobs[id]; j.AwaitingDependencies && !j.DependenciesDone {
 					t.Fatalf("%s still waits though its dependencies are done", id)
 				}
 				j := leader.Jobs[id]
-				j.Waiting, j.DependenciesDone = false, false // as when its record says that it is ready
+				j.AwaitingDependencies, j.DependenciesDone = false, false // as when its record says that it is ready
 				leader.dependencies.DropDependencies(id)
 				delete(leader.Jobs, id)
 				leader.dependencyEnded(id, wire.StatusDone)
@@ -416,7 +416,7 @@
 				t.Errorf("accepted %v, the first has ended: %v", accepted, harness.hasEnded(jobID(1)))
 			case cancelled && !harness.hasEnded(jobID(2)):
 				t.Error("the dependent has not ended")
-			case !cancelled && (dependent == nil || dependent.Waiting):
+			case !cancelled && (dependent == nil || dependent.AwaitingDependencies):
 				t.Error("the dependent does not become ready")
 			}
 		})
@@ -444,7 +444,7 @@
 		addRecord(harness, leader, wire.Job{ID: jobID(5), Dependencies: []string{jobID(4), jobID(3)}}, nil)
 	})
 	harness.run(3 * time.Second)
-	if leader.Jobs[jobID(3)].Waiting {
+	if leader.Jobs[jobID(3)].AwaitingDependencies {
 		t.Error("a job whose dependency is done waits")
 	}
 	for _, n := range []int{4, 5} {
--- a/internal/core/dependency_lifecycle_test.go
+++ b/internal/core/dependency_lifecycle_test.go
@@ -25,7 +25,7 @@
 	harness.run(2 * time.Second)
 	for name, leader := range map[string]*leader{"the leader": present, "the next": nextLeader(harness, present, "")} {
 		job := leader.Jobs[jobID(2)]
-		if job.Waiting {
+		if job.AwaitingDependencies {
 			t.Fatalf("%s: it waits", name)
 		}
 		if want := float64(submitted)/1000 + due; job.Deadline != want {
@@ -60,7 +60,7 @@
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	harness.run(2 * time.Second)
-	if job := leader.Jobs[jobID(2)]; job == nil || job.Cancellation.Requested() || job.Waiting {
+	if job := leader.Jobs[jobID(2)]; job == nil || job.Cancellation.Requested() || job.AwaitingDependencies {
 		t.Error("its dependent does not become ready")
 	}
 }
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -222,13 +222,13 @@
 	leader := leadWithRecords(harness)
 	harness.run(10 * time.Second)
 	job := leader.Jobs[id]
-	if job == nil || !job.Waiting || job.Record.ReadyAt != 0 || len(job.PendingTasks()) > 0 {
+	if job == nil || !job.AwaitingDependencies || job.Record.ReadyAt != 0 || len(job.PendingTasks()) > 0 {
 		t.Fatalf("with one job not done it does not wait: %+v", job)
 	}
 	first := leader.Jobs[names[0]]
 	leader.markDone(first, 0)
 	harness.run(2 * time.Second)
-	if job.Waiting || len(job.PendingTasks()) == 0 {
+	if job.AwaitingDependencies || len(job.PendingTasks()) == 0 {
 		t.Fatal("with all of them done it does not become ready")
 	}
 	for i := range job.TaskStates {
--- a/internal/core/dependent_plan.go
+++ b/internal/core/dependent_plan.go
@@ -28,7 +28,7 @@
 // startsSoon reports whether a job that waits for dependencies is expected to be ready before a
 // machine that is provisioned for it now would be up.
 func (l *leader) startsSoon(job *cluster.Job) bool {
-	if !job.Waiting || !job.Loaded || job.Cancellation.Requested() {
+	if !job.AwaitingDependencies || !job.Loaded || job.Cancellation.Requested() {
 		return false
 	}
 	lead, _, ok := l.leadTime(job)
@@ -44,7 +44,7 @@
 // remainingRunTime is how long a job is expected to run on, in seconds; infinite while it waits or
 // some of its tasks have no machine.
 func (l *leader) remainingRunTime(job *cluster.Job) float64 {
-	if job.Waiting || !job.Loaded || job.TasksPlaced+job.TasksDone < len(job.TaskStates) {
+	if job.AwaitingDependencies || !job.Loaded || job.TasksPlaced+job.TasksDone < len(job.TaskStates) {
 		return math.Inf(1)
 	}
 	estimate := l.runEstimate(job)
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -48,7 +48,7 @@
 		{
 			name: "it waits for another job",
 			change: func(leader *leader, dependency, waiting *cluster.Job) {
-				dependency.Waiting = true
+				dependency.AwaitingDependencies = true
 				leader.dependencies.Add(dependency.ID, []string{"job-3"})
 			},
 		},
@@ -79,7 +79,7 @@
 			leader := newForecastLeader(t)
 			dependency, waiting := dependentJob("job-1", 1), dependentJob("job-2", 3)
 			dependency.TasksPlaced, dependency.TaskStates[0].RunningSince = 1, leader.core.now
-			waiting.Waiting = true
+			waiting.AwaitingDependencies = true
 			other := dependentJob("job-3", 1)
 			leader.JobsBySubmission = []*cluster.Job{dependency, waiting, other}
 			for _, job := range leader.JobsBySubmission {
--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -49,7 +49,7 @@
 		w.addRangeRecords(job)
 		return
 	}
-	job.Numbered = true
+	job.NumberedKeys = true
 	w.addNumberedRecords(job)
 }
 
@@ -103,7 +103,7 @@
 func (w *Writer) switchToNamedRanges(job *cluster.Job) {
 	before := job.PlacementRecords
 	job.SupersededKeys = job.PlacementKeys()
-	job.PlacementRecords, job.Numbered = nil, false
+	job.PlacementRecords, job.NumberedKeys = nil, false
 	w.addRangeRecords(job)
 	for _, old := range before {
 		for i := range job.PlacementRecords {
@@ -119,7 +119,7 @@
 // earlier write that is still under way, conditional on that record, has no effect then.
 // It would restore what the new records have replaced.
 func (w *Writer) mayWriteNamedRanges(job *cluster.Job) bool {
-	if !job.Numbered {
+	if !job.NumberedKeys {
 		return true
 	}
 	if job.HasUnknownPlacementVersion() {
@@ -186,7 +186,7 @@
 		w.adoptTasks(job, f, covered)
 	}
 	sortByRange(job.PlacementRecords)
-	job.Numbered = !named
+	job.NumberedKeys = !named
 	if named {
 		w.addRangeRecords(job)
 	} else {
--- a/internal/core/persistence/writer.go
+++ b/internal/core/persistence/writer.go
@@ -57,7 +57,7 @@
 func (w *Writer) MarkPlacementDeferred(job *cluster.Job, task int) {
 	record := job.PlacementRecordOf(task)
 	w.markDue(record, w.host.Now()+deferralHeartbeats*w.deployment.Workers.HeartbeatInterval())
-	if job.IsFinished() || job.IsOver() {
+	if job.IsCompleted() || job.IsTerminated() {
 		w.dirty = true
 		return
 	}
@@ -112,5 +112,5 @@
 	if job.EndRecorded || job.OpenVersionUnknown || job.EndWritePending || job.OpenWritePending {
 		return false
 	}
-	return (job.IsFinished() || job.IsOver()) && !job.HasUnknownPlacementVersion() && !w.inBackoff(job)
+	return (job.IsCompleted() || job.IsTerminated()) && !job.HasUnknownPlacementVersion() && !w.inBackoff(job)
 }
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -109,7 +109,7 @@
 	l.propagateUrgency(l.JobsBySubmission...)
 	waiting := 0
 	for _, job := range l.JobsBySubmission {
-		if job.Waiting {
+		if job.AwaitingDependencies {
 			waiting++
 		}
 	}
--- a/internal/core/placement_records_test.go
+++ b/internal/core/placement_records_test.go
@@ -112,8 +112,8 @@
 	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
 	found := loadPlacements(harness, leader, "job-1")
 	successor.writer.Adopt(successor.Jobs["job-1"], found)
-	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.Numbered {
-		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.Numbered)
+	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.NumberedKeys {
+		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.NumberedKeys)
 	}
 }
 
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -79,7 +79,7 @@
 	const tasksPerRecord = 128
 	addRecord(harness, leader, wire.Job{ID: id, Tasks: tasks}, nil)
 	job := leader.Jobs[id]
-	job.PlacementRecords, job.Numbered = nil, true
+	job.PlacementRecords, job.NumberedKeys = nil, true
 	for from := 0; from < tasks; from += tasksPerRecord {
 		job.PlacementRecords = append(job.PlacementRecords, cluster.PlacementRecord{
 			Key: records.NumberedKey(job.ID, from/tasksPerRecord), From: from, To: min(from+tasksPerRecord, tasks),
@@ -266,8 +266,8 @@
 				t.Fatal("the ends of other jobs are not recorded")
 			}
 			job := leader.Jobs[jobID(2)]
-			if job.Waiting || len(job.PendingTasks()) != 40 {
-				t.Errorf("it does not run: waits %v, %d tasks may be placed", job.Waiting, len(job.PendingTasks()))
+			if job.AwaitingDependencies || len(job.PendingTasks()) != 40 {
+				t.Errorf("it does not run: waits %v, %d tasks may be placed", job.AwaitingDependencies, len(job.PendingTasks()))
 			}
 			for i := range other.TaskStates {
 				if !other.TaskStates[i].Persisted {
@@ -282,7 +282,7 @@
 			}
 			// The next leader learns it by itself.
 			next := nextLeader(harness, leader, "")
-			if k := next.Jobs[jobID(2)]; k.Waiting && !k.DependenciesDone {
+			if k := next.Jobs[jobID(2)]; k.AwaitingDependencies && !k.DependenciesDone {
 				t.Error("it waits again under the next leader")
 			}
 		})
@@ -306,7 +306,7 @@
 	leader.markDone(leader.Jobs[jobID(0)], 0)
 	harness.run(20 * time.Second)
 	for n := range 9 {
-		if leader.Jobs[jobID(1+n)].Waiting {
+		if leader.Jobs[jobID(1+n)].AwaitingDependencies {
 			t.Errorf("%s does not become ready", jobID(1+n))
 		}
 	}
--- a/internal/core/scheduler/quota.go
+++ b/internal/core/scheduler/quota.go
@@ -52,7 +52,7 @@
 func (s *Scheduler) markWithinQuota() {
 	claims := teamlimit.NewClaims(guarantees(s.deployment.Teams))
 	for _, job := range s.state.JobsBySubmission {
-		if job.Cancellation.Requested() || job.Waiting {
+		if job.Cancellation.Requested() || job.AwaitingDependencies {
 			job.WithinQuota = false
 			continue
 		}
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -11,7 +11,7 @@
 //     the job, and a later pass binds its tasks there.
 //
 // What remains is left to provisioning. The package changes PriorityState.WithinQuota,
-// PlacingState and Reservation of package cluster, and which images a machine pulls. All else that
+// PlacementState and Reservation of package cluster, and which images a machine pulls. All else that
 // a decision changes goes by way of Host, which the leader of package core implements. The package
 // has no clock, socket or goroutine.
 package scheduler
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -94,7 +94,7 @@
 	case wire.CauseStopped, wire.CauseGangMemberLost:
 	}
 	l.unplace(job, placement.Index)
-	if job.Shape == wire.ShapeGang && cause != wire.CauseDone && !job.IsFinished() {
+	if job.Shape == wire.ShapeGang && cause != wire.CauseDone && !job.IsCompleted() {
 		l.abortGangAttempt(job)
 	}
 }
--- a/internal/core/urgency_inheritance.go
+++ b/internal/core/urgency_inheritance.go
@@ -19,7 +19,7 @@
 	}
 	for id, ok := changed.Next(); ok; id, ok = changed.Next() {
 		job := l.Jobs[id]
-		if job == nil || job.Cancellation.Requested() || !job.Waiting {
+		if job == nil || job.Cancellation.Requested() || !job.AwaitingDependencies {
 			continue
 		}
 		deadline := job.Deadline - l.runEstimate(job)
