--- a/internal/core/cluster/cluster_test.go
+++ b/internal/core/cluster/cluster_test.go
@@ -53,7 +53,7 @@
 func TestMachinesByName(t *testing.T) {
 	state := NewState()
 	for _, name := range []string{"n-2", "n-1", "n-3", "n-2"} {
-		state.MachineNamed(name, time.Second)
+		state.GetOrAddMachine(name, time.Second)
 	}
 	var visited []string
 	for _, machine := range state.MachinesByName {
--- a/internal/core/cluster/heartbeat_size.go
+++ b/internal/core/cluster/heartbeat_size.go
@@ -17,7 +17,7 @@
 )
 
 // TaskRowsLeft returns how many more tasks fit into the machine's heartbeats.
-func (m *Machine) TaskRowsLeft() int { return MaxTaskRows - len(m.Placements) - m.ReportedEnded }
+func (m *Machine) TaskRowsLeft() int { return MaxTaskRows - len(m.Placements) - m.ReportedExited }
 
 // CountExited counts the exited tasks that a heartbeat still lists.
 func CountExited(tasks []wire.TaskStatus) int {
--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -48,13 +48,13 @@
 	FencingToken                            uint64 // highest token that the worker has reported
 	LastHeartbeat                           time.Duration
 	HeartbeatController                     string        // controller that forwarded the last heartbeat
-	RegularSince                            time.Duration // start of the current period of regular heartbeats
+	HeartbeatsRegularSince                  time.Duration // start of the current period of regular heartbeats
 	LastAnswered                            time.Duration // when a heartbeat was last answered in this term
 	LeaseExtendedAt                         time.Duration // last lease extension by a controller that could not reach the leader
 	LastContact                             time.Duration // last response to a probe or a direct command
 	FirstHeartbeat                          time.Duration
 	ReportedTasks                           []wire.TaskStatus // from the newest message, by name and attempt
-	ReportedEnded                           int               // number of ReportedTasks that have exited
+	ReportedExited                          int               // number of ReportedTasks that have exited
 	LeaseExpired                            bool              // its lease expired while it sent no heartbeats
 	NewerIncarnationAt                      time.Duration     // when a direct response showed an incarnation newer than any heartbeat's
 	LeaseExpiries                           int               // times its lease expired while it was responding
@@ -95,7 +95,7 @@
 	UsedByLevel         [PriorityLevels]topology.Resources // Used, by priority level
 	CheckpointedByLevel [PriorityLevels]topology.Resources // part of UsedByLevel used by tasks that save checkpoints
 	StoppingUse         topology.Resources                 // used by tasks being stopped, as of the last Refresh
-	EvaluationStale     bool                               // its tasks or images have changed since the last Refresh
+	NeedsRefresh        bool                               // its tasks or images have changed since the last Refresh
 	IdleSince           time.Duration
 	GuaranteedTasks     int           // number of tasks of teams that are not best-effort
 	GuaranteedUntil     time.Duration // when the last such task was unplaced
--- a/internal/core/cluster/state.go
+++ b/internal/core/cluster/state.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// MachineNamed returns the machine of a name, and adds it as created now if it is unknown.
-func (s *State) MachineNamed(name string, now time.Duration) *Machine {
+// GetOrAddMachine returns the machine of a name, and adds it as created now if it is unknown.
+func (s *State) GetOrAddMachine(name string, now time.Duration) *Machine {
 	if m := s.Machines[name]; m != nil {
 		return m
 	}
--- a/internal/core/cluster/usage.go
+++ b/internal/core/cluster/usage.go
@@ -17,7 +17,7 @@
 	placements = append(placements, m.Placements[:at]...)
 	placements = append(placements, task)
 	m.Placements = append(placements, m.Placements[at:]...)
-	m.EvaluationStale = true
+	m.NeedsRefresh = true
 }
 
 // RemoveTask removes a task from the machine's placements.
@@ -29,7 +29,7 @@
 		}
 	}
 	m.Placements = placements
-	m.EvaluationStale = true
+	m.NeedsRefresh = true
 }
 
 // PlacementOf returns the task of the given name that occupies the machine; nil if there is none.
@@ -63,7 +63,7 @@
 
 // Refresh recomputes the resources used by tasks that are being stopped and the machine's pulls.
 func (m *Machine) Refresh() {
-	m.EvaluationStale = false
+	m.NeedsRefresh = false
 	m.StoppingUse = topology.Resources{}
 	m.RefreshPulls()
 	for _, r := range m.Placements {
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -31,6 +31,6 @@
 		cached = append(cached, image)
 	}
 	changed := added || len(cached) != len(machine.CachedImages)
-	machine.EvaluationStale = machine.EvaluationStale || changed
+	machine.NeedsRefresh = machine.NeedsRefresh || changed
 	machine.CachedImages = cached
 }
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -7,7 +7,9 @@
 )
 
 // machineNamed finds a machine; one that is not known is added.
-func (l *leader) machineNamed(name string) *cluster.Machine { return l.MachineNamed(name, l.core.now) }
+func (l *leader) machineNamed(name string) *cluster.Machine {
+	return l.GetOrAddMachine(name, l.core.now)
+}
 
 // dropMachine forgets a machine.
 func (l *leader) dropMachine(machine *cluster.Machine) {
--- a/internal/core/overdue_cancellation_test.go
+++ b/internal/core/overdue_cancellation_test.go
@@ -66,7 +66,7 @@
 				leader.enforceStop(machine, cluster.NewTaskReference(job, 0))
 				return leader.fleet.pendingReturns[machine.Name]
 			}
-			machine.LastHeartbeat, machine.RegularSince = harness.core.now, harness.core.now
+			machine.LastHeartbeat, machine.HeartbeatsRegularSince = harness.core.now, harness.core.now
 			if returned() != acknowledged {
 				t.Errorf("returned with its first heartbeat: %v", !acknowledged)
 			}
--- a/internal/core/persistence/batch_test.go
+++ b/internal/core/persistence/batch_test.go
@@ -76,7 +76,7 @@
 func (l *fakeLeader) placedJob(id string, tasks int) {
 	job := l.addJob(id, tasks)
 	for i := range tasks {
-		machine := l.state.MachineNamed(fmt.Sprintf("n-%s-%06d", id, i), l.now)
+		machine := l.state.GetOrAddMachine(fmt.Sprintf("n-%s-%06d", id, i), l.now)
 		job.TaskStates[i] = cluster.Task{Attempt: job.NextAttempt, Machine: machine, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
 		job.NextAttempt++
 		job.TasksPlaced++
--- a/internal/core/reconcile/health_test.go
+++ b/internal/core/reconcile/health_test.go
@@ -173,7 +173,7 @@
 		{"task never listed", func(*cluster.Machine, *cluster.Task) {}, true},
 		{"placed a moment ago", func(_ *cluster.Machine, task *cluster.Task) { task.PlacedAt = now - 8*time.Second }, false},
 		{"heartbeat overdue", func(machine *cluster.Machine, _ *cluster.Task) { machine.LastHeartbeat = now - 4*time.Second }, false},
-		{"delayed heartbeats arrived at once", func(machine *cluster.Machine, _ *cluster.Task) { machine.RegularSince = now - 8*time.Second }, false},
+		{"delayed heartbeats arrived at once", func(machine *cluster.Machine, _ *cluster.Task) { machine.HeartbeatsRegularSince = now - 8*time.Second }, false},
 		{"task listed", func(_ *cluster.Machine, task *cluster.Task) { task.Observed = true }, false},
 		{"placement not persisted", func(_ *cluster.Machine, task *cluster.Task) { task.Persisted = false }, false},
 		{"placed in an earlier term", func(_ *cluster.Machine, task *cluster.Task) { task.PlacedThisTerm = false }, false},
@@ -181,7 +181,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			machine := cluster.NewMachine("n-1", 0)
-			machine.LastHeartbeat, machine.RegularSince = now-3*time.Second, time.Minute
+			machine.LastHeartbeat, machine.HeartbeatsRegularSince = now-3*time.Second, time.Minute
 			placement := placeTask(machine, newTestJob("job-101"), cluster.Task{
 				Attempt: 1, Persisted: true, PlacedThisTerm: true, PlacedAt: now - 9*time.Second,
 			})
--- a/internal/core/reconcile/heartbeat.go
+++ b/internal/core/reconcile/heartbeat.go
@@ -18,7 +18,7 @@
 		machine.FirstHeartbeat = now
 	}
 	if now-machine.LastHeartbeat > timing.silentAfter() {
-		machine.RegularSince = now
+		machine.HeartbeatsRegularSince = now
 	}
 	machine.LastHeartbeat, machine.HeartbeatController = now, controller
 }
@@ -81,7 +81,7 @@
 
 // RecordReportedTasks records the tasks that a worker's newest message lists.
 func RecordReportedTasks(machine *cluster.Machine, tasks []wire.TaskStatus) {
-	machine.ReportedTasks, machine.ReportedEnded = tasks, cluster.CountExited(tasks)
+	machine.ReportedTasks, machine.ReportedExited = tasks, cluster.CountExited(tasks)
 	slices.SortFunc(machine.ReportedTasks, func(a, b wire.TaskStatus) int {
 		return cmp.Or(strings.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 	})
--- a/internal/core/reconcile/stops.go
+++ b/internal/core/reconcile/stops.go
@@ -16,7 +16,7 @@
 		return false
 	}
 	heartbeatsArrive := now-machine.LastHeartbeat < 2*timing.HeartbeatInterval
-	startOverdue := now-max(task.PlacedAt, machine.RegularSince) > 4*timing.HeartbeatInterval
+	startOverdue := now-max(task.PlacedAt, machine.HeartbeatsRegularSince) > 4*timing.HeartbeatInterval
 	if !heartbeatsArrive || !startOverdue {
 		return false
 	}
@@ -38,5 +38,5 @@
 // there is no time to wait and the result is false.
 func JustReconnected(machine *cluster.Machine, job *cluster.Job, now time.Duration, timing Timing) bool {
 	return !job.Cancellation.Acknowledged() && machine.LastHeartbeat != 0 &&
-		now-machine.RegularSince < 2*timing.HeartbeatInterval
+		now-machine.HeartbeatsRegularSince < 2*timing.HeartbeatInterval
 }
--- a/internal/core/scheduler/harness_test.go
+++ b/internal/core/scheduler/harness_test.go
@@ -41,7 +41,7 @@
 
 // addMachine adds a machine that may take tasks.
 func (h *harness) addMachine(name, machineType, zone string) *cluster.Machine {
-	m := h.state.MachineNamed(name, h.now)
+	m := h.state.GetOrAddMachine(name, h.now)
 	m.TypeName, m.Zone, m.Described, m.Incarnation = machineType, zone, true, 1
 	return m
 }
@@ -216,6 +216,6 @@
 func (host harnessHost) stop(t *cluster.Task, graceS float64) {
 	if t.Stop == nil {
 		t.Stop = &cluster.StopRequest{GracePeriodS: graceS, RequestedAt: host.h.now, Killed: graceS == 0}
-		t.Machine.EvaluationStale = true
+		t.Machine.NeedsRefresh = true
 	}
 }
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -12,7 +12,7 @@
 		return
 	}
 	task.Stop = &cluster.StopRequest{GracePeriodS: gracePeriodS, RequestedAt: l.core.now, Killed: gracePeriodS == 0}
-	task.Machine.EvaluationStale = true
+	task.Machine.NeedsRefresh = true
 	l.core.log.Debug("stop task", "task", cluster.TaskName(job.ID, index), "machine", task.Machine.Name, "reason", reason, "grace_s", gracePeriodS)
 	if task.Persisted && task.StartSent {
 		l.fleet.urgentCommands[task.Machine.Name] = true
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -56,7 +56,7 @@
 		l.recountUsage()
 	}
 	for _, m := range l.MachinesByName {
-		if m.EvaluationStale {
+		if m.NeedsRefresh {
 			m.Refresh()
 		}
 	}
@@ -68,7 +68,7 @@
 	l.teamUsage.recountAt = l.core.now + l.core.workerLease()
 	l.teamUsage.Reset()
 	for _, m := range l.MachinesByName {
-		m.EvaluationStale = true
+		m.NeedsRefresh = true
 		for _, ref := range m.Placements {
 			l.teamUsage.add(ref.Job, 1)
 		}
