--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -53,7 +53,7 @@
 	if l.isCheapForSomeTask(machine) {
 		return
 	}
-	l.cordon(machine, cluster.DrainCostly)
+	l.cordon(machine, cluster.DrainTooExpensive)
 	machine.Evicting = true
 }
 
--- a/internal/core/cluster/drain_reason.go
+++ b/internal/core/cluster/drain_reason.go
@@ -18,5 +18,5 @@
 	DrainBootTimeout             DrainReason = "boot timeout"
 	DrainPreemptionNotice        DrainReason = "preemption notice"
 	DrainIdle                    DrainReason = "idle"
-	DrainCostly                  DrainReason = "runs only best-effort tasks and is too expensive for them"
+	DrainTooExpensive            DrainReason = "runs only best-effort tasks and is too expensive for them"
 )
--- a/internal/core/cluster/wait_reason.go
+++ b/internal/core/cluster/wait_reason.go
@@ -7,11 +7,11 @@
 
 // Reasons for which a job waits.
 const (
-	WaitLimit         WaitReason = "team at its limit"
-	WaitShare         WaitReason = "the region's share of the team's limit is used up; other regions own the rest"
+	WaitTeamLimit     WaitReason = "team at its limit"
+	WaitRegionShare   WaitReason = "the region's share of the team's limit is used up; other regions own the rest"
 	WaitNoOffer       WaitReason = "no machine can be provisioned now"
 	WaitForMachines   WaitReason = "waiting for machines to be provisioned or to become free"
-	WaitFaulty        WaitReason = "its tasks fail on every machine"
+	WaitJobFaulty     WaitReason = "its tasks fail on every machine"
 	WaitForPreemption WaitReason = "tasks are being preempted for it"
 )
 
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -109,7 +109,7 @@
 func (p *scaleOutPlan) packPending(candidates []*candidate, usage map[string]topology.Resources) {
 	for _, candidate := range candidates {
 		if candidate.Faulty {
-			p.leader.logWait(candidate.Job, cluster.WaitFaulty)
+			p.leader.logWait(candidate.Job, cluster.WaitJobFaulty)
 			continue
 		}
 		p.packCandidate(candidate, usage)
--- a/internal/core/wait_reason.go
+++ b/internal/core/wait_reason.go
@@ -41,7 +41,7 @@
 func (l *leader) limitReason(job *cluster.Job) cluster.WaitReason {
 	configured := l.core.configuredLimit(job.Team)
 	if limit := l.limit(job.Team); limit.CPUs < configured.CPUs || limit.GPUs < configured.GPUs {
-		return cluster.WaitShare
+		return cluster.WaitRegionShare
 	}
-	return cluster.WaitLimit
+	return cluster.WaitTeamLimit
 }
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -30,9 +30,9 @@
 		{10 * time.Second, cluster.WaitNoOffer, false},
 		{31 * time.Second, cluster.WaitNoOffer, true},
 		{32 * time.Second, cluster.WaitNoOffer, false},
-		{40 * time.Second, cluster.WaitLimit, false}, // too soon after the last line
-		{62 * time.Second, cluster.WaitLimit, true},
-		{200 * time.Second, cluster.WaitLimit, false},
+		{40 * time.Second, cluster.WaitTeamLimit, false}, // too soon after the last line
+		{62 * time.Second, cluster.WaitTeamLimit, true},
+		{200 * time.Second, cluster.WaitTeamLimit, false},
 	} {
 		out.Reset()
 		leader.core.now, leader.core.wallClockMS = start+step.at, job.WaitingSinceMS+step.at.Milliseconds()
@@ -52,7 +52,7 @@
 	}{
 		{"a machine is provisioned", func(*leader, *candidate) {}, cluster.WaitForMachines},
 		{"a machine boots", func(leader *leader, _ *candidate) { bootingMachine(leader, "n-1", "large", "a") }, cluster.WaitForMachines},
-		{"the limit", func(leader *leader, _ *candidate) { leader.core.team("vision").CPUsMax = 1 }, cluster.WaitLimit},
+		{"the limit", func(leader *leader, _ *candidate) { leader.core.team("vision").CPUsMax = 1 }, cluster.WaitTeamLimit},
 		{"no capacity", func(leader *leader, _ *candidate) { refuseZone(leader, "a"); refuseZone(leader, "b") }, cluster.WaitNoOffer},
 		{"tasks are preempted", func(_ *leader, c *candidate) { c.Reserved = 1 }, cluster.WaitForPreemption},
 	} {
