--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -62,7 +62,7 @@
 
 // announceTerm sends a worker that has not heard this term an empty list of commands.
 func (l *leader) announceTerm(machine *cluster.Machine, incarnation uint64) {
-	reconcile.BeginAnnouncement(machine)
+	reconcile.BeginTermAnnouncement(machine)
 	l.callWorker(machine, incarnation, []wire.Command{}, func(result Result) {
 		reconcile.EndProbe(machine)
 		if !l.steppedDown && commandsAnswered(result) {
--- a/internal/core/reconcile/probes.go
+++ b/internal/core/reconcile/probes.go
@@ -18,9 +18,9 @@
 	machine.NextProbeAt = now + 2*timing.HeartbeatInterval
 }
 
-// BeginAnnouncement records that this term is being announced to a worker, to which no probe is sent
-// in the meantime.
-func BeginAnnouncement(machine *cluster.Machine) { machine.ProbeOpen = true }
+// BeginTermAnnouncement records that this term is being announced to a worker. No probe is sent to the
+// worker in the meantime.
+func BeginTermAnnouncement(machine *cluster.Machine) { machine.ProbeOpen = true }
 
 // EndProbe records that a probe or an announcement has returned.
 func EndProbe(machine *cluster.Machine) { machine.ProbeOpen = false }
--- a/internal/core/reconcile/probes_test.go
+++ b/internal/core/reconcile/probes_test.go
@@ -20,7 +20,7 @@
 		{"address unknown", func(machine *cluster.Machine) { machine.Address = "" }, false},
 		{"being returned", func(machine *cluster.Machine) { machine.Returning = true }, false},
 		{"probe in progress", func(machine *cluster.Machine) { BeginProbe(machine, now-time.Minute, testTiming) }, false},
-		{"term announcement in progress", BeginAnnouncement, false},
+		{"term announcement in progress", BeginTermAnnouncement, false},
 		{"probed less than two intervals ago", func(machine *cluster.Machine) {
 			BeginProbe(machine, now-2*testTiming.HeartbeatInterval+1, testTiming)
 			EndProbe(machine)
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -103,8 +103,8 @@
 // RecordLeaseExpiry records that the lease of a silent worker is guaranteed to have expired.
 func RecordLeaseExpiry(machine *cluster.Machine) { machine.LeaseExpired = true }
 
-// EndsWithLease reports whether a task terminates when its machine's lease expires (case 4 above).
+// LostOnLeaseExpiry reports whether a task is lost when its machine's lease expires (case 4 above).
 // A task that was placed for a later incarnation does not.
-func EndsWithLease(machine *cluster.Machine, task *cluster.Task) bool {
+func LostOnLeaseExpiry(machine *cluster.Machine, task *cluster.Task) bool {
 	return task.Machine == machine && task.Incarnation <= machine.Incarnation
 }
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -51,7 +51,7 @@
 	reconcile.RecordLeaseExpiry(machine)
 	l.core.log.Info("worker lease expired", "machine", machine.Name, "tasks", len(machine.Placements))
 	for _, placement := range machine.Placements {
-		if reconcile.EndsWithLease(machine, placement.Task()) {
+		if reconcile.LostOnLeaseExpiry(machine, placement.Task()) {
 			l.recordTaskLost(placement, reconcile.LossLeaseExpired)
 		}
 	}
