--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -85,8 +85,9 @@
 	Returning            bool          // its return to the cloud was requested
 }
 
-// Usage is the set of tasks that occupy the machine, and the resources they use. Only placing and
-// unplacing a task changes it.
+// Usage is the set of tasks that occupy the machine, and the resources they use. Placing and
+// unplacing a task change it, and Refresh recomputes StoppingUse. NeedsRefresh is also set when a
+// task's stop is requested and when the image cache changes.
 type Usage struct {
 	// Placements is ordered by name. It is copied on every change, so that a loop over it may
 	// unplace tasks. A task that was unplaced during the loop no longer refers to this machine.
--- a/internal/core/cluster/state.go
+++ b/internal/core/cluster/state.go
@@ -22,7 +22,7 @@
 	return State{Jobs: map[string]*Job{}, Machines: map[string]*Machine{}}
 }
 
-// AddJob adds a job, in submission order.
+// AddJob adds a job. It is ordered after the jobs that were submitted before it or with it.
 func (s *State) AddJob(job *Job) {
 	s.Jobs[job.ID] = job
 	at := sort.Search(len(s.JobsBySubmission), func(i int) bool {
--- a/internal/core/election/campaign.go
+++ b/internal/core/election/campaign.go
@@ -71,7 +71,7 @@
 }
 
 // becomeLeader makes this controller the leader for the term it has won, unless another controller
-// has won a later term in the meantime.
+// is known by now to lead in that or a later term.
 func (e *Election) becomeLeader(won Leadership) {
 	otherLeads := e.leader != "" && e.leader != e.name
 	if otherLeads && e.term >= won.Term {
--- a/internal/core/membership/leader.go
+++ b/internal/core/membership/leader.go
@@ -1,7 +1,7 @@
 package membership
 
-// HasLeaderContact reports whether this controller is the leader, or has received a message from the
-// leader within the duration of a leader's lease.
+// HasLeaderContact reports whether this controller is the leader, or has had contact with the leader
+// within the duration of a leader's lease.
 func (m *Membership) HasLeaderContact() bool {
 	if m.host.IsLeader() {
 		return true
@@ -19,10 +19,10 @@
 	return m.since(keyRead) < m.config.LeaderLease
 }
 
-// LeaderLost reports whether the leader is to be replaced although it may still renew its key: this
-// controller and at least one peer have no contact with it, and no peer has. A controller without
-// contact with any peer is more likely partitioned itself, and must not replace a working leader. It
-// considers the leader lost only if a worker could not reach the leader either.
+// LeaderLost reports whether the leader is to be replaced although it may still renew its key: neither
+// this controller nor any peer that it has contact with has contact with the leader. A controller
+// without contact with any peer is more likely partitioned itself, and must not replace a working
+// leader. It considers the leader lost only if a worker could not reach the leader either.
 func (m *Membership) LeaderLost() bool {
 	if m.HasLeaderContact() {
 		return false
--- a/internal/core/reconcile/health.go
+++ b/internal/core/reconcile/health.go
@@ -43,8 +43,8 @@
 type SilenceCounts struct {
 	byZone       map[string]silenceCount
 	byController map[string]silenceCount
-	// mostSilent is true if most of all machines are silent. A partition of this controller is
-	// then more likely than the failure of the machines.
+	// mostSilent is true if most machines of all zones are silent. A partition of this controller
+	// is then more likely than the failure of the machines.
 	mostSilent bool
 }
 
