--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -80,14 +80,14 @@
 	ProvisionRequestedAt time.Duration // when this leader requested it; 0 if another leader did
 	PreemptionAt         time.Duration // when the cloud reclaims it, by its preemption notice; 0 without one
 	DrainReason          DrainReason   // why it accepts no new tasks; empty if it does
-	DrainedAt            time.Duration // when DrainReason was set by cordoning the machine
+	CordonedAt           time.Duration // when it was cordoned
 	Evicting             bool          // its tasks are being stopped, to run elsewhere
 	Returning            bool          // its return to the cloud was requested
 }
 
 // Usage is the set of tasks that occupy the machine, and the resources they use. Placing and
 // unplacing a task change it, and Refresh recomputes StoppingUse. NeedsRefresh is also set when a
-// task's stop is requested and when the image cache changes.
+// stop is requested, when the image cache changes and when the usage of all teams is recounted.
 type Usage struct {
 	// Placements is ordered by name. It is copied on every change, so that a loop over it may
 	// unplace tasks. A task that was unplaced during the loop no longer refers to this machine.
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -110,12 +110,12 @@
 func (l *leader) cordon(machine *cluster.Machine, reason cluster.DrainReason) {
 	if machine.DrainReason == "" {
 		l.core.log.Info("machine cordoned", "machine", machine.Name, "reason", reason)
-		machine.DrainReason, machine.DrainedAt = reason, l.core.now
+		machine.DrainReason, machine.CordonedAt = reason, l.core.now
 	}
 }
 
 // mayBeHealthy reports whether a machine that fails tasks may still turn out to be healthy: the
 // jobs are tried elsewhere meanwhile.
 func (l *leader) mayBeHealthy(machine *cluster.Machine) bool {
-	return machine.DrainReason == cluster.DrainOutlier && l.core.now-machine.DrainedAt < 3*l.core.workerLease()
+	return machine.DrainReason == cluster.DrainOutlier && l.core.now-machine.CordonedAt < 3*l.core.workerLease()
 }
