--- a/internal/core/election/campaign.go
+++ b/internal/core/election/campaign.go
@@ -80,7 +80,7 @@
 	e.term, e.leader = won.Term, e.name
 	e.nextPollAt = e.host.Now() + e.leaseDuration/pollsPerLease
 	e.log.Info("elected", "term", won.Term)
-	e.host.Lead(won)
+	e.host.StartLeading(won)
 }
 
 // renew renews the lease of the leader key, on the leader.
--- a/internal/core/election/election.go
+++ b/internal/core/election/election.go
@@ -50,8 +50,8 @@
 	Now() time.Duration
 	// Leading returns this controller's leadership; false if it is not the leader.
 	Leading() (Leadership, bool)
-	// Lead makes this controller the leader.
-	Lead(Leadership)
+	// StartLeading makes this controller the leader.
+	StartLeading(Leadership)
 	// StepDown ends this controller's leadership, and calls Election.SteppedDown.
 	StepDown(StepDownReason)
 	// ObserveStore records the status of a call that shows whether the store is available.
@@ -60,8 +60,8 @@
 	HasPeerContact() bool
 	// LeaderLost reports whether the leader is to be replaced although it may still hold its key.
 	LeaderLost() bool
-	// LeaderKnown is called whenever another controller is observed to be the leader.
-	LeaderKnown()
+	// LeaderObserved is called whenever another controller is observed to be the leader.
+	LeaderObserved()
 }
 
 // The interval between polls and the timeout of a renewal, as fractions of the leader's lease.
@@ -197,7 +197,7 @@
 		e.RecordLeaderContact()
 		e.log.Info("new leader", "controller", name, "term", term)
 	}
-	e.host.LeaderKnown()
+	e.host.LeaderObserved()
 }
 
 // SteppedDown records that this controller is no longer the leader.
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -130,7 +130,7 @@
 	return *c.leadership, true
 }
 
-func (c *controller) Lead(won Leadership) { c.leadership = &won }
+func (c *controller) StartLeading(won Leadership) { c.leadership = &won }
 
 func (c *controller) StepDown(reason StepDownReason) {
 	c.leadership = nil
@@ -144,7 +144,7 @@
 
 func (c *controller) LeaderLost() bool { return c.leaderLost }
 
-func (c *controller) LeaderKnown() {}
+func (c *controller) LeaderObserved() {}
 
 func newFakeStore(seed uint64) *fakeStore {
 	return &fakeStore{random: rand.New(rand.NewPCG(seed, 1)), keys: map[string]wire.Item{}, leases: map[uint64]time.Duration{}}
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -38,8 +38,8 @@
 	return h.core.leader.leadership, true
 }
 
-// Lead begins to lead: it loads the records, and tells peers and waiting workers at once.
-func (h electionHost) Lead(won election.Leadership) {
+// StartLeading begins to lead: it loads the records, and tells peers and waiting workers at once.
+func (h electionHost) StartLeading(won election.Leadership) {
 	h.core.leader = newLeader(h.core, won)
 	h.core.leader.loader.Load()
 	h.core.sendDigests()
@@ -58,8 +58,8 @@
 // LeaderLost reports whether the leader is lost although it may hold its key.
 func (h electionHost) LeaderLost() bool { return h.core.membership.LeaderLost() }
 
-// LeaderKnown forwards the heartbeats that wait for a leader.
-func (h electionHost) LeaderKnown() { h.core.forwardPending() }
+// LeaderObserved forwards the heartbeats that wait for a leader.
+func (h electionHost) LeaderObserved() { h.core.forwardPending() }
 
 // stepDown ends this controller's leadership. Results of calls that the leader has sent are
 // ignored from then on.
