--- a/internal/core/membership/peers.go
+++ b/internal/core/membership/peers.go
@@ -6,25 +6,25 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// peer is what is known of another controller.
+// peer is the state of another controller.
 type peer struct {
 	name, zone string
 
-	everHeard bool
-	heardAt   time.Duration // when its last message came
-	version   int           // highest wire.PeerVersion that it has named
+	messageReceived bool          // a message has arrived from it since this controller started
+	lastMessageAt   time.Duration // when its last message arrived
+	version         int           // highest wire.PeerVersion that it has reported
 
-	// Of its latest digest.
-	reachesStore bool
-	hearsLeader  bool
+	// From its latest digest.
+	reachesStore     bool
+	hasLeaderContact bool
 
-	testimony extensionTestimony
+	reports extensionReports
 }
 
-// storeStatusValidity is how long a peer's statement that the key-value store answers it counts.
+// storeStatusValidity is how long a peer's report that it can reach the key-value store is valid.
 const storeStatusValidity = 3 * time.Second
 
-// findPeer returns the peer of a name; nil if there is none.
+// findPeer returns the peer with the given name; nil if there is none.
 func (m *Membership) findPeer(name string) *peer {
 	for _, p := range m.peers {
 		if p.name == name {
@@ -34,73 +34,75 @@
 	return nil
 }
 
-// RecordMessage records that a message of a peer arrived now. It returns false if no peer has
-// that name.
+// RecordMessage records that a message from a peer arrived now. It returns false if there is no peer
+// with that name.
 func (m *Membership) RecordMessage(from string) bool {
 	p := m.findPeer(from)
 	if p == nil {
 		return false
 	}
-	p.everHeard = true
-	p.heardAt = m.host.Now()
+	p.messageReceived = true
+	p.lastMessageAt = m.host.Now()
 	return true
 }
 
-// RecordDigest records what a peer's digest says of the peer.
+// RecordDigest records the state that a peer reports in its digest.
 func (m *Membership) RecordDigest(from string, digest *wire.Digest) {
 	p := m.findPeer(from)
 	if p == nil {
 		return
 	}
-	m.recordTestimony(&p.testimony, digest)
+	m.recordExtensionReports(&p.reports, digest)
 	p.version = max(p.version, digest.Version)
 	p.reachesStore = digest.StoreOK
-	p.hearsLeader = digest.HearsLeader
+	p.hasLeaderContact = digest.HearsLeader
 }
 
-// FillDigest sets what this package contributes to a digest for all peers.
+// FillDigest sets the fields of a digest that this package provides for all peers.
 func (m *Membership) FillDigest(digest *wire.Digest) {
-	digest.HearsLeader = m.HearsLeader()
+	digest.HearsLeader = m.HasLeaderContact()
 	digest.Boot = m.config.Incarnation
 	digest.Clock = int64(m.host.Now())
 	digest.Kept = m.extendedLeases()
 }
 
-// FillEcho sets in a digest for one peer the echo of that peer's own clock.
+// FillEcho sets, in a digest for one peer, the echo of the latest clock time received from it.
 func (m *Membership) FillEcho(digest *wire.Digest, to string) {
 	p := m.findPeer(to)
 	if p == nil {
 		return
 	}
-	digest.EchoBoot = p.testimony.incarnation
-	digest.Echo = int64(p.testimony.clock)
+	digest.EchoBoot = p.reports.incarnation
+	digest.Echo = int64(p.reports.clock)
 }
 
-// heardRecently reports whether a peer was heard within the duration of a leader's lease.
-func (m *Membership) heardRecently(p *peer) bool {
-	return p.everHeard && m.since(p.heardAt) < m.config.LeaderLease
+// hasContact reports whether a message from a peer arrived within the duration of a leader's
+// lease.
+func (m *Membership) hasContact(p *peer) bool {
+	return p.messageReceived && m.since(p.lastMessageAt) < m.config.LeaderLease
 }
 
-// HearsPeer reports whether any other controller is heard.
-func (m *Membership) HearsPeer() bool {
+// HasPeerContact reports whether this controller has contact with any peer.
+func (m *Membership) HasPeerContact() bool {
 	for _, p := range m.peers {
-		if m.heardRecently(p) {
+		if m.hasContact(p) {
 			return true
 		}
 	}
 	return false
 }
 
-// LostAllPeers reports whether some peer was heard before, and none is heard now.
+// LostAllPeers reports whether this controller had contact with a peer before and has contact with
+// none now.
 func (m *Membership) LostAllPeers() bool {
-	everHeard := false
+	anyReceived := false
 	for _, p := range m.peers {
-		everHeard = everHeard || p.everHeard
+		anyReceived = anyReceived || p.messageReceived
 	}
-	return everHeard && !m.HearsPeer()
+	return anyReceived && !m.HasPeerContact()
 }
 
-// ZoneLost reports whether another zone has controllers and none of them is heard.
+// ZoneLost reports whether another zone has controllers and there is contact with none of them.
 func (m *Membership) ZoneLost(zone string) bool {
 	if zone == m.config.Zone {
 		return false
@@ -110,7 +112,7 @@
 		if p.zone != zone {
 			continue
 		}
-		if m.heardRecently(p) {
+		if m.hasContact(p) {
 			return false
 		}
 		hasControllers = true
@@ -118,15 +120,14 @@
 	return hasControllers
 }
 
-// PeerSupports reports whether a peer has said that it understands what a wire.PeerVersion
-// introduced. One that has said so once stays at that version.
+// PeerSupports reports whether a peer has reported that it supports a wire.PeerVersion. The highest
+// version that a peer has ever reported counts.
 func (m *Membership) PeerSupports(name string, version int) bool {
 	p := m.findPeer(name)
 	return p != nil && p.version >= version
 }
 
-// AllPeersSupport reports whether every peer has said that it understands what a
-// wire.PeerVersion introduced.
+// AllPeersSupport reports whether every peer has reported that it supports a wire.PeerVersion.
 func (m *Membership) AllPeersSupport(version int) bool {
 	for _, p := range m.peers {
 		if p.version < version {
@@ -136,20 +137,22 @@
 	return true
 }
 
-// PeerReachesStore reports whether a peer said lately that the key-value store answers it.
+// PeerReachesStore reports whether a peer has recently reported that it can reach the key-value
+// store.
 func (m *Membership) PeerReachesStore() bool {
 	for _, p := range m.peers {
-		if p.everHeard && p.reachesStore && m.since(p.heardAt) < storeStatusValidity {
+		if p.messageReceived && p.reachesStore && m.since(p.lastMessageAt) < storeStatusValidity {
 			return true
 		}
 	}
 	return false
 }
 
-// peerHearingLeader names a peer that hears the leader; empty if there is none.
-func (m *Membership) peerHearingLeader() string {
+// peerWithLeaderContact returns the name of a peer that has contact with the leader; empty if there
+// is none.
+func (m *Membership) peerWithLeaderContact() string {
 	for _, p := range m.peers {
-		if m.heardRecently(p) && p.hearsLeader {
+		if m.hasContact(p) && p.hasLeaderContact {
 			return p.name
 		}
 	}
--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -50,7 +50,7 @@
 		w.addRangeRecords(job)
 		return
 	}
-	job.Numbered = true
+	job.NumberedKeys = true
 	w.addNumberedRecords(job)
 }
 
@@ -104,7 +104,7 @@
 func (w *Writer) switchToNamedRanges(job *cluster.Job) {
 	oldRecords := job.PlacementRecords
 	job.SupersededKeys = job.PlacementKeys()
-	job.PlacementRecords, job.Numbered = nil, false
+	job.PlacementRecords, job.NumberedKeys = nil, false
 	w.addRangeRecords(job)
 	for _, old := range oldRecords {
 		for i := range job.PlacementRecords {
@@ -122,7 +122,7 @@
 // copy is conditional on the old version of the open record. The open records of cancelled jobs
 // are not rewritten (see addOpenRecords).
 func (w *Writer) mayWriteNamedRanges(job *cluster.Job) bool {
-	if !job.Numbered {
+	if !job.NumberedKeys {
 		return true
 	}
 	if job.HasUnknownPlacementVersion() {
@@ -189,7 +189,7 @@
 		w.restoreTasks(job, f, covered)
 	}
 	sortByRange(job.PlacementRecords)
-	job.Numbered = !named
+	job.NumberedKeys = !named
 	if named {
 		w.addRangeRecords(job)
 	} else {
