--- a/internal/quota/balance/balance_test.go
+++ b/internal/quota/balance/balance_test.go
@@ -8,7 +8,7 @@
 
 func gpus(n float64) amount.Amount { return amount.Of(0, n) }
 
-// TestGrant claims shares from a region that owns 16 GPUs, 2 of them guaranteed. It is at position
+// TestGrant checks what a region grants that owns 16 GPUs, 2 of them guaranteed, and is at position
 // 1 in the regions file.
 func TestGrant(t *testing.T) {
 	for _, tc := range []struct {
@@ -19,29 +19,30 @@
 		offers []Offer
 		want   float64
 	}{
-		{"all that is spare above the guarantee", Demand{}, 0, Claim{Need: gpus(20)}, nil, 14},
+		{"everything above the guarantee", Demand{}, 0, Claim{Need: gpus(20)}, nil, 14},
 		{"no more than the need", Demand{}, 0, Claim{Need: gpus(3)}, nil, 3},
 		{"what is used is kept", Demand{Planned: gpus(10)}, 0, Claim{Need: gpus(20)}, nil, 6},
 		{"what was recently credited is kept", Demand{}, 9, Claim{Need: gpus(20)}, nil, 7},
-		{"another's reserve comes after its own", Demand{Planned: gpus(8)}, 0, Claim{Reserve: gpus(20)}, nil, 7},
+		{"its own reserve comes before the claimant's", Demand{Planned: gpus(8)}, 0, Claim{Reserve: gpus(20)}, nil, 7},
 		{"a need comes before its own reserve", Demand{Planned: gpus(8)}, 0, Claim{Need: gpus(8)}, nil, 8},
-		{"a gang that can start keeps what is spare", Demand{Gang: gpus(16), GangPriority: 1}, 0, Claim{Need: gpus(5), Priority: 1, Region: 3}, nil, 0},
+		{"the spare amount is kept for a gang that can start", Demand{Gang: gpus(16), GangPriority: 1}, 0, Claim{Need: gpus(5), Priority: 1, Region: 3}, nil, 0},
 		{"except for a claim of higher priority", Demand{Gang: gpus(16), GangPriority: 1}, 0, Claim{Need: gpus(5), Priority: 2, Region: 3}, nil, 5},
 		{"except for a gang of an earlier region", Demand{Gang: gpus(16), GangPriority: 1}, 0, Claim{Need: gpus(5), Priority: 1, Gang: true, Region: 0}, nil, 5},
 		{"not for a gang of a later region", Demand{Gang: gpus(16), GangPriority: 1}, 0, Claim{Need: gpus(5), Priority: 1, Gang: true, Region: 3}, nil, 0},
-		{"a gang that cannot start keeps nothing", Demand{Gang: gpus(30), GangPriority: 1}, 0, Claim{Need: gpus(5), Region: 3}, []Offer{{Region: 2, Amount: gpus(9)}}, 5},
-		{"a gang that can start with others' offers keeps it", Demand{Gang: gpus(30), GangPriority: 1}, 0, Claim{Need: gpus(5), Region: 3}, []Offer{{Region: 2, Amount: gpus(14)}}, 0},
+		{"nothing is kept for a gang that cannot start", Demand{Gang: gpus(30), GangPriority: 1}, 0, Claim{Need: gpus(5), Region: 3}, []Offer{{Region: 2, Amount: gpus(9)}}, 5},
+		{"the spare amount is kept for a gang that can start with others' offers", Demand{Gang: gpus(30), GangPriority: 1}, 0, Claim{Need: gpus(5), Region: 3}, []Offer{{Region: 2, Amount: gpus(14)}}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			holding := Holding{Owned: gpus(16), Guarantee: gpus(2), Demand: tc.demand, RecentlyCredited: gpus(tc.recent)}
 			if got := holding.Grant(1, tc.claim, tc.offers); got != gpus(tc.want) {
-				t.Errorf("grants %v, want %v GPUs", got, tc.want)
+				t.Errorf("granted %v, want %v GPUs", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestClaims claims shares from two regions for one that owns 32 GPUs, at position 1 in the file.
+// TestClaims checks what a region claims from two others that owns 32 GPUs and is at position 1 in
+// the regions file.
 func TestClaims(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -66,7 +67,7 @@
 			holding := Holding{Owned: gpus(32), Guarantee: gpus(1), Demand: tc.demand}
 			for i, claim := range holding.Claims(1, tc.offers) {
 				if claim.Need != gpus(tc.need[i]) || claim.Reserve != gpus(tc.reserve[i]) {
-					t.Errorf("claims %v and %v of offer %d, want %v and %v GPUs", claim.Need, claim.Reserve, i, tc.need[i], tc.reserve[i])
+					t.Errorf("claimed need %v and reserve %v from offer %d, want %v and %v GPUs", claim.Need, claim.Reserve, i, tc.need[i], tc.reserve[i])
 				}
 			}
 		})
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -26,7 +26,7 @@
 
 // onConfirmed accepts an incarnation of a region, and drops what earlier ones have said.
 func (m *Manager) onConfirmed(remote *remoteRegion, incarnation uint64) {
-	remote.confirmedIncarnation, remote.confirmedAtSequence, remote.sequence = incarnation, m.sequence, 0
+	remote.confirmedIncarnation, remote.confirmedAtSequence, remote.newestSequence = incarnation, m.sequence, 0
 	remote.claims, remote.transfers, remote.offers, remote.hasOffers = nil, nil, nil, false
 	if remote.candidateIncarnation == incarnation {
 		remote.candidateIncarnation = 0
@@ -36,7 +36,7 @@
 
 // recordFence records that the region may grant nothing.
 func (m *Manager) recordFence() *pendingChange {
-	if m.fenceReason == "" || !m.complete() || m.ledger.FenceReason() != "" {
+	if m.fenceReason == "" || !m.ledgerComplete() || m.ledger.FenceReason() != "" {
 		return nil
 	}
 	return &pendingChange{change: m.ledger.Fence(m.host.Term(), m.fenceReason).Then(func(uint64) {
@@ -54,7 +54,7 @@
 		batch := missing[:min(len(missing), m.MaxWrites)]
 		return &pendingChange{change: m.ledger.AddShares(m.host.Term(), batch, m.initialShare)}
 	}
-	if m.complete() {
+	if m.ledgerComplete() {
 		return nil
 	}
 	m.Log.Info("quota ledger created", "region", m.Region, "teams", len(m.ledger.Teams()))
@@ -64,14 +64,14 @@
 // mayCreateShares reports whether every other region has confirmed this incarnation and has the
 // same file, and no other region knows a ledger of this region that is missing here.
 func (m *Manager) mayCreateShares() bool {
-	if m.fenced() || m.complete() && !m.verified() {
+	if m.fenced() || m.ledgerComplete() && !m.ledgerVerified() {
 		return false
 	}
 	for _, remote := range m.remotes {
 		if !remote.hasConfirmed || remote.planFingerprint != m.planFingerprint {
 			return false
 		}
-		if m.complete() && !remote.hasOffers || !m.complete() && remote.knownEpoch != 0 {
+		if m.ledgerComplete() && !remote.hasOffers || !m.ledgerComplete() && remote.knownEpoch != 0 {
 			return false
 		}
 	}
@@ -109,7 +109,7 @@
 
 // handshake records which ledger another region has.
 func (m *Manager) handshake() *pendingChange {
-	if !m.complete() || m.fenced() {
+	if !m.ledgerComplete() || m.fenced() {
 		return nil
 	}
 	for _, remote := range m.remotes {
--- a/internal/quota/commit.go
+++ b/internal/quota/commit.go
@@ -17,7 +17,7 @@
 }
 
 // startNext begins the next transaction on the ledger, if there is one to begin.
-func (m *Manager) startNext() {
+func (m *Manager) startNextChange() {
 	if m.ledger == nil || m.pending != nil {
 		return
 	}
@@ -45,20 +45,20 @@
 	pending.retryAt = 0
 	m.store.Commit(pending.change.Txn, func(result kv.TxnResult) {
 		if m.pending == pending {
-			m.onResult(pending, result)
+			m.onCommitResult(pending, result)
 		}
 	})
 }
 
 // onResult handles the result of the pending transaction.
-func (m *Manager) onResult(pending *pendingChange, result kv.TxnResult) {
+func (m *Manager) onCommitResult(pending *pendingChange, result kv.TxnResult) {
 	switch result.Status {
 	case kv.OK:
 		m.pending = nil
 		pending.change.OnCommitted(result.Revision)
 		m.checkInvariants()
-		m.startNext()
-		m.sendDue()
+		m.startNextChange()
+		m.sendDueMessages()
 	case kv.Conflict:
 		if slices.Contains(result.Conflicts, m.host.Term().Key) {
 			m.host.TermChanged()
@@ -66,11 +66,11 @@
 		}
 		// An earlier try was carried out, or the records are not those that were loaded.
 		m.pending = nil
-		m.load()
+		m.loadLedger()
 	case kv.Rejected:
 		m.reduceLimits(len(pending.change.Txn.Writes))
 		m.pending = nil
-		m.load()
+		m.loadLedger()
 	default: // it may have been carried out, or may be later
 		pending.retryAt = m.host.Now() + m.MessageInterval/retryDivisor
 	}
--- a/internal/quota/gangs_test.go
+++ b/internal/quota/gangs_test.go
@@ -144,7 +144,7 @@
 	joined.elect()
 	s.run(s.now + 5*time.Second)
 	for _, region := range s.regions {
-		if !region.leader.manager.verified() {
+		if !region.leader.manager.ledgerVerified() {
 			t.Fatalf("the ledger of %s is not verified after a region has joined", region.name)
 		}
 	}
--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -85,7 +85,7 @@
 		From:         "region-1",
 		To:           "region-0",
 		Run:          remote.confirmedIncarnation,
-		Sequence:     remote.sequence + uint64(following),
+		Sequence:     remote.newestSequence + uint64(following),
 		EchoRun:      receiver.incarnation,
 		EchoSequence: receiver.sequence,
 		ConfirmedRun: receiver.incarnation,
@@ -195,12 +195,12 @@
 	s.deliver(s.claimAndDebit(t))
 	s.regions[0].replaceRecords()
 	leader := s.regions[0].leader()
-	leader.manager.load()
+	leader.manager.loadLedger()
 	leader.answerAll()
 	for _, message := range confirmations {
 		leader.manager.Receive(message.msg)
 	}
-	if leader.manager.verified() {
+	if leader.manager.ledgerVerified() {
 		t.Error("a message from before the reload verified the ledger")
 	}
 }
@@ -220,10 +220,10 @@
 	destination.manager.remote("region-0").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 1000, Rank: 1}}
 	destination.manager.remote("region-0").transfers = held[0].msg.Transfers
 	for _, leader := range []*stepLeader{source, destination} {
-		leader.manager.startNext()
+		leader.manager.startNextChange()
 		leader.answerAll()
 	}
-	if source.manager.verified() || destination.manager.verified() {
+	if source.manager.ledgerVerified() || destination.manager.ledgerVerified() {
 		t.Fatal("a ledger is verified without region-2")
 	}
 	if s.regions[0].owned(t) != owned[0] || s.regions[1].owned(t) != owned[1] {
@@ -238,7 +238,7 @@
 	s.regions[0].backup = map[string]wire.Item{}
 	s.regions[0].restoreLedger()
 	s.settle()
-	if s.regions[0].leader().manager.complete() || s.regions[0].limit() != 0 {
+	if s.regions[0].leader().manager.ledgerComplete() || s.regions[0].limit() != 0 {
 		t.Errorf("a new ledger was made, it may grant %v", s.regions[0].limit())
 	}
 }
@@ -249,7 +249,7 @@
 	s := startInterleaving(testPlan(2, 1, stepLimit))
 	s.regions[1].leader().manager.planFingerprint++
 	s.settle()
-	if s.regions[0].leader().manager.complete() {
+	if s.regions[0].leader().manager.ledgerComplete() {
 		t.Error("a ledger was made from a file that the other region does not have")
 	}
 }
@@ -355,7 +355,7 @@
 		manager.Receive(msg)
 	}
 	now := manager.remote("region-1")
-	if now.echoIncarnation != before.echoIncarnation || now.lastHeard != before.lastHeard || len(manager.loggedRejections) != 3 {
+	if now.echoIncarnation != before.echoIncarnation || now.lastResponse != before.lastResponse || len(manager.loggedRejections) != 3 {
 		t.Errorf("a message was accepted: %v", manager.loggedRejections)
 	}
 }
@@ -366,7 +366,7 @@
 	s := newInterleaving(2)
 	leader := s.regions[0].leader()
 	leader.manager.remote("region-1").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000, Rank: 1}}
-	leader.manager.startNext()
+	leader.manager.startNextChange()
 	if len(leader.calls) != 1 {
 		t.Fatalf("%d calls, want the transfer's", len(leader.calls))
 	}
@@ -398,8 +398,8 @@
 			msg := s.message(1)
 			msg.Run, msg.Epoch, msg.KnownEpoch = 99, 7, tc.knownEpoch
 			leader.manager.Receive(msg)
-			if leader.manager.verified() || leader.manager.fenced() != tc.fenced {
-				t.Errorf("verified %v, fenced %v", leader.manager.verified(), leader.manager.fenced())
+			if leader.manager.ledgerVerified() || leader.manager.fenced() != tc.fenced {
+				t.Errorf("verified %v, fenced %v", leader.manager.ledgerVerified(), leader.manager.fenced())
 			}
 		})
 	}
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -104,7 +104,7 @@
 }
 
 // advance advances the time by the least time between two messages.
-func (s *interleaving) advance() { s.now += testInterval / urgentDivisor }
+func (s *interleaving) advance() { s.now += testInterval / minMessageGapDivisor }
 
 // settle carries out all calls and delivers all messages in order, until all regions have verified
 // their ledgers.
--- a/internal/quota/ledger/change.go
+++ b/internal/quota/ledger/change.go
@@ -8,15 +8,16 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Change is a transaction on the ledger with its effect. It may be committed any number of
-// times: it is conditional on the version of each record that it writes, so it is carried out
-// once. OnCommitted is called with the revision once that is known to have happened.
+// Change is a transaction on the ledger with its effect on the Ledger in memory. Committing it is
+// idempotent: it is conditional on the version of each record that it writes, so it takes effect at
+// most once. OnCommitted is to be called, with the store's revision, once it is known to be
+// committed.
 type Change struct {
 	Txn         *wire.Txn
 	OnCommitted func(revision uint64)
 }
 
-// newChange begins a transaction under the leader's term.
+// newChange starts a transaction that is conditional on the leader's term.
 func newChange(term wire.Condition) *Change {
 	return &Change{Txn: &wire.Txn{Conditions: []wire.Condition{term}}}
 }
@@ -26,7 +27,7 @@
 	c.Txn.Writes = append(c.Txn.Writes, wire.Write{Put: key, Value: kv.Encode(value)})
 }
 
-// Then adds an effect of the change, after those that there are.
+// Then adds an effect that runs after the existing effects of the change.
 func (c *Change) Then(effect func(revision uint64)) *Change {
 	before := c.OnCommitted
 	c.OnCommitted = func(revision uint64) {
@@ -48,7 +49,7 @@
 	c.Then(func(revision uint64) { l.links[region] = kv.Versioned[Link]{Value: link, Version: revision} })
 }
 
-// AddShares records the initial shares of teams that have none.
+// AddShares records the initial shares of teams that have no share.
 func (l *Ledger) AddShares(term wire.Condition, teams []string, share func(team string) Share) *Change {
 	change := newChange(term)
 	for _, team := range teams {
@@ -57,7 +58,7 @@
 	return change
 }
 
-// Complete completes the ledger under an epoch, once all initial shares are recorded.
+// Complete marks the ledger as complete and sets its epoch, once all initial shares are recorded.
 func (l *Ledger) Complete(term wire.Condition, epoch uint64) *Change {
 	return l.putHeader(term, header{Epoch: epoch})
 }
@@ -84,18 +85,19 @@
 }
 
 // Debit subtracts shares from what the region owns and records their transfer to another region,
-// which has credited transfers up to received. The caller makes sure that no task uses the
-// shares. Debit fails if less than the guarantee would be left.
-func (l *Ledger) Debit(term wire.Condition, region string, received uint64, parts []Part) (*Change, error) {
+// which has credited earlier transfers up to a number. The caller must ensure that no task uses the
+// shares. Debit fails for a team without a share, for a negative amount, and if less than the
+// guarantee would be left.
+func (l *Ledger) Debit(term wire.Condition, region string, creditedUpTo uint64, parts []Part) (*Change, error) {
 	change := newChange(term)
-	link := l.acknowledgedLink(region, received)
+	link := l.acknowledgedLink(region, creditedUpTo)
 	link.Sent++
 	link.Unacknowledged = append(link.Unacknowledged, Transfer{Number: link.Sent, Parts: parts})
 	l.putLink(change, region, link)
 	for _, part := range parts {
 		share, ok := l.Share(part.Team)
 		if !ok || part.Amount.IsNegative() || !share.Owned.Sub(part.Amount).Covers(share.Guarantee) {
-			return nil, fmt.Errorf("ledger: cannot debit %v of %s, which owns %v", part.Amount, part.Team, share.Owned)
+			return nil, fmt.Errorf("ledger: cannot debit %v from the share of team %s: the region owns %v", part.Amount, part.Team, share.Owned)
 		}
 		share.Owned = share.Owned.Sub(part.Amount)
 		l.putShare(change, part.Team, share)
@@ -103,14 +105,15 @@
 	return change, nil
 }
 
-// Credit adds a transfer from another region, which has credited transfers up to received, to
-// what the region owns. It returns nil unless the transfer is the link's next one.
-func (l *Ledger) Credit(term wire.Condition, region string, received uint64, transfer Transfer) *Change {
+// Credit adds a transfer's shares to what the region owns. The transfer is from another region,
+// which has itself credited transfers up to a number. Credit returns nil unless the transfer is the
+// next one from that region.
+func (l *Ledger) Credit(term wire.Condition, region string, creditedUpTo uint64, transfer Transfer) *Change {
 	if transfer.Number != l.Link(region).Received+1 {
 		return nil
 	}
 	change := newChange(term)
-	link := l.acknowledgedLink(region, received)
+	link := l.acknowledgedLink(region, creditedUpTo)
 	link.Received = transfer.Number
 	l.putLink(change, region, link)
 	for _, part := range transfer.Parts {
@@ -121,22 +124,22 @@
 	return change
 }
 
-// Acknowledge drops the transfers that another region has credited, up to received. It returns
-// nil if there are none.
-func (l *Ledger) Acknowledge(term wire.Condition, region string, received uint64) *Change {
+// Acknowledge drops the transfers that another region has credited, up to a number. It returns nil
+// if there are none to drop.
+func (l *Ledger) Acknowledge(term wire.Condition, region string, creditedUpTo uint64) *Change {
 	link := l.Link(region)
-	if len(link.Unacknowledged) == 0 || link.Unacknowledged[0].Number > received {
+	if len(link.Unacknowledged) == 0 || link.Unacknowledged[0].Number > creditedUpTo {
 		return nil
 	}
 	change := newChange(term)
-	l.putLink(change, region, l.acknowledgedLink(region, received))
+	l.putLink(change, region, l.acknowledgedLink(region, creditedUpTo))
 	return change
 }
 
-// acknowledgedLink is a copy of a link without the transfers up to a number.
-func (l *Ledger) acknowledgedLink(region string, received uint64) Link {
+// acknowledgedLink returns a copy of a link without the unacknowledged transfers up to a number.
+func (l *Ledger) acknowledgedLink(region string, creditedUpTo uint64) Link {
 	link := l.Link(region)
 	link.Unacknowledged = slices.Clone(link.Unacknowledged)
-	link.acknowledge(received)
+	link.acknowledge(creditedUpTo)
 	return link
 }
--- a/internal/quota/ledger/ledger.go
+++ b/internal/quota/ledger/ledger.go
@@ -9,14 +9,14 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Ledger is a region's records as its leader knows them.
+// Ledger is a region's records as its leader has last read or written them.
 type Ledger struct {
 	header kv.Versioned[header]
 	shares map[string]kv.Versioned[Share] // by team
 	links  map[string]kv.Versioned[Link]  // by region
 }
 
-// Load decodes a ledger from all its records. The error names one that cannot be decoded.
+// Load decodes a ledger from all its records. The error names the first one that cannot be decoded.
 func Load(items []wire.Item) (*Ledger, error) {
 	l := &Ledger{shares: map[string]kv.Versioned[Share]{}, links: map[string]kv.Versioned[Link]{}}
 	for _, item := range items {
@@ -38,32 +38,32 @@
 		l.links[name], err = kv.Decode[Link](item.Value, item.Version)
 	}
 	if err != nil {
-		return fmt.Errorf("ledger: record %s is not readable: %w", item.Key, err)
+		return fmt.Errorf("ledger: cannot decode record %s: %w", item.Key, err)
 	}
 	return nil
 }
 
 var errUnknownKey = errors.New("unknown key")
 
-// Epoch identifies the ledger; 0 as long as it is not complete.
+// Epoch identifies the ledger; 0 until the ledger is complete.
 func (l *Ledger) Epoch() uint64 { return l.header.Value.Epoch }
 
-// FenceReason is why the region may grant nothing; empty if it may.
+// FenceReason is why the region may grant nothing; empty if it is not fenced.
 func (l *Ledger) FenceReason() string { return l.header.Value.FenceReason }
 
-// Share is what the region has of a team's limit. It reports false if the team has no share.
+// Share returns the region's share of a team's limit. It reports false if the ledger has none.
 func (l *Ledger) Share(team string) (Share, bool) {
 	share, ok := l.shares[team]
 	return share.Value, ok
 }
 
-// Link is what is known of the transfers with a region.
+// Link returns the state of the transfers to and from a region; the zero Link if there is none.
 func (l *Ledger) Link(region string) Link { return l.links[region].Value }
 
-// Teams lists the teams that have a share, in order.
+// Teams lists the teams that have a share, in alphabetical order.
 func (l *Ledger) Teams() []string { return sortedNames(l.shares) }
 
-// Regions lists the regions that there is a link with, in order.
+// Regions lists the regions that have a link, in alphabetical order.
 func (l *Ledger) Regions() []string { return sortedNames(l.links) }
 
 func sortedNames[T any](m map[string]T) []string {
@@ -75,8 +75,8 @@
 	return names
 }
 
-// CheckInvariants returns an error that names what cannot be; nil if the ledger is sound. The
-// wording is in stored records, as the reason of a fence.
+// CheckInvariants returns an error that names the first violated invariant; nil if all hold. The
+// wording of the errors never changes: stored records contain it as the reason of a fence.
 func (l *Ledger) CheckInvariants() error {
 	for _, team := range l.Teams() {
 		if err := checkShare(team, l.shares[team].Value); err != nil {
--- a/internal/quota/ledger/ledger_test.go
+++ b/internal/quota/ledger/ledger_test.go
@@ -11,7 +11,8 @@
 
 var testTerm = wire.Condition{Key: "term", Version: 5}
 
-// newTestLedger owns 8 GPUs of a limit of 16, 2 of them guaranteed.
+// newTestLedger creates the ledger of a region that owns 8 of a team's 16 GPUs, 2 of them
+// guaranteed.
 func newTestLedger() *Ledger {
 	share := Share{Limit: amount.Of(0, 16), Guarantee: amount.Of(0, 2), Owned: amount.Of(0, 8)}
 	return &Ledger{
@@ -23,7 +24,7 @@
 
 func gpus(n float64) []Part { return []Part{{Team: "vision", Amount: amount.Of(0, n)}} }
 
-// mustDebit makes a transfer of GPUs to region south.
+// mustDebit creates the change that transfers GPUs to region south.
 func mustDebit(t *testing.T, l *Ledger, n float64) *Change {
 	t.Helper()
 	change, err := l.Debit(testTerm, "south", 0, gpus(n))
@@ -42,9 +43,9 @@
 	return versions
 }
 
-// TestTransfersAreConditional checks that each transaction that moves shares depends on the term
-// and on the version of each record that it writes, so that neither that of a replaced leader nor
-// a repeated one is carried out.
+// TestTransfersAreConditional checks that each transaction that moves shares is conditional on the
+// term and on the version of each record that it writes. Otherwise the transaction of a replaced
+// leader, or a repeated one, could move shares.
 func TestTransfersAreConditional(t *testing.T) {
 	l := newTestLedger()
 	for _, tc := range []struct {
@@ -58,17 +59,17 @@
 			have := conditions(tc.change)
 			for key, version := range map[string]uint64{"term": 5, "quota/s/vision": 2, "quota/r/south": 3} {
 				if have[key] != version {
-					t.Errorf("depends on version %d of %s, want %d", have[key], key, version)
+					t.Errorf("conditional on version %d of %s, want %d", have[key], key, version)
 				}
 			}
 			if len(tc.change.Txn.Writes) != 2 {
-				t.Errorf("writes %d records, want share and link", len(tc.change.Txn.Writes))
+				t.Errorf("got %d writes, want 2: the share and the link", len(tc.change.Txn.Writes))
 			}
 		})
 	}
 }
 
-// TestChangesAreConditional checks that the other transactions depend on the term.
+// TestChangesAreConditional checks that the other transactions are conditional on the term.
 func TestChangesAreConditional(t *testing.T) {
 	l := newTestLedger()
 	for _, tc := range []struct {
@@ -81,13 +82,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if conditions(tc.change)["term"] != 5 {
-				t.Error("does not depend on the term")
+				t.Error("the transaction is not conditional on the term")
 			}
 		})
 	}
 }
 
-// TestDebit debits amounts that may and may not leave the region.
+// TestDebit debits amounts that may be transferred and amounts that may not.
 func TestDebit(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -101,14 +102,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, err := newTestLedger().Debit(testTerm, "south", 0, tc.parts); (err == nil) != tc.ok {
-				t.Errorf("error %v", err)
+				t.Errorf("Debit: got error %v, want the opposite result", err)
 			}
 		})
 	}
 }
 
-// TestCreditInOrder offers transfers repeatedly, late and ahead of their turn: each is credited
-// once and in its turn.
+// TestCreditInOrder receives transfers repeatedly, late and early: each is credited once, in the
+// order of their numbers.
 func TestCreditInOrder(t *testing.T) {
 	l := newTestLedger()
 	for _, step := range []struct {
@@ -117,40 +118,40 @@
 	}{{2, false}, {1, true}, {1, false}, {3, false}, {2, true}, {1, false}, {2, false}, {3, true}} {
 		change := l.Credit(testTerm, "south", 0, Transfer{step.number, gpus(1)})
 		if (change != nil) != step.credited {
-			t.Errorf("transfer %d: credited %v, want %v", step.number, change != nil, step.credited)
+			t.Errorf("transfer %d: got credited %v, want %v", step.number, change != nil, step.credited)
 		}
 		if change != nil {
 			change.OnCommitted(10 + step.number)
 		}
 	}
 	if share, _ := l.Share("vision"); share.Owned != amount.Of(0, 11) {
-		t.Errorf("owned %v, want 11 GPUs", share.Owned)
+		t.Errorf("owned: got %v, want 11 GPUs", share.Owned)
 	}
 }
 
-// TestAcknowledge drops the transfers that have been credited, and no others.
+// TestAcknowledge checks that the transfers that have been credited are dropped, and no others.
 func TestAcknowledge(t *testing.T) {
 	l := newTestLedger()
 	for range 3 {
 		mustDebit(t, l, 1).OnCommitted(20)
 	}
 	if change := l.Acknowledge(testTerm, "south", 0); change != nil {
-		t.Error("an acknowledgement of nothing leads to a write")
+		t.Error("Acknowledge up to transfer 0: got a change, want none")
 	}
 	l.Acknowledge(testTerm, "south", 2).OnCommitted(30)
 	link := l.Link("south")
 	if len(link.Unacknowledged) != 1 || link.Unacknowledged[0].Number != 3 || link.Acknowledged() != 2 {
-		t.Errorf("left %+v", link)
+		t.Errorf("link after transfers up to 2 were acknowledged: got %+v, want only transfer 3", link)
 	}
 	if got := link.InTransit("vision", 0); got != amount.Of(0, 1) {
-		t.Errorf("%v in transit, want 1 GPU", got)
+		t.Errorf("in transit: got %v, want 1 GPU", got)
 	}
 	if err := l.CheckInvariants(); err != nil {
 		t.Error(err)
 	}
 }
 
-// recordsOf lists the records of a ledger after a debit.
+// recordsOf lists the records that a debit and the completion of a ledger write.
 func recordsOf(t *testing.T) []wire.Item {
 	t.Helper()
 	l := newTestLedger()
@@ -165,15 +166,15 @@
 func TestLoad(t *testing.T) {
 	loaded, err := Load(recordsOf(t))
 	if err != nil || loaded.Epoch() != 7 || loaded.Link("south").Sent != 1 {
-		t.Fatalf("loaded %+v, %v", loaded, err)
+		t.Fatalf("Load: got %+v, error %v, want epoch 7 and one transfer sent to south", loaded, err)
 	}
 	if share, _ := loaded.Share("vision"); share.Owned != amount.Of(0, 6) || share.Guarantee != amount.Of(0, 2) {
-		t.Errorf("share %+v", share)
+		t.Errorf("share: got %+v, want 6 GPUs owned and 2 guaranteed", share)
 	}
 }
 
-// TestLoadMalformed loads a malformed record, and one under a key that is none of the ledger's:
-// the error names the key.
+// TestLoadMalformed loads a malformed record, and one under a key that the ledger does not use: the
+// error names the key.
 func TestLoadMalformed(t *testing.T) {
 	malformed := recordsOf(t)
 	malformed[0].Value = []byte("{")
@@ -184,13 +185,14 @@
 	}{{malformed[0].Key, malformed}, {"quota/x", unknown}} {
 		t.Run(tc.key, func(t *testing.T) {
 			if _, err := Load(tc.items); err == nil || !strings.Contains(err.Error(), tc.key) {
-				t.Errorf("error %v", err)
+				t.Errorf("Load: got error %v, want one that names the key", err)
 			}
 		})
 	}
 }
 
-// TestCheckInvariants breaks each invariant. The texts are in stored records.
+// TestCheckInvariants violates each invariant. The error texts are fixed, since stored records
+// contain them.
 func TestCheckInvariants(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -214,7 +216,7 @@
 			tc.spoil(&share.Value, &link.Value)
 			l.shares["vision"], l.links["south"] = share, link
 			if err := l.CheckInvariants(); err == nil || err.Error() != tc.want {
-				t.Errorf("error %v, want %s", err, tc.want)
+				t.Errorf("got error %v, want %s", err, tc.want)
 			}
 		})
 	}
--- a/internal/quota/ledger/records.go
+++ b/internal/quota/ledger/records.go
@@ -1,12 +1,12 @@
-// Package ledger keeps what a region owns of the teams' limits, and the transfers by which shares
-// move between regions, as records in the region's key-value store.
+// Package ledger represents a region's shares of the teams' limits, and the transfers that move
+// shares between regions, as records in the region's key-value store.
 //
 // Over all regions, owned shares and transfers in transit add up to each limit at every moment:
 // one transaction debits a transfer's shares at its source and records the transfer there, and
 // one credits them at its destination and records the transfer's number. The package builds these
-// transactions and applies their outcome. It does no I/O, has no clock and decides nothing:
-// package quota does, which calls it; package report only reads. It owns the keys below Prefix.
-// docs/design-quota.md compares the alternatives.
+// transactions and applies their outcome. It does no I/O, has no clock and takes no decisions:
+// package quota decides and commits the transactions, and package report only reads the records.
+// The package owns the keys below Prefix. docs/design-quota.md compares the alternatives.
 package ledger
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 )
 
-// Prefix begins all keys of the ledger in the store.
+// Prefix is the prefix of all keys of the ledger in the store.
 const Prefix = "quota/"
 
 const (
@@ -27,20 +27,21 @@
 func shareKey(team string) string  { return sharePrefix + team }
 func linkKey(region string) string { return linkPrefix + region }
 
-// The JSON names of the records below are in stored records and never change.
+// The JSON names of the types below are in stored records and never change.
 
-// header is the record that completes a ledger: it is written last.
+// header is the record that completes a ledger. It is first written once all initial shares are
+// recorded.
 type header struct {
-	Epoch       uint64 `json:"e"` // identifies this ledger; a ledger made anew has another one
-	FenceReason string `json:"f,omitempty"`
+	Epoch       uint64 `json:"e"`           // identifies this ledger; a recreated ledger has a different one
+	FenceReason string `json:"f,omitempty"` // why the region may grant nothing; empty if it may
 }
 
-// Share is what the region has of a team's limit.
+// Share is the region's share of a team's limit.
 type Share struct {
 	Limit           amount.Amount `json:"c"` // over all regions
-	Guarantee       amount.Amount `json:"g"` // in this region; it is never transferred
+	Guarantee       amount.Amount `json:"g"` // part of Owned that is never transferred
 	Owned           amount.Amount `json:"o"`
-	PlanFingerprint uint64        `json:"p"` // of the regions file that the initial share came from
+	PlanFingerprint uint64        `json:"p"` // of the regions file that defined the initial share
 }
 
 // Part is one team's amount in a transfer.
@@ -49,25 +50,25 @@
 	Amount amount.Amount `json:"a"`
 }
 
-// Transfer moves shares to another region. The numbers of a link's transfers are consecutive.
+// Transfer moves shares from one region to another. The transfers in each direction of a link have
+// consecutive numbers from 1.
 type Transfer struct {
 	Number uint64 `json:"n"`
 	Parts  []Part `json:"p"`
 }
 
-// Link is what the region knows for certain of its transfers with another region.
+// Link is the recorded state of the region's transfers to and from another region.
 type Link struct {
 	RemoteEpoch    uint64     `json:"e"`           // of the other region's ledger; 0 until it is known
 	Sent           uint64     `json:"s"`           // number of the last transfer to it
-	Unacknowledged []Transfer `json:"o,omitempty"` // to it, in order
+	Unacknowledged []Transfer `json:"o,omitempty"` // transfers to it that it is not known to have credited, in order
 	Received       uint64     `json:"r"`           // number of the last transfer from it that was credited
 }
 
-// Acknowledged is the number of the last transfer that the other region is known to have
-// credited.
+// Acknowledged is the number of the last transfer that the other region is known to have credited.
 func (l *Link) Acknowledged() uint64 { return l.Sent - uint64(len(l.Unacknowledged)) }
 
-// InTransit adds up a team's amounts in the transfers after a number.
+// InTransit adds up a team's amounts in the unacknowledged transfers after a number.
 func (l *Link) InTransit(team string, after uint64) amount.Amount {
 	var sum amount.Amount
 	for _, transfer := range l.Unacknowledged {
@@ -89,14 +90,15 @@
 	return sum
 }
 
-// acknowledge drops the transfers up to a number.
-func (l *Link) acknowledge(received uint64) {
-	for len(l.Unacknowledged) > 0 && l.Unacknowledged[0].Number <= received {
+// acknowledge drops the unacknowledged transfers up to a number.
+func (l *Link) acknowledge(creditedUpTo uint64) {
+	for len(l.Unacknowledged) > 0 && l.Unacknowledged[0].Number <= creditedUpTo {
 		l.Unacknowledged = l.Unacknowledged[1:]
 	}
 }
 
-// parseKey returns which kind of record a key has, and of which team or region.
+// parseKey returns the kind of record under a key, as the constant headerKey, sharePrefix or
+// linkPrefix, and the name of the record's team or region. It returns an unknown key unchanged.
 func parseKey(key string) (kind, name string) {
 	if team, ok := strings.CutPrefix(key, sharePrefix); ok {
 		return sharePrefix, team
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -38,8 +38,8 @@
 	candidateIncarnation          uint64        // has answered this incarnation and is not confirmed yet; 0 for none
 	confirmedIncarnation          uint64        // whose transfers and claims are accepted; 0 for none
 	confirmedAtSequence           uint64        // the last message to the region before the confirmation
-	sequence                      uint64        // of the newest message of the confirmed incarnation
-	lastHeard                     time.Duration // when a message last answered this incarnation; 0 for never
+	newestSequence                uint64        // of the newest message of the confirmed incarnation
+	lastResponse                  time.Duration // when a message last answered this incarnation; 0 for never
 
 	// What the region knows of this region's ledger.
 	hasConfirmed bool   // it has confirmed this incarnation, so that its knowledge is current
@@ -47,23 +47,23 @@
 	knownEpoch   uint64 // of the ledger that it knows
 
 	// What the region said last of itself.
-	planFingerprint   uint64
-	epoch             uint64                      // of its ledger
-	received          uint64                      // the last transfer that it has certainly credited
-	offers            map[string]wire.RegionOffer // by team
-	hasOffers         bool
-	claims            []wire.RegionClaim
-	claimsReceived    uint64 // the last transfer that it had credited when it claimed
-	transfers         []wire.RegionTransfer
-	replacementLogged bool // it was logged that its ledger was replaced
+	planFingerprint     uint64
+	epoch               uint64                      // of its ledger
+	lastCredited        uint64                      // the last transfer that it has certainly credited
+	offers              map[string]wire.RegionOffer // by team
+	hasOffers           bool
+	claims              []wire.RegionClaim
+	lastCreditedAtClaim uint64 // the last transfer that it had credited when it claimed
+	transfers           []wire.RegionTransfer
+	replacementLogged   bool // it was logged that its ledger was replaced
 
 	// When messages and transfers are due.
-	lastDebit     time.Duration // 0 for none in this incarnation
-	lastLinkWrite time.Duration
-	lastSent      time.Duration
-	nextComplete  time.Duration // when the next complete message is due
-	interval      time.Duration // between complete messages
-	urgent        bool          // a message is due as soon as the rate permits
+	lastDebit           time.Duration // 0 for none in this incarnation
+	lastLinkWrite       time.Duration
+	lastSent            time.Duration
+	nextFullMessage     time.Duration // when the next complete message is due
+	fullMessageInterval time.Duration // between complete messages
+	urgent              bool          // a message is due as soon as the rate permits
 }
 
 // recentCredit is an amount that was credited recently.
@@ -86,13 +86,13 @@
 	for _, name := range config.Plan.OtherRegions(config.Region) {
 		m.remotes = append(m.remotes, &remoteRegion{name: name, index: config.Plan.Index(name)})
 	}
-	m.load()
+	m.loadLedger()
 	return m
 }
 
 // load loads the ledger and begins a new incarnation. What other regions have verified before
 // does not count for it.
-func (m *Manager) load() {
+func (m *Manager) loadLedger() {
 	m.ledger = nil
 	m.incarnation, m.sequence = m.host.NewIncarnation(), 0
 	for _, remote := range m.remotes {
@@ -101,7 +101,7 @@
 	incarnation := m.incarnation
 	m.store.Load(ledger.Prefix, func(items []wire.Item) {
 		if m.incarnation == incarnation {
-			m.onLoaded(items)
+			m.onLedgerLoaded(items)
 		}
 	})
 }
@@ -109,17 +109,17 @@
 // reset forgets what the region has said to an earlier incarnation.
 func (r *remoteRegion) reset(interval time.Duration) {
 	*r = remoteRegion{
-		name:              r.name,
-		index:             r.index,
-		echoIncarnation:   r.echoIncarnation,
-		echoSequence:      r.echoSequence,
-		interval:          interval,
-		replacementLogged: r.replacementLogged,
+		name:                r.name,
+		index:               r.index,
+		echoIncarnation:     r.echoIncarnation,
+		echoSequence:        r.echoSequence,
+		fullMessageInterval: interval,
+		replacementLogged:   r.replacementLogged,
 	}
 }
 
 // onLoaded uses the records that were read.
-func (m *Manager) onLoaded(items []wire.Item) {
+func (m *Manager) onLedgerLoaded(items []wire.Item) {
 	loaded, err := ledger.Load(items)
 	if err != nil {
 		m.Log.Error("quota ledger malformed", "region", m.Region, "error", err)
@@ -130,7 +130,7 @@
 	m.checkInvariants()
 	m.logPlanDifferences()
 	m.Log.Info("quota ledger loaded", "region", m.Region, "epoch", loaded.Epoch(), "teams", len(loaded.Teams()), "fence_reason", loaded.FenceReason())
-	m.startNext()
+	m.startNextChange()
 }
 
 // checkInvariants requests a fence if the ledger is not sound.
@@ -153,7 +153,7 @@
 }
 
 // complete reports whether there is a complete ledger.
-func (m *Manager) complete() bool { return m.ledger != nil && m.ledger.Epoch() != 0 }
+func (m *Manager) ledgerComplete() bool { return m.ledger != nil && m.ledger.Epoch() != 0 }
 
 // fenced reports whether the region may grant nothing.
 func (m *Manager) fenced() bool {
@@ -161,8 +161,8 @@
 }
 
 // verified reports whether the ledger is complete, not fenced and verified by every other region.
-func (m *Manager) verified() bool {
-	if !m.complete() || m.fenced() {
+func (m *Manager) ledgerVerified() bool {
+	if !m.ledgerComplete() || m.fenced() {
 		return false
 	}
 	for _, remote := range m.remotes {
@@ -176,12 +176,12 @@
 // Limit is what a team's tasks may use in the region at present: what it owns without a pending
 // debit; of a ledger that is not verified yet at most the guarantee; of a fenced one nothing.
 func (m *Manager) Limit(team string) amount.Amount {
-	if !m.complete() || m.fenced() {
+	if !m.ledgerComplete() || m.fenced() {
 		return amount.Amount{}
 	}
 	share, _ := m.ledger.Share(team)
 	owned := share.Owned.Sub(m.pendingDebit(team))
-	if !m.verified() {
+	if !m.ledgerVerified() {
 		return owned.Min(share.Guarantee)
 	}
 	return owned
@@ -204,8 +204,8 @@
 // Tick does what is due. It is called several times per message interval.
 func (m *Manager) Tick() {
 	m.retryPending()
-	m.startNext()
-	m.sendDue()
+	m.startNextChange()
+	m.sendDueMessages()
 }
 
 // remote finds another region; nil if the file has none of that name that is not lost.
@@ -259,5 +259,5 @@
 
 // reachable reports whether a region has answered recently.
 func (m *Manager) reachable(remote *remoteRegion) bool {
-	return remote.confirmedIncarnation != 0 && m.host.Now()-remote.lastHeard <= unreachableFactor*m.MessageInterval
+	return remote.confirmedIncarnation != 0 && m.host.Now()-remote.lastResponse <= unreachableFactor*m.MessageInterval
 }
--- a/internal/quota/plan/plan.go
+++ b/internal/quota/plan/plan.go
@@ -1,9 +1,9 @@
-// Package plan reads the regions file (deploy/regions.toml): which regions there are, and how the
-// teams' limits are divided among them initially.
+// Package plan reads the regions file (deploy/regions.toml), which lists the regions and divides
+// the teams' limits initially among them.
 //
-// It owns the file's format and its validation, and touches nothing else. Controllers read the
-// file at their start; the ledger (package ledger) then holds what has become of the shares.
-// docs/quota.md describes the fields.
+// It defines the file's format and validates it, and does nothing else. Controllers read the file
+// when they start; the ledger (package ledger) then records the current shares. docs/quota.md
+// describes the fields.
 package plan
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/brookwalk/brookwalk/internal/quota/amount"
 )
 
-// Plan is the content of the file.
+// Plan is the content of the regions file.
 type Plan struct {
 	Regions []Region `toml:"regions"`
 	Teams   []Team   `toml:"teams"`
@@ -25,14 +25,15 @@
 // Region is a deployment with its own key-value store and controllers.
 type Region struct {
 	Name string `toml:"name"`
-	// Controllers are the addresses at which its controllers receive messages of other regions.
+	// Controllers are the addresses at which its controllers receive messages from other regions.
 	Controllers []string `toml:"controllers"`
-	// Lost marks a region that will not come back: no other region waits for its answers, and
-	// what it owned stays out of use.
+	// Lost marks a region that is permanently lost: no other region waits for its messages, and
+	// the shares that it owned remain unused.
 	Lost bool `toml:"lost"`
 }
 
-// Team is a team's limit over all regions, in CPUs and GPUs; 0 for no limit.
+// Team is a team's limit over all regions, in CPUs and GPUs, and its division among the regions.
+// 0 means no limit.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUsMax float64 `toml:"cpus_max"`
@@ -40,10 +41,10 @@
 	Shares  []Share `toml:"shares"`
 }
 
-// Share is what a region has of a team's limit, in CPUs and GPUs.
+// Share is a region's initial share of a team's limit, in CPUs and GPUs.
 type Share struct {
 	Region string `toml:"region"`
-	// CPUs and GPUs are guaranteed in the region: that part of its share is never transferred.
+	// CPUs and GPUs are guaranteed to the region: that part of its share is never transferred.
 	CPUs float64 `toml:"cpus"`
 	GPUs float64 `toml:"gpus"`
 	// CPUsOwned and GPUsOwned are what the region owns initially.
@@ -51,11 +52,11 @@
 	GPUsOwned float64 `toml:"gpus_owned"`
 }
 
-// InitialShare is a team's share in one region by the file: the limit over all regions, and the
-// amounts that the region has guaranteed and owns.
+// InitialShare is a team's share in one region according to the file: the limit over all regions,
+// and the amounts that are guaranteed to the region and owned by it.
 type InitialShare struct{ Limit, Guarantee, Owned amount.Amount }
 
-// Load reads and validates a file. The error names every wrong field.
+// Load reads and validates a file. The error names every invalid field.
 func Load(path string) (*Plan, error) {
 	var p Plan
 	metadata, err := toml.DecodeFile(path, &p)
@@ -65,7 +66,7 @@
 	return p.validated(metadata, path)
 }
 
-// Parse reads and validates the text of a file.
+// Parse decodes and validates the text of a file.
 func Parse(text string) (*Plan, error) {
 	var p Plan
 	metadata, err := toml.Decode(text, &p)
@@ -75,7 +76,8 @@
 	return p.validated(metadata, "regions")
 }
 
-// Index is a region's position in the file; -1 if it has none. It settles ties between regions.
+// Index is a region's position in the file; -1 if the file does not list it. It breaks ties between
+// regions.
 func (p *Plan) Index(region string) int {
 	for i := range p.Regions {
 		if p.Regions[i].Name == region {
@@ -85,7 +87,7 @@
 	return -1
 }
 
-// OtherRegions lists the other regions that are not lost.
+// OtherRegions lists all regions except self and the lost ones.
 func (p *Plan) OtherRegions(self string) []string {
 	var others []string
 	for _, region := range p.Regions {
@@ -96,7 +98,7 @@
 	return others
 }
 
-// Share is a region's share of the team by the file; nothing if the file has none.
+// Share is a region's share of the team according to the file; of size 0 if the file has none.
 func (t *Team) Share(region string) Share {
 	for _, share := range t.Shares {
 		if share.Region == region {
@@ -106,8 +108,8 @@
 	return Share{Region: region}
 }
 
-// InitialShare is a region's share of the team as amounts. What has no limit is unlimited in
-// every region.
+// InitialShare is a region's share of the team as amounts. A resource without a limit is unlimited
+// in every region.
 func (t *Team) InitialShare(region string) InitialShare {
 	share := t.Share(region)
 	initial := InitialShare{
@@ -124,9 +126,9 @@
 	return initial
 }
 
-// Fingerprint is the same for files that divide the same limits in the same way among the same
-// regions. Addresses and lost regions do not count. It is in stored records and in messages
-// between regions, so the text that it hashes never changes.
+// Fingerprint is a hash that is equal for files that divide the same limits in the same way among
+// the same regions. Addresses, and whether a region is lost, do not affect it. Stored records and
+// messages between regions contain it, so the format of the hashed text never changes.
 func (p *Plan) Fingerprint() uint64 {
 	var text strings.Builder
 	for _, region := range p.Regions {
--- a/internal/quota/plan/plan_test.go
+++ b/internal/quota/plan/plan_test.go
@@ -27,15 +27,15 @@
 gpus_owned = 4
 `
 
-// TestParseNamesFields changes a valid file in one place: the error names the field.
+// TestParseNamesFields makes one field of a valid file invalid: the error names the field.
 func TestParseNamesFields(t *testing.T) {
 	if _, err := Parse(validPlan); err != nil {
 		t.Fatal(err)
 	}
 	for _, tc := range []struct{ old, with, want string }{
-		{`name = "south"`, `name = "north"`, `regions[1].name: "north" stands twice`},
+		{`name = "south"`, `name = "north"`, `regions[1].name: "north" is listed twice`},
 		{`name = "south"`, `name = ""`, `regions[1].name`},
-		{`["127.0.0.1:9311"]`, `["127.0.0.1:9301"]`, `regions[1].controllers: "127.0.0.1:9301" stands twice`},
+		{`["127.0.0.1:9311"]`, `["127.0.0.1:9301"]`, `regions[1].controllers: "127.0.0.1:9301" is listed twice`},
 		{`["127.0.0.1:9311"]`, `["south:9311"]`, `regions[1].controllers`},
 		{`["127.0.0.1:9311"]`, `[]`, `regions[1].controllers: missing`},
 		{`gpus_max = 12`, `gpus_max = 13`, `teams[0].shares: gpus_owned add up to 12, gpus_max is 13`},
@@ -44,19 +44,20 @@
 		{`gpus = 2.5`, `gpus = 9`, `teams[0].shares[0].gpus: 9 guaranteed is more than the 8 owned`},
 		{`cpus = 4`, `cpus_owned = 4`, `teams[0].shares[0].cpus_owned: the team has no cpus_max`},
 		{`region = "south"`, `region = "west"`, `teams[0].shares[1].region: no region "west"`},
-		{`region = "south"`, `region = "north"`, `teams[0].shares[1].region: "north" stands twice`},
+		{`region = "south"`, `region = "north"`, `teams[0].shares[1].region: "north" is listed twice`},
 		{`gpus = 2.5`, `gups = 2.5`, `teams.shares.gups: unknown field`},
 	} {
 		t.Run(tc.want, func(t *testing.T) {
 			text := strings.Replace(validPlan, tc.old, tc.with, 1)
 			if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), tc.want) {
-				t.Errorf("%s in place of %s: error %v, want one with %s", tc.with, tc.old, err, tc.want)
+				t.Errorf("%s in place of %s: got error %v, want one that contains %s", tc.with, tc.old, err, tc.want)
 			}
 		})
 	}
 }
 
-// TestInitialShares reads what each region has, and a resource without a limit.
+// TestInitialShares checks the shares of each region, also for a resource without a limit and for a
+// region that has no share.
 func TestInitialShares(t *testing.T) {
 	p, err := Parse(validPlan)
 	if err != nil {
@@ -64,14 +65,14 @@
 	}
 	north, south, other := p.Teams[0].InitialShare("north"), p.Teams[0].InitialShare("south"), p.Teams[0].InitialShare("west")
 	if north.Guarantee.GPUs != amount.Of(0, 2.5).GPUs || north.Owned.GPUs != amount.Of(0, 8).GPUs || north.Owned.CPUs != amount.Unlimited {
-		t.Errorf("north has %+v", north)
+		t.Errorf("share of north: got %+v, want 2.5 GPUs guaranteed, 8 GPUs owned and CPUs unlimited", north)
 	}
 	if sum := north.Owned.Add(south.Owned).Add(other.Owned); sum.GPUs != north.Limit.GPUs {
-		t.Errorf("owned parts add up to %v of %v", sum, north.Limit)
+		t.Errorf("owned shares add up to %v, want the limit of %v", sum, north.Limit)
 	}
 }
 
-// limitedPlan divides limits of both resources.
+// limitedPlan divides limits of both resources among two regions, one of which is lost.
 const limitedPlan = `
 [[regions]]
 name = "north"
@@ -90,7 +91,8 @@
 gpus_owned = 12
 `
 
-// TestFingerprint pins fingerprints: they are in stored records and in messages between regions.
+// TestFingerprint checks that fingerprints do not change, since stored records and messages between
+// regions contain them.
 func TestFingerprint(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
@@ -105,14 +107,14 @@
 				t.Fatal(err)
 			}
 			if got := plan.Fingerprint(); got != tc.want {
-				t.Errorf("the fingerprint is %d, want %d", got, tc.want)
+				t.Errorf("fingerprint: got %d, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestFingerprintDiffers compares the fingerprints of plans that do and do not divide limits in the
-// same way.
+// TestFingerprintDiffers checks that a fingerprint changes if and only if limits are divided in a
+// different way.
 func TestFingerprintDiffers(t *testing.T) {
 	fingerprint := func(old, with string) uint64 {
 		plan, err := Parse(strings.Replace(validPlan, old, with, 1))
@@ -133,13 +135,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if same := fingerprint(tc.old, tc.with) == unchanged; same != tc.same {
-				t.Errorf("same fingerprint: %v, want %v", same, tc.same)
+				t.Errorf("same fingerprint: got %v, want %v", same, tc.same)
 			}
 		})
 	}
 }
 
-// TestExample loads the regions file that comes with the project.
+// TestExample loads the example regions file of the project.
 func TestExample(t *testing.T) {
 	if _, err := Load("../../../deploy/regions.toml"); err != nil {
 		t.Error(err)
--- a/internal/quota/ports.go
+++ b/internal/quota/ports.go
@@ -65,13 +65,13 @@
 
 // Ratios of a manager's times to Config.MessageInterval.
 const (
-	urgentDivisor      = 6 // the least time between two messages to a region
-	debitDivisor       = 2 // the least time between two transfers to a region
-	acknowledgeFactor  = 4 // until credited transfers are dropped, if nothing else is written
-	retryDivisor       = 8 // until a transaction without an answer is retried
-	recentCreditFactor = 2 // for how long credited shares are not offered
-	unreachableFactor  = 4 // after this time without an answer a region counts as unreachable
-	maxBackoffFactor   = 4 // the longest time between messages to an unreachable region
+	minMessageGapDivisor = 6 // the least time between two messages to a region
+	minDebitGapDivisor   = 2 // the least time between two transfers to a region
+	acknowledgeFactor    = 4 // until credited transfers are dropped, if nothing else is written
+	retryDivisor         = 8 // until a transaction without an answer is retried
+	recentCreditFactor   = 2 // for how long credited shares are not offered
+	unreachableFactor    = 4 // after this time without an answer a region counts as unreachable
+	maxBackoffFactor     = 4 // the longest time between messages to an unreachable region
 )
 
 // Bounds of a link's record.
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -235,7 +235,7 @@
 		}
 		s.run(110 * time.Second)
 		checkViolations(t, s, seed)
-		if leader := region.leader; leader != nil && (leader.manager.fenced() || !leader.manager.complete()) {
+		if leader := region.leader; leader != nil && (leader.manager.fenced() || !leader.manager.ledgerComplete()) {
 			fenced++
 		}
 	}
--- a/internal/quota/receive.go
+++ b/internal/quota/receive.go
@@ -22,17 +22,17 @@
 		return
 	}
 	if msg.EchoRun != m.incarnation {
-		m.onUnknownIncarnation(remote, msg)
+		m.requestEcho(remote, msg)
 		return
 	}
-	remote.lastHeard, remote.interval = m.host.Now(), m.MessageInterval
+	remote.lastResponse, remote.fullMessageInterval = m.host.Now(), m.MessageInterval
 	remote.planFingerprint, remote.epoch, remote.knownEpoch = msg.Plan, msg.Epoch, msg.KnownEpoch
 	m.verifyLedger(remote, msg)
 	if m.advanceSequence(remote, msg) && m.hasSameLedger(remote) {
 		remote.applyContent(msg)
 	}
-	m.startNext()
-	m.sendDue()
+	m.startNextChange()
+	m.sendDueMessages()
 }
 
 // rejection is why messages of a region are rejected.
@@ -50,13 +50,13 @@
 
 // onUnknownIncarnation handles a message that does not answer this incarnation: its sender gets a
 // message that it can answer.
-func (m *Manager) onUnknownIncarnation(remote *remoteRegion, msg *wire.RegionMessage) {
+func (m *Manager) requestEcho(remote *remoteRegion, msg *wire.RegionMessage) {
 	if msg.Run == remote.echoIncarnation && msg.Sequence <= remote.echoSequence {
 		return
 	}
 	remote.echoIncarnation, remote.echoSequence = msg.Run, msg.Sequence
 	remote.urgent = true
-	m.sendDue()
+	m.sendDueMessages()
 }
 
 // advanceSequence reports whether a message is the newest of its sender's confirmed incarnation,
@@ -72,10 +72,10 @@
 		}
 		return false
 	}
-	if msg.Sequence <= remote.sequence {
+	if msg.Sequence <= remote.newestSequence {
 		return false
 	}
-	remote.sequence = msg.Sequence
+	remote.newestSequence = msg.Sequence
 	remote.echoIncarnation, remote.echoSequence = msg.Run, msg.Sequence
 	return true
 }
@@ -90,7 +90,7 @@
 	remote.hasConfirmed = remote.hasConfirmed || msg.ConfirmedRun == m.incarnation
 	link := m.ledger.Link(remote.name)
 	switch {
-	case !m.complete():
+	case !m.ledgerComplete():
 		if msg.KnownEpoch != 0 {
 			m.reject(remote.name, "this region's ledger is missing though the other region knows one; nothing is granted until an operator intervenes")
 		}
@@ -109,7 +109,7 @@
 
 // hasSameLedger reports whether a region still has the ledger of the handshake.
 func (m *Manager) hasSameLedger(remote *remoteRegion) bool {
-	if !m.complete() {
+	if !m.ledgerComplete() {
 		return false
 	}
 	known := m.ledger.Link(remote.name).RemoteEpoch
@@ -122,9 +122,9 @@
 
 // applyContent records what the region transfers, claims and offers.
 func (r *remoteRegion) applyContent(msg *wire.RegionMessage) {
-	r.received = max(r.received, msg.Received)
+	r.lastCredited = max(r.lastCredited, msg.Received)
 	r.transfers = msg.Transfers
-	r.claims, r.claimsReceived = msg.Claims, msg.Received
+	r.claims, r.lastCreditedAtClaim = msg.Claims, msg.Received
 	if !msg.HasOffers {
 		return
 	}
@@ -136,8 +136,8 @@
 }
 
 // nextTransfer is the transfer that the region has sent after a number; nil for none.
-func (r *remoteRegion) nextTransfer(received uint64) *wire.RegionTransfer {
-	i := slices.IndexFunc(r.transfers, func(t wire.RegionTransfer) bool { return t.Number == received+1 })
+func (r *remoteRegion) nextTransfer(lastCredited uint64) *wire.RegionTransfer {
+	i := slices.IndexFunc(r.transfers, func(t wire.RegionTransfer) bool { return t.Number == lastCredited+1 })
 	if i < 0 {
 		return nil
 	}
--- a/internal/quota/report/read.go
+++ b/internal/quota/report/read.go
@@ -14,11 +14,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// ErrNoLedger means that the store has no ledger: the region's limits are its own.
+// ErrNoLedger means that the store has no complete ledger, as in a region that shares no limits
+// with others.
 var ErrNoLedger = errors.New("the state service has no quota ledger")
 
-// Read reads the ledger from the store at an address. The timeout is that of each request. The
-// error names what could not be read.
+// Read reads the ledger and the placements from the store at an address. The timeout applies to each
+// request. The error names the prefix or record that could not be read.
 func Read(address string, timeout time.Duration) (*Report, error) {
 	store := &storeReader{client: httpwire.Client{Addr: address, MaxIdle: 1}, timeout: timeout}
 	defer store.client.CloseIdle()
@@ -40,13 +41,13 @@
 	return build(loaded, used), nil
 }
 
-// storeReader reads records from the store, one request after the other.
+// storeReader reads records from the store, one request at a time.
 type storeReader struct {
 	client  httpwire.Client
 	timeout time.Duration
 }
 
-// list reads all records below a prefix, page by page.
+// list reads all records under a prefix, page by page.
 func (s *storeReader) list(prefix string) ([]wire.Item, error) {
 	var items []wire.Item
 	for after := ""; ; {
@@ -62,7 +63,7 @@
 	}
 }
 
-// page reads a page of the records below a prefix, beginning after a key.
+// page reads one page of the records under a prefix, starting after a key.
 func (s *storeReader) page(prefix, after string) (*wire.Page, error) {
 	path := "/store?limit=500&under=" + prefix
 	if after != "" {
@@ -73,7 +74,7 @@
 		return nil, err
 	}
 	if kv.StatusOf(response.Status) != kv.OK {
-		return nil, fmt.Errorf("status %d", response.Status)
+		return nil, fmt.Errorf("the state service answered with status %d", response.Status)
 	}
 	var page wire.Page
 	if err := json.Unmarshal(response.Body, &page); err != nil {
@@ -82,7 +83,7 @@
 	return &page, nil
 }
 
-// readUsed adds up what the recorded placements use, by team.
+// readUsed adds up the resources that the recorded placements use, by team.
 func (s *storeReader) readUsed() (map[string]topology.Resources, error) {
 	jobs, err := s.readJobs()
 	if err != nil {
@@ -96,7 +97,7 @@
 	for _, item := range placements {
 		var record records.Placement
 		if err := json.Unmarshal(item.Value, &record); err != nil {
-			return nil, fmt.Errorf("record %s: %w", item.Key, err)
+			return nil, fmt.Errorf("cannot decode record %s: %w", item.Key, err)
 		}
 		if placement, ok := records.ParsePlacementKey(item.Key, 1); ok {
 			job := jobs[placement.Job]
@@ -107,7 +108,7 @@
 	return used, nil
 }
 
-// readJobs reads the unfinished jobs, by name.
+// readJobs reads the unfinished jobs, by ID.
 func (s *storeReader) readJobs() (map[string]wire.Job, error) {
 	open, err := s.list(records.PrefixOpen)
 	if err != nil {
@@ -117,7 +118,7 @@
 	for _, item := range open {
 		var record records.Open
 		if err := json.Unmarshal(item.Value, &record); err != nil {
-			return nil, fmt.Errorf("record %s: %w", item.Key, err)
+			return nil, fmt.Errorf("cannot decode record %s: %w", item.Key, err)
 		}
 		jobs[item.Key[len(records.PrefixOpen):]] = record.Job
 	}
--- a/internal/quota/report/report.go
+++ b/internal/quota/report/report.go
@@ -1,7 +1,8 @@
-// Package report shows operators what a region owns of the teams' limits.
+// Package report shows operators a region's shares of the teams' limits, and the transfers with
+// other regions.
 //
-// It reads the records of the region's key-value store, the ledger and the placements, and changes
-// nothing. The command "quota show" of cmd/brookwalk calls it; it needs no running controller.
+// It reads the ledger, the unfinished jobs and the placements from the region's key-value store, and
+// writes nothing to it. The command "quota show" of cmd/brookwalk calls it. No controller has to run.
 package report
 
 import (
@@ -20,7 +21,7 @@
 	Links  []Link `json:"links"`
 }
 
-// Amount is a number of CPUs and GPUs; nil for a resource without a limit.
+// Amount is a quantity of CPUs and GPUs; nil for a resource without a limit.
 type Amount struct {
 	CPUs *float64 `json:"cpus"`
 	GPUs *float64 `json:"gpus"`
@@ -32,15 +33,15 @@
 	Limit      Amount `json:"ceiling"`
 	Guaranteed Amount `json:"guaranteed"`
 	Owned      Amount `json:"owned"`
-	// Used is what the recorded placements use, those of tasks that have not certainly
-	// terminated included.
+	// Used is what the recorded placements use, including those of tasks whose termination is
+	// not confirmed.
 	Used Amount `json:"used"`
 }
 
 // Link is the state of the transfers with another region.
 type Link struct {
 	Region      string     `json:"region"`
-	RemoteEpoch uint64     `json:"epoch"` // of its ledger; 0 if that is not known
+	RemoteEpoch uint64     `json:"epoch"` // of that region's ledger; 0 if it is not known
 	Sent        uint64     `json:"transfers_sent"`
 	Received    uint64     `json:"transfers_received"`
 	InTransit   []Transfer `json:"under_way"`
@@ -58,10 +59,10 @@
 	return Amount{finite(cpus), finite(gpus)}
 }
 
-// largestFinite is above all amounts that a regions file may have.
+// largestFinite is above all amounts that a regions file may contain.
 const largestFinite = 1e15
 
-// finite returns nil for a number that means no limit.
+// finite returns the number, or nil if it stands for no limit.
 func finite(number float64) *float64 {
 	if number > largestFinite {
 		return nil
@@ -69,7 +70,7 @@
 	return &number
 }
 
-// build makes a report of a ledger and of the use by team.
+// build creates a report from a ledger and the resources that each team uses.
 func build(loaded *ledger.Ledger, used map[string]topology.Resources) *Report {
 	report := &Report{Epoch: loaded.Epoch(), Fenced: loaded.FenceReason()}
 	for _, name := range loaded.Teams() {
@@ -98,7 +99,7 @@
 	return Link{Region: region, RemoteEpoch: link.RemoteEpoch, Sent: link.Sent, Received: link.Received, InTransit: inTransit}
 }
 
-// String returns the amount as CPUs / GPUs; "-" for no limit.
+// String formats the amount as "CPUs / GPUs", with "-" for no limit.
 func (a Amount) String() string { return formatQuantity(a.CPUs) + " / " + formatQuantity(a.GPUs) }
 
 func formatQuantity(quantity *float64) string {
--- a/internal/quota/report/report_test.go
+++ b/internal/quota/report/report_test.go
@@ -16,10 +16,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pageSize is how many keys the test store returns in a page.
+// pageSize is how many records the test store returns in a page.
 const pageSize = 2
 
-// serveStore serves keys, which are in order, as a key-value store does.
+// serveStore serves records, which are in the order of their keys, as a key-value store does. It
+// returns the server's address.
 func serveStore(t *testing.T, items []wire.Item) string {
 	t.Helper()
 	server, err := httpserve.Listen("127.0.0.1:0", &httpserve.Traffic{}, func(request *httpwire.Request, reply func(httpserve.Response)) {
@@ -37,7 +38,7 @@
 	return server.Addr()
 }
 
-// pageOf is a page of the items below a prefix, beginning after a key.
+// pageOf returns a page of the items under a prefix, starting after a key.
 func pageOf(items []wire.Item, prefix, after string) wire.Page {
 	page := wire.Page{Items: []wire.Item{}}
 	for _, item := range items {
@@ -57,7 +58,8 @@
 	return wire.Item{Key: key, Value: []byte(value), Version: 5}
 }
 
-// readTestReport reads a ledger of more than a page, with placements.
+// readTestReport reads a report from a store with a ledger of several pages, a job and its
+// placements.
 func readTestReport(t *testing.T) *Report {
 	t.Helper()
 	address := serveStore(t, []wire.Item{
@@ -75,7 +77,7 @@
 	return report
 }
 
-// TestWriteTable looks for rows with the cells that the ledger and the placements give.
+// TestWriteTable checks that the table has rows with the values from the ledger and the placements.
 func TestWriteTable(t *testing.T) {
 	var table strings.Builder
 	if err := readTestReport(t).WriteTable(&table); err != nil {
@@ -89,7 +91,7 @@
 		{"2", "vision", "0 / 1.5"},
 	} {
 		if !hasRow(table.String(), row) {
-			t.Errorf("no row with %q in\n%s", row, table.String())
+			t.Errorf("got no row that contains %q in the table\n%s", row, table.String())
 		}
 	}
 }
@@ -101,7 +103,7 @@
 	})
 }
 
-// TestWriteJSON decodes what was written.
+// TestWriteJSON checks that the written JSON can be decoded to the report.
 func TestWriteJSON(t *testing.T) {
 	var object strings.Builder
 	if err := readTestReport(t).WriteJSON(&object); err != nil {
@@ -112,16 +114,16 @@
 		t.Fatal(err)
 	}
 	if len(decoded.Teams) != 2 || decoded.Teams[1].Limit.CPUs != nil || *decoded.Teams[1].Owned.GPUs != 8 {
-		t.Errorf("decoded %+v", decoded)
+		t.Errorf("decoded report: got %+v, want two teams, the second with CPUs unlimited and 8 GPUs owned", decoded)
 	}
 }
 
-// TestReadNothing reads from a store without a ledger, and from one that cannot be reached.
+// TestReadNothing reads from a store without a ledger, and from a store that cannot be reached.
 func TestReadNothing(t *testing.T) {
 	if _, err := Read(serveStore(t, nil), 5*time.Second); !errors.Is(err, ErrNoLedger) {
-		t.Errorf("error %v, want that there is no ledger", err)
+		t.Errorf("store without a ledger: got error %v, want ErrNoLedger", err)
 	}
 	if _, err := Read("127.0.0.1:1", time.Second); err == nil {
-		t.Error("a store that cannot be reached was read")
+		t.Error("unreachable store: got no error, want one")
 	}
 }
--- a/internal/quota/report/write.go
+++ b/internal/quota/report/write.go
@@ -15,7 +15,7 @@
 	return encoder.Encode(r)
 }
 
-// WriteTable writes the report for people. Amounts are CPUs / GPUs.
+// WriteTable writes the report as a human-readable table. Amounts are written as "CPUs / GPUs".
 func (r *Report) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	if _, err := io.WriteString(table, r.cells()); err != nil {
@@ -24,7 +24,7 @@
 	return table.Flush()
 }
 
-// cells is the table with tabs between its cells.
+// cells returns the table with tabs between its cells.
 func (r *Report) cells() string {
 	var table strings.Builder
 	if r.Fenced != "" {
--- a/internal/quota/send.go
+++ b/internal/quota/send.go
@@ -10,30 +10,30 @@
 
 // sendDue sends the messages that are due: complete ones periodically, others as soon as there
 // is something to say, at a bounded rate. Nothing can be said before the ledger is loaded.
-func (m *Manager) sendDue() {
+func (m *Manager) sendDueMessages() {
 	if m.ledger == nil {
 		return
 	}
 	now := m.host.Now()
 	var states []teamState // found once for all messages of a moment
 	for i, remote := range m.remotes {
-		complete := now >= remote.nextComplete
-		urgent := remote.urgent && now >= remote.lastSent+m.MessageInterval/urgentDivisor
-		if !complete && !urgent {
+		full := now >= remote.nextFullMessage
+		urgent := remote.urgent && now >= remote.lastSent+m.MessageInterval/minMessageGapDivisor
+		if !full && !urgent {
 			continue
 		}
-		if complete {
-			m.scheduleComplete(remote, now)
+		if full {
+			m.scheduleFullMessage(remote, now)
 		}
-		if states == nil && m.verified() {
+		if states == nil && m.ledgerVerified() {
 			states = m.teamStates()
 		}
 		remote.urgent, remote.lastSent = false, now
 		msg := m.linkMessage(remote)
-		if m.verified() {
+		if m.ledgerVerified() {
 			m.addTransfers(msg, remote)
 			addClaims(msg, states, i)
-			if complete {
+			if full {
 				m.addOffers(msg, states)
 			}
 		}
@@ -43,13 +43,13 @@
 
 // scheduleComplete sets when the next complete message is due, with backoff while a region does
 // not answer.
-func (m *Manager) scheduleComplete(remote *remoteRegion, now time.Duration) {
-	fellSilent := remote.lastHeard != 0 && now-remote.lastHeard > unreachableFactor*m.MessageInterval
-	neverHeard := remote.lastHeard == 0 && remote.lastSent != 0
-	if fellSilent || neverHeard {
-		remote.interval = min(2*remote.interval, maxBackoffFactor*m.MessageInterval)
+func (m *Manager) scheduleFullMessage(remote *remoteRegion, now time.Duration) {
+	stoppedResponding := remote.lastResponse != 0 && now-remote.lastResponse > unreachableFactor*m.MessageInterval
+	neverResponded := remote.lastResponse == 0 && remote.lastSent != 0
+	if stoppedResponding || neverResponded {
+		remote.fullMessageInterval = min(2*remote.fullMessageInterval, maxBackoffFactor*m.MessageInterval)
 	}
-	remote.nextComplete = now + remote.interval + m.jitter(remote)
+	remote.nextFullMessage = now + remote.fullMessageInterval + m.jitter(remote)
 }
 
 // jitter is up to an eighth of the interval. It differs between regions and messages, so that
@@ -57,7 +57,7 @@
 func (m *Manager) jitter(remote *remoteRegion) time.Duration {
 	const multiplier = 0x9e3779b97f4a7c15 // spreads consecutive numbers over all values
 	spread := (m.incarnation ^ (m.sequence+1)*multiplier ^ uint64(remote.index)*multiplier) >> 56
-	return remote.interval / 8 * time.Duration(spread) / 256
+	return remote.fullMessageInterval / 8 * time.Duration(spread) / 256
 }
 
 // teamState is what the region has of a team, what others offer of it, and what it claims from
@@ -109,16 +109,16 @@
 func (m *Manager) addTransfers(msg *wire.RegionMessage, remote *remoteRegion) {
 	link := m.ledger.Link(remote.name)
 	for _, transfer := range link.Unacknowledged {
-		if transfer.Number > remote.received {
+		if transfer.Number > remote.lastCredited {
 			msg.Transfers = append(msg.Transfers, transferToWire(transfer))
 		}
 	}
 }
 
 // addClaims adds what is claimed from the region at an index of remotes.
-func addClaims(msg *wire.RegionMessage, states []teamState, index int) {
+func addClaims(msg *wire.RegionMessage, states []teamState, remoteIndex int) {
 	for i := range states {
-		claim := states[i].claims[index]
+		claim := states[i].claims[remoteIndex]
 		if !claim.Need.IsZero() || !claim.Reserve.IsZero() {
 			msg.Claims = append(msg.Claims, claimToWire(claim, states[i].team))
 		}
@@ -144,11 +144,11 @@
 
 // DemandChanged is called when a team wants more than before: the other regions are told soon.
 func (m *Manager) DemandChanged() {
-	if !m.verified() {
+	if !m.ledgerVerified() {
 		return
 	}
 	for _, remote := range m.remotes {
 		remote.urgent = true
 	}
-	m.sendDue()
+	m.sendDueMessages()
 }
--- a/internal/quota/transfers.go
+++ b/internal/quota/transfers.go
@@ -4,7 +4,7 @@
 
 // credit credits the next transfer from another region.
 func (m *Manager) credit() *pendingChange {
-	if !m.verified() {
+	if !m.ledgerVerified() {
 		return nil
 	}
 	for _, remote := range m.remotes {
@@ -13,7 +13,7 @@
 			continue
 		}
 		transfer := transferFromWire(next)
-		change := m.ledger.Credit(m.host.Term(), remote.name, remote.received, transfer)
+		change := m.ledger.Credit(m.host.Term(), remote.name, remote.lastCredited, transfer)
 		return &pendingChange{change: change.Then(func(uint64) { m.onCredited(remote, transfer) })}
 	}
 	return nil
@@ -32,7 +32,7 @@
 
 // debit transfers shares to a region that has claimed them.
 func (m *Manager) debit() *pendingChange {
-	if !m.verified() {
+	if !m.ledgerVerified() {
 		return nil
 	}
 	for _, remote := range m.remotes {
@@ -41,11 +41,11 @@
 			continue
 		}
 		parts := m.grantedParts(remote, &link)
-		remote.claims = nil // they are answered; what is still wanted comes with the next message
+		remote.claims = nil // they are answered; what is still wanted comes with the next wireClaim
 		if len(parts) == 0 {
 			continue
 		}
-		change, err := m.ledger.Debit(m.host.Term(), remote.name, remote.received, parts)
+		change, err := m.ledger.Debit(m.host.Term(), remote.name, remote.lastCredited, parts)
 		if err != nil {
 			m.Log.Error("shares not debited", "region", remote.name, "error", err)
 			continue
@@ -61,10 +61,10 @@
 	if len(remote.claims) == 0 || len(link.Unacknowledged) >= maxUnacknowledged || !m.reachable(remote) {
 		return false
 	}
-	return remote.lastDebit == 0 || m.host.Now()-remote.lastDebit >= m.MessageInterval/debitDivisor
+	return remote.lastDebit == 0 || m.host.Now()-remote.lastDebit >= m.MessageInterval/minDebitGapDivisor
 }
 
-// onDebited requests a message with the transfer.
+// onDebited requests a wireClaim with the transfer.
 func (m *Manager) onDebited(remote *remoteRegion, transfer ledger.Transfer) {
 	for _, part := range transfer.Parts {
 		m.Log.Debug("shares debited", "team", part.Team, "amount", part.Amount, "region", remote.name, "transfer", transfer.Number)
@@ -79,20 +79,20 @@
 	var parts []ledger.Part
 	limit := min(maxTransferParts, m.MaxWrites-1, m.MaxValueBytes/maxPartBytes/maxUnacknowledged)
 	seen := map[string]bool{}
-	for _, request := range remote.claims {
-		if _, ok := m.ledger.Share(request.Team); !ok || seen[request.Team] || len(parts) >= limit {
+	for _, wireClaim := range remote.claims {
+		if _, ok := m.ledger.Share(wireClaim.Team); !ok || seen[wireClaim.Team] || len(parts) >= limit {
 			continue
 		}
-		seen[request.Team] = true
-		claim := claimFromWire(request, remote.index)
+		seen[wireClaim.Team] = true
+		claim := claimFromWire(wireClaim, remote.index)
 		// What is in transit was claimed before it could arrive.
-		inTransit := link.InTransit(request.Team, remote.claimsReceived)
+		inTransit := link.InTransit(wireClaim.Team, remote.lastCreditedAtClaim)
 		claim.Reserve = claim.Reserve.Sub(inTransit.Sub(claim.Need).NonNegative()).NonNegative()
 		claim.Need = claim.Need.Sub(inTransit).NonNegative()
-		holding := m.holding(request.Team)
-		granted := holding.Grant(m.regionIndex, claim, m.offersOf(request.Team))
+		holding := m.holding(wireClaim.Team)
+		granted := holding.Grant(m.regionIndex, claim, m.offersOf(wireClaim.Team))
 		if !granted.IsZero() {
-			parts = append(parts, ledger.Part{Team: request.Team, Amount: granted})
+			parts = append(parts, ledger.Part{Team: wireClaim.Team, Amount: granted})
 		}
 	}
 	return parts
@@ -101,7 +101,7 @@
 // acknowledge drops transfers that were credited. The link's next transfer does so too, so that
 // this is seldom worth a write of its own.
 func (m *Manager) acknowledge() *pendingChange {
-	if !m.verified() {
+	if !m.ledgerVerified() {
 		return nil
 	}
 	for _, remote := range m.remotes {
@@ -109,7 +109,7 @@
 		if !full && m.host.Now()-remote.lastLinkWrite < acknowledgeFactor*m.MessageInterval {
 			continue
 		}
-		if change := m.ledger.Acknowledge(m.host.Term(), remote.name, remote.received); change != nil {
+		if change := m.ledger.Acknowledge(m.host.Term(), remote.name, remote.lastCredited); change != nil {
 			return &pendingChange{change: change}
 		}
 	}
