--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -11,7 +11,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// quotaMessagesPerHeartbeat is how many complete messages other regions are sent in one
+// quotaMessagesPerHeartbeat is how many full messages other regions are sent in one
 // heartbeat interval.
 const quotaMessagesPerHeartbeat = 2
 
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -8,8 +8,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// confirmIncarnation confirms that this leader still leads since it first heard of another region's
-// incarnation. From then on nothing of that region's earlier incarnations is accepted.
+// confirmIncarnation returns a transaction that confirms that this leader still leads after it
+// received another region's new incarnation; nil if there is none to confirm. Once it is committed,
+// messages of that region's earlier incarnations are no longer accepted.
 func (m *Manager) confirmIncarnation() *pendingChange {
 	for _, remote := range m.remotes {
 		if remote.candidateIncarnation == 0 {
@@ -24,7 +25,7 @@
 	return nil
 }
 
-// onConfirmed accepts an incarnation of a region, and drops what earlier ones have said.
+// onConfirmed accepts an incarnation of a region, and discards what earlier ones have sent.
 func (m *Manager) onConfirmed(remote *remoteRegion, incarnation uint64) {
 	remote.confirmedIncarnation, remote.confirmedAtSequence, remote.newestSequence = incarnation, m.sequence, 0
 	remote.claims, remote.transfers, remote.offers, remote.hasOffers = nil, nil, nil, false
@@ -34,18 +35,20 @@
 	remote.urgent = true
 }
 
-// recordFence records that the region may grant nothing.
+// recordFence returns a change that records that the region may grant nothing; nil if there is
+// nothing to record.
 func (m *Manager) recordFence() *pendingChange {
 	if m.fenceReason == "" || !m.ledgerComplete() || m.ledger.FenceReason() != "" {
 		return nil
 	}
 	return &pendingChange{change: m.ledger.Fence(m.host.Term(), m.fenceReason).Then(func(uint64) {
-		m.Log.Error("region fenced", "region", m.Region, "reason", m.fenceReason)
+		m.Log.Error("region fenced, it grants nothing until an operator intervenes", "region", m.Region, "reason", m.fenceReason)
 	})}
 }
 
-// createShares records initial shares: those of a region that no other one knows, and those of
-// teams that are new to the file. Once all are recorded it completes the ledger.
+// createShares returns a change that records initial shares, of all teams in a new region or of
+// teams that are new in the regions file, or that completes the ledger once all are recorded. It
+// returns nil if there is nothing to record, or nothing may be recorded yet.
 func (m *Manager) createShares() *pendingChange {
 	if !m.mayCreateShares() {
 		return nil
@@ -57,12 +60,13 @@
 	if m.ledgerComplete() {
 		return nil
 	}
-	m.Log.Info("quota ledger created", "region", m.Region, "teams", len(m.ledger.Teams()))
+	m.Log.Info("initial quota shares recorded, completing the quota ledger", "region", m.Region, "teams", len(m.ledger.Teams()))
 	return &pendingChange{change: m.ledger.Complete(m.host.Term(), m.host.NewIncarnation())}
 }
 
-// mayCreateShares reports whether every other region has confirmed this incarnation and has the
-// same file, and no other region knows a ledger of this region that is missing here.
+// mayCreateShares reports whether every other region has confirmed this incarnation, has the same
+// regions file, and has no record of a ledger of this region that is missing here. To a complete
+// ledger, shares may be added only if it is verified and every other region has sent its offers.
 func (m *Manager) mayCreateShares() bool {
 	if m.fenced() || m.ledgerComplete() && !m.ledgerVerified() {
 		return false
@@ -78,7 +82,8 @@
 	return true
 }
 
-// missingShares lists the file's teams that have no share yet and may get one.
+// missingShares lists the teams of the regions file that have no share in the ledger and may get
+// their initial one.
 func (m *Manager) missingShares() []string {
 	var missing []string
 	for i := range m.Plan.Teams {
@@ -90,7 +95,8 @@
 	return missing
 }
 
-// initialSharesAgree reports whether no other region has shares of a team from another file.
+// initialSharesAgree reports whether all shares of a team that other regions offer came from the
+// same regions file.
 func (m *Manager) initialSharesAgree(team string) bool {
 	for _, remote := range m.remotes {
 		if offer, ok := remote.offers[team]; ok && offer.Plan != m.planFingerprint {
@@ -100,14 +106,15 @@
 	return true
 }
 
-// initialShare is the region's share of a team by the file.
+// initialShare is the region's share of a team according to the regions file.
 func (m *Manager) initialShare(team string) ledger.Share {
 	index := slices.IndexFunc(m.Plan.Teams, func(t plan.Team) bool { return t.Name == team })
 	initial := m.Plan.Teams[index].InitialShare(m.Region)
 	return ledger.Share{Limit: initial.Limit, Guarantee: initial.Guarantee, Owned: initial.Owned, PlanFingerprint: m.planFingerprint}
 }
 
-// handshake records which ledger another region has.
+// handshake returns a change that records the epoch of another region's ledger; nil if there is none
+// to record.
 func (m *Manager) handshake() *pendingChange {
 	if !m.ledgerComplete() || m.fenced() {
 		return nil
--- a/internal/quota/commit.go
+++ b/internal/quota/commit.go
@@ -8,15 +8,16 @@
 	"github.com/brookwalk/brookwalk/internal/quota/ledger"
 )
 
-// pendingChange is the one transaction that is in flight. Until its outcome is known it is
-// retried, and no other one is begun.
+// pendingChange is a transaction whose outcome is not known. It is retried until the outcome is
+// known; until then no other transaction is started.
 type pendingChange struct {
 	change  *ledger.Change
-	debits  []ledger.Part // what it debits of this region's shares
-	retryAt time.Duration // 0 while an answer is awaited
+	debits  []ledger.Part // amounts that it debits from this region's shares
+	retryAt time.Duration // when it is retried; 0 while a result is awaited
 }
 
-// startNext begins the next transaction on the ledger, if there is one to begin.
+// startNextChange starts the next transaction on the ledger, unless one is pending or none is
+// needed. The order of the candidates is their precedence.
 func (m *Manager) startNextChange() {
 	if m.ledger == nil || m.pending != nil {
 		return
@@ -50,7 +51,7 @@
 	})
 }
 
-// onResult handles the result of the pending transaction.
+// onCommitResult handles the result of the pending transaction.
 func (m *Manager) onCommitResult(pending *pendingChange, result kv.TxnResult) {
 	switch result.Status {
 	case kv.OK:
@@ -64,33 +65,33 @@
 			m.host.TermChanged()
 			return
 		}
-		// An earlier try was carried out, or the records are not those that were loaded.
+		// An earlier attempt was committed, or the records differ from those that were loaded.
 		m.pending = nil
 		m.loadLedger()
 	case kv.Rejected:
 		m.reduceLimits(len(pending.change.Txn.Writes))
 		m.pending = nil
 		m.loadLedger()
-	default: // it may have been carried out, or may be later
+	default: // the outcome is unknown: it may have been committed, or may still be
 		pending.retryAt = m.host.Now() + m.MessageInterval/retryDivisor
 	}
 }
 
-// Bounds below which transactions are not made smaller.
+// Lower bounds of the limits that reduceLimits sets.
 const (
 	minWrites     = 2 // a link and a share
 	minValueBytes = 2 * maxPartBytes * maxUnacknowledged
 )
 
-// reduceLimits makes later transactions smaller: the limits of the store are lower than announced,
-// or have fallen.
+// reduceLimits makes later transactions smaller, since the limits of the store are lower than
+// announced or have decreased.
 func (m *Manager) reduceLimits(writes int) {
 	m.MaxWrites = max(minWrites, writes/2)
 	m.MaxValueBytes = max(minValueBytes, m.MaxValueBytes/2)
-	m.Log.Info("quota transaction rejected, its limits are reduced", "max_writes", m.MaxWrites, "max_value_bytes", m.MaxValueBytes)
+	m.Log.Info("state service rejected a quota transaction, reducing the size of later ones", "max_writes", m.MaxWrites, "max_value_bytes", m.MaxValueBytes)
 }
 
-// retryPending retries the pending transaction, some time after it got no answer.
+// retryPending retries a pending transaction whose outcome is unknown, once the retry is due.
 func (m *Manager) retryPending() {
 	if m.pending != nil && m.pending.retryAt != 0 && m.host.Now() >= m.pending.retryAt {
 		m.commit()
--- a/internal/quota/convert.go
+++ b/internal/quota/convert.go
@@ -7,7 +7,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// These functions convert between the messages of regions and the types of ledger and balance.
+// The functions below convert between the messages of regions and the types of packages ledger and
+// balance.
 
 func offerFromWire(offer wire.RegionOffer, region int) balance.Offer {
 	return balance.Offer{
@@ -18,7 +19,7 @@
 	}
 }
 
-// claimFromWire treats negative amounts, which no region sends, as 0.
+// claimFromWire replaces negative amounts by 0, although no region sends them.
 func claimFromWire(claim wire.RegionClaim, region int) balance.Claim {
 	return balance.Claim{
 		Need:     amount.Amount{CPUs: claim.NeedCPUs, GPUs: claim.NeedGPUs}.NonNegative(),
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -9,7 +9,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Manager is the state machine of a region's leader for one term.
+// Manager is the quota state machine of a region's leader, for one term.
 type Manager struct {
 	Config
 	store Store
@@ -19,51 +19,51 @@
 	planFingerprint uint64
 	remotes         []*remoteRegion // in the file's order, without lost ones
 
-	incarnation      uint64                    // of this view of the ledger: each loading begins another one
-	sequence         uint64                    // of the last message of the incarnation
-	ledger           *ledger.Ledger            // nil while it is loaded
-	fenceReason      string                    // why the region must be fenced, before that is recorded
-	pending          *pendingChange            // nil for none
-	recentCredits    map[string][]recentCredit // by team, in order of time
+	incarnation      uint64                    // identifies this loading of the ledger
+	sequence         uint64                    // of the last message sent in this incarnation
+	ledger           *ledger.Ledger            // nil until it is loaded
+	fenceReason      string                    // why the region is fenced; empty if it is not
+	pending          *pendingChange            // nil if no transaction is pending
+	recentCredits    map[string][]recentCredit // by team, oldest first
 	loggedRejections map[rejection]bool
 }
 
-// remoteRegion is what is known of another region.
+// remoteRegion is the state that is kept for another region.
 type remoteRegion struct {
 	name  string
 	index int // position in the regions file
 
-	// Which messages are accepted, see Receive.
-	echoIncarnation, echoSequence uint64        // of the message to be echoed
-	candidateIncarnation          uint64        // has answered this incarnation and is not confirmed yet; 0 for none
+	// Which of its messages are accepted, see Receive.
+	echoIncarnation, echoSequence uint64        // of its message that the next message to it echoes
+	candidateIncarnation          uint64        // has echoed this incarnation, is not confirmed yet; 0 for none
 	confirmedIncarnation          uint64        // whose transfers and claims are accepted; 0 for none
-	confirmedAtSequence           uint64        // the last message to the region before the confirmation
-	newestSequence                uint64        // of the newest message of the confirmed incarnation
-	lastResponse                  time.Duration // when a message last answered this incarnation; 0 for never
+	confirmedAtSequence           uint64        // of the last message sent before the confirmation
+	newestSequence                uint64        // of its newest message in the confirmed incarnation
+	lastResponse                  time.Duration // when a message last echoed this incarnation; 0 for never
 
-	// What the region knows of this region's ledger.
-	hasConfirmed bool   // it has confirmed this incarnation, so that its knowledge is current
-	hasVerified  bool   // it has verified this incarnation's ledger
-	knownEpoch   uint64 // of the ledger that it knows
+	// What it has reported about this region's ledger.
+	hasConfirmed bool   // it confirmed its term after it received this incarnation: its reports are current
+	hasVerified  bool   // the ledger that this incarnation loaded agrees with its reports
+	knownEpoch   uint64 // of the ledger that it has recorded for this region; 0 for none
 
-	// What the region said last of itself.
+	// What it last reported about itself.
 	planFingerprint     uint64
 	epoch               uint64                      // of its ledger
-	lastCredited        uint64                      // the last transfer that it has certainly credited
+	lastCredited        uint64                      // the last transfer that it has reported as credited
 	offers              map[string]wire.RegionOffer // by team
 	hasOffers           bool
 	claims              []wire.RegionClaim
 	lastCreditedAtClaim uint64 // the last transfer that it had credited when it claimed
 	transfers           []wire.RegionTransfer
-	replacementLogged   bool // it was logged that its ledger was replaced
+	replacementLogged   bool // the replacement of its ledger has been logged
 
 	// When messages and transfers are due.
 	lastDebit           time.Duration // 0 for none in this incarnation
 	lastLinkWrite       time.Duration
 	lastSent            time.Duration
-	nextFullMessage     time.Duration // when the next complete message is due
-	fullMessageInterval time.Duration // between complete messages
-	urgent              bool          // a message is due as soon as the rate permits
+	nextFullMessage     time.Duration // when the next full message is due
+	fullMessageInterval time.Duration // time between full messages
+	urgent              bool          // a message is due as soon as the rate limit permits
 }
 
 // recentCredit is an amount that was credited recently.
@@ -72,7 +72,7 @@
 	keptUntil time.Duration
 }
 
-// New makes a manager and begins to load the ledger.
+// New creates a manager and starts to load the ledger.
 func New(config Config, store Store, host Host) *Manager {
 	m := &Manager{
 		Config:           config,
@@ -90,8 +90,8 @@
 	return m
 }
 
-// load loads the ledger and begins a new incarnation. What other regions have verified before
-// does not count for it.
+// loadLedger loads the ledger and starts a new incarnation, which the other regions have to verify
+// again.
 func (m *Manager) loadLedger() {
 	m.ledger = nil
 	m.incarnation, m.sequence = m.host.NewIncarnation(), 0
@@ -106,7 +106,7 @@
 	})
 }
 
-// reset forgets what the region has said to an earlier incarnation.
+// reset discards what the region has sent to an earlier incarnation.
 func (r *remoteRegion) reset(interval time.Duration) {
 	*r = remoteRegion{
 		name:                r.name,
@@ -118,11 +118,11 @@
 	}
 }
 
-// onLoaded uses the records that were read.
+// onLedgerLoaded handles the records that were read.
 func (m *Manager) onLedgerLoaded(items []wire.Item) {
 	loaded, err := ledger.Load(items)
 	if err != nil {
-		m.Log.Error("quota ledger malformed", "region", m.Region, "error", err)
+		m.Log.Error("quota ledger cannot be decoded, region grants nothing", "region", m.Region, "error", err)
 		m.fenceReason = err.Error()
 		return
 	}
@@ -133,34 +133,37 @@
 	m.startNextChange()
 }
 
-// checkInvariants requests a fence if the ledger is not sound.
+// checkInvariants requests a fence if the ledger violates an invariant.
 func (m *Manager) checkInvariants() {
 	if err := m.ledger.CheckInvariants(); err != nil {
 		m.fenceReason = err.Error()
 	}
 }
 
-// logPlanDifferences logs teams for which file and ledger differ. The ledger is used.
+// logPlanDifferences logs the teams whose limit or guarantee differs between the regions file and
+// the ledger. The values of the ledger are used.
 func (m *Manager) logPlanDifferences() {
 	for i := range m.Plan.Teams {
 		team := &m.Plan.Teams[i]
 		planned := team.InitialShare(m.Region)
 		if share, ok := m.ledger.Share(team.Name); ok && (share.Limit != planned.Limit || share.Guarantee != planned.Guarantee) {
-			m.Log.Warn("regions file differs from quota ledger, which is used", "team", team.Name,
+			m.Log.Warn("regions file differs from quota ledger, using the ledger's values", "team", team.Name,
 				"file_limit", planned.Limit, "limit", share.Limit, "file_guarantee", planned.Guarantee, "guarantee", share.Guarantee)
 		}
 	}
 }
 
-// complete reports whether there is a complete ledger.
+// ledgerComplete reports whether the ledger is loaded and all its initial shares are recorded.
 func (m *Manager) ledgerComplete() bool { return m.ledger != nil && m.ledger.Epoch() != 0 }
 
-// fenced reports whether the region may grant nothing.
+// fenced reports whether the region may grant nothing, because its ledger is malformed, violates an
+// invariant or contradicts what another region knows about it.
 func (m *Manager) fenced() bool {
 	return m.fenceReason != "" || m.ledger != nil && m.ledger.FenceReason() != ""
 }
 
-// verified reports whether the ledger is complete, not fenced and verified by every other region.
+// ledgerVerified reports whether the ledger is complete, is not fenced and has been verified by
+// every other region.
 func (m *Manager) ledgerVerified() bool {
 	if !m.ledgerComplete() || m.fenced() {
 		return false
@@ -173,8 +176,9 @@
 	return true
 }
 
-// Limit is what a team's tasks may use in the region at present: what it owns without a pending
-// debit; of a ledger that is not verified yet at most the guarantee; of a fenced one nothing.
+// Limit is the amount that a team's tasks may use in the region at present: the owned share minus a
+// pending debit. It is at most the guarantee until the ledger is verified, and 0 if the ledger is
+// incomplete or the region is fenced.
 func (m *Manager) Limit(team string) amount.Amount {
 	if !m.ledgerComplete() || m.fenced() {
 		return amount.Amount{}
@@ -187,7 +191,7 @@
 	return owned
 }
 
-// pendingDebit is what the pending transaction debits of a team's share.
+// pendingDebit is the amount that the pending transaction debits from a team's share.
 func (m *Manager) pendingDebit(team string) amount.Amount {
 	var sum amount.Amount
 	if m.pending == nil {
@@ -201,14 +205,16 @@
 	return sum
 }
 
-// Tick does what is due. It is called several times per message interval.
+// Tick retries and starts transactions and sends messages as they become due. It must be called
+// several times per message interval.
 func (m *Manager) Tick() {
 	m.retryPending()
 	m.startNextChange()
 	m.sendDueMessages()
 }
 
-// remote finds another region; nil if the file has none of that name that is not lost.
+// remote returns the state of another region; nil if the regions file does not list it or lists it
+// as lost.
 func (m *Manager) remote(name string) *remoteRegion {
 	for _, remote := range m.remotes {
 		if remote.name == name {
@@ -218,7 +224,8 @@
 	return nil
 }
 
-// holding is the region's share of a team and what the region does with it.
+// holding is the region's share of a team's limit and its demand. A pending debit is not part of
+// the share.
 func (m *Manager) holding(team string) balance.Holding {
 	share, _ := m.ledger.Share(team)
 	return balance.Holding{
@@ -229,7 +236,7 @@
 	}
 }
 
-// recentCredit is what was credited of a team recently.
+// recentCredit is the sum of a team's recent credits. It drops those that are no longer recent.
 func (m *Manager) recentCredit(team string) amount.Amount {
 	var sum amount.Amount
 	credits := m.recentCredits[team]
@@ -245,7 +252,8 @@
 	return sum
 }
 
-// offersOf lists what the other regions, in the order of remotes, could spare of a team.
+// offersOf lists, in the order of remotes, what each other region can spare of a team's limit. The
+// offer of an unreachable region is 0.
 func (m *Manager) offersOf(team string) []balance.Offer {
 	offers := make([]balance.Offer, len(m.remotes))
 	for i, remote := range m.remotes {
@@ -257,7 +265,7 @@
 	return offers
 }
 
-// reachable reports whether a region has answered recently.
+// reachable reports whether a region has a confirmed incarnation and has responded recently.
 func (m *Manager) reachable(remote *remoteRegion) bool {
 	return remote.confirmedIncarnation != 0 && m.host.Now()-remote.lastResponse <= unreachableFactor*m.MessageInterval
 }
--- a/internal/quota/receive.go
+++ b/internal/quota/receive.go
@@ -6,8 +6,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Receive handles a message of another region. Only a message that answers this incarnation
-// counts, and of those only the newest of the sender's confirmed incarnation may move shares.
+// Receive handles a message from another region. Only a message that echoes this incarnation is
+// used, and only the newest message of the sender's confirmed incarnation may move shares.
 func (m *Manager) Receive(msg *wire.RegionMessage) {
 	remote := m.remote(msg.From)
 	switch {
@@ -35,21 +35,21 @@
 	m.sendDueMessages()
 }
 
-// rejection is why messages of a region are rejected.
+// rejection is a reason why messages from a region are rejected.
 type rejection struct{ region, reason string }
 
-// reject logs, once for each sender and reason, that a message is rejected.
+// reject logs that a message is rejected, once for each sender and reason.
 func (m *Manager) reject(region, reason string) {
 	rejected := rejection{region, reason}
 	if m.loggedRejections[rejected] {
 		return
 	}
 	m.loggedRejections[rejected] = true
-	m.Log.Warn("region message rejected", "region", region, "reason", reason)
+	m.Log.Warn("message from region rejected", "region", region, "reason", reason)
 }
 
-// onUnknownIncarnation handles a message that does not answer this incarnation: its sender gets a
-// message that it can answer.
+// requestEcho handles a message that does not echo this incarnation. It makes a message to the
+// sender due, which the sender can echo.
 func (m *Manager) requestEcho(remote *remoteRegion, msg *wire.RegionMessage) {
 	if msg.Run == remote.echoIncarnation && msg.Sequence <= remote.echoSequence {
 		return
@@ -60,10 +60,10 @@
 }
 
 // advanceSequence reports whether a message is the newest of its sender's confirmed incarnation,
-// and records it. Another incarnation becomes a candidate once it answers a message that was sent
-// after the confirmation; late messages of earlier incarnations never do. They would bring back
-// what is outdated, such as a transfer from before the sender's ledger was replaced by an older
-// copy.
+// and records its sequence. Another incarnation becomes a candidate for confirmation if none is
+// confirmed yet, or if it echoes a message that was sent after the last confirmation. Late messages
+// of earlier incarnations echo older messages and are ignored. They would restore outdated state,
+// such as a transfer from before the sender's ledger was replaced by an older copy.
 func (m *Manager) advanceSequence(remote *remoteRegion, msg *wire.RegionMessage) bool {
 	if msg.Run != remote.confirmedIncarnation {
 		if remote.confirmedIncarnation == 0 || msg.EchoSequence > remote.confirmedAtSequence {
@@ -80,9 +80,9 @@
 	return true
 }
 
-// verifyLedger compares this ledger with what another region knows of it. The numbers of the
-// transfers that the other region has seen show whether this ledger is an older copy, or another
-// one. The reasons of a fence are in stored records: their wording never changes.
+// verifyLedger compares this ledger with what another region reports about it. The epoch shows
+// whether this ledger is a different one, and the numbers of transfers show whether it is an older
+// copy. Stored records contain the reason of a fence, so the wording of reasons never changes.
 func (m *Manager) verifyLedger(remote *remoteRegion, msg *wire.RegionMessage) {
 	if m.ledger == nil {
 		return
@@ -107,7 +107,7 @@
 	}
 }
 
-// hasSameLedger reports whether a region still has the ledger of the handshake.
+// hasSameLedger reports whether a region still has the ledger whose epoch the handshake recorded.
 func (m *Manager) hasSameLedger(remote *remoteRegion) bool {
 	if !m.ledgerComplete() {
 		return false
@@ -115,12 +115,12 @@
 	known := m.ledger.Link(remote.name).RemoteEpoch
 	if known != 0 && remote.epoch != known && !remote.replacementLogged {
 		remote.replacementLogged = true
-		m.Log.Error("quota ledger of region replaced, transfers suspended", "region", remote.name)
+		m.Log.Error("quota ledger of region was replaced, transfers from and to it are suspended", "region", remote.name)
 	}
 	return known != 0 && remote.epoch == known
 }
 
-// applyContent records what the region transfers, claims and offers.
+// applyContent records the transfers, claims and offers in a message. Only full messages have offers.
 func (r *remoteRegion) applyContent(msg *wire.RegionMessage) {
 	r.lastCredited = max(r.lastCredited, msg.Received)
 	r.transfers = msg.Transfers
@@ -135,7 +135,8 @@
 	}
 }
 
-// nextTransfer is the transfer that the region has sent after a number; nil for none.
+// nextTransfer returns the transfer that follows the last one credited from the region; nil if it
+// has not been received.
 func (r *remoteRegion) nextTransfer(lastCredited uint64) *wire.RegionTransfer {
 	i := slices.IndexFunc(r.transfers, func(t wire.RegionTransfer) bool { return t.Number == lastCredited+1 })
 	if i < 0 {
--- a/internal/quota/send.go
+++ b/internal/quota/send.go
@@ -8,14 +8,15 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// sendDue sends the messages that are due: complete ones periodically, others as soon as there
-// is something to say, at a bounded rate. Nothing can be said before the ledger is loaded.
+// sendDueMessages sends the messages that are due: full messages, which include offers, periodically,
+// and others as soon as there is something to report, at a bounded rate. Nothing is sent before the
+// ledger is loaded.
 func (m *Manager) sendDueMessages() {
 	if m.ledger == nil {
 		return
 	}
 	now := m.host.Now()
-	var states []teamState // found once for all messages of a moment
+	var states []teamState // computed once for all messages that are due
 	for i, remote := range m.remotes {
 		full := now >= remote.nextFullMessage
 		urgent := remote.urgent && now >= remote.lastSent+m.MessageInterval/minMessageGapDivisor
@@ -41,8 +42,8 @@
 	}
 }
 
-// scheduleComplete sets when the next complete message is due, with backoff while a region does
-// not answer.
+// scheduleFullMessage sets when the next full message is due, with exponential backoff while the
+// region does not respond.
 func (m *Manager) scheduleFullMessage(remote *remoteRegion, now time.Duration) {
 	stoppedResponding := remote.lastResponse != 0 && now-remote.lastResponse > unreachableFactor*m.MessageInterval
 	neverResponded := remote.lastResponse == 0 && remote.lastSent != 0
@@ -52,16 +53,16 @@
 	remote.nextFullMessage = now + remote.fullMessageInterval + m.jitter(remote)
 }
 
-// jitter is up to an eighth of the interval. It differs between regions and messages, so that
-// they do not all send at once.
+// jitter is up to an eighth of the time between full messages. It differs between regions and
+// messages, so that regions do not all send at the same time.
 func (m *Manager) jitter(remote *remoteRegion) time.Duration {
-	const multiplier = 0x9e3779b97f4a7c15 // spreads consecutive numbers over all values
+	const multiplier = 0x9e3779b97f4a7c15 // distributes consecutive numbers over all 64-bit values
 	spread := (m.incarnation ^ (m.sequence+1)*multiplier ^ uint64(remote.index)*multiplier) >> 56
 	return remote.fullMessageInterval / 8 * time.Duration(spread) / 256
 }
 
-// teamState is what the region has of a team, what others offer of it, and what it claims from
-// each of them.
+// teamState is the region's share of a team's limit, the offers of the other regions, and the
+// claims on each of them.
 type teamState struct {
 	team    string
 	share   ledger.Share
@@ -70,7 +71,7 @@
 	claims  []balance.Claim // by index of remotes
 }
 
-// teamStates finds the state of each team.
+// teamStates computes the state of each team.
 func (m *Manager) teamStates() []teamState {
 	teams := m.ledger.Teams()
 	states := make([]teamState, len(teams))
@@ -83,7 +84,7 @@
 	return states
 }
 
-// linkMessage begins the next message to a region with what is known of the link.
+// linkMessage creates the next message to a region, with the state of the link.
 func (m *Manager) linkMessage(remote *remoteRegion) *wire.RegionMessage {
 	m.sequence++
 	link := m.ledger.Link(remote.name)
@@ -105,7 +106,7 @@
 	}
 }
 
-// addTransfers adds the transfers that the region has not certainly credited.
+// addTransfers adds the transfers that the region has not reported as credited.
 func (m *Manager) addTransfers(msg *wire.RegionMessage, remote *remoteRegion) {
 	link := m.ledger.Link(remote.name)
 	for _, transfer := range link.Unacknowledged {
@@ -115,7 +116,7 @@
 	}
 }
 
-// addClaims adds what is claimed from the region at an index of remotes.
+// addClaims adds the claims on the region at an index of remotes.
 func addClaims(msg *wire.RegionMessage, states []teamState, remoteIndex int) {
 	for i := range states {
 		claim := states[i].claims[remoteIndex]
@@ -125,7 +126,7 @@
 	}
 }
 
-// addOffers adds what this region could spare.
+// addOffers adds what this region can spare of each team's limit.
 func (m *Manager) addOffers(msg *wire.RegionMessage, states []teamState) {
 	msg.HasOffers = true
 	for i := range states {
@@ -142,7 +143,8 @@
 	}
 }
 
-// DemandChanged is called when a team wants more than before: the other regions are told soon.
+// DemandChanged must be called when the demand of a team has increased. It makes messages to the
+// other regions due.
 func (m *Manager) DemandChanged() {
 	if !m.ledgerVerified() {
 		return
--- a/internal/quota/transfers.go
+++ b/internal/quota/transfers.go
@@ -2,7 +2,8 @@
 
 import "github.com/brookwalk/brookwalk/internal/quota/ledger"
 
-// credit credits the next transfer from another region.
+// credit returns a change that credits the next transfer from another region; nil if none has been
+// received.
 func (m *Manager) credit() *pendingChange {
 	if !m.ledgerVerified() {
 		return nil
@@ -19,7 +20,8 @@
 	return nil
 }
 
-// onCredited makes use of shares that were credited.
+// onCredited marks the shares as recently credited, makes a message that acknowledges them due, and
+// notifies the leader that limits have increased.
 func (m *Manager) onCredited(remote *remoteRegion, transfer ledger.Transfer) {
 	keptUntil := m.host.Now() + recentCreditFactor*m.MessageInterval
 	for _, part := range transfer.Parts {
@@ -30,7 +32,8 @@
 	m.host.SharesChanged()
 }
 
-// debit transfers shares to a region that has claimed them.
+// debit returns a change that transfers shares to a region that has claimed them; nil if there is
+// nothing to transfer.
 func (m *Manager) debit() *pendingChange {
 	if !m.ledgerVerified() {
 		return nil
@@ -41,13 +44,13 @@
 			continue
 		}
 		parts := m.grantedParts(remote, &link)
-		remote.claims = nil // they are answered; what is still wanted comes with the next wireClaim
+		remote.claims = nil // handled; the next message repeats what is still needed
 		if len(parts) == 0 {
 			continue
 		}
 		change, err := m.ledger.Debit(m.host.Term(), remote.name, remote.lastCredited, parts)
 		if err != nil {
-			m.Log.Error("shares not debited", "region", remote.name, "error", err)
+			m.Log.Error("shares claimed by region cannot be debited", "region", remote.name, "error", err)
 			continue
 		}
 		transfer := ledger.Transfer{Number: link.Sent + 1, Parts: parts}
@@ -56,7 +59,8 @@
 	return nil
 }
 
-// mayDebit reports whether a transfer to a region is due.
+// mayDebit reports whether a transfer to a region is permitted now: the region has claims, is
+// reachable, has acknowledged enough earlier transfers, and the last transfer is long enough ago.
 func (m *Manager) mayDebit(remote *remoteRegion, link *ledger.Link) bool {
 	if len(remote.claims) == 0 || len(link.Unacknowledged) >= maxUnacknowledged || !m.reachable(remote) {
 		return false
@@ -64,7 +68,7 @@
 	return remote.lastDebit == 0 || m.host.Now()-remote.lastDebit >= m.MessageInterval/minDebitGapDivisor
 }
 
-// onDebited requests a wireClaim with the transfer.
+// onDebited makes a message with the transfer due.
 func (m *Manager) onDebited(remote *remoteRegion, transfer ledger.Transfer) {
 	for _, part := range transfer.Parts {
 		m.Log.Debug("shares debited", "team", part.Team, "amount", part.Amount, "region", remote.name, "transfer", transfer.Number)
@@ -73,8 +77,8 @@
 	remote.lastDebit, remote.lastLinkWrite = m.host.Now(), m.host.Now()
 }
 
-// grantedParts decides what a region gets for its claims. The transfer is bounded so that it and
-// the link's record fit the store's limits.
+// grantedParts decides what a region is granted for its claims. The number of parts is bounded so
+// that the transaction and the link's record stay within the store's limits.
 func (m *Manager) grantedParts(remote *remoteRegion, link *ledger.Link) []ledger.Part {
 	var parts []ledger.Part
 	limit := min(maxTransferParts, m.MaxWrites-1, m.MaxValueBytes/maxPartBytes/maxUnacknowledged)
@@ -85,7 +89,7 @@
 		}
 		seen[wireClaim.Team] = true
 		claim := claimFromWire(wireClaim, remote.index)
-		// What is in transit was claimed before it could arrive.
+		// The claim was sent before the amounts in transit were credited, so it includes them.
 		inTransit := link.InTransit(wireClaim.Team, remote.lastCreditedAtClaim)
 		claim.Reserve = claim.Reserve.Sub(inTransit.Sub(claim.Need).NonNegative()).NonNegative()
 		claim.Need = claim.Need.Sub(inTransit).NonNegative()
@@ -98,8 +102,10 @@
 	return parts
 }
 
-// acknowledge drops transfers that were credited. The link's next transfer does so too, so that
-// this is seldom worth a write of its own.
+// acknowledge returns a change that drops the transfers that a region has credited; nil if there is
+// none to drop or it can wait. The next debit or credit of the link drops them without an
+// additional write, so a write of its own is needed only if the link is full or has long had no
+// transfer.
 func (m *Manager) acknowledge() *pendingChange {
 	if !m.ledgerVerified() {
 		return nil
--- a/wire/region.go
+++ b/wire/region.go
@@ -32,7 +32,7 @@
 	Transfers                    []RegionTransfer // to the receiver, not acknowledged
 	Claims                       []RegionClaim    // what the sender would like to have of the receiver's shares
 	// Offers lists what the sender could spare; it is left out of messages between two
-	// complete ones, which HasOffers marks.
+	// full ones, which HasOffers marks.
 	HasOffers bool
 	Offers    []RegionOffer
 }
