--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Each test here causes one failure that one guard of the protocol prevents, see
+// Each test in this file provokes one failure that a check of the protocol must prevent, see
 // docs/design-quota.md.
 
 // limit is what a region's leader may grant, in GPUs.
@@ -19,7 +19,7 @@
 	return gpus
 }
 
-// owned is what a region owns by its records, in GPUs.
+// owned is what a region owns according to its records, in GPUs.
 func (r *stepRegion) owned(t *testing.T) float64 {
 	t.Helper()
 	loaded, err := ledger.Load(r.records())
@@ -31,16 +31,16 @@
 	return gpus
 }
 
-// checkOwned checks that two regions do not own more than the limit together.
+// checkOwned checks that two regions together do not own more than the limit.
 func (s *interleaving) checkOwned(t *testing.T) {
 	t.Helper()
 	if sum := s.regions[0].owned(t) + s.regions[1].owned(t); sum > stepLimit {
-		t.Errorf("%v GPUs are owned, the limit is %d", sum, stepLimit)
+		t.Errorf("owned by both regions: got %v GPUs, want at most the limit of %d", sum, stepLimit)
 	}
 }
 
-// claimAndDebit makes region 1 claim shares and region 0 debit them. The messages that carry the
-// transfer are held back and returned.
+// claimAndDebit makes region 1 claim shares and region 0 debit them. The messages with the transfer
+// are not delivered but returned.
 func (s *interleaving) claimAndDebit(t *testing.T) []stepMessage {
 	t.Helper()
 	source, destination := s.regions[0], s.regions[1]
@@ -61,13 +61,13 @@
 		}
 	}
 	if len(held) < 2 || source.limit() >= before {
-		t.Fatal("nothing was debited")
+		t.Fatal("region-0 debited no shares, want a transfer to region-1")
 	}
 	destination.demand = balance.Demand{}
 	return held
 }
 
-// deliver delivers messages and answers all calls.
+// deliver delivers messages and completes the calls to the store that they cause.
 func (s *interleaving) deliver(messages []stepMessage) {
 	for _, message := range messages {
 		s.receive(message)
@@ -75,9 +75,9 @@
 	}
 }
 
-// message is a message of region 1 that the leader of region 0 accepts. Its sequence follows that of
-// the last one by a number.
-func (s *interleaving) message(following int64, claims ...wire.RegionClaim) *wire.RegionMessage {
+// message creates a message from region 1 that the leader of region 0 accepts. The offset of its
+// sequence is relative to the newest message that was received.
+func (s *interleaving) message(sequenceOffset int64, claims ...wire.RegionClaim) *wire.RegionMessage {
 	receiver := s.regions[0].leader().manager
 	remote := receiver.remote("region-1")
 	return &wire.RegionMessage{
@@ -85,7 +85,7 @@
 		From:         "region-1",
 		To:           "region-0",
 		Run:          remote.confirmedIncarnation,
-		Sequence:     remote.newestSequence + uint64(following),
+		Sequence:     remote.newestSequence + uint64(sequenceOffset),
 		EchoRun:      receiver.incarnation,
 		EchoSequence: receiver.sequence,
 		ConfirmedRun: receiver.incarnation,
@@ -96,10 +96,11 @@
 	}
 }
 
-// claimOf claims a number of thousandths of a GPU.
+// claimOf creates a claim of a number of thousandths of a GPU.
 func claimOf(gpus int64) wire.RegionClaim { return wire.RegionClaim{Team: stepTeam, NeedGPUs: gpus} }
 
-// receiveAnswered makes the leader of region 0 receive a message and answers its calls.
+// receiveAnswered makes the leader of region 0 receive a message and completes its calls to the
+// store.
 func (s *interleaving) receiveAnswered(msg *wire.RegionMessage) {
 	leader := s.regions[0].leader()
 	leader.manager.Receive(msg)
@@ -107,7 +108,8 @@
 }
 
 // TestTransferOfEarlierIncarnation delivers a transfer after the sender's ledger was replaced by an
-// older copy, which the others have verified: that ledger still owns the shares.
+// older copy, from before the debit, that the other region has verified. If the transfer were
+// credited, both regions would own the shares.
 func TestTransferOfEarlierIncarnation(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].takeBackup()
@@ -115,14 +117,15 @@
 	s.regions[0].restoreLedger()
 	s.settle()
 	if s.regions[0].limit() != 6 {
-		t.Fatalf("the copy is not verified: it may grant %v", s.regions[0].limit())
+		t.Fatalf("limit with the restored ledger: got %v, want 6 as it is verified", s.regions[0].limit())
 	}
 	s.deliver(append(held, held...))
 	s.settle()
 	s.checkOwned(t)
 }
 
-// TestTransferDuringConfirmation delivers it while the new incarnation is being confirmed.
+// TestTransferDuringConfirmation delivers the transfer of TestTransferOfEarlierIncarnation while the
+// receiver confirms the sender's new incarnation.
 func TestTransferDuringConfirmation(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].takeBackup()
@@ -140,7 +143,7 @@
 		}
 	}
 	if receiver.manager.pending == nil {
-		t.Fatal("no incarnation was confirmed")
+		t.Fatal("receiver has no pending transaction, want the confirmation of the sender's new incarnation")
 	}
 	for _, message := range held {
 		receiver.manager.Receive(message.msg)
@@ -149,8 +152,9 @@
 	s.checkOwned(t)
 }
 
-// TestConfirmationByReplacedLeader lets a leader that does not know of its replacement answer a
-// region whose ledger is an older copy: it has not seen the transfer that shows it.
+// TestConfirmationByReplacedLeader lets a replaced leader, which has not noticed its replacement,
+// respond to a region whose ledger is an older copy. It does not know the transfer that shows this,
+// so its messages must not verify the ledger.
 func TestConfirmationByReplacedLeader(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].takeBackup()
@@ -159,7 +163,7 @@
 	s.settle()
 	s.deliver(s.claimAndDebit(t))
 	if s.regions[1].owned(t) <= 6 {
-		t.Fatal("the transfer was not credited")
+		t.Fatal("the transfer was not credited, want more than 6 GPUs owned by region-1")
 	}
 	s.regions[0].restoreLedger()
 	leader := s.regions[0].leader()
@@ -180,12 +184,12 @@
 		}
 	}
 	if got := s.regions[0].limit(); got > 1.5 {
-		t.Errorf("the older copy may grant %v GPUs, its guarantee is 1.5", got)
+		t.Errorf("limit with an older copy of the ledger: got %v GPUs, want at most the guarantee of 1.5", got)
 	}
 }
 
-// TestConfirmationFromBeforeReload delivers a message that verified the ledger again after the
-// ledger was reloaded, by then an older copy.
+// TestConfirmationFromBeforeReload delivers a message that would have verified the ledger, after a
+// reload that found an older copy of it.
 func TestConfirmationFromBeforeReload(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].takeBackup()
@@ -201,15 +205,15 @@
 		leader.manager.Receive(message.msg)
 	}
 	if leader.manager.ledgerVerified() {
-		t.Error("a message from before the reload verified the ledger")
+		t.Error("a message from before the reload verified the reloaded ledger, want it not verified")
 	}
 }
 
-// TestUnverifiedLedgerMovesNothing claims shares from a region whose ledger one other region has not
-// verified, and transfers some to another such region.
+// TestUnverifiedLedgerMovesNothing checks that two regions whose ledgers one other region has not
+// verified neither debit shares for a claim nor credit a transfer.
 func TestUnverifiedLedgerMovesNothing(t *testing.T) {
 	s := newInterleaving(3)
-	held := s.claimAndDebit(t) // is in transit to region 1
+	held := s.claimAndDebit(t) // a transfer in transit to region 1
 	s.regions[0].elect()
 	s.regions[1].elect()
 	s.excluded = 2
@@ -224,38 +228,38 @@
 		leader.answerAll()
 	}
 	if source.manager.ledgerVerified() || destination.manager.ledgerVerified() {
-		t.Fatal("a ledger is verified without region-2")
+		t.Fatal("a ledger is verified although region-2 sends no messages")
 	}
 	if s.regions[0].owned(t) != owned[0] || s.regions[1].owned(t) != owned[1] {
-		t.Errorf("shares moved: %v and %v, were %v", s.regions[0].owned(t), s.regions[1].owned(t), owned)
+		t.Errorf("owned by the regions: got %v and %v, want the unchanged %v", s.regions[0].owned(t), s.regions[1].owned(t), owned)
 	}
 }
 
-// TestEmptiedLedgerIsNotRecreated empties a region's store: the others know of its ledger, and it
-// makes no other one.
+// TestEmptiedLedgerIsNotRecreated deletes a region's ledger. The region must not create a new one,
+// since the other region has a record of the lost one.
 func TestEmptiedLedgerIsNotRecreated(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].backup = map[string]wire.Item{}
 	s.regions[0].restoreLedger()
 	s.settle()
 	if s.regions[0].leader().manager.ledgerComplete() || s.regions[0].limit() != 0 {
-		t.Errorf("a new ledger was made, it may grant %v", s.regions[0].limit())
+		t.Errorf("region with a deleted ledger: got a complete ledger or limit %v, want no ledger and limit 0", s.regions[0].limit())
 	}
 }
 
 // TestDifferentRegionsFiles starts regions with files that divide the limits in different ways: no
-// ledger is made.
+// ledger is created.
 func TestDifferentRegionsFiles(t *testing.T) {
 	s := startInterleaving(testPlan(2, 1, stepLimit))
 	s.regions[1].leader().manager.planFingerprint++
 	s.settle()
 	if s.regions[0].leader().manager.ledgerComplete() {
-		t.Error("a ledger was made from a file that the other region does not have")
+		t.Error("a ledger was created from a regions file that the other region does not have")
 	}
 }
 
-// TestNewTeamOfDifferentFiles adds a team to the file: it gets shares only if no other region has
-// some from another file.
+// TestNewTeamOfDifferentFiles adds a team to the regions file: initial shares of it are recorded
+// only if no other region has a share of it from a different file.
 func TestNewTeamOfDifferentFiles(t *testing.T) {
 	s := newInterleaving(2)
 	extended := testPlan(2, 2, stepLimit)
@@ -267,16 +271,16 @@
 	other.offers = map[string]wire.RegionOffer{"team-1": {Team: "team-1", Plan: 76}}
 	other.planFingerprint, other.hasOffers = 77, true
 	if manager.createShares() != nil {
-		t.Error("shares were made of a team of which the other region has some from another file")
+		t.Error("initial shares created for a team of which the other region has a share from a different file")
 	}
 	other.offers = nil
 	if manager.createShares() == nil {
-		t.Error("no shares were made of a team that is new to all")
+		t.Error("no initial shares created for a team that is new in both regions")
 	}
 }
 
-// TestFencedRegionGrantsNothing restores an older copy of a region's ledger: not even the guarantee
-// is granted until an operator intervenes.
+// TestFencedRegionGrantsNothing restores an older copy of a region's ledger: the region grants
+// nothing, not even its guarantee, also under the next leader.
 func TestFencedRegionGrantsNothing(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].takeBackup()
@@ -284,16 +288,17 @@
 	s.regions[0].restoreLedger()
 	s.settle()
 	if !s.regions[0].leader().manager.fenced() || s.regions[0].limit() != 0 {
-		t.Errorf("fenced %v, may grant %v", s.regions[0].leader().manager.fenced(), s.regions[0].limit())
+		t.Errorf("region with an older ledger: got fenced %v and limit %v, want true and 0", s.regions[0].leader().manager.fenced(), s.regions[0].limit())
 	}
 	s.regions[0].elect()
 	s.settle()
 	if s.regions[0].limit() != 0 {
-		t.Error("the next leader grants again")
+		t.Error("the next leader of the fenced region has a limit above 0, want 0")
 	}
 }
 
-// TestBackupFromBeforeCredit restores the ledger of a region from before it credited a transfer.
+// TestBackupFromBeforeCredit restores a copy of a region's ledger from before it credited a transfer
+// that its source has dropped since: the region is fenced.
 func TestBackupFromBeforeCredit(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[1].takeBackup()
@@ -304,45 +309,46 @@
 	s.regions[1].restoreLedger()
 	s.settle()
 	if !s.regions[1].leader().manager.fenced() {
-		t.Error("the older copy was not noticed")
+		t.Error("region with an older ledger is not fenced, want it fenced")
 	}
 }
 
-// TestReplacedLedger claims shares for a region that has another ledger than at the handshake: it
-// gets none.
+// TestReplacedLedger claims shares for a region whose ledger has another epoch than at the
+// handshake: nothing is debited.
 func TestReplacedLedger(t *testing.T) {
 	s := newInterleaving(2)
 	msg := s.message(1, claimOf(3000))
 	msg.Epoch++
 	s.receiveAnswered(msg)
 	if got := s.regions[0].owned(t); got != 6 {
-		t.Errorf("shares were debited: %v of 6 GPUs are left", got)
+		t.Errorf("owned after a claim by a region with another ledger: got %v GPUs, want 6", got)
 	}
 }
 
-// TestStaleClaim delivers claims out of order, and again while what was debited for them is in
-// transit: the newest counts, once.
+// TestStaleClaim delivers claims out of order, and repeats a claim while the amount that was debited
+// for it is in transit: only the newest claim is granted, and only once.
 func TestStaleClaim(t *testing.T) {
 	s := newInterleaving(2)
 	for _, step := range []struct {
-		name      string
-		following int64 // of the message's sequence
-		need      int64
+		name           string
+		sequenceOffset int64 // of the message's sequence
+		need           int64
 	}{
 		{"a claim", 2, 1000},
 		{"an older claim", -1, 3000},
 		{"a claim of the same sequence", 0, 3000},
 		{"the first claim in a newer message", 1, 1000},
 	} {
-		s.receiveAnswered(s.message(step.following, claimOf(step.need)))
+		s.receiveAnswered(s.message(step.sequenceOffset, claimOf(step.need)))
 		s.now += testInterval
 		if got := s.regions[0].owned(t); got != 5 {
-			t.Fatalf("%v of 6 GPUs are left after %s, want 5", got, step.name)
+			t.Fatalf("owned: got %v GPUs after %s, want 5", got, step.name)
 		}
 	}
 }
 
-// TestRejectedMessages delivers messages of another version, and from and to other regions.
+// TestRejectedMessages delivers a message of a newer version, one from an unknown region and one to
+// another region: all are rejected.
 func TestRejectedMessages(t *testing.T) {
 	s := newInterleaving(2)
 	manager := s.regions[0].leader().manager
@@ -356,34 +362,34 @@
 	}
 	now := manager.remote("region-1")
 	if now.echoIncarnation != before.echoIncarnation || now.lastResponse != before.lastResponse || len(manager.loggedRejections) != 3 {
-		t.Errorf("a message was accepted: %v", manager.loggedRejections)
+		t.Errorf("rejections: got %v, want three and no change of the state of region-1", manager.loggedRejections)
 	}
 }
 
-// TestDebitWithoutAnswer loses the answer to the transaction of a transfer, which is carried out
-// later: meanwhile its amounts count as debited.
+// TestDebitWithoutAnswer loses the result of a debit that is committed later: the amounts count as
+// debited as long as the outcome is unknown.
 func TestDebitWithoutAnswer(t *testing.T) {
 	s := newInterleaving(2)
 	leader := s.regions[0].leader()
 	leader.manager.remote("region-1").claims = []wire.RegionClaim{{Team: stepTeam, NeedGPUs: 3000, Rank: 1}}
 	leader.manager.startNextChange()
 	if len(leader.calls) != 1 {
-		t.Fatalf("%d calls, want the transfer's", len(leader.calls))
+		t.Fatalf("got %d calls to the store, want one for the debit", len(leader.calls))
 	}
 	call := leader.take()
 	call.done(kv.TxnResult{Status: kv.Unanswered})
 	if s.regions[0].limit() != 3 {
-		t.Errorf("it may grant %v of 6 GPUs, of which 3 may be in transit", s.regions[0].limit())
+		t.Errorf("limit while the outcome of a debit is unknown: got %v GPUs, want 3 of 6", s.regions[0].limit())
 	}
 	s.regions[0].commit(call.txn)
 	s.settle()
 	if s.regions[0].limit() != 3 || s.regions[1].limit() != 9 {
-		t.Errorf("in the end the limits are %v and %v, want 3 and 9", s.regions[0].limit(), s.regions[1].limit())
+		t.Errorf("limits after the transfer: got %v and %v, want 3 and 9", s.regions[0].limit(), s.regions[1].limit())
 	}
 }
 
-// TestUnknownLedger lets a region confirm a ledger that it has not recorded, and one that differs
-// from the recorded one: neither is verified.
+// TestUnknownLedger receives a confirmation from a region that has recorded no epoch of this ledger,
+// and one from a region that has recorded another epoch: neither verifies the ledger.
 func TestUnknownLedger(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -399,14 +405,14 @@
 			msg.Run, msg.Epoch, msg.KnownEpoch = 99, 7, tc.knownEpoch
 			leader.manager.Receive(msg)
 			if leader.manager.ledgerVerified() || leader.manager.fenced() != tc.fenced {
-				t.Errorf("verified %v, fenced %v", leader.manager.ledgerVerified(), leader.manager.fenced())
+				t.Errorf("got verified %v and fenced %v, want not verified, and fenced only for another epoch", leader.manager.ledgerVerified(), leader.manager.fenced())
 			}
 		})
 	}
 }
 
-// TestStoreLimitsDecrease lets the store take fewer writes in a transaction than it announced:
-// transfers become smaller and go on.
+// TestStoreLimitsDecrease makes the store accept fewer writes per transaction than it announced:
+// transfers become smaller and continue.
 func TestStoreLimitsDecrease(t *testing.T) {
 	s := startInterleaving(testPlan(2, 8, stepLimit))
 	s.settle()
@@ -418,13 +424,13 @@
 	}
 	for _, team := range s.plan.Teams {
 		if _, gpus := s.regions[1].leader().manager.Limit(team.Name).Units(); gpus != 9 {
-			t.Errorf("%s: the limit is %v, want 9", team.Name, gpus)
+			t.Errorf("limit of %s: got %v GPUs, want 9", team.Name, gpus)
 		}
 	}
 }
 
-// TestNoMessagesBeforeLedgerIsLoaded begins a term while the store is slow: from a message without
-// an epoch the other region would conclude that the ledger was lost.
+// TestNoMessagesBeforeLedgerIsLoaded starts a term while the store does not respond: from a message
+// without an epoch the other region would conclude that the ledger was replaced.
 func TestNoMessagesBeforeLedgerIsLoaded(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].elect()
@@ -434,10 +440,10 @@
 		s.regions[0].leader().manager.Tick()
 	}
 	if len(s.messages) > 0 {
-		t.Errorf("%d messages before the ledger was loaded", len(s.messages))
+		t.Errorf("got %d messages before the ledger was loaded, want 0", len(s.messages))
 	}
 	s.settle()
 	if s.regions[1].leader().manager.remote("region-0").replacementLogged {
-		t.Error("the ledger counts as lost")
+		t.Error("region-1 logged that the ledger of region-0 was replaced, want no such log line")
 	}
 }
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -23,21 +23,21 @@
 	os.Exit(m.Run())
 }
 
-// interleaving runs the transfer protocol step by step, in any order that rapid draws: each message
-// may arrive at any later time, repeatedly or never, each transaction may be carried out at any
-// later time with its answer or without, and a leader that was replaced goes on.
+// interleaving runs the transfer protocol step by step, in an order that rapid draws. Each message
+// may arrive at any later time, repeatedly or never. Each transaction may be committed at any later
+// time, with or without its result reaching the leader. A replaced leader continues to run.
 type interleaving struct {
 	now          time.Duration
 	plan         *plan.Plan
 	regions      []*stepRegion
 	messages     []stepMessage
-	lateTxns     []stepTxn // transactions that no leader waits for any more
+	lateTxns     []stepTxn // may be committed later, their results were lost
 	incarnations uint64
-	restored     bool // a ledger was replaced: the shares need not add up
-	excluded     int  // region that settle leaves out, -1 for none
+	restored     bool // a ledger was replaced, so shares may not add up
+	excluded     int  // index of a region that settle does not run; -1 for none
 }
 
-// stepMessage is a message on its way to the region at an index.
+// stepMessage is a message in transit to the region at an index.
 type stepMessage struct {
 	to  int
 	msg *wire.RegionMessage
@@ -49,17 +49,18 @@
 	txn    *wire.Txn
 }
 
-// stepRegion is a region: its records, its tasks, and the leaders that believe to lead.
+// stepRegion is a region: its records, its tasks, and its leader with the replaced ones that may
+// still run.
 type stepRegion struct {
 	steps *interleaving
 	index int
 	testStore
-	used    int // GPUs of tasks that run
+	used    int // GPUs of running tasks
 	demand  balance.Demand
-	leaders []*stepLeader // the last one leads
+	leaders []*stepLeader // the last one is the current leader
 }
 
-// stepLeader is a leader's process and the calls that it waits for.
+// stepLeader is a leader's process and its calls to the store that have no result yet.
 type stepLeader struct {
 	region  *stepRegion
 	manager *Manager
@@ -80,19 +81,19 @@
 	stepTeam = "team-0"
 	// stepLimit is the team's limit in GPUs.
 	stepLimit = 12
-	// maxStepMessages bounds the messages that are kept; maxStepLeaders the leaders of a region.
+	// maxStepMessages bounds the messages in transit, maxStepLeaders the leaders of a region.
 	maxStepMessages = 60
 	maxStepLeaders  = 3
 )
 
-// newInterleaving makes regions that have verified their ledgers.
+// newInterleaving creates regions that have verified their ledgers.
 func newInterleaving(regions int) *interleaving {
 	s := startInterleaving(testPlan(regions, 1, stepLimit))
 	s.settle()
 	return s
 }
 
-// startInterleaving makes the regions of a plan and elects their first leaders.
+// startInterleaving creates the regions of a plan and elects their first leaders.
 func startInterleaving(p *plan.Plan) *interleaving {
 	s := &interleaving{plan: p, excluded: -1}
 	for i := range p.Regions {
@@ -103,11 +104,11 @@
 	return s
 }
 
-// advance advances the time by the least time between two messages.
+// advance advances the time by the minimum time between two messages.
 func (s *interleaving) advance() { s.now += testInterval / minMessageGapDivisor }
 
-// settle carries out all calls and delivers all messages in order, until all regions have verified
-// their ledgers.
+// settle completes all calls and delivers all messages in order, for long enough that all regions
+// verify their ledgers.
 func (s *interleaving) settle() {
 	for range 60 {
 		s.advance()
@@ -132,7 +133,7 @@
 	return message.to == s.excluded || message.msg.From == s.plan.Regions[s.excluded].Name
 }
 
-// takeMessages removes and returns the messages on their way.
+// takeMessages removes and returns the messages in transit.
 func (s *interleaving) takeMessages() []stepMessage {
 	messages := s.messages
 	s.messages = nil
@@ -146,7 +147,7 @@
 
 func (r *stepRegion) leader() *stepLeader { return r.leaders[len(r.leaders)-1] }
 
-// elect begins a term; the previous leader does not know and goes on.
+// elect starts a term with a new leader. The previous leader is not notified and continues to run.
 func (r *stepRegion) elect() {
 	leader := &stepLeader{region: r, term: r.beginTerm(), used: r.used}
 	r.leaders = append(r.leaders, leader)
@@ -156,7 +157,7 @@
 	leader.manager = newTestManager(r.steps.plan.Regions[r.index].Name, r.steps.plan, leader, leader)
 }
 
-// tick ticks the manager and carries out all calls.
+// tick calls the manager's Tick and completes all calls.
 func (l *stepLeader) tick() {
 	l.manager.Tick()
 	l.answerAll()
@@ -169,7 +170,7 @@
 	return call
 }
 
-// answer carries out the first call and answers it.
+// answer executes the first call and returns its result to the manager.
 func (l *stepLeader) answer() {
 	call := l.take()
 	if call.load != nil {
@@ -179,7 +180,7 @@
 	call.done(l.region.commit(call.txn))
 }
 
-// answerAll carries out all calls, those included that the answers lead to.
+// answerAll completes all calls, including those that the results cause.
 func (l *stepLeader) answerAll() {
 	for len(l.calls) > 0 {
 		l.answer()
@@ -236,7 +237,7 @@
 	return s.regions[rapid.IntRange(0, len(s.regions)-1).Draw(t, "region")]
 }
 
-// drawLeader draws a leader: usually the one that leads its region, else an earlier one.
+// drawLeader draws a leader: usually the current one of its region, otherwise an earlier one.
 func (s *interleaving) drawLeader(t *rapid.T) *stepLeader {
 	region := s.drawRegion(t)
 	if back := rapid.IntRange(0, 5).Draw(t, "leader"); back > 0 && back < len(region.leaders) {
@@ -245,7 +246,8 @@
 	return region.leader()
 }
 
-// actions are the steps that rapid draws from. The one without a name checks the state after each.
+// actions are the steps that rapid draws from. rapid runs the one with an empty name after each step
+// to check the state.
 func (s *interleaving) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
 		"tick":             s.drawTick,
@@ -269,7 +271,8 @@
 	}
 }
 
-// drawDelivery delivers a message, which may stay to be delivered again, mostly to the leader.
+// drawDelivery delivers a message, usually to the current leader. The message may remain in transit
+// and be delivered again.
 func (s *interleaving) drawDelivery(t *rapid.T) {
 	if len(s.messages) == 0 {
 		t.Skip()
@@ -277,7 +280,7 @@
 	i := rapid.IntRange(0, len(s.messages)-1).Draw(t, "message")
 	message := s.messages[i]
 	if rapid.IntRange(0, 3).Draw(t, "keep") > 0 {
-		s.messages = without(s.messages, i)
+		s.messages = removeAt(s.messages, i)
 	}
 	receiver := s.regions[message.to].leader()
 	if rapid.IntRange(0, 9).Draw(t, "to an earlier leader") == 0 {
@@ -288,8 +291,8 @@
 	}
 }
 
-// without is a copy of a list without the element at an index.
-func without[T any](list []T, index int) []T {
+// removeAt returns a copy of a list without the element at an index.
+func removeAt[T any](list []T, index int) []T {
 	return append(slices.Clone(list[:index]), list[index+1:]...)
 }
 
@@ -299,7 +302,7 @@
 	}
 }
 
-// drawLostAnswer loses the answer to a transaction, which is carried out at once or later.
+// drawLostAnswer loses the result of a transaction, which is committed immediately or later.
 func (s *interleaving) drawLostAnswer(t *rapid.T) {
 	leader := s.drawLeader(t)
 	if len(leader.calls) == 0 || leader.calls[0].txn == nil || leader.ended {
@@ -320,7 +323,7 @@
 	}
 	i := rapid.IntRange(0, len(s.lateTxns)-1).Draw(t, "transaction")
 	late := s.lateTxns[i]
-	s.lateTxns = without(s.lateTxns, i)
+	s.lateTxns = removeAt(s.lateTxns, i)
 	s.regions[late.region].commit(late.txn)
 }
 
@@ -333,7 +336,7 @@
 	region.leader().manager.DemandChanged()
 }
 
-// drawStart starts tasks, whose placement is recorded under the leader's term before.
+// drawStart records a placement under the leader's term and then starts its tasks.
 func (s *interleaving) drawStart(t *rapid.T) {
 	leader := s.drawLeader(t)
 	tasks := rapid.IntRange(1, 4).Draw(t, "tasks")
@@ -362,7 +365,7 @@
 	region.takeBackup()
 }
 
-// drawRestore replaces a region's ledger by its backup, after all its controllers have ended.
+// drawRestore replaces a region's ledger by its backup, after all its controllers have stopped.
 func (s *interleaving) drawRestore(t *rapid.T) {
 	region := s.drawRegion(t)
 	if region.backup == nil || rapid.IntRange(0, 2).Draw(t, "restore") > 0 {
@@ -373,27 +376,28 @@
 	s.lateTxns = slices.DeleteFunc(s.lateTxns, func(late stepTxn) bool { return late.region == region.index })
 }
 
-// replaceRecords replaces the ledger's records by the backup, under the present leader.
+// replaceRecords replaces the ledger's records by the backup, under the current leader.
 func (r *stepRegion) replaceRecords() {
 	r.steps.restored = true
 	r.applyBackup()
 }
 
-// restoreLedger replaces the ledger by the backup after all controllers have ended.
+// restoreLedger replaces the ledger by the backup after all controllers have stopped, and elects a
+// new leader.
 func (r *stepRegion) restoreLedger() {
 	r.replaceRecords()
 	r.leaders, r.backup = nil, nil
 	r.elect()
 }
 
-// check compares what tasks use, and the recorded shares, with the limit.
+// check checks that running tasks do not exceed the limit, and that recorded shares add up to it.
 func (s *interleaving) check(t *rapid.T) {
 	used := 0
 	for _, region := range s.regions {
 		used += region.used
 	}
 	if used > stepLimit {
-		t.Fatalf("%d of %d GPUs in use", used, stepLimit)
+		t.Fatalf("in use: got %d GPUs, want at most the limit of %d", used, stepLimit)
 	}
 	if s.restored {
 		return
@@ -410,11 +414,11 @@
 		ledgers[s.plan.Regions[i].Name] = loaded
 	}
 	if sum := sumOfShares(ledgers, stepTeam); sum.GPUs != amount.Of(0, stepLimit).GPUs {
-		t.Fatalf("shares add up to %v of %d GPUs", sum, stepLimit)
+		t.Fatalf("sum of shares: got %v, want %d GPUs", sum, stepLimit)
 	}
 }
 
-// TestInterleavings draws interleavings of the protocol.
+// TestInterleavings draws interleavings of the protocol and checks the limit after each step.
 func TestInterleavings(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newInterleaving(rapid.IntRange(2, 3).Draw(t, "regions"))
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -9,34 +9,34 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leaderProcess is the process of a leader in a simulation: it places tasks within the manager's
-// limits, and is the manager's Store and Host.
+// leaderProcess is a leader's process in a simulation. It places tasks within the manager's limits,
+// and implements the manager's Store and Host.
 type leaderProcess struct {
-	region      *simRegion
-	manager     *Manager
-	term        wire.Condition
-	ended       bool
-	pausedUntil time.Duration
-	deferred    []func()                 // what happened while it was paused
-	used        map[string]amount.Amount // by team: placed and not certainly terminated, as it knows
-	incarnation uint64                   // the last one of its managers
+	region        *simRegion
+	manager       *Manager
+	term          wire.Condition
+	ended         bool
+	pausedUntil   time.Duration
+	deferredCalls []func()                 // calls that arrived while it was paused
+	used          map[string]amount.Amount // by team: placed tasks that it does not know to have terminated
+	incarnation   uint64                   // of the manager's last loading of the ledger
 }
 
-// whenRunning calls f in the process, once it is not paused.
+// whenRunning calls f in the process, after a pause if it is paused, and never after its end.
 func (p *leaderProcess) whenRunning(f func()) {
 	switch {
 	case p.ended:
 	case p.region.sim.now < p.pausedUntil:
-		p.deferred = append(p.deferred, f)
+		p.deferredCalls = append(p.deferredCalls, f)
 	default:
 		f()
 	}
 }
 
-// resume calls what was deferred while the process was paused.
+// resume makes the calls that were deferred while the process was paused.
 func (p *leaderProcess) resume() {
-	deferred := p.deferred
-	p.deferred = nil
+	deferred := p.deferredCalls
+	p.deferredCalls = nil
 	for _, f := range deferred {
 		p.whenRunning(f)
 	}
@@ -53,10 +53,10 @@
 	p.region.sim.after(testTickInterval, p.tick)
 }
 
-// taskSize is what one task of the simulation uses.
+// taskSize is the amount that one task of the simulation uses.
 var taskSize = amount.Of(0, 1)
 
-// grantAll starts the tasks that wait and fit, all at the same moment.
+// grantAll places all waiting tasks and gangs that the limits allow.
 func (p *leaderProcess) grantAll() {
 	sim := p.region.sim
 	if sim.noNewWork {
@@ -91,7 +91,8 @@
 	p.grant(team, demand.Gang)
 }
 
-// allows reports whether the team's limit has room, as this leader sees it.
+// allows reports whether an amount fits into the team's limit, according to this leader's manager
+// or, in the baseline, to the counts that it knows.
 func (p *leaderProcess) allows(team string, size amount.Amount) bool {
 	used := p.used[team].Add(size)
 	if !p.region.sim.optimistic {
@@ -111,7 +112,7 @@
 	sim.after(time.Millisecond+sim.randomDuration(20*time.Millisecond), func() {
 		if !region.commit(txn).Committed() {
 			sim.rejections++
-			return // another leader has begun a term: nothing is started
+			return // another leader has begun a term: no task starts
 		}
 		sim.grants++
 		region.used[team] = region.used[team].Add(size)
@@ -137,11 +138,11 @@
 	})
 }
 
-// answerTimeout is when a leader gives up on the answer to a transaction.
+// answerTimeout is the time after which a leader treats a transaction as unanswered.
 const answerTimeout = 500 * time.Millisecond
 
-// Commit implements Store. Of the transactions whose answer is lost half are carried out at once,
-// the others seconds later.
+// Commit implements Store. If the answer is lost, the transaction is committed immediately in half of
+// the cases, and seconds later in the others.
 func (p *leaderProcess) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	region, sim := p.region, p.region.sim
 	answer := func(result kv.TxnResult) {
@@ -196,8 +197,8 @@
 // Demand implements Host.
 func (p *leaderProcess) Demand(team string) balance.Demand {
 	demand := p.region.demands[team]
-	if work := p.region.sim.workload; work != nil {
-		demand.Shortfall = amount.Of(0, float64(len(work.waiting[p.region.name][team])))
+	if workload := p.region.sim.workload; workload != nil {
+		demand.Shortfall = amount.Of(0, float64(len(workload.waiting[p.region.name][team])))
 	}
 	demand.Planned = p.used[team]
 	return demand
--- a/internal/quota/ledger/ledger_test.go
+++ b/internal/quota/ledger/ledger_test.go
@@ -56,10 +56,10 @@
 		{"credit", l.Credit(testTerm, "south", 0, Transfer{1, gpus(3)})},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			have := conditions(tc.change)
+			got := conditions(tc.change)
 			for key, version := range map[string]uint64{"term": 5, "quota/s/vision": 2, "quota/r/south": 3} {
-				if have[key] != version {
-					t.Errorf("conditional on version %d of %s, want %d", have[key], key, version)
+				if got[key] != version {
+					t.Errorf("conditional on version %d of %s, want %d", got[key], key, version)
 				}
 			}
 			if len(tc.change.Txn.Writes) != 2 {
@@ -195,9 +195,9 @@
 // contain them.
 func TestCheckInvariants(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		spoil func(share *Share, link *Link)
-		want  string
+		name    string
+		corrupt func(share *Share, link *Link)
+		want    string
 	}{
 		{"negative", func(s *Share, _ *Link) { s.Owned = amount.Of(0, -1) }, "ledger: vision: owned 0 CPUs, -1 GPUs is below 0"},
 		{
@@ -213,7 +213,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			l := newTestLedger()
 			share, link := l.shares["vision"], l.links["south"]
-			tc.spoil(&share.Value, &link.Value)
+			tc.corrupt(&share.Value, &link.Value)
 			l.shares["vision"], l.links["south"] = share, link
 			if err := l.CheckInvariants(); err == nil || err.Error() != tc.want {
 				t.Errorf("got error %v, want %s", err, tc.want)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -12,12 +12,12 @@
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
-// soak is the number of random days to run: that of CI, or what BROOKWALK_SOAK says.
-func soak(ci int) int {
+// soakRuns is the number of random days to simulate: the default, or BROOKWALK_SOAK if it is set.
+func soakRuns(defaultRuns int) int {
 	if n, err := strconv.Atoi(os.Getenv("BROOKWALK_SOAK")); err == nil {
 		return n
 	}
-	return ci
+	return defaultRuns
 }
 
 // testPlan divides the limits of teams evenly among regions; a quarter of each region's share is
@@ -38,14 +38,14 @@
 	return p
 }
 
-// partition drops the messages from one region to another for a random time up to a bound.
+// partition drops messages from one region to another for a random time below a bound.
 func (s *simulation) partition(from, to *simRegion, bound time.Duration) {
 	s.partitions[from.name+">"+to.name] = s.now + s.randomDuration(bound)
 }
 
 func (s *simulation) randomRegion() *simRegion { return s.regions[s.rng.IntN(len(s.regions))] }
 
-// injectFailures causes one failure after the other until a time.
+// injectFailures injects random failures, one after the other, until a time.
 func (s *simulation) injectFailures(until time.Duration) {
 	if s.now >= until {
 		return
@@ -64,7 +64,7 @@
 		}
 	case 5:
 		region.outageUntil = s.now + s.randomDuration(6*time.Second)
-	case 6: // two leaders at the same moment
+	case 6: // two leaders crash at the same time
 		region.crash(s.randomDuration(time.Second))
 		s.randomRegion().crash(s.randomDuration(time.Second))
 	case 7:
@@ -84,14 +84,14 @@
 	}
 }
 
-// submitBursts submits work to all regions in the same moment, repeatedly until a time.
+// submitBursts repeatedly submits work to all regions at the same time, until a time.
 func (s *simulation) submitBursts(until time.Duration) {
 	if s.now >= until {
 		return
 	}
 	for _, team := range s.plan.Teams {
 		for _, region := range s.regions {
-			region.demands[team.Name] = s.raiseDemand(region.demands[team.Name], team.GPUsMax)
+			region.demands[team.Name] = s.increaseDemand(region.demands[team.Name], team.GPUsMax)
 			if leader := region.leader; leader != nil {
 				leader.whenRunning(func() { leader.manager.DemandChanged(); leader.grantAll() })
 			}
@@ -100,8 +100,8 @@
 	s.after(s.randomDuration(5*time.Second), func() { s.submitBursts(until) })
 }
 
-// raiseDemand adds single tasks to a demand, and now and then a gang.
-func (s *simulation) raiseDemand(demand balance.Demand, limit float64) balance.Demand {
+// increaseDemand adds single tasks to a demand, and sometimes a gang.
+func (s *simulation) increaseDemand(demand balance.Demand, limit float64) balance.Demand {
 	more := amount.Of(0, float64(s.rng.IntN(int(limit)/2)))
 	demand.Shortfall = demand.Shortfall.Add(more).Min(amount.Of(0, limit))
 	if demand.Gang.IsZero() && s.rng.IntN(6) == 0 {
@@ -111,21 +111,21 @@
 	return demand
 }
 
-// loseMessages sets the rates at which messages and answers are lost, repeated and delayed.
-func (s *simulation) loseMessages() {
+// setLossRates sets the rates at which messages and answers are lost, repeated and delayed.
+func (s *simulation) setLossRates() {
 	s.lossRate, s.repeatRate, s.delayRate, s.lostAnswerRate = 0.05, 0.1, 0.02, 0.1
 }
 
-// loseNothing ends the losses.
-func (s *simulation) loseNothing() {
+// clearLossRates sets the rates of lost, repeated and delayed messages and answers to 0.
+func (s *simulation) clearLossRates() {
 	s.lossRate, s.repeatRate, s.delayRate, s.lostAnswerRate = 0, 0, 0, 0
 }
 
-// runRandomDay simulates a day with bursts of work and failures.
+// runRandomDay simulates a day, of 110 s, with bursts of work and failures.
 func runRandomDay(seed uint64, optimistic bool) *simulation {
 	s := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
 	s.optimistic = optimistic
-	s.loseMessages()
+	s.setLossRates()
 	s.after(3*time.Second, func() { s.submitBursts(100 * time.Second) })
 	s.after(5*time.Second, func() { s.injectFailures(90 * time.Second) })
 	s.run(110 * time.Second)
@@ -140,53 +140,54 @@
 	}
 }
 
-// TestLimitHolds combines concurrent decisions of regions with failures of every kind: no limit is
-// exceeded, and the recorded shares add up after every change.
+// TestLimitHolds combines concurrent decisions of regions with failures of every kind. No limit may
+// be exceeded, and the recorded shares must add up after every change.
 func TestLimitHolds(t *testing.T) {
 	grants := 0
-	for seed := range uint64(soak(40)) {
+	for seed := range uint64(soakRuns(40)) {
 		s := runRandomDay(seed, false)
 		checkViolations(t, s, seed)
 		grants += s.grants
 		if s.grants == 0 {
-			t.Errorf("seed %d: nothing was granted", seed)
+			t.Errorf("seed %d: got no grants, want at least one", seed)
 		}
 	}
 	t.Logf("%d grants", grants)
 }
 
-// TestBaselineOvershoots simulates the same days with gossiped counts: the checks find limits
-// exceeded.
+// TestBaselineOvershoots simulates the days of TestLimitHolds with gossiped counts instead of
+// ledgers. Limits must be exceeded, which shows that these days and checks can detect it.
 func TestBaselineOvershoots(t *testing.T) {
-	exceeded, most := 0, 0.0
-	days := soak(40)
+	daysExceeded, maxRatio := 0, 0.0
+	days := soakRuns(40)
 	for seed := range uint64(days) {
 		s := runRandomDay(seed, true)
 		if len(s.violations) > 0 {
-			exceeded++
+			daysExceeded++
 		}
 		for _, team := range s.plan.Teams {
 			_, gpus := s.peakUse[team.Name].Units()
-			most = max(most, gpus/team.GPUsMax)
+			maxRatio = max(maxRatio, gpus/team.GPUsMax)
 		}
 	}
-	t.Logf("exceeded on %d of %d days, at the most %.2f times the limit", exceeded, days, most)
-	if exceeded == 0 {
-		t.Error("the baseline never exceeded a limit: the days cannot show that")
+	t.Logf("exceeded on %d of %d days, at the most %.2f times the limit", daysExceeded, days, maxRatio)
+	if daysExceeded == 0 {
+		t.Error("the baseline never exceeded a limit, want it on at least one day")
 	}
 }
 
-// TestSharesRecover ends the failures: a region that wants all shares that nobody uses gets them.
+// TestSharesRecover ends all failures and all work, and then demands every limit in one region. The
+// region must receive all shares that are not guaranteed elsewhere.
 func TestSharesRecover(t *testing.T) {
-	for seed := range uint64(soak(20)) {
+	for seed := range uint64(soakRuns(20)) {
 		s := newSimulation(seed, testPlan(2+int(seed%4), 3, 48))
-		s.loseMessages()
+		s.setLossRates()
 		s.after(3*time.Second, func() { s.submitBursts(60 * time.Second) })
 		s.after(5*time.Second, func() { s.injectFailures(60 * time.Second) })
 		s.run(100 * time.Second)
-		s.loseNothing()
+		s.clearLossRates()
 		s.noNewWork = true
-		s.run(150 * time.Second) // what ran has ended
+		s.run(150 * time.Second) // long enough for all tasks to end
 		last := s.regions[len(s.regions)-1]
 		s.demandOnlyIn(last)
 		s.run(160 * time.Second)
@@ -197,14 +198,14 @@
 				want = want.Sub(share.Guarantee)
 			}
 			if got := last.leader.manager.Limit(team.Name); got.GPUs < want.GPUs {
-				t.Errorf("seed %d: %s gets %v in %s, want %v", seed, team.Name, got, last.name, want)
+				t.Errorf("seed %d: limit of %s: got %v in %s, want at least %v", seed, team.Name, got, last.name, want)
 			}
 		}
 		checkViolations(t, s, seed)
 	}
 }
 
-// demandOnlyIn demands the whole limit of every team in one region, and nothing elsewhere.
+// demandOnlyIn demands the whole limit of every team in one region, and nothing in the others.
 func (s *simulation) demandOnlyIn(region *simRegion) {
 	for _, other := range s.regions {
 		clear(other.demands)
@@ -215,18 +216,19 @@
 	region.leader.manager.DemandChanged()
 }
 
-// TestRestoredStore replaces a region's records by an older copy, or by none, in the middle of
-// transfers: tasks go on, and no limit is exceeded.
+// TestRestoredStore replaces a region's ledger by an older copy, or deletes it, while shares are
+// being transferred. No limit may be exceeded, and some region must notice that its ledger is older
+// or missing.
 func TestRestoredStore(t *testing.T) {
 	fenced := 0
-	for seed := range uint64(soak(60)) {
+	for seed := range uint64(soakRuns(60)) {
 		s := newSimulation(seed, testPlan(2+int(seed%3), 2, 48))
-		s.loseMessages()
+		s.setLossRates()
 		s.after(3*time.Second, func() { s.submitBursts(100 * time.Second) })
 		region := s.randomRegion()
 		s.after(6*time.Second+s.randomDuration(25*time.Second), func() {
 			if region.takeBackup(); seed%2 == 0 {
-				region.backup = nil // no records are left
+				region.backup = nil // the ledger will be deleted
 			}
 		})
 		s.after(32*time.Second+s.randomDuration(10*time.Second), region.restoreBackup)
@@ -241,11 +243,11 @@
 	}
 	t.Logf("%d regions were fenced or have no ledger", fenced)
 	if fenced == 0 {
-		t.Error("no region noticed that its ledger is an older copy")
+		t.Error("no region is fenced or has no ledger, want at least one that noticed its older or missing ledger")
 	}
 }
 
-// restoreBackup stops all controllers of the region, as docs/quota.md demands, and replaces the
+// restoreBackup stops all controllers of the region, as docs/quota.md requires, and replaces the
 // ledger by the backup.
 func (r *simRegion) restoreBackup() {
 	r.sim.restored = true
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -23,7 +23,7 @@
 	testMaxValue     = 4096 // bytes
 )
 
-// newTestManager makes a manager with the limits of the tests' stores.
+// newTestManager creates a manager with the limits of the tests' stores.
 func newTestManager(region string, p *plan.Plan, store Store, host Host) *Manager {
 	return New(Config{
 		Region:          region,
@@ -35,9 +35,9 @@
 	}, store, host)
 }
 
-// simulation runs managers of several regions in virtual time: leaders that crash, pause and
-// resume, stores that answer late or not at all, links that lose, repeat and delay messages. The
-// checks add up what tasks really use, outside of the code under test.
+// simulation runs the managers of several regions in virtual time. Leaders crash, pause and resume,
+// stores answer late or not at all, links lose, repeat and delay messages. Its checks add up what
+// running tasks use, independently of the code under test.
 type simulation struct {
 	now          time.Duration
 	queue        eventqueue.Queue
@@ -46,25 +46,26 @@
 	regions      []*simRegion
 	incarnations uint64
 	violations   []string // the first ones, see maxViolations
-	restored     bool     // a store was replaced: its shares need not add up any more
+	restored     bool     // a ledger was replaced, so shares may no longer add up
 
-	// optimistic makes leaders grant by gossiped counts, without a ledger: the baseline.
+	// optimistic makes leaders grant by gossiped counts instead of a ledger. This is the baseline
+	// that the ledger is compared with.
 	optimistic bool
 
-	partitions           map[string]time.Duration // "from>to": until when no message passes
+	partitions           map[string]time.Duration // by "from>to": when the partition ends
 	lossRate, repeatRate float64                  // of messages
-	delayRate            float64                  // of messages that arrive seconds to minutes late
-	lostAnswerRate       float64                  // of transactions without an answer, half of them late
+	delayRate            float64                  // of messages with an additional delay of up to 90 s
+	lostAnswerRate       float64                  // of transactions without an answer, half of them committed late
 	grants, rejections   int                      // of placements
 	messages             int
 	writes               int
 	peakUse              map[string]amount.Amount // by team, over all regions
 	noNewWork            bool
-	endDetectionDelay    time.Duration // until a leader knows for certain that a task has ended
-	workload             *workload     // work that arrives steadily; nil for none
+	endDetectionDelay    time.Duration // maximum time until a leader knows that a task has ended
+	workload             *workload     // tasks that arrive at a constant rate; nil for none
 }
 
-// maxViolations bounds the violations that are kept.
+// maxViolations bounds the violations that are recorded.
 const maxViolations = 5
 
 // simRegion is a region with its store and its tasks.
@@ -75,9 +76,9 @@
 	term        uint64
 	outageUntil time.Duration // of the store
 	leader      *leaderProcess
-	used        map[string]amount.Amount // by tasks that run, by team
+	used        map[string]amount.Amount // by running tasks, by team
 	demands     map[string]balance.Demand
-	gossiped    map[string]map[string]amount.Amount // other regions' use, for the baseline
+	gossiped    map[string]map[string]amount.Amount // use in other regions, by region and team, for the baseline
 }
 
 func newSimulation(seed uint64, p *plan.Plan) *simulation {
@@ -108,7 +109,7 @@
 	}
 }
 
-// after schedules a function.
+// after schedules a function call after a delay.
 func (s *simulation) after(delay time.Duration, f func()) {
 	s.queue.Add(s.now+delay, f)
 }
@@ -118,7 +119,7 @@
 	return time.Duration(s.rng.Int64N(int64(bound)))
 }
 
-// run advances the time.
+// run advances the time and runs the events that are due.
 func (s *simulation) run(until time.Duration) {
 	for {
 		next, due := s.queue.TakeUntil(until)
@@ -147,7 +148,7 @@
 	panic("no team " + name)
 }
 
-// checkUse compares what a team's tasks use over all regions with its limit.
+// checkUse checks that a team's running tasks in all regions do not exceed its limit.
 func (s *simulation) checkUse(team string) {
 	var sum amount.Amount
 	for _, region := range s.regions {
@@ -155,11 +156,11 @@
 	}
 	s.peakUse[team] = s.peakUse[team].Max(sum)
 	if limit := s.teamLimit(team); !limit.Covers(sum) {
-		s.addViolation("%s uses %v of %v", team, sum, limit)
+		s.addViolation("use of %s: got %v, want at most the limit of %v", team, sum, limit)
 	}
 }
 
-// checkShares compares the recorded shares with the limits, to the thousandth.
+// checkShares checks that the recorded shares of each team add up exactly to its limit.
 func (s *simulation) checkShares() {
 	if s.restored || s.optimistic {
 		return
@@ -179,13 +180,13 @@
 		team := &s.plan.Teams[i]
 		sum, limit := sumOfShares(ledgers, team.Name), team.InitialShare("").Limit
 		if sum.GPUs != limit.GPUs {
-			s.addViolation("shares of %s add up to %v of %v", team.Name, sum, limit)
+			s.addViolation("sum of the shares of %s: got %v, want the limit of %v", team.Name, sum, limit)
 		}
 	}
 }
 
-// sumOfShares adds up what regions own of a team and what is in transit between them. It goes
-// through the transfers itself, so that it does not rest on the code under test.
+// sumOfShares adds up a team's shares that regions own and those in transit between them. It adds up
+// the transfers itself, so that it does not depend on the code under test.
 func sumOfShares(ledgers map[string]*ledger.Ledger, team string) amount.Amount {
 	var sum amount.Amount
 	for from, sender := range ledgers {
@@ -198,7 +199,7 @@
 	return sum
 }
 
-// sumOfTransfers adds up what transfers that the receiver has not credited carry of a team.
+// sumOfTransfers adds up a team's amounts in the transfers that the receiver has not credited.
 func sumOfTransfers(transfers []ledger.Transfer, received uint64, team string) amount.Amount {
 	var sum amount.Amount
 	for _, transfer := range transfers {
@@ -214,10 +215,10 @@
 	return sum
 }
 
-// commit carries out a transaction if its conditions hold, and checks the shares after it.
+// commit applies a transaction if its conditions hold, and then checks the shares.
 func (r *simRegion) commit(txn *wire.Txn) kv.TxnResult {
 	if len(txn.Writes) > testMaxWrites || len(txn.Conditions) > 4*testMaxWrites {
-		r.sim.addViolation("a transaction of %d writes", len(txn.Writes))
+		r.sim.addViolation("transaction of %d writes exceeds the limits of the store", len(txn.Writes))
 	}
 	result := r.testStore.commit(txn)
 	if result.Committed() && len(txn.Writes) > 0 {
@@ -227,7 +228,8 @@
 	return result
 }
 
-// elect begins the next term. The previous leader does not know and goes on, unless it crashed.
+// elect starts the next term with a new leader. The previous leader is not notified and continues to
+// run, unless it has crashed.
 func (r *simRegion) elect() {
 	r.term++
 	r.sim.incarnations++
@@ -242,7 +244,7 @@
 	leader.tick()
 }
 
-// crash ends the leader's process; another one is elected after a time.
+// crash ends the leader's process. Another leader is elected after a delay, if there is none by then.
 func (r *simRegion) crash(election time.Duration) {
 	if r.leader == nil {
 		return
@@ -256,7 +258,7 @@
 	})
 }
 
-// pause pauses the leader's process; another one is elected meanwhile.
+// pause pauses the leader's process. Another leader is elected after half of the time.
 func (r *simRegion) pause(duration time.Duration) {
 	paused := r.leader
 	if paused == nil {
@@ -271,7 +273,7 @@
 	r.sim.after(duration, paused.resume)
 }
 
-// end ends tasks; the leader of that moment knows it for certain some time later.
+// end ends tasks. The leader learns of their end after a delay.
 func (r *simRegion) end(team string, size amount.Amount) {
 	r.used[team] = r.used[team].Sub(size)
 	if r.sim.optimistic {
@@ -282,14 +284,14 @@
 		if r.sim.workload != nil {
 			r.sim.workload.ended(team, size)
 		}
-		// A leader that was elected meanwhile has never counted them.
+		// A leader that was elected after the tasks ended has never counted them.
 		if r.term == term && r.leader != nil {
 			r.leader.used[team] = r.leader.used[team].Sub(size)
 		}
 	})
 }
 
-// gossip tells the other regions what is used here, for the baseline.
+// gossip sends this region's use to the other regions, for the baseline.
 func (r *simRegion) gossip() {
 	for _, other := range r.sim.regions {
 		if other != r {
@@ -299,7 +301,7 @@
 	}
 }
 
-// deliver carries a message between regions.
+// deliver sends a message between regions, with the simulated loss, delay and repetition.
 func (s *simulation) deliver(from, to string, receive func()) {
 	s.messages++
 	if s.partitions[from+">"+to] > s.now || s.rng.Float64() < s.lossRate {
--- a/internal/quota/store_test.go
+++ b/internal/quota/store_test.go
@@ -14,20 +14,20 @@
 type testStore struct {
 	items     map[string]wire.Item
 	revision  uint64
-	maxWrites int                  // writes in a transaction that it takes; 0 for any number
-	backup    map[string]wire.Item // an older copy of the ledger's records; nil for none
+	maxWrites int                  // maximum writes per transaction; 0 for any number
+	backup    map[string]wire.Item // copy of the ledger's records at an earlier time; nil for none
 }
 
 func newTestStore() testStore { return testStore{items: map[string]wire.Item{}, revision: 10} }
 
-// beginTerm begins a term and returns the condition that holds during it.
+// beginTerm starts a term and returns the condition that holds during it.
 func (s *testStore) beginTerm() wire.Condition {
 	s.revision++
 	s.items["term"] = wire.Item{Key: "term", Version: s.revision}
 	return wire.Condition{Key: "term", Version: s.revision}
 }
 
-// commit carries out a transaction if its conditions hold.
+// commit applies a transaction if its conditions hold.
 func (s *testStore) commit(txn *wire.Txn) kv.TxnResult {
 	if s.maxWrites > 0 && len(txn.Writes) > s.maxWrites {
 		return kv.TxnResult{Status: kv.Rejected}
@@ -46,7 +46,7 @@
 	return kv.TxnResult{Status: kv.OK, Revision: s.revision}
 }
 
-// records lists the ledger's records, in order.
+// records lists the ledger's records, in the order of their keys.
 func (s *testStore) records() []wire.Item {
 	var items []wire.Item
 	for key, item := range s.items {
@@ -58,7 +58,7 @@
 	return items
 }
 
-// takeBackup copies the ledger's records.
+// takeBackup copies the ledger's records to the backup.
 func (s *testStore) takeBackup() {
 	s.backup = map[string]wire.Item{}
 	for _, item := range s.records() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// applyBackup replaces the ledger's records by the copy.
+// applyBackup replaces the ledger's records by the backup.
 func (s *testStore) applyBackup() {
 	for _, item := range s.records() {
 		delete(s.items, item.Key)
--- a/internal/quota/workload_test.go
+++ b/internal/quota/workload_test.go
@@ -12,7 +12,7 @@
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
-// workload is work that arrives steadily: tasks of one GPU for random teams and regions.
+// workload submits tasks of one GPU at a constant mean rate, for random teams and regions.
 type workload struct {
 	sim                 *simulation
 	strategy            string
@@ -20,15 +20,15 @@
 	loadShares          []float64 // of each region
 	meanRuntime         time.Duration
 	waiting             map[string]map[string][]time.Duration // arrivals, by region and team
-	granted             map[string]amount.Amount              // by the one region that grants for all, by team
+	granted             map[string]amount.Amount              // by team, for strategyCentral: counted by the region that grants for all
 	measuredFrom        time.Duration
-	waits               []time.Duration // from arrivals to grants
-	idle                []float64       // parts of a limit that were idle while a task waited for it
-	idleAboveGuarantees []float64       // the same of what is not guaranteed
-	unusedGuarantees    []float64       // guarantees that their regions did not use meanwhile
+	waits               []time.Duration // between arrival and grant
+	idle                []float64       // fractions of a limit that were idle while tasks waited for it
+	idleAboveGuarantees []float64       // the same for the part of the limit that is not guaranteed
+	unusedGuarantees    []float64       // fractions of a limit that were guaranteed and unused meanwhile
 }
 
-// The strategies that are compared.
+// Strategies of sharing limits that TestMeasure compares.
 const (
 	strategyEscrow     = "escrow"
 	strategyFixed      = "fixed parts"
@@ -36,7 +36,7 @@
 	strategyOptimistic = "optimistic counters"
 )
 
-// newWorkload makes a workload of a simulation, with a mean runtime of tasks.
+// newWorkload creates a workload and adds it to a simulation.
 func newWorkload(s *simulation, strategy string, perSecond float64, meanRuntime time.Duration, loadShares []float64) *workload {
 	w := &workload{
 		sim:         s,
@@ -55,13 +55,14 @@
 	return w
 }
 
-// begin begins the arrivals, and the samples of what is idle.
-func (w *workload) begin() {
+// start starts the arrivals and the sampling of idle shares.
+func (w *workload) start() {
 	w.arrive()
 	w.sample()
 }
 
-// arrive adds a task to a region by the regions' load shares, and schedules the next arrival.
+// arrive adds a waiting task to a random region, weighted by the load shares, and schedules the next
+// arrival.
 func (w *workload) arrive() {
 	draw, index := w.sim.rng.Float64(), 0
 	for draw > w.loadShares[index] && index < len(w.loadShares)-1 {
@@ -75,8 +76,8 @@
 	w.sim.after(time.Duration(gap*float64(time.Second)), w.arrive)
 }
 
-// ended is called when a task has certainly ended: the region that grants for all learns of it when
-// the task's own leader does.
+// ended is called when a task's leader learns that the task has ended. The region that grants for
+// all learns of it at the same time.
 func (w *workload) ended(team string, size amount.Amount) {
 	w.granted[team] = w.granted[team].Sub(size)
 }
@@ -86,7 +87,7 @@
 	return w.meanRuntime/2 + s.randomDuration(w.meanRuntime)
 }
 
-// grantAll starts what waits and fits in a leader's region.
+// grantAll grants all waiting tasks in a leader's region that the limits allow.
 func (w *workload) grantAll(leader *leaderProcess) {
 	blocked := false
 	waiting := w.waiting[leader.region.name]
@@ -110,7 +111,8 @@
 	return amount.Of(0, w.sim.plan.Teams[0].GPUsMax).Covers(w.granted[team].Add(taskSize))
 }
 
-// grant starts a task; where one region grants for all, after a round trip to it.
+// grant starts a task. With strategyCentral it starts after a round trip to the region that grants
+// for all.
 func (w *workload) grant(leader *leaderProcess, team string, arrived time.Duration) {
 	var roundTrip time.Duration
 	if w.strategy == strategyCentral {
@@ -135,7 +137,7 @@
 	}
 }
 
-// sample records what is idle of each team for which a task waits.
+// sample periodically records the idle part of the limit of each team for which tasks wait.
 func (w *workload) sample() {
 	if w.sim.now >= w.measuredFrom {
 		for i := range w.sim.plan.Teams {
@@ -182,13 +184,13 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// Shares of the load by region.
+// Fractions of the load, by region.
 var (
 	evenLoad     = []float64{0.2, 0.2, 0.2, 0.2, 0.2}
 	lopsidedLoad = []float64{0.6, 0.2, 0.1, 0.05, 0.05}
 )
 
-// measurement is what a run of a workload has shown.
+// measurement is the result of running a workload.
 type measurement struct {
 	work             *workload
 	messages, writes float64 // per second
@@ -196,7 +198,7 @@
 	violations       int
 }
 
-// measuredDuration is how long a workload is measured, after a beginning of half that time.
+// measuredDuration is how long a workload is measured, after a warm-up of half that time.
 const measuredDuration = 40 * time.Second
 
 // measure runs a workload of five regions.
@@ -208,7 +210,7 @@
 		s.partitionAllLinks()
 	}
 	w.measuredFrom = s.now + measuredDuration/2
-	w.begin()
+	w.start()
 	s.run(w.measuredFrom)
 	messages, writes, grants := s.messages, s.writes, s.grants
 	s.run(w.measuredFrom + measuredDuration)
@@ -221,7 +223,7 @@
 	}
 }
 
-// partitionAllLinks keeps shares where they are.
+// partitionAllLinks drops all messages between regions, so that shares cannot move.
 func (s *simulation) partitionAllLinks() {
 	for _, from := range s.regions {
 		for _, to := range s.regions {
@@ -230,8 +232,8 @@
 	}
 }
 
-// TestMeasure prints the measurements of docs/quota.md and docs/CAPACITY.md. It takes minutes and is
-// run by hand: BROOKWALK_MEASURE=1 go test ./internal/quota -run TestMeasure -v
+// TestMeasure prints the measurements in docs/quota.md and docs/CAPACITY.md. It takes minutes, so it
+// runs only on request: BROOKWALK_MEASURE=1 go test ./internal/quota -run TestMeasure -v
 func TestMeasure(t *testing.T) {
 	if os.Getenv("BROOKWALK_MEASURE") == "" {
 		t.Skip("set BROOKWALK_MEASURE to measure")
@@ -239,7 +241,7 @@
 	const teams, starts = 82, 250.0
 	for _, c := range []struct {
 		name   string
-		gpus   float64 // of each team's limit; the load asks for starts*10/82 = 30.5
+		gpus   float64 // each team's limit; the mean demand is starts*10/82 = 30.5
 		shares []float64
 	}{
 		{"even, 0.76 of the limits", 40, evenLoad},
@@ -265,7 +267,8 @@
 	t.Log(memoryOf(82, 5))
 }
 
-// memoryOf measures the memory of managers of a number of teams and regions.
+// memoryOf reports the memory that the managers of a number of regions and teams use. The memory of
+// the simulation around them is included.
 func memoryOf(teams, regions int) string {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -276,5 +279,5 @@
 	runtime.ReadMemStats(&after)
 	bytes := float64(after.HeapAlloc - before.HeapAlloc)
 	runtime.KeepAlive(s)
-	return fmt.Sprintf("%d regions of %d teams: %.0f bytes per team and region, stand-ins included", regions, teams, bytes/float64(teams*regions))
+	return fmt.Sprintf("%d regions of %d teams: %.0f bytes per team and region, including the simulation", regions, teams, bytes/float64(teams*regions))
 }
