--- a/internal/quota/amount/amount.go
+++ b/internal/quota/amount/amount.go
@@ -10,8 +10,8 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// PartsPerUnit is the number of thousandths in one CPU or GPU.
-const PartsPerUnit = 1000
+// ThousandthsPerUnit is the number of thousandths in one CPU or GPU.
+const ThousandthsPerUnit = 1000
 
 // Unlimited is the amount of a resource without a limit. It is never transferred. It is far enough
 // below the maximum of int64 that sums of several unlimited amounts do not overflow.
@@ -30,12 +30,12 @@
 // undercounted.
 func OfResources(r topology.Resources) Amount { return Amount{roundUp(r.CPUs), roundUp(r.GPUs)} }
 
-func round(units float64) int64 { return int64(math.Round(units * PartsPerUnit)) }
+func round(units float64) int64 { return int64(math.Round(units * ThousandthsPerUnit)) }
 
 // roundingError is the floating-point error of sums, in thousandths, that does not cause rounding up.
 const roundingError = 1e-3
 
-func roundUp(units float64) int64 { return int64(math.Ceil(units*PartsPerUnit - roundingError)) }
+func roundUp(units float64) int64 { return int64(math.Ceil(units*ThousandthsPerUnit - roundingError)) }
 
 // Add returns a+b.
 func (a Amount) Add(b Amount) Amount { return Amount{a.CPUs + b.CPUs, a.GPUs + b.GPUs} }
@@ -57,7 +57,7 @@
 
 // WholeUnits returns the amount rounded towards 0 to whole CPUs and GPUs.
 func (a Amount) WholeUnits() Amount {
-	return Amount{a.CPUs - a.CPUs%PartsPerUnit, a.GPUs - a.GPUs%PartsPerUnit}
+	return Amount{a.CPUs - a.CPUs%ThousandthsPerUnit, a.GPUs - a.GPUs%ThousandthsPerUnit}
 }
 
 // Covers reports whether a is at least b in each resource.
@@ -78,7 +78,7 @@
 	if thousandths >= Unlimited/2 {
 		return math.Inf(1)
 	}
-	return float64(thousandths) / PartsPerUnit
+	return float64(thousandths) / ThousandthsPerUnit
 }
 
 // String formats the amount for operators. The format never changes: stored records contain it in
--- a/internal/quota/plan/validate.go
+++ b/internal/quota/plan/validate.go
@@ -108,10 +108,10 @@
 	}
 	limit := amount.Of(team.CPUsMax, team.GPUsMax)
 	if sum.CPUs != limit.CPUs {
-		found.add("%s.shares: cpus_owned add up to %v, cpus_max is %v", field, float64(sum.CPUs)/amount.PartsPerUnit, team.CPUsMax)
+		found.add("%s.shares: cpus_owned add up to %v, cpus_max is %v", field, float64(sum.CPUs)/amount.ThousandthsPerUnit, team.CPUsMax)
 	}
 	if sum.GPUs != limit.GPUs {
-		found.add("%s.shares: gpus_owned add up to %v, gpus_max is %v", field, float64(sum.GPUs)/amount.PartsPerUnit, team.GPUsMax)
+		found.add("%s.shares: gpus_owned add up to %v, gpus_max is %v", field, float64(sum.GPUs)/amount.ThousandthsPerUnit, team.GPUsMax)
 	}
 }
 
--- a/internal/quota/report/report.go
+++ b/internal/quota/report/report.go
@@ -15,10 +15,10 @@
 
 // Report is the state of a region's ledger.
 type Report struct {
-	Epoch  uint64 `json:"epoch"`
-	Fenced string `json:"fenced,omitempty"` // why the region grants nothing; empty if it grants
-	Teams  []Team `json:"teams"`
-	Links  []Link `json:"links"`
+	Epoch       uint64 `json:"epoch"`
+	FenceReason string `json:"fenced,omitempty"` // why the region grants nothing; empty if it grants
+	Teams       []Team `json:"teams"`
+	Links       []Link `json:"links"`
 }
 
 // Amount is a quantity of CPUs and GPUs; nil for a resource without a limit.
@@ -72,7 +72,7 @@
 
 // build creates a report from a ledger and the resources that each team uses.
 func build(loaded *ledger.Ledger, used map[string]topology.Resources) *Report {
-	report := &Report{Epoch: loaded.Epoch(), Fenced: loaded.FenceReason()}
+	report := &Report{Epoch: loaded.Epoch(), FenceReason: loaded.FenceReason()}
 	for _, name := range loaded.Teams() {
 		share, _ := loaded.Share(name)
 		report.Teams = append(report.Teams, Team{
--- a/internal/quota/report/write.go
+++ b/internal/quota/report/write.go
@@ -27,8 +27,8 @@
 // cells returns the table with tabs between its cells.
 func (r *Report) cells() string {
 	var table strings.Builder
-	if r.Fenced != "" {
-		fmt.Fprintf(&table, "FENCED: %s\n", r.Fenced)
+	if r.FenceReason != "" {
+		fmt.Fprintf(&table, "FENCED: %s\n", r.FenceReason)
 	}
 	fmt.Fprintln(&table, "team\tceiling\tguaranteed here\towned here\tused here")
 	for _, team := range r.Teams {
