--- a/internal/quota/balance/balance.go
+++ b/internal/quota/balance/balance.go
@@ -96,8 +96,8 @@
 	return h.Owned.Sub(h.Guarantee.Max(used)).NonNegative()
 }
 
-// wantsReserve reports whether less than half of the reserve is left for any resource.
-func (h *Holding) wantsReserve() bool {
+// needsReserve reports whether less than half of the reserve is left for any resource.
+func (h *Holding) needsReserve() bool {
 	left := h.Owned.Sub(h.Demand.Planned)
 	return !left.Covers(h.reserve().Divide(2))
 }
@@ -131,7 +131,7 @@
 	if h.Contested(region, offers) {
 		work = h.gang(region)
 		need = h.missing(h.Demand.Gang)
-	} else if h.wantsReserve() {
+	} else if h.needsReserve() {
 		reserve = h.missing(h.Demand.Shortfall.Add(h.reserve())).Sub(need)
 	}
 	claims := make([]Claim, len(offers))
--- a/internal/quota/guards_test.go
+++ b/internal/quota/guards_test.go
@@ -153,8 +153,8 @@
 }
 
 // TestConfirmationByReplacedLeader lets a replaced leader, which has not noticed its replacement,
-// respond to a region whose ledger is an older copy. It does not know the transfer that shows this,
-// so its messages must not verify the ledger.
+// respond to a region whose ledger is an older copy. It has not received the transfer that shows
+// this, so its messages must not verify the ledger.
 func TestConfirmationByReplacedLeader(t *testing.T) {
 	s := newInterleaving(2)
 	s.regions[0].takeBackup()
--- a/internal/quota/leader_test.go
+++ b/internal/quota/leader_test.go
@@ -18,7 +18,7 @@
 	ended         bool
 	pausedUntil   time.Duration
 	deferredCalls []func()                 // calls that arrived while it was paused
-	used          map[string]amount.Amount // by team: placed tasks that it does not know to have terminated
+	used          map[string]amount.Amount // by team: placed tasks without a confirmed termination
 	incarnation   uint64                   // of the manager's last loading of the ledger
 }
 
@@ -92,7 +92,7 @@
 }
 
 // allows reports whether an amount fits into the team's limit, according to this leader's manager
-// or, in the baseline, to the counts that it knows.
+// or, in the baseline, to the counts that it has received.
 func (p *leaderProcess) allows(team string, size amount.Amount) bool {
 	used := p.used[team].Add(size)
 	if !p.region.sim.optimistic {
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -157,7 +157,7 @@
 func (m *Manager) ledgerComplete() bool { return m.ledger != nil && m.ledger.Epoch() != 0 }
 
 // fenced reports whether the region may grant nothing, because its ledger is malformed, violates an
-// invariant or contradicts what another region knows about it.
+// invariant or contradicts what another region has recorded about it.
 func (m *Manager) fenced() bool {
 	return m.fenceReason != "" || m.ledger != nil && m.ledger.FenceReason() != ""
 }
