--- a/internal/budget/bucket.go
+++ b/internal/budget/bucket.go
@@ -1,6 +1,6 @@
-// Package budget limits the requests to a service, by a rate and by how many are under way at a
-// time. It knows no service: the clients of the key-value store, the cloud and workers, the
-// activator and the simulation's stand-ins each own their limits.
+// Package budget limits the requests to a service, by their rate and by how many are in flight at a
+// time. It holds no limits of its own: the clients of the key-value store, the cloud and workers,
+// the activator and the simulated services each own theirs.
 package budget
 
 import (
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Bucket is a token bucket. It may be used by several goroutines.
+// Bucket is a token bucket. It is safe for concurrent use.
 type Bucket struct {
 	rate  float64 // tokens a second
 	burst float64
 
 	mu      sync.Mutex
-	tokens  float64 // negative if some were reserved in advance
+	tokens  float64 // negative if future tokens are reserved or spent
 	updated time.Time
 }
 
-// New makes a full bucket of rate tokens a second and the given burst.
+// New creates a full bucket that holds burst tokens and refills at rate tokens a second.
 func New(rate, burst float64) *Bucket {
 	return &Bucket{rate: rate, burst: burst, tokens: burst}
 }
 
 // ReserveAt takes tokens at a time of the caller's clock, and returns how long the caller must
-// wait before it may use them. A caller that would have to wait longer than maxWait gets
-// none and pays nothing: what is never used must not delay the others.
+// wait before it may use them. If that is longer than maxWait, it takes none: tokens that are
+// never used must not delay other callers.
 func (b *Bucket) ReserveAt(now time.Time, count float64, maxWait time.Duration) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,8 +38,8 @@
 	return wait, true
 }
 
-// SpendAt takes tokens at a time of the caller's clock, for an urgent use without waiting: what
-// it takes is missing for the others.
+// SpendAt takes tokens at a time of the caller's clock, for an urgent request that does not wait.
+// Other callers wait longer instead. The bucket's debt stays within one burst.
 func (b *Bucket) SpendAt(now time.Time, count float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -47,7 +47,7 @@
 	b.tokens = max(b.tokens-count, -b.burst)
 }
 
-// refill adds the tokens that came since the last call.
+// refill adds the tokens of the time since the last call.
 func (b *Bucket) refill(now time.Time) {
 	b.tokens = min(b.burst, b.tokens+now.Sub(b.updated).Seconds()*b.rate)
 	b.updated = now
--- a/internal/budget/semaphore.go
+++ b/internal/budget/semaphore.go
@@ -2,14 +2,13 @@
 
 import "time"
 
-// Semaphore bounds how many calls are under way at a time, and with them the
-// sockets they hold.
+// Semaphore limits the calls that are in flight at a time, and so the sockets that they use.
 type Semaphore chan struct{}
 
-// NewSemaphore makes a semaphore for that many calls.
+// NewSemaphore creates a semaphore for the given number of calls.
 func NewSemaphore(calls int) Semaphore { return make(Semaphore, calls) }
 
-// Acquire waits until a call may begin; false if none may within maxWait.
+// Acquire waits until a call may start; it returns false if none may within maxWait.
 func (s Semaphore) Acquire(maxWait time.Duration) bool {
 	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
@@ -21,5 +20,5 @@
 	}
 }
 
-// Release ends a call for which Acquire returned true.
+// Release marks the end of a call for which Acquire returned true.
 func (s Semaphore) Release() { <-s }
--- a/internal/commandlinetest/commandlinetest.go
+++ b/internal/commandlinetest/commandlinetest.go
@@ -8,8 +8,8 @@
 	"github.com/alecthomas/kong"
 )
 
-// Names returns the commands, flags and arguments of a command line that kong parses into cli, each with
-// what scripts rely on: its path, default, environment variables and whether it must be given.
+// Names returns the commands, flags and arguments of a command line that kong parses into cli, each
+// with what scripts depend on: path, default, environment variables and whether it is required.
 func Names(t *testing.T, cli any, options ...kong.Option) []string {
 	t.Helper()
 	parser, err := kong.New(cli, options...)
@@ -19,7 +19,7 @@
 	return appendNames(nil, "", parser.Model.Node)
 }
 
-// appendNames appends the names of a command and of the commands below it.
+// appendNames appends the names of a command and of its subcommands.
 func appendNames(names []string, path string, command *kong.Node) []string {
 	path += command.Name
 	names = append(names, path)
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,5 @@
-// Package eventqueue keeps the events of a discrete-event simulation in the order of their
-// times. It keeps no clock and uses no randomness, so that a simulation is reproducible.
+// Package eventqueue is a priority queue of the events of a discrete-event simulation, ordered by
+// time. It has no clock and uses no randomness, so that simulations are reproducible.
 package eventqueue
 
 import (
@@ -7,27 +7,27 @@
 	"time"
 )
 
-// An Event is a function that is due at a time of the simulation.
+// An Event is a function that runs at a simulated time.
 type Event struct {
 	At  time.Duration
 	Run func()
-	// sequence orders events of the same time as they were added.
+	// sequence orders events of the same time by when they were added.
 	sequence int
 }
 
-// A Queue holds events. Its zero value is empty and ready to use.
+// A Queue holds pending events. Its zero value is an empty queue.
 type Queue struct {
 	events eventHeap
 	added  int
 }
 
-// Add adds an event.
+// Add schedules a function.
 func (q *Queue) Add(at time.Duration, run func()) {
 	q.added++
 	heap.Push(&q.events, Event{At: at, Run: run, sequence: q.added})
 }
 
-// NextTime returns the time of the first event; false if there is none.
+// NextTime returns the time of the earliest event; false if the queue is empty.
 func (q *Queue) NextTime() (time.Duration, bool) {
 	if len(q.events) == 0 {
 		return 0, false
@@ -35,7 +35,8 @@
 	return q.events[0].At, true
 }
 
-// TakeUntil removes and returns the first event if it is due by a time; false if there is none.
+// TakeUntil removes and returns the earliest event whose time is not after until; false if there is
+// none.
 func (q *Queue) TakeUntil(until time.Duration) (Event, bool) {
 	if at, ok := q.NextTime(); !ok || at > until {
 		return Event{}, false
--- a/internal/eventqueue/eventqueue_test.go
+++ b/internal/eventqueue/eventqueue_test.go
@@ -17,7 +17,7 @@
 	add(time.Second, "second added")
 	add(0, "earliest")
 	if at, ok := q.NextTime(); !ok || at != 0 {
-		t.Errorf("the next event is at %v, %v", at, ok)
+		t.Errorf("time of the next event: got %v, %v, want 0s, true", at, ok)
 	}
 	for {
 		event, ok := q.TakeUntil(time.Second)
@@ -30,16 +30,16 @@
 		t.Errorf("ran %q, want %q", ran, want)
 	}
 	if at, ok := q.NextTime(); !ok || at != 2*time.Second {
-		t.Errorf("the event left is at %v, %v", at, ok)
+		t.Errorf("time of the remaining event: got %v, %v, want 2s, true", at, ok)
 	}
 }
 
 func TestEmptyQueue(t *testing.T) {
 	var q Queue
 	if _, ok := q.NextTime(); ok {
-		t.Error("an empty queue has a next event")
+		t.Error("NextTime of an empty queue: got an event, want none")
 	}
 	if _, ok := q.TakeUntil(time.Hour); ok {
-		t.Error("an event was taken from an empty queue")
+		t.Error("TakeUntil of an empty queue: got an event, want none")
 	}
 }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,5 +1,5 @@
-// Package httpcall makes the core's calls over HTTP. It owns nothing: the clients of the key-value
-// store, the cloud and workers own their connections and limits, and call it.
+// Package httpcall makes the core's calls over HTTP. It has no state: the clients of the key-value
+// store, the cloud and workers, which use it, own their connections and limits.
 package httpcall
 
 import (
@@ -11,7 +11,7 @@
 )
 
 // Do makes a call and blocks until it is answered, fails or reaches the deadline. After a failure
-// the client's idle connections are closed, since the server may have closed them too.
+// it closes the client's idle connections, since the server may have closed them too.
 func Do(client *httpwire.Client, call *core.Call, deadline time.Time) core.Result {
 	response, err := client.Do(call.Method, call.Path, call.Body, time.Until(deadline))
 	if err != nil {
--- a/internal/httpcall/httpcall_test.go
+++ b/internal/httpcall/httpcall_test.go
@@ -11,7 +11,7 @@
 	"github.com/brookwalk/brookwalk/internal/loopback/loopbacktest"
 )
 
-// TestDo makes calls that are answered, not answered in time, and not sent.
+// TestDo makes a call that is answered, one that times out, and one to an unreachable server.
 func TestDo(t *testing.T) {
 	server, err := httpserve.Listen("127.0.0.1:0", &httpserve.Traffic{}, func(r *httpwire.Request, reply func(httpserve.Response)) {
 		if r.Path == "/answered" {
--- a/internal/httpserve/server.go
+++ b/internal/httpserve/server.go
@@ -1,6 +1,6 @@
-// Package httpserve serves HTTP requests one after the other on each connection. It owns a
-// listener, its connections and a goroutine for each. It is for services beside the controllers'
-// own front end: the activator of sleeping models, and the stand-ins of the scale run.
+// Package httpserve is an HTTP server that handles the requests of a connection in sequence. It
+// owns a listener, its connections and a goroutine for each. The activator of sleeping models and
+// the simulated services of the scale run use it; the controllers' front end is in package node.
 package httpserve
 
 import (
@@ -19,7 +19,7 @@
 	RetryAfter int // seconds; 0 for none
 }
 
-// Handler answers a request, now or later, by calling reply at most once.
+// Handler answers a request by calling reply at most once, before or after it returns.
 type Handler func(r *httpwire.Request, reply func(Response))
 
 // Server serves one address.
@@ -29,10 +29,10 @@
 	traffic  *Traffic
 
 	mu    sync.Mutex
-	conns map[net.Conn]bool // nil once all were closed
+	conns map[net.Conn]bool // open connections; nil after CloseAll
 }
 
-// Listen begins to serve an address; port 0 takes a free port. Requests are counted in traffic.
+// Listen starts a server on an address; port 0 selects a free one. Requests are counted in traffic.
 func Listen(addr string, traffic *Traffic, handler Handler) (*Server, error) {
 	listener, err := net.Listen("tcp4", addr)
 	if err != nil {
@@ -47,13 +47,13 @@
 	return &Server{listener: listener, handler: handler, traffic: traffic, conns: map[net.Conn]bool{}}
 }
 
-// Addr is the address that is served.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// Close stops accepting connections; those that are open are still served.
+// Close stops accepting connections; open ones are still served.
 func (s *Server) Close() error { return s.listener.Close() }
 
-// CloseAll closes the listener and all connections, as the end of a process does.
+// CloseAll closes the listener and all connections, as the system does when a process ends.
 func (s *Server) CloseAll() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -64,7 +64,7 @@
 	s.conns = nil
 }
 
-// trackConn records an open connection; false if all were closed.
+// trackConn adds an open connection; it returns false after CloseAll.
 func (s *Server) trackConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,17 +75,17 @@
 	return true
 }
 
-// untrackConn forgets a connection that is closed.
+// untrackConn removes a closed connection.
 func (s *Server) untrackConn(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
 }
 
-// acceptRetryDelay is the pause after a connection could not be accepted.
+// acceptRetryDelay is the delay after a connection could not be accepted.
 const acceptRetryDelay = 20 * time.Millisecond
 
-// accept serves new connections until the listener is closed.
+// accept accepts and serves connections until the listener is closed.
 func (s *Server) accept() {
 	for {
 		conn, err := s.listener.Accept()
@@ -93,7 +93,7 @@
 		case errors.Is(err, net.ErrClosed):
 			return
 		case err != nil:
-			time.Sleep(acceptRetryDelay) // no file descriptor is free just now
+			time.Sleep(acceptRetryDelay) // for example out of file descriptors
 		default:
 			go s.serve(conn)
 		}
@@ -131,10 +131,10 @@
 	}
 }
 
-// minReadBytes is how much room a read has at least.
+// minReadBytes is the least buffer space for a read.
 const minReadBytes = 4 << 10
 
-// readMore appends what has arrived to the input.
+// readMore reads from a connection and appends to the input.
 func readMore(conn net.Conn, input []byte) ([]byte, error) {
 	if cap(input)-len(input) < minReadBytes {
 		input = append(make([]byte, 0, 2*cap(input)+minReadBytes), input...)
@@ -143,10 +143,11 @@
 	return input[:len(input)+size], err
 }
 
-// answerTimeout is longer than any request waits for its answer: a watch takes the longest.
+// answerTimeout bounds how long a handler may take. A watch takes the longest, and less than this.
 const answerTimeout = 70 * time.Second
 
-// respond handles a request and returns its response; false if none comes.
+// respond handles a request and returns its response; false if the handler sends none within
+// answerTimeout.
 func (s *Server) respond(request *httpwire.Request) ([]byte, bool) {
 	answered := make(chan Response, 1)
 	s.handler(request, func(response Response) {
@@ -166,7 +167,7 @@
 	}
 }
 
-// RequestTarget is a request's path with its query.
+// RequestTarget returns a request's path with its query.
 func RequestTarget(r *httpwire.Request) string {
 	if r.Query == "" {
 		return r.Path
--- a/internal/httpserve/server_test.go
+++ b/internal/httpserve/server_test.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/httpwire"
 )
 
-// failingListener is a listener whose first connections cannot be accepted.
+// failingListener is a listener whose first calls of Accept fail.
 type failingListener struct {
 	net.Listener
 	failures atomic.Int64
@@ -23,8 +23,8 @@
 	return l.Listener.Accept()
 }
 
-// TestServesAfterAcceptErrors checks that a server that is out of file descriptors for a while
-// serves again afterwards.
+// TestServesAfterAcceptErrors checks that a server still accepts connections after the process was
+// out of file descriptors for a while.
 func TestServesAfterAcceptErrors(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -38,11 +38,11 @@
 	client := httpwire.Client{Addr: server.Addr(), MaxIdle: 1}
 	defer client.CloseIdle()
 	if response, err := client.Do("GET", "/", nil, 20*time.Second); err != nil || response.Status != 204 {
-		t.Errorf("answered %+v (%v)", response, err)
+		t.Errorf("response after failed accepts: got %+v (error %v), want status 204", response, err)
 	}
 }
 
-// awaitConnection returns once a server has a connection.
+// awaitConnection waits until a server has an open connection.
 func awaitConnection(server *Server) {
 	for {
 		server.mu.Lock()
@@ -55,21 +55,21 @@
 	}
 }
 
-// TestCloseAll checks that the end of a server closes its connections.
+// TestCloseAll checks that CloseAll closes a connection whose request is not answered yet.
 func TestCloseAll(t *testing.T) {
 	server, err := Listen("127.0.0.1:0", &Traffic{}, func(*httpwire.Request, func(Response)) {})
 	if err != nil {
 		t.Fatal(err)
 	}
 	client := httpwire.Client{Addr: server.Addr(), MaxIdle: 1}
-	ended := make(chan error, 1)
+	failed := make(chan error, 1)
 	go func() {
 		_, err := client.Do("GET", "/", nil, time.Minute)
-		ended <- err
+		failed <- err
 	}()
 	awaitConnection(server)
 	server.CloseAll()
-	if err := <-ended; err == nil {
-		t.Error("a request was answered by a server that has ended")
+	if err := <-failed; err == nil {
+		t.Error("request in flight at CloseAll: got a response, want an error")
 	}
 }
--- a/internal/httpserve/traffic.go
+++ b/internal/httpserve/traffic.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Traffic counts requests, and the bytes of them and of their responses.
+// Traffic counts requests and the bytes of requests and responses.
 type Traffic struct {
 	Requests      atomic.Int64
 	RequestBytes  atomic.Int64
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -29,39 +29,40 @@
 	return next
 }
 
-// TestClaimsAreApart takes addresses from several claims at a time. No address is handed out twice, and
-// none has a port of the range that the system assigns.
-func TestClaimsAreApart(t *testing.T) {
+// TestClaimsAreDisjoint takes addresses from several claims at a time. No address may be returned
+// twice, and none may have a port from the range that the system assigns.
+func TestClaimsAreDisjoint(t *testing.T) {
 	seen := map[string]bool{}
 	for range 5 {
 		c := newClaim(t)
 		for range 20 {
 			next := nextAddress(t, c)
 			if seen[next] {
-				t.Errorf("%s was handed out twice", next)
+				t.Errorf("address %s was returned twice", next)
 			}
 			seen[next] = true
 			if resolved, err := net.ResolveTCPAddr("tcp4", next); err != nil || resolved.Port >= 32768 {
-				t.Errorf("%s: port of the system's range, %v", next, err)
+				t.Errorf("address %s (error %v): want a port below 32768", next, err)
 			}
 		}
 	}
 }
 
-// TestLeftOverListener skips a port on which a process of an earlier claim still listens.
-func TestLeftOverListener(t *testing.T) {
+// TestSkipsPortInUse checks that a claim skips a port on which a process of an earlier claim still
+// listens.
+func TestSkipsPortInUse(t *testing.T) {
 	c := newClaim(t)
-	left, err := net.Listen("tcp4", address(c.ip, lockPort+1))
+	leftover, err := net.Listen("tcp4", address(c.ip, lockPort+1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer left.Close()
-	if next := nextAddress(t, c); next == left.Addr().String() {
-		t.Errorf("%s is in use", next)
+	defer leftover.Close()
+	if next := nextAddress(t, c); next == leftover.Addr().String() {
+		t.Errorf("address %s is in use, want a free one", next)
 	}
 }
 
-// TestClosedClaim closes a claim. Its IP address is free again.
+// TestClosedClaim checks that closing a claim releases its IP address.
 func TestClosedClaim(t *testing.T) {
 	c := newClaim(t)
 	if err := c.Close(); err != nil {
--- a/internal/loopback/loopbacktest/loopbacktest.go
+++ b/internal/loopback/loopbacktest/loopbacktest.go
@@ -1,4 +1,4 @@
-// Package loopbacktest gives tests addresses on loopback that nothing else takes.
+// Package loopbacktest reserves loopback addresses for tests.
 package loopbacktest
 
 import (
@@ -7,7 +7,7 @@
 	"github.com/brookwalk/brookwalk/internal/loopback"
 )
 
-// Addresses returns addresses on which nothing listens. They belong to the test until it ends.
+// Addresses returns addresses on which nothing listens. They are reserved until the test ends.
 func Addresses(tb testing.TB, count int) []string {
 	tb.Helper()
 	claim, err := loopback.NewClaim()
--- a/internal/node/connection.go
+++ b/internal/node/connection.go
@@ -12,28 +12,28 @@
 type connection struct {
 	socket evio.Conn
 
-	// One of the decoders is set for a peer and for another region's controller. Users and
-	// workers send HTTP.
+	// peerDecoder is set for a peer, regionDecoder for a controller of another region. Both are
+	// nil for users and workers, which send HTTP.
 	peerDecoder   *peer.Decoder[wire.PeerMessage]
 	regionDecoder *peer.Decoder[wire.RegionMessage]
 
-	isWorker   bool // it has sent a heartbeat
+	isWorker   bool // has sent a heartbeat
 	lastActive time.Time
 
-	input            []byte    // not parsed yet
-	requestStarted   time.Time // when the first bytes of an incomplete request came; zero if there is none
-	awaitingAnswer   bool      // a request waits for its answer
+	input            []byte    // received and not parsed yet
+	requestStarted   time.Time // first bytes of an incomplete request received; zero if none
+	awaitingAnswer   bool      // a request is being handled
 	closeAfterAnswer bool
-	output           []byte // not written yet
+	output           []byte // to be written
 
-	closing bool // at its next event
+	closing bool // to be closed at its next event
 	closed  bool
 }
 
-// servesHTTP reports whether a user or a worker is at the other end.
+// servesHTTP reports whether the connection comes from a user or a worker.
 func (c *connection) servesHTTP() bool { return c.peerDecoder == nil && c.regionDecoder == nil }
 
-// onOpened accepts a connection, or closes it if there are enough.
+// onOpened accepts a connection, or closes it if the limit of its address is reached.
 func (n *Node) onOpened(socket evio.Conn) (out []byte, opts evio.Options, action evio.Action) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,8 +46,8 @@
 	return nil, opts, evio.None
 }
 
-// admit reports whether a new connection is within the limits of the address that it came to,
-// and prepares it for what is spoken there.
+// admit reports whether a new connection is within the limit of the address that it was opened
+// to, and sets the decoder of that address. It may close an idle user's connection to make room.
 func (n *Node) admit(conn *connection) bool {
 	switch conn.socket.AddrIndex() {
 	case peerAddressIndex:
@@ -61,15 +61,15 @@
 		return true
 	default:
 		if len(n.connections) >= n.cfg.Deployment.MachineLimits.MaxIncoming() && !n.evictIdleUser() {
-			n.log.Debug("connection refused", "connections", len(n.connections))
+			n.log.Debug("connection rejected: limit of incoming connections reached", "connections", len(n.connections))
 			return false
 		}
 		return true
 	}
 }
 
-// evictIdleUser closes the user's connection that has been idle for longest, so that no worker is
-// refused because of users. It reports whether there is one.
+// evictIdleUser closes the user connection that has been idle the longest, so that users cannot
+// keep workers from connecting. It returns false if no user connection is idle.
 func (n *Node) evictIdleUser() bool {
 	var oldest *connection
 	for conn := range n.connections {
@@ -87,10 +87,11 @@
 	return true
 }
 
-// closeIdleConnections closes those whose request was not completed within a worker's lease, and
-// those of workers that were silent for a lease, which have left them for another controller. When
-// a zone is partitioned nobody closes the workers' ends of their connections, and what is left of
-// them would take the sockets of those that reconnect.
+// closeIdleConnections closes connections on which a request has been incomplete for longer than
+// the workers' lease, and connections of workers that have sent nothing for that long: those
+// workers have switched to another controller. When a zone is partitioned, its workers cannot
+// close their connections, and the half-open ones would use up the sockets that reconnecting
+// workers need.
 func (n *Node) closeIdleConnections(now time.Time) {
 	timeout := n.cfg.Deployment.Workers.Lease()
 	for conn := range n.connections {
@@ -105,14 +106,14 @@
 	}
 }
 
-// closeLater closes a connection outside its own events: evio closes it when it handles the event
-// that Wake causes.
+// closeLater closes a connection from outside its event handlers: evio closes it in the data event
+// that Wake triggers.
 func (c *connection) closeLater() {
 	c.closing = true
 	c.socket.Wake()
 }
 
-// onClosed forgets a connection.
+// onClosed removes a closed connection.
 func (n *Node) onClosed(socket evio.Conn, _ error) evio.Action {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/node/data.go
+++ b/internal/node/data.go
@@ -10,8 +10,8 @@
 	"github.com/tidwall/evio"
 )
 
-// onData handles what has arrived on a connection, and returns what is to be written. evio also
-// calls it without input for a connection that was woken.
+// onData handles bytes received on a connection, and returns the bytes to write. For a woken
+// connection evio calls it without input.
 func (n *Node) onData(socket evio.Conn, input []byte) ([]byte, evio.Action) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -28,21 +28,21 @@
 	}
 }
 
-// onPeerData handles what a peer sends.
+// onPeerData handles bytes received from a peer.
 func (n *Node) onPeerData(conn *connection, input []byte) evio.Action {
 	messages, err := conn.peerDecoder.Feed(input)
 	for _, m := range messages {
 		n.step(core.PeerInput{Message: m}, conn)
 	}
 	if err != nil {
-		n.log.Debug("peer stream broken", "error", err)
+		n.log.Debug("peer connection closed: invalid message", "error", err)
 		return evio.Close
 	}
 	return evio.None
 }
 
-// onHTTPData handles what a user or a worker sends. A connection's requests are handled one
-// after the other: the next one is parsed once the one before is answered.
+// onHTTPData handles bytes received from a user or a worker. The requests of a connection are
+// handled in sequence: the next one is parsed once the previous one is answered.
 func (n *Node) onHTTPData(conn *connection, input []byte) ([]byte, evio.Action) {
 	if len(input) > 0 {
 		conn.lastActive = time.Now()
@@ -67,11 +67,12 @@
 const (
 	malformedBody   = `{"error":"malformed request"}`
 	busyBody        = `{"error":"busy"}`
-	busyRetryAfterS = 1 // Retry-After of the latter, in seconds
+	busyRetryAfterS = 1 // Retry-After of a response with busyBody, in seconds
 )
 
-// nextRequest parses the next request of the input; false if it is incomplete, or malformed, in
-// which case the connection ends with an answer of 400.
+// nextRequest parses the next request of the input. It returns false if the request is
+// incomplete, and if it is malformed or too large: then the response is a 400, after which the
+// connection is closed.
 func (c *connection) nextRequest() (*httpwire.Request, bool) {
 	request, size, err := httpwire.ParseRequest(c.input)
 	if errors.Is(err, httpwire.ErrIncomplete) {
@@ -93,7 +94,8 @@
 	return request, true
 }
 
-// answer ends the request that waits, unless the connection is closed.
+// answer completes the request that is being handled, and adds the response to the output unless
+// the connection is closed.
 func (c *connection) answer(reply httpwire.Reply) {
 	c.awaitingAnswer = false
 	if c.closed {
--- a/internal/node/helpers_test.go
+++ b/internal/node/helpers_test.go
@@ -14,10 +14,11 @@
 	"github.com/tidwall/evio"
 )
 
-// ioTimeout bounds all that a test does on one connection.
+// ioTimeout bounds all reads and writes of a test on one connection.
 const ioTimeout = 30 * time.Second
 
-// loopbackSettings are those of a controller on loopback with no services to reach.
+// loopbackSettings returns settings of a controller on loopback whose key-value store and cloud
+// are unreachable.
 func loopbackSettings(t *testing.T) *config.Settings {
 	t.Helper()
 	addresses := loopbacktest.Addresses(t, 4)
@@ -35,8 +36,8 @@
 	}
 }
 
-// newIdleNode makes a controller that does not serve.
-func newIdleNode(maxConnections int) *Node {
+// newUnstartedNode creates a controller that does not listen: tests call its event handlers.
+func newUnstartedNode(maxConnections int) *Node {
 	cfg := &config.Settings{
 		Name: "node-0",
 		Deployment: config.Deployment{
@@ -54,14 +55,14 @@
 	failed chan error
 }
 
-// run makes a controller serve.
-func run(n *Node) *runningNode {
+// startNode starts a controller.
+func startNode(n *Node) *runningNode {
 	running := &runningNode{failed: make(chan error, 1)}
 	go func() { running.failed <- n.Run() }()
 	return running
 }
 
-// dial connects to one of the controller's addresses as soon as it listens there.
+// dial connects to one of the controller's addresses, retrying until the controller listens.
 func (r *runningNode) dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	for {
@@ -83,8 +84,9 @@
 	}
 }
 
-// ask sends a request byte by byte, since it may arrive in any pieces, and returns the response.
-func ask(t *testing.T, conn net.Conn, request string) *httpwire.Response {
+// sendRequest sends a request in writes of one byte, since a request may arrive in pieces of any
+// size, and returns the response.
+func sendRequest(t *testing.T, conn net.Conn, request string) *httpwire.Response {
 	t.Helper()
 	for i := range request {
 		if _, err := conn.Write([]byte{request[i]}); err != nil {
@@ -96,7 +98,7 @@
 	for {
 		size, err := conn.Read(buf)
 		if err != nil {
-			t.Fatalf("%q: %v", request, err)
+			t.Fatalf("reading the response to %q: %v", request, err)
 		}
 		input = append(input, buf[:size]...)
 		if response, _, err := httpwire.ParseResponse(input); err == nil {
@@ -105,10 +107,10 @@
 	}
 }
 
-// isReset reports whether the other end closed a connection without reading all that was sent.
+// isReset reports whether the other end closed the connection without reading all input.
 func isReset(err error) bool { return errors.Is(err, syscall.ECONNRESET) }
 
-// fakeConn is a connection without a socket.
+// fakeConn is an evio connection without a socket, which counts calls of Wake.
 type fakeConn struct {
 	evio.Conn
 	context any
@@ -121,18 +123,18 @@
 func (f *fakeConn) SetContext(c any) { f.context = c }
 func (f *fakeConn) AddrIndex() int   { return 0 }
 
-// connection is what the node keeps about it.
+// connection returns the node's state of the connection.
 func (f *fakeConn) connection(t *testing.T) *connection {
 	t.Helper()
 	conn, ok := f.context.(*connection)
 	if !ok {
-		t.Fatalf("the context is a %T", f.context)
+		t.Fatalf("context of the connection: got %T, want *connection", f.context)
 	}
 	return conn
 }
 
-// open opens a connection to a node; false if it is refused.
-func open(n *Node) (*fakeConn, bool) {
+// openConnection opens a connection to a node; it returns false if the node rejects it.
+func openConnection(n *Node) (*fakeConn, bool) {
 	fake := &fakeConn{}
 	_, _, action := n.onOpened(fake)
 	return fake, action != evio.Close
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,10 +1,10 @@
 // Package node runs one controller: evio serves users, workers and peers in one event loop,
-// clients carry out the calls that the core asks for, and a ticker advances its time. The
-// package owns the controller's sockets and goroutines; the core owns all decisions and is only
-// called under Node's lock. It is started by cmd/brookwalk.
+// clients execute the calls that the core requests, and a ticker advances the core's time. The
+// package owns the controller's sockets and goroutines; the core makes all decisions and is only
+// called under Node's lock. Command brookwalk starts it.
 //
-// A heartbeat is handled as it arrives, decisions are made at the ticks, and users' requests
-// wait in a bounded queue for their turn.
+// Heartbeats are handled as they arrive, scheduling decisions are made at the ticks, and users'
+// requests go through a bounded queue.
 package node
 
 import (
@@ -35,21 +35,21 @@
 	store     *store.Client
 	cloud     *cloud.Client
 	worker    *worker.Client
-	peerLinks map[string]*peer.Link[wire.PeerMessage] // by controller
+	peerLinks map[string]*peer.Link[wire.PeerMessage] // by controller name
 	regions   *regionLinks                            // nil if limits are not shared with other regions
 
-	// userRequests holds the requests of users that wait for their turn.
+	// userRequests queues the requests of users.
 	userRequests chan userRequest
 
 	mu              sync.Mutex
 	core            *core.Core
-	pendingRequests map[uint64]*connection // that wait for the core's answer, by ID
-	connections     map[*connection]bool   // those that are open
+	pendingRequests map[uint64]*connection // connections of unanswered requests, by request ID
+	connections     map[*connection]bool   // open connections
 	lastRequestID   uint64
 	slowSteps       slowStepLog
 }
 
-// New makes a controller that does not serve yet.
+// New creates a controller. Run starts it.
 func New(cfg *config.Settings, op *config.Operator, log *slog.Logger) *Node {
 	return &Node{
 		cfg:             cfg,
@@ -72,13 +72,14 @@
 	return cfg.Deployment.Workers.HeartbeatInterval()
 }
 
-// The order of the addresses that a node listens on.
+// Indexes of the listening addresses in the list that Node.addresses returns. Index 0 is the
+// address for users and workers.
 const (
 	peerAddressIndex   = 1
 	regionAddressIndex = 2
 )
 
-// Run serves until the process ends or a listener fails.
+// Run serves requests until the process ends or a listener fails.
 func (n *Node) Run() error {
 	limitRuntime(n.cfg.Deployment.MachineLimits.RAMMB)
 	for _, other := range n.cfg.Peers {
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// addresses lists the addresses to listen on.
+// addresses returns the addresses to listen on.
 func (n *Node) addresses() []string {
 	list := []string{"tcp://" + n.cfg.Listen, "tcp://" + n.cfg.PeerListen}
 	if n.regions != nil {
@@ -107,7 +108,7 @@
 	return list
 }
 
-// onServing begins what depends on the listeners.
+// onServing starts the ticker and the user request queue once the node listens.
 func (n *Node) onServing(evio.Server) evio.Action {
 	n.log.Info("serving", "controller", n.cfg.Name, "listen", n.cfg.Listen, "peer_listen", n.cfg.PeerListen,
 		"max_workers", n.cfg.Deployment.MaxWorkers(n.cfg.Deployment.Size))
@@ -118,17 +119,18 @@
 
 // Settings of the Go runtime.
 const (
-	// memoryLimitShare of the machine's memory is the runtime's limit, near which it collects
-	// garbage harder. The rest is for code, stacks and what the system holds.
+	// memoryLimitShare is the runtime's soft memory limit as a share of the machine's memory.
+	// Near it the garbage collector runs more often. The rest is for code and for memory that
+	// the runtime does not manage, such as the kernel's.
 	memoryLimitShare = 0.55
 	// gcPercent is high, since live memory is a small part of the limit.
 	gcPercent = 400
-	// processors are one for the event loop, which blocks in a system call that the runtime
-	// does not see, and one for everything else.
+	// processors is GOMAXPROCS: one for the event loop, which blocks in its own epoll_wait
+	// outside of the runtime's network poller, and one for all other goroutines.
 	processors = 2
 )
 
-// limitRuntime makes the Go runtime keep to the machine's memory, in MB.
+// limitRuntime configures the Go runtime for a machine with ramMB MiB of memory.
 func limitRuntime(ramMB float64) {
 	debug.SetMemoryLimit(int64(memoryLimitShare * ramMB * (1 << 20)))
 	debug.SetGCPercent(gcPercent)
--- a/internal/node/regions.go
+++ b/internal/node/regions.go
@@ -9,30 +9,31 @@
 	"github.com/tidwall/evio"
 )
 
-// Bounds of what other regions may use here.
+// Limits on resources that are used for other regions.
 const (
-	regionQueueLength    = 16 // messages that wait for one controller of another region
-	maxRegionConnections = 64 // from other regions; each of their controllers needs one
+	regionQueueLength    = 16 // queued messages to one controller of another region
+	maxRegionConnections = 64 // incoming; each controller of another region needs one
 )
 
-// regionLinks carry messages to and from other regions. All fields but listen and byRegion, which
-// do not change, are guarded by Node.mu.
+// regionLinks exchanges messages with other regions. listen and byRegion do not change after
+// JoinRegions; everything else is guarded by Node.mu.
 type regionLinks struct {
 	listen          string
 	byRegion        map[string]*controllerLinks
-	connections     int  // that are open from other regions
-	rejectionLogged bool // a stream of something else than a region was logged
+	connections     int  // open connections from other regions
+	rejectionLogged bool // a connection that sent an invalid message was logged
 }
 
-// controllerLinks are the links to the controllers of one region, used in turn: each of them
-// forwards a message to its leader, and a message to one that is unreachable is followed by one
-// to another.
+// controllerLinks holds the links to the controllers of one region, which are used round-robin:
+// each controller forwards a message to its region's leader, and if one is unreachable, the next
+// message goes to another one.
 type controllerLinks struct {
 	links []*peer.Link[wire.RegionMessage]
-	next  int
+	next  int // index of the link for the next message
 }
 
-// JoinRegions turns on limits that are shared with other regions. It is called before Run.
+// JoinRegions enables team limits that are shared with other regions. It must be called before
+// Run.
 func (n *Node) JoinRegions(regions *plan.Plan, op *config.Operator) {
 	n.core.JoinRegions(regions, op.Region)
 	n.regions = &regionLinks{listen: op.RegionListen, byRegion: map[string]*controllerLinks{}}
@@ -54,7 +55,7 @@
 	return controllers
 }
 
-// admit reports whether one more connection is accepted, and counts it.
+// admit reports whether one more connection from other regions is within the limit, and counts it.
 func (r *regionLinks) admit() bool {
 	if r.connections >= maxRegionConnections {
 		return false
@@ -63,7 +64,7 @@
 	return true
 }
 
-// send hands a message to the next controller of its region.
+// send sends a message to the next controller of the destination region.
 func (r *regionLinks) send(send core.RegionSend) {
 	controllers := r.byRegion[send.To]
 	if controllers == nil {
@@ -73,8 +74,8 @@
 	controllers.next = (controllers.next + 1) % len(controllers.links)
 }
 
-// onRegionData handles what a controller of another region sends. A stream of anything else is
-// closed; the first one is logged.
+// onRegionData handles bytes received from a controller of another region. A connection that sends
+// anything else is closed. Only the first of these is logged, however often a client reconnects.
 func (n *Node) onRegionData(conn *connection, input []byte) evio.Action {
 	messages, err := conn.regionDecoder.Feed(input)
 	for _, m := range messages {
@@ -85,7 +86,7 @@
 	}
 	if !n.regions.rejectionLogged {
 		n.regions.rejectionLogged = true
-		n.log.Warn("region stream refused", "address", conn.socket.RemoteAddr().String(), "error", err)
+		n.log.Warn("region connection closed: invalid message", "address", conn.socket.RemoteAddr().String(), "error", err)
 	}
 	return evio.Close
 }
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -16,7 +16,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// lockedBuffer is a log that is read while it is written.
+// lockedBuffer holds log output. It may be read while the node logs.
 type lockedBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -34,10 +34,10 @@
 	return strings.Count(b.buf.String(), text)
 }
 
-// TestRegionStreams makes something else and another region's controller connect to the address
-// for other regions: the former's stream is closed with one log line however often it comes, the
-// latter's is kept open.
-func TestRegionStreams(t *testing.T) {
+// TestInvalidRegionMessages sends HTTP and then another region's messages to the address for other
+// regions. The node must close each HTTP connection, and log an invalid message only once although
+// the HTTP client reconnects.
+func TestInvalidRegionMessages(t *testing.T) {
 	cfg := loopbackSettings(t)
 	addresses := loopbacktest.Addresses(t, 2)
 	listen := addresses[0]
@@ -48,14 +48,14 @@
 	log := &lockedBuffer{}
 	node := New(cfg, nil, slog.New(slog.NewTextHandler(log, nil)))
 	node.JoinRegions(regions, &config.Operator{Region: "north", RegionListen: listen})
-	running := run(node)
+	running := startNode(node)
 	for range 3 {
-		stranger := running.dial(t, listen)
-		if _, err := stranger.Write([]byte("GET / HTTP/1.1\r\n\r\n")); err != nil {
+		httpClient := running.dial(t, listen)
+		if _, err := httpClient.Write([]byte("GET / HTTP/1.1\r\n\r\n")); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := io.ReadAll(stranger); err != nil && !isReset(err) {
-			t.Fatalf("the stranger's stream stays open: %v", err)
+		if _, err := io.ReadAll(httpClient); err != nil && !isReset(err) {
+			t.Fatalf("connection with HTTP to the region address: got error %v, want it closed", err)
 		}
 	}
 	link := peer.NewLink[wire.RegionMessage](listen, time.Second, 4, slog.New(slog.DiscardHandler))
@@ -63,7 +63,7 @@
 		link.Send(&wire.RegionMessage{Version: wire.RegionVersion + 1, From: "south", To: "north", Run: 1, Sequence: 1})
 	}
 	running.dial(t, listen)
-	if got := log.count("region stream refused"); got != 1 {
-		t.Errorf("%d log lines of strangers' streams, want 1", got)
+	if got := log.count("region connection closed: invalid message"); got != 1 {
+		t.Errorf("log lines for invalid messages: got %d, want 1", got)
 	}
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -10,29 +10,31 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// Paths that are handled differently.
+// Paths by which requests are classified: those of users are queued, and a heartbeat marks its
+// connection as a worker's.
 const (
 	userPathPrefix = "/submissions"
 	heartbeatPath  = "/checkin"
 )
 
-// connectionsPerQueuedRequest is how many connections there are for each place in the users'
-// queue.
+// connectionsPerQueuedRequest is the ratio of the connection limit to the capacity of the user
+// request queue.
 const connectionsPerQueuedRequest = 4
 
-// userQueueLength is how many users' requests may wait; further ones are refused at once.
+// userQueueLength returns the capacity of the user request queue. Requests beyond it are rejected
+// at once.
 func userQueueLength(cfg *config.Settings) int {
 	return max(1, cfg.Deployment.MachineLimits.MaxConnections/connectionsPerQueuedRequest)
 }
 
-// userRequest is a user's request that waits for its turn.
+// userRequest is a queued request of a user.
 type userRequest struct {
 	request  core.Request
 	conn     *connection
 	queuedAt time.Time
 }
 
-// dispatchRequest hands a worker's request to the core, and queues a user's.
+// dispatchRequest queues a user's request, and passes any other request to the core.
 func (n *Node) dispatchRequest(conn *connection, parsed *httpwire.Request) {
 	conn.awaitingAnswer, conn.closeAfterAnswer = true, parsed.Close
 	n.lastRequestID++
@@ -48,7 +50,7 @@
 	n.step(request, conn)
 }
 
-// queueUserRequest queues a request, or refuses it if the queue is full.
+// queueUserRequest queues a request, or rejects it if the queue is full.
 func (n *Node) queueUserRequest(queued userRequest) {
 	select {
 	case n.userRequests <- queued:
@@ -57,8 +59,9 @@
 	}
 }
 
-// serveUserRequests hands the users' requests to the core one at a time, so that heartbeats and
-// ticks are handled between them.
+// serveUserRequests passes the queued requests to the core one at a time, so that heartbeats and
+// ticks are handled between them. It rejects requests that have been queued for longer than a
+// heartbeat interval.
 func (n *Node) serveUserRequests() {
 	timeout := heartbeatInterval(n.cfg)
 	for queued := range n.userRequests {
@@ -75,7 +78,7 @@
 	}
 }
 
-// shedRequest refuses a request for overload; the answer has the time after which to retry.
+// shedRequest rejects a request because of overload, with status 503 and Retry-After.
 func (n *Node) shedRequest(queued userRequest) {
 	delete(n.pendingRequests, queued.request.ID)
 	queued.conn.answer(httpwire.Reply{
--- a/internal/node/step.go
+++ b/internal/node/step.go
@@ -9,8 +9,9 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// step gives the core an input and carries out what it asks for. The caller holds the lock;
-// current is the connection whose data is being handled, which need not be woken, or nil.
+// step passes an input to the core, and sends the answers and messages and starts the calls that
+// the core returns. The caller holds n.mu. current is the connection whose data event is being
+// handled, or nil: it is not woken, since onData returns its output.
 func (n *Node) step(input core.Input, current *connection) {
 	now := time.Now()
 	output := n.core.Step(now.Sub(n.started), now, input)
@@ -29,7 +30,7 @@
 	}
 }
 
-// answerRequests writes the core's answers to their connections, except those that were closed.
+// answerRequests adds the core's answers to the output of their connections, except closed ones.
 func (n *Node) answerRequests(answers []core.Answer, current *connection) {
 	for _, answer := range answers {
 		conn := n.pendingRequests[answer.ID]
@@ -44,7 +45,7 @@
 	}
 }
 
-// execute makes a call and gives the core its result.
+// execute makes a call and passes the result to the core.
 func (n *Node) execute(call core.Call) {
 	var result core.Result
 	switch call.Destination {
@@ -60,8 +61,8 @@
 	n.step(result, nil)
 }
 
-// slowStepLog logs the longest step of each interval that is longer than the threshold, since
-// heartbeats wait meanwhile.
+// slowStepLog logs the longest step of each interval if it is longer than the threshold: no
+// heartbeat is handled during a step.
 type slowStepLog struct {
 	log       *slog.Logger
 	interval  time.Duration
@@ -72,16 +73,16 @@
 	loggedAt time.Time
 }
 
-// record counts a step that began at now.
-func (l *slowStepLog) record(input core.Input, now time.Time, duration time.Duration) {
+// record adds a step, and logs the longest one once the interval has passed.
+func (l *slowStepLog) record(input core.Input, startedAt time.Time, duration time.Duration) {
 	if duration > l.longest {
 		l.longest, l.input = duration, fmt.Sprintf("%T", input)
 	}
-	if now.Sub(l.loggedAt) < l.interval {
+	if startedAt.Sub(l.loggedAt) < l.interval {
 		return
 	}
 	if l.longest > l.threshold {
-		l.log.Info("slow step", "input", l.input, "took_ms", l.longest.Milliseconds())
+		l.log.Info("core step took too long, heartbeats may be delayed", "input", l.input, "took_ms", l.longest.Milliseconds())
 	}
-	l.longest, l.loggedAt = 0, now
+	l.longest, l.loggedAt = 0, startedAt
 }
--- a/internal/node/ticker.go
+++ b/internal/node/ticker.go
@@ -8,14 +8,13 @@
 )
 
 const (
-	// ticksPerHeartbeat is how many ticks there are in the time between two heartbeats of a
-	// worker.
+	// ticksPerHeartbeat is the number of ticks in a worker's heartbeat interval.
 	ticksPerHeartbeat = 20
-	// idleCheckInterval is the time between two searches for idle connections.
+	// idleCheckInterval is the least time between two checks for idle connections.
 	idleCheckInterval = time.Second
 )
 
-// runTicker makes the core's ticks, and looks for idle connections now and then.
+// runTicker sends the core its ticks, and closes idle connections every idleCheckInterval.
 func (n *Node) runTicker() {
 	period := config.Seconds(n.cfg.Deployment.Workers.ReportS / ticksPerHeartbeat)
 	lastIdleCheck := time.Now()
--- a/internal/peer/decoder.go
+++ b/internal/peer/decoder.go
@@ -8,25 +8,25 @@
 	"fmt"
 )
 
-// ErrBadFrame marks a stream that does not come from a Link.
-var ErrBadFrame = errors.New("peer: bad frame")
+// ErrBadFrame means that a stream was not written by a Link of the same message type.
+var ErrBadFrame = errors.New("peer: invalid message frame")
 
-// Decoder decodes the bytes of one incoming connection.
+// Decoder decodes the messages of one incoming connection.
 type Decoder[M any] struct {
-	pending    []byte // not decoded yet
+	pending    []byte // received and not decoded yet
 	frame      bytes.Buffer
 	gobDecoder *gob.Decoder
 }
 
-// NewDecoder makes a decoder for a new connection.
+// NewDecoder creates a decoder for a new connection.
 func NewDecoder[M any]() *Decoder[M] {
 	d := &Decoder[M]{}
 	d.gobDecoder = gob.NewDecoder(&d.frame)
 	return d
 }
 
-// Feed adds bytes and returns the messages that are complete, also with an error. After an error
-// the decoder cannot go on.
+// Feed adds received bytes and returns the messages that are now complete, also if it returns an
+// error. After an error the decoder must not be used.
 func (d *Decoder[M]) Feed(data []byte) ([]*M, error) {
 	d.pending = append(d.pending, data...)
 	var messages []*M
@@ -46,7 +46,7 @@
 	}
 }
 
-// nextFrame cuts the next frame off the pending bytes; nil if it is incomplete.
+// nextFrame removes the next frame from the pending bytes and returns it; nil if it is incomplete.
 func (d *Decoder[M]) nextFrame() ([]byte, error) {
 	if len(d.pending) == 0 {
 		d.pending = nil // frees the buffer of an idle connection
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Link sends messages to one controller. Messages are dropped while it is unreachable: every
-// sender repeats what still matters.
+// Link sends messages to one controller. Messages are dropped while it is unreachable, since
+// senders repeat everything that is still relevant.
 type Link[M any] struct {
 	addr    string
 	queue   chan *M
@@ -19,15 +19,16 @@
 	log     *slog.Logger
 }
 
-// redialFraction is the pause after a failed dial, as a fraction of the timeout.
-const redialFraction = 8
+// redialDelayDivisor divides the timeout to give the delay after a failed dial.
+const redialDelayDivisor = 8
 
-// maxBatchBytes is the size from which on messages are not gathered into one write any more.
+// maxBatchBytes is the size from which no further message is added to a batched write.
 const maxBatchBytes = 32 << 10
 
-// NewLink starts a link, which lasts as long as the process. timeout bounds a dial and a write,
-// queueLength the messages that wait: every connection to a controller may have a heartbeat under
-// way, and after an election all of them go to one peer at once.
+// NewLink starts a link, which runs until the process ends. timeout bounds each dial and each
+// write. queueLength bounds the queued messages; for a peer it is the connection limit, since every
+// connection may have a heartbeat in flight, and after an election all of them are forwarded to the
+// new leader at once.
 func NewLink[M any](addr string, timeout time.Duration, queueLength int, log *slog.Logger) *Link[M] {
 	l := &Link[M]{addr: addr, queue: make(chan *M, queueLength), timeout: timeout, log: log}
 	go l.run()
@@ -42,26 +43,26 @@
 	}
 }
 
-// run dials whenever there is a message, and writes until the connection fails.
+// run dials when there is a message to send, and writes messages until the connection fails.
 func (l *Link[M]) run() {
 	for {
 		first := <-l.queue
 		conn, err := net.DialTimeout("tcp4", l.addr, l.timeout)
 		if err != nil {
-			l.log.Debug("peer unreachable", "address", l.addr, "error", err)
+			l.log.Debug("controller unreachable, queued messages dropped", "address", l.addr, "error", err)
 			l.dropQueued()
-			time.Sleep(l.timeout / redialFraction)
+			time.Sleep(l.timeout / redialDelayDivisor)
 			continue
 		}
 		err = l.writeMessages(conn, first)
 		conn.Close()
-		l.log.Debug("peer link failed", "address", l.addr, "error", err)
+		l.log.Debug("connection to controller failed, queued messages dropped", "address", l.addr, "error", err)
 		l.dropQueued()
 	}
 }
 
-// dropQueued drops what was meant for an unreachable controller: stale messages
-// would only delay the fresh ones.
+// dropQueued drops the queued messages of an unreachable controller: stale messages would only
+// delay new ones.
 func (l *Link[M]) dropQueued() {
 	for {
 		select {
@@ -72,7 +73,7 @@
 	}
 }
 
-// writeMessages writes messages until an error, those that wait together in one write.
+// writeMessages writes messages until an error occurs. Queued messages are batched into one write.
 func (l *Link[M]) writeMessages(conn net.Conn, first *M) error {
 	encoder := newFrameEncoder[M]()
 	for message := first; ; message = <-l.queue {
@@ -84,15 +85,15 @@
 			return err
 		}
 		if err := conn.SetWriteDeadline(time.Now().Add(l.timeout)); err != nil {
-			return fmt.Errorf("write: %w", err)
+			return fmt.Errorf("set write deadline: %w", err)
 		}
 		if _, err := conn.Write(encoder.frames); err != nil {
-			return fmt.Errorf("write: %w", err)
+			return fmt.Errorf("write messages: %w", err)
 		}
 	}
 }
 
-// addQueued encodes the messages that wait, up to the size of a batch.
+// addQueued adds queued messages to the batch until it has maxBatchBytes.
 func (l *Link[M]) addQueued(encoder *frameEncoder[M]) error {
 	for len(encoder.frames) < maxBatchBytes {
 		select {
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// frameEncoder encodes the messages of one connection. Gob sends each type once for a
-// connection, so an encoder is not used for another one.
+// frameEncoder encodes the messages of one connection. Gob sends each type definition once per
+// stream, so every connection needs a new encoder.
 type frameEncoder[M any] struct {
 	frames     []byte
 	body       bytes.Buffer
@@ -121,16 +122,16 @@
 	return e
 }
 
-// add appends a message to the frames.
+// add encodes a message and appends it to the frames.
 func (e *frameEncoder[M]) add(message *M) error {
 	e.body.Reset()
 	if err := e.gobEncoder.Encode(message); err != nil {
-		return fmt.Errorf("encode: %w", err)
+		return fmt.Errorf("encode message: %w", err)
 	}
 	e.frames = binary.BigEndian.AppendUint32(e.frames, uint32(e.body.Len()))
 	e.frames = append(e.frames, e.body.Bytes()...)
 	return nil
 }
 
-// reset drops the frames, which were written.
+// reset removes the frames after they were written.
 func (e *frameEncoder[M]) reset() { e.frames = e.frames[:0] }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// readMessages reads from a connection in small pieces until there are that many messages.
+// readMessages reads count messages from a connection, in reads that end within messages.
 func readMessages(t *testing.T, conn net.Conn, count int) []*wire.PeerMessage {
 	t.Helper()
 	decoder := NewDecoder[wire.PeerMessage]()
@@ -30,7 +30,7 @@
 	return messages
 }
 
-// TestLinkDelivers sends messages over a real connection, in order and whole.
+// TestLinkDelivers checks that messages sent over a TCP connection arrive complete and in order.
 func TestLinkDelivers(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -51,10 +51,10 @@
 	for i, m := range readMessages(t, conn, 40) {
 		id := uint64(i/2 + 1)
 		if i%2 == 0 && (m.Forward == nil || m.Forward.ID != id || !bytes.Equal(m.Forward.Body, body)) {
-			t.Fatalf("message %d: %+v", i, m)
+			t.Fatalf("message %d: got %+v, want the Forward that was sent", i, m)
 		}
 		if i%2 == 1 && (m.Digest == nil || m.Digest.Term != id || len(m.Digest.Jobs) != 1) {
-			t.Fatalf("message %d: %+v", i, m)
+			t.Fatalf("message %d: got %+v, want the Digest that was sent", i, m)
 		}
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -1,5 +1,5 @@
 // Package worker is the client for direct commands to workers. It owns one connection to each
-// worker that was called recently, within a part of the controller's sockets. Package node calls it.
+// recently called worker, within a share of the controller's connections. Package node calls it.
 package worker
 
 import (
@@ -14,28 +14,28 @@
 	"github.com/brookwalk/brookwalk/internal/httpcall"
 )
 
-// connectionsPerCall is how many of the controller's connections there are for each direct
-// command under way.
+// connectionsPerCall is the ratio of the controller's connection limit to the number of concurrent
+// direct commands.
 const connectionsPerCall = 8
 
-// Client keeps a connection to each worker that was called recently, under one bound for those in
-// use and those that are idle.
+// Client keeps a connection to each recently called worker. One limit covers the connections in use
+// and the idle ones.
 type Client struct {
 	semaphore budget.Semaphore
 
 	mu           sync.Mutex
 	connections  map[string]*list.Element // of *connection, by address
-	recentlyUsed *list.List               // the latest use first
+	recentlyUsed *list.List               // of *connection, most recently used first
 }
 
-// connection is the link to one worker. activeCalls is guarded by Client.mu.
+// connection is the connection to one worker. activeCalls is guarded by Client.mu.
 type connection struct {
 	addr        string
 	http        httpwire.Client
 	activeCalls int
 }
 
-// New makes a client that keeps its sockets to a part of the settings' limit.
+// New creates a client that uses at most its share of the settings' connection limit.
 func New(settings *config.Settings) *Client {
 	calls := max(1, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)
 	return &Client{
@@ -45,8 +45,8 @@
 	}
 }
 
-// Do executes a call and blocks until it ends. A call that gets no socket in
-// time was not sent.
+// Do makes a call and blocks until it ends. A call that gets no connection within its timeout is
+// reported as not sent.
 func (c *Client) Do(call core.Call) core.Result {
 	deadline := time.Now().Add(call.Timeout)
 	if !c.semaphore.Acquire(call.Timeout) {
@@ -58,7 +58,7 @@
 	return httpcall.Do(&conn.http, &call, deadline)
 }
 
-// acquire finds or makes the connection to an address, for one call.
+// acquire returns the connection to an address for one call, and creates it if there is none.
 func (c *Client) acquire(addr string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,9 +74,9 @@
 	return conn
 }
 
-// evictIdle closes the connection that has been idle for longest if the bound is reached, so that
-// one more can be opened; never all of them. A wave of commands to many workers would
-// otherwise dial each of them anew.
+// evictIdle closes the least recently used idle connection if the limit is reached, so that one
+// more can be opened. It keeps the others: commands to many workers at once would otherwise dial
+// each worker again.
 func (c *Client) evictIdle() {
 	var previous *list.Element
 	for element := c.recentlyUsed.Back(); element != nil && len(c.connections) >= cap(c.semaphore); element = previous {
@@ -98,5 +98,5 @@
 	conn.activeCalls--
 }
 
-// connectionOf is the connection that an element of Client.recentlyUsed holds.
+// connectionOf returns the connection in an element of Client.recentlyUsed.
 func connectionOf(element *list.Element) *connection { return element.Value.(*connection) }
--- a/internal/worker/worker_test.go
+++ b/internal/worker/worker_test.go
@@ -9,12 +9,12 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// response is what the fake workers answer.
+// response is a fake worker's answer to every request.
 const response = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"
 
-// fakeWorkers listen on loopback.
+// fakeWorkers accepts connections of several workers on loopback.
 type fakeWorkers struct {
-	accepted chan string // the addresses to which connections were made
+	accepted chan string // the worker's address, for each accepted connection
 	respond  func(net.Conn) error
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// serve responds to the requests of a connection until its client closes it.
+// serve answers the requests of a connection until the client closes it.
 func (f *fakeWorkers) serve(conn net.Conn) {
 	defer conn.Close()
 	buf := make([]byte, 4096)
@@ -56,14 +56,14 @@
 	}
 }
 
-// status asks a worker for its state.
-func status(client *Client, addr string, timeout time.Duration) core.Result {
+// requestStatus requests a worker's state.
+func requestStatus(client *Client, addr string, timeout time.Duration) core.Result {
 	return client.Do(core.Call{Address: addr, Method: "GET", Path: "/status", Timeout: timeout})
 }
 
-// TestConnectionLimit sends commands to more workers than there are sockets for. The
-// client keeps to its part of them, closes the connection that is idle for longest, not
-// all of them, and does not send what gets no socket in time.
+// TestConnectionLimit calls more workers than the client may have connections to. The client must
+// keep to its limit, evict only the least recently used idle connection, and report a call as not
+// sent if all connections are in use until its timeout.
 func TestConnectionLimit(t *testing.T) {
 	const limit = 4
 	client := New(&config.Settings{Deployment: config.Deployment{
@@ -79,38 +79,39 @@
 		addresses = append(addresses, workers.listen(t))
 	}
 	for _, address := range addresses {
-		if result := status(client, address, time.Minute); result.Status != 200 {
-			t.Fatalf("status %d", result.Status)
+		if result := requestStatus(client, address, time.Minute); result.Status != 200 {
+			t.Fatalf("call to a worker: got status %d, want 200", result.Status)
 		}
 	}
 	if len(client.connections) != limit {
-		t.Errorf("%d connections are kept, %d allowed", len(client.connections), limit)
+		t.Errorf("kept connections: got %d, want %d", len(client.connections), limit)
 	}
 	for range addresses {
 		<-accepted
 	}
 	for _, address := range addresses[1:] {
-		status(client, address, time.Minute)
+		requestStatus(client, address, time.Minute)
 	}
 	if len(accepted) != 0 {
-		t.Errorf("%d kept connections were dialled again", len(accepted))
+		t.Errorf("calls to the most recent workers dialled %d connections, want 0", len(accepted))
 	}
-	if status(client, addresses[0], time.Minute); len(accepted) != 1 {
-		t.Error("the oldest connection was kept beyond the limit")
+	if requestStatus(client, addresses[0], time.Minute); len(accepted) != 1 {
+		t.Error("call to the least recently used worker did not dial, want its connection evicted")
 	}
-	hangingCalls(t, client, limit)
-	if result := status(client, addresses[1], time.Millisecond); !result.NotSent {
-		t.Errorf("a call without a socket: %+v", result)
+	startHangingCalls(t, client, limit)
+	if result := requestStatus(client, addresses[1], time.Millisecond); !result.NotSent {
+		t.Errorf("call while all connections are in use: got %+v, want NotSent", result)
 	}
 }
 
-// hangingCalls makes calls to a worker that does not respond, and returns once all are under way.
-func hangingCalls(t *testing.T, client *Client, count int) {
+// startHangingCalls makes calls to a worker that does not respond, and returns once all are in
+// flight.
+func startHangingCalls(t *testing.T, client *Client, count int) {
 	t.Helper()
 	hanging := &fakeWorkers{accepted: make(chan string, count), respond: func(net.Conn) error { return nil }}
 	address := hanging.listen(t)
 	for range count {
-		go status(client, address, time.Minute)
+		go requestStatus(client, address, time.Minute)
 	}
 	for len(client.semaphore) < count {
 		time.Sleep(time.Millisecond)
