--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,7 @@
-// Package config reads and validates the settings that the platform hands to a controller, and
-// the operators' own. It owns the names and forms of both files and the checks on their values;
-// it reads files and nothing else. Command brookwalk loads them, and hands them to all others.
+// Package config reads and validates the settings that the platform gives a controller, and the
+// operators' own settings. It owns the field names and formats of both files and the checks on
+// their values. It does nothing but read files. Command brookwalk loads both and passes them to the
+// other packages.
 package config
 
 import (
@@ -36,5 +37,5 @@
 	return &settings, nil
 }
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -55,15 +55,16 @@
 max_connections = 800
 `
 
-// expectError parses the valid settings with one part replaced, and expects an error with a text.
+// expectError parses the valid settings with one part replaced, and expects an error that contains
+// a text.
 func expectError(t *testing.T, part, replacement, want string) {
 	t.Helper()
 	if !strings.Contains(validSettings, part) {
-		t.Fatalf("%q is not in the settings", part)
+		t.Fatalf("part to replace: %q is not in the valid settings", part)
 	}
 	_, err := Parse(strings.Replace(validSettings, part, replacement, 1))
 	if err == nil || !strings.Contains(err.Error(), want) {
-		t.Errorf("with %q: error %v does not say %q", replacement, err, want)
+		t.Errorf("settings with %q: got error %v, want one that contains %q", replacement, err, want)
 	}
 }
 
@@ -73,7 +74,7 @@
 		t.Fatal(err)
 	}
 	if !slices.Equal(settings.IgnoredFields, []string{"unknown_field"}) {
-		t.Errorf("ignored %q, want the unknown field", settings.IgnoredFields)
+		t.Errorf("ignored fields: got %q, want only unknown_field", settings.IgnoredFields)
 	}
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"no name", `host_name = "node-0"`, ``, "host_name"},
@@ -81,16 +82,16 @@
 		{"an address with a port that is too high", `listen = "127.0.0.1:8080"`, `listen = "127.0.0.1:99999"`, "listen"},
 		{"a lease of 0", `lease_s = 10.0`, `lease_s = 0.0`, "lease_s"},
 		{"a lease of another type", `lease_s = 10.0`, `lease_s = "ten"`, "parse"},
-		{"a name twice", `host_name = "node-1"`, `host_name = "node-0"`, "repeated"},
-		{"no limit of a transaction", `txn_ops = 16`, ``, "txn_ops"},
+		{"a repeated name", `host_name = "node-1"`, `host_name = "node-0"`, "repeated"},
+		{"no transaction limit", `txn_ops = 16`, ``, "txn_ops"},
 	} {
 		t.Run(tc.name, func(t *testing.T) { expectError(t, tc.old, tc.new, tc.want) })
 	}
 }
 
-// TestContradictorySettings parses settings with which no deployment can be served. The
-// error names the field and what is expected of it.
-func TestContradictorySettings(t *testing.T) {
+// TestInvalidSettings parses settings that are missing a required field, or have an invalid
+// or inconsistent value. The error must name the field and what is expected of it.
+func TestInvalidSettings(t *testing.T) {
 	const peer = `[[peers]]
 host_name = "node-1"
 location = "west"
@@ -104,35 +105,35 @@
 	for _, tc := range []struct{ name, old, new, want string }{
 		{"no zones", `zones = ["east", "west"]`, ``, "deployment.zones: missing, at least one zone is expected"},
 		{"an empty list of zones", `zones = ["east", "west"]`, `zones = []`, "deployment.zones: missing"},
-		{"a zone twice", `zones = ["east", "west"]`, `zones = ["east", "west", "east"]`, `deployment.zones[2]: "east" is missing or repeated`},
+		{"a repeated zone", `zones = ["east", "west"]`, `zones = ["east", "west", "east"]`, `deployment.zones[2]: "east" is missing or repeated`},
 		{"a zone without a name", `zones = ["east", "west"]`, `zones = ["east", "west", ""]`, `deployment.zones[2]: "" is missing or repeated`},
-		{"a zone that is no text", `zones = ["east", "west"]`, `zones = [1]`, "deployment.zones"},
-		{"the controller's zone is not the deployment's", `location = "east"`, `location = "north"`, `location: "north" is not one of deployment.zones ["east" "west"]`},
+		{"a zone that is not a string", `zones = ["east", "west"]`, `zones = [1]`, "deployment.zones"},
+		{"the controller's zone is not in the deployment", `location = "east"`, `location = "north"`, `location: "north" is not one of deployment.zones ["east" "west"]`},
 		{"the controller has no zone", `location = "east"`, ``, `location: "" is not one of`},
-		{"a peer's zone is not the deployment's", `location = "west"`, `location = "north"`, `peers[0].location: "north" is not one of`},
+		{"a peer's zone is not in the deployment", `location = "west"`, `location = "north"`, `peers[0].location: "north" is not one of`},
 		{"no peers", peer, ``, "peers: missing, deployment.size is 3"},
-		{"a peer twice", peer, peer + peer, `peers[1].host_name: "node-1" is missing or repeated`},
+		{"a repeated peer", peer, peer + peer, `peers[1].host_name: "node-1" is missing or repeated`},
 		{"a peer that is the controller itself", `host_name = "node-1"`, `host_name = "node-0"`, `peers[0].host_name: "node-0" is missing or repeated`},
 		{"a peer without an address", `peer_addr = "127.0.0.2:8081"`, ``, `peers[0].peer_addr: "" is not an IP address with a port`},
 		{"no teams", team, ``, "deployment.teams: missing, at least one team is expected"},
-		{"a team twice", team, team + team, `deployment.teams[1].name: "vision" is missing or repeated`},
+		{"a repeated team", team, team + team, `deployment.teams[1].name: "vision" is missing or repeated`},
 		{"a negative guarantee", `gpus = 1000.0`, `gpus = -1.0`, "deployment.teams[0].gpus: must be 0 or greater, is -1"},
 		{"a guarantee that is not a number", `gpus = 1000.0`, `gpus = nan`, "deployment.teams[0].gpus: must be 0 or greater, is NaN"},
 		{"a limit that is not a number", `gpus_max = 100.0`, `gpus_max = nan`, "deployment.teams[0].gpus_max: must be 0 or greater, is NaN"},
-		{"a limit without end", `gpus_max = 100.0`, `cpus_max = inf`, "deployment.teams[0].cpus_max: must be 0 or greater, is +Inf"},
+		{"an infinite limit", `gpus_max = 100.0`, `cpus_max = inf`, "deployment.teams[0].cpus_max: must be 0 or greater, is +Inf"},
 		{"a limit of another type", `gpus_max = 100.0`, `gpus_max = "many"`, "deployment.teams.gpus_max"},
 		{"a wait that is not a number", `within_s = 10.0`, `within_s = nan`, "deployment.objectives[0].within_s: must be 0 or greater, is NaN"},
 		{"a negative share", `share = 0.9`, `share = -0.9`, "deployment.objectives[0].share: must be 0 or greater, is -0.9"},
 		{"a lease of 0", `lease_s = 10.0`, `lease_s = 0.0`, "deployment.workers.lease_s: must be greater than 0"},
 		{"a negative lease", `lease_s = 10.0`, `lease_s = -10.0`, "deployment.workers.lease_s: must be greater than 0"},
 		{"a lease that is not a number", `lease_s = 10.0`, `lease_s = nan`, "deployment.workers.lease_s: must be greater than 0"},
-		{"a lease without end", `lease_s = 10.0`, `lease_s = inf`, "deployment.workers.lease_s: must be greater than 0 and at most"},
+		{"an infinite lease", `lease_s = 10.0`, `lease_s = inf`, "deployment.workers.lease_s: must be greater than 0 and at most"},
 		{"a lease of another type", `lease_s = 10.0`, `lease_s = true`, "deployment.workers.lease_s"},
-		{"a lease shorter than a report", `lease_s = 10.0`, `lease_s = 1.0`, "deployment.workers.lease_s: must be greater than 1.875"},
-		{"a lease that a late report misses", `lease_s = 10.0`, `lease_s = 1.875`, "deployment.workers.lease_s: must be greater than 1.875"},
-		{"no room for a cancellation after a lease", `cancel_s = 35.0`, `cancel_s = 10.0`, "deployment.workers.cancel_s: must be greater than lease_s, 10, is 10"},
-		{"a cancellation that is not a number", `cancel_s = 35.0`, `cancel_s = nan`, "deployment.workers.cancel_s: must be greater than 0"},
-		{"no time for a gang", `gang_wait_s = 50.0`, `gang_wait_s = 0.0`, "deployment.workers.gang_wait_s: must be greater than 0"},
+		{"a lease shorter than the heartbeat interval", `lease_s = 10.0`, `lease_s = 1.0`, "deployment.workers.lease_s: must be greater than 1.875"},
+		{"a lease equal to the longest heartbeat interval", `lease_s = 10.0`, `lease_s = 1.875`, "deployment.workers.lease_s: must be greater than 1.875"},
+		{"a cancellation time equal to the lease", `cancel_s = 35.0`, `cancel_s = 10.0`, "deployment.workers.cancel_s: must be greater than lease_s, 10, is 10"},
+		{"a cancellation time that is not a number", `cancel_s = 35.0`, `cancel_s = nan`, "deployment.workers.cancel_s: must be greater than 0"},
+		{"a gang wait of 0", `gang_wait_s = 50.0`, `gang_wait_s = 0.0`, "deployment.workers.gang_wait_s: must be greater than 0"},
 		{"a negative list lag", `list_lag_s = 10.0`, `list_lag_s = -1.0`, "deployment.cloud.list_lag_s: must be 0 or greater, is -1"},
 		{"a list lag that is not a number", `list_lag_s = 10.0`, `list_lag_s = nan`, "deployment.cloud.list_lag_s: must be 0 or greater, is NaN"},
 		{"a skew that is not a number", `skew_ms = 5.0`, `skew_ms = nan`, "deployment.skew_ms: must be 0 or greater, is NaN"},
@@ -142,17 +143,17 @@
 	}
 }
 
-// TestValidationError checks that all problems are named at once.
+// TestValidationError checks that one error lists all problems.
 func TestValidationError(t *testing.T) {
 	text := strings.Replace(validSettings, `lease_s = 10.0`, `lease_s = 0.0`, 1)
 	text = strings.Replace(text, `ram_mb = 98.0`, ``, 1)
 	_, err := Parse(text)
 	var invalid *ValidationError
 	if !errors.As(err, &invalid) {
-		t.Fatalf("error %v is no ValidationError", err)
+		t.Fatalf("error %v: want a ValidationError", err)
 	}
 	if len(invalid.Problems) != 2 {
-		t.Errorf("problems %q, want one of the lease and one of the memory", invalid.Problems)
+		t.Errorf("problems: got %q, want one for lease_s and one for ram_mb", invalid.Problems)
 	}
 }
 
@@ -161,8 +162,8 @@
 	for _, tc := range []struct{ text, want string }{
 		{"warm_machines = 3\nidle_return_s = 20.0\nlog_level = \"debug\"", ""},
 		{"warm_machine = 3", "unknown key"},
-		{"warm_machines = -1", "below 0"},
-		{"idle_return_s = -1.0", "below 0"},
+		{"warm_machines = -1", "warm_machines: must be 0 or greater"},
+		{"idle_return_s = -1.0", "idle_return_s: must be 0 or greater"},
 		{"regions_file = \"r.toml\"\nregion = \"north\"\nregion_listen = \"127.0.0.1:9301\"", ""},
 		{"regions_file = \"r.toml\"\nregion_listen = \"127.0.0.1:9301\"", "region: missing"},
 		{"region = \"north\"\nregion_listen = \"127.0.0.1:9301\"", "regions_file: missing"},
@@ -174,14 +175,14 @@
 			}
 			_, err := LoadOperator(path)
 			if tc.want == "" && err != nil || tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)) {
-				t.Errorf("error %v, want %q", err, tc.want)
+				t.Errorf("got error %v, want one that contains %q, or none if that is empty", err, tc.want)
 			}
 		})
 	}
 }
 
-// TestNextStoreLimits parses the limits that the key-value store will have: what is
-// written keeps to the lower of both, and impossible ones are named.
+// TestNextStoreLimits parses next limits of the key-value store. The controller must keep to the
+// lower of the current and the next limits, and the error for an invalid one must name its field.
 func TestNextStoreLimits(t *testing.T) {
 	with := func(next string) string { return validSettings + "[deployment.state.next]\n" + next }
 	for _, tc := range []struct {
@@ -219,35 +220,36 @@
 		t.Run(tc.next, func(t *testing.T) {
 			settings, err := Parse(with(tc.next))
 			if tc.bad != "" {
-				expectParts(t, err, tc.bad)
+				expectErrorTexts(t, err, tc.bad)
 				return
 			}
 			if err != nil {
 				t.Fatal(err)
 			}
 			if got := settings.Deployment.Store.Strictest(); got != tc.want {
-				t.Errorf("bound by %+v, want %+v", got, tc.want)
+				t.Errorf("strictest limits: got %+v, want %+v", got, tc.want)
 			}
 		})
 	}
 	for _, next := range []string{"5", "\"low\"", "[1]", "true"} {
 		_, err := Parse(strings.Replace(validSettings, "txn_ops = 16", "txn_ops = 16\nnext = "+next, 1))
 		if err == nil || !strings.Contains(err.Error(), "deployment.state.next") || !strings.Contains(err.Error(), "expected table") {
-			t.Errorf("next = %s: error %v", next, err)
+			t.Errorf("next = %s: got error %v, want one that names deployment.state.next and an expected table", next, err)
 		}
 	}
 	settings, err := Parse(validSettings)
 	if err != nil || settings.Deployment.Store.Strictest() != settings.Deployment.Store {
-		t.Errorf("without next limits: %+v, %v", settings, err)
+		t.Errorf("without next limits: got settings %+v, error %v, want the current limits as strictest", settings, err)
 	}
 }
 
-// expectParts expects an error with each of the texts that are separated by a bar.
-func expectParts(t *testing.T, err error, parts string) {
+// expectErrorTexts expects an error that contains each of the texts in parts, which are separated
+// by a vertical bar.
+func expectErrorTexts(t *testing.T, err error, parts string) {
 	t.Helper()
 	for part := range strings.SplitSeq(parts, "|") {
 		if err == nil || !strings.Contains(err.Error(), part) {
-			t.Errorf("error %v, want one that names %s", err, part)
+			t.Errorf("got error %v, want one that contains %s", err, part)
 		}
 	}
 }
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,23 +7,24 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator is the operators' own optional file. Its fields may be missing.
+// Operator holds the operators' settings, from an optional file in which every field is optional.
 type Operator struct {
-	// LogLevel is the log level that holds when LOG_LEVEL is not set.
+	// LogLevel is the log level if the environment variable LOG_LEVEL is not set.
 	LogLevel string `toml:"log_level"`
-	// WarmMachines bounds how many idle machines are kept for expected work.
+	// WarmMachines limits how many idle machines are kept for expected work.
 	WarmMachines *int `toml:"warm_machines"`
-	// IdleReturnS is how many seconds a machine stays idle before it is returned.
+	// IdleReturnS is how long a machine stays idle before it is returned, in seconds.
 	IdleReturnS *float64 `toml:"idle_return_s"`
-	// RegionsFile names the file of the regions that share limits, Region is this one and
-	// RegionListen the address for the others' messages. All three are given or none.
+	// RegionsFile is the path of the file that lists the regions that share limits, Region is
+	// the name of this region, and RegionListen is the address for messages of other regions.
+	// All three must be set, or none.
 	RegionsFile  string `toml:"regions_file"`
 	Region       string `toml:"region"`
 	RegionListen string `toml:"region_listen"`
 }
 
-// LoadOperator reads and validates the operators' file; an unknown key is an error. An
-// empty path gives the defaults.
+// LoadOperator reads and validates the operators' settings. An unknown key is an error. An empty
+// path gives the defaults.
 func LoadOperator(path string) (*Operator, error) {
 	var operator Operator
 	if path == "" {
@@ -42,18 +43,18 @@
 	return &operator, nil
 }
 
-// validate names the first problem.
+// validate returns the first problem.
 func (o *Operator) validate() error {
 	if o.WarmMachines != nil && *o.WarmMachines < 0 {
-		return errors.New("warm_machines: below 0")
+		return errors.New("warm_machines: must be 0 or greater")
 	}
 	if o.IdleReturnS != nil && *o.IdleReturnS < 0 {
-		return errors.New("idle_return_s: below 0")
+		return errors.New("idle_return_s: must be 0 or greater")
 	}
 	return o.validateRegions()
 }
 
-// validateRegions checks that all of the fields of regions are given or none.
+// validateRegions checks that the three fields of regions are all set, or none.
 func (o *Operator) validateRegions() error {
 	if o.RegionsFile == "" && o.Region == "" && o.RegionListen == "" {
 		return nil
@@ -64,7 +65,7 @@
 		{"region", o.Region},
 	} {
 		if field.value == "" {
-			found.addf("%s: missing, it goes with region_listen, region and regions_file", field.name)
+			found.addf("%s: missing, regions_file, region and region_listen must be set together", field.name)
 		}
 	}
 	found.address("region_listen", o.RegionListen)
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// Settings is the file that the platform hands to every controller. Unknown fields are ignored.
+// Settings is the file that the platform gives every controller. Unknown fields are ignored.
 type Settings struct {
-	// Name is the controller's name and Zone the one that it runs in.
+	// Name is the controller's name, and Zone is the zone that it runs in.
 	Name string `toml:"host_name"`
 	Zone string `toml:"location"`
-	// Listen is the address for users and workers, PeerListen the one for the other controllers
-	// of the region.
+	// Listen is the address for users and workers, and PeerListen the address for the other
+	// controllers of the region.
 	Listen     string     `toml:"listen"`
 	PeerListen string     `toml:"back"`
 	Peers      []Peer     `toml:"peers"`
 	External   External   `toml:"external"`
 	Deployment Deployment `toml:"deployment"`
 
-	// IgnoredFields names the unknown fields of the file.
+	// IgnoredFields lists the unknown fields of the file.
 	IgnoredFields []string `toml:"-"`
 }
 
@@ -32,12 +32,12 @@
 	Store string `toml:"state"` // the key-value store
 }
 
-// Deployment describes what all controllers share.
+// Deployment holds the settings that are the same for all controllers of the region.
 type Deployment struct {
 	// Size is the number of controllers.
 	Size  int      `toml:"size"`
 	Zones []string `toml:"zones"`
-	// SkewMs bounds how far a controller's time of day is from true time, in milliseconds.
+	// SkewMs bounds the error of a controller's wall clock, in milliseconds.
 	SkewMs        float64       `toml:"skew_ms"`
 	Teams         []Team        `toml:"teams"`
 	Objectives    []Objective   `toml:"objectives"`
@@ -47,12 +47,12 @@
 	MachineLimits MachineLimits `toml:"machine_limits"`
 }
 
-// MaxWorkers is how many workers can send heartbeats to that many controllers.
+// MaxWorkers returns how many workers can send heartbeats to the given number of controllers.
 func (d *Deployment) MaxWorkers(controllers int) int {
 	return max(1, controllers) * d.MachineLimits.MaxIncoming()
 }
 
-// Team is a team's guarantee and limit; 0 means none.
+// Team holds a team's guarantees (CPUs, GPUs) and limits (CPUsMax, GPUsMax); 0 means none.
 type Team struct {
 	Name    string  `toml:"name"`
 	CPUs    float64 `toml:"cpus"`
@@ -61,11 +61,12 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// Objective is a service-level objective of a class of jobs: a share of them within a time.
+// Objective is a service-level objective for a class of jobs: the share of them that must meet a
+// time limit.
 type Objective struct {
 	Kind  string `toml:"kind"`
 	Class string `toml:"class"`
-	// WithinS is in seconds.
+	// WithinS is the time limit, in seconds.
 	WithinS float64 `toml:"within_s"`
 	Share   float64 `toml:"share"`
 }
@@ -74,40 +75,40 @@
 type WorkerTimings struct {
 	// ReportS is the time between two heartbeats of a worker.
 	ReportS float64 `toml:"report_s"`
-	// LeaseS is how long after its last answered heartbeat a worker kills its tasks.
+	// LeaseS is how long after its last answered heartbeat a worker terminates its tasks.
 	LeaseS float64 `toml:"lease_s"`
-	// GangWaitS is how long a task waits for its gang to be complete.
+	// GangWaitS is how long a task waits for the other tasks of its gang before it exits.
 	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerS is how soon the tasks of a gang notice that one of them has ended.
+	// GangPeerS is within what time the tasks of a gang detect that one of them has ended.
 	GangPeerS float64 `toml:"gang_peer_s"`
 	// CancelS is how soon after a confirmed cancellation no task of the job may run.
 	CancelS float64 `toml:"cancel_s"`
 }
 
-// Lease is how long a worker keeps its tasks without an answer to a heartbeat.
+// Lease returns how long a worker keeps its tasks without an answer to a heartbeat.
 func (w *WorkerTimings) Lease() time.Duration { return Seconds(w.LeaseS) }
 
-// HeartbeatInterval is the time between two heartbeats of a worker, plus or minus a quarter.
+// HeartbeatInterval returns the time between two heartbeats of a worker, which varies by up to 25%.
 func (w *WorkerTimings) HeartbeatInterval() time.Duration { return Seconds(w.ReportS) }
 
-// CancelTime is within what time a cancelled job's tasks have to have terminated.
+// CancelTime returns the time within which all tasks of a cancelled job must have terminated.
 func (w *WorkerTimings) CancelTime() time.Duration { return Seconds(w.CancelS) }
 
 // StoreLimits holds the limits of the key-value store.
 type StoreLimits struct {
-	// RPS is requests a second, WriteRPS puts and deletes a second.
+	// RPS limits requests a second, and WriteRPS puts and deletes a second.
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	// ValueKB bounds a value, in KiB.
 	ValueKB float64 `toml:"value_kb"`
 	// TxnOps bounds the puts and deletes of a transaction.
 	TxnOps int `toml:"txn_ops"`
-	// Next are the limits from some later moment on, which comes without
-	// notice. What it leaves out, and has as 0 here, stays as it is.
+	// Next holds limits that will take effect at an unknown later time, without notice. A field
+	// that the file leaves out is 0 here and does not change.
 	Next *StoreLimits `toml:"next"`
 }
 
-// Strictest returns the lower of the present and the next limits.
+// Strictest returns the lower value of the current and the next limits, field by field.
 func (s StoreLimits) Strictest() StoreLimits {
 	strictest := s
 	strictest.Next = nil
@@ -121,37 +122,37 @@
 	return strictest
 }
 
-// lowerLimit is the lower of a present and a next limit, which is 0 if it stays as it is.
-func lowerLimit[T int | float64](present, next T) T {
-	if next > 0 && next < present {
+// lowerLimit returns the lower of a current and a next limit. A next limit of 0 means no change.
+func lowerLimit[T int | float64](current, next T) T {
+	if next > 0 && next < current {
 		return next
 	}
-	return present
+	return current
 }
 
 // CloudLimits holds the limits of the cloud.
 type CloudLimits struct {
-	// RPS is requests a second.
+	// RPS limits requests a second.
 	RPS float64 `toml:"rps"`
-	// ListLagS is by how many seconds the list of machines lags.
+	// ListLagS is by how many seconds the cloud's list of machines may be out of date.
 	ListLagS float64 `toml:"list_lag_s"`
 }
 
-// MachineLimits is what this machine grants a controller.
+// MachineLimits holds the resources that a controller may use on its machine.
 type MachineLimits struct {
-	// CPU is in cores, RAMMB in MiB.
+	// CPU is in cores, and RAMMB in MiB.
 	CPU   float64 `toml:"cpu"`
 	RAMMB float64 `toml:"ram_mb"`
-	// MaxConnections bounds the open connections, incoming and outgoing.
+	// MaxConnections limits the open connections, incoming and outgoing.
 	MaxConnections int `toml:"max_connections"`
 }
 
-// connectionsPerOutgoing is how many connections there are for each one that is reserved for the
-// key-value store, the cloud, the peers and direct commands.
+// connectionsPerOutgoing is the ratio of the connection limit to the connections that are reserved
+// for outgoing ones: to the key-value store, the cloud, the peers, and workers (direct commands).
 const connectionsPerOutgoing = 6
 
-// MaxIncoming is how many incoming connections a controller accepts. Workers come first: one
-// controller may have to handle the heartbeats of all workers.
+// MaxIncoming returns how many incoming connections a controller accepts. It is most of the limit,
+// since one controller may have to handle the heartbeats of all workers.
 func (l MachineLimits) MaxIncoming() int {
 	return max(1, l.MaxConnections-l.MaxConnections/connectionsPerOutgoing)
 }
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// isDefined reports whether a key is in the file: a limit of 0 is not one that is left out.
+// isDefined reports whether a key is in the file. It tells a limit of 0 from one that is left out.
 type isDefined func(key ...string) bool
 
-// validate names all that is missing or impossible.
+// validate returns an error with all missing and invalid fields.
 func (s *Settings) validate(defined isDefined) error {
 	var found problems
 	if s.Name == "" {
@@ -24,7 +24,7 @@
 	return found.err()
 }
 
-// validate checks what all controllers share.
+// validate checks the settings that are the same for all controllers.
 func (d *Deployment) validate(found *problems, defined isDefined) {
 	d.validateTeams(found)
 	d.validateObjectives(found)
@@ -38,8 +38,8 @@
 	found.positive("deployment.machine_limits.max_connections", float64(d.MachineLimits.MaxConnections))
 }
 
-// validatePeers checks that there are other controllers where there should be, each with a name
-// of its own.
+// validatePeers checks that a deployment of several controllers has peers, and that each has a
+// unique name and an address.
 func (s *Settings) validatePeers(found *problems) {
 	if len(s.Peers) == 0 && s.Deployment.Size > 1 {
 		found.addf("peers: missing, deployment.size is %d", s.Deployment.Size)
@@ -54,7 +54,8 @@
 	}
 }
 
-// validateZones checks that the deployment has zones and that every controller is in one of them.
+// validateZones checks that the deployment has zones, each once, and that every controller is in
+// one of them.
 func (s *Settings) validateZones(found *problems) {
 	zones := s.Deployment.Zones
 	if len(zones) == 0 {
@@ -105,11 +106,12 @@
 	}
 }
 
-// latestHeartbeatFactor is how long after the one before it a heartbeat may come, as a
-// multiple of report_s, by the protocol.
+// latestHeartbeatFactor is the longest time between two heartbeats that the protocol allows, as a
+// multiple of report_s.
 const latestHeartbeatFactor = 1.25
 
-// validate checks the timings and that they leave time for each other.
+// validate checks that each timing is valid, that the lease is longer than the longest heartbeat
+// interval, and that a cancellation may take longer than the lease.
 func (w *WorkerTimings) validate(found *problems) {
 	report := found.duration("deployment.workers.report_s", w.ReportS)
 	lease := found.duration("deployment.workers.lease_s", w.LeaseS)
@@ -117,20 +119,21 @@
 	found.duration("deployment.workers.gang_peer_s", w.GangPeerS)
 	cancel := found.duration("deployment.workers.cancel_s", w.CancelS)
 	if report && lease && w.LeaseS <= latestHeartbeatFactor*w.ReportS {
-		found.addf("deployment.workers.lease_s: must be greater than %v, report_s and the quarter by which a report may be late, is %v",
+		found.addf("deployment.workers.lease_s: must be greater than %v (report_s plus 25%% for a late heartbeat), is %v",
 			latestHeartbeatFactor*w.ReportS, w.LeaseS)
 	}
 	if lease && cancel && w.CancelS <= w.LeaseS {
-		// An unreachable worker kills the task of a cancelled job when its lease expires.
+		// An unreachable worker terminates the tasks of a cancelled job only when its lease
+		// expires.
 		found.addf("deployment.workers.cancel_s: must be greater than lease_s, %v, is %v", w.LeaseS, w.CancelS)
 	}
 }
 
-// minTxnOps is the least number of changes in a transaction: the end of a job takes
-// two.
+// minTxnOps is the lowest usable limit on the writes of a transaction: recording the end of a job
+// takes two.
 const minTxnOps = 2
 
-// validate checks the present and the next limits.
+// validate checks the current and the next limits.
 func (s *StoreLimits) validate(found *problems, defined isDefined) {
 	for _, limit := range s.namedLimits() {
 		found.positive("deployment.state."+limit.name, limit.value)
@@ -144,7 +147,7 @@
 	}
 }
 
-// validateNext checks next limits, of which any may be left out.
+// validateNext checks the next limits. Any of them may be left out.
 func (s *StoreLimits) validateNext(found *problems, defined isDefined) {
 	for _, limit := range s.namedLimits() {
 		if defined("deployment", "state", "next", limit.name) {
@@ -152,24 +155,24 @@
 		}
 	}
 	if defined("deployment", "state", "next", "next") {
-		found.addf("deployment.state.next.next: unexpected")
+		found.addf("deployment.state.next.next: unexpected, next limits cannot be nested")
 	}
 }
 
-// validateTxnOps checks for a number of changes that is positive, but too small.
+// validateTxnOps rejects a limit of writes per transaction that is positive and below minTxnOps.
 func (s *StoreLimits) validateTxnOps(found *problems, field string) {
 	if s.TxnOps == minTxnOps-1 {
 		found.addf("%s: must be at least %d, is %d", field, minTxnOps, s.TxnOps)
 	}
 }
 
-// namedLimit is a limit of the key-value store by its name in the file.
+// namedLimit is a limit of the key-value store with its name in the file.
 type namedLimit struct {
 	name  string
 	value float64
 }
 
-// namedLimits lists the limits.
+// namedLimits returns the limits.
 func (s *StoreLimits) namedLimits() []namedLimit {
 	return []namedLimit{
 		{"rps", s.RPS},
