--- a/cmd/brookwalk-hollow/main.go
+++ b/cmd/brookwalk-hollow/main.go
@@ -1,6 +1,6 @@
-// Command brookwalk-hollow runs real controllers among hollow workers, users, a cloud and a key-value
-// store on one machine, and reports the resources that they used, the traffic and the violations of
-// rules.
+// Command brookwalk-hollow runs real controllers with simulated ("hollow") workers, users, cloud
+// and key-value store on one machine. It reports the resources that the controllers used, the
+// traffic and the rule violations.
 package main
 
 import (
@@ -20,9 +20,9 @@
 	"github.com/brookwalk/brookwalk/internal/hollow"
 )
 
-// commandLine are the flags and arguments.
+// commandLine holds the flags and the commands.
 type commandLine struct {
-	LogLevel string `help:"What the run itself logs: error, warn, info or debug." default:"warn" enum:"error,warn,info,debug"`
+	LogLevel string `help:"Log level of this command: error, warn, info or debug." default:"warn" enum:"error,warn,info,debug"`
 
 	Run runCommand `cmd:"" help:"Run an experiment."`
 
@@ -31,16 +31,16 @@
 	} `cmd:"" help:"Check an experiment file and exit."`
 }
 
-// runCommand are the flags and arguments of the command that runs an experiment.
+// runCommand holds the flags and arguments of the command that runs an experiment.
 type runCommand struct {
 	File     string  `arg:"" help:"Experiment file (TOML)." type:"existingfile"`
-	Report   string  `help:"Write the report there, as JSON." type:"path" placeholder:"FILE"`
-	HTML     string  `help:"Write a page with plots there." name:"html" type:"path" placeholder:"FILE"`
-	Parquet  string  `help:"Write the course of the run there, as columns (Apache Parquet)." type:"path" placeholder:"FILE"`
+	Report   string  `help:"Write the report to this file, as JSON." type:"path" placeholder:"FILE"`
+	HTML     string  `help:"Write a page with plots to this file." name:"html" type:"path" placeholder:"FILE"`
+	Parquet  string  `help:"Write the measurements over time to this file (Apache Parquet)." type:"path" placeholder:"FILE"`
 	Scale    float64 `help:"Multiply machines, teams' limits and jobs." default:"1"`
-	Seconds  float64 `help:"Run for so long, in place of the file's time."`
+	Seconds  float64 `help:"Duration of the run in seconds; overrides the experiment file."`
 	Deploy   string  `help:"The deploy file, which says how the program is built and started." default:"deploy/service.toml" type:"path"`
-	Dir      string  `help:"Keep settings and controllers' logs there; a directory that is removed unless said." type:"path"`
+	Dir      string  `help:"Keep settings and controllers' logs in this directory; by default a temporary one that is removed afterwards." type:"path"`
 	Progress float64 `help:"Seconds between two lines of progress; 0 for none." default:"2"`
 }
 
@@ -53,7 +53,7 @@
 	}
 }
 
-// execute carries out a command.
+// execute runs a command.
 func (c *commandLine) execute(command string) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.LogLevel)); err != nil {
@@ -67,8 +67,8 @@
 	return c.Run.run(log)
 }
 
-// errViolations means that rules were violated in the run.
-var errViolations = errors.New("the run broke rules, see the report")
+// errViolations means that the run violated rules.
+var errViolations = errors.New("the run violated rules, see the report")
 
 // run runs the experiment and writes its report.
 func (r *runCommand) run(log *slog.Logger) error {
@@ -104,7 +104,7 @@
 	return nil
 }
 
-// experiment reads the experiment file, with the changes of the flags.
+// experiment reads the experiment file and applies the flags that override it.
 func (r *runCommand) experiment() (*hollow.Experiment, error) {
 	experiment, err := hollow.Load(r.File)
 	if err != nil {
@@ -120,7 +120,8 @@
 	return experiment, nil
 }
 
-// writeReport writes the report to the files that the flags name, and as a table to standard output.
+// writeReport writes the report to the files that the flags name, and as a table to standard
+// output.
 func (r *runCommand) writeReport(report *hollow.Report) error {
 	if r.Report != "" {
 		if err := report.WriteJSON(r.Report); err != nil {
@@ -140,8 +141,8 @@
 	return report.WriteTable(os.Stdout)
 }
 
-// buildProgram builds the program in the present directory as the deploy file says, and returns the
-// command that starts it.
+// buildProgram runs the build command of the deploy file in the current directory, and returns the
+// command that starts the program.
 func buildProgram(ctx context.Context, deployPath string) ([]string, error) {
 	var deploy struct{ Build, Run string }
 	if _, err := toml.DecodeFile(deployPath, &deploy); err != nil {
@@ -155,8 +156,8 @@
 	return strings.Fields(deploy.Run), nil
 }
 
-// makeDirectory makes the directory for settings and logs, a temporary one if the name is empty. remove
-// removes a temporary one.
+// makeDirectory creates the directory for settings and logs. If the name is empty, it is a
+// temporary directory, which the returned remove function deletes.
 func makeDirectory(name string) (dir string, remove func(), err error) {
 	if name != "" {
 		return name, func() {}, os.MkdirAll(name, 0o755)
--- a/cmd/brookwalk-hollow/main_test.go
+++ b/cmd/brookwalk-hollow/main_test.go
@@ -9,8 +9,9 @@
 	"github.com/brookwalk/brookwalk/internal/commandlinetest"
 )
 
-// TestCommandLine pins the names of commands, flags and environment variables. Kong derives them from
-// the names of struct fields; scripts use them.
+// TestCommandLine checks the names of commands, flags and environment variables, on which scripts
+// depend. Kong derives them from the names of struct fields, so that renaming a field can change
+// them.
 func TestCommandLine(t *testing.T) {
 	got := commandlinetest.Names(t, &commandLine{}, kong.Name("brookwalk-hollow"))
 	want := []string{
@@ -31,6 +32,6 @@
 		`brookwalk-hollow check <file> default="" required=true`,
 	}
 	if !slices.Equal(got, want) {
-		t.Errorf("command line:\n%q\nwant:\n%q", got, want)
+		t.Errorf("command line: got\n%q\nwant\n%q", got, want)
 	}
 }
--- a/cmd/brookwalk/commands.go
+++ b/cmd/brookwalk/commands.go
@@ -18,7 +18,7 @@
 // serveCommand runs the controller.
 type serveCommand struct{}
 
-// Run serves until the process ends or a listener fails.
+// Run serves requests until the process ends or a listener fails.
 func (serveCommand) Run(env *environment) error {
 	n := node.New(env.settings, env.operator, env.log)
 	if env.regions != nil {
@@ -30,7 +30,8 @@
 // checkCommand checks the settings.
 type checkCommand struct{}
 
-// Run prints what the settings, which are valid, amount to.
+// Run prints the ignored fields and how many workers the controllers can serve. The settings were
+// validated when they were loaded.
 func (checkCommand) Run(env *environment) error { //nolint:unparam // kong asks for an error
 	for _, field := range env.settings.IgnoredFields {
 		fmt.Printf("%s: unknown field, ignored\n", field)
@@ -43,14 +44,14 @@
 	return nil
 }
 
-// wakeCommand runs the activator of sleeping models.
+// wakeCommand runs the activator, which starts a replica of a sleeping model when a request comes.
 type wakeCommand struct {
 	Registry       string        `help:"Models that may sleep (TOML)." required:"" type:"path" placeholder:"FILE"`
 	Listen         string        `help:"Address for requests to models." default:"127.0.0.1:8090"`
-	RequestTimeout time.Duration `help:"How long a request waits at the most." default:"60s" name:"patience"`
+	RequestTimeout time.Duration `help:"Longest time that a request waits for a model." default:"60s" name:"patience"`
 }
 
-// Run serves requests to models until the process is asked to end.
+// Run serves requests to models until the process receives a termination signal.
 func (w *wakeCommand) Run(env *environment) error {
 	registry, err := wake.LoadRegistry(w.Registry)
 	if err != nil {
@@ -74,22 +75,22 @@
 	return nil
 }
 
-// awaitTermination blocks until the process is asked to end.
+// awaitTermination blocks until the process receives SIGINT or SIGTERM.
 func awaitTermination() {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	<-signals
 }
 
-// quotaTimeout bounds a request of quotaShowCommand to the key-value store.
+// quotaTimeout bounds each request of quotaShowCommand to the key-value store.
 const quotaTimeout = 5 * time.Second
 
-// quotaShowCommand reports the teams' limits that are shared with other regions.
+// quotaShowCommand prints this region's part of the team limits that are shared with other regions.
 type quotaShowCommand struct {
 	JSON bool `help:"Print JSON." name:"json"`
 }
 
-// Run prints what the region owns of the limits.
+// Run reads the region's shares of the limits from its key-value store and prints them.
 func (q *quotaShowCommand) Run(env *environment) error {
 	ownership, err := report.Read(env.settings.External.Store, quotaTimeout)
 	if err != nil {
@@ -101,12 +102,12 @@
 	return ownership.WriteTable(os.Stdout)
 }
 
-// quotaCheckCommand checks a regions file, which need not be in use.
+// quotaCheckCommand validates a regions file, whether or not the settings name it.
 type quotaCheckCommand struct {
 	File string `arg:"" help:"Regions file (TOML)." type:"existingfile"`
 }
 
-// Run loads the file.
+// Run loads the file and prints how many regions and teams it has.
 func (q *quotaCheckCommand) Run() error {
 	regions, err := plan.Load(q.File)
 	if err != nil {
--- a/cmd/brookwalk/environment.go
+++ b/cmd/brookwalk/environment.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
-// environment is what all commands have: the settings, and a log to standard error.
+// environment holds what the commands share: the settings, and a logger to standard error.
 type environment struct {
 	settings *config.Settings
 	operator *config.Operator
@@ -40,8 +40,8 @@
 	return &environment{settings: settings, operator: operator, regions: regions, log: slog.New(handler)}, nil
 }
 
-// loadRegions reads the regions file that the operators' settings name, and checks that this
-// controller is in it; nil if they name none.
+// loadRegions reads the regions file that the operators' settings name, and checks that it contains
+// this controller. It returns nil if they name none.
 func loadRegions(operator *config.Operator) (*plan.Plan, error) {
 	if operator.RegionsFile == "" {
 		return nil, nil
@@ -52,16 +52,16 @@
 	}
 	index := regions.Index(operator.Region)
 	if index < 0 {
-		return nil, fmt.Errorf("region: %s names no region %q", operator.RegionsFile, operator.Region)
+		return nil, fmt.Errorf("region: %s has no region %q", operator.RegionsFile, operator.Region)
 	}
 	if !slices.Contains(regions.Regions[index].Controllers, operator.RegionListen) {
-		return nil, fmt.Errorf("region_listen: %q is none of %s's controllers in %s",
+		return nil, fmt.Errorf("region_listen: %q is not a controller address of region %s in %s",
 			operator.RegionListen, operator.Region, operator.RegionsFile)
 	}
 	return regions, nil
 }
 
-// logLevel is the level that the environment variable LOG_LEVEL names, else the operators'
+// logLevel returns the level from the environment variable LOG_LEVEL, else from the operators'
 // settings, else info.
 func logLevel(operator *config.Operator) (slog.Level, error) {
 	name := os.Getenv("LOG_LEVEL")
@@ -76,6 +76,6 @@
 	case "debug":
 		return slog.LevelDebug, nil
 	default:
-		return 0, fmt.Errorf("LOG_LEVEL: %q is not error, info or debug", name)
+		return 0, fmt.Errorf("log level (LOG_LEVEL or log_level): %q is not error, info or debug", name)
 	}
 }
--- a/cmd/brookwalk/main.go
+++ b/cmd/brookwalk/main.go
@@ -1,6 +1,6 @@
-// Command brookwalk is one controller of a fleet that serves language models. It parses the
-// command line, loads and validates all settings, and runs one of the commands: the controller,
-// the activator of sleeping models, and checks and reports for operators.
+// Command brookwalk runs one controller of a fleet that serves language models. It parses the
+// command line, loads and validates all settings, and runs a command: the controller, the activator
+// of sleeping models (models without a replica), or a check or report for operators.
 package main
 
 import (
@@ -39,7 +39,7 @@
 	}
 }
 
-// run loads the settings, which every command validates, and runs the command.
+// run loads and validates the settings, which is done for every command, and runs the command.
 func run(parsed *kong.Context, cli *commandLine) error {
 	env, err := loadEnvironment(cli)
 	if err != nil {
--- a/httpwire/body.go
+++ b/httpwire/body.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// parseBody reads the body that a header announces, of at most limit bytes, and returns how many
-// bytes it took.
+// parseBody reads the body that a header describes, of at most limit bytes, and returns how many
+// bytes the body took.
 func parseBody(data []byte, header *messageHeader, limit int) ([]byte, int, error) {
 	if header.chunked {
 		return parseChunks(data, limit)
@@ -21,10 +21,10 @@
 	return append([]byte(nil), data[:header.contentLength]...), header.contentLength, nil
 }
 
-// maxChunkLineBytes bounds the line with a chunk's size.
+// maxChunkLineBytes limits the line with a chunk's size.
 const maxChunkLineBytes = 1024
 
-// parseChunks reads a body in chunks and the trailers behind it.
+// parseChunks reads a chunked body and its trailers.
 func parseChunks(data []byte, limit int) (body []byte, offset int, err error) {
 	for {
 		chunkSize, width, err := parseChunkSize(data[offset:])
@@ -54,8 +54,8 @@
 	}
 }
 
-// parseChunkSize reads the line with a chunk's size and returns how many bytes the line takes
-// as well. Extensions behind the size are ignored.
+// parseChunkSize reads the line with a chunk's size, and returns the size and how many bytes the
+// line takes. Extensions after the size are ignored.
 func parseChunkSize(data []byte) (size, width int, err error) {
 	end := bytes.Index(data, []byte(crlf))
 	if end < 0 {
@@ -72,8 +72,7 @@
 	return int(parsed), end + len(crlf), nil
 }
 
-// skipTrailers returns how many bytes the trailers take, if there are any, and the
-// empty line that ends them.
+// skipTrailers returns how many bytes the trailers, if any, and the empty line after them take.
 func skipTrailers(data []byte) (int, error) {
 	offset := 0
 	for {
--- a/httpwire/client.go
+++ b/httpwire/client.go
@@ -11,39 +11,38 @@
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 )
 
-// ErrNotSent marks a request of which no byte was sent: it was certainly not
-// executed.
+// ErrNotSent means that no byte of a request was sent, so that the server cannot have executed it.
 var ErrNotSent = errors.New("httpwire: request not sent")
 
 // Sizes of a client's buffers, in bytes.
 const (
-	requestHeaderBytes = 256      // room for the header of a request
-	clientReadBytes    = 2 << 10  // least room for a read
-	clientGrowBytes    = 4 << 10  // added to twice the buffer when it has less
+	requestHeaderBytes = 256      // initial space for the header of a request
+	clientReadBytes    = 2 << 10  // least space for a read
+	clientGrowBytes    = 4 << 10  // added to twice the buffer's size when it has less space
 	maxKeptBufferBytes = 32 << 10 // larger buffers are not kept with an idle connection
 )
 
-// Client sends requests to one address over a few kept connections. It may be used by several
-// goroutines.
+// Client sends requests to one address over a few persistent connections. It is safe for concurrent
+// use.
 type Client struct {
 	// Addr is the server's address.
 	Addr string
-	// MaxIdle bounds how many idle connections are kept.
+	// MaxIdle limits how many idle connections are kept.
 	MaxIdle int
 
 	mu   sync.Mutex
 	idle []*clientConn
 }
 
-// clientConn is a connection with what was read from it and not parsed yet.
+// clientConn is a connection with the bytes that were read from it and not parsed yet.
 type clientConn struct {
 	net.Conn
 	buf []byte
 }
 
-// Do sends one request and waits for its response, at most until timeout. It is not retried on
-// another connection if a kept one turns out to be closed: whether the request was executed is
-// then unknown to the caller.
+// Do sends one request and waits at most timeout for its response. It does not retry on another
+// connection if the server turns out to have closed an idle one: the server may have executed the
+// request.
 func (c *Client) Do(method, target string, body []byte, timeout time.Duration) (*Response, error) {
 	deadline := time.Now().Add(timeout)
 	conn, err := c.getConn(deadline)
@@ -78,7 +77,7 @@
 	c.idle = nil
 }
 
-// getConn takes an idle connection, or dials a new one until the deadline.
+// getConn returns an idle connection, or else dials a new one before the deadline.
 func (c *Client) getConn(deadline time.Time) (*clientConn, error) {
 	if conn := c.takeIdle(); conn != nil {
 		return conn, nil
@@ -93,7 +92,7 @@
 	return &clientConn{Conn: conn}, nil
 }
 
-// takeIdle takes the connection that was used last; nil if none is idle.
+// takeIdle removes and returns the most recently used idle connection; nil if there is none.
 func (c *Client) takeIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +105,7 @@
 	return conn
 }
 
-// putConn keeps an idle connection, or closes it if enough are kept.
+// putConn keeps a connection as idle, or closes it if MaxIdle are kept.
 func (c *Client) putConn(conn *clientConn) {
 	conn.resetBuffer()
 	c.mu.Lock()
@@ -118,7 +117,7 @@
 	c.idle = append(c.idle, conn)
 }
 
-// send writes a request; the deadline holds for its response too.
+// send writes a request. The deadline also applies to reading the response.
 func (c *clientConn) send(request []byte, deadline time.Time) error {
 	if err := c.SetDeadline(deadline); err != nil {
 		return err
@@ -127,8 +126,8 @@
 	return err
 }
 
-// readResponse reads a response, and skips informational ones (1xx) before it. drained
-// means that nothing else has been read.
+// readResponse reads a response and skips informational ones (1xx) before it. drained means that no
+// bytes after the response have been read.
 func (c *clientConn) readResponse() (response *Response, drained bool, err error) {
 	for {
 		response, size, err := ParseResponse(c.buf)
@@ -147,7 +146,7 @@
 	}
 }
 
-// readMore appends what has arrived to the buffer.
+// readMore reads from the connection and appends to the buffer.
 func (c *clientConn) readMore() error {
 	if cap(c.buf)-len(c.buf) < clientReadBytes {
 		c.buf = append(make([]byte, 0, 2*cap(c.buf)+clientGrowBytes), c.buf...)
--- a/httpwire/header.go
+++ b/httpwire/header.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// messageHeader is the header of a request or response, with the fields that matter here.
+// messageHeader is the header of a request or response, with the fields that this package uses.
 type messageHeader struct {
 	startLine        []byte
 	hasContentLength bool
 	contentLength    int  // of the body, in bytes
-	chunked          bool // the body comes in chunks
+	chunked          bool // the body is chunked
 	closeConnection  bool
 	keepAlive        bool
 	retryAfter       string
@@ -20,7 +20,7 @@
 // crlf ends a line of a message.
 const crlf = "\r\n"
 
-// parseHeader reads a header and the empty line behind it, and returns how many bytes they take.
+// parseHeader reads a header and the empty line after it, and returns how many bytes they take.
 func parseHeader(data []byte) (*messageHeader, int, error) {
 	end := bytes.Index(data, []byte(crlf+crlf))
 	switch {
@@ -47,13 +47,13 @@
 	return header, end + 2*len(crlf), nil
 }
 
-// cutLine splits off the first line.
+// cutLine splits data after the first line.
 func cutLine(data []byte) (line, rest []byte) {
 	line, rest, _ = bytes.Cut(data, []byte(crlf))
 	return line, rest
 }
 
-// addLine parses a line with a field.
+// addLine parses a line that holds a field.
 func (h *messageHeader) addLine(line []byte) error {
 	colon := bytes.IndexByte(line, ':')
 	if colon <= 0 || line[0] == ' ' || line[0] == '\t' || line[colon-1] == ' ' {
@@ -62,7 +62,7 @@
 	return h.setField(line[:colon], bytes.TrimSpace(line[colon+1:]))
 }
 
-// setField records a field; those that don't matter here are ignored.
+// setField records a field. Fields that this package does not use are ignored.
 func (h *messageHeader) setField(name, value []byte) error {
 	switch {
 	case equalFold(name, "content-length"):
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// setContentLength records the length of the body. A repeated field has to agree.
+// setContentLength records the length of the body. Repeated fields must have the same value.
 func (h *messageHeader) setContentLength(value []byte) error {
 	parsed, err := strconv.ParseUint(string(value), 10, 31)
 	if err != nil {
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// equalFold reports whether text is lower but for the case of letters.
+// equalFold reports whether text equals lower, which has no upper-case letters, ignoring case.
 func equalFold(text []byte, lower string) bool {
 	return len(text) == len(lower) && strings.EqualFold(string(text), lower)
 }
--- a/httpwire/httpstatus/httpstatus.go
+++ b/httpwire/httpstatus/httpstatus.go
@@ -1,11 +1,11 @@
-// Package httpstatus names the HTTP status numbers of the protocols. They are those of
-// net/http, which the program does without: it would add megabytes to a controller.
+// Package httpstatus names the HTTP status numbers that the protocols use. The names are those of
+// net/http, which is not imported because it would add megabytes to a controller.
 package httpstatus
 
-// NoAnswer is the status of a call without an answer.
+// NoAnswer is the status of a call that got no response.
 const NoAnswer = 0
 
-// Status numbers by RFC 9110.
+// Status numbers of RFC 9110.
 const (
 	OK                  = 200
 	Created             = 201
@@ -24,7 +24,7 @@
 	GatewayTimeout      = 504
 )
 
-// Text is the reason phrase of a status line.
+// Text returns the reason phrase for a status line.
 func Text(number int) string {
 	switch number {
 	case OK:
--- a/httpwire/httpwire.go
+++ b/httpwire/httpwire.go
@@ -1,29 +1,30 @@
 // Package httpwire parses and writes HTTP/1.1 messages with JSON bodies, for servers and
-// clients. Parsers work on byte slices that may hold a part of a message, so they fit an event
+// clients. The parsers accept byte slices that hold only a part of a message, so they suit an event
 // loop as well as a blocking reader. Only Client opens sockets. The controllers' front end
 // (package node), httpserve and the clients of the key-value store, the cloud and workers use
-// it in place of net/http, which would add megabytes to a controller.
+// it instead of net/http, which would add megabytes to a controller.
 package httpwire
 
 import "errors"
 
-// Limits of what is read, in bytes.
+// Limits of the parsers, in bytes.
 const (
-	// MaxHeaderBytes bounds the header of a message, and the trailers of one in chunks.
+	// MaxHeaderBytes limits the header of a message, and an incomplete trailer line of a chunked
+	// one.
 	MaxHeaderBytes = 16 << 10
-	// MaxRequestBodyBytes bounds the body of a request.
+	// MaxRequestBodyBytes limits the body of a request.
 	MaxRequestBodyBytes = 64 << 10
-	// MaxResponseBodyBytes bounds the body of a response.
+	// MaxResponseBodyBytes limits the body of a response.
 	MaxResponseBodyBytes = 64 << 20
 )
 
 // Errors of the parsers.
 var (
 	// ErrIncomplete means that more bytes are needed.
-	ErrIncomplete = errors.New("httpwire: partial message")
-	// ErrMalformed means that the bytes are no HTTP/1.1 message.
+	ErrIncomplete = errors.New("httpwire: incomplete message")
+	// ErrMalformed means that the bytes are not a valid HTTP/1.1 message.
 	ErrMalformed = errors.New("httpwire: malformed message")
-	// ErrTooLarge means that the message is larger than the limits above.
+	// ErrTooLarge means that the message exceeds one of the limits above.
 	ErrTooLarge = errors.New("httpwire: message too large")
 )
 
@@ -54,8 +55,8 @@
 	Status int
 	// Body is JSON.
 	Body []byte
-	// RetryAfter is when to try again, in seconds; 0 leaves the header out.
+	// RetryAfter is the delay before a retry, in seconds; 0 leaves the header out.
 	RetryAfter int
-	// Close announces that the connection is closed after the response.
+	// Close tells the client that the connection is closed after the response.
 	Close bool
 }
--- a/httpwire/httpwire_test.go
+++ b/httpwire/httpwire_test.go
@@ -22,16 +22,16 @@
 	}{
 		{name: "get", in: "GET /a?b=c HTTP/1.1\r\nHost: x\r\n\r\n", method: "GET", path: "/a", query: "b=c"},
 		{name: "post", in: "POST /a HTTP/1.1\r\ncontent-LENGTH: 3\r\nConnection: Close\r\n\r\nabcGET", method: "POST", path: "/a", body: "abc", close: true, rest: "GET"},
-		{name: "chunks", in: "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n!", method: "POST", path: "/a", body: "abc", rest: "!"},
-		{name: "old", in: "GET / HTTP/1.0\r\n\r\n", method: "GET", path: "/", close: true},
-		{name: "partial header", in: "GET / HTTP/1.1\r\nHost", err: ErrIncomplete},
-		{name: "partial body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", err: ErrIncomplete},
-		{name: "partial chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", err: ErrIncomplete},
+		{name: "chunked body", in: "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n1\r\nc\r\n0\r\nT: v\r\n\r\n!", method: "POST", path: "/a", body: "abc", rest: "!"},
+		{name: "HTTP/1.0", in: "GET / HTTP/1.0\r\n\r\n", method: "GET", path: "/", close: true},
+		{name: "incomplete header", in: "GET / HTTP/1.1\r\nHost", err: ErrIncomplete},
+		{name: "incomplete body", in: "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab", err: ErrIncomplete},
+		{name: "incomplete chunk", in: "POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", err: ErrIncomplete},
 		{name: "no version", in: "GET /\r\n\r\n", err: ErrMalformed},
 		{name: "no path", in: "GET x HTTP/1.1\r\n\r\n", err: ErrMalformed},
-		{name: "bad length", in: "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", err: ErrMalformed},
-		{name: "two lengths", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", err: ErrMalformed},
-		{name: "length and chunks", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", err: ErrMalformed},
+		{name: "negative length", in: "POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", err: ErrMalformed},
+		{name: "contradictory lengths", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", err: ErrMalformed},
+		{name: "length and chunked body", in: "POST / HTTP/1.1\r\nContent-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\na", err: ErrMalformed},
 		{name: "space before colon", in: "GET / HTTP/1.1\r\nHost : x\r\n\r\n", err: ErrMalformed},
 		{name: "large body", in: "POST / HTTP/1.1\r\nContent-Length: 65537\r\n\r\n", err: ErrTooLarge},
 		{name: "large header", in: "GET / HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHeaderBytes+1), err: ErrTooLarge},
@@ -45,7 +45,7 @@
 				return
 			}
 			if r.Method != tc.method || r.Path != tc.path || r.Query != tc.query || string(r.Body) != tc.body || r.Close != tc.close || tc.in[n:] != tc.rest {
-				t.Errorf("got %+v with rest %q", r, tc.in[n:])
+				t.Errorf("got request %+v and rest %q, want those of the test case", r, tc.in[n:])
 			}
 		})
 	}
@@ -62,8 +62,8 @@
 	}
 }
 
-// serveOneRequestEach answers one request on each connection and closes it, although it did not
-// announce that. It ends with the listener.
+// serveOneRequestEach answers one request on each connection, and then closes the connection
+// without having sent "Connection: close". It returns when the listener is closed.
 func serveOneRequestEach(listener net.Listener) error {
 	buf := make([]byte, 4096)
 	for {
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestClientDropsClosedConnection checks that a kept connection that the server has closed fails
-// the call and is not used again.
+// TestClientDropsClosedConnection checks that a call on an idle connection that the server has
+// closed fails, and that the client does not use this connection again.
 func TestClientDropsClosedConnection(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -100,11 +100,11 @@
 		}
 	}
 	if ok < 2 {
-		t.Errorf("%d of 4 calls succeeded, at least every second one should", ok)
+		t.Errorf("successful calls: got %d of 4, want at least 2", ok)
 	}
 	listener.Close()
 	if err := <-served; !errors.Is(err, net.ErrClosed) {
-		t.Errorf("server: %v", err)
+		t.Errorf("server ended with error %v, want net.ErrClosed", err)
 	}
 }
 
@@ -118,11 +118,11 @@
 			return
 		}
 		if n < 1 || n > len(in) || len(r.Body) > MaxRequestBodyBytes {
-			t.Fatalf("took %d of %d bytes for a body of %d", n, len(in), len(r.Body))
+			t.Fatalf("request took %d of %d bytes, with a body of %d bytes", n, len(in), len(r.Body))
 		}
-		// No prefix of a whole request may parse as one of another length.
+		// No prefix of a complete request may parse as a shorter request.
 		if _, m, err := ParseRequest(in[:n-1]); err == nil {
-			t.Fatalf("a request of %d bytes also ends after %d", n, m)
+			t.Fatalf("request of %d bytes: its prefix parses as a request of %d bytes", n, m)
 		}
 	})
 }
@@ -133,7 +133,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r, n, err := ParseResponse(in)
 		if err == nil && (n > len(in) || r.Status < 100 || r.Status > 999 || !bytes.Contains(in, r.Body)) && !bytes.Contains(in, []byte("hunked")) {
-			t.Fatalf("took %d of %d bytes: %+v", n, len(in), r)
+			t.Fatalf("response took %d of %d bytes: got %+v", n, len(in), r)
 		}
 	})
 }
--- a/httpwire/parse.go
+++ b/httpwire/parse.go
@@ -8,11 +8,11 @@
 	"github.com/brookwalk/brookwalk/httpwire/httpstatus"
 )
 
-// maxLeadingEmptyLines is how many empty lines before a request are skipped; some clients send
-// one behind a body.
+// maxLeadingEmptyLines is how many empty lines before a request are skipped. Some clients send one
+// after a body.
 const maxLeadingEmptyLines = 2
 
-// minStatus is the lowest status number.
+// minStatus is the lowest valid status number.
 const minStatus = 100
 
 // ParseRequest reads one request from the start of data and returns how many bytes it took.
@@ -48,8 +48,8 @@
 	return skipped
 }
 
-// parseRequestLine reads method and target. Close is set for HTTP/1.0, whose connections are
-// closed after a response by default.
+// parseRequestLine reads the method and the target. It sets Close for HTTP/1.0, where connections
+// are closed after a response by default.
 func parseRequestLine(line string) (*Request, error) {
 	parts := strings.Split(line, " ")
 	if len(parts) != 3 {
@@ -64,8 +64,8 @@
 }
 
 // ParseResponse reads one response from the start of data and returns how many bytes it took.
-// Every response needs a length or chunks, except those that have no body: informational ones,
-// 204 and 304.
+// A response must have a length or be chunked, unless it cannot have a body: informational
+// responses, 204 and 304.
 func ParseResponse(data []byte) (*Response, int, error) {
 	header, size, err := parseHeader(data)
 	if err != nil {
--- a/httpwire/write.go
+++ b/httpwire/write.go
@@ -26,8 +26,8 @@
 	return append(buf, reply.Body...)
 }
 
-// AppendRequest appends a request to buf; target is the path with the query. A nil body of a
-// method other than POST is left out with its headers.
+// AppendRequest appends a request to buf. target is the path with the query. A request with a nil
+// body has no body headers, unless its method is POST.
 func AppendRequest(buf []byte, method, target, host string, body []byte) []byte {
 	buf = append(buf, method...)
 	buf = append(buf, ' ')
@@ -42,7 +42,7 @@
 	return append(buf, body...)
 }
 
-// appendJSONHeader appends the header lines of a JSON body.
+// appendJSONHeader appends the header fields of a JSON body.
 func appendJSONHeader(buf []byte, length int) []byte {
 	buf = append(buf, "Content-Type: application/json"+crlf+"Content-Length: "...)
 	buf = strconv.AppendInt(buf, int64(length), 10)
