--- a/wire/compat_test.go
+++ b/wire/compat_test.go
@@ -14,11 +14,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// During an upgrade controllers of two versions send each other messages. The
-// types below are frozen copies of those of the version in production (commit
-// 1fdb220); testdata/production.gob is what one of its links sent.
-// testdata/chains.gob is the same of the later version that may run as well
-// (commit b39e01d), whose digests have one field more; see LaterMessage.
+// During an upgrade, controllers of two versions exchange messages. The types below are copies of
+// the types of the version in production (commit 1fdb220), and never change. The file
+// testdata/production.gob holds the output of one of its links. testdata/chains.gob is the same for
+// a later version that may run as well (commit b39e01d), whose digests have one more field; see
+// LaterMessage.
 
 type PeerMessage struct {
 	From    string
@@ -81,8 +81,8 @@
 	Done, Running int
 }
 
-// present are the messages of testdata/production.gob in this version's types.
-var present = []wire.PeerMessage{
+// currentMessages holds the messages of testdata/production.gob in this version's types.
+var currentMessages = []wire.PeerMessage{
 	{From: "node-0", Forward: &wire.Forward{ID: 41, Body: []byte(`{"host":"n-000001","watch":3}`)}},
 	{From: "node-1", Reply: &wire.Reply{ID: 41, Status: 200, Body: []byte(`{"helm":7,"orders":[]}`)}},
 	{From: "node-1", Digest: &wire.Digest{
@@ -99,8 +99,8 @@
 	{From: "node-2", Digest: &wire.Digest{Term: 8, Boot: 9, Clock: 10}},
 }
 
-// frozen are the same in the types of the version in production.
-var frozen = []PeerMessage{
+// productionMessages holds the same messages in the types of the version in production.
+var productionMessages = []PeerMessage{
 	{From: "node-0", Forward: &Forward{ID: 41, Body: []byte(`{"host":"n-000001","watch":3}`)}},
 	{From: "node-1", Reply: &Reply{ID: 41, Status: 200, Body: []byte(`{"helm":7,"orders":[]}`)}},
 	{From: "node-1", Digest: &Digest{
@@ -126,7 +126,7 @@
 	Ends    *Ends
 }
 
-// LaterDigest is the frozen copy of the later version's Digest.
+// LaterDigest is a copy of the later version's Digest.
 type LaterDigest struct {
 	Version        int
 	Term           uint64
@@ -142,9 +142,9 @@
 	Cancelled      []Cancelled
 }
 
-// versioned are the messages of testdata/chains.gob in this version's types.
-func versioned() []wire.PeerMessage {
-	out := slices.Clone(present)
+// currentVersionedMessages returns the messages of testdata/chains.gob in this version's types.
+func currentVersionedMessages() []wire.PeerMessage {
+	out := slices.Clone(currentMessages)
 	for i := range out {
 		if out[i].Digest != nil {
 			d := *out[i].Digest
@@ -155,10 +155,10 @@
 	return out
 }
 
-// later are the same in the types of the later version.
-func later() []LaterMessage {
+// laterMessages returns the same messages in the types of the later version.
+func laterMessages() []LaterMessage {
 	var out []LaterMessage
-	for _, m := range frozen {
+	for _, m := range productionMessages {
 		x := LaterMessage{From: m.From, Forward: m.Forward, Reply: m.Reply, Ends: m.Ends}
 		if d := m.Digest; d != nil {
 			x.Digest = &LaterDigest{
@@ -172,8 +172,8 @@
 	return out
 }
 
-// encode writes messages as a link does: one gob stream, each value behind a
-// four-byte length.
+// encode encodes messages as a link does: as one gob stream in which each value has a four-byte
+// length prefix.
 func encode[M any](t *testing.T, msgs []M) []byte {
 	t.Helper()
 	var out []byte
@@ -212,42 +212,46 @@
 	return out
 }
 
+// TestProductionMessages checks that this version and the one in production decode each other's
+// messages.
 func TestProductionMessages(t *testing.T) {
 	data, err := os.ReadFile("testdata/production.gob")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, stream := range map[string][]byte{"production": data, "present": encode(t, present), "frozen": encode(t, frozen)} {
-		if got := decode[wire.PeerMessage](t, stream); !reflect.DeepEqual(got, present) {
-			t.Errorf("this version reads of %s %+v, want %+v", name, got, present)
+	for name, stream := range map[string][]byte{"testdata/production.gob": data, "this version": encode(t, currentMessages), "the version in production": encode(t, productionMessages)} {
+		if got := decode[wire.PeerMessage](t, stream); !reflect.DeepEqual(got, currentMessages) {
+			t.Errorf("messages of %s decoded by this version: got %+v, want %+v", name, got, currentMessages)
 		}
-		if got := decode[PeerMessage](t, stream); !reflect.DeepEqual(got, frozen) {
-			t.Errorf("the version in production reads of %s %+v, want %+v", name, got, frozen)
+		if got := decode[PeerMessage](t, stream); !reflect.DeepEqual(got, productionMessages) {
+			t.Errorf("messages of %s decoded by the version in production: got %+v, want %+v", name, got, productionMessages)
 		}
 	}
 }
 
+// TestLaterMessages checks that this version and the later one decode each other's messages, and
+// that the version in production decodes those of both.
 func TestLaterMessages(t *testing.T) {
 	data, err := os.ReadFile("testdata/chains.gob")
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, stream := range map[string][]byte{"chains": data, "present": encode(t, versioned()), "later": encode(t, later())} {
-		if got := decode[wire.PeerMessage](t, stream); !reflect.DeepEqual(got, versioned()) {
-			t.Errorf("this version reads of %s %+v, want %+v", name, got, versioned())
+	for name, stream := range map[string][]byte{"testdata/chains.gob": data, "this version": encode(t, currentVersionedMessages()), "the later version": encode(t, laterMessages())} {
+		if got := decode[wire.PeerMessage](t, stream); !reflect.DeepEqual(got, currentVersionedMessages()) {
+			t.Errorf("messages of %s decoded by this version: got %+v, want %+v", name, got, currentVersionedMessages())
 		}
-		if got := decode[LaterMessage](t, stream); !reflect.DeepEqual(got, later()) {
-			t.Errorf("the later version reads of %s %+v, want %+v", name, got, later())
+		if got := decode[LaterMessage](t, stream); !reflect.DeepEqual(got, laterMessages()) {
+			t.Errorf("messages of %s decoded by the later version: got %+v, want %+v", name, got, laterMessages())
 		}
-		// It may lead a controller of the version in production as well.
-		if got := decode[PeerMessage](t, stream); !reflect.DeepEqual(got, frozen) {
-			t.Errorf("the version in production reads of %s %+v, want %+v", name, got, frozen)
+		// The later version may be the leader of controllers of the version in production.
+		if got := decode[PeerMessage](t, stream); !reflect.DeepEqual(got, productionMessages) {
+			t.Errorf("messages of %s decoded by the version in production: got %+v, want %+v", name, got, productionMessages)
 		}
 	}
 }
 
-// TestGobNames holds the names that cross the links: gob sends those of types
-// and fields, and drops without a word what the receiver's type does not have.
+// TestGobNames checks the names of types and fields that controllers send each other. Gob sends
+// these names, and silently drops fields that the receiver's type does not have.
 func TestGobNames(t *testing.T) {
 	for _, tc := range []struct {
 		of   any
@@ -267,7 +271,7 @@
 		typ := reflect.TypeOf(tc.of)
 		name, fields, _ := strings.Cut(tc.want, ": ")
 		if typ.Name() != name {
-			t.Errorf("type %s, want %s", typ.Name(), name)
+			t.Errorf("name of the type: got %s, want %s", typ.Name(), name)
 		}
 		var got []string
 		for i := range typ.NumField() {
@@ -276,7 +280,7 @@
 		}
 		for _, field := range strings.Split(fields, ", ") {
 			if !slices.Contains(got, field) {
-				t.Errorf("%s has no field %q; it has %q", name, field, got)
+				t.Errorf("type %s: no field %q among %q", name, field, got)
 			}
 		}
 	}
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -1,38 +1,38 @@
 package wire
 
-// Controllers of two versions exchange these messages during an upgrade. Gob sends the names
-// of types and fields and drops what the receiver's type lacks: those of the types below never
-// change, whatever terms the rest of the program uses; fields may be added. compat_test.go
-// checks them.
+// During an upgrade, controllers of two versions exchange these messages. Gob sends the names of
+// types and fields, and drops fields that the receiver's type lacks. So the names below never
+// change, whatever terms the rest of the program uses; fields may be added. compat_test.go checks
+// the names, except that of Region.
 
-// PeerMessage is what one controller sends another: a stream of gob values,
-// each behind a four-byte length, over one connection per direction. Exactly
-// one of the pointers is set.
+// PeerMessage is a message from one controller to another. Messages are sent as a stream of gob
+// values, each with a four-byte length prefix, over one connection per direction. Exactly one of
+// the pointers is set.
 type PeerMessage struct {
 	From    string
 	Forward *Forward
 	Reply   *Reply
 	Digest  *Digest
 	Ends    *Ends
-	// Region is another region's message, for the leader. It is sent only where regions are
-	// turned on: versions before it would drop it.
+	// Region is a message of another region, forwarded to the leader. It is sent only if limits
+	// are shared with other regions: versions of the program without this field drop it.
 	Region *RegionMessage
 }
 
-// PeerVersion is what this program understands of the others' messages and
-// records. Records that an earlier version would misread are written only once
-// every controller has said that it understands them.
+// PeerVersion is the version of the messages and records that this program understands. Records
+// that an earlier version would misread are written only once every controller has reported a
+// version that understands them.
 const PeerVersion = PeerVersionLists
 
-// PeerVersionRanges understands jobs with dependencies, and placement records
-// that name their range of tasks; PeerVersionLists also lists of dependencies
-// that are spread over records.
+// PeerVersionRanges is the first version that understands jobs with dependencies, and placement
+// records that state their range of tasks. PeerVersionLists also understands lists of dependencies
+// that are split over several records.
 const (
 	PeerVersionRanges = 1
 	PeerVersionLists  = 2
 )
 
-// Forward passes a worker's heartbeat on to the leader as it came.
+// Forward is a worker's heartbeat that a controller forwards to the leader unchanged.
 type Forward struct {
 	ID   uint64
 	Body []byte
@@ -45,12 +45,11 @@
 	Body   []byte
 }
 
-// Digest is sent by every controller to its peers several times per leader lease: the highest
-// term that it knows, whether it hears the leader, and whether the key-value store answers it.
-// Once per lease the leader adds its jobs' counts for display.
+// Digest is sent by every controller to its peers several times per leader lease. It holds the
+// highest term that the sender knows, whether the sender receives the leader's digests, and whether
+// the key-value store answers it. Once per lease the leader adds its jobs' task counts for display.
 type Digest struct {
-	// Version is the sender's PeerVersion; 0 for versions of the program before there was
-	// one.
+	// Version is the sender's PeerVersion; 0 for programs that are older than this field.
 	Version     int
 	Term        uint64
 	Leader      bool
@@ -58,51 +57,51 @@
 	StoreOK     bool
 	HasJobs     bool
 	Jobs        []JobCount
-	// More is set if Jobs continues those of the digest before.
+	// More is set if Jobs continues the list of the previous digest.
 	More bool
-	// FetchesQueue is set in a leader's digest if machines pull one image after the other, as
-	// far as the leader has observed.
+	// FetchesQueue is set in a leader's digest if the leader has observed that a machine pulls
+	// its images sequentially rather than in parallel.
 	FetchesQueue bool
-	// Boot is the sender's incarnation. Clock is its steady clock at this digest, in
-	// nanoseconds; EchoBoot and Echo are those of the newest digest that the sender has from
-	// the receiver.
+	// Boot is the sender's incarnation, and Clock its monotonic clock at this digest, in
+	// nanoseconds. EchoBoot and Echo are Boot and Clock of the newest digest that the sender has
+	// received from the receiver.
 	Boot, EchoBoot uint64
 	Clock, Echo    int64
-	// Kept lists the workers whose leases the sender has extended recently, while it could not
-	// reach the leader.
+	// Kept lists the workers whose leases the sender has extended recently without the leader,
+	// which it could not reach.
 	Kept []Kept
-	// Cancelled lists the jobs whose cancellation this controller has recorded and not yet
-	// acknowledged to their users: the leader must stop their tasks even if it cannot read
-	// the store meanwhile, and answers with Ends.
+	// Cancelled lists the jobs whose cancellation the sender has recorded and not yet
+	// acknowledged to their users. The leader stops their tasks even while it cannot read the
+	// store, and answers with Ends.
 	Cancelled []Cancelled
 }
 
-// Ends is sent by the leader on jobs that have ended or are cancelled.
+// Ends is sent by the leader, with the state of jobs that have ended or are cancelled.
 type Ends struct {
-	// Over lists jobs whose end is on record.
+	// Over lists jobs whose end is recorded in the store.
 	Over []JobEnd
-	// Gone lists cancelled jobs whose tasks have all terminated, though the leader has not
-	// recorded their end. It is valid if the term key still has TermVersion: then no later
-	// leader can have started any task of them.
+	// Gone lists cancelled jobs whose tasks have all terminated, but whose end the leader has not
+	// recorded. It is valid if the term key still has version TermVersion: then no later leader
+	// can have started one of their tasks.
 	Gone        []string
 	TermVersion uint64
-	// Held lists cancelled jobs with tasks on unreachable machines: their users are asked to
+	// Held lists cancelled jobs that have tasks on unreachable machines. Their users are told to
 	// retry later.
 	Held []string
 }
 
-// JobEnd is the end of a job. Status is a JobState; the field keeps the type that
-// earlier versions send.
+// JobEnd is the end of a job. Status is a JobState, and stays a string for compatibility with
+// earlier versions.
 type JobEnd struct {
 	ID     string
 	Status string
 	Tasks  int
 }
 
-// Kept is a worker's lease that was extended without the leader.
+// Kept is the lease of a worker that a controller has extended without the leader.
 type Kept struct {
 	Machine string
-	AgeMS   int64 // since the latest extension
+	AgeMS   int64 // since the latest extension, in milliseconds
 }
 
 // Cancelled is a job's cancellation and the version of its record.
@@ -111,7 +110,7 @@
 	Version uint64
 }
 
-// JobCount carries the counts of an unfinished job.
+// JobCount holds the task counts of an unfinished job.
 type JobCount struct {
 	ID            string
 	Done, Running int
--- a/wire/store.go
+++ b/wire/store.go
@@ -2,9 +2,8 @@
 
 import "encoding/json"
 
-// The JSON names below are those of the key-value store's protocol, see compat_test.go of
-// internal/core: they never change when a field is renamed. Package internal/kv alone speaks
-// that protocol.
+// The JSON names below belong to the key-value store's protocol, and never change when a field is
+// renamed: compat_test.go of internal/core checks them. Only package internal/kv uses the protocol.
 
 // Item is a key of the store with its value.
 type Item struct {
@@ -14,14 +13,14 @@
 	Lease   uint64          `json:"permit,omitempty"`
 }
 
-// Page is a part of the keys below a prefix.
+// Page is one page of the keys below a prefix.
 type Page struct {
 	Items    []Item `json:"rows"`
 	More     bool   `json:"truncated"`
 	Revision uint64 `json:"logline"`
 }
 
-// Condition requires a key to have a version; 0 means that it must not exist.
+// Condition requires a key to have the given version. Version 0 requires that it does not exist.
 type Condition struct {
 	Key     string `json:"k"`
 	Version uint64 `json:"stamp"`
@@ -35,19 +34,20 @@
 	Lease  uint64          `json:"permit,omitempty"`
 }
 
-// Txn is a compare-and-swap of several keys: all writes are carried out if all conditions hold.
+// Txn is a compare-and-swap on several keys: all writes are applied if all conditions hold, else
+// none.
 type Txn struct {
 	Conditions []Condition `json:"if"`
 	Writes     []Write     `json:"writes"`
 }
 
-// TxnResult is the answer to a transaction, and to a read of an absent key.
+// TxnResult is the response to a transaction, and to a read of a key that does not exist.
 type TxnResult struct {
 	Conflicts []string `json:"failed,omitempty"`
 	Revision  uint64   `json:"logline"`
 }
 
-// GrantRequest asks for a lease of the store.
+// GrantRequest requests a lease from the store.
 type GrantRequest struct {
 	TTLMs int `json:"ttlMs"`
 }
@@ -65,7 +65,7 @@
 	Version uint64          `json:"stamp"`
 }
 
-// Changes is the answer to a watch.
+// Changes is the response to a watch.
 type Changes struct {
 	Revision uint64  `json:"logline"`
 	Events   []Event `json:"log"`
--- a/wire/wire.go
+++ b/wire/wire.go
@@ -1,13 +1,13 @@
-// Package wire holds the JSON types of every protocol that brookwalk speaks, and the messages
-// that its controllers exchange. Clients may import it. Names in Go are the field's terms; the
-// tags carry the names of the protocols, and nothing else in the program knows them.
+// Package wire defines the JSON types of all protocols that brookwalk uses, and the messages
+// that its controllers exchange. Clients may import it. The Go names are the usual technical terms.
+// The protocols' own names are only in the tags; nothing else in the program uses them.
 package wire
 
-// Shape is how the tasks of a job belong together.
+// Shape is the kind of a job: how its tasks are scheduled together.
 type Shape string
 
-// Job shapes: independent tasks, tasks that run at the same time or not at all, and replicas
-// that run until the job is cancelled.
+// Job shapes: an array has independent tasks, the tasks of a gang run all at the same time or not
+// at all, and a service has replicas that run until the job is cancelled.
 const (
 	ShapeArray   Shape = "array"
 	ShapeGang    Shape = "group"
@@ -63,7 +63,7 @@
 	CauseUnknownTask           ExitCause = "no_such"
 )
 
-// Verb is what a command asks a worker to do.
+// Verb is the action of a command to a worker.
 type Verb string
 
 // Command verbs.
@@ -73,9 +73,9 @@
 	VerbForget Verb = "reap"
 )
 
-// Job is a submission, valid and complete. It is part of the records that
-// versions share in the key-value store: its JSON names never change when a field
-// is renamed, see compat_test.go of internal/core.
+// Job is a validated submission. It is part of records in the key-value store that several versions
+// of the program read, so its JSON names never change when a field is renamed: compat_test.go of
+// internal/core checks them.
 type Job struct {
 	ID                  string   `json:"nameId"`
 	Class               string   `json:"jobclass"`
@@ -93,15 +93,15 @@
 	OneZone             bool     `json:"together,omitempty"` // all tasks in the same zone
 	SpreadZones         bool     `json:"apart,omitempty"`    // at most half of the tasks, rounded up, in one zone
 	AllowSpot           bool     `json:"standby,omitempty"`  // may run on spot machines
-	EstimatedRunS       float64  `json:"guessS"`             // of a task, by its owner; 0 for services
-	CheckpointIntervalS float64  `json:"markS"`              // 0: no checkpoints
-	CheckpointDurationS float64  `json:"stowS"`              // to save one when stopped
+	EstimatedRunS       float64  `json:"guessS"`             // of a task, by the job's owner; 0 for services
+	CheckpointIntervalS float64  `json:"markS"`              // 0 for no checkpoints
+	CheckpointDurationS float64  `json:"stowS"`              // time to save one when the task is stopped
 	DeadlineS           *float64 `json:"dueS,omitempty"`     // seconds from the submission; nil for none
-	// Dependencies names the jobs that have to be done before any task of this one starts.
+	// Dependencies lists the IDs of the jobs that must be done before a task of this job starts.
 	Dependencies []string `json:"awaits,omitempty"`
 }
 
-// JobStatus answers a submission, a query or a cancellation.
+// JobStatus is the response to a submission, a query or a cancellation.
 type JobStatus struct {
 	ID      string   `json:"nameId"`
 	Status  JobState `json:"status"`
@@ -109,23 +109,23 @@
 	Running int      `json:"running"`
 }
 
-// Heartbeat is what a worker sends periodically, and the body of its answers to direct commands
-// and probes: the state of all tasks on its machine, exited ones included.
+// Heartbeat holds the state of all tasks on a worker's machine, including exited ones. A worker
+// sends it periodically, and as the response to direct commands and probes.
 type Heartbeat struct {
 	Machine           string       `json:"host"`
 	Addr              string       `json:"endpoint"`
 	Type              string       `json:"hull"`
 	Zone              string       `json:"berth"`
 	Spot              bool         `json:"standby"`
-	Incarnation       uint64       `json:"watch"`    // counts the worker's lease expiries, from 1
-	Sequence          uint64       `json:"tally"`    // counts its messages
-	FencingToken      uint64       `json:"helm"`     // highest one that it has heard
-	PreemptionNoticeS *float64     `json:"warningS"` // seconds until the cloud takes the machine; nil without a notice
+	Incarnation       uint64       `json:"watch"`    // counts the worker's lease expirations, from 1
+	Sequence          uint64       `json:"tally"`    // counts the worker's messages
+	FencingToken      uint64       `json:"helm"`     // highest one that the worker has received
+	PreemptionNoticeS *float64     `json:"warningS"` // seconds until the cloud preempts the machine; nil without a notice
 	Tasks             []TaskStatus `json:"shards"`
 }
 
-// NewerThan reports whether h was made after the message with an incarnation and a sequence
-// number.
+// NewerThan reports whether the worker created h after the message with the given incarnation and
+// sequence number.
 func (h *Heartbeat) NewerThan(incarnation, sequence uint64) bool {
 	return h.Incarnation > incarnation || h.Incarnation == incarnation && h.Sequence > sequence
 }
@@ -147,14 +147,15 @@
 	GracePeriodS *float64 `json:"respiteS,omitempty"`
 }
 
-// CommandList answers a heartbeat, or goes directly to a worker.
+// CommandList is the response to a heartbeat, and the body of a direct request to a worker.
 type CommandList struct {
 	FencingToken uint64    `json:"helm"`
 	Incarnation  uint64    `json:"watch,omitempty"`
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect is the body of a 421: it names the controller to send heartbeats to.
+// Redirect is the body of a response with status 421. It names the controller to which the worker
+// must send its heartbeats.
 type Redirect struct {
 	Controller string `json:"bridge,omitempty"`
 }
@@ -173,12 +174,12 @@
 	Zones      []string `json:"berths"`
 }
 
-// MachineTypes is the cloud's answer to a query of its types.
+// MachineTypes is the cloud's response to a query of its machine types.
 type MachineTypes struct {
 	Types []MachineType `json:"hulls"`
 }
 
-// ProvisionRequest asks the cloud for machines.
+// ProvisionRequest requests machines from the cloud.
 type ProvisionRequest struct {
 	ID    string `json:"charter"`
 	Type  string `json:"hull"`
@@ -187,7 +188,8 @@
 	Count int    `json:"count"`
 }
 
-// MachineNames is the answer to a ProvisionRequest, and the body of a return of machines.
+// MachineNames is the response to a ProvisionRequest, and the body of a request that returns
+// machines.
 type MachineNames struct {
 	Machines []string `json:"hosts"`
 }
@@ -202,7 +204,7 @@
 	MachineFailed  MachineState = "failed"
 )
 
-// Machine is one row of the cloud's list.
+// Machine is an entry of the cloud's list of machines.
 type Machine struct {
 	Name   string       `json:"nameId"`
 	Addr   string       `json:"endpoint"`
@@ -213,7 +215,7 @@
 	AgeS   float64      `json:"heldS"`
 }
 
-// MachineList is a page of the cloud's list.
+// MachineList is a page of the cloud's list of machines.
 type MachineList struct {
 	Machines []Machine `json:"hosts"`
 	More     bool      `json:"truncated"`
