--- a/cmd/brookwalk/environment.go
+++ b/cmd/brookwalk/environment.go
@@ -13,7 +13,7 @@
 // environment holds what the commands share: the settings, and a logger to standard error.
 type environment struct {
 	settings *config.Settings
-	operator *config.Operator
+	operator *config.OperatorSettings
 	regions  *plan.Plan // nil if the operators' settings name no regions file
 	log      *slog.Logger
 }
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	operator, err := config.LoadOperator(cli.Operator)
+	operator, err := config.LoadOperatorSettings(cli.Operator)
 	if err != nil {
 		return nil, err
 	}
@@ -42,7 +42,7 @@
 
 // loadRegions reads the regions file that the operators' settings name, and checks that it contains
 // this controller. It returns nil if they name none.
-func loadRegions(operator *config.Operator) (*plan.Plan, error) {
+func loadRegions(operator *config.OperatorSettings) (*plan.Plan, error) {
 	if operator.RegionsFile == "" {
 		return nil, nil
 	}
@@ -63,7 +63,7 @@
 
 // logLevel returns the level from the environment variable LOG_LEVEL, else from the operators'
 // settings, else info.
-func logLevel(operator *config.Operator) (slog.Level, error) {
+func logLevel(operator *config.OperatorSettings) (slog.Level, error) {
 	name := os.Getenv("LOG_LEVEL")
 	if name == "" {
 		name = operator.LogLevel
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestLoadOperator(t *testing.T) {
+func TestLoadOperatorSettings(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "op.toml")
 	for _, tc := range []struct{ text, want string }{
 		{"warm_machines = 3\nidle_return_s = 20.0\nlog_level = \"debug\"", ""},
@@ -173,7 +173,7 @@
 			if err := os.WriteFile(path, []byte(tc.text), 0o600); err != nil {
 				t.Fatal(err)
 			}
-			_, err := LoadOperator(path)
+			_, err := LoadOperatorSettings(path)
 			if tc.want == "" && err != nil || tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)) {
 				t.Errorf("got error %v, want one that contains %q, or none if that is empty", err, tc.want)
 			}
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -7,8 +7,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Operator holds the operators' settings, from an optional file in which every field is optional.
-type Operator struct {
+// OperatorSettings holds the operators' settings. The file is optional, and so is every field.
+type OperatorSettings struct {
 	// LogLevel is the log level if the environment variable LOG_LEVEL is not set.
 	LogLevel string `toml:"log_level"`
 	// WarmMachines limits how many idle machines are kept for expected work.
@@ -23,10 +23,10 @@
 	RegionListen string `toml:"region_listen"`
 }
 
-// LoadOperator reads and validates the operators' settings. An unknown key is an error. An empty
-// path gives the defaults.
-func LoadOperator(path string) (*Operator, error) {
-	var operator Operator
+// LoadOperatorSettings reads and validates the operators' settings. An unknown key is an error. An
+// empty path gives the defaults.
+func LoadOperatorSettings(path string) (*OperatorSettings, error) {
+	var operator OperatorSettings
 	if path == "" {
 		return &operator, nil
 	}
@@ -44,7 +44,7 @@
 }
 
 // validate returns the first problem.
-func (o *Operator) validate() error {
+func (o *OperatorSettings) validate() error {
 	if o.WarmMachines != nil && *o.WarmMachines < 0 {
 		return errors.New("warm_machines: must be 0 or greater")
 	}
@@ -55,7 +55,7 @@
 }
 
 // validateRegions checks that the three fields of regions are all set, or none.
-func (o *Operator) validateRegions() error {
+func (o *OperatorSettings) validateRegions() error {
 	if o.RegionsFile == "" && o.Region == "" && o.RegionListen == "" {
 		return nil
 	}
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -29,7 +29,7 @@
 // Core is the state machine of one controller.
 type Core struct {
 	settings         *config.Settings
-	operatorSettings *config.Operator
+	operatorSettings *config.OperatorSettings
 	log              *slog.Logger
 	incarnation      uint64        // differs from that of any other run of the program
 	now              time.Duration // steady time of the present step
@@ -66,9 +66,9 @@
 
 // New makes the core of a controller. The operators' settings and the logger may be nil. The
 // incarnation has to differ from that of any other run of the program.
-func New(settings *config.Settings, operatorSettings *config.Operator, incarnation uint64, log *slog.Logger) *Core {
+func New(settings *config.Settings, operatorSettings *config.OperatorSettings, incarnation uint64, log *slog.Logger) *Core {
 	if operatorSettings == nil {
-		operatorSettings = &config.Operator{}
+		operatorSettings = &config.OperatorSettings{}
 	}
 	if log == nil {
 		log = slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -71,7 +71,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newForecastLeader(t)
-			leader.core.operatorSettings = &config.Operator{WarmMachines: tc.warm}
+			leader.core.operatorSettings = &config.OperatorSettings{WarmMachines: tc.warm}
 			arrivals := &classArrivals{lastJob: &cluster.Job{Job: wire.Job{CPUs: tc.cpus, MemGB: 1}}}
 			for range tc.old {
 				arrivals.Record(leader.core.now-forecast.ArrivalWindow-time.Second, leader.core.now, 1, 1)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -50,7 +50,7 @@
 }
 
 // New creates a controller. Run starts it.
-func New(cfg *config.Settings, op *config.Operator, log *slog.Logger) *Node {
+func New(cfg *config.Settings, op *config.OperatorSettings, log *slog.Logger) *Node {
 	return &Node{
 		cfg:             cfg,
 		log:             log,
--- a/internal/node/regions.go
+++ b/internal/node/regions.go
@@ -34,7 +34,7 @@
 
 // JoinRegions enables team limits that are shared with other regions. It must be called before
 // Run.
-func (n *Node) JoinRegions(regions *plan.Plan, op *config.Operator) {
+func (n *Node) JoinRegions(regions *plan.Plan, op *config.OperatorSettings) {
 	n.core.JoinRegions(regions, op.Region)
 	n.regions = &regionLinks{listen: op.RegionListen, byRegion: map[string]*controllerLinks{}}
 	for _, region := range regions.Regions {
--- a/internal/node/regions_test.go
+++ b/internal/node/regions_test.go
@@ -47,7 +47,7 @@
 	}}
 	log := &lockedBuffer{}
 	node := New(cfg, nil, slog.New(slog.NewTextHandler(log, nil)))
-	node.JoinRegions(regions, &config.Operator{Region: "north", RegionListen: listen})
+	node.JoinRegions(regions, &config.OperatorSettings{Region: "north", RegionListen: listen})
 	running := startNode(node)
 	for range 3 {
 		httpClient := running.dial(t, listen)
