--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -180,7 +180,7 @@
 	smallLimits(harness.core.settings)
 	names := openJobs(harness, 150)
 	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
-	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists - 1}}})
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionDependencyLists - 1}}})
 	harness.run(3 * time.Second)
 	var a Answer
 	for range 8 {
@@ -190,7 +190,7 @@
 	if a.Status != 503 || a.RetryAfterS == 0 || len(harness.listKeys()) > 0 {
 		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(harness.listKeys()))
 	}
-	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionLists}}})
+	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionDependencyLists}}})
 	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
 		t.Errorf("after the upgrade: %d %s", a.Status, a.Body)
 	}
--- a/internal/core/dependencylist/dependencylist.go
+++ b/internal/core/dependencylist/dependencylist.go
@@ -11,10 +11,10 @@
 // deleted, its first record is deleted before the others or together with them. A delayed
 // transaction of that attempt therefore has no effect, and an accepted job has its complete list.
 //
-// Versions before wire.PeerVersionLists do not support list records. They take the reference for
-// the name of a job that does not exist, so they never start the job, but they also fail to cancel
-// it when one of its dependencies is cancelled. Lists are therefore written only once every
-// controller supports them.
+// Versions before wire.PeerVersionDependencyLists do not support list records. They take the
+// reference for the name of a job that does not exist, so they never start the job, but they also
+// fail to cancel it when one of its dependencies is cancelled. Lists are therefore written only
+// once every controller supports them.
 //
 // The package has no clock and does no I/O: it builds transactions, and encodes and decodes values.
 // The keys are those of records.DependencyListRef. The front end writes lists; the leader reads
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -271,7 +271,7 @@
 		// have ended since it was written.
 		pending.record.Job.Dependencies = []string{pending.listWriter.Ref().String()}
 		return true
-	case !f.host.AllPeersSupport(wire.PeerVersionLists):
+	case !f.host.AllPeersSupport(wire.PeerVersionDependencyLists):
 		f.host.Refuse(pending.request, listsNotSupported)
 		return false
 	}
--- a/internal/core/heartbeat_forwarding.go
+++ b/internal/core/heartbeat_forwarding.go
@@ -137,7 +137,7 @@
 	case leader != "" && leader != c.settings.Name && leader != heartbeat.sentTo:
 		heartbeat.sentTo = leader
 		body := heartbeat.body
-		if !c.membership.PeerSupports(leader, wire.PeerVersionRanges) {
+		if !c.membership.PeerSupports(leader, wire.PeerVersionPlacementRanges) {
 			body = newestAttemptFirst(body)
 		}
 		c.send(leader, &wire.PeerMessage{Forward: &wire.Forward{ID: id, Body: body}})
@@ -145,8 +145,8 @@
 }
 
 // newestAttemptFirst sorts the rows of a heartbeat that lists a task twice, the newest attempt
-// at a task first. A leader of a version before wire.PeerVersionRanges takes the first row of
-// a task for its present attempt: with an ended earlier attempt before it, a running task
+// at a task first. A leader of a version before wire.PeerVersionPlacementRanges takes the first row
+// of a task for its present attempt: with an ended earlier attempt before it, a running task
 // seemed to have vanished and ran twice. Such a leader sorts the rows by task, which leaves
 // those that are in order as they are. No row is left out, and the protocol gives rows no
 // order; a heartbeat that lists no task twice is forwarded as it came.
--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -14,7 +14,7 @@
 // layouts of keys:
 //
 //   - Numbered: p/JOB/N is the Nth range of as many tasks as fit into value_kb. Versions before
-//     wire.PeerVersionRanges read and write only this layout.
+//     wire.PeerVersionPlacementRanges read and write only this layout.
 //   - Named ranges: p/JOB/FROM-TO names its range. It is written where values have to be smaller
 //     than value_kb now allows, once every controller reads it or the store has rejected a
 //     transaction. For the tasks of its range it takes precedence over any numbered record. The
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -27,7 +27,7 @@
 
 // PeersReadNamedRanges reports whether every peer reads placement records that name their range.
 func (h persistenceHost) PeersReadNamedRanges() bool {
-	return h.leader.core.membership.AllPeersSupport(wire.PeerVersionRanges)
+	return h.leader.core.membership.AllPeersSupport(wire.PeerVersionPlacementRanges)
 }
 
 // RejectedWrites records that the store rejected a transaction with a number of writes.
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -22,14 +22,14 @@
 // PeerVersion is the version of the messages and records that this program understands. Records
 // that an earlier version would misread are written only once every controller has reported a
 // version that understands them.
-const PeerVersion = PeerVersionLists
+const PeerVersion = PeerVersionDependencyLists
 
-// PeerVersionRanges is the first version that understands jobs with dependencies, and placement
-// records that state their range of tasks. PeerVersionLists also understands lists of dependencies
-// that are split over several records.
+// PeerVersionPlacementRanges is the first version that understands jobs with dependencies, and
+// placement records that state their range of tasks. PeerVersionDependencyLists also understands
+// lists of dependencies that are split over several records.
 const (
-	PeerVersionRanges = 1
-	PeerVersionLists  = 2
+	PeerVersionPlacementRanges = 1
+	PeerVersionDependencyLists = 2
 )
 
 // Forward is a worker's heartbeat that a controller forwards to the leader unchanged.
