--- a/cmd/brookwalk-hollow/main.go
+++ b/cmd/brookwalk-hollow/main.go
@@ -146,12 +146,12 @@
 func buildProgram(ctx context.Context, deployPath string) ([]string, error) {
 	var deploy struct{ Build, Run string }
 	if _, err := toml.DecodeFile(deployPath, &deploy); err != nil {
-		return nil, fmt.Errorf("deploy file: %w", err)
+		return nil, fmt.Errorf("read deploy file: %w", err)
 	}
 	build := exec.CommandContext(ctx, "sh", "-c", deploy.Build)
 	build.Stdout, build.Stderr = os.Stderr, os.Stderr
 	if err := build.Run(); err != nil {
-		return nil, fmt.Errorf("build: %w", err)
+		return nil, fmt.Errorf("run build command of the deploy file: %w", err)
 	}
 	return strings.Fields(deploy.Run), nil
 }
--- a/httpwire/httpwire_test.go
+++ b/httpwire/httpwire_test.go
@@ -39,7 +39,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r, n, err := ParseRequest([]byte(tc.in))
 			if !errors.Is(err, tc.err) {
-				t.Fatalf("error %v, want %v", err, tc.err)
+				t.Fatalf("got error %v, want %v", err, tc.err)
 			}
 			if err != nil {
 				return
@@ -58,7 +58,7 @@
 		t.Fatalf("parsed %d of %d bytes: %v", size, len(data), err)
 	}
 	if response.Status != 503 || string(response.Body) != `{"error":"not now"}` || response.RetryAfter != "2" || !response.Close {
-		t.Errorf("got %+v", response)
+		t.Errorf("parsed response: got %+v, want the Reply that was written", response)
 	}
 }
 
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if response := sendRequest(t, conn, tc.request); response.Status != tc.status {
-				t.Errorf("%q: status %d, want %d", tc.request, response.Status, tc.status)
+				t.Errorf("request %q: got status %d, want %d", tc.request, response.Status, tc.status)
 			}
 		})
 	}
