--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -34,20 +34,20 @@
 				t.Fatalf("submission: %d %s", a.Status, a.Body)
 			}
 			id := "job-000412"
-			lead := func() {
+			receiveLeaderDigest := func() {
 				harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 5, Leader: true, HearsLeader: true, StoreOK: true}}})
 			}
-			lead()
-			harness.nextReq++
-			harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + id + "/cancel"})
-			if a, ok := harness.answers[harness.nextReq]; ok {
+			receiveLeaderDigest()
+			harness.lastRequestID++
+			harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + id + "/cancel"})
+			if a, ok := harness.answers[harness.lastRequestID]; ok {
 				t.Fatalf("acknowledged before anything is known of its tasks: %d %s", a.Status, a.Body)
 			}
 			if tc.superseded {
 				harness.write(election.KeyTerm, "", []byte("6"))
 			}
 			harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Gone: []string{id}, TermVersion: termVersion}}})
-			a := harness.answers[harness.nextReq]
+			a := harness.answers[harness.lastRequestID]
 			if a.Status != tc.status {
 				t.Errorf("answered %d %s, want %d", a.Status, a.Body, tc.status)
 			}
--- a/internal/core/cancelled_ends.go
+++ b/internal/core/cancelled_ends.go
@@ -2,11 +2,11 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/cluster"
 
-// addCancelledEnds adds the ends of cancelled jobs to a transaction as far as they fit:
-// no user is told of one before its dependents have ended, so these come first. A chain goes
-// into one transaction where it fits: job by job, each after the outcome of the one before, a
-// long one would take longer than cancel_s. A job with dependents is added when the last of
-// them has ended.
+// addCancelledEnds adds the ends of cancelled jobs to a transaction as far as they fit. A job's
+// cancellation is acknowledged only after its dependents have ended, so the ends of dependents are
+// added first, and a job with dependents is added once the last of them has ended. A chain of
+// dependencies is recorded in one transaction if it fits: with one transaction per job, each waiting
+// for the previous one, a long chain would take longer than cancel_s.
 func (l *leader) addCancelledEnds(add func(*cluster.Job) bool) {
 	waiting := l.cancelledWithoutDependents
 	l.cancelledWithoutDependents = nil
@@ -22,8 +22,9 @@
 	}
 }
 
-// addEndWithDependencies adds the end of a cancelled job, and those of its cancelled
-// dependencies that no other job needs. It returns false if the job does not fit.
+// addEndWithDependencies adds the end of a cancelled job, and the ends of its direct and indirect
+// dependencies that are cancelled and have no other unfinished dependents. It returns false if the
+// job's own end does not fit.
 func (l *leader) addEndWithDependencies(job *cluster.Job, add func(*cluster.Job) bool) bool {
 	if !add(job) {
 		return false
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -9,18 +9,19 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// commandsFor lists the commands that a worker is to get now.
+// commandsFor returns the commands to send to a worker now.
 func (l *leader) commandsFor(machine *cluster.Machine) []wire.Command {
 	return reconcile.Commands(machine, l.Jobs, l.leadership.Term)
 }
 
-// sendStarts sends starts whose placements are on record directly to the workers.
+// sendStarts sends the start commands of tasks whose placements are recorded directly to the
+// workers.
 func (l *leader) sendStarts(starts []records.PlacedTask) {
-	named := map[string]bool{}
+	seen := map[string]bool{}
 	var machines []*cluster.Machine
 	for _, start := range starts {
-		if machine := l.Machines[start.Machine]; machine != nil && !named[start.Machine] {
-			named[start.Machine] = true
+		if machine := l.Machines[start.Machine]; machine != nil && !seen[start.Machine] {
+			seen[start.Machine] = true
 			machines = append(machines, machine)
 		}
 	}
@@ -29,7 +30,7 @@
 	}
 }
 
-// sendCommands sends a worker its commands at once, instead of with the answer to its next
+// sendCommands sends a worker its commands immediately, instead of with the answer to its next
 // heartbeat.
 func (l *leader) sendCommands(machine *cluster.Machine) {
 	if !l.recordsLoaded || !reconcile.CanCallDirectly(machine, l.leadership.Term, l.core.now) {
@@ -69,18 +70,18 @@
 	}, done)
 }
 
-// commandsAnswered reports whether a worker has answered direct commands with its state.
+// commandsAnswered reports whether a worker has responded to direct commands with its state.
 func commandsAnswered(result Result) bool {
 	return result.Status == httpstatus.OK || result.Status == httpstatus.Conflict
 }
 
-// outcomeKnown reports whether direct commands were certainly carried out, or certainly not and
-// never will be.
+// outcomeKnown reports whether direct commands are known to have been executed, or known never to be
+// executed.
 func outcomeKnown(result Result) bool {
 	return commandsAnswered(result) || result.Status == httpstatus.BadRequest || result.NotSent
 }
 
-// handleDirectStatus handles the state with which a worker answers a direct command or a probe.
+// handleDirectStatus handles the state in a worker's response to a direct command or a probe.
 func (l *leader) handleDirectStatus(machine *cluster.Machine, body []byte) {
 	status, ok := decodeHeartbeat(body)
 	if !ok || status.Machine != machine.Name {
--- a/internal/core/commands_test.go
+++ b/internal/core/commands_test.go
@@ -33,7 +33,7 @@
 		{"an exit on a worker that has not heard this term", nil, exited, func(_ *cluster.Job, machine *cluster.Machine) { machine.FencingToken-- }, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			harness, leader := newLeadingHarness(t, withoutAnnouncement)
+			harness, leader := newLeadingHarness(t, withoutAnnouncedLimits)
 			addRecord(harness, leader, wire.Job{ID: "job-101"}, nil)
 			job, machine := leader.Jobs["job-101"], leader.machineNamed("n-1")
 			machine.FencingToken, machine.ReportedTasks = leader.leadership.Term, tc.listed
--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -235,11 +235,11 @@
 			t.Errorf("%T is %+v, of what this version writes %+v", before, before, after)
 		}
 	}
-	sameJSON(t, data, kv.Encode(got))
+	expectSameJSON(t, data, kv.Encode(got))
 }
 
 // sameJSON requires that this version writes what an old one wrote, field by field.
-func sameJSON(t *testing.T, old, present []byte) {
+func expectSameJSON(t *testing.T, old, present []byte) {
 	t.Helper()
 	var a, b any
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(present, &b) != nil {
@@ -252,7 +252,7 @@
 
 // kindOf names the kind of a key's record by the names that this version knows, and makes an
 // empty value of it.
-func kindOf(key string) (string, any) {
+func recordKind(key string) (string, any) {
 	place, isPlace := records.ParsePlacementKey(key, 1)
 	switch {
 	case key == election.KeyLeader:
@@ -291,7 +291,7 @@
 				t.Fatal(err)
 			}
 			for i, w := range txn.Writes {
-				kind, value := kindOf(w.Put + w.Delete)
+				kind, value := recordKind(w.Put + w.Delete)
 				if kind == "" {
 					t.Fatalf("%s: unknown key %q", dir, w.Put+w.Delete)
 				}
@@ -308,11 +308,11 @@
 				}
 			}
 			for _, cond := range txn.Conditions {
-				if kind, _ := kindOf(cond.Key); kind == "" {
+				if kind, _ := recordKind(cond.Key); kind == "" {
 					t.Errorf("%s: unknown key %q", dir, cond.Key)
 				}
 			}
-			sameJSON(t, line, kv.Encode(txn))
+			expectSameJSON(t, line, kv.Encode(txn))
 		}
 		if got := sortedKeys(seen); !slices.Equal(got, kinds) {
 			t.Errorf("%s: records of the kinds %q, want %q", dir, got, kinds)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -1,13 +1,13 @@
 // Package core is the state machine of a controller. Step takes one input (a request, a peer's
-// message, the result of a call, a tick) and returns what to answer, call and send. It owns no
-// clock, goroutine or socket, and map order has no effect on what it does: the same inputs at
-// the same times lead to the same outputs.
+// message, the result of a call, a tick) and returns the answers, calls and messages to send. It
+// owns no clock, goroutine or socket, and does not depend on the iteration order of maps: the same
+// inputs at the same times produce the same outputs.
 //
-// Core is what every controller has: the front end for users, forwarding of heartbeats, the
-// election. leader is what only the leader has, for one term: the state of jobs and machines
+// Core holds the state of every controller: the front end for users, the forwarding of heartbeats
+// and the election. leader holds the state of the leader during one term: jobs and machines
 // (package cluster), reconciliation, scheduling, provisioning and persistence. internal/node
-// runs a core on sockets, internal/sim in virtual time. docs/architecture.md shows the way
-// of a request through it.
+// runs a core on sockets, internal/sim in virtual time. docs/architecture.md traces a request
+// through the core.
 package core
 
 import (
@@ -31,19 +31,19 @@
 	settings         *config.Settings
 	operatorSettings *config.OperatorSettings
 	log              *slog.Logger
-	incarnation      uint64        // differs from that of any other run of the program
-	now              time.Duration // steady time of the present step
-	wallClockMS      int64         // time of day of the present step, in ms
-	out              Output        // of the present step
+	incarnation      uint64        // identifies this run of the program
+	now              time.Duration // monotonic time of the current step
+	wallClockMS      int64         // wall-clock time of the current step, in ms
+	out              Output        // of the current step
 
-	pendingCalls map[uint64]func(Result) // what handles the result, by the call's ID
-	nextCall     uint64
+	pendingCalls map[uint64]func(Result) // result handlers, by call ID
+	lastCallID   uint64
 
-	machineTypes            map[string]*wire.MachineType // by name, as the cloud last listed them
+	machineTypes            map[string]*wire.MachineType // by name, as last listed by the cloud
 	machineTypesRequestedAt time.Duration
-	machineTypesGeneration  int // counts the answers that the types were taken from
+	machineTypesGeneration  int // number of the cloud's responses that the types were taken from
 	machineTypesRequested   bool
-	machineTypesStored      string // the list as it was last written to the store
+	machineTypesStored      string // the list as last written to the store
 
 	jobCache *jobcache.Cache
 	frontEnd *frontend.FrontEnd
@@ -55,17 +55,18 @@
 	leader     *leader // nil on a follower
 
 	forwardedHeartbeats map[uint64]*forwardedHeartbeat
-	nextForwardID       uint64
+	lastForwardID       uint64
 	digestDueAt         time.Duration
 	jobCountsDueAt      time.Duration
-	jobCounts           map[string]wire.JobCount // last digest of the leader
+	jobCounts           map[string]wire.JobCount // by job ID, from the leader's last digest
 	regions             regions
-	// pullsAreSequential is what the leader's last digest says of how machines pull images.
+	// pullsAreSequential is whether machines pull images one after another, according to the
+	// leader's last digest.
 	pullsAreSequential bool
 }
 
-// New makes the core of a controller. The operators' settings and the logger may be nil. The
-// incarnation has to differ from that of any other run of the program.
+// New returns the core of a controller. The operators' settings and the logger may be nil. The
+// incarnation must be unique among all runs of the program.
 func New(settings *config.Settings, operatorSettings *config.OperatorSettings, incarnation uint64, log *slog.Logger) *Core {
 	if operatorSettings == nil {
 		operatorSettings = &config.OperatorSettings{}
@@ -91,8 +92,8 @@
 	return c
 }
 
-// Step applies one input at a steady time, which does not go back, and a time of day. It
-// returns what the input leads to.
+// Step applies one input and returns the resulting output. now is the monotonic time and wall the
+// wall-clock time. If now is earlier than in a previous step, the time of that step is used.
 func (c *Core) Step(now time.Duration, wall time.Time, in Input) Output {
 	c.logProcessPause(now)
 	if now > c.now {
@@ -102,8 +103,8 @@
 	c.out = Output{}
 	in.apply(c)
 	if leader := c.leader; leader != nil {
-		// Passes wait for the next tick, so that no answer to a heartbeat is delayed by
-		// one; what they have changed is recorded at once.
+		// Scheduling passes run only on ticks, so that they do not delay answers to
+		// heartbeats. Their changes are recorded immediately.
 		if _, tick := in.(Tick); tick {
 			leader.runDuePass()
 		}
@@ -112,8 +113,8 @@
 	return c.out
 }
 
-// Evaluations counts the machines that scheduling passes of the present term have evaluated: a
-// measure of their cost that does not depend on a clock. It is 0 on a follower.
+// Evaluations returns the number of machines that scheduling passes of the current term have
+// evaluated: a measure of their cost that does not depend on a clock. It is 0 on a follower.
 func (c *Core) Evaluations() int {
 	if c.leader == nil {
 		return 0
@@ -137,16 +138,16 @@
 	}
 }
 
-// call makes a call; done handles its result.
+// call requests a call; done handles its result.
 func (c *Core) call(request Call, done func(Result)) {
-	c.nextCall++
-	request.ID = c.nextCall
+	c.lastCallID++
+	request.ID = c.lastCallID
 	c.pendingCalls[request.ID] = done
 	c.out.Calls = append(c.out.Calls, request)
 }
 
-// answer answers a request. A nil value stands for an empty object; retryAfter is in seconds, 0
-// for none.
+// answer answers a request. A nil value is sent as an empty object. retryAfter is in seconds; 0
+// means none.
 func (c *Core) answer(requestID uint64, status int, value any, retryAfter int) {
 	body := []byte("{}")
 	if value != nil {
@@ -155,17 +156,17 @@
 	c.out.Answers = append(c.out.Answers, Answer{ID: requestID, Status: status, Body: body, RetryAfterS: retryAfter})
 }
 
-// workerLease is how long a worker keeps its tasks without an answer to a heartbeat.
+// workerLease returns how long a worker keeps its tasks without an answer to a heartbeat.
 func (c *Core) workerLease() time.Duration {
 	return c.settings.Deployment.Workers.Lease()
 }
 
-// heartbeatInterval is the time between two heartbeats of a worker, plus or minus a quarter.
+// heartbeatInterval returns the time between two heartbeats of a worker, which varies by up to 25%.
 func (c *Core) heartbeatInterval() time.Duration {
 	return c.settings.Deployment.Workers.HeartbeatInterval()
 }
 
-// sortedKeys returns a map's keys in order, so that map order has no effect.
+// sortedKeys returns a map's keys in sorted order, so that loops over them are deterministic.
 func sortedKeys[V any](m map[string]V) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -10,29 +10,29 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A job with dependencies that are not done is a node of the dependency graph (package
-// depgraph) and nothing else: it is pending, outside its team's limit and guarantee, and none of
-// its tasks may be placed. It is ready when its open record says so (ReadyAt), which is written on
-// the condition that its dependencies have no open records any more, after their ends were read or
-// written as done. Every placement is conditional on that record in turn, so that no start relies
-// on what a leader remembers of an end.
+// A job with unfinished dependencies only has a node in the dependency graph (package depgraph): it
+// is pending, does not count toward its team's limit and guarantee, and none of its tasks may be
+// placed. It is ready once its open record has a ReadyAt. The leader writes ReadyAt after it has read
+// or written the ends of all dependencies as done, on the condition that their open records no longer
+// exist. Every placement is conditional on the version of the job's open record, so that no start
+// depends on a leader's in-memory state of the dependencies.
 //
-// A cancellation cancels all dependents, direct or not. They have no tasks, so their ends are
-// recorded at once; the end of the job itself, and with it the answer to its user, follows when no
-// dependent is left. The next leader finds the job cancelled and continues where the last one
-// stopped.
+// The cancellation of a job also cancels all its direct and indirect dependents. They have no running
+// tasks, so their ends are recorded immediately. The end of the job itself is recorded, and its user
+// is answered, when no dependent is left. The next leader reads from the record that the job is
+// cancelled and continues.
 
-// dependencyLookups is the state of look-ups of dependencies whose end is on record.
+// dependencyLookups is the state of the lookups of dependencies that are not among the open jobs.
 type dependencyLookups struct {
-	dueAt   map[string]time.Duration // jobs to look up; when next
-	running int
+	dueAt   map[string]time.Duration // by job ID; time of the next lookup
+	running int                      // lookups in progress
 }
 
 // addDependencies adds a new job to the graph.
 func (l *leader) addDependencies(job *cluster.Job) {
 	if job.Record.ReadyAt != 0 {
-		// The end of the last dependency is on record: counted from the submission, the
-		// waiting time would be far too long.
+		// All dependencies are done. The waiting time counts from then: the time spent waiting
+		// for dependencies must not count as time spent waiting for machines.
 		job.WaitingSinceMS = job.Record.ReadyAt
 	}
 	if len(job.Dependencies) == 0 || job.Record.ReadyAt != 0 {
@@ -42,26 +42,27 @@
 	job.AwaitingDependencies = true
 	if ref, ok := records.ParseDependencyListRef(job.Dependencies); ok {
 		job.DependencyList, job.Dependencies = ref, nil
-		l.readList(job)
+		l.readDependencyList(job)
 		return
 	}
 	l.addDependencyNames(job, job.Dependencies)
 }
 
-// addDependencyNames records the dependencies of a new job.
+// addDependencyNames adds the dependencies of a new job to the graph.
 func (l *leader) addDependencyNames(job *cluster.Job, names []string) {
 	job.Dependencies = names
 	l.dependencies.Add(job.ID, names)
 	l.core.log.Debug("job dependencies", "job", job.ID, "dependencies", names)
 	if l.recordsLoaded {
-		// While records are loaded, only the number of waiting jobs is logged.
+		// During the load of records only the total number of waiting jobs is logged.
 		l.core.log.Info("job waits for dependencies", "job", job.ID, "count", len(job.Dependencies))
 		l.resolveDependencies(job)
 		l.propagateUrgency(job)
 	}
 }
 
-// resolveDependencies finds out what has become of the dependencies of a new job.
+// resolveDependencies determines the states of a new job's dependencies: it looks up those that are
+// not open, and cancels the job and its dependents if a dependency is cancelled.
 func (l *leader) resolveDependencies(job *cluster.Job) {
 	if !job.AwaitingDependencies || job.Cancellation.Requested() {
 		return
@@ -71,20 +72,22 @@
 		case dependency == nil:
 			l.lookUpDependency(id)
 		case dependency.Cancellation.Requested() && !job.Cancellation.Requested():
-			// The other dependents of the cancelled job are resolved by themselves.
-			l.cancelWith([]string{job.ID}, id)
+			// Only this job and its dependents are cancelled here. The dependency's other
+			// dependents are handled when they are resolved.
+			l.cancelWithDependency([]string{job.ID}, id)
 			l.cancelDependents(job.ID)
 		}
 	}
 }
 
-// lookUpDependency looks up a dependency that is not among the open jobs: its end is on record.
+// lookUpDependency looks up the record of a dependency that is not among the open jobs, usually
+// because its end is recorded.
 func (l *leader) lookUpDependency(id string) {
 	if _, ok := l.lookups.dueAt[id]; ok || !l.dependencies.HasDependents(id) {
 		return
 	}
 	if l.lookups.running >= l.core.frontEnd.MaxWaitingRequests()/8 {
-		l.lookups.dueAt[id] = l.core.now // users' requests share the same calls
+		l.lookups.dueAt[id] = l.core.now // the rest of the lookup capacity is reserved for users' requests
 		return
 	}
 	l.lookups.running++
@@ -97,7 +100,8 @@
 	})
 }
 
-// applyDependencyLookup applies the result of a look-up; one without any is repeated.
+// applyDependencyLookup applies the result of a lookup. A lookup that failed or found
+// no record is repeated.
 func (l *leader) applyDependencyLookup(id string, result frontend.LookupResult) {
 	switch {
 	case result.Final != nil:
@@ -111,7 +115,7 @@
 	}
 }
 
-// tickDependencies begins the look-ups that are due.
+// tickDependencies starts the lookups that are due.
 func (l *leader) tickDependencies() {
 	for _, id := range sortedKeys(l.lookups.dueAt) {
 		if l.core.now >= l.lookups.dueAt[id] {
@@ -121,8 +125,8 @@
 	}
 }
 
-// dependencyEnded applies that a job's end is on record: jobs all of whose dependencies are done
-// become ready; those that depend on a job that is not done are cancelled.
+// dependencyEnded updates the dependents of a job whose end is recorded. If the job is done, marks
+// those whose dependencies are all done, so that their ReadyAt is written. Otherwise cancels them.
 func (l *leader) dependencyEnded(id string, status wire.JobState) {
 	if l.dependencies.HasDependents(id) {
 		l.core.log.Debug("dependency ended", "job", id, "status", status)
@@ -139,7 +143,7 @@
 	}
 }
 
-// markReady makes a job ready once its open record says that its dependencies are done.
+// markReady makes a job ready once its open record has a ReadyAt: all its dependencies are done.
 func (l *leader) markReady(job *cluster.Job) {
 	if !job.AwaitingDependencies || job.Record.ReadyAt == 0 {
 		return
@@ -152,17 +156,17 @@
 	l.passes.requested = true
 }
 
-// cancelDependents cancels all jobs that depend on a cancelled one. The dependents of a job that
-// was cancelled before are cancelled already.
+// cancelDependents cancels all direct and indirect dependents of a cancelled job. It does not follow
+// dependents that are cancelled already, since their own dependents are too.
 func (l *leader) cancelDependents(id string) {
-	l.cancelWith(l.dependencies.TransitiveDependents(id, func(dependent string) bool {
+	l.cancelWithDependency(l.dependencies.TransitiveDependents(id, func(dependent string) bool {
 		job := l.Jobs[dependent]
 		return job != nil && !job.Cancellation.Requested()
 	}), id)
 }
 
-// cancelWith cancels jobs together with a dependency.
-func (l *leader) cancelWith(ids []string, dependency string) {
+// cancelWithDependency cancels jobs because a dependency of theirs is cancelled.
+func (l *leader) cancelWithDependency(ids []string, dependency string) {
 	var affected []string
 	for _, id := range ids {
 		l.core.log.Info("job cancelled", "job", id, "dependency", dependency)
@@ -172,7 +176,7 @@
 	l.recomputeUrgency(affected)
 }
 
-// hasLiveDependents reports whether any dependent of a job has not ended, or may not have.
+// hasLiveDependents reports whether a job has, or may have, dependents that have not ended.
 func (l *leader) hasLiveDependents(id string) bool {
 	if job := l.Jobs[id]; job != nil && l.mayHaveUnknownDependents(job) {
 		return true
@@ -183,8 +187,8 @@
 	})
 }
 
-// mayHaveUnknownDependents reports whether a job may have dependents that are not known yet, since
-// a list of dependencies is still to be read.
+// mayHaveUnknownDependents reports whether a job may have dependents that are not known yet, because
+// some dependency lists have not been read.
 func (l *leader) mayHaveUnknownDependents(job *cluster.Job) bool {
 	return job.Record.HasDependents && len(l.dependencyLists.unread) > 0
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -70,16 +70,16 @@
 // dependent is open, in however small steps.
 func TestDependentsEndFirst(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.TxnOps = 2 })
-	needs := map[string][]string{"job-2": {"job-1"}, "job-3": {"job-1"}, "job-4": {"job-2", "job-3"}, "job-5": {"job-4"}}
+	dependencies := map[string][]string{"job-2": {"job-1"}, "job-3": {"job-1"}, "job-4": {"job-2", "job-3"}, "job-5": {"job-4"}}
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
-	for _, id := range sortedKeys(needs) {
-		addRecord(harness, leader, wire.Job{ID: id, Dependencies: needs[id]}, nil)
+	for _, id := range sortedKeys(dependencies) {
+		addRecord(harness, leader, wire.Job{ID: id, Dependencies: dependencies[id]}, nil)
 	}
-	over := func(id string) bool { return harness.store[records.FinalKey(id)].Key != "" }
+	ended := func(id string) bool { return harness.store[records.FinalKey(id)].Key != "" }
 	harness.afterCommit = func() {
-		for id, before := range needs {
+		for id, before := range dependencies {
 			for _, a := range before {
-				if over(a) && !over(id) {
+				if ended(a) && !ended(id) {
 					t.Errorf("%s is over before %s", a, id)
 				}
 			}
@@ -88,7 +88,7 @@
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
 	harness.run(2e9)
 	for _, id := range []string{"job-1", "job-2", "job-3", "job-4", "job-5"} {
-		if !over(id) || harness.store[records.OpenKey(id)].Key != "" {
+		if !ended(id) || harness.store[records.OpenKey(id)].Key != "" {
 			t.Errorf("%s is not over", id)
 		}
 	}
@@ -108,10 +108,10 @@
 	}
 	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 5, Leader: true, HearsLeader: true, StoreOK: true}}})
-	harness.nextReq++
-	harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + id + "/cancel"})
+	harness.lastRequestID++
+	harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + id + "/cancel"})
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Gone: []string{id}, TermVersion: harness.store[election.KeyTerm].Version}}})
-	if a := harness.answers[harness.nextReq]; a.Status != 503 || a.RetryAfterS == 0 {
+	if a := harness.answers[harness.lastRequestID]; a.Status != 503 || a.RetryAfterS == 0 {
 		t.Errorf("answered %d %s, want 503 and when to come back", a.Status, a.Body)
 	}
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Over: []wire.JobEnd{{ID: id, Status: string(wire.StatusCancelled), Tasks: 16}}}}})
@@ -129,7 +129,7 @@
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, func(r *records.Open) {
 		r.Job.Priority, r.Job.DeadlineS, r.Job.EstimatedRunS = wire.PriorityUrgent, &due, 20
 	})
-	only := func() *candidate {
+	onlyCandidate := func() *candidate {
 		candidates := leader.candidates()
 		if len(candidates) != 1 || candidates[0].Job.ID != "job-1" {
 			t.Fatalf("candidates %+v, want job-1", candidates)
@@ -137,11 +137,11 @@
 		return candidates[0]
 	}
 	urgent := cluster.PriorityLevel[wire.PriorityUrgent]
-	if c := only(); c.Job.Level != urgent || c.PreemptionPriority != 0 {
+	if c := onlyCandidate(); c.Job.Level != urgent || c.PreemptionPriority != 0 {
 		t.Errorf("with 50 s to spare of 30: level %d, preempts with %d", c.Job.Level, c.PreemptionPriority)
 	}
 	harness.core.wallClockMS += 25_000
-	if c := only(); c.PreemptionPriority != urgent {
+	if c := onlyCandidate(); c.PreemptionPriority != urgent {
 		t.Errorf("with 25 s to spare of 30 it preempts with %d", c.PreemptionPriority)
 	}
 }
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -66,7 +66,7 @@
 }
 
 // recordGraph makes the jobs of a graph known to a leader, with estimates that differ.
-func recordGraph(harness *harness, leader *leader, g *graph) {
+func addGraph(harness *harness, leader *leader, g *graph) {
 	for n, id := range g.order {
 		addRecord(harness, leader, wire.Job{ID: id, Dependencies: g.dependencies[id]}, func(r *records.Open) { r.Job.EstimatedRunS = float64(1 + n%3) })
 	}
@@ -80,7 +80,7 @@
 	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
-			recordGraph(harness, leader, g)
+			addGraph(harness, leader, g)
 			before := leader.dependencies.EdgesVisited()
 			if most := 20 * (len(g.order) + g.edges()); before > most {
 				t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", before, len(g.order), g.edges(), most)
@@ -141,11 +141,11 @@
 	for name, g := range costlyGraphs() {
 		for leader, cancel := range map[string]func(*harness, *leader, string) *leader{
 			"present leader": cancelUnderLeader,
-			"next leader":    nextLeader,
+			"next leader":    startNextLeader,
 		} {
 			for _, maxWrites := range []int{16, 5, 2} {
 				t.Run(fmt.Sprintf("%s/%d writes/%s", name, maxWrites, leader), func(t *testing.T) {
-					testCancelCost(t, g, maxWrites, cancel)
+					checkCancelCost(t, g, maxWrites, cancel)
 				})
 			}
 		}
@@ -159,10 +159,10 @@
 }
 
 // testCancelCost cancels the root of a graph; cancel returns the leader that has to deal with it.
-func testCancelCost(t *testing.T, g *graph, maxWrites int, cancel func(harness *harness, current *leader, job string) *leader) {
+func checkCancelCost(t *testing.T, g *graph, maxWrites int, cancel func(harness *harness, current *leader, job string) *leader) {
 	t.Helper()
 	harness, current := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites} })
-	recordGraph(harness, current, g)
+	addGraph(harness, current, g)
 	root := g.order[0]
 	cancelled := g.withDependents(root)
 	harness.afterCommit = func() {
@@ -184,7 +184,7 @@
 			t.Fatalf("%s has ended: %v, want %v", id, harness.hasEnded(id), cancelled[id])
 		}
 	}
-	if ends, most := endTransactions(harness), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
+	if ends, most := countEndTransactions(harness), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
 		t.Errorf("%d transactions for %d ends, want at most %d", ends, len(cancelled), most)
 	}
 	if steps, most := current.dependencies.EdgesVisited()-stepsBefore[current], 20*(len(g.order)+g.edges()); steps > most {
@@ -206,7 +206,7 @@
 }
 
 // endTransactions counts the transactions that were sent with a job's end.
-func endTransactions(harness *harness) int {
+func countEndTransactions(harness *harness) int {
 	count := 0
 	for _, commit := range harness.commits {
 		if strings.Contains(commit, `"put":"f/`) {
@@ -218,7 +218,7 @@
 
 // nextLeader makes a new leader load the records. The job that is named, if any, is cancelled
 // before.
-func nextLeader(harness *harness, old *leader, cancelled string) *leader {
+func startNextLeader(harness *harness, old *leader, cancelled string) *leader {
 	old.steppedDown = true
 	leader := newLeader(harness.core, election.Leadership{Term: 5, TermVersion: harness.store[election.KeyTerm].Version, Lease: 1})
 	harness.core.leader = leader
@@ -242,7 +242,7 @@
 	for name, g := range costlyGraphs() {
 		t.Run(name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
-			recordGraph(harness, leader, g)
+			addGraph(harness, leader, g)
 			before := leader.dependencies.EdgesVisited()
 			for _, id := range g.order {
 				if j := leader.Jobs[id]; j.AwaitingDependencies && !j.DependenciesDone {
@@ -281,7 +281,7 @@
 			for n := range 40 {
 				last = g.add(fmt.Sprintf("job-%d", 1001+n), last)
 			}
-			recordGraph(harness, leader, g)
+			addGraph(harness, leader, g)
 			sent := 0
 			harness.intercept = func(_ *wire.Txn, carryOut func() int) int {
 				if sent++; sent%3 != 0 {
@@ -329,7 +329,7 @@
 func TestAcceptanceRaces(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		happen func(harness *harness)
+		race   func(harness *harness)
 		status wire.JobState // of the answer
 		// dependencies are those on record; "-" for no open record.
 		dependencies string
@@ -351,11 +351,11 @@
 				t.Fatalf("%d %s", a.Status, a.Body)
 			}
 			syncRevision(other, harness)
-			happened := false
+			raced := false
 			other.intercept = func(txn *wire.Txn, carryOut func() int) int {
-				if !happened && len(txn.Writes) > 0 {
-					happened = true
-					tc.happen(other)
+				if !raced && len(txn.Writes) > 0 {
+					raced = true
+					tc.race(other)
 				}
 				return carryOut()
 			}
@@ -365,7 +365,7 @@
 					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, status, tc.status)
 				}
 			}
-			if !happened {
+			if !raced {
 				t.Fatal("nothing was written")
 			}
 			syncRevision(harness, other)
@@ -425,9 +425,9 @@
 
 // runInStep runs a function as an input of the core, so that its calls are sent.
 func runInStep(harness *harness, f func()) {
-	harness.core.nextCall++
-	harness.core.pendingCalls[harness.core.nextCall] = func(Result) { f() }
-	harness.step(Result{ID: harness.core.nextCall})
+	harness.core.lastCallID++
+	harness.core.pendingCalls[harness.core.lastCallID] = func(Result) { f() }
+	harness.step(Result{ID: harness.core.lastCallID})
 }
 
 // TestDependenciesEndedLongAgo has dependencies that ended long ago: of these only the final record is left,
--- a/internal/core/dependency_lifecycle_test.go
+++ b/internal/core/dependency_lifecycle_test.go
@@ -23,7 +23,7 @@
 	harness.run(60 * time.Second)
 	present.markDone(present.Jobs[jobID(1)], 0)
 	harness.run(2 * time.Second)
-	for name, leader := range map[string]*leader{"the leader": present, "the next": nextLeader(harness, present, "")} {
+	for name, leader := range map[string]*leader{"the leader": present, "the next": startNextLeader(harness, present, "")} {
 		job := leader.Jobs[jobID(2)]
 		if job.AwaitingDependencies {
 			t.Fatalf("%s: it waits", name)
@@ -44,10 +44,10 @@
 	addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
 	addRecord(harness, leader, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
 	harness.request("GET", "/submissions/"+jobID(1), "") // known here
-	happened := false
+	ended := false
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
-		if !happened && len(txn.Writes) == 1 { // the request
-			happened = true
+		if !ended && len(txn.Writes) == 1 { // the request
+			ended = true
 			harness.core.leader.markDone(leader.Jobs[jobID(1)], 0)
 			harness.intercept = nil
 			leader.writer.MarkDirty()
@@ -56,7 +56,7 @@
 		return carryOut()
 	}
 	a := harness.request("POST", "/submissions/"+jobID(1)+"/cancel", "")
-	if !happened || a.Status != 200 || !strings.Contains(string(a.Body), `"status":"done"`) {
+	if !ended || a.Status != 200 || !strings.Contains(string(a.Body), `"status":"done"`) {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	harness.run(2 * time.Second)
--- a/internal/core/dependency_lists.go
+++ b/internal/core/dependency_lists.go
@@ -10,43 +10,43 @@
 	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
-// dependencyLists is the leader's state of reading dependency lists and of deleting abandoned
-// ones.
+// dependencyLists is the leader's state for reading dependency lists and deleting abandoned ones. A
+// dependency list holds the dependencies of a job with too many for its open record.
 type dependencyLists struct {
-	unread        map[string]time.Duration // jobs whose list is not read; when to retry
-	nextCleanupAt time.Duration            // when abandoned lists are deleted next
+	unread        map[string]time.Duration // by ID of the jobs whose list is not read yet; when to retry
+	nextCleanupAt time.Duration            // time of the next search for abandoned lists
 }
 
-// noRetry is the time of a retry that is not due while a call is under way.
-const noRetry = time.Duration(math.MaxInt64)
+// readInProgress is the retry time of a list that is being read.
+const readInProgress = time.Duration(math.MaxInt64)
 
-// readList reads the dependencies of a job from its list records.
-func (l *leader) readList(job *cluster.Job) {
-	l.dependencyLists.unread[job.ID] = noRetry
-	l.readListPage(job, dependencylist.NewReader(job.DependencyList))
+// readDependencyList reads the dependencies of a job from its list records.
+func (l *leader) readDependencyList(job *cluster.Job) {
+	l.dependencyLists.unread[job.ID] = readInProgress
+	l.readDependencyListPage(job, dependencylist.NewReader(job.DependencyList))
 }
 
-// readListPage reads the next page of a job's list records.
-func (l *leader) readListPage(job *cluster.Job, reader *dependencylist.Reader) {
+// readDependencyListPage reads the next page of a job's list records.
+func (l *leader) readDependencyListPage(job *cluster.Job, reader *dependencylist.Reader) {
 	l.core.store.List(reader.Prefix(), reader.After(), func(r kv.ListResult) {
 		if l.steppedDown || l.Jobs[job.ID] != job {
 			return
 		}
 		if r.Status != kv.OK {
-			l.retryList(job)
+			l.scheduleListRetry(job)
 			return
 		}
 		if err := reader.AddPage(r.Page.Items); err != nil {
-			l.listUnreadable(job, err)
+			l.handleUnreadableList(job, err)
 			return
 		}
 		if r.Page.More {
-			l.readListPage(job, reader)
+			l.readDependencyListPage(job, reader)
 			return
 		}
 		names, err := reader.Names()
 		if err != nil {
-			l.listUnreadable(job, err)
+			l.handleUnreadableList(job, err)
 			return
 		}
 		delete(l.dependencyLists.unread, job.ID)
@@ -55,26 +55,26 @@
 	})
 }
 
-// listUnreadable handles a list that was read and is not as it was written.
-func (l *leader) listUnreadable(job *cluster.Job, err error) {
-	l.core.log.Error("dependency list unreadable", "job", job.ID, "error", err)
-	l.retryList(job)
+// handleUnreadableList handles a list with missing records or records that cannot be decoded. The
+// read is retried.
+func (l *leader) handleUnreadableList(job *cluster.Job, err error) {
+	l.core.log.Error("dependency list incomplete or malformed", "job", job.ID, "error", err)
+	l.scheduleListRetry(job)
 }
 
-// retryList lets the list of a job be read again after a while.
-func (l *leader) retryList(job *cluster.Job) {
+// scheduleListRetry schedules another read of a job's list.
+func (l *leader) scheduleListRetry(job *cluster.Job) {
 	l.dependencyLists.unread[job.ID] = l.core.now + l.core.leaderLeaseDuration()/8
 }
 
-// tickDependencyLists retries the reading of lists that failed, and deletes abandoned ones at
-// intervals.
+// tickDependencyLists retries failed reads of lists, and periodically deletes abandoned lists.
 func (l *leader) tickDependencyLists() {
 	for _, id := range sortedKeys(l.dependencyLists.unread) {
 		if l.core.now < l.dependencyLists.unread[id] {
 			continue
 		}
 		if job := l.Jobs[id]; job != nil {
-			l.readList(job)
+			l.readDependencyList(job)
 		} else {
 			delete(l.dependencyLists.unread, id)
 		}
@@ -85,16 +85,16 @@
 	}
 }
 
-// abandonedListAge is the age from which an attempt that has led to no job counts as abandoned.
-// No harm is done where it has not been: it fails, and its user retries.
+// abandonedListAge returns the age at which a submission attempt that has not created its job is
+// considered abandoned. If the attempt is still in progress after all, it fails and the user retries.
 func (c *Core) abandonedListAge() time.Duration { return 4 * c.workerLease() }
 
-// listCleanupInterval is the time between searches for such attempts. The first one comes that
-// long after the beginning of a term, when the leader has nothing more urgent to do.
+// listCleanupInterval returns the time between searches for abandoned lists. The first search is
+// delayed by this time as well, since the leader has more urgent work at the start of a term.
 func (c *Core) listCleanupInterval() time.Duration { return 3 * c.abandonedListAge() }
 
-// findAbandonedLists reads all list records and deletes those of attempts that have led to no
-// job.
+// findAbandonedLists reads all list records, page by page, and then deletes those of abandoned
+// attempts. found are the attempts of the previous pages.
 func (l *leader) findAbandonedLists(after string, found []dependencylist.Attempt) {
 	l.core.store.List(records.PrefixDependencyList, after, func(r kv.ListResult) {
 		if l.steppedDown || r.Status != kv.OK {
@@ -112,8 +112,8 @@
 	})
 }
 
-// deleteAbandonedLists deletes those of some attempts that are abandoned, one transaction after
-// the other.
+// deleteAbandonedLists deletes the list records of those of the given attempts that are abandoned,
+// one transaction at a time.
 func (l *leader) deleteAbandonedLists(found []dependencylist.Attempt) {
 	for len(found) > 0 && !l.isAbandoned(&found[0]) {
 		found = found[1:]
@@ -125,20 +125,20 @@
 	txn := attempt.DeletionTxn(l.termCondition(), l.core.store.MaxWrites())
 	l.core.store.Commit(txn, func(r kv.TxnResult) {
 		if l.steppedDown || r.Status != kv.OK && r.Status != kv.Conflict {
-			return // found again by the next search
+			return // the next search retries
 		}
 		if r.Status == kv.Conflict {
 			l.deleteAbandonedLists(found[1:])
 			return
 		}
-		l.core.log.Debug("records of an abandoned dependency list deleted", "job", attempt.Job, "records", len(txn.Writes))
+		l.core.log.Debug("deleted records of abandoned dependency list", "job", attempt.Job, "records", len(txn.Writes))
 		attempt.MarkDeleted(txn)
 		l.deleteAbandonedLists(found)
 	})
 }
 
-// isAbandoned reports whether an attempt that has records left has led to no job and is old
-// enough to count as abandoned, or is partly deleted already.
+// isAbandoned reports whether an attempt with remaining records has not created its job, and is
+// older than abandonedListAge or already partly deleted.
 func (l *leader) isAbandoned(attempt *dependencylist.Attempt) bool {
 	if l.Jobs[attempt.Job] != nil || len(attempt.Keys) == 0 {
 		return false
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -22,15 +22,15 @@
 const longListLength = 400
 
 // smallLimits lowers the store's limits to 2 KB in a value and 5 writes in a transaction.
-func smallLimits(s *config.Settings) {
+func lowerSettingsLimits(s *config.Settings) {
 	s.Deployment.Store.ValueKB, s.Deployment.Store.TxnOps = 2, 5
 }
 
 // jsonNames is a list of names as a submission holds it.
-func jsonNames(names []string) string { return string(kv.Encode(names)) }
+func encodeNames(names []string) string { return string(kv.Encode(names)) }
 
 // openJobs puts open jobs on record and returns their names.
-func openJobs(harness *harness, count int) []string {
+func addOpenRecords(harness *harness, count int) []string {
 	var names []string
 	for n := range count {
 		rec := records.Open{SubmittedAt: harness.core.wallClockMS, Job: wire.Job{
@@ -68,10 +68,10 @@
 // submitLongList submits a job with longListLength dependencies.
 func submitLongList(t *testing.T, harness *harness) (id string, names []string) {
 	t.Helper()
-	smallLimits(harness.core.settings)
-	names = openJobs(harness, longListLength)
+	lowerSettingsLimits(harness.core.settings)
+	names = addOpenRecords(harness, longListLength)
 	id = jobID(9)
-	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
+	if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
 	return id, names
@@ -112,7 +112,7 @@
 		}
 	}
 	commits := len(harness.commits)
-	if a := harness.request("POST", "/submissions", submissionWithDependencies(9, jsonNames(names))); a.Status != 200 {
+	if a := harness.request("POST", "/submissions", submissionWithDependencies(9, encodeNames(names))); a.Status != 200 {
 		t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
 	}
 	if len(harness.listKeys()) != ref.Records || len(harness.commits) > commits+2 {
@@ -131,9 +131,9 @@
 			t.Run(fmt.Sprintf("transaction %d/%s", lost, name), func(t *testing.T) {
 				harness := newHarness(t, testMachineTypes)
 				harness.core.settings.Deployment.Store.ValueKB, harness.core.settings.Deployment.Store.TxnOps = 1, 2
-				names := openJobs(harness, 300)
+				names := addOpenRecords(harness, 300)
 				answersLost := loseAnswer(harness, lost, send)
-				if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 && a.Status != 200 {
+				if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 && a.Status != 200 {
 					t.Fatalf("answered %d %s", a.Status, a.Body)
 				}
 				recorded := harness.openRecord(jobID(9)).Job.Dependencies
@@ -177,21 +177,21 @@
 // read dependency lists, and writes none.
 func TestLongListWaitsForUpgrade(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
-	smallLimits(harness.core.settings)
-	names := openJobs(harness, 150)
+	lowerSettingsLimits(harness.core.settings)
+	names := addOpenRecords(harness, 150)
 	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionDependencyLists - 1}}})
 	harness.run(3 * time.Second)
 	var a Answer
 	for range 8 {
-		a = harness.request("POST", "/submissions", submissionWithDependencies(9, jsonNames(names)))
+		a = harness.request("POST", "/submissions", submissionWithDependencies(9, encodeNames(names)))
 		harness.run(time.Second)
 	}
 	if a.Status != 503 || a.RetryAfterS == 0 || len(harness.listKeys()) > 0 {
 		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(harness.listKeys()))
 	}
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionDependencyLists}}})
-	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
+	if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 {
 		t.Errorf("after the upgrade: %d %s", a.Status, a.Body)
 	}
 }
@@ -199,7 +199,7 @@
 // leadWithRecords makes the core of a harness lead, with the records in the store.
 func leadWithRecords(harness *harness) *leader {
 	harness.write(election.KeyTerm, "", []byte("5"))
-	leader := harness.lead()
+	leader := harness.startLeading()
 	leader.loader.RetryOnNextTick(leader.loader.Load)
 	harness.run(time.Second)
 	return leader
@@ -275,7 +275,7 @@
 	harness := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, harness)
 	leader := leadWithRecords(harness)
-	leader.dependencyLists.unread[id] = noRetry
+	leader.dependencyLists.unread[id] = readInProgress
 	record := harness.requestCancellation(names[0], harness.core.wallClockMS)
 	leader.dependencies.DropDependencies(id)
 	leader.applyOpenRecord(names[0], harness.store[records.OpenKey(names[0])].Version, record)
@@ -324,8 +324,8 @@
 // is deleted as abandoned: it is not carried out then, or the job would lack its list.
 func TestLateAcceptanceOfAbandonedList(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
-	smallLimits(harness.core.settings)
-	names := openJobs(harness, longListLength)
+	lowerSettingsLimits(harness.core.settings)
+	names := addOpenRecords(harness, longListLength)
 	var acceptance []byte
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		for _, w := range txn.Writes {
@@ -337,7 +337,7 @@
 		return carryOut()
 	}
 	for range 20 {
-		if a := harness.request("POST", "/submissions", submissionWithDependencies(9, jsonNames(names))); a.Status != 503 {
+		if a := harness.request("POST", "/submissions", submissionWithDependencies(9, encodeNames(names))); a.Status != 503 {
 			t.Fatalf("answered %d %s", a.Status, a.Body)
 		}
 		if acceptance != nil {
@@ -386,15 +386,15 @@
 // without using all capacity for users' queries.
 func TestManyUnknownNames(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
-	names := openJobs(harness, longListLength)
+	names := addOpenRecords(harness, longListLength)
 	harness.core.settings.Deployment.MachineLimits.MaxConnections = 40
 	harness.core.jobCache.RemoveAllOpen()
-	longest := 0
-	harness.afterStep = func() { longest = max(longest, harness.core.frontEnd.QueuedLookups()) }
-	if a := harness.requestWithRetry(submissionWithDependencies(9, jsonNames(names))); a.Status != 201 {
+	maxQueued := 0
+	harness.afterStep = func() { maxQueued = max(maxQueued, harness.core.frontEnd.QueuedLookups()) }
+	if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 {
 		t.Fatalf("answered %d %s", a.Status, a.Body)
 	}
-	if longest > 20 {
-		t.Errorf("%d lookups at a time", longest)
+	if maxQueued > 20 {
+		t.Errorf("%d lookups at a time", maxQueued)
 	}
 }
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -8,29 +8,30 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leaderLeasesPerWorkerLease is how often the duration of the leader's lease fits into that of
-// a worker's.
+// leaderLeasesPerWorkerLease is the ratio of the duration of a worker's lease to that of the leader's
+// lease.
 const leaderLeasesPerWorkerLease = 5
 
-// leaderLeaseDuration is the duration of the leader's lease: a crash, the election and the
-// workers' change to another controller must all fit within one worker lease.
+// leaderLeaseDuration returns the duration of the leader's lease. It is a fraction of a worker's
+// lease, because the detection of a leader's crash, the election and the workers' change to another
+// controller must all complete within one worker lease.
 func (c *Core) leaderLeaseDuration() time.Duration {
 	return c.workerLease() / leaderLeasesPerWorkerLease
 }
 
-// electionStore is the key-value store as elections use it.
+// electionStore adapts the key-value store's client for package election.
 type electionStore struct{ *kv.Client }
 
-// Commit carries out a transaction ahead of other calls.
+// Commit commits a transaction with precedence over other calls.
 func (s electionStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) { s.CommitUrgent(txn, done) }
 
-// electionHost is this controller as package election sees it.
+// electionHost implements election.Host.
 type electionHost struct{ core *Core }
 
-// Now is the steady time.
+// Now returns the monotonic time.
 func (h electionHost) Now() time.Duration { return h.core.now }
 
-// Leading returns this controller's leadership; false if it does not lead.
+// Leading returns this controller's leadership; false if it is not the leader.
 func (h electionHost) Leading() (election.Leadership, bool) {
 	if h.core.leader == nil {
 		return election.Leadership{}, false
@@ -38,7 +39,8 @@
 	return h.core.leader.leadership, true
 }
 
-// StartLeading begins to lead: it loads the records, and tells peers and waiting workers at once.
+// StartLeading makes this controller the leader: it starts to load the records, notifies the peers,
+// and answers the waiting heartbeats.
 func (h electionHost) StartLeading(won election.Leadership) {
 	h.core.leader = newLeader(h.core, won)
 	h.core.leader.loader.Load()
@@ -49,22 +51,22 @@
 // StepDown ends this controller's leadership.
 func (h electionHost) StepDown(reason election.StepDownReason) { h.core.stepDown(reason) }
 
-// ObserveStore receives the status of calls that show whether the store answers.
+// ObserveStore records the status of a call that shows whether the store is available.
 func (h electionHost) ObserveStore(status kv.Status) { h.core.store.Observe(status) }
 
-// HasPeerContact reports whether any other controller is heard.
+// HasPeerContact reports whether this controller has contact with any other controller.
 func (h electionHost) HasPeerContact() bool { return h.core.membership.HasPeerContact() }
 
-// LeaderLost reports whether the leader is lost although it may hold its key.
+// LeaderLost reports whether the leader is to be replaced although it may still hold its key.
 func (h electionHost) LeaderLost() bool { return h.core.membership.LeaderLost() }
 
-// LeaderObserved forwards the heartbeats that wait for a leader.
+// LeaderObserved forwards the heartbeats that wait for a leader, one of which has become known.
 func (h electionHost) LeaderObserved() { h.core.forwardPending() }
 
-// stepDown ends this controller's leadership. Results of calls that the leader has sent are
-// ignored from then on.
+// stepDown ends this controller's leadership. Results of the leader's pending calls are ignored from
+// then on.
 func (c *Core) stepDown(reason election.StepDownReason) {
-	c.log.Info("step down", "term", c.leader.leadership.Term, "reason", reason)
+	c.log.Info("leader stepped down", "term", c.leader.leadership.Term, "reason", reason)
 	c.leader.steppedDown = true
 	c.leader = nil
 	c.election.SteppedDown()
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -20,18 +20,18 @@
 // harness drives a core as its host would: the cloud answers with its machine types if there are
 // any, the key-value store from a map.
 type harness struct {
-	t           testing.TB
-	core        *Core
-	now         time.Duration
-	types       string
-	store       map[string]wire.Item
-	revision    uint64
-	storeDown   bool // the store answers 503
-	nextReq     uint64
-	answers     map[uint64]Answer
-	commits     []string // transactions, as they were sent
-	afterCommit func()   // called after each
-	afterStep   func()   // called after each step
+	t             testing.TB
+	core          *Core
+	now           time.Duration
+	machineTypes  string
+	store         map[string]wire.Item
+	revision      uint64
+	storeDown     bool // the store answers 503
+	lastRequestID uint64
+	answers       map[uint64]Answer
+	commits       []string // transactions, as they were sent
+	afterCommit   func()   // called after each
+	afterStep     func()   // called after each step
 	// intercept determines the answer to a transaction: what carryOut returns, or another one,
 	// with the transaction carried out or not.
 	intercept func(txn *wire.Txn, carryOut func() int) int
@@ -59,7 +59,7 @@
 		MachineLimits: config.MachineLimits{CPU: 0.2, RAMMB: 98, MaxConnections: 800},
 	}}
 	harness := &harness{
-		t: tb, core: New(cfg, nil, 1, nil), now: time.Second, types: types,
+		t: tb, core: New(cfg, nil, 1, nil), now: time.Second, machineTypes: types,
 		store: map[string]wire.Item{}, revision: 1, answers: map[uint64]Answer{},
 	}
 	harness.run(time.Second)
@@ -88,8 +88,8 @@
 		return 503, []byte(`{}`)
 	case call.Destination == DestinationStore:
 		return h.answerStoreCall(call)
-	case call.Destination == DestinationCloud && call.Path == "/machine_types" && h.types != "":
-		return 200, []byte(h.types)
+	case call.Destination == DestinationCloud && call.Path == "/machine_types" && h.machineTypes != "":
+		return 200, []byte(h.machineTypes)
 	default:
 		return 404, []byte(`{}`)
 	}
@@ -100,7 +100,7 @@
 	switch {
 	case call.Path == "/commit":
 		h.commits = append(h.commits, string(call.Body))
-		status, body = h.commitAnswer(call.Body)
+		status, body = h.commitOrIntercept(call.Body)
 		if h.afterCommit != nil {
 			h.afterCommit()
 		}
@@ -108,7 +108,7 @@
 	case strings.HasSuffix(call.Path, "/extend"):
 		return 200, []byte(`{}`)
 	case strings.HasPrefix(call.Path, "/store?"):
-		return 200, h.page(call.Path)
+		return 200, h.listPage(call.Path)
 	}
 	key, isKey := strings.CutPrefix(call.Path, "/store/")
 	if item, exists := h.store[key]; isKey && exists {
@@ -119,7 +119,7 @@
 
 // lead makes the core lead under the term that is in the store, which is 5. Its lease holds, and
 // no other controller runs.
-func (h *harness) lead() *leader {
+func (h *harness) startLeading() *leader {
 	h.core.election.ObserveLeader(5, h.core.settings.Name)
 	leader := newLeader(h.core, election.Leadership{Term: 5, TermVersion: h.store[election.KeyTerm].Version, Lease: 1})
 	h.core.leader = leader
@@ -127,7 +127,7 @@
 }
 
 // commitAnswer is the answer to a transaction, as intercept changes it.
-func (h *harness) commitAnswer(body []byte) (status int, answer []byte) {
+func (h *harness) commitOrIntercept(body []byte) (status int, answer []byte) {
 	if h.intercept == nil {
 		return h.commit(body)
 	}
@@ -172,10 +172,10 @@
 }
 
 // pageItems is the size of a page, smaller than the store's so that tests read several.
-const pageItems = 20
+const pageSize = 20
 
 // page is the answer to a listing.
-func (h *harness) page(path string) []byte {
+func (h *harness) listPage(path string) []byte {
 	u, err := url.Parse(path)
 	if err != nil {
 		h.t.Fatal(err)
@@ -185,7 +185,7 @@
 		if !strings.HasPrefix(key, u.Query().Get("under")) || key <= u.Query().Get("since") {
 			continue
 		}
-		if page.More = len(page.Items) == pageItems; page.More {
+		if page.More = len(page.Items) == pageSize; page.More {
 			break
 		}
 		page.Items = append(page.Items, h.store[key])
@@ -239,10 +239,10 @@
 
 // request sends a request and returns its answer, which takes 5 s at most.
 func (h *harness) request(method, path, body string) Answer {
-	h.nextReq++
-	h.step(Request{ID: h.nextReq, Method: method, Path: path, Body: []byte(body)})
+	h.lastRequestID++
+	h.step(Request{ID: h.lastRequestID, Method: method, Path: path, Body: []byte(body)})
 	for range 5 {
-		if a, ok := h.answers[h.nextReq]; ok {
+		if a, ok := h.answers[h.lastRequestID]; ok {
 			return a
 		}
 		h.run(time.Second)
@@ -276,27 +276,27 @@
 }
 
 // missing leaves a field out.
-const missing = "-"
+const omitted = "-"
 
 // body is the good submission with some fields changed: name, value, name...
 func body(change ...string) string {
-	to := map[string]string{}
+	changed := map[string]string{}
 	for i := 0; i < len(change); i += 2 {
-		to[change[i]] = change[i+1]
+		changed[change[i]] = change[i+1]
 	}
 	var parts []string
 	for _, f := range validFields {
 		v := f[1]
-		if n, ok := to[f[0]]; ok {
+		if n, ok := changed[f[0]]; ok {
 			v = n
-			delete(to, f[0])
+			delete(changed, f[0])
 		}
-		if v != missing {
+		if v != omitted {
 			parts = append(parts, fmt.Sprintf("%q:%s", f[0], v))
 		}
 	}
-	for _, name := range sortedKeys(to) {
-		parts = append(parts, fmt.Sprintf("%q:%s", name, to[name]))
+	for _, name := range sortedKeys(changed) {
+		parts = append(parts, fmt.Sprintf("%q:%s", name, changed[name]))
 	}
 	return "{" + strings.Join(parts, ",") + "}"
 }
@@ -312,7 +312,7 @@
 	harness := newHarness(t, testMachineTypes)
 	change(harness.core.settings)
 	harness.write(election.KeyTerm, "", []byte("5"))
-	leader := harness.lead()
+	leader := harness.startLeading()
 	leader.recordsLoaded = true
 	return harness, leader
 }
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -7,23 +7,24 @@
 	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 )
 
-// leaseExpiryBound is after how long without an answer the lease of a worker that has seen this
-// term has certainly expired.
+// leaseExpiryBound returns the time since the last answer after which the lease of a worker that has
+// seen this term is guaranteed to have expired.
 func (l *leader) leaseExpiryBound() time.Duration { return l.core.reconcileTiming().LeaseExpiryBound() }
 
-// heartbeatOverdueAfter is after how long without a heartbeat one must have been missed.
+// heartbeatOverdueAfter returns the time since the last heartbeat after which the next one must have
+// been missed.
 func (l *leader) heartbeatOverdueAfter() time.Duration {
 	return l.core.reconcileTiming().HeartbeatOverdueAfter()
 }
 
-// leaseExpired reports whether the lease of a worker with missed heartbeats has
-// certainly expired, although other controllers may have extended it.
+// leaseExpired reports whether the lease of a worker with missed heartbeats is guaranteed to have
+// expired, taking into account that other controllers may have extended it.
 func (l *leader) leaseExpired(machine *cluster.Machine) bool {
 	lastRenewal := max(machine.LastAnswered, machine.LeaseExtendedAt)
 	return l.core.membership.LeaseExpired(lastRenewal, l.leaseExpiryBound())
 }
 
-// healthCheck is a check of the machines' health at this moment.
+// healthCheck returns a check of the machines' health at the current time.
 func (l *leader) healthCheck() *reconcile.HealthCheck {
 	return &reconcile.HealthCheck{
 		Timing:          l.core.reconcileTiming(),
@@ -36,8 +37,8 @@
 	}
 }
 
-// tickMachines ends the leases of silent machines, probes machines whose heartbeats are overdue,
-// and returns unhealthy ones.
+// tickMachines handles expired leases of silent machines, probes machines whose heartbeats are
+// overdue, and returns unhealthy machines to the cloud.
 func (l *leader) tickMachines() {
 	check := l.healthCheck()
 	counts := check.CountSilent(l.MachinesByName)
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -21,14 +21,14 @@
 		peers  func(harness *harness) // what the others' digests say, several times a second
 		status int
 	}{
-		{"the others reach it", func(harness *harness) { heardFrom(harness, true) }, httpstatus.ServiceUnavailable},
-		{"the others do not reach it", func(harness *harness) { heardFrom(harness, false) }, httpstatus.OK},
+		{"the others reach it", func(harness *harness) { receivePeerDigest(harness, true) }, httpstatus.ServiceUnavailable},
+		{"the others do not reach it", func(harness *harness) { receivePeerDigest(harness, false) }, httpstatus.OK},
 		{"the others are not heard", func(*harness) {}, httpstatus.ServiceUnavailable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness := newHarness(t, testMachineTypes)
 			setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
-			heardFrom(harness, true)
+			receivePeerDigest(harness, true)
 			harness.storeDown = true
 			for end := harness.now + 2*harness.core.leaderLeaseDuration(); harness.now < end; {
 				tc.peers(harness)
@@ -38,7 +38,7 @@
 				t.Errorf("answered %d, want %d", a.Status, tc.status)
 			}
 			harness.storeDown = false
-			heardFrom(harness, true)
+			receivePeerDigest(harness, true)
 			harness.run(harness.core.leaderLeaseDuration())
 			if a := harness.request("GET", "/healthz", ""); a.Status != httpstatus.OK {
 				t.Errorf("answered %d once the store is back, want 200", a.Status)
@@ -48,7 +48,7 @@
 }
 
 // heardFrom makes a controller hear a digest of a peer that does or does not reach the store.
-func heardFrom(harness *harness, storeOK bool) {
+func receivePeerDigest(harness *harness, storeOK bool) {
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{StoreOK: storeOK}}})
 }
 
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -9,7 +9,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// reconcileTiming is the settings that reconciliation goes by.
+// reconcileTiming returns the durations that reconciliation uses.
 func (c *Core) reconcileTiming() reconcile.Timing {
 	return reconcile.Timing{
 		WorkerLease:       c.workerLease(),
@@ -19,7 +19,7 @@
 }
 
 // handleHeartbeat handles a worker's heartbeat and returns the status and the body of the answer.
-// controller is the one that the worker sent it to.
+// controller is the name of the controller that the worker sent the heartbeat to.
 func (l *leader) handleHeartbeat(body []byte, controller string) (int, []byte) {
 	heartbeat, ok := decodeHeartbeat(body)
 	if !ok {
@@ -30,13 +30,13 @@
 		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
 	if _, ok := l.returnedMachines[heartbeat.Machine]; ok {
-		// The cloud has confirmed the machine's return: a late copy.
+		// The cloud has confirmed the machine's return: this is a delayed copy of a heartbeat.
 		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
 	machine := l.machineNamed(heartbeat.Machine)
 	if !heartbeat.NewerThan(machine.HeartbeatIncarnation, machine.HeartbeatSequence) {
-		// A late or repeated copy must not refresh anything.
-		l.core.log.Debug("stale heartbeat", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence)
+		// A delayed or repeated copy must not renew the lease or change the machine's state.
+		l.core.log.Debug("stale heartbeat rejected", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence)
 		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
 	l.recordHeartbeat(machine, heartbeat, controller)
@@ -51,12 +51,12 @@
 	return httpstatus.OK, kv.Encode(answer)
 }
 
-// recordHeartbeat records that a heartbeat, which is newer than the machine's last one, arrived
-// at a controller.
+// recordHeartbeat records that a controller received a heartbeat which is newer than the machine's
+// last one.
 func (l *leader) recordHeartbeat(machine *cluster.Machine, heartbeat *wire.Heartbeat, controller string) {
 	if machine.FirstHeartbeat == 0 {
 		l.recordProvisioningLatency(machine)
-		l.core.log.Info("first heartbeat", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
+		l.core.log.Info("first heartbeat from machine", "machine", heartbeat.Machine, "type", heartbeat.Type, "zone", heartbeat.Zone, "spot", heartbeat.Spot)
 	}
 	reconcile.RecordHeartbeat(machine, heartbeat, controller, l.core.now, l.core.reconcileTiming())
 	if controller == l.core.settings.Name {
@@ -64,7 +64,7 @@
 	}
 }
 
-// applyStatus applies a worker's newest message: a heartbeat, or its answer to a probe or a
+// applyStatus applies a worker's newest message: a heartbeat, or its response to a probe or a
 // direct command.
 func (l *leader) applyStatus(machine *cluster.Machine, status *wire.Heartbeat) {
 	if reconcile.RecordIncarnation(machine, status, l.core.now) {
@@ -82,17 +82,18 @@
 	}
 }
 
-// recordPreemptionNotice records that the cloud takes a spot machine after a number of seconds.
+// recordPreemptionNotice records that the cloud will reclaim a spot machine after a number of
+// seconds.
 func (l *leader) recordPreemptionNotice(machine *cluster.Machine, afterS float64) {
 	if machine.PreemptionAt == 0 {
-		l.core.log.Info("preemption notice", "machine", machine.Name, "after_s", afterS)
+		l.core.log.Info("preemption notice received", "machine", machine.Name, "after_s", afterS)
 		l.passes.requested = true
 	}
 	machine.PreemptionAt = l.core.now + config.Seconds(afterS)
 }
 
-// recordStartedImages records that the machine holds the images of the tasks that have got past
-// their pull.
+// recordStartedImages records that the machine has the images of its tasks that have completed their
+// image pull.
 func (l *leader) recordStartedImages(machine *cluster.Machine) {
 	for _, task := range machine.ReportedTasks {
 		if task.State != wire.TaskRunning && task.State != wire.TaskWaiting {
--- a/internal/core/heartbeat_forwarding.go
+++ b/internal/core/heartbeat_forwarding.go
@@ -13,10 +13,10 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Workers send their heartbeats to any controller. Only the leader answers them from its state,
-// see leader.handleHeartbeat; this file forwards those that arrive at a follower, redirects
-// workers, and extends their leases while the leader is not heard. Package membership decides
-// which of these applies.
+// Workers send their heartbeats to any controller. Only the leader can answer them from its state,
+// see leader.handleHeartbeat. This file forwards heartbeats from a follower to the leader, redirects
+// workers to other controllers, and extends worker leases without contact with the leader. Package
+// membership decides which of these applies.
 
 // forwardedHeartbeat is a heartbeat that waits on a follower for the leader's answer.
 type forwardedHeartbeat struct {
@@ -24,15 +24,15 @@
 	worker    *membership.Worker
 	body      []byte
 	deadline  time.Duration // for the leader's answer
-	sentTo    string        // the leader that has it; empty for none
+	sentTo    string        // leader that it was last forwarded to; empty if not forwarded yet
 }
 
-// forwardTimeout is how long a heartbeat waits for the leader's answer. The worker waits 4 s;
-// this controller's answer reaches it well before.
+// forwardTimeout is how long a heartbeat waits for the leader's answer. It is well below the worker's
+// own timeout of 4 s, so that this controller's answer reaches the worker in time.
 const forwardTimeout = 2500 * time.Millisecond
 
 // onHeartbeat handles a worker's heartbeat. A follower forwards it to the leader, or holds it
-// for forwardTimeout while none is known.
+// for up to forwardTimeout if no leader is known.
 func (c *Core) onHeartbeat(requestID uint64, body []byte) {
 	worker, redirectTo := c.recordWorker(body)
 	if redirectTo != "" {
@@ -47,19 +47,18 @@
 	if !c.membership.HasLeaderContact() && c.answerWithoutLeader(requestID, worker, body) {
 		return
 	}
-	c.nextForwardID++
-	c.forwardedHeartbeats[c.nextForwardID] = &forwardedHeartbeat{
+	c.lastForwardID++
+	c.forwardedHeartbeats[c.lastForwardID] = &forwardedHeartbeat{
 		requestID: requestID,
 		worker:    worker,
 		body:      body,
 		deadline:  c.now + forwardTimeout,
 	}
-	c.forwardToLeader(c.nextForwardID)
+	c.forwardToLeader(c.lastForwardID)
 }
 
-// recordWorker records the sender of a heartbeat. It returns the worker, and the controller
-// that it is to be redirected to; empty if it stays here. A heartbeat that cannot be decoded
-// is recorded for no machine.
+// recordWorker records the sender of a heartbeat. It returns the worker, and the controller to
+// redirect it to; empty for no redirection. A heartbeat that cannot be decoded is not recorded.
 func (c *Core) recordWorker(body []byte) (worker *membership.Worker, redirectTo string) {
 	var heartbeat struct {
 		Machine string     `json:"host"`
@@ -87,9 +86,9 @@
 	c.out.Answers = append(c.out.Answers, Answer{ID: requestID, Status: status, Body: answer})
 }
 
-// answerWithoutLeader answers a heartbeat while the leader is not heard: with a redirection,
-// an extension of the worker's lease, or an error if there is nobody to wait for. It returns
-// false if the heartbeat is to wait for a leader.
+// answerWithoutLeader answers a heartbeat without contact with the leader: with a redirection, an
+// extension of the worker's lease, or an error if no leader can become reachable from here. It
+// returns false if the heartbeat has to wait for a leader.
 func (c *Core) answerWithoutLeader(requestID uint64, worker *membership.Worker, body []byte) bool {
 	if controller := c.membership.RedirectWithoutLeader(worker); controller != "" {
 		c.redirect(requestID, controller)
@@ -99,7 +98,8 @@
 		return true
 	}
 	if !c.store.Available() && !c.membership.HasPeerContact() {
-		// No election can succeed from here; another controller may know more.
+		// This controller can neither take part in an election nor learn of a leader. The
+		// worker may have more success with another controller.
 		c.answer(requestID, httpstatus.ServiceUnavailable, nil, 0)
 		return true
 	}
@@ -118,15 +118,15 @@
 	return true
 }
 
-// forwardPending forwards all heartbeats that wait, to a leader that is known now.
+// forwardPending forwards all waiting heartbeats to a leader that has just become known.
 func (c *Core) forwardPending() {
 	for _, id := range c.pendingForwardIDs() {
 		c.forwardToLeader(id)
 	}
 }
 
-// forwardToLeader forwards a heartbeat to the leader, unless that one has it already. If this
-// controller leads by now, it answers itself.
+// forwardToLeader forwards a waiting heartbeat to the leader, unless it was forwarded to that leader
+// before. If this controller has become the leader, it answers the heartbeat itself.
 func (c *Core) forwardToLeader(id uint64) {
 	heartbeat := c.forwardedHeartbeats[id]
 	leader := c.election.Leader()
@@ -144,12 +144,13 @@
 	}
 }
 
-// newestAttemptFirst sorts the rows of a heartbeat that lists a task twice, the newest attempt
-// at a task first. A leader of a version before wire.PeerVersionPlacementRanges takes the first row
-// of a task for its present attempt: with an ended earlier attempt before it, a running task
-// seemed to have vanished and ran twice. Such a leader sorts the rows by task, which leaves
-// those that are in order as they are. No row is left out, and the protocol gives rows no
-// order; a heartbeat that lists no task twice is forwarded as it came.
+// newestAttemptFirst sorts the rows of a heartbeat that lists a task more than once, so that the
+// newest attempt at each task comes first. A leader of a version before
+// wire.PeerVersionPlacementRanges treats the first row of a task as its current attempt: if an ended
+// earlier attempt came first, a running task appeared to be lost and was started a second time. Such
+// a leader sorts the rows by task, which keeps the order of rows that are already sorted. All rows
+// are kept, and the protocol does not define an order of rows. A heartbeat that lists no task twice
+// is forwarded unchanged.
 func newestAttemptFirst(body []byte) []byte {
 	heartbeat, ok := decodeHeartbeat(body)
 	if !ok {
@@ -168,7 +169,7 @@
 	return kv.Encode(heartbeat)
 }
 
-// pendingForwardIDs lists the heartbeats that wait, in the order of their arrival.
+// pendingForwardIDs returns the IDs of the waiting heartbeats, in the order of their arrival.
 func (c *Core) pendingForwardIDs() []uint64 {
 	ids := make([]uint64, 0, len(c.forwardedHeartbeats))
 	for id := range c.forwardedHeartbeats {
@@ -178,7 +179,7 @@
 	return ids
 }
 
-// expireForwards answers the heartbeats that have waited for forwardTimeout.
+// expireForwards answers the heartbeats that have reached their deadline.
 func (c *Core) expireForwards() {
 	for _, id := range c.pendingForwardIDs() {
 		heartbeat := c.forwardedHeartbeats[id]
@@ -194,8 +195,8 @@
 	}
 }
 
-// onForward answers, on the leader, a heartbeat that another controller forwards. A
-// controller that does not lead refuses it.
+// onForward answers a heartbeat that another controller forwarded to this one as the leader. A
+// controller that is not the leader refuses it.
 func (c *Core) onForward(from string, forward *wire.Forward) {
 	reply := &wire.Reply{ID: forward.ID, Status: httpstatus.ServiceUnavailable, Body: []byte("{}")}
 	if c.leader != nil {
@@ -204,7 +205,7 @@
 	c.send(from, &wire.PeerMessage{Reply: reply})
 }
 
-// onForwardReply passes the leader's answer on to the worker whose heartbeat was forwarded.
+// onForwardReply sends the leader's answer to the worker whose heartbeat was forwarded.
 func (c *Core) onForwardReply(from string, reply *wire.Reply) {
 	heartbeat := c.forwardedHeartbeats[reply.ID]
 	if heartbeat == nil || heartbeat.sentTo != from {
@@ -217,7 +218,7 @@
 	c.out.Answers = append(c.out.Answers, Answer{ID: heartbeat.requestID, Status: reply.Status, Body: reply.Body})
 }
 
-// decodeHeartbeat decodes a worker's heartbeat; not ok if it is malformed or names no machine.
+// decodeHeartbeat decodes a worker's heartbeat. ok is false if it is malformed or names no machine.
 func decodeHeartbeat(body []byte) (heartbeat *wire.Heartbeat, ok bool) {
 	heartbeat = new(wire.Heartbeat)
 	if json.Unmarshal(body, heartbeat) != nil || heartbeat.Machine == "" {
--- a/internal/core/heartbeat_forwarding_test.go
+++ b/internal/core/heartbeat_forwarding_test.go
@@ -20,7 +20,7 @@
 
 // presentAttempt is the attempt that a leader of the version in production takes for a task's
 // present one.
-func presentAttempt(heartbeat *wire.Heartbeat, task string) wire.TaskStatus {
+func oldLeaderAttempt(heartbeat *wire.Heartbeat, task string) wire.TaskStatus {
 	rows := slices.Clone(heartbeat.Tasks)
 	slices.SortFunc(rows, func(a, b wire.TaskStatus) int { return strings.Compare(a.Task, b.Task) })
 	for _, row := range rows {
@@ -33,7 +33,7 @@
 
 // heartbeatOf makes a heartbeat with a number of tasks, some of which are listed with ended
 // earlier attempts as well, in random order.
-func heartbeatOf(tasks int, random *rand.Rand) *wire.Heartbeat {
+func randomHeartbeat(tasks int, random *rand.Rand) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{Machine: "n-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 5}
 	for i := range tasks {
 		task := fmt.Sprintf("job-000001/%d", i)
@@ -65,13 +65,13 @@
 func TestNewestAttemptFirst(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for tasks := range 200 {
-		want := heartbeatOf(tasks, random)
+		want := randomHeartbeat(tasks, random)
 		got, ok := decodeHeartbeat(newestAttemptFirst(kv.Encode(want)))
 		if !ok {
 			t.Fatal("not a heartbeat")
 		}
 		for i := range tasks {
-			if present := presentAttempt(got, fmt.Sprintf("job-000001/%d", i)); present.Attempt != 40 {
+			if present := oldLeaderAttempt(got, fmt.Sprintf("job-000001/%d", i)); present.Attempt != 40 {
 				t.Fatalf("of %d tasks the old leader takes attempt %d of task %d for the present one", tasks, present.Attempt, i)
 			}
 		}
@@ -97,7 +97,7 @@
 // TestForwardToOldLeader forwards a heartbeat: as it came to a leader that finds the present
 // attempts by itself, sorted to one that has not said so.
 func TestForwardToOldLeader(t *testing.T) {
-	body := kv.Encode(heartbeatOf(8, rand.New(rand.NewPCG(2, 2))))
+	body := kv.Encode(randomHeartbeat(8, rand.New(rand.NewPCG(2, 2))))
 	if bytes.Equal(newestAttemptFirst(body), body) {
 		t.Fatal("the heartbeat was sorted before")
 	}
@@ -131,7 +131,7 @@
 		Deployment: config.Deployment{Workers: config.WorkerTimings{ReportS: 1.5, LeaseS: 10}},
 	}
 	f := &follower{t: t, core: New(settings, nil, 1, nil), now: time.Minute}
-	f.hear("n1", wire.Digest{Version: wire.PeerVersion, Term: 5, Leader: true, HearsLeader: true})
+	f.receiveDigest("n1", wire.Digest{Version: wire.PeerVersion, Term: 5, Leader: true, HearsLeader: true})
 	return f
 }
 
@@ -142,7 +142,7 @@
 }
 
 // hear feeds a digest of a peer.
-func (f *follower) hear(from string, digest wire.Digest) {
+func (f *follower) receiveDigest(from string, digest wire.Digest) {
 	f.step(PeerInput{Message: &wire.PeerMessage{From: from, Digest: &digest}})
 }
 
@@ -199,11 +199,11 @@
 	f := newFollower(t)
 	f.heartbeat(7, 5)
 	first := f.forwarded("n1")
-	f.hear("n1", wire.Digest{Version: wire.PeerVersion, Term: 5, Leader: true, HearsLeader: true})
+	f.receiveDigest("n1", wire.Digest{Version: wire.PeerVersion, Term: 5, Leader: true, HearsLeader: true})
 	if len(f.out.PeerSends) != 0 {
 		t.Errorf("sent again: %+v", f.out.PeerSends)
 	}
-	f.hear("n2", wire.Digest{Version: wire.PeerVersion, Term: 6, Leader: true, HearsLeader: true})
+	f.receiveDigest("n2", wire.Digest{Version: wire.PeerVersion, Term: 6, Leader: true, HearsLeader: true})
 	if second := f.forwarded("n2"); second.ID != first.ID || !bytes.Equal(second.Body, first.Body) {
 		t.Errorf("forwarded %+v, then %+v", first, second)
 	}
@@ -263,7 +263,7 @@
 	if answers := f.heartbeat(8, 0); len(answers) != 0 || len(f.core.forwardedHeartbeats) != 1 {
 		t.Errorf("answered %+v to a worker that has seen no term, want it to wait", answers)
 	}
-	f.hear("n2", wire.Digest{HearsLeader: true})
+	f.receiveDigest("n2", wire.Digest{HearsLeader: true})
 	answers = f.heartbeat(9, 5)
 	if len(answers) != 1 || answers[0].Status != http.StatusMisdirectedRequest {
 		t.Fatalf("answered %+v, want a redirection", answers)
@@ -306,7 +306,7 @@
 		if len(digest.Jobs) > maxDigestJobs || digest.More != (i > 0) {
 			t.Errorf("part %d has %d jobs, continues: %v", i, len(digest.Jobs), digest.More)
 		}
-		f.hear("n1", digest)
+		f.receiveDigest("n1", digest)
 	}
 	if parts := len(harness.core.out.PeerSends); parts != 3 || len(f.core.jobCounts) != jobs {
 		t.Errorf("%d parts, %d of %d jobs", parts, len(f.core.jobCounts), jobs)
--- a/internal/core/input.go
+++ b/internal/core/input.go
@@ -2,16 +2,16 @@
 
 import "github.com/brookwalk/brookwalk/wire"
 
-// Input is what a step takes: a Request, a Result, a PeerInput, a RegionInput or a Tick.
+// Input is the input of a step: a Request, a Result, a PeerInput, a RegionInput or a Tick.
 type Input interface {
-	// apply makes the core act on the input.
+	// apply processes the input.
 	apply(c *Core)
 }
 
-// Request is an HTTP request of a user, a worker or a load balancer's health check. It gets one
-// Answer, in the same step or a later one.
+// Request is an HTTP request from a user, a worker or a load balancer's health check. It is
+// answered with exactly one Answer, in the same step or a later one.
 type Request struct {
-	ID     uint64 // of its Answer
+	ID     uint64 // also the ID of its Answer
 	Method string
 	Path   string
 	Body   []byte
@@ -20,25 +20,26 @@
 // apply routes the request.
 func (r Request) apply(c *Core) { c.onRequest(r) }
 
-// Result ends a Call.
+// Result is the result of a Call.
 type Result struct {
 	ID      uint64 // of the call
-	Status  int    // HTTP status; 0 if no answer came in time
+	Status  int    // HTTP status; 0 if no response arrived in time
 	Body    []byte
-	NotSent bool // the call certainly was not, and will not be, carried out
+	NotSent bool // the call was not executed and never will be
 }
 
-// apply hands the result to whoever made the call; one of a call that has ended is dropped.
+// apply passes the result to the call's handler. The result of a call that is no longer pending is
+// dropped.
 func (r Result) apply(c *Core) {
-	handle, open := c.pendingCalls[r.ID]
-	if !open {
+	handle, pending := c.pendingCalls[r.ID]
+	if !pending {
 		return
 	}
 	delete(c.pendingCalls, r.ID)
 	handle(r)
 }
 
-// PeerInput is a message of another controller of the region.
+// PeerInput is a message from another controller of the region.
 type PeerInput struct {
 	Message *wire.PeerMessage
 }
@@ -46,7 +47,7 @@
 // apply handles the message.
 func (p PeerInput) apply(c *Core) { c.onPeerMessage(p.Message) }
 
-// Tick tells the core that time has passed. Ticks come many times in a heartbeat interval.
+// Tick triggers the periodic work that is due. Ticks occur many times per heartbeat interval.
 type Tick struct{}
 
 // apply runs the periodic work.
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -16,12 +16,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leader is what a controller has while it leads, for one term. Nothing of it outlives the
-// term: the next leader rebuilds it from the records and from heartbeats.
+// leader is the state of a leader during one term. None of it outlives the term: the next leader
+// rebuilds it from the records and from heartbeats.
 type leader struct {
 	core        *Core
 	leadership  election.Leadership
-	steppedDown bool // the term is over: results that come later have no effect
+	steppedDown bool // the term is over: later results are ignored
 
 	cluster.State
 
@@ -35,12 +35,12 @@
 	dependencies               *depgraph.Graph
 	dependencyLists            dependencyLists
 	lookups                    dependencyLookups
-	cancelledJobs              map[string]*cluster.Job // whose ends are not on record
-	cancelledWithoutDependents []*cluster.Job          // of them, those that may have no dependents left
+	cancelledJobs              map[string]*cluster.Job // by ID; those whose ends are not recorded
+	cancelledWithoutDependents []*cluster.Job          // those of cancelledJobs that may have no dependents left
 
 	// Reconciliation.
 	openProbes     int
-	zoneReachedAt  map[string]time.Duration // when a machine of a zone last answered or sent a heartbeat here
+	zoneReachedAt  map[string]time.Duration // by zone; when one of its machines last responded or sent a heartbeat to this controller
 	outliers       *outlier.Detector
 	pullStatistics pullEvidence
 
@@ -48,24 +48,24 @@
 	scheduler       *scheduler.Scheduler
 	passes          passState
 	teamUsage       teamUsage
-	bestEffortTeams map[string]bool // teams without a guarantee beside teams with one
-	quota           *quota.Manager  // shares limits with other regions; nil if that is off
+	bestEffortTeams map[string]bool // teams without a guarantee, if other teams have one
+	quota           *quota.Manager  // shares limits with other regions; nil if sharing is not configured
 	regionDemands   map[string]balance.Demand
-	quotaLoadRetry  func() // reads quota records again that could not be read
+	quotaLoadRetry  func() // reads the quota records again after a failed read
 	quotaRetryAt    time.Duration
 	reservations    reservationCache
 
 	// Provisioning.
 	fleet                 fleet
-	returnedMachines      map[string]time.Duration // when the cloud confirmed their return
+	returnedMachines      map[string]time.Duration // by name; when the cloud confirmed their return
 	controllersOutgrown   bool                     // the fleet is larger than the controllers can serve, see checkFleetSize
 	arrivalsByClass       map[string]*classArrivals
 	runTimesByClass       map[string]*forecast.RunTimeCorrection
 	provisioningLatencies *bootlatency.History
 }
 
-// newLeader makes the leader of a term that was won. It decides nothing before its records are
-// loaded.
+// newLeader returns the leader of a term that this controller has won. It makes no decisions before
+// the records are loaded.
 func newLeader(c *Core, leadership election.Leadership) *leader {
 	l := &leader{
 		core:                  c,
@@ -92,7 +92,8 @@
 	return l
 }
 
-// termCondition is the condition that no later term has begun. Every write of a leader has it.
+// termCondition returns the condition that no later term has begun. All writes of a leader are
+// conditional on it.
 func (l *leader) termCondition() wire.Condition {
 	return wire.Condition{Key: election.KeyTerm, Version: l.leadership.TermVersion}
 }
@@ -117,11 +118,11 @@
 	}
 }
 
-// isActive reports whether the leader may decide and write: its term is not over, and the records
-// are loaded.
+// isActive reports whether the leader may make decisions and write records: its term is not over,
+// and the records are loaded.
 func (l *leader) isActive() bool { return !l.steppedDown && l.recordsLoaded }
 
-// runDuePass runs a scheduling pass if one is requested and it is time for it.
+// runDuePass runs a scheduling pass if one is requested and due.
 func (l *leader) runDuePass() {
 	if !l.isActive() || !l.passes.requested || l.core.now < l.passes.earliest {
 		return
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -9,38 +9,40 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// This file is the leader's part of cancellations: it stops the tasks, and tells the other
-// controllers when none is left.
+// This file is the leader's part of cancellations: it stops the tasks, and notifies the other
+// controllers when all have terminated.
 
-// recordCancellation applies what an open record says of a cancellation.
+// recordCancellation applies the cancellation in a job's open record, if there is one.
 func (l *leader) recordCancellation(job *cluster.Job, record records.Open) {
 	if record.Cancelled && !job.Cancellation.Requested() {
 		l.core.log.Info("job cancelled", "job", job.ID, "acknowledged", record.CancelAcknowledged())
 		l.markCancelled(job)
 		if record.CancelRequestedAt != 0 {
-			job.Cancellation.Request(l.steadyTime(record.CancelRequestedAt, 0))
+			job.Cancellation.Request(l.monotonicTimeOf(record.CancelRequestedAt, 0))
 		}
 		l.recomputeUrgency(l.dependencies.Dependencies(job.ID))
 		l.cancelDependents(job.ID)
 	}
 	if record.CancelAcknowledged() {
-		// Not from when this leader learns of it, if that is on record.
-		at := l.core.now
+		// cancel_s counts from the recorded time of the acknowledgement, if there is one, not
+		// from the time at which this leader learns of it.
+		acknowledgedAt := l.core.now
 		if record.CancelAcknowledgedAt != 0 {
-			at = l.steadyTime(record.CancelAcknowledgedAt, l.core.settings.Deployment.SkewMs)
+			acknowledgedAt = l.monotonicTimeOf(record.CancelAcknowledgedAt, l.core.settings.Deployment.SkewMs)
 		}
-		job.Cancellation.Acknowledge(at)
+		job.Cancellation.Acknowledge(acknowledgedAt)
 	}
 }
 
-// steadyTime is this controller's steady time at a time of day, in ms, that another controller
-// recorded; at the earliest one whose clock is ahead by up to skewMS.
-func (l *leader) steadyTime(wallClockMS int64, skewMS float64) time.Duration {
-	agoMS := max(0, l.core.wallClockMS-wallClockMS+int64(skewMS))
-	return l.core.now - time.Duration(agoMS)*time.Millisecond
+// monotonicTimeOf converts a wall-clock time, in ms, that another controller recorded to this
+// controller's monotonic time. The other clock may be ahead by up to skewMS: the result is the
+// earliest possible time.
+func (l *leader) monotonicTimeOf(wallClockMS int64, skewMS float64) time.Duration {
+	elapsedMS := max(0, l.core.wallClockMS-wallClockMS+int64(skewMS))
+	return l.core.now - time.Duration(elapsedMS)*time.Millisecond
 }
 
-// markCancelled makes a job end without being done, and stops its tasks.
+// markCancelled marks a job as cancelled, and stops its tasks.
 func (l *leader) markCancelled(job *cluster.Job) {
 	job.Cancellation.Request(l.core.now)
 	l.cancelledJobs[job.ID] = job
@@ -54,7 +56,7 @@
 }
 
 // handlePeerCancellations handles the cancellations that another controller has recorded, and
-// answers with the states of the jobs.
+// replies with the states of the jobs.
 func (l *leader) handlePeerCancellations(from string, cancellations []wire.Cancelled) {
 	ends := wire.Ends{TermVersion: l.leadership.TermVersion}
 	for _, cancelled := range cancellations {
@@ -69,16 +71,16 @@
 	}
 }
 
-// applyPeerCancellation cancels a job that another controller has recorded as cancelled, with a
-// version of the open record that this leader may not have read yet.
+// applyPeerCancellation cancels a job that another controller has recorded as cancelled. version is
+// that of its open record, which this leader may not have read yet.
 func (l *leader) applyPeerCancellation(job *cluster.Job, version uint64) {
 	record := job.Record
 	record.Cancelled, record.CancelRequestedAt = true, l.core.wallClockMS
 	l.applyOpenRecord(job.ID, max(version, job.OpenVersion), record)
 }
 
-// appendJobEnd appends what has become of a cancelled job, which is nil if it is not known: its
-// end is on record, its tasks have terminated, or their termination is delayed.
+// appendJobEnd appends the state of a cancelled job, if there is one to report: its end is recorded,
+// its tasks have terminated, or their termination is delayed. job is nil for an unknown job.
 func (l *leader) appendJobEnd(ends *wire.Ends, id string, job *cluster.Job) {
 	final, ended := l.core.jobCache.Final(id)
 	switch {
@@ -86,8 +88,8 @@
 		ends.Over = append(ends.Over, wire.JobEnd{ID: id, Status: string(final.Status), Tasks: final.Tasks})
 	case !l.recordsLoaded:
 	case job == nil:
-		// Never heard of, or its end not remembered: in either case no task of it counts, and
-		// none can be placed on the record as it is now.
+		// The job is unknown, or its end is no longer cached. In both cases none of its tasks
+		// is placed, and the cancellation in its record prevents new placements.
 		ends.Gone = append(ends.Gone, id)
 	case l.mayAnnounceTermination(job):
 		ends.Gone = append(ends.Gone, id)
@@ -96,15 +98,16 @@
 	}
 }
 
-// mayAnnounceTermination reports whether a cancelled job has been without a task for longer than
-// it takes to record its end, or its end cannot be recorded.
+// mayAnnounceTermination reports whether the other controllers are to be notified that a cancelled
+// job's tasks have terminated, before the job's end is recorded: recording it takes longer than
+// usual, or is impossible because the store is unavailable.
 func (l *leader) mayAnnounceTermination(job *cluster.Job) bool {
 	return job.Cancellation.TerminatedFor(l.core.heartbeatInterval()/5, l.core.now) ||
 		job.Cancellation.Terminated() && !l.core.store.Available()
 }
 
-// terminationDelayed reports whether tasks of a job are on silent machines, so that their
-// termination may take a while.
+// terminationDelayed reports whether a job has tasks on machines whose heartbeats are overdue, so
+// that confirmation of their termination may take longer.
 func (l *leader) terminationDelayed(id string) bool {
 	job := l.Jobs[id]
 	if job == nil {
@@ -119,8 +122,8 @@
 	return false
 }
 
-// tickTerminations tells the other controllers of cancelled jobs that are without a task and
-// whose end the leader cannot record.
+// tickTerminations notifies the other controllers of cancelled jobs whose tasks have terminated but
+// whose ends are not recorded yet, see mayAnnounceTermination.
 func (l *leader) tickTerminations() {
 	var ends wire.Ends
 	for _, id := range sortedKeys(l.cancelledJobs) {
@@ -134,7 +137,7 @@
 	l.sendJobEnds(ends)
 }
 
-// sendJobEnds tells all other controllers of jobs that have ended.
+// sendJobEnds notifies all other controllers of jobs that have ended or whose tasks have terminated.
 func (l *leader) sendJobEnds(ends wire.Ends) {
 	if len(ends.Over)+len(ends.Gone) == 0 {
 		return
@@ -145,13 +148,13 @@
 	}
 }
 
-// cancellationOverdue reports whether a task of a cancelled job whose termination is not confirmed
-// has to be ended along with its machine.
+// cancellationOverdue reports whether a cancelled job's tasks whose termination is not confirmed have
+// to be terminated by returning their machines to the cloud.
 func (l *leader) cancellationOverdue(job *cluster.Job) bool {
 	return job.Cancellation.Overdue(l.core.now, l.core.cancelGracePeriod(), frontend.UserRetryPeriod)
 }
 
-// cancelGracePeriod is cancel_s: how long tasks may run after their cancellation is acknowledged.
+// cancelGracePeriod returns cancel_s: how long tasks may run after their cancellation is acknowledged.
 func (c *Core) cancelGracePeriod() time.Duration {
 	return c.settings.Deployment.Workers.CancelTime()
 }
--- a/internal/core/overdue_cancellation_test.go
+++ b/internal/core/overdue_cancellation_test.go
@@ -62,17 +62,17 @@
 			if acknowledged {
 				job.Cancellation.Acknowledge(harness.core.now - leader.core.cancelGracePeriod())
 			}
-			returned := func() bool {
+			enforceAndCheckReturn := func() bool {
 				leader.enforceStop(machine, cluster.NewTaskReference(job, 0))
 				return leader.fleet.pendingReturns[machine.Name]
 			}
 			machine.LastHeartbeat, machine.HeartbeatsRegularSince = harness.core.now, harness.core.now
-			if returned() != acknowledged {
+			if enforceAndCheckReturn() != acknowledged {
 				t.Errorf("returned with its first heartbeat: %v", !acknowledged)
 			}
 			harness.core.now += 2 * leader.core.heartbeatInterval()
 			machine.LastHeartbeat = harness.core.now
-			if !returned() {
+			if !enforceAndCheckReturn() {
 				t.Error("kept though the task is still there after two heartbeats")
 			}
 		})
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -8,19 +8,19 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// This file exchanges messages with the region's other controllers. What their digests say is
-// kept in package membership.
+// This file exchanges messages with the region's other controllers. Package membership holds the
+// state that their digests report.
 
-// membershipHost is this controller as package membership sees it.
+// membershipHost implements membership.Host.
 type membershipHost struct{ core *Core }
 
-// Now is the steady time.
+// Now returns the monotonic time.
 func (h membershipHost) Now() time.Duration { return h.core.now }
 
-// IsLeader reports whether this controller leads.
+// IsLeader reports whether this controller is the leader.
 func (h membershipHost) IsLeader() bool { return h.core.leader != nil }
 
-// newMembership makes the view that this controller has of its peers when it starts.
+// newMembership returns the membership state of a controller that has just started.
 func (c *Core) newMembership() *membership.Membership {
 	return membership.New(membership.Config{
 		Name:              c.settings.Name,
@@ -39,7 +39,7 @@
 	c.out.PeerSends = append(c.out.PeerSends, Send{To: to, Message: message})
 }
 
-// onPeerMessage handles a message of another controller.
+// onPeerMessage handles a message from another controller.
 func (c *Core) onPeerMessage(message *wire.PeerMessage) {
 	if !c.membership.RecordMessage(message.From) {
 		return
@@ -73,7 +73,7 @@
 	}
 }
 
-// onLeaderDigest applies the digest of a controller that leads.
+// onLeaderDigest applies the digest of a controller that claims to be the leader.
 func (c *Core) onLeaderDigest(from string, digest *wire.Digest) {
 	c.election.ObserveLeader(digest.Term, from)
 	if c.leader != nil || c.election.Leader() != from {
@@ -85,7 +85,8 @@
 	c.recordJobCounts(digest)
 }
 
-// recordJobCounts remembers the counts of jobs that a leader's digest carries, for display.
+// recordJobCounts records the task counts in a leader's digest, from which status queries are
+// answered.
 func (c *Core) recordJobCounts(digest *wire.Digest) {
 	if !digest.HasJobs {
 		return
@@ -98,7 +99,7 @@
 	}
 }
 
-// recordLeaseExtensions records which workers' leases another controller has extended.
+// recordLeaseExtensions records the worker leases that another controller has extended.
 func (l *leader) recordLeaseExtensions(extensions []wire.Kept) {
 	for _, extension := range extensions {
 		if machine := l.Machines[extension.Machine]; machine != nil {
@@ -108,12 +109,12 @@
 	}
 }
 
-// maxDigestJobs is how many jobs' counts go into one message: a message stays small however
-// many jobs there are.
+// maxDigestJobs is the maximum number of jobs whose task counts one message carries. It limits the
+// size of messages.
 const maxDigestJobs = 1000
 
-// sendDigests sends the other controllers a digest, in several parts if it carries the counts
-// of many jobs.
+// sendDigests sends a digest to the other controllers, in several parts if it carries the task
+// counts of many jobs.
 func (c *Core) sendDigests() {
 	digest := c.newDigest()
 	for len(digest.Jobs) > maxDigestJobs {
@@ -123,7 +124,7 @@
 	c.sendDigestPart(digest, digest.Jobs)
 }
 
-// newDigest makes the digest of this controller, with all that goes to every peer.
+// newDigest returns this controller's digest, without the parts that differ by peer.
 func (c *Core) newDigest() wire.Digest {
 	digest := wire.Digest{Version: wire.PeerVersion, Term: c.election.Term(), StoreOK: c.store.Available()}
 	c.membership.FillDigest(&digest)
@@ -140,8 +141,8 @@
 	return digest
 }
 
-// sendDigestPart sends a digest with a part of the jobs' counts, with the echo of each peer's
-// own clock.
+// sendDigestPart sends a digest with the task counts of some jobs to every peer, with the echo of
+// that peer's own clock.
 func (c *Core) sendDigestPart(digest wire.Digest, jobs []wire.JobCount) {
 	digest.Jobs = jobs
 	for _, peer := range c.settings.Peers {
--- a/internal/core/process_pause.go
+++ b/internal/core/process_pause.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// The process of a controller may be paused for a while, as a whole, and then resume as if
-// nothing had happened. What it believes of leadership, workers and jobs is then as old as
-// the pause. It acts on none of it before the key-value store, a peer or a worker has
-// confirmed it: its writes are conditional on the term, its commands carry the term as fencing
-// token, and its answers to users are read from the store or confirmed there first.
+// The whole process of a controller may be paused for a while and then resume. After the pause, its
+// state of the leadership, the workers and the jobs is out of date. This is safe, because that state
+// takes effect only once the key-value store, a peer or a worker has confirmed it: writes are
+// conditional on the term, commands carry the term as fencing token, and answers to users are read
+// from the store or verified there first.
 
-// pauseThreshold is the time without any input from which on the process counts as paused:
-// many ticks come in one heartbeat interval.
+// pauseThreshold returns the time without input from which the process is considered to have been
+// paused. Normally there are many ticks in a heartbeat interval.
 func (c *Core) pauseThreshold() time.Duration { return c.heartbeatInterval() }
 
-// logProcessPause logs a pause of the process, if no input came for pauseThreshold before the
-// one at the time now.
+// logProcessPause logs a pause of the process if the previous input was processed at least
+// pauseThreshold before now.
 func (c *Core) logProcessPause(now time.Duration) {
 	pause := now - c.now
 	if c.now == 0 || pause < c.pauseThreshold() {
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -2,7 +2,7 @@
 
 import "github.com/brookwalk/brookwalk/internal/core/election"
 
-// stopReason is why a task is stopped. Its text is part of log lines.
+// stopReason is why a task is stopped. Its text appears in log lines.
 type stopReason string
 
 // Reasons to stop a task.
@@ -15,7 +15,7 @@
 	stopRescheduled stopReason = "rescheduled to another machine"
 )
 
-// Reasons for which a leader steps down, beside those that the election finds.
+// Reasons to step down, in addition to those that package election detects.
 const (
 	stepDownWorkerHigherTerm election.StepDownReason = "a worker has seen a higher term"
 	stepDownPeerHigherTerm   election.StepDownReason = "a peer knows a higher term"
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -17,7 +17,7 @@
 
 // lowerLimits lowers what the store takes, to a number of writes in a transaction and of bytes in a
 // value. It returns how many transactions are rejected from now on.
-func lowerLimits(harness *harness, maxWrites, maxValue int) *int {
+func lowerStoreLimits(harness *harness, maxWrites, maxValue int) *int {
 	rejected := new(int)
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		if len(txn.Writes) > maxWrites || len(txn.Conditions) > 4*maxWrites || largestValueBytes(txn) > maxValue {
@@ -47,7 +47,7 @@
 }
 
 // withoutAnnouncement leaves the settings as they are.
-func withoutAnnouncement(*config.Settings) {}
+func withoutAnnouncedLimits(*config.Settings) {}
 
 // placeAndRecord places tasks of a job on machines of its own and records them.
 func placeAndRecord(leader *leader, job *cluster.Job, from, to int) {
@@ -133,12 +133,12 @@
 	}{
 		{"announced", withAnnouncedLimits(5), 5, 2048, 1},
 		{"announced, two changes", withAnnouncedLimits(2), 2, 2048, 1},
-		{"silent, fewer changes", withoutAnnouncement, 5, 16384, 6},
-		{"silent, two changes", withoutAnnouncement, 2, 16384, 8},
-		{"silent, smaller values", withoutAnnouncement, 16, 2048, 12},
-		{"silent, smaller values yet", withoutAnnouncement, 16, 1024, 12},
-		{"silent, both", withoutAnnouncement, 5, 2048, 16},
-		{"silent, both lowest", withoutAnnouncement, 2, 1024, 20},
+		{"silent, fewer changes", withoutAnnouncedLimits, 5, 16384, 6},
+		{"silent, two changes", withoutAnnouncedLimits, 2, 16384, 8},
+		{"silent, smaller values", withoutAnnouncedLimits, 16, 2048, 12},
+		{"silent, smaller values yet", withoutAnnouncedLimits, 16, 1024, 12},
+		{"silent, both", withoutAnnouncedLimits, 5, 2048, 16},
+		{"silent, both lowest", withoutAnnouncedLimits, 2, 1024, 20},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
@@ -147,7 +147,7 @@
 			}
 			addRecord(harness, leader, wire.Job{ID: jobID(8)}, nil)
 			addRecord(harness, leader, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
-			rejected := lowerLimits(harness, tc.ops, tc.bytes)
+			rejected := lowerStoreLimits(harness, tc.ops, tc.bytes)
 			if harness.core.settings.Deployment.Store.Next != nil {
 				leader.writer.AllowNamedRanges() // as once every controller reads them
 			}
@@ -181,7 +181,7 @@
 }
 
 // longJob is a job whose description takes 5 KiB.
-func longJob(id string, tasks int) wire.Job {
+func oversizedJob(id string, tasks int) wire.Job {
 	var types []string
 	for n := range 300 {
 		types = append(types, fmt.Sprintf("type-%09d", n))
@@ -200,23 +200,23 @@
 		name     string
 		settings func(*config.Settings)
 		most     int
-	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncement, 1}} {
+	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncedLimits, 1}} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
-			addRecord(harness, leader, longJob(jobID(1), 40), nil)
+			addRecord(harness, leader, oversizedJob(jobID(1), 40), nil)
 			addRecord(harness, leader, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
 			job := leader.Jobs[jobID(1)]
 			placeAndRecord(leader, job, 0, 1)
 			harness.run(time.Second)
-			rejected := lowerLimits(harness, 5, 2048)
+			rejected := lowerStoreLimits(harness, 5, 2048)
 			var request records.Open // with the request
 			harness.afterCommit = func() {
 				if !harness.hasEnded(jobID(1)) {
 					request = harness.openRecord(jobID(1))
 				}
 			}
-			harness.nextReq++
-			harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
+			harness.lastRequestID++
+			harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
 			harness.run(3 * time.Second)
 			if !request.Cancelled || request.Job.Tasks != 40 || request.Job.Team != "vision" || request.Job.CPUs != 4 || request.Job.Class != "c" {
 				t.Fatalf("recorded %+v", request)
@@ -242,18 +242,18 @@
 		name     string
 		settings func(*config.Settings)
 		most     int
-	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncement, 16}} {
+	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncedLimits, 16}} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
 			addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
-			long := longJob(jobID(2), 40)
+			long := oversizedJob(jobID(2), 40)
 			long.Dependencies = []string{jobID(1)}
 			addRecord(harness, leader, long, nil)
-			addRecord(harness, leader, longJob(jobID(3), 100), nil)
+			addRecord(harness, leader, oversizedJob(jobID(3), 100), nil)
 			other := leader.Jobs[jobID(3)]
 			placeAndRecord(leader, other, 0, 100)
 			harness.run(time.Second)
-			rejected := lowerLimits(harness, 5, 2048)
+			rejected := lowerStoreLimits(harness, 5, 2048)
 			if harness.core.settings.Deployment.Store.Next != nil {
 				leader.writer.AllowNamedRanges() // as once every controller reads them
 			}
@@ -281,7 +281,7 @@
 				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
 			}
 			// The next leader learns it by itself.
-			next := nextLeader(harness, leader, "")
+			next := startNextLeader(harness, leader, "")
 			if k := next.Jobs[jobID(2)]; k.AwaitingDependencies && !k.DependenciesDone {
 				t.Error("it waits again under the next leader")
 			}
@@ -292,17 +292,17 @@
 // TestLongDescriptionsRun runs many such jobs together. With two of them in one
 // transaction, nobody can tell which one is rejected.
 func TestLongDescriptionsRun(t *testing.T) {
-	harness, leader := newLeadingHarness(t, withoutAnnouncement)
+	harness, leader := newLeadingHarness(t, withoutAnnouncedLimits)
 	addRecord(harness, leader, wire.Job{ID: jobID(0)}, nil)
 	for n := range 9 {
-		long := longJob(jobID(1+n), 1)
+		long := oversizedJob(jobID(1+n), 1)
 		if n%3 == 2 {
 			long.MachineTypes = nil
 		}
 		long.Dependencies = []string{jobID(0)}
 		addRecord(harness, leader, long, nil)
 	}
-	rejected := lowerLimits(harness, 5, 2048)
+	rejected := lowerStoreLimits(harness, 5, 2048)
 	leader.markDone(leader.Jobs[jobID(0)], 0)
 	harness.run(20 * time.Second)
 	for n := range 9 {
@@ -319,7 +319,7 @@
 // program knows nothing of: it is retried less and less often, and the others' records are
 // written.
 func TestPoisonedRecord(t *testing.T) {
-	harness, leader := newLeadingHarness(t, withoutAnnouncement)
+	harness, leader := newLeadingHarness(t, withoutAnnouncedLimits)
 	rejected := 0
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		for _, w := range txn.Writes {
@@ -357,14 +357,14 @@
 		most     int
 	}{
 		{"announced", withAnnouncedLimits(5), 0, false, 0},
-		{"silent", withoutAnnouncement, 0, false, 2},
+		{"silent", withoutAnnouncedLimits, 0, false, 2},
 		{"among more than a transaction marks", withAnnouncedLimits(5), 9, false, 0},
-		{"silent, among more than a transaction marks", withoutAnnouncement, 9, false, 6},
+		{"silent, among more than a transaction marks", withoutAnnouncedLimits, 9, false, 6},
 		{"the leader learns of the dependent late", withAnnouncedLimits(5), 0, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
-			addRecord(harness, leader, longJob(jobID(1), 40), nil)
+			addRecord(harness, leader, oversizedJob(jobID(1), 40), nil)
 			placeAndRecord(leader, leader.Jobs[jobID(1)], 0, 1)
 			names := []string{`"` + jobID(1) + `"`}
 			for n := range tc.others {
@@ -372,7 +372,7 @@
 				names = append(names, `"`+jobID(10+n)+`"`)
 			}
 			harness.run(time.Second)
-			rejected := lowerLimits(harness, 5, 2048)
+			rejected := lowerStoreLimits(harness, 5, 2048)
 			var request records.Open
 			harness.afterCommit = func() {
 				if !harness.hasEnded(jobID(1)) {
@@ -396,8 +396,8 @@
 			if !tc.late {
 				learn()
 			}
-			harness.nextReq++
-			harness.step(Request{ID: harness.nextReq, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
+			harness.lastRequestID++
+			harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
 			harness.run(3 * time.Second)
 			if tc.late {
 				learn()
--- a/internal/core/routes.go
+++ b/internal/core/routes.go
@@ -23,7 +23,7 @@
 
 // onRequest routes an HTTP request.
 func (c *Core) onRequest(r Request) {
-	job, ofJob := strings.CutPrefix(r.Path, pathSubmission+"/")
+	jobPath, isJobPath := strings.CutPrefix(r.Path, pathSubmission+"/")
 	switch {
 	case r.Path == pathHealth:
 		c.route(r, methodGet, func() { c.onHealth(r) })
@@ -31,14 +31,14 @@
 		c.route(r, methodPost, func() { c.onHeartbeat(r.ID, r.Body) })
 	case r.Path == pathSubmission:
 		c.route(r, methodPost, func() { c.frontEnd.Submit(frontend.RequestID(r.ID), r.Body) })
-	case ofJob:
-		c.onJobRequest(r, job)
+	case isJobPath:
+		c.onJobRequest(r, jobPath)
 	default:
 		c.refuse(r.ID, frontend.NoSuchPath)
 	}
 }
 
-// onJobRequest routes a request about one job; rest is its path after that of submissions.
+// onJobRequest routes a request for one job. rest is the part of its path after pathSubmission.
 func (c *Core) onJobRequest(r Request, rest string) {
 	if job, cancel := strings.CutSuffix(rest, suffixCancel); cancel {
 		c.route(r, methodPost, func() { c.frontEnd.Cancel(frontend.RequestID(r.ID), job) })
@@ -47,7 +47,7 @@
 	c.route(r, methodGet, func() { c.frontEnd.Query(frontend.RequestID(r.ID), rest) })
 }
 
-// route handles a request if it has the method of its path.
+// route calls handle if a request has the given method, and refuses the request otherwise.
 func (c *Core) route(r Request, method string, handle func()) {
 	if r.Method != method {
 		c.refuse(r.ID, frontend.MethodNotAllowed)
@@ -56,10 +56,11 @@
 	handle()
 }
 
-// onHealth answers 200 unless the store is unavailable to this controller alone: one that cannot
-// reach it while others can should get no new users, nor one that hears no other controller
-// either and is more likely cut off than the store is down. A general outage makes no
-// controller unhealthy.
+// onHealth answers a health check with 200 unless the store is likely to be unavailable to this
+// controller alone. Users should not be routed to a controller that cannot reach the store although
+// its peers can, or that has lost contact with both the store and all its peers: it is more likely
+// that this controller is partitioned than that the store is down. In a general outage of the store
+// all controllers remain healthy.
 func (c *Core) onHealth(r Request) {
 	unavailable := c.store.UnavailableFor()
 	othersReachStore := unavailable > c.leaderLeaseDuration()/2 && c.membership.PeerReachesStore()
--- a/internal/core/store_transport.go
+++ b/internal/core/store_transport.go
@@ -6,10 +6,10 @@
 	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
-// storeTransport carries the requests of the key-value store's client as calls of the core.
+// storeTransport sends the requests of the key-value store's client as calls of the core.
 type storeTransport struct{ core *Core }
 
-// Now is the steady time.
+// Now returns the monotonic time.
 func (t storeTransport) Now() time.Duration { return t.core.now }
 
 // Send makes a call to the store.
@@ -27,12 +27,12 @@
 	t.core.call(call, func(r Result) { done(kv.Response{Number: r.Status, Body: r.Body}) })
 }
 
-// rejectedWrites records that the store rejected a transaction with a number of writes, and
-// reports whether the same changes may do in smaller transactions.
-func (c *Core) rejectedWrites(writes int) bool {
+// recordRejectedWrites records that the store rejected a transaction with a number of writes, and
+// reports whether the same changes may be accepted in smaller transactions.
+func (c *Core) recordRejectedWrites(writes int) bool {
 	if !c.store.RejectedWrites(writes) {
 		return false
 	}
-	c.log.Info("store takes fewer writes in a transaction", "writes", c.store.MaxWrites())
+	c.log.Info("store rejected transaction; reduced maximum writes per transaction", "writes", c.store.MaxWrites())
 	return true
 }
--- a/internal/core/submission_pacing_test.go
+++ b/internal/core/submission_pacing_test.go
@@ -7,8 +7,8 @@
 
 // submitAndCollectCommits submits a job and returns the transactions that are sent along with it.
 func submitAndCollectCommits(harness *harness, body string) []Call {
-	harness.nextReq++
-	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Request{ID: harness.nextReq, Method: "POST", Path: "/submissions", Body: []byte(body)})
+	harness.lastRequestID++
+	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions", Body: []byte(body)})
 	var commits []Call
 	for _, call := range out.Calls {
 		if call.Destination == DestinationStore && call.Path == "/commit" {
--- a/internal/core/submission_test.go
+++ b/internal/core/submission_test.go
@@ -14,25 +14,25 @@
 // TestSubmissionFields changes one field of a good submission at a time.
 func TestSubmissionFields(t *testing.T) {
 	const (
-		text   = `"some"`
-		empty  = `""`
-		number = `4.0`
-		truth  = `true`
-		object = `{}`
-		list   = `["large"]`
+		text    = `"some"`
+		empty   = `""`
+		number  = `4.0`
+		boolean = `true`
+		object  = `{}`
+		list    = `["large"]`
 	)
 	badAmounts := []string{
-		missing, `null`, text, `"4.0"`, empty, truth, object, `[4]`, `-0.5`, `-1`, `-1e300`, `1e300`, `1e999`, `-1e999`,
+		omitted, `null`, text, `"4.0"`, empty, boolean, object, `[4]`, `-0.5`, `-1`, `-1e300`, `1e300`, `1e999`, `-1e999`,
 		`1000000001`, `NaN`, `Infinity`, `-Infinity`, `04`, `4.`, `.4`, `+4`, `0x4`, `1e`,
 	}
-	badTexts := []string{missing, `null`, empty, number, truth, object, `["some"]`, "\"a\nb\"", "\"\xff\"", `"\x"`, `some`}
-	badTruths := []string{missing, `null`, `0`, `1`, `"true"`, empty, object, `[true]`, `True`, `truely`}
+	badTexts := []string{omitted, `null`, empty, number, boolean, object, `["some"]`, "\"a\nb\"", "\"\xff\"", `"\x"`, `some`}
+	badBooleans := []string{omitted, `null`, `0`, `1`, `"true"`, empty, object, `[true]`, `True`, `truely`}
 	name := func(n int) string { return `"` + strings.Repeat("n", n) + `"` }
 	for _, tc := range []struct {
-		field    string
-		accepted []string
-		bad      []string // 400
-		never    []string // 422
+		field         string
+		accepted      []string
+		bad           []string // 400
+		unsatisfiable []string // 422
 	}{
 		{
 			"nameId",
@@ -54,20 +54,20 @@
 		{"pullGb", []string{`0`, `100`}, badAmounts, nil},
 		{
 			"hulls",
-			[]string{missing, `null`, `["small","large"]`, `["large","large"]`, `["none","large"]`},
-			[]string{text, empty, number, truth, object, `[1]`, `[null]`, `["large",null]`, `["large",1]`, `[""]`, `["large",""]`, `[["large"]]`, `["large",]`, `[{}]`, `{"0":"large"}`},
+			[]string{omitted, `null`, `["small","large"]`, `["large","large"]`, `["none","large"]`},
+			[]string{text, empty, number, boolean, object, `[1]`, `[null]`, `["large",null]`, `["large",1]`, `[""]`, `["large",""]`, `[["large"]]`, `["large",]`, `[{}]`, `{"0":"large"}`},
 			[]string{`[]`, `["none"]`, `["Large"]`, `["small"]`, `["large` + strings.Repeat(`","large`, 3000) + `"]`},
 		},
-		{"berth", []string{missing, `null`, `"b"`, `"c"`}, []string{empty, number, truth, object, `["b"]`}, []string{`"a"`, `"d"`, `"B"`}},
-		{"together", []string{`false`}, badTruths, nil},
-		{"apart", nil, badTruths, []string{`true`}}, // it is together
-		{"standby", []string{`false`}, badTruths, nil},
+		{"berth", []string{omitted, `null`, `"b"`, `"c"`}, []string{empty, number, boolean, object, `["b"]`}, []string{`"a"`, `"d"`, `"B"`}},
+		{"together", []string{`false`}, badBooleans, nil},
+		{"apart", nil, badBooleans, []string{`true`}}, // it is together
+		{"standby", []string{`false`}, badBooleans, nil},
 		{"guessS", []string{`0`, `1e9`}, badAmounts, nil},
 		{"markS", []string{`0`, `1e9`}, badAmounts, nil},
 		{"stowS", []string{`0`, `1e9`}, badAmounts, nil},
-		{"dueS", []string{missing, `null`, `0`, `0.5`, `1e9`}, badAmounts[2:], nil},
+		{"dueS", []string{omitted, `null`, `0`, `0.5`, `1e9`}, badAmounts[2:], nil},
 	} {
-		for status, values := range map[int][]string{201: tc.accepted, 400: tc.bad, 422: tc.never} {
+		for status, values := range map[int][]string{201: tc.accepted, 400: tc.bad, 422: tc.unsatisfiable} {
 			for _, value := range values {
 				t.Run(fmt.Sprintf("%s %.60s", tc.field, value), func(t *testing.T) {
 					expectSubmission(t, body(tc.field, value), status)
@@ -180,7 +180,7 @@
 			fresh := newHarness(t, testMachineTypes)
 			fresh.store, fresh.revision = first.store, first.revision
 			for _, at := range []*harness{first, fresh} {
-				expectRepeats(t, at, tc.want)
+				expectRepeatsRecognized(t, at, tc.want)
 				if tc.final != "" {
 					expectStatus(t, "cancelled", at.request("POST", "/submissions/"+id+"/cancel", ""), tc.want)
 				}
@@ -191,12 +191,12 @@
 
 // expectRepeats repeats the submission of a job with a status. What cannot run any more, or never
 // could, is a repeat as well.
-func expectRepeats(t *testing.T, at *harness, want wire.JobStatus) {
+func expectRepeatsRecognized(t *testing.T, at *harness, want wire.JobStatus) {
 	t.Helper()
 	for _, repeat := range []string{body(), body(), body("crew", `"gone"`), body("hulls", `[]`)} {
 		expectStatus(t, "repeated", at.request("POST", "/submissions", repeat), want)
 	}
-	if a := at.request("POST", "/submissions", body("cpus", missing)); a.Status != 400 {
+	if a := at.request("POST", "/submissions", body("cpus", omitted)); a.Status != 400 {
 		t.Errorf("malformed with a known id: %d %s, want 400", a.Status, a.Body)
 	}
 }
@@ -215,7 +215,7 @@
 func FuzzSubmission(f *testing.F) {
 	f.Add([]byte(body()))
 	for _, field := range validFields {
-		for _, v := range []string{missing, `null`, `""`, `-1`, `1e999`, `[null]`, `{}`, `"\ud800"`, `1e-320`} {
+		for _, v := range []string{omitted, `null`, `""`, `-1`, `1e999`, `[null]`, `{}`, `"\ud800"`, `1e-320`} {
 			f.Add([]byte(body(field[0], v)))
 		}
 	}
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -6,16 +6,16 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Package reconcile decides when a task has certainly terminated, in the four cases that its
-// termination.go lists. This file carries it out, and alone calls unplace for a task that may
-// have run.
+// Package reconcile decides when a task is confirmed to have terminated; its termination.go lists the
+// four cases. This file applies these decisions. No other code calls unplace for a task that may have
+// run.
 
 // reconcilePlacements compares a machine's placements with the worker's newest message.
-// workerKnowsTerm is whether the worker had seen this term when it sent the message.
+// workerKnowsTerm is true if the worker had seen this term when it sent the message.
 func (l *leader) reconcilePlacements(machine *cluster.Machine, workerKnowsTerm bool) {
 	for _, placement := range machine.Placements {
 		if placement.Task().Machine != machine {
-			continue // unplaced on the way, with its gang
+			continue // unplaced earlier in this loop, with its gang
 		}
 		finding := reconcile.CheckPlacement(machine, placement, workerKnowsTerm)
 		switch finding.Outcome {
@@ -30,7 +30,7 @@
 	}
 }
 
-// recordTaskStatus records the state of a task that a heartbeat lists.
+// recordTaskStatus records the reported state of a task that a worker's message lists.
 func (l *leader) recordTaskStatus(placement cluster.TaskReference, status wire.TaskStatus) {
 	reconcile.RecordStatus(placement.Task(), status, l.core.now)
 	switch status.State {
@@ -42,7 +42,7 @@
 	}
 }
 
-// expireLease ends the placements of a silent worker once its lease has certainly expired:
+// expireLease removes the placements of a silent worker once its lease is guaranteed to have expired:
 // case 4.
 func (l *leader) expireLease(machine *cluster.Machine) {
 	if !reconcile.LeaseExpiryDue(machine, l.leadership.Term, l.core.now, l.core.reconcileTiming()) || !l.leaseExpired(machine) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// recordMachineTerminated ends all placements on a machine whose return the cloud has confirmed:
+// recordMachineTerminated removes all placements on a machine whose return the cloud has confirmed:
 // case 3.
 func (l *leader) recordMachineTerminated(machine *cluster.Machine) {
 	l.core.log.Info("machine terminated", "machine", machine.Name)
@@ -69,7 +69,7 @@
 	l.dropMachine(machine)
 }
 
-// recordTaskLost unplaces a task that has certainly terminated without a reported exit.
+// recordTaskLost unplaces a task that is confirmed to have terminated without a reported exit.
 func (l *leader) recordTaskLost(placement cluster.TaskReference, reason reconcile.LossReason) {
 	job, task := placement.Job, placement.Task()
 	l.core.log.Debug("task lost", "task", placement.Name, "machine", task.Machine.Name, "reason", reason)
@@ -80,7 +80,7 @@
 	}
 }
 
-// recordTaskExited unplaces a task that has exited, and records what its cause says.
+// recordTaskExited unplaces a task that has exited, and records the result according to the cause.
 func (l *leader) recordTaskExited(placement cluster.TaskReference, cause wire.ExitCause) {
 	job, task := placement.Job, placement.Task()
 	l.logTaskExited(placement, cause)
@@ -99,7 +99,8 @@
 	}
 }
 
-// logTaskExited logs the exit of a task, at level info if it was neither done nor stopped.
+// logTaskExited logs the exit of a task, at level debug if it was done or stopped, at level info
+// otherwise.
 func (l *leader) logTaskExited(placement cluster.TaskReference, cause wire.ExitCause) {
 	log := l.core.log.Info
 	if cause == wire.CauseDone || cause == wire.CauseStopped {
@@ -108,8 +109,8 @@
 	log("task exited", "task", placement.Name, "machine", placement.Task().Machine.Name, "cause", cause)
 }
 
-// recordTaskDone records that a task is done, or with it its whole gang: a gang completes
-// together.
+// recordTaskDone records that a task is done. The tasks of a gang complete together: if one is done,
+// all are.
 func (l *leader) recordTaskDone(placement cluster.TaskReference) {
 	job, task := placement.Job, placement.Task()
 	l.learnRun(job, task)
@@ -124,8 +125,8 @@
 	}
 }
 
-// abortGangAttempt stops what is left of a gang's attempt: the gang starts again as a whole, once
-// all of it has terminated.
+// abortGangAttempt stops the remaining tasks of a gang. The gang starts again as a whole once all its
+// tasks have terminated.
 func (l *leader) abortGangAttempt(job *cluster.Job) {
 	for i := range job.TaskStates {
 		if task := &job.TaskStates[i]; task.Machine != nil && task.Stop == nil {
