--- a/internal/core/cancellation_test.go
+++ b/internal/core/cancellation_test.go
@@ -11,10 +11,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestTerminationIsConfirmed lets a leader say that no task of a cancelled job is left. The cancellation
-// is acknowledged only while the term is still that leader's: a later one may have started tasks
-// that the first knows nothing of.
-func TestTerminationIsConfirmed(t *testing.T) {
+// TestPeerTerminationRequiresCurrentTerm checks that a follower acknowledges a cancellation, when a
+// leader reports that the job's tasks have terminated, only if that leader's term is still current:
+// a later leader may have started tasks that the earlier one does not know.
+func TestPeerTerminationRequiresCurrentTerm(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		superseded bool
@@ -30,8 +30,8 @@
 			termVersion := harness.store[election.KeyTerm].Version
 			harness.write(election.KeyLeader, "", []byte(`{"name":"n1","term":5}`))
 			harness.run(0)
-			if a := harness.request("POST", "/submissions", body()); a.Status != 201 {
-				t.Fatalf("submission: %d %s", a.Status, a.Body)
+			if a := harness.request("POST", "/submissions", submissionBody()); a.Status != 201 {
+				t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 			}
 			id := "job-000412"
 			receiveLeaderDigest := func() {
@@ -41,7 +41,7 @@
 			harness.lastRequestID++
 			harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + id + "/cancel"})
 			if a, ok := harness.answers[harness.lastRequestID]; ok {
-				t.Fatalf("acknowledged before anything is known of its tasks: %d %s", a.Status, a.Body)
+				t.Fatalf("cancellation before the leader reported on the tasks: got answer %d %s, want none", a.Status, a.Body)
 			}
 			if tc.superseded {
 				harness.write(election.KeyTerm, "", []byte("6"))
@@ -49,14 +49,14 @@
 			harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Gone: []string{id}, TermVersion: termVersion}}})
 			a := harness.answers[harness.lastRequestID]
 			if a.Status != tc.status {
-				t.Errorf("answered %d %s, want %d", a.Status, a.Body, tc.status)
+				t.Errorf("cancellation: got %d %s, want %d", a.Status, a.Body, tc.status)
 			}
 			if a.Status == 503 && a.RetryAfterS == 0 {
-				t.Error("asked to retry without saying when")
+				t.Error("answer 503 without Retry-After")
 			}
 			acknowledged := strings.Contains(string(harness.store[records.OpenKey(id)].Value), `"ca":`+strconv.FormatInt(harness.core.wallClockMS, 10))
 			if acknowledged != (tc.status == 200) {
-				t.Errorf("on record as acknowledged: %v", acknowledged)
+				t.Errorf("cancellation recorded as acknowledged: got %v, want it only for the latest leader", acknowledged)
 			}
 		})
 	}
--- a/internal/core/cancelled_ends.go
+++ b/internal/core/cancelled_ends.go
@@ -5,8 +5,8 @@
 // addCancelledEnds adds the ends of cancelled jobs to a transaction as far as they fit. A job's
 // cancellation is acknowledged only after its dependents have ended, so the ends of dependents are
 // added first, and a job with dependents is added once the last of them has ended. A chain of
-// dependencies is recorded in one transaction if it fits: with one transaction per job, each waiting
-// for the previous one, a long chain would take longer than cancel_s.
+// dependencies is recorded in one transaction if it fits: with one transaction per job, each
+// waiting for the previous one, a long chain would take longer than cancel_s.
 func (l *leader) addCancelledEnds(add func(*cluster.Job) bool) {
 	waiting := l.cancelledWithoutDependents
 	l.cancelledWithoutDependents = nil
--- a/internal/core/commands.go
+++ b/internal/core/commands.go
@@ -75,8 +75,8 @@
 	return result.Status == httpstatus.OK || result.Status == httpstatus.Conflict
 }
 
-// outcomeKnown reports whether direct commands are known to have been executed, or known never to be
-// executed.
+// outcomeKnown reports whether direct commands are known to have been executed, or known never to
+// be executed.
 func outcomeKnown(result Result) bool {
 	return commandsAnswered(result) || result.Status == httpstatus.BadRequest || result.NotSent
 }
--- a/internal/core/commands_test.go
+++ b/internal/core/commands_test.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestCommandsFor compares the commands that a worker gets by the jobs and the term of a leader.
-// Package reconcile has a test of every case.
+// TestCommandsFor checks that the commands for a worker depend on the leader's jobs and term. The
+// tests of package reconcile cover all cases.
 func TestCommandsFor(t *testing.T) {
 	const name = "job-101/0"
 	started := cluster.Task{Attempt: 2, Persisted: true, PlacedThisTerm: true}
@@ -20,17 +20,17 @@
 	exited := []wire.TaskStatus{{Task: name, Attempt: 2, State: wire.TaskExited, Cause: wire.CauseDone}}
 	for _, tc := range []struct {
 		name   string
-		placed *cluster.Task // nil if the task counts nowhere
+		placed *cluster.Task // nil if the task is not placed
 		listed []wire.TaskStatus
 		change func(job *cluster.Job, machine *cluster.Machine) // nil for no change
 		want   []string
 	}{
-		{"a start on record", &started, nil, nil, []string{"run 2"}},
+		{"a recorded start", &started, nil, nil, []string{"run 2"}},
 		{"a running task to save a checkpoint", &stopping, running, nil, []string{"kill 2 in 5 s"}},
-		{"a task that counts nowhere", nil, running, nil, []string{"kill 2 in 0 s"}},
-		{"an exit on record", nil, exited, nil, []string{"reap 2"}},
-		{"an exit that is not on record", nil, exited, func(job *cluster.Job, _ *cluster.Machine) { job.PlacementRecords[0].Dirty = true }, nil},
-		{"an exit on a worker that has not heard this term", nil, exited, func(_ *cluster.Job, machine *cluster.Machine) { machine.FencingToken-- }, nil},
+		{"a task that is not placed", nil, running, nil, []string{"kill 2 in 0 s"}},
+		{"a recorded exit", nil, exited, nil, []string{"reap 2"}},
+		{"an exit that is not recorded", nil, exited, func(job *cluster.Job, _ *cluster.Machine) { job.PlacementRecords[0].Dirty = true }, nil},
+		{"an exit on a worker that has not seen this term", nil, exited, func(_ *cluster.Job, machine *cluster.Machine) { machine.FencingToken-- }, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, withoutAnnouncedLimits)
@@ -53,7 +53,7 @@
 				got = append(got, text)
 			}
 			if !slices.Equal(got, tc.want) {
-				t.Errorf("commands %q, want %q", got, tc.want)
+				t.Errorf("commands: got %q, want %q", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -16,10 +16,10 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// During a rolling upgrade controllers of two versions share the records in the key-value store.
-// The types below are frozen copies of those of the version in production: what this version
-// writes must lose nothing that they know. Those that begin with "later" are of the later version
-// that may run as well.
+// During a rolling upgrade, controllers of two versions share the records in the key-value store.
+// The types below are frozen copies of the record types of the version in production: this version
+// must preserve all of their fields when it rewrites a record. The types whose names begin with
+// "later" are copies from a later old version (testdata/chains), which may run as well.
 
 type productionJob struct {
 	ID          string   `json:"nameId"`
@@ -116,14 +116,14 @@
 	return out
 }
 
-// TestProductionRecords decodes every kind of record as the version in production writes it, and
-// decodes what this version encodes it as into the frozen types.
+// TestProductionRecords checks that this version decodes every kind of record written by the
+// version in production, and that its own encoding decodes into the frozen types without loss.
 func TestProductionRecords(t *testing.T) {
 	due := 1234.5
 	zones := []string{"east", "north", "west"}
 	tests := map[string]struct {
-		want   any // a value of this version's type
-		frozen any // one of the production version's, empty
+		want   any // the record as decoded by this version
+		frozen any // zero value of the frozen type
 	}{
 		"open": {records.Open{Job: wire.Job{
 			ID: "job-000001", Class: "web", Team: "t", Shape: "array", Priority: "normal",
@@ -174,7 +174,7 @@
 	}
 	files, _ := filepath.Glob("testdata/production/*.json")
 	if len(files) != len(tests) {
-		t.Errorf("%d fixtures, %d tests", len(files), len(tests))
+		t.Errorf("got %d fixture files, want one for each of %d tests", len(files), len(tests))
 	}
 	decode := func(t *testing.T, data []byte, like any) any {
 		t.Helper()
@@ -192,19 +192,20 @@
 			}
 			got := decode(t, data, tc.want)
 			if !reflect.DeepEqual(got, tc.want) {
-				t.Errorf("read as %+v, want %+v", got, tc.want)
+				t.Errorf("decoded record: got %+v, want %+v", got, tc.want)
 			}
 			before, after := decode(t, data, tc.frozen), decode(t, kv.Encode(got), tc.frozen)
 			if !reflect.DeepEqual(before, after) {
-				t.Errorf("the version in production reads %+v, of what this one writes %+v", before, after)
+				t.Errorf("record decoded by the version in production: want %+v, got %+v after this version rewrote it", before, after)
 			}
 		})
 	}
 }
 
-// TestLaterRecord decodes an open record in which the later version has set every field, and
-// decodes what this version encodes it as into both old layouts.
-func TestLaterRecord(t *testing.T) {
+// TestLaterVersionRecord checks that this version decodes an open record in which the later old
+// version has set every field, and that its own encoding decodes into the frozen types of both old
+// versions without loss.
+func TestLaterVersionRecord(t *testing.T) {
 	data, err := os.ReadFile("testdata/chains/open_every_field.json")
 	if err != nil {
 		t.Fatal(err)
@@ -224,34 +225,34 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("read as %+v, want %+v", got, want)
+		t.Errorf("decoded record: got %+v, want %+v", got, want)
 	}
 	for _, layout := range []func() any{func() any { return &laterOpen{} }, func() any { return &productionOpen{} }} {
 		before, after := layout(), layout()
 		if json.Unmarshal(data, before) != nil || json.Unmarshal(kv.Encode(got), after) != nil {
-			t.Fatalf("%T cannot be read", before)
+			t.Fatalf("record cannot be decoded as %T", before)
 		}
 		if !reflect.DeepEqual(before, after) {
-			t.Errorf("%T is %+v, of what this version writes %+v", before, before, after)
+			t.Errorf("record decoded as %T: want %+v, got %+v after this version rewrote it", before, before, after)
 		}
 	}
 	expectSameJSON(t, data, kv.Encode(got))
 }
 
-// sameJSON requires that this version writes what an old one wrote, field by field.
+// expectSameJSON checks that this version's encoding has the same JSON fields as an old version's.
 func expectSameJSON(t *testing.T, old, present []byte) {
 	t.Helper()
 	var a, b any
 	if json.Unmarshal(old, &a) != nil || json.Unmarshal(present, &b) != nil {
-		t.Fatalf("no JSON: %s, %s", old, present)
+		t.Fatalf("invalid JSON in one of %s and %s", old, present)
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("an old version wrote\n%s\nthis one makes of it\n%s", old, present)
+		t.Errorf("an old version encoded\n%s\nthis version encodes it as\n%s", old, present)
 	}
 }
 
-// kindOf names the kind of a key's record by the names that this version knows, and makes an
-// empty value of it.
+// recordKind returns the kind of record that this version stores under a key, with a pointer to a
+// zero value of its type; empty for an unknown key.
 func recordKind(key string) (string, any) {
 	place, isPlace := records.ParsePlacementKey(key, 1)
 	switch {
@@ -273,8 +274,8 @@
 	return "", nil
 }
 
-// TestOldTransactions decodes the transactions that the controllers of old versions sent, one of
-// each kind: this version knows every key and would write the same.
+// TestOldTransactions checks that this version knows the keys in transactions that old versions
+// sent, one of each kind, and encodes the decoded records identically.
 func TestOldTransactions(t *testing.T) {
 	for dir, kinds := range map[string][]string{
 		"production": {"final", "leader", "numbered", "open", "term", "types"},
@@ -304,7 +305,7 @@
 				}
 				txn.Writes[i].Value = kv.Encode(value)
 				if (w.Lease != 0) != (kind == "leader") {
-					t.Errorf("%s: %s has lease %d", dir, w.Put, w.Lease)
+					t.Errorf("%s: %s has lease %d, want a lease only for the leader key", dir, w.Put, w.Lease)
 				}
 			}
 			for _, cond := range txn.Conditions {
@@ -315,13 +316,13 @@
 			expectSameJSON(t, line, kv.Encode(txn))
 		}
 		if got := sortedKeys(seen); !slices.Equal(got, kinds) {
-			t.Errorf("%s: records of the kinds %q, want %q", dir, got, kinds)
+			t.Errorf("%s: kinds of records: got %q, want %q", dir, got, kinds)
 		}
 	}
 }
 
-// TestOldElection compares the transaction by which a controller of an old version became leader,
-// whose key is attached to a lease, with this version's.
+// TestOldElection checks that this version encodes an election's transaction, which attaches the
+// leader key to a lease, exactly as the old versions do.
 func TestOldElection(t *testing.T) {
 	want := wire.Txn{Conditions: []wire.Condition{{Key: election.KeyLeader}, {Key: election.KeyTerm, Version: 101}}, Writes: []wire.Write{
 		{Put: election.KeyLeader, Value: kv.Encode(election.LeaderValue{Name: "node-1", Term: 2}), Lease: 2}, {Put: election.KeyTerm, Value: kv.Encode(2)},
@@ -337,18 +338,18 @@
 		}
 	}
 	if got := string(kv.Encode(wire.GrantRequest{TTLMs: 2000})); got != `{"ttlMs":2000}` {
-		t.Errorf("a lease is asked for by %s", got)
+		t.Errorf("lease request: got %s, want {\"ttlMs\":2000}", got)
 	}
 }
 
-// TestProductionKeys pins the keys under which both versions look for records.
+// TestProductionKeys checks that records have the same keys as in the version in production.
 func TestProductionKeys(t *testing.T) {
 	for got, want := range map[string]string{
 		election.KeyLeader: "leader", election.KeyTerm: "term", records.KeyMachineTypes: "types", records.OpenKey("job-000001"): "o/job-000001",
 		records.FinalKey("job-000001"): "f/job-000001", records.NumberedKey("job-000001", 1): "p/job-000001/1", records.RangeKey("job-000001", 12, 24): "p/job-000001/12-24",
 	} {
 		if got != want {
-			t.Errorf("key %q, want %q", got, want)
+			t.Errorf("key: got %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -12,15 +12,15 @@
 
 // A job with unfinished dependencies only has a node in the dependency graph (package depgraph): it
 // is pending, does not count toward its team's limit and guarantee, and none of its tasks may be
-// placed. It is ready once its open record has a ReadyAt. The leader writes ReadyAt after it has read
-// or written the ends of all dependencies as done, on the condition that their open records no longer
-// exist. Every placement is conditional on the version of the job's open record, so that no start
-// depends on a leader's in-memory state of the dependencies.
+// placed. It is ready once its open record has a ReadyAt. The leader writes ReadyAt after it has
+// read or written the ends of all dependencies as done, on the condition that their open records no
+// longer exist. Every placement is conditional on the version of the job's open record, so that no
+// start depends on a leader's in-memory state of the dependencies.
 //
-// The cancellation of a job also cancels all its direct and indirect dependents. They have no running
-// tasks, so their ends are recorded immediately. The end of the job itself is recorded, and its user
-// is answered, when no dependent is left. The next leader reads from the record that the job is
-// cancelled and continues.
+// The cancellation of a job also cancels all its direct and indirect dependents. They have no
+// running tasks, so their ends are recorded immediately. The end of the job itself is recorded, and
+// its user is answered, when no dependent is left. The next leader reads from the record that the
+// job is cancelled and continues.
 
 // dependencyLookups is the state of the lookups of dependencies that are not among the open jobs.
 type dependencyLookups struct {
@@ -156,8 +156,8 @@
 	l.passes.requested = true
 }
 
-// cancelDependents cancels all direct and indirect dependents of a cancelled job. It does not follow
-// dependents that are cancelled already, since their own dependents are too.
+// cancelDependents cancels all direct and indirect dependents of a cancelled job. It does not
+// follow dependents that are cancelled already, since their own dependents are too.
 func (l *leader) cancelDependents(id string) {
 	l.cancelWithDependency(l.dependencies.TransitiveDependents(id, func(dependent string) bool {
 		job := l.Jobs[dependent]
@@ -187,8 +187,8 @@
 	})
 }
 
-// mayHaveUnknownDependents reports whether a job may have dependents that are not known yet, because
-// some dependency lists have not been read.
+// mayHaveUnknownDependents reports whether a job may have dependents that are not known yet,
+// because some dependency lists have not been read.
 func (l *leader) mayHaveUnknownDependents(job *cluster.Job) bool {
 	return job.Record.HasDependents && len(l.dependencyLists.unread) > 0
 }
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -12,9 +12,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestInheritance gives a job the highest priority of its dependents and the earliest deadline, less
-// the estimates on the way, also where it runs already; what its dependents lose, it loses.
-func TestInheritance(t *testing.T) {
+// TestPriorityAndDeadlineInheritance checks that a job, even one that is running, inherits the
+// highest priority of its dependents and the earliest deadline, less the estimated run times along
+// the path. When the dependent is gone, the job loses what it inherited.
+func TestPriorityAndDeadlineInheritance(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	due := 900.0
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
@@ -27,31 +28,31 @@
 	end := float64(harness.core.wallClockMS)/1000 + due
 	for id, want := range map[string]float64{"job-1": end - 70, "job-2": end - 20, "job-3": end} {
 		if j := leader.Jobs[id]; j.Level != cluster.PriorityLevel[wire.PriorityUrgent] || math.Abs(j.Deadline-want) > 1e-3 {
-			t.Errorf("%s: level %d, deadline %.0f s before the end, want %.0f", id, j.Level, end-j.Deadline, end-want)
+			t.Errorf("%s: got level %d and deadline %.0f s before job-3's, want the urgent level and %.0f s", id, j.Level, end-j.Deadline, end-want)
 		}
 	}
 	if machine.UsedByLevel[cluster.PriorityLevel[wire.PriorityUrgent]].CPUs != 4 || machine.UsedByLevel[0].CPUs != 0 {
-		t.Errorf("the machine counts %v by priority", machine.UsedByLevel)
+		t.Errorf("usage by priority level: got %v, want 4 CPUs at the urgent level and none at level 0", machine.UsedByLevel)
 	}
 	leader.forgetJob(leader.Jobs["job-3"])
 	if j := leader.Jobs["job-1"]; j.Level != 0 || !math.IsInf(j.Deadline, 1) {
-		t.Errorf("without its dependent: level %d, deadline %v", j.Level, j.Deadline)
+		t.Errorf("without its dependent: got level %d, deadline %v, want level 0, no deadline", j.Level, j.Deadline)
 	}
 }
 
-// TestWaitingJobUsesNothing lets a job wait for a dependency: it asks for no machine and claims no part
-// of its team's guarantee until its record says that it is ready.
-func TestWaitingJobUsesNothing(t *testing.T) {
+// TestWaitingJobClaimsNoResources checks that a job that waits for a dependency requests no machine
+// and uses none of its team's guarantee until its open record has a ReadyAt.
+func TestWaitingJobClaimsNoResources(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, nil) // 4 of 8 CPUs guaranteed
 	addRecord(harness, leader, wire.Job{ID: "job-3"}, nil)
 	leader.markWithinQuota()
 	if !leader.Jobs["job-1"].WithinQuota || leader.Jobs["job-2"].WithinQuota || !leader.Jobs["job-3"].WithinQuota {
-		t.Error("within quota should be jobs 1 and 3, not the waiting one before it")
+		t.Error("jobs within quota: want job-1 and job-3, but not job-2, which waits for a dependency")
 	}
 	if n := len(leader.Jobs["job-2"].PendingTasks()); n != 0 {
-		t.Errorf("%d tasks of a waiting job may be placed", n)
+		t.Errorf("placeable tasks of a job that waits for a dependency: got %d, want 0", n)
 	}
 	since := leader.Jobs["job-2"].WaitingSinceMS
 	job := leader.Jobs["job-1"]
@@ -59,15 +60,15 @@
 	leader.writer.MarkDirty()
 	harness.run(2e9)
 	if len(leader.Jobs["job-2"].PendingTasks()) != 1 || !strings.Contains(string(harness.store[records.OpenKey("job-2")].Value), `"ra":`) {
-		t.Errorf("it does not become ready: %s", harness.store[records.OpenKey("job-2")].Value)
+		t.Errorf("job-2 is not ready after its dependency is done: open record %s", harness.store[records.OpenKey("job-2")].Value)
 	}
 	if leader.Jobs["job-2"].WaitingSinceMS <= since {
-		t.Error("its waiting time counts from its submission")
+		t.Error("job-2's waiting time counts from its submission, want from the end of its dependency")
 	}
 }
 
-// TestDependentsEndFirst cancels a chain and a diamond: at no moment is a job's end on record while a
-// dependent is open, in however small steps.
+// TestDependentsEndFirst cancels a dependency graph with a diamond and a chain, with two writes per
+// transaction. After each transaction, no job's end is recorded before the ends of its dependents.
 func TestDependentsEndFirst(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.TxnOps = 2 })
 	dependencies := map[string][]string{"job-2": {"job-1"}, "job-3": {"job-1"}, "job-4": {"job-2", "job-3"}, "job-5": {"job-4"}}
@@ -80,7 +81,7 @@
 		for id, before := range dependencies {
 			for _, a := range before {
 				if ended(a) && !ended(id) {
-					t.Errorf("%s is over before %s", a, id)
+					t.Errorf("end of %s is recorded before that of its dependent %s", a, id)
 				}
 			}
 		}
@@ -89,22 +90,24 @@
 	harness.run(2e9)
 	for _, id := range []string{"job-1", "job-2", "job-3", "job-4", "job-5"} {
 		if !ended(id) || harness.store[records.OpenKey(id)].Key != "" {
-			t.Errorf("%s is not over", id)
+			t.Errorf("%s: its end is not recorded, or its open record still exists", id)
 		}
 	}
 }
 
-// TestDependencyEndIsNotTakenFromPeer does not rely on a leader for the end of a job with dependents:
-// while the leader cannot read, it does not know of the latest of them.
-func TestDependencyEndIsNotTakenFromPeer(t *testing.T) {
+// TestEndWithDependentsRequiresRecord checks that the cancellation of a job with dependents is
+// acknowledged only once the job's end is recorded. A leader's report that its tasks have
+// terminated is not sufficient: a leader that cannot read the store does not know the latest
+// dependents.
+func TestEndWithDependentsRequiresRecord(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	harness.write(election.KeyTerm, "", []byte("5"))
 	id := "job-000412"
-	if a := harness.request("POST", "/submissions", body()); a.Status != 201 {
-		t.Fatalf("%d %s", a.Status, a.Body)
+	if a := harness.request("POST", "/submissions", submissionBody()); a.Status != 201 {
+		t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 	}
 	if a := harness.request("POST", "/submissions", submissionWithDependencies(9, `["`+id+`"]`)); a.Status != 201 {
-		t.Fatalf("%d %s", a.Status, a.Body)
+		t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 	}
 	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 5, Leader: true, HearsLeader: true, StoreOK: true}}})
@@ -112,16 +115,17 @@
 	harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + id + "/cancel"})
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Gone: []string{id}, TermVersion: harness.store[election.KeyTerm].Version}}})
 	if a := harness.answers[harness.lastRequestID]; a.Status != 503 || a.RetryAfterS == 0 {
-		t.Errorf("answered %d %s, want 503 and when to come back", a.Status, a.Body)
+		t.Errorf("cancellation before the end is recorded: got %d %s, want 503 with Retry-After", a.Status, a.Body)
 	}
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Ends: &wire.Ends{Over: []wire.JobEnd{{ID: id, Status: string(wire.StatusCancelled), Tasks: 16}}}}})
 	if a := harness.request("POST", "/submissions/"+id+"/cancel", ""); a.Status != 200 {
-		t.Errorf("answered %d %s once its end is on record", a.Status, a.Body)
+		t.Errorf("cancellation after the end is recorded: got %d %s, want 200", a.Status, a.Body)
 	}
 }
 
-// TestPreemptionPriority orders a job by the priority of its dependent at once, and lets it preempt
-// with that only once the chain has less time left than the job takes.
+// TestPreemptionPriority checks that a job is ordered by the priority inherited from its dependent
+// immediately, but preempts with that priority only once the time to spare in the chain is less
+// than the job's estimated run time.
 func TestPreemptionPriority(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	due := 100.0
@@ -132,16 +136,16 @@
 	onlyCandidate := func() *candidate {
 		candidates := leader.candidates()
 		if len(candidates) != 1 || candidates[0].Job.ID != "job-1" {
-			t.Fatalf("candidates %+v, want job-1", candidates)
+			t.Fatalf("candidates: got %+v, want only job-1", candidates)
 		}
 		return candidates[0]
 	}
 	urgent := cluster.PriorityLevel[wire.PriorityUrgent]
 	if c := onlyCandidate(); c.Job.Level != urgent || c.PreemptionPriority != 0 {
-		t.Errorf("with 50 s to spare of 30: level %d, preempts with %d", c.Job.Level, c.PreemptionPriority)
+		t.Errorf("50 s to spare, run time 30 s: got level %d, preemption priority %d, want the urgent level, 0", c.Job.Level, c.PreemptionPriority)
 	}
 	harness.core.wallClockMS += 25_000
 	if c := onlyCandidate(); c.PreemptionPriority != urgent {
-		t.Errorf("with 25 s to spare of 30 it preempts with %d", c.PreemptionPriority)
+		t.Errorf("25 s to spare, run time 30 s: got preemption priority %d, want the urgent level", c.PreemptionPriority)
 	}
 }
--- a/internal/core/dependency_graphs_test.go
+++ b/internal/core/dependency_graphs_test.go
@@ -14,10 +14,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// graph is the jobs of a test and their dependencies.
+// graph is a dependency graph of a test's jobs.
 type graph struct {
-	order        []string // of submission
-	dependencies map[string][]string
+	order        []string            // job IDs, in submission order
+	dependencies map[string][]string // by job ID
 }
 
 // add adds a job and returns its ID.
@@ -30,7 +30,7 @@
 	return id
 }
 
-// edges counts the dependencies of all jobs.
+// edges returns the total number of dependencies.
 func (g *graph) edges() int {
 	n := 0
 	for _, dependencies := range g.dependencies {
@@ -39,9 +39,10 @@
 	return n
 }
 
-// costlyGraphs returns the shapes that cost the most: long, wide either way, and
-// layered, where the paths are many more than the jobs.
-func costlyGraphs() map[string]*graph {
+// worstCaseGraphs returns the graphs that are the most expensive to process: a long chain, a job
+// with many dependents, a job with many dependencies, and layers, which have many more paths than
+// jobs.
+func worstCaseGraphs() map[string]*graph {
 	chain, manyDependents, manyDependencies, layers := &graph{}, &graph{}, &graph{}, &graph{}
 	last := chain.add("job-1000")
 	root := manyDependents.add("job-1000")
@@ -62,28 +63,28 @@
 		before = layer
 	}
 	layers.add("job-9999", before...)
-	return map[string]*graph{"a chain": chain, "one that all need": manyDependents, "one that needs all": manyDependencies, "layers": layers}
+	return map[string]*graph{"a chain": chain, "many dependents": manyDependents, "many dependencies": manyDependencies, "layers": layers}
 }
 
-// recordGraph makes the jobs of a graph known to a leader, with estimates that differ.
+// addGraph adds the jobs of a graph to a leader, with different estimated run times.
 func addGraph(harness *harness, leader *leader, g *graph) {
 	for n, id := range g.order {
 		addRecord(harness, leader, wire.Job{ID: id, Dependencies: g.dependencies[id]}, func(r *records.Open) { r.Job.EstimatedRunS = float64(1 + n%3) })
 	}
 }
 
-// TestInheritanceCost submits a job with a deadline and a priority behind large graphs, and cancels it.
-// The cost of inheritance grows with the jobs and their dependencies, not with the paths: of
-// these, layers have more than can ever be followed.
+// TestInheritanceCost submits a job with a deadline and a priority that depends on the last job of
+// a large graph, and cancels it. The cost of inheritance must be proportional to the number of jobs
+// and dependencies, not to the number of paths: the layered graph has too many paths to follow.
 func TestInheritanceCost(t *testing.T) {
 	due := 1e6
-	for name, g := range costlyGraphs() {
+	for name, g := range worstCaseGraphs() {
 		t.Run(name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			addGraph(harness, leader, g)
 			before := leader.dependencies.EdgesVisited()
 			if most := 20 * (len(g.order) + g.edges()); before > most {
-				t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", before, len(g.order), g.edges(), most)
+				t.Errorf("visited %d edges to add %d jobs with %d dependencies, want at most %d", before, len(g.order), g.edges(), most)
 			}
 			tail := g.order[len(g.order)-1]
 			addRecord(harness, leader, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) {
@@ -94,27 +95,28 @@
 				job := leader.Jobs[id]
 				deadline, inherits := want[id]
 				if inherits != (job.Level == cluster.PriorityLevel[wire.PriorityUrgent]) || inherits && math.Abs(job.Deadline-deadline) > 1e-3 {
-					t.Fatalf("%s: level %d, deadline %f, want %v %f", id, job.Level, job.Deadline, inherits, deadline)
+					t.Fatalf("%s: got level %d, deadline %f, want inherited %v, deadline %f", id, job.Level, job.Deadline, inherits, deadline)
 				}
 			}
 			if steps, most := leader.dependencies.EdgesVisited()-before, 3*(len(g.order)+g.edges()); steps > most {
-				t.Errorf("inheritance took %d steps, want at most %d", steps, most)
+				t.Errorf("inheritance: visited %d edges, want at most %d", steps, most)
 			}
 			before = leader.dependencies.EdgesVisited()
 			addRecord(harness, leader, wire.Job{ID: "job-10000", Dependencies: []string{tail}}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
 			for _, id := range g.order {
 				if job := leader.Jobs[id]; job.Level != 0 || !math.IsInf(job.Deadline, 1) {
-					t.Fatalf("%s without the dependent: level %d, deadline %f", id, job.Level, job.Deadline)
+					t.Fatalf("%s without the dependent: got level %d, deadline %f, want level 0, no deadline", id, job.Level, job.Deadline)
 				}
 			}
 			if steps, most := leader.dependencies.EdgesVisited()-before, 5*(len(g.order)+g.edges()); steps > most {
-				t.Errorf("to take it back took %d steps, want at most %d", steps, most)
+				t.Errorf("removal of what was inherited: visited %d edges, want at most %d", steps, most)
 			}
 		})
 	}
 }
 
-// wantInherited works out the deadlines that the dependencies of a job inherit.
+// wantInherited computes the deadlines that the direct and indirect dependencies of the added job
+// inherit, by job ID.
 func wantInherited(harness *harness, leader *leader, g *graph, tail string, due float64) map[string]float64 {
 	want := map[string]float64{tail: float64(harness.core.wallClockMS)/1000 + due - 20}
 	for n := len(g.order) - 1; n >= 0; n-- {
@@ -133,14 +135,14 @@
 	return want
 }
 
-// TestCancelCost cancels the root of large graphs, also under a leader that finds the request on
-// record. Every dependent has ended before the root has, in as few transactions as the ends
-// fill: a chain with a transaction for each job would take longer than cancel_s where the store
-// answers slowly.
+// TestCancelCost cancels the root of large graphs, under the current leader or a new leader that
+// reads the cancellation from the record. Every dependent must end before the root does, with no
+// more transactions than needed for the ends: with one transaction per job, a chain would take
+// longer than cancel_s if the store responds slowly.
 func TestCancelCost(t *testing.T) {
-	for name, g := range costlyGraphs() {
+	for name, g := range worstCaseGraphs() {
 		for leader, cancel := range map[string]func(*harness, *leader, string) *leader{
-			"present leader": cancelUnderLeader,
+			"current leader": cancelUnderLeader,
 			"next leader":    startNextLeader,
 		} {
 			for _, maxWrites := range []int{16, 5, 2} {
@@ -152,13 +154,14 @@
 	}
 }
 
-// cancelUnderLeader makes a cancellation known to a leader.
+// cancelUnderLeader cancels a job under the current leader.
 func cancelUnderLeader(harness *harness, leader *leader, job string) *leader {
 	addRecord(harness, leader, wire.Job{ID: job}, func(r *records.Open) { r.Cancelled, r.CancelRequestedAt = true, harness.core.wallClockMS })
 	return leader
 }
 
-// testCancelCost cancels the root of a graph; cancel returns the leader that has to deal with it.
+// checkCancelCost cancels the root of a graph with cancel, which returns the leader that processes
+// the cancellation.
 func checkCancelCost(t *testing.T, g *graph, maxWrites int, cancel func(harness *harness, current *leader, job string) *leader) {
 	t.Helper()
 	harness, current := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites} })
@@ -171,28 +174,28 @@
 		}
 		for id := range cancelled {
 			if !harness.hasEnded(id) {
-				t.Fatalf("%s has ended before %s", root, id)
+				t.Fatalf("root %s has ended before its dependent %s", root, id)
 			}
 		}
 	}
 	harness.commits = nil
-	stepsBefore := map[*leader]int{current: current.dependencies.EdgesVisited()} // a new leader begins with none
+	stepsBefore := map[*leader]int{current: current.dependencies.EdgesVisited()} // zero for a new leader
 	current = cancel(harness, current, root)
 	harness.run(5 * time.Second)
 	for _, id := range g.order {
 		if harness.hasEnded(id) != cancelled[id] {
-			t.Fatalf("%s has ended: %v, want %v", id, harness.hasEnded(id), cancelled[id])
+			t.Fatalf("end of %s recorded: got %v, want %v", id, harness.hasEnded(id), cancelled[id])
 		}
 	}
 	if ends, most := countEndTransactions(harness), (len(cancelled)+maxWrites/2-1)/(maxWrites/2)+1; ends > most {
-		t.Errorf("%d transactions for %d ends, want at most %d", ends, len(cancelled), most)
+		t.Errorf("got %d transactions for %d ends, want at most %d", ends, len(cancelled), most)
 	}
 	if steps, most := current.dependencies.EdgesVisited()-stepsBefore[current], 20*(len(g.order)+g.edges()); steps > most {
-		t.Errorf("%d steps for %d jobs with %d dependencies, want at most %d", steps, len(g.order), g.edges(), most)
+		t.Errorf("visited %d edges to cancel a graph of %d jobs with %d dependencies, want at most %d", steps, len(g.order), g.edges(), most)
 	}
 }
 
-// withDependents returns a job and all that depend on it.
+// withDependents returns a job and all its direct and indirect dependents.
 func (g *graph) withDependents(job string) map[string]bool {
 	found := map[string]bool{job: true}
 	for _, id := range g.order {
@@ -205,7 +208,7 @@
 	return found
 }
 
-// endTransactions counts the transactions that were sent with a job's end.
+// countEndTransactions returns the number of transactions sent that contain the end of a job.
 func countEndTransactions(harness *harness) int {
 	count := 0
 	for _, commit := range harness.commits {
@@ -216,8 +219,8 @@
 	return count
 }
 
-// nextLeader makes a new leader load the records. The job that is named, if any, is cancelled
-// before.
+// startNextLeader replaces a leader by a new one that applies all open records. If cancelled is not
+// empty, that job's cancellation is recorded first.
 func startNextLeader(harness *harness, old *leader, cancelled string) *leader {
 	old.steppedDown = true
 	leader := newLeader(harness.core, election.Leadership{Term: 5, TermVersion: harness.store[election.KeyTerm].Version, Lease: 1})
@@ -236,43 +239,44 @@
 	return leader
 }
 
-// TestEndsCost ends the dependencies of large graphs one by one: each end costs as much as it has
-// dependents.
-func TestEndsCost(t *testing.T) {
-	for name, g := range costlyGraphs() {
+// TestDependencyEndCost ends the jobs of large graphs one by one. The cost of each end must be
+// proportional to the job's number of dependents.
+func TestDependencyEndCost(t *testing.T) {
+	for name, g := range worstCaseGraphs() {
 		t.Run(name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			addGraph(harness, leader, g)
 			before := leader.dependencies.EdgesVisited()
 			for _, id := range g.order {
 				if j := leader.Jobs[id]; j.AwaitingDependencies && !j.DependenciesDone {
-					t.Fatalf("%s still waits though its dependencies are done", id)
+					t.Fatalf("%s waits although all its dependencies are done", id)
 				}
 				j := leader.Jobs[id]
-				j.AwaitingDependencies, j.DependenciesDone = false, false // as when its record says that it is ready
+				j.AwaitingDependencies, j.DependenciesDone = false, false // as if its open record had a ReadyAt
 				leader.dependencies.DropDependencies(id)
 				delete(leader.Jobs, id)
 				leader.dependencyEnded(id, wire.StatusDone)
 			}
 			if steps, most := leader.dependencies.EdgesVisited()-before, 3*(len(g.order)+g.edges()); steps > most {
-				t.Errorf("%d steps, want at most %d", steps, most)
+				t.Errorf("visited %d edges, want at most %d", steps, most)
 			}
 			if !leader.dependencies.Empty() {
-				t.Error("the graph is not empty")
+				t.Error("dependency graph is not empty after all jobs have ended")
 			}
 		})
 	}
 }
 
-// TestEndsAreRetried cancels a chain while the store refuses transactions, or carries them out without
-// an answer: every job ends, and none before its dependents.
-func TestEndsAreRetried(t *testing.T) {
+// TestEndRecordingIsRetried cancels a chain while the store refuses most transactions, or commits
+// them but the response is lost or reports a failure. Every job must end, and none before its
+// dependents.
+func TestEndRecordingIsRetried(t *testing.T) {
 	for name, answer := range map[string]func(carryOut func() int) int{
-		"429":                  func(func() int) int { return 429 },
-		"503":                  func(func() int) int { return 503 },
-		"no answer":            func(func() int) int { return 0 },
-		"done without answer":  func(carryOut func() int) int { carryOut(); return 0 },
-		"done, then a failure": func(carryOut func() int) int { carryOut(); return 503 },
+		"429":                    func(func() int) int { return 429 },
+		"503":                    func(func() int) int { return 503 },
+		"no response":            func(func() int) int { return 0 },
+		"committed, no response": func(carryOut func() int) int { carryOut(); return 0 },
+		"committed, then 503":    func(carryOut func() int) int { carryOut(); return 503 },
 	} {
 		t.Run(name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
@@ -293,7 +297,7 @@
 				for id, dependencies := range g.dependencies {
 					for _, dependency := range dependencies {
 						if harness.hasEnded(dependency) && !harness.hasEnded(id) {
-							t.Fatalf("%s has ended before %s", dependency, id)
+							t.Fatalf("%s has ended before its dependent %s", dependency, id)
 						}
 					}
 				}
@@ -309,8 +313,8 @@
 	}
 }
 
-// twoControllers are two controllers at one store: the first leads and the other only serves
-// users.
+// twoControllers returns two controllers that share a store: the first is the leader, the other one
+// only serves users.
 func twoControllers(t *testing.T) (harness *harness, leader *leader, other *harness) {
 	t.Helper()
 	harness, leader = newLeadingHarness(t, func(*config.Settings) {})
@@ -320,18 +324,18 @@
 	return harness, leader, other
 }
 
-// syncRevision lets one controller see what another has written.
+// syncRevision advances one harness's store revision to that of another one that shares its store.
 func syncRevision(to, from *harness) { to.revision = max(to.revision, from.revision) }
 
-// TestAcceptanceRaces ends or cancels a dependency after another controller has read it and before
-// that one's acceptance is carried out. Of the two, one sees the other; the repeated submission
-// is answered as the first.
+// TestAcceptanceRaces changes a dependency's record between the time when another controller reads
+// it and the commit of that controller's acceptance of a dependent. The acceptance must take the
+// change into account, and repeated submissions must get the same answer as the first one.
 func TestAcceptanceRaces(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		race   func(harness *harness)
 		status wire.JobState // of the answer
-		// dependencies are those on record; "-" for no open record.
+		// dependencies are the recorded ones; "-" if there is no open record.
 		dependencies string
 	}{
 		{"done", func(harness *harness) {
@@ -341,14 +345,14 @@
 			harness.write(records.FinalKey(jobID(1)), records.OpenKey(jobID(1)), []byte(`{"s":"withdrawn","n":1}`))
 		}, "withdrawn", "-"},
 		{"being cancelled", func(harness *harness) { harness.requestCancellation(jobID(1), 1) }, "withdrawn", "-"},
-		{"written for another reason", func(harness *harness) {
+		{"rewritten unchanged", func(harness *harness) {
 			harness.write(records.OpenKey(jobID(1)), "", harness.store[records.OpenKey(jobID(1))].Value)
 		}, "pending", jobID(1)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, _, other := twoControllers(t)
-			if a := harness.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
-				t.Fatalf("%d %s", a.Status, a.Body)
+			if a := harness.request("POST", "/submissions", submissionBody("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
+				t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 			}
 			syncRevision(other, harness)
 			raced := false
@@ -362,27 +366,28 @@
 			for _, status := range []int{201, 200} {
 				a := other.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`))
 				if a.Status != status || !strings.Contains(string(a.Body), `"status":"`+string(tc.status)+`"`) {
-					t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, status, tc.status)
+					t.Fatalf("submission of the dependent: got %d %s, want %d %s", a.Status, a.Body, status, tc.status)
 				}
 			}
 			if !raced {
-				t.Fatal("nothing was written")
+				t.Fatal("no transaction with writes was sent")
 			}
 			syncRevision(harness, other)
 			if a := harness.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`)); a.Status != 200 || !strings.Contains(string(a.Body), string(tc.status)) {
-				t.Errorf("the repeat elsewhere is answered %d %s", a.Status, a.Body)
+				t.Errorf("repeated submission to the leader: got %d %s, want 200 and the same job status", a.Status, a.Body)
 			}
 			_, open := harness.store[records.OpenKey(jobID(2))]
 			got := strings.Join(harness.openRecord(jobID(2)).Job.Dependencies, ",")
 			if open != (tc.dependencies != "-") || open && got != tc.dependencies {
-				t.Errorf("open %v, dependencies %q", open, got)
+				t.Errorf("dependent: got open record %v, recorded dependencies %q, want those of the test case", open, got)
 			}
 		})
 	}
 }
 
-// TestEndRacesAcceptance lets another controller accept a dependent while a leader is about to
-// record a job's end or cancellation. The second one conflicts and reads again.
+// TestEndRacesAcceptance has another controller accept a dependent just before the leader's
+// transaction with the job's end or cancellation is committed. That transaction conflicts, and the
+// leader reads the record again.
 func TestEndRacesAcceptance(t *testing.T) {
 	for name, cancelled := range map[string]bool{"done": false, "cancelled": true} {
 		t.Run(name, func(t *testing.T) {
@@ -395,7 +400,7 @@
 					accepted = true
 					syncRevision(other, harness)
 					if a := other.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`)); a.Status != 201 {
-						t.Fatalf("%d %s", a.Status, a.Body)
+						t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 					}
 					syncRevision(harness, other)
 				}
@@ -407,37 +412,37 @@
 				leader.markDone(leader.Jobs[jobID(1)], 0)
 			}
 			harness.run(time.Second)
-			if item := harness.store[records.OpenKey(jobID(2))]; item.Key != "" { // by the watch
+			if item := harness.store[records.OpenKey(jobID(2))]; item.Key != "" { // as through the watch
 				leader.applyOpenRecord(jobID(2), item.Version, harness.openRecord(jobID(2)))
 			}
 			harness.run(3 * time.Second)
 			switch dependent := leader.Jobs[jobID(2)]; {
 			case !accepted || !harness.hasEnded(jobID(1)):
-				t.Errorf("accepted %v, the first has ended: %v", accepted, harness.hasEnded(jobID(1)))
+				t.Errorf("dependent accepted: %v, end of the dependency recorded: %v, want both", accepted, harness.hasEnded(jobID(1)))
 			case cancelled && !harness.hasEnded(jobID(2)):
-				t.Error("the dependent has not ended")
+				t.Error("the dependent has not ended after the cancellation of its dependency")
 			case !cancelled && (dependent == nil || dependent.AwaitingDependencies):
-				t.Error("the dependent does not become ready")
+				t.Error("the dependent is not ready after its dependency is done")
 			}
 		})
 	}
 }
 
-// runInStep runs a function as an input of the core, so that its calls are sent.
+// runInStep runs a function in a step of the core, so that the calls it requests are made.
 func runInStep(harness *harness, f func()) {
 	harness.core.lastCallID++
 	harness.core.pendingCalls[harness.core.lastCallID] = func(Result) { f() }
 	harness.step(Result{ID: harness.core.lastCallID})
 }
 
-// TestDependenciesEndedLongAgo has dependencies that ended long ago: of these only the final record is left,
-// and no controller remembers it.
-func TestDependenciesEndedLongAgo(t *testing.T) {
+// TestDependenciesWithOnlyFinalRecords submits dependents of jobs that ended long ago: only their
+// final records are left, and no controller has them in its cache.
+func TestDependenciesWithOnlyFinalRecords(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	harness.write(records.FinalKey(jobID(1)), "", []byte(`{"s":"done","n":1}`))
 	harness.write(records.FinalKey(jobID(2)), "", []byte(`{"s":"withdrawn","n":1}`))
-	// A record that names them was written before they ended, and the leader that recorded their
-	// ends has stepped down.
+	// The dependents' records were written before the dependencies ended, and the leader that
+	// recorded those ends has stepped down.
 	runInStep(harness, func() {
 		addRecord(harness, leader, wire.Job{ID: jobID(3), Dependencies: []string{jobID(1)}}, nil)
 		addRecord(harness, leader, wire.Job{ID: jobID(4), Dependencies: []string{jobID(1), jobID(2)}}, nil)
@@ -445,11 +450,11 @@
 	})
 	harness.run(3 * time.Second)
 	if leader.Jobs[jobID(3)].AwaitingDependencies {
-		t.Error("a job whose dependency is done waits")
+		t.Error("job waits although its dependency is done")
 	}
 	for _, n := range []int{4, 5} {
 		if !strings.Contains(string(harness.store[records.FinalKey(jobID(n))].Value), "withdrawn") {
-			t.Errorf("%s is not cancelled with its dependency", jobID(n))
+			t.Errorf("%s is not cancelled although a dependency is", jobID(n))
 		}
 	}
 }
--- a/internal/core/dependency_lifecycle_test.go
+++ b/internal/core/dependency_lifecycle_test.go
@@ -12,9 +12,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestTimesOfAWaitingJob lets a job wait for a minute: its deadline counts from its submission, its
-// waiting time from the end of its last dependency, also under a leader that has only the records.
-func TestTimesOfAWaitingJob(t *testing.T) {
+// TestWaitingJobTimes checks that the deadline of a job that waited for a dependency counts from
+// its submission, and its waiting time from the end of its last dependency, also under a new leader
+// that has only the records.
+func TestWaitingJobTimes(t *testing.T) {
 	harness, present := newLeadingHarness(t, func(*config.Settings) {})
 	due := 300.0
 	addRecord(harness, present, wire.Job{ID: jobID(1)}, nil)
@@ -23,30 +24,31 @@
 	harness.run(60 * time.Second)
 	present.markDone(present.Jobs[jobID(1)], 0)
 	harness.run(2 * time.Second)
-	for name, leader := range map[string]*leader{"the leader": present, "the next": startNextLeader(harness, present, "")} {
+	for name, leader := range map[string]*leader{"current leader": present, "next leader": startNextLeader(harness, present, "")} {
 		job := leader.Jobs[jobID(2)]
 		if job.AwaitingDependencies {
-			t.Fatalf("%s: it waits", name)
+			t.Fatalf("%s: job waits although its dependency is done", name)
 		}
 		if want := float64(submitted)/1000 + due; job.Deadline != want {
-			t.Errorf("%s: due %.1f s after the submission, want %.1f", name, job.Deadline-float64(submitted)/1000, due)
+			t.Errorf("%s: deadline: got %.1f s after the submission, want %.1f", name, job.Deadline-float64(submitted)/1000, due)
 		}
 		if ago := job.WaitingSinceMS - submitted; ago < 60_000 || ago > 63_000 {
-			t.Errorf("%s: its waiting counts from %d ms after the submission", name, ago)
+			t.Errorf("%s: start of the waiting time: got %d ms after the submission, want 60000 to 63000", name, ago)
 		}
 	}
 }
 
-// TestCancelAnsweredDone cancels a job that ends at the same moment: it is answered as done, and its
-// dependent becomes ready.
-func TestCancelAnsweredDone(t *testing.T) {
+// TestCancelOfCompletingJob cancels a job whose end as done is recorded just before the
+// cancellation. The request is answered with the status done, and the job's dependent becomes
+// ready.
+func TestCancelOfCompletingJob(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
 	addRecord(harness, leader, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
-	harness.request("GET", "/submissions/"+jobID(1), "") // known here
+	harness.request("GET", "/submissions/"+jobID(1), "") // fills the cache
 	ended := false
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
-		if !ended && len(txn.Writes) == 1 { // the request
+		if !ended && len(txn.Writes) == 1 { // the transaction with the cancellation
 			ended = true
 			harness.core.leader.markDone(leader.Jobs[jobID(1)], 0)
 			harness.intercept = nil
@@ -57,17 +59,17 @@
 	}
 	a := harness.request("POST", "/submissions/"+jobID(1)+"/cancel", "")
 	if !ended || a.Status != 200 || !strings.Contains(string(a.Body), `"status":"done"`) {
-		t.Fatalf("answered %d %s", a.Status, a.Body)
+		t.Fatalf("cancellation of a job whose end is recorded first: got %d %s, want 200 done", a.Status, a.Body)
 	}
 	harness.run(2 * time.Second)
 	if job := leader.Jobs[jobID(2)]; job == nil || job.Cancellation.Requested() || job.AwaitingDependencies {
-		t.Error("its dependent does not become ready")
+		t.Error("the dependent is not ready after its dependency is done")
 	}
 }
 
-// TestChainLog checks what an operator reads of a chain of dependencies: one line for each job and
-// stage, with names and reasons.
-func TestChainLog(t *testing.T) {
+// TestDependencyChainLog checks the log lines for a chain of dependencies: one line for each job
+// and stage, with job IDs and reasons.
+func TestDependencyChainLog(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	var out bytes.Buffer
 	harness.core.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -98,7 +100,7 @@
 		`level=INFO msg="job cancelled"`:                                                  3,
 	} {
 		if n := strings.Count(out.String(), line); n != want {
-			t.Errorf("%s: %d lines, want %d", line, n, want)
+			t.Errorf("lines with %s: got %d, want %d", line, n, want)
 		}
 	}
 	if t.Failed() {
@@ -106,23 +108,23 @@
 	}
 }
 
-// TestReadyNeedsRecordedEnds makes a leader believe that a dependency is done whose open record is
-// still there: the record of its dependent must not become ready.
-func TestReadyNeedsRecordedEnds(t *testing.T) {
+// TestReadyRequiresRecordedEnds gives a leader the wrong state that a dependency is done, although
+// its open record still exists. The dependent's ReadyAt must not be written.
+func TestReadyRequiresRecordedEnds(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
 	addRecord(harness, leader, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, nil)
 	tried := 0
 	harness.afterCommit = func() {
 		tried++
-		leader.Jobs[jobID(2)].DependenciesDone = false // once: it would be tried at every answer
+		leader.Jobs[jobID(2)].DependenciesDone = false // otherwise the write would be retried after every response
 	}
 	runInStep(harness, func() { leader.dependencyEnded(jobID(1), wire.StatusDone) })
 	harness.run(2 * time.Second)
 	if strings.Contains(string(harness.store[records.OpenKey(jobID(2))].Value), `"ra":`) || len(leader.Jobs[jobID(2)].PendingTasks()) > 0 {
-		t.Errorf("it is ready: %s", harness.store[records.OpenKey(jobID(2))].Value)
+		t.Errorf("the dependent is ready although its dependency has an open record: %s", harness.store[records.OpenKey(jobID(2))].Value)
 	}
 	if tried == 0 {
-		t.Error("nothing was written")
+		t.Error("no transaction was sent")
 	}
 }
--- a/internal/core/dependency_lists.go
+++ b/internal/core/dependency_lists.go
@@ -86,7 +86,8 @@
 }
 
 // abandonedListAge returns the age at which a submission attempt that has not created its job is
-// considered abandoned. If the attempt is still in progress after all, it fails and the user retries.
+// considered abandoned. If the attempt is still in progress after all, it fails and the user
+// retries.
 func (c *Core) abandonedListAge() time.Duration { return 4 * c.workerLease() }
 
 // listCleanupInterval returns the time between searches for abandoned lists. The first search is
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -17,19 +17,19 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// longListLength is how many dependencies the tests below have: several times what a record holds
-// under smallLimits.
+// longListLength is the number of dependencies in the tests below: several times as many as fit
+// into one record under lowerSettingsLimits.
 const longListLength = 400
 
-// smallLimits lowers the store's limits to 2 KB in a value and 5 writes in a transaction.
+// lowerSettingsLimits sets the store's limits to 2 KB per value and 5 writes per transaction.
 func lowerSettingsLimits(s *config.Settings) {
 	s.Deployment.Store.ValueKB, s.Deployment.Store.TxnOps = 2, 5
 }
 
-// jsonNames is a list of names as a submission holds it.
+// encodeNames returns a list of names in the JSON form of a submission.
 func encodeNames(names []string) string { return string(kv.Encode(names)) }
 
-// openJobs puts open jobs on record and returns their names.
+// addOpenRecords stores open records of a number of jobs and returns their IDs.
 func addOpenRecords(harness *harness, count int) []string {
 	var names []string
 	for n := range count {
@@ -43,7 +43,7 @@
 	return names
 }
 
-// listKeys are the keys of the list records that exist.
+// listKeys returns the keys of the list records in the store.
 func (h *harness) listKeys() (keys []string) {
 	for _, key := range sortedKeys(h.store) {
 		if strings.HasPrefix(key, records.PrefixDependencyList) {
@@ -53,7 +53,7 @@
 	return keys
 }
 
-// requestWithRetry repeats a submission as users do, until it is accepted.
+// requestWithRetry repeats a submission as users do, until the answer is not 503.
 func (h *harness) requestWithRetry(text string) Answer {
 	var a Answer
 	for range 20 {
@@ -72,23 +72,24 @@
 	names = addOpenRecords(harness, longListLength)
 	id = jobID(9)
 	if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 {
-		t.Fatalf("answered %d %s", a.Status, a.Body)
+		t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 	}
 	return id, names
 }
 
-// TestLongListIsAccepted spreads a list over records within the store's limits, marks all
-// dependencies as having dependents, and recognizes a repeated submission.
+// TestLongListIsAccepted checks that a long list is split into records within the store's limits,
+// that all dependencies are marked as having dependents, and that a repeated submission is
+// recognized.
 func TestLongListIsAccepted(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, harness)
 	recorded := harness.openRecord(id).Job.Dependencies
 	ref, ok := records.ParseDependencyListRef(recorded)
 	if !ok {
-		t.Fatalf("recorded as %q", recorded)
+		t.Fatalf("recorded dependencies: got %q, want a reference to a list", recorded)
 	}
 	if keys := harness.listKeys(); !slices.Equal(keys, slices.Sorted(slices.Values(ref.Keys()))) {
-		t.Errorf("list records %q, the job refers to %q", keys, ref.Keys())
+		t.Errorf("keys of list records: got %q, want those that the job refers to, %q", keys, ref.Keys())
 	}
 	var got []string
 	for _, key := range ref.Keys() {
@@ -99,11 +100,11 @@
 		got = append(got, record.Names...)
 	}
 	if !slices.Equal(got, names) {
-		t.Errorf("%d names on record, want %d", len(got), len(names))
+		t.Errorf("recorded list: got %d names, want the %d submitted ones in order", len(got), len(names))
 	}
 	for key, item := range harness.store {
 		if len(item.Value) > 2<<10 {
-			t.Errorf("%s has %d bytes", key, len(item.Value))
+			t.Errorf("value of %s: got %d bytes, want at most 2048", key, len(item.Value))
 		}
 	}
 	for _, name := range names {
@@ -113,47 +114,48 @@
 	}
 	commits := len(harness.commits)
 	if a := harness.request("POST", "/submissions", submissionWithDependencies(9, encodeNames(names))); a.Status != 200 {
-		t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
+		t.Errorf("repeated submission: got %d %s, want 200", a.Status, a.Body)
 	}
 	if len(harness.listKeys()) != ref.Records || len(harness.commits) > commits+2 {
-		t.Error("the repeat writes a list of its own")
+		t.Error("the repeated submission has written another list")
 	}
 }
 
-// TestLongListMeetsLostAnswers loses the answer to each transaction in turn, carried out or not:
-// the job is accepted once, with its whole list.
-func TestLongListMeetsLostAnswers(t *testing.T) {
+// TestLongListSurvivesLostResponses loses the response to each transaction in turn, with the
+// transaction committed or not. The job must be accepted once, with its whole list.
+func TestLongListSurvivesLostResponses(t *testing.T) {
 	for name, send := range map[string]func(carryOut func() int){
-		"carried out":     func(carryOut func() int) { carryOut() },
-		"not carried out": func(func() int) {},
+		"committed":     func(carryOut func() int) { carryOut() },
+		"not committed": func(func() int) {},
 	} {
 		for lost := range 4 { // three with list records, one with the job
 			t.Run(fmt.Sprintf("transaction %d/%s", lost, name), func(t *testing.T) {
 				harness := newHarness(t, testMachineTypes)
 				harness.core.settings.Deployment.Store.ValueKB, harness.core.settings.Deployment.Store.TxnOps = 1, 2
 				names := addOpenRecords(harness, 300)
-				answersLost := loseAnswer(harness, lost, send)
+				responsesLost := loseResponse(harness, lost, send)
 				if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 && a.Status != 200 {
-					t.Fatalf("answered %d %s", a.Status, a.Body)
+					t.Fatalf("submission: got %d %s, want 201 or 200", a.Status, a.Body)
 				}
 				recorded := harness.openRecord(jobID(9)).Job.Dependencies
 				ref, ok := records.ParseDependencyListRef(recorded)
 				for _, key := range ref.Keys() {
 					if harness.store[key].Key == "" {
-						t.Errorf("%s is missing", key)
+						t.Errorf("list record %s is missing", key)
 					}
 				}
-				if !ok || *answersLost != 1 {
-					t.Errorf("recorded as %q, %d answers lost", recorded, *answersLost)
+				if !ok || *responsesLost != 1 {
+					t.Errorf("got dependencies %q and %d lost responses, want a reference to a list and 1", recorded, *responsesLost)
 				}
 			})
 		}
 	}
 }
 
-// loseAnswer loses the answer to a transaction, counted from the first one that writes list
-// records; send carries it out or not. It returns how many answers are lost so far.
-func loseAnswer(harness *harness, number int, send func(carryOut func() int)) *int {
+// loseResponse loses the response to the transaction with the given number, counted from 0 at the
+// first one that writes list records; send commits that transaction or not. It returns a counter of
+// the lost responses.
+func loseResponse(harness *harness, number int, send func(carryOut func() int)) *int {
 	lost, next, begun := new(int), 0, false
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
 		begun = begun || slices.ContainsFunc(txn.Writes, func(w wire.Write) bool {
@@ -173,9 +175,9 @@
 	return lost
 }
 
-// TestLongListWaitsForUpgrade asks the user to retry while a controller runs a version that cannot
-// read dependency lists, and writes none.
-func TestLongListWaitsForUpgrade(t *testing.T) {
+// TestLongListRequiresUpgradedPeers checks that the user is asked to retry, and no list is written,
+// while a controller runs a version that cannot read dependency lists.
+func TestLongListRequiresUpgradedPeers(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	lowerSettingsLimits(harness.core.settings)
 	names := addOpenRecords(harness, 150)
@@ -188,15 +190,15 @@
 		harness.run(time.Second)
 	}
 	if a.Status != 503 || a.RetryAfterS == 0 || len(harness.listKeys()) > 0 {
-		t.Errorf("answered %d %s, %d list records", a.Status, a.Body, len(harness.listKeys()))
+		t.Errorf("before the upgrade: got %d %s and %d list records, want 503 with Retry-After and none", a.Status, a.Body, len(harness.listKeys()))
 	}
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersionDependencyLists}}})
 	if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 {
-		t.Errorf("after the upgrade: %d %s", a.Status, a.Body)
+		t.Errorf("after the upgrade: got %d %s, want 201", a.Status, a.Body)
 	}
 }
 
-// leadWithRecords makes the core of a harness lead, with the records in the store.
+// leadWithRecords makes the core of a harness the leader and loads the records in the store.
 func leadWithRecords(harness *harness) *leader {
 	harness.write(election.KeyTerm, "", []byte("5"))
 	leader := harness.startLeading()
@@ -205,13 +207,13 @@
 	return leader
 }
 
-// recordEnd records a job's end as an earlier leader would.
+// recordEnd records a job's end, as an earlier leader would.
 func (h *harness) recordEnd(id string, status wire.JobState) {
 	h.write(records.FinalKey(id), records.OpenKey(id), kv.Encode(records.Final{Status: status, Tasks: 1}))
 }
 
-// TestLongListDelaysJob lets a new leader read a list from its records: the job is ready when the
-// last dependency is done, no earlier, and its end deletes the list.
+// TestLongListDelaysJob checks that a new leader reads a list from its records: the job becomes
+// ready only when the last dependency is done, and its end deletes the list.
 func TestLongListDelaysJob(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, harness)
@@ -223,25 +225,25 @@
 	harness.run(10 * time.Second)
 	job := leader.Jobs[id]
 	if job == nil || !job.AwaitingDependencies || job.Record.ReadyAt != 0 || len(job.PendingTasks()) > 0 {
-		t.Fatalf("with one job not done it does not wait: %+v", job)
+		t.Fatalf("with one dependency not done: got job %+v, want it to wait", job)
 	}
 	first := leader.Jobs[names[0]]
 	leader.markDone(first, 0)
 	harness.run(2 * time.Second)
 	if job.AwaitingDependencies || len(job.PendingTasks()) == 0 {
-		t.Fatal("with all of them done it does not become ready")
+		t.Fatal("job is not ready although all its dependencies are done")
 	}
 	for i := range job.TaskStates {
 		leader.markDone(job, i)
 	}
 	harness.run(5 * time.Second)
 	if harness.store[records.FinalKey(id)].Key == "" || len(harness.listKeys()) > 0 {
-		t.Errorf("over: %v, list records left: %q", harness.store[records.FinalKey(id)].Key != "", harness.listKeys())
+		t.Errorf("end recorded: got %v, want true; list records left: got %q, want none", harness.store[records.FinalKey(id)].Key != "", harness.listKeys())
 	}
 }
 
-// TestLongListIsCancelled cancels a job named in the last record of a list, before
-// and after the leader has begun.
+// TestLongListIsCancelled cancels a job named in the last record of a list, before and after the
+// start of the leader. The dependent must be cancelled, and end before its dependency.
 func TestLongListIsCancelled(t *testing.T) {
 	for _, before := range []bool{true, false} {
 		t.Run(fmt.Sprintf("before the leader %v", before), func(t *testing.T) {
@@ -250,7 +252,7 @@
 			last := names[len(names)-1]
 			harness.afterCommit = func() {
 				if harness.store[records.FinalKey(last)].Key != "" && harness.store[records.OpenKey(id)].Key != "" {
-					t.Error("its end is on record before that of its dependent")
+					t.Error("the end of the dependency is recorded before that of its dependent")
 				}
 			}
 			if before {
@@ -263,14 +265,14 @@
 			}
 			harness.run(5 * time.Second)
 			if final := string(harness.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) || len(harness.listKeys()) > 0 {
-				t.Errorf("ended as %q, list records left: %d", final, len(harness.listKeys()))
+				t.Errorf("dependent: got final record %q and %d list records left, want a cancelled job and none", final, len(harness.listKeys()))
 			}
 		})
 	}
 }
 
-// TestUnreadListDelaysEnds keeps a cancelled job with dependents from ending while a list is not
-// read that may name it.
+// TestUnreadListDelaysEnds checks that the end of a cancelled job with dependents is not recorded
+// while an unread dependency list may name the job.
 func TestUnreadListDelaysEnds(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	id, names := submitLongList(t, harness)
@@ -281,14 +283,14 @@
 	leader.applyOpenRecord(names[0], harness.store[records.OpenKey(names[0])].Version, record)
 	harness.run(5 * time.Second)
 	if harness.store[records.FinalKey(names[0])].Key != "" {
-		t.Error("its end is on record while a list that may name it is not read")
+		t.Error("the end is recorded while a list that may name the job is not read")
 	}
 }
 
-// TestAbandonedListsAreCleared deletes the records of attempts that led to no job: not of those
-// that may still lead to one, nor the list of an accepted job. A transaction of such an attempt
-// that is carried out late has no effect.
-func TestAbandonedListsAreCleared(t *testing.T) {
+// TestAbandonedListsAreDeleted checks that the records of abandoned submission attempts are
+// deleted, but not those of attempts that may still succeed, nor the list of an accepted job. A
+// delayed transaction of a deleted attempt must conflict.
+func TestAbandonedListsAreDeleted(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	id, _ := submitLongList(t, harness)
 	accepted := len(harness.listKeys())
@@ -311,17 +313,17 @@
 		}
 	}
 	if !slices.Equal(left, []string{"a/job-7/x-2/0"}) || len(harness.listKeys()) != accepted+1 {
-		t.Errorf("left: %q, and %d records of the accepted job, want %d", left, len(harness.listKeys())-len(left), accepted)
+		t.Errorf("left: got %q and %d records of the accepted job, want only a/job-7/x-2/0 and %d", left, len(harness.listKeys())-len(left), accepted)
 	}
 	list := dependencylist.NewWriter("job-7", "x-1", make([]dependencylist.Record, 12))
 	list.MarkCommitted(list.NextTxn(11), first)
 	if status, _ := harness.commit(kv.Encode(list.NextTxn(5))); status != 409 {
-		t.Errorf("a late list record is answered %d, want 409", status)
+		t.Errorf("delayed transaction with a list record: got %d, want 409", status)
 	}
 }
 
-// TestLateAcceptanceOfAbandonedList delays the transaction that accepts a job until its list
-// is deleted as abandoned: it is not carried out then, or the job would lack its list.
+// TestLateAcceptanceOfAbandonedList delays the transaction that accepts a job until its list has
+// been deleted as abandoned. The transaction must conflict, or the job would lack its list.
 func TestLateAcceptanceOfAbandonedList(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	lowerSettingsLimits(harness.core.settings)
@@ -338,7 +340,7 @@
 	}
 	for range 20 {
 		if a := harness.request("POST", "/submissions", submissionWithDependencies(9, encodeNames(names))); a.Status != 503 {
-			t.Fatalf("answered %d %s", a.Status, a.Body)
+			t.Fatalf("submission without acceptance: got %d %s, want 503", a.Status, a.Body)
 		}
 		if acceptance != nil {
 			break
@@ -346,21 +348,22 @@
 		harness.run(time.Second)
 	}
 	if acceptance == nil || len(harness.listKeys()) == 0 {
-		t.Fatal("no acceptance with a list was sent")
+		t.Fatal("no list or no transaction that accepts the job was sent")
 	}
 	leadWithRecords(harness)
 	harness.run(harness.core.listCleanupInterval() + harness.core.abandonedListAge())
 	if left := harness.listKeys(); len(left) != 0 {
-		t.Fatalf("left: %q", left)
+		t.Fatalf("list records left: got %q, want none", left)
 	}
 	if status, _ := harness.commit(acceptance); status != 409 {
-		t.Errorf("a late acceptance is answered %d, want 409", status)
+		t.Errorf("delayed acceptance: got %d, want 409", status)
 	}
 }
 
-// TestClearingIsConditional deletes by a listing that is out of date: a job has been accepted
-// since, or the first record of an attempt written. Neither loses a record.
-func TestClearingIsConditional(t *testing.T) {
+// TestAbandonedListDeletionIsConditional deletes abandoned lists based on an outdated listing:
+// since then one attempt's job was accepted, and another attempt's first record was written. No
+// record of either may be deleted.
+func TestAbandonedListDeletionIsConditional(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	leader := leadWithRecords(harness)
 	accepted, begun := "a/job-7/x-1/", "a/job-8/y-1/"
@@ -378,13 +381,13 @@
 	})
 	harness.run(time.Second)
 	if keys := harness.listKeys(); len(keys) != 4 {
-		t.Errorf("left: %q", keys)
+		t.Errorf("list records left: got %q, want all 4", keys)
 	}
 }
 
-// TestManyUnknownNames looks up the jobs of a long list, none of which the controller remembers,
-// without using all capacity for users' queries.
-func TestManyUnknownNames(t *testing.T) {
+// TestDependencyLookupsAreLimited checks that lookups of the jobs in a long list, none of which is
+// cached, do not use the whole lookup capacity, which they share with users' queries.
+func TestDependencyLookupsAreLimited(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	names := addOpenRecords(harness, longListLength)
 	harness.core.settings.Deployment.MachineLimits.MaxConnections = 40
@@ -392,9 +395,9 @@
 	maxQueued := 0
 	harness.afterStep = func() { maxQueued = max(maxQueued, harness.core.frontEnd.QueuedLookups()) }
 	if a := harness.requestWithRetry(submissionWithDependencies(9, encodeNames(names))); a.Status != 201 {
-		t.Fatalf("answered %d %s", a.Status, a.Body)
+		t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 	}
 	if maxQueued > 20 {
-		t.Errorf("%d lookups at a time", maxQueued)
+		t.Errorf("queued lookups: got %d, want at most 20", maxQueued)
 	}
 }
--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -8,8 +8,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// leaderLeasesPerWorkerLease is the ratio of the duration of a worker's lease to that of the leader's
-// lease.
+// leaderLeasesPerWorkerLease is the ratio of the duration of a worker's lease to that of the
+// leader's lease.
 const leaderLeasesPerWorkerLease = 5
 
 // leaderLeaseDuration returns the duration of the leader's lease. It is a fraction of a worker's
@@ -63,8 +63,8 @@
 // LeaderObserved forwards the heartbeats that wait for a leader, one of which has become known.
 func (h electionHost) LeaderObserved() { h.core.forwardPending() }
 
-// stepDown ends this controller's leadership. Results of the leader's pending calls are ignored from
-// then on.
+// stepDown ends this controller's leadership. Results of the leader's pending calls are ignored
+// from then on.
 func (c *Core) stepDown(reason election.StepDownReason) {
 	c.log.Info("leader stepped down", "term", c.leader.leadership.Term, "reason", reason)
 	c.leader.steppedDown = true
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -17,8 +17,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// harness drives a core as its host would: the cloud answers with its machine types if there are
-// any, the key-value store from a map.
+// harness drives a core as its host would. The cloud responds with machineTypes unless it is empty;
+// the key-value store is a map.
 type harness struct {
 	t             testing.TB
 	core          *Core
@@ -26,25 +26,25 @@
 	machineTypes  string
 	store         map[string]wire.Item
 	revision      uint64
-	storeDown     bool // the store answers 503
+	storeDown     bool // the store responds with 503
 	lastRequestID uint64
 	answers       map[uint64]Answer
-	commits       []string // transactions, as they were sent
-	afterCommit   func()   // called after each
+	commits       []string // bodies of all transactions sent
+	afterCommit   func()   // called after each transaction
 	afterStep     func()   // called after each step
-	// intercept determines the answer to a transaction: what carryOut returns, or another one,
-	// with the transaction carried out or not.
+	// intercept returns the status of the response to a transaction. It may call carryOut, which
+	// commits the transaction and returns the store's status, and may return a different status.
 	intercept func(txn *wire.Txn, carryOut func() int) int
 }
 
-// testMachineTypes has small in the zones a and b, large in b and c, lone in c.
+// testMachineTypes has the machine types small in zones a and b, large in b and c, and lone in c.
 const testMachineTypes = `{"hulls":[
 	{"label":"small","cpus":8,"accelerators":0,"memGb":32,"berths":["a","b"]},
 	{"label":"large","cpus":96,"accelerators":8,"memGb":768,"berths":["b","c"]},
 	{"label":"lone","cpus":8,"accelerators":1,"memGb":32,"berths":["c"]}]}`
 
-// newHarness makes a harness without peers whose core has run for a second; types is the cloud's
-// list of machine types, empty for none.
+// newHarness returns a harness without peers whose core has run for a second. types is the cloud's
+// list of machine types; if empty, the cloud does not list any.
 func newHarness(tb testing.TB, types string) *harness {
 	tb.Helper()
 	cfg := &config.Settings{Name: "n0", Deployment: config.Deployment{
@@ -66,7 +66,7 @@
 	return harness
 }
 
-// step feeds an input, and the result of every call that it leads to.
+// step runs a step with an input, and further steps with the results of the calls that it requests.
 func (h *harness) step(in Input) {
 	out := h.core.Step(h.now, time.Unix(1e9, 0).Add(h.now), in)
 	if h.afterStep != nil {
@@ -81,7 +81,8 @@
 	}
 }
 
-// answerCall is the answer to a call: 404 from everything that is not there.
+// answerCall returns the response to a call: 404 unless it is to the store or for the machine
+// types.
 func (h *harness) answerCall(call Call) (status int, body []byte) {
 	switch {
 	case call.Destination == DestinationStore && h.storeDown:
@@ -95,7 +96,7 @@
 	}
 }
 
-// answerStoreCall is the store's answer to a call.
+// answerStoreCall returns the store's response to a call.
 func (h *harness) answerStoreCall(call Call) (status int, body []byte) {
 	switch {
 	case call.Path == "/commit":
@@ -117,8 +118,8 @@
 	return 404, []byte(`{}`)
 }
 
-// lead makes the core lead under the term that is in the store, which is 5. Its lease holds, and
-// no other controller runs.
+// startLeading makes the core the leader of term 5, which must be the term in the store. Its lease
+// does not expire, and no other controller runs.
 func (h *harness) startLeading() *leader {
 	h.core.election.ObserveLeader(5, h.core.settings.Name)
 	leader := newLeader(h.core, election.Leadership{Term: 5, TermVersion: h.store[election.KeyTerm].Version, Lease: 1})
@@ -126,7 +127,7 @@
 	return leader
 }
 
-// commitAnswer is the answer to a transaction, as intercept changes it.
+// commitOrIntercept returns the response to a transaction: that of intercept, if set, or of commit.
 func (h *harness) commitOrIntercept(body []byte) (status int, answer []byte) {
 	if h.intercept == nil {
 		return h.commit(body)
@@ -143,14 +144,14 @@
 	return status, answer
 }
 
-// commit carries out a transaction if its conditions hold.
+// commit commits a transaction if its conditions hold, and returns the store's response.
 func (h *harness) commit(body []byte) (int, []byte) {
 	var txn wire.Txn
 	if err := stdjson.Unmarshal(body, &txn); err != nil {
 		h.t.Fatalf("transaction %s: %v", body, err)
 	}
 	if ops := h.core.settings.Deployment.Store.TxnOps; len(txn.Writes) > ops || len(txn.Conditions) > 4*ops {
-		h.t.Fatalf("a transaction of %d writes and %d conditions", len(txn.Writes), len(txn.Conditions))
+		h.t.Fatalf("transaction with %d writes and %d conditions exceeds the store's limits", len(txn.Writes), len(txn.Conditions))
 	}
 	result := wire.TxnResult{Revision: h.revision}
 	for _, c := range txn.Conditions {
@@ -161,7 +162,7 @@
 	if result.Conflicts != nil {
 		return 409, kv.Encode(result)
 	}
-	// All writes of a transaction have one revision.
+	// All writes of a transaction get the same revision.
 	at := h.revision
 	for _, w := range txn.Writes {
 		h.revision = at
@@ -171,10 +172,11 @@
 	return 200, kv.Encode(result)
 }
 
-// pageItems is the size of a page, smaller than the store's so that tests read several.
+// pageSize is the number of items per page, smaller than the store's so that tests read several
+// pages.
 const pageSize = 20
 
-// page is the answer to a listing.
+// listPage returns the response to a listing.
 func (h *harness) listPage(path string) []byte {
 	u, err := url.Parse(path)
 	if err != nil {
@@ -193,7 +195,8 @@
 	return kv.Encode(page)
 }
 
-// write changes the store as another controller would: it deletes a key and puts another one.
+// write changes the store as another controller would: it deletes the key del, and sets the key put
+// unless that is empty.
 func (h *harness) write(put, del string, v []byte) {
 	h.revision++
 	delete(h.store, del)
@@ -202,10 +205,10 @@
 	}
 }
 
-// hasEnded reports whether a job's end is on record.
+// hasEnded reports whether a job's end is recorded.
 func (h *harness) hasEnded(id string) bool { return h.store[records.FinalKey(id)].Key != "" }
 
-// openRecord is the open record of a job; the zero value if there is none.
+// openRecord returns the open record of a job; the zero value if there is none.
 func (h *harness) openRecord(id string) records.Open {
 	h.t.Helper()
 	var record records.Open
@@ -217,8 +220,8 @@
 	return record
 }
 
-// requestCancellation records that a user wants a job cancelled, as another controller would. It
-// returns the record.
+// requestCancellation records a user's cancellation of a job, as another controller would, and
+// returns the new open record.
 func (h *harness) requestCancellation(id string, at int64) records.Open {
 	h.t.Helper()
 	if h.store[records.OpenKey(id)].Key == "" {
@@ -230,14 +233,14 @@
 	return record
 }
 
-// run lets time pass, with ticks.
+// run advances the time, with a tick every 50 ms.
 func (h *harness) run(d time.Duration) {
 	for end := h.now + d; h.now < end; h.now += 50 * time.Millisecond {
 		h.step(Tick{})
 	}
 }
 
-// request sends a request and returns its answer, which takes 5 s at most.
+// request sends a request and returns its answer, which must arrive within 5 s.
 func (h *harness) request(method, path, body string) Answer {
 	h.lastRequestID++
 	h.step(Request{ID: h.lastRequestID, Method: method, Path: path, Body: []byte(body)})
@@ -247,11 +250,11 @@
 		}
 		h.run(time.Second)
 	}
-	h.t.Fatalf("%s %s with %s has no answer", method, path, body)
+	h.t.Fatalf("%s %s with body %s: no answer within 5 s", method, path, body)
 	return Answer{}
 }
 
-// validFields is a submission that is accepted, field by field.
+// validFields are the fields of a submission that is accepted, as names and JSON values.
 var validFields = [][2]string{
 	{"nameId", `"job-000412"`},
 	{"jobclass", `"train"`},
@@ -275,11 +278,11 @@
 	{"dueS", `900.0`},
 }
 
-// missing leaves a field out.
+// omitted is the value that leaves a field out of a submission.
 const omitted = "-"
 
-// body is the good submission with some fields changed: name, value, name...
-func body(change ...string) string {
+// body returns a valid submission with some fields changed, given as name, value, name, value...
+func submissionBody(change ...string) string {
 	changed := map[string]string{}
 	for i := 0; i < len(change); i += 2 {
 		changed[change[i]] = change[i+1]
@@ -301,12 +304,13 @@
 	return "{" + strings.Join(parts, ",") + "}"
 }
 
-// testLeadership is that of a term, with version 1 of the term key.
+// testLeadership returns the leadership of a term, with version 1 of the term key.
 func testLeadership(term uint64) election.Leadership {
 	return election.Leadership{Term: term, TermVersion: 1, Lease: 1}
 }
 
-// newLeadingHarness makes a harness whose controller leads and has loaded its records.
+// newLeadingHarness returns a harness whose controller is the leader and has loaded the records.
+// change may modify the settings before.
 func newLeadingHarness(t *testing.T, change func(*config.Settings)) (*harness, *leader) {
 	t.Helper()
 	harness := newHarness(t, testMachineTypes)
@@ -317,7 +321,8 @@
 	return harness, leader
 }
 
-// addRecord writes a job's open record and tells the leader of it.
+// addRecord writes a job's open record and applies it on the leader. If the spec has no class, a
+// default specification is used; change may modify the record before it is written.
 func addRecord(harness *harness, leader *leader, spec wire.Job, change func(*records.Open)) {
 	if spec.Class == "" {
 		spec.Class, spec.Team, spec.Shape, spec.Priority, spec.CPUs, spec.MemGB = "c", "vision", wire.ShapeArray, wire.PriorityIdle, 4, 1
@@ -334,11 +339,11 @@
 	leader.applyOpenRecord(spec.ID, harness.store[key].Version, record)
 }
 
-// setPeers gives a controller peers that it has not heard yet.
+// setPeers sets a controller's peers, with none of which it has had contact.
 func setPeers(c *Core, peers ...config.Peer) {
 	c.settings.Peers = peers
 	c.membership = c.newMembership()
 }
 
-// jobID is the ID of the job n of a test.
+// jobID returns the ID of job number n of a test.
 func jobID(n int) string { return "job-" + strconv.Itoa(100+n) }
--- a/internal/core/health.go
+++ b/internal/core/health.go
@@ -7,12 +7,12 @@
 	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 )
 
-// leaseExpiryBound returns the time since the last answer after which the lease of a worker that has
-// seen this term is guaranteed to have expired.
+// leaseExpiryBound returns the time since the last answer after which the lease of a worker that
+// has seen this term is guaranteed to have expired.
 func (l *leader) leaseExpiryBound() time.Duration { return l.core.reconcileTiming().LeaseExpiryBound() }
 
-// heartbeatOverdueAfter returns the time since the last heartbeat after which the next one must have
-// been missed.
+// heartbeatOverdueAfter returns the time since the last heartbeat after which the next one must
+// have been missed.
 func (l *leader) heartbeatOverdueAfter() time.Duration {
 	return l.core.reconcileTiming().HeartbeatOverdueAfter()
 }
--- a/internal/core/health_test.go
+++ b/internal/core/health_test.go
@@ -12,18 +12,18 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestHealthz checks whether controllers that the key-value store does not answer accept users.
-// One that is alone with that does not, be it that the others reach the store or that it hears
-// none of them; in a general outage all do.
+// TestHealthz checks the health of a controller that cannot reach the key-value store. It is
+// unhealthy if its peers reach the store or if it has no contact with them, and healthy in a
+// general outage of the store.
 func TestHealthz(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		peers  func(harness *harness) // what the others' digests say, several times a second
+		peers  func(harness *harness) // sends the peer's digests, called several times a second
 		status int
 	}{
-		{"the others reach it", func(harness *harness) { receivePeerDigest(harness, true) }, httpstatus.ServiceUnavailable},
-		{"the others do not reach it", func(harness *harness) { receivePeerDigest(harness, false) }, httpstatus.OK},
-		{"the others are not heard", func(*harness) {}, httpstatus.ServiceUnavailable},
+		{"the peer reaches the store", func(harness *harness) { receivePeerDigest(harness, true) }, httpstatus.ServiceUnavailable},
+		{"the peer does not reach the store either", func(harness *harness) { receivePeerDigest(harness, false) }, httpstatus.OK},
+		{"no contact with the peer", func(*harness) {}, httpstatus.ServiceUnavailable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness := newHarness(t, testMachineTypes)
@@ -35,33 +35,34 @@
 				harness.run(200 * time.Millisecond)
 			}
 			if a := harness.request("GET", "/healthz", ""); a.Status != tc.status {
-				t.Errorf("answered %d, want %d", a.Status, tc.status)
+				t.Errorf("without the store: got status %d, want %d", a.Status, tc.status)
 			}
 			harness.storeDown = false
 			receivePeerDigest(harness, true)
 			harness.run(harness.core.leaderLeaseDuration())
 			if a := harness.request("GET", "/healthz", ""); a.Status != httpstatus.OK {
-				t.Errorf("answered %d once the store is back, want 200", a.Status)
+				t.Errorf("after the store has recovered: got status %d, want 200", a.Status)
 			}
 		})
 	}
 }
 
-// heardFrom makes a controller hear a digest of a peer that does or does not reach the store.
+// receivePeerDigest delivers a digest of a peer that reaches the store or not.
 func receivePeerDigest(harness *harness, storeOK bool) {
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{StoreOK: storeOK}}})
 }
 
-// TestDeadMachine checks that a machine that is silent and answers no probe is considered dead
-// once a worker had the time to change controllers, and only if the network path to it works.
+// TestDeadMachine checks that a machine that sends no heartbeats and does not respond to a probe is
+// considered dead after the time that a worker needs to change controllers, but only if its zone is
+// reachable.
 func TestDeadMachine(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		silent  time.Duration
-		probed  bool // a second ago, without an answer
-		reached bool // another machine of its zone has answered since
-		newTerm bool // this leader has had no heartbeat of it
-		answers bool // it has answered a probe since
+		probed  bool // a second ago, without a response
+		reached bool // another machine of its zone has responded since
+		newTerm bool // this leader has received no heartbeat from it
+		answers bool // it has responded to a probe since
 		want    bool
 	}{
 		{name: "silent for long", silent: 9 * time.Second, probed: true, reached: true, want: true},
@@ -69,7 +70,7 @@
 		{name: "its worker may be changing controllers", silent: 7 * time.Second, probed: true, reached: true},
 		{name: "its zone may be partitioned", silent: 9 * time.Second, probed: true},
 		{name: "silent since before the failover", silent: 9 * time.Second, probed: true, reached: true, newTerm: true, want: true},
-		{name: "it has answered since", silent: 9 * time.Second, probed: true, reached: true, answers: true},
+		{name: "it has responded since", silent: 9 * time.Second, probed: true, reached: true, answers: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, leader := newLeadingHarness(t, func(*config.Settings) {})
@@ -99,7 +100,7 @@
 			}
 			check := leader.healthCheck()
 			if got := check.IsDead(machine, check.CountSilent(leader.MachinesByName)); got != tc.want {
-				t.Errorf("dead %v, want %v", got, tc.want)
+				t.Errorf("machine considered dead: got %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -92,8 +92,8 @@
 	machine.PreemptionAt = l.core.now + config.Seconds(afterS)
 }
 
-// recordStartedImages records that the machine has the images of its tasks that have completed their
-// image pull.
+// recordStartedImages records that the machine has the images of its tasks that have completed
+// their image pull.
 func (l *leader) recordStartedImages(machine *cluster.Machine) {
 	for _, task := range machine.ReportedTasks {
 		if task.State != wire.TaskRunning && task.State != wire.TaskWaiting {
--- a/internal/core/heartbeat_forwarding.go
+++ b/internal/core/heartbeat_forwarding.go
@@ -14,9 +14,9 @@
 )
 
 // Workers send their heartbeats to any controller. Only the leader can answer them from its state,
-// see leader.handleHeartbeat. This file forwards heartbeats from a follower to the leader, redirects
-// workers to other controllers, and extends worker leases without contact with the leader. Package
-// membership decides which of these applies.
+// see leader.handleHeartbeat. This file forwards heartbeats from a follower to the leader,
+// redirects workers to other controllers, and extends worker leases without contact with the
+// leader. Package membership decides which of these applies.
 
 // forwardedHeartbeat is a heartbeat that waits on a follower for the leader's answer.
 type forwardedHeartbeat struct {
@@ -27,8 +27,8 @@
 	sentTo    string        // leader that it was last forwarded to; empty if not forwarded yet
 }
 
-// forwardTimeout is how long a heartbeat waits for the leader's answer. It is well below the worker's
-// own timeout of 4 s, so that this controller's answer reaches the worker in time.
+// forwardTimeout is how long a heartbeat waits for the leader's answer. It is well below the
+// worker's own timeout of 4 s, so that this controller's answer reaches the worker in time.
 const forwardTimeout = 2500 * time.Millisecond
 
 // onHeartbeat handles a worker's heartbeat. A follower forwards it to the leader, or holds it
@@ -125,8 +125,8 @@
 	}
 }
 
-// forwardToLeader forwards a waiting heartbeat to the leader, unless it was forwarded to that leader
-// before. If this controller has become the leader, it answers the heartbeat itself.
+// forwardToLeader forwards a waiting heartbeat to the leader, unless it was forwarded to that
+// leader before. If this controller has become the leader, it answers the heartbeat itself.
 func (c *Core) forwardToLeader(id uint64) {
 	heartbeat := c.forwardedHeartbeats[id]
 	leader := c.election.Leader()
@@ -146,11 +146,11 @@
 
 // newestAttemptFirst sorts the rows of a heartbeat that lists a task more than once, so that the
 // newest attempt at each task comes first. A leader of a version before
-// wire.PeerVersionPlacementRanges treats the first row of a task as its current attempt: if an ended
-// earlier attempt came first, a running task appeared to be lost and was started a second time. Such
-// a leader sorts the rows by task, which keeps the order of rows that are already sorted. All rows
-// are kept, and the protocol does not define an order of rows. A heartbeat that lists no task twice
-// is forwarded unchanged.
+// wire.PeerVersionPlacementRanges treats the first row of a task as its current attempt: if an
+// ended earlier attempt came first, a running task appeared to be lost and was started a second
+// time. Such a leader sorts the rows by task, which keeps the order of rows that are already
+// sorted. All rows are kept, and the protocol does not define an order of rows. A heartbeat that
+// lists no task twice is forwarded unchanged.
 func newestAttemptFirst(body []byte) []byte {
 	heartbeat, ok := decodeHeartbeat(body)
 	if !ok {
--- a/internal/core/heartbeat_forwarding_test.go
+++ b/internal/core/heartbeat_forwarding_test.go
@@ -18,8 +18,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// presentAttempt is the attempt that a leader of the version in production takes for a task's
-// present one.
+// oldLeaderAttempt returns the row that a leader of the version in production treats as a task's
+// current attempt.
 func oldLeaderAttempt(heartbeat *wire.Heartbeat, task string) wire.TaskStatus {
 	rows := slices.Clone(heartbeat.Tasks)
 	slices.SortFunc(rows, func(a, b wire.TaskStatus) int { return strings.Compare(a.Task, b.Task) })
@@ -31,8 +31,8 @@
 	return wire.TaskStatus{}
 }
 
-// heartbeatOf makes a heartbeat with a number of tasks, some of which are listed with ended
-// earlier attempts as well, in random order.
+// randomHeartbeat returns a heartbeat with a number of tasks, some of which are also listed with
+// ended earlier attempts, in random order.
 func randomHeartbeat(tasks int, random *rand.Rand) *wire.Heartbeat {
 	heartbeat := &wire.Heartbeat{Machine: "n-000001", Addr: "10.1.0.1:9000", Type: "small", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: 5}
 	for i := range tasks {
@@ -50,7 +50,7 @@
 	return heartbeat
 }
 
-// sortedRows prints the rows of a heartbeat in an order of their own.
+// sortedRows formats the rows of a heartbeat in an order that does not depend on theirs.
 func sortedRows(heartbeat *wire.Heartbeat) []string {
 	var rows []string
 	for _, row := range heartbeat.Tasks {
@@ -60,46 +60,46 @@
 	return rows
 }
 
-// TestNewestAttemptFirst reads heartbeats of many lengths as the version in production does: it
-// finds every present attempt, and no row is lost.
+// TestNewestAttemptFirst checks heartbeats with different numbers of tasks as a leader of the
+// version in production reads them: it finds every current attempt, and no row is lost.
 func TestNewestAttemptFirst(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	for tasks := range 200 {
 		want := randomHeartbeat(tasks, random)
 		got, ok := decodeHeartbeat(newestAttemptFirst(kv.Encode(want)))
 		if !ok {
-			t.Fatal("not a heartbeat")
+			t.Fatal("sorted heartbeat cannot be decoded")
 		}
 		for i := range tasks {
 			if present := oldLeaderAttempt(got, fmt.Sprintf("job-000001/%d", i)); present.Attempt != 40 {
-				t.Fatalf("of %d tasks the old leader takes attempt %d of task %d for the present one", tasks, present.Attempt, i)
+				t.Fatalf("heartbeat with %d tasks: old leader finds attempt %d of task %d, want 40", tasks, present.Attempt, i)
 			}
 		}
 		if !slices.Equal(sortedRows(got), sortedRows(want)) {
-			t.Fatalf("rows %v, want %v", sortedRows(got), sortedRows(want))
+			t.Fatalf("rows: got %v, want %v", sortedRows(got), sortedRows(want))
 		}
 		got.Tasks, want.Tasks = nil, nil
 		if !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v, want %+v", got, want)
+			t.Fatalf("heartbeat without rows: got %+v, want %+v", got, want)
 		}
 	}
 }
 
-// TestNewestAttemptFirstKeepsOthers leaves bodies unchanged that list no task twice.
+// TestNewestAttemptFirstKeepsOthers checks that bodies that list no task twice are not changed.
 func TestNewestAttemptFirstKeepsOthers(t *testing.T) {
 	for _, body := range []string{`{"host":"n-000001", "shards":[{"shard":"job-000001/0","launch":2}]}`, `{"host":"n-000001"}`, `[`} {
 		if got := newestAttemptFirst([]byte(body)); string(got) != body {
-			t.Errorf("%s became %s", body, got)
+			t.Errorf("body %s: got %s, want it unchanged", body, got)
 		}
 	}
 }
 
-// TestForwardToOldLeader forwards a heartbeat: as it came to a leader that finds the present
-// attempts by itself, sorted to one that has not said so.
+// TestForwardToOldLeader checks that a heartbeat is forwarded unchanged to a leader whose version
+// finds the current attempts itself, and sorted to a leader of an older or unknown version.
 func TestForwardToOldLeader(t *testing.T) {
 	body := kv.Encode(randomHeartbeat(8, rand.New(rand.NewPCG(2, 2))))
 	if bytes.Equal(newestAttemptFirst(body), body) {
-		t.Fatal("the heartbeat was sorted before")
+		t.Fatal("test heartbeat is already sorted")
 	}
 	for version, want := range map[int][]byte{0: newestAttemptFirst(body), wire.PeerVersion: body} {
 		t.Run(fmt.Sprintf("version %d", version), func(t *testing.T) {
@@ -109,13 +109,13 @@
 			c.forwardedHeartbeats[7] = &forwardedHeartbeat{requestID: 1, worker: &membership.Worker{}, body: body}
 			c.forwardToLeader(7)
 			if len(c.out.PeerSends) != 1 || !bytes.Equal(c.out.PeerSends[0].Message.Forward.Body, want) {
-				t.Errorf("sent %+v", c.out.PeerSends)
+				t.Errorf("sent %+v, want one forwarded heartbeat, sorted only for version 0", c.out.PeerSends)
 			}
 		})
 	}
 }
 
-// follower is controller n0 of zone a, whose peers are n1 and n2.
+// follower drives controller n0 in zone a, whose peers are n1 and n2.
 type follower struct {
 	t    *testing.T
 	core *Core
@@ -123,7 +123,7 @@
 	out  Output // of the last step
 }
 
-// newFollower makes a follower that has just heard that n1 leads under term 5.
+// newFollower returns a follower that has just received a digest of n1, the leader of term 5.
 func newFollower(t *testing.T) *follower {
 	t.Helper()
 	settings := &config.Settings{
@@ -135,18 +135,19 @@
 	return f
 }
 
-// step feeds an input, and returns the answers that it leads to.
+// step runs a step with an input, and returns its answers.
 func (f *follower) step(in Input) []Answer {
 	f.out = f.core.Step(f.now, time.Unix(1e9, 0).Add(f.now), in)
 	return f.out.Answers
 }
 
-// hear feeds a digest of a peer.
+// receiveDigest delivers a digest of a peer.
 func (f *follower) receiveDigest(from string, digest wire.Digest) {
 	f.step(PeerInput{Message: &wire.PeerMessage{From: from, Digest: &digest}})
 }
 
-// heartbeat feeds a heartbeat of a worker with one task, under a fencing token.
+// heartbeat delivers a heartbeat of a worker with one task that has seen a fencing token, and
+// returns the answers.
 func (f *follower) heartbeat(requestID, fencingToken uint64) []Answer {
 	body := kv.Encode(&wire.Heartbeat{
 		Machine: "n-000001", Zone: "a", Incarnation: 1, Sequence: 9, FencingToken: fencingToken,
@@ -155,7 +156,8 @@
 	return f.step(Request{ID: requestID, Method: "POST", Path: "/checkin", Body: body})
 }
 
-// forwarded returns the only heartbeat that the last step has forwarded to a controller.
+// forwarded returns the heartbeat that the last step forwarded to a controller. There must be
+// exactly one.
 func (f *follower) forwarded(to string) *wire.Forward {
 	f.t.Helper()
 	var found []*wire.Forward
@@ -165,16 +167,17 @@
 		}
 	}
 	if len(found) != 1 {
-		f.t.Fatalf("%d heartbeats forwarded to %s, want 1", len(found), to)
+		f.t.Fatalf("got %d heartbeats forwarded to %s, want 1", len(found), to)
 	}
 	return found[0]
 }
 
-// TestForward passes a heartbeat on to the leader, and only the leader's answer back.
+// TestForward checks that a heartbeat is forwarded to the leader, and that the worker gets the
+// leader's answer once, and no other controller's answer.
 func TestForward(t *testing.T) {
 	f := newFollower(t)
 	if answers := f.heartbeat(7, 5); len(answers) != 0 {
-		t.Fatalf("answered %+v before the leader", answers)
+		t.Fatalf("before the leader's reply: got answers %+v, want none", answers)
 	}
 	forward := f.forwarded("n1")
 	reply := func(from string) []Answer {
@@ -182,35 +185,35 @@
 		return f.step(PeerInput{Message: message})
 	}
 	if answers := reply("n2"); len(answers) != 0 {
-		t.Errorf("the answer of a controller that was not asked was passed on: %+v", answers)
+		t.Errorf("after a reply of another controller: got answers %+v, want none", answers)
 	}
 	answers := reply("n1")
 	if len(answers) != 1 || answers[0].ID != 7 || answers[0].Status != http.StatusOK || string(answers[0].Body) != `{"helm":5}` {
-		t.Errorf("answered %+v", answers)
+		t.Errorf("after the leader's reply: got answers %+v, want its status and body for request 7", answers)
 	}
 	if answers := reply("n1"); len(answers) != 0 {
-		t.Errorf("answered again: %+v", answers)
+		t.Errorf("after a second reply of the leader: got answers %+v, want none", answers)
 	}
 }
 
-// TestForwardToNextLeader forwards a heartbeat that waits again when the leader changes, and
-// only then.
+// TestForwardToNextLeader checks that a waiting heartbeat is forwarded again when the leader
+// changes, and only then.
 func TestForwardToNextLeader(t *testing.T) {
 	f := newFollower(t)
 	f.heartbeat(7, 5)
 	first := f.forwarded("n1")
 	f.receiveDigest("n1", wire.Digest{Version: wire.PeerVersion, Term: 5, Leader: true, HearsLeader: true})
 	if len(f.out.PeerSends) != 0 {
-		t.Errorf("sent again: %+v", f.out.PeerSends)
+		t.Errorf("after another digest of the same leader: sent %+v, want nothing", f.out.PeerSends)
 	}
 	f.receiveDigest("n2", wire.Digest{Version: wire.PeerVersion, Term: 6, Leader: true, HearsLeader: true})
 	if second := f.forwarded("n2"); second.ID != first.ID || !bytes.Equal(second.Body, first.Body) {
-		t.Errorf("forwarded %+v, then %+v", first, second)
+		t.Errorf("forwarded %+v to the first leader and %+v to the next one, want the same", first, second)
 	}
 }
 
-// TestForwardTimesOut answers a heartbeat that the leader has not answered in time: with an
-// extension of the worker's lease if the worker has seen a term.
+// TestForwardTimesOut checks the answer to a heartbeat that the leader did not answer in time: an
+// extension of the worker's lease if the worker has seen a term, an error otherwise.
 func TestForwardTimesOut(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
@@ -225,12 +228,12 @@
 			f.heartbeat(7, tc.fencingToken)
 			f.now += forwardTimeout - 1
 			if answers := f.step(Tick{}); len(answers) != 0 {
-				t.Fatalf("answered too early: %+v", answers)
+				t.Fatalf("before the timeout: got answers %+v, want none", answers)
 			}
 			f.now++
 			answers := f.step(Tick{})
 			if len(answers) != 1 || answers[0].Status != tc.wantStatus {
-				t.Fatalf("answered %+v, want status %d", answers, tc.wantStatus)
+				t.Fatalf("at the timeout: got answers %+v, want one with status %d", answers, tc.wantStatus)
 			}
 			if tc.wantStatus == http.StatusOK {
 				checkExtension(t, answers[0].Body, tc.fencingToken)
@@ -239,7 +242,8 @@
 	}
 }
 
-// checkExtension checks that an answer extends a lease: it has no commands.
+// checkExtension checks that an answer only extends a lease: it has the worker's fencing token and
+// no commands.
 func checkExtension(t *testing.T, body []byte, fencingToken uint64) {
 	t.Helper()
 	var commands wire.CommandList
@@ -247,47 +251,50 @@
 		t.Fatal(err)
 	}
 	if commands.FencingToken != fencingToken || len(commands.Commands) != 0 {
-		t.Errorf("answered %+v, want no commands under token %d", commands, fencingToken)
+		t.Errorf("lease extension: got %+v, want fencing token %d and no commands", commands, fencingToken)
 	}
 }
 
-// TestHeartbeatWithoutLeader sends heartbeats to a follower that does not hear the leader.
+// TestHeartbeatWithoutLeader checks how a follower without contact with the leader handles
+// heartbeats: it extends the worker's lease, or holds the heartbeat of a worker that has seen no
+// term, or redirects the worker to a peer that has contact with the leader.
 func TestHeartbeatWithoutLeader(t *testing.T) {
 	f := newFollower(t)
 	f.now += 2 * time.Second
 	answers := f.heartbeat(7, 5)
 	if len(answers) != 1 || answers[0].Status != http.StatusOK {
-		t.Fatalf("answered %+v, want an extension", answers)
+		t.Fatalf("worker that has seen a term: got answers %+v, want a lease extension", answers)
 	}
 	checkExtension(t, answers[0].Body, 5)
 	if answers := f.heartbeat(8, 0); len(answers) != 0 || len(f.core.forwardedHeartbeats) != 1 {
-		t.Errorf("answered %+v to a worker that has seen no term, want it to wait", answers)
+		t.Errorf("worker that has seen no term: got answers %+v, want the heartbeat to wait", answers)
 	}
 	f.receiveDigest("n2", wire.Digest{HearsLeader: true})
 	answers = f.heartbeat(9, 5)
 	if len(answers) != 1 || answers[0].Status != http.StatusMisdirectedRequest {
-		t.Fatalf("answered %+v, want a redirection", answers)
+		t.Fatalf("with a peer that has contact with the leader: got answers %+v, want a redirection", answers)
 	}
 	if want := kv.Encode(wire.Redirect{Controller: "n2"}); !bytes.Equal(answers[0].Body, want) {
-		t.Errorf("redirected by %s, want %s", answers[0].Body, want)
+		t.Errorf("redirection: got %s, want %s", answers[0].Body, want)
 	}
 }
 
-// TestForwardToFollower refuses a heartbeat that is forwarded to a controller which does not
-// lead.
+// TestForwardToFollower checks that a follower refuses a heartbeat that another controller forwards
+// to it.
 func TestForwardToFollower(t *testing.T) {
 	f := newFollower(t)
 	f.step(PeerInput{Message: &wire.PeerMessage{From: "n2", Forward: &wire.Forward{ID: 3, Body: []byte("{}")}}})
 	sends := f.out.PeerSends
 	if len(sends) != 1 || sends[0].To != "n2" || sends[0].Message.Reply == nil {
-		t.Fatalf("sent %+v", sends)
+		t.Fatalf("sent %+v, want one reply to n2", sends)
 	}
 	if reply := sends[0].Message.Reply; reply.ID != 3 || reply.Status != http.StatusServiceUnavailable || string(reply.Body) != "{}" {
-		t.Errorf("replied %+v", reply)
+		t.Errorf("reply: got %+v, want ID 3, status 503 and an empty object", reply)
 	}
 }
 
-// TestDigestParts splits the counts of many jobs over messages, which a follower puts together.
+// TestDigestParts checks that a leader splits the task counts of many jobs over several messages,
+// and that a follower combines them.
 func TestDigestParts(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	setPeers(harness.core, config.Peer{Name: "n1", Zone: "b"})
@@ -304,11 +311,11 @@
 	for i, send := range harness.core.out.PeerSends {
 		digest := *send.Message.Digest
 		if len(digest.Jobs) > maxDigestJobs || digest.More != (i > 0) {
-			t.Errorf("part %d has %d jobs, continues: %v", i, len(digest.Jobs), digest.More)
+			t.Errorf("part %d: got %d jobs, more %v, want at most maxDigestJobs jobs, more only after part 0", i, len(digest.Jobs), digest.More)
 		}
 		f.receiveDigest("n1", digest)
 	}
 	if parts := len(harness.core.out.PeerSends); parts != 3 || len(f.core.jobCounts) != jobs {
-		t.Errorf("%d parts, %d of %d jobs", parts, len(f.core.jobCounts), jobs)
+		t.Errorf("got %d parts and %d jobs on the follower, want 3 and %d", parts, len(f.core.jobCounts), jobs)
 	}
 }
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -79,8 +79,9 @@
 	l.applyOpenRecord(job.ID, max(version, job.OpenVersion), record)
 }
 
-// appendJobEnd appends the state of a cancelled job, if there is one to report: its end is recorded,
-// its tasks have terminated, or their termination is delayed. job is nil for an unknown job.
+// appendJobEnd appends the state of a cancelled job, if there is one to report: its end is
+// recorded, its tasks have terminated, or their termination is delayed. job is nil for an unknown
+// job.
 func (l *leader) appendJobEnd(ends *wire.Ends, id string, job *cluster.Job) {
 	final, ended := l.core.jobCache.Final(id)
 	switch {
@@ -137,7 +138,8 @@
 	l.sendJobEnds(ends)
 }
 
-// sendJobEnds notifies all other controllers of jobs that have ended or whose tasks have terminated.
+// sendJobEnds notifies all other controllers of jobs that have ended or whose tasks have
+// terminated.
 func (l *leader) sendJobEnds(ends wire.Ends) {
 	if len(ends.Over)+len(ends.Gone) == 0 {
 		return
@@ -148,13 +150,14 @@
 	}
 }
 
-// cancellationOverdue reports whether a cancelled job's tasks whose termination is not confirmed have
-// to be terminated by returning their machines to the cloud.
+// cancellationOverdue reports whether a cancelled job's tasks whose termination is not confirmed
+// have to be terminated by returning their machines to the cloud.
 func (l *leader) cancellationOverdue(job *cluster.Job) bool {
 	return job.Cancellation.Overdue(l.core.now, l.core.cancelGracePeriod(), frontend.UserRetryPeriod)
 }
 
-// cancelGracePeriod returns cancel_s: how long tasks may run after their cancellation is acknowledged.
+// cancelGracePeriod returns cancel_s: how long tasks may run after their cancellation is
+// acknowledged.
 func (c *Core) cancelGracePeriod() time.Duration {
 	return c.settings.Deployment.Workers.CancelTime()
 }
--- a/internal/core/overdue_cancellation_test.go
+++ b/internal/core/overdue_cancellation_test.go
@@ -11,11 +11,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestUnreachableMachineIsGivenTime does not return a machine that commands do not reach, with
-// all that it runs, for a cancelled task while its user still retries and has been promised
-// nothing. It is returned in time for the user's last retries, or, where the user was told
-// that the job is cancelled, within cancel_s.
-func TestUnreachableMachineIsGivenTime(t *testing.T) {
+// TestOverdueOnUnreachableMachine checks when a cancelled task on a machine that commands do not
+// reach becomes overdue, so that the machine and everything on it is returned to the cloud. Without
+// an acknowledged cancellation, that is shortly before the user stops retrying; after an
+// acknowledgement, it is within cancel_s.
+func TestOverdueOnUnreachableMachine(t *testing.T) {
 	for _, acknowledged := range []bool{false, true} {
 		t.Run(fmt.Sprintf("acknowledged %v", acknowledged), func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
@@ -37,19 +37,20 @@
 				return leader.cancellationOverdue(job)
 			}
 			if overdueAfter(early) {
-				t.Errorf("overdue after %v", early)
+				t.Errorf("after %v: got overdue, want not overdue", early)
 			}
 			if !overdueAfter(late) {
-				t.Errorf("not overdue after %v", late)
+				t.Errorf("after %v: got not overdue, want overdue", late)
 			}
 		})
 	}
 }
 
-// TestReconnectedMachineIsKept sends a heartbeat of a machine that was cut off when the time for a
-// cancelled task on it is over. The machine is not returned, with all that it runs, before it
-// has had a chance to stop the task; if it does not, it is.
-func TestReconnectedMachineIsKept(t *testing.T) {
+// TestReconnectedMachineCanStopTask checks that a machine that reconnects after a partition, with a
+// cancelled task that is overdue, is not returned to the cloud before it had a chance to stop the
+// task. It is returned if it does not stop the task, or immediately if the cancellation was
+// acknowledged.
+func TestReconnectedMachineCanStopTask(t *testing.T) {
 	for _, acknowledged := range []bool{false, true} {
 		t.Run(fmt.Sprintf("acknowledged %v", acknowledged), func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
@@ -68,12 +69,12 @@
 			}
 			machine.LastHeartbeat, machine.HeartbeatsRegularSince = harness.core.now, harness.core.now
 			if enforceAndCheckReturn() != acknowledged {
-				t.Errorf("returned with its first heartbeat: %v", !acknowledged)
+				t.Errorf("machine returned at its first heartbeat: got %v, want it only after an acknowledged cancellation", !acknowledged)
 			}
 			harness.core.now += 2 * leader.core.heartbeatInterval()
 			machine.LastHeartbeat = harness.core.now
 			if !enforceAndCheckReturn() {
-				t.Error("kept though the task is still there after two heartbeats")
+				t.Error("machine not returned although the task is still there after two heartbeat intervals")
 			}
 		})
 	}
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -25,8 +25,8 @@
 // SteppedDown reports whether the leader's term is over.
 func (h persistenceHost) SteppedDown() bool { return h.leader.steppedDown }
 
-// PeersReadNamedRanges reports whether every peer reads placement records whose keys name a range of
-// tasks.
+// PeersReadNamedRanges reports whether every peer reads placement records whose keys name a range
+// of tasks.
 func (h persistenceHost) PeersReadNamedRanges() bool {
 	return h.leader.core.membership.AllPeersSupport(wire.PeerVersionPlacementRanges)
 }
--- a/internal/core/placement_records_test.go
+++ b/internal/core/placement_records_test.go
@@ -15,8 +15,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestPlacementsAreDeleted ends a job that has more placement records than fit in one transaction:
-// none is left.
+// TestPlacementsAreDeleted checks that all placement records of a job are deleted when it ends,
+// even if there are more than fit into one transaction.
 func TestPlacementsAreDeleted(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Store.TxnOps, s.Deployment.Store.ValueKB = 5, 1
@@ -28,24 +28,24 @@
 		job.PlacementRecords[i].Version = harness.store[job.PlacementRecords[i].Key].Version
 	}
 	if len(job.PlacementRecords) < 10 {
-		t.Fatalf("%d records", len(job.PlacementRecords))
+		t.Fatalf("placement records: got %d, want at least 10", len(job.PlacementRecords))
 	}
 	for i := range job.TaskStates {
 		leader.markDone(job, i)
 	}
 	harness.run(2e9)
 	if harness.store[records.FinalKey("job-1")].Key == "" {
-		t.Error("the job is not over")
+		t.Error("the job's end is not recorded")
 	}
 	for key := range harness.store {
 		if strings.HasPrefix(key, records.PrefixPlacement) {
-			t.Errorf("%s is left", key)
+			t.Errorf("placement record %s is not deleted", key)
 		}
 	}
 }
 
-// loadPlacements reads the placement records of a job as a leader does. Every placement record in
-// the store has to be readable.
+// loadPlacements reads the placement records of a job as a new leader does. The test fails if any
+// placement record in the store is unreadable.
 func loadPlacements(harness *harness, leader *leader, id string) []persistence.LoadedPlacement {
 	harness.t.Helper()
 	var found []persistence.LoadedPlacement
@@ -55,7 +55,7 @@
 		}
 		placementRange, ok := records.ParsePlacementKey(key, leader.writer.TasksPerNumberedRecord())
 		if !ok {
-			harness.t.Fatalf("%s is not read", key)
+			harness.t.Fatalf("key %s is not a valid placement key", key)
 		}
 		if placementRange.Job != id {
 			continue
@@ -69,10 +69,10 @@
 	return found
 }
 
-// TestLayoutChanges moves a job from numbered records to those that name their range. A copy of an
-// earlier write of the numbered record, carried out late, must fail: it would restore what the new
-// records have replaced.
-func TestLayoutChanges(t *testing.T) {
+// TestPlacementLayoutMigration migrates a job from numbered placement records to records that name
+// their range. A delayed duplicate of an earlier write of a numbered record must conflict: it would
+// restore placements that the new records have replaced.
+func TestPlacementLayoutMigration(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1}
 	})
@@ -94,31 +94,31 @@
 		}
 	}
 	if late == "" || strings.Contains(strings.Join(harness.commits, "\n"), "p/job-1/0-") {
-		t.Fatalf("while a controller has the earlier version, its layout is written: %v", sortedKeys(harness.store))
+		t.Fatalf("with a peer of an earlier version: want only numbered placement records, got keys %v", sortedKeys(harness.store))
 	}
-	// The answer to that write was lost, and it may still come: as a first one
-	// would, on the condition that no record exists.
+	// The response to that write was lost, and the write may still take effect: as the first
+	// write of the record, it is conditional on the absence of the record.
 	delete(harness.store, "p/job-1/0")
 	job.PlacementRecords[0].Version, job.PlacementRecords[0].Dirty, job.PlacementRecords[0].DueAt = 0, true, 0
 	leader.writer.MarkDirty()
 	harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Version: wire.PeerVersion}}})
 	harness.run(1e9)
 	if status, _ := harness.commit([]byte(late)); status != 409 {
-		t.Errorf("the late copy is answered %d, want 409", status)
+		t.Errorf("delayed duplicate: got %d, want 409", status)
 	}
 	expectNamedRanges(t, harness, "job-1")
-	// A next leader finds all of it.
+	// The next leader restores all placements.
 	successor := newLeader(harness.core, election.Leadership{Term: 6, TermVersion: leader.leadership.TermVersion, Lease: 1})
 	addRecord(harness, successor, wire.Job{ID: "job-1", Tasks: 100}, nil)
 	found := loadPlacements(harness, leader, "job-1")
 	successor.writer.RestorePlacements(successor.Jobs["job-1"], found)
 	if got := successor.Jobs["job-1"]; got.TasksPlaced != 60 || got.NextAttempt != 61 || got.NumberedKeys {
-		t.Errorf("a next leader finds %d tasks placed, next attempt %d, numbered %v", got.TasksPlaced, got.NextAttempt, got.NumberedKeys)
+		t.Errorf("next leader: got %d tasks placed, next attempt %d, numbered keys %v, want 60, 61, false", got.TasksPlaced, got.NextAttempt, got.NumberedKeys)
 	}
 }
 
-// expectNamedRanges checks that a job has several placement records, each of at most 1 KB and with
-// a key that names its range.
+// expectNamedRanges checks that a job has at least 5 placement records, each of at most 1 KB and
+// with a key that names its range.
 func expectNamedRanges(t *testing.T, harness *harness, id string) {
 	t.Helper()
 	named := 0
@@ -126,18 +126,18 @@
 		if strings.HasPrefix(key, records.PrefixPlacement+id+"/") {
 			named++
 			if len(item.Value) > 1024 || !strings.Contains(key, "-1") && !strings.Contains(key, "-2") && strings.Count(key, "-") < 2 {
-				t.Errorf("%s: %d bytes", key, len(item.Value))
+				t.Errorf("%s: got %d bytes, want at most 1024 and a key with a range", key, len(item.Value))
 			}
 		}
 	}
 	if named < 5 {
-		t.Errorf("%d records", named)
+		t.Errorf("placement records: got %d, want at least 5", named)
 	}
 }
 
-// TestAdoptPrefersRanges reads records of both layouts that disagree: those that name their range take
-// precedence over the numbered ones.
-func TestAdoptPrefersRanges(t *testing.T) {
+// TestNamedRangesTakePrecedence restores placements from contradicting records of both layouts.
+// Records that name their range take precedence over numbered ones.
+func TestNamedRangesTakePrecedence(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Store.Next = &config.StoreLimits{ValueKB: 1} })
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 30}, nil)
 	job := leader.Jobs["job-1"]
@@ -150,14 +150,14 @@
 		}}},
 	})
 	if job.TaskStates[1].Machine != nil || job.TaskStates[2].Machine == nil || job.TaskStates[2].Machine.Name != "n-000002" || job.TaskStates[20].Machine == nil || !job.TaskStates[3].Done || job.NextAttempt != 50 {
-		t.Errorf("read as %+v", job.TaskStates[:21])
+		t.Errorf("got tasks %+v, want task 1 not placed, 2 on n-000002, 3 done, 20 placed, and next attempt 50", job.TaskStates[:21])
 	}
 	for i := range job.TaskStates {
 		if ch := job.PlacementRecordOf(i); i < ch.From || i >= ch.To || strings.Count(ch.Key, "-") != 2 {
-			t.Errorf("task %d is covered by %s", i, ch.Key)
+			t.Errorf("task %d: got record %s, want one whose key names a range with the task", i, ch.Key)
 		}
 	}
 	if keys := job.PlacementKeys(); len(keys) != 2 {
-		t.Errorf("records to delete at the end: %v", keys)
+		t.Errorf("records to delete at the job's end: got %v, want both", keys)
 	}
 }
--- a/internal/core/process_pause.go
+++ b/internal/core/process_pause.go
@@ -3,8 +3,8 @@
 import "time"
 
 // The whole process of a controller may be paused for a while and then resume. After the pause, its
-// state of the leadership, the workers and the jobs is out of date. This is safe, because that state
-// takes effect only once the key-value store, a peer or a worker has confirmed it: writes are
+// state of the leadership, the workers and the jobs is out of date. This is safe, because that
+// state takes effect only once the key-value store, a peer or a worker has confirmed it: writes are
 // conditional on the term, commands carry the term as fencing token, and answers to users are read
 // from the store or verified there first.
 
--- a/internal/core/process_pause_test.go
+++ b/internal/core/process_pause_test.go
@@ -10,13 +10,13 @@
 	"github.com/brookwalk/brookwalk/internal/config"
 )
 
-// TestProcessPauseIsLogged lets a leader get no input for a while. It logs a pause once, when
-// it resumes.
+// TestProcessPauseIsLogged checks that a leader without input for longer than a heartbeat interval
+// logs one pause, when it resumes.
 func TestProcessPauseIsLogged(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		pause time.Duration
-		want  string // part of the only line; empty for no line
+		want  string // expected part of the only log line; empty for no line
 	}{
 		{"shorter than a heartbeat interval", time.Second, ""},
 		{"shorter than the leader's lease", 1900 * time.Millisecond, "leading=true term=5 own_lease_expired=false"},
@@ -32,7 +32,7 @@
 			harness.step(Tick{})
 			lines := strings.Count(logged.String(), `msg="process paused"`)
 			if tc.want == "" && lines > 0 || tc.want != "" && (lines != 1 || !strings.Contains(logged.String(), tc.want)) {
-				t.Errorf("logged %q, want %q", logged.String(), tc.want)
+				t.Errorf("logged %q, want one line with %q (none if empty)", logged.String(), tc.want)
 			}
 		})
 	}
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -15,8 +15,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// lowerLimits lowers what the store takes, to a number of writes in a transaction and of bytes in a
-// value. It returns how many transactions are rejected from now on.
+// lowerStoreLimits lowers the store's limits to a number of writes per transaction and a size of
+// values in bytes. It returns a counter of the transactions rejected from now on.
 func lowerStoreLimits(harness *harness, maxWrites, maxValue int) *int {
 	rejected := new(int)
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
@@ -29,7 +29,7 @@
 	return rejected
 }
 
-// largestValueBytes is the size of the largest value that a transaction writes.
+// largestValueBytes returns the size of the largest value that a transaction writes.
 func largestValueBytes(txn *wire.Txn) int {
 	n := 0
 	for _, w := range txn.Writes {
@@ -38,18 +38,19 @@
 	return n
 }
 
-// withAnnouncedLimits announces lower limits in the settings: values of 2 KB, and a number of
-// writes in a transaction.
+// withAnnouncedLimits announces lower store limits in the settings (state.next): 2 KB per value,
+// and a number of writes per transaction.
 func withAnnouncedLimits(maxWrites int) func(*config.Settings) {
 	return func(s *config.Settings) {
 		s.Deployment.Store.Next = &config.StoreLimits{TxnOps: maxWrites, ValueKB: 2}
 	}
 }
 
-// withoutAnnouncement leaves the settings as they are.
+// withoutAnnouncedLimits does not change the settings.
 func withoutAnnouncedLimits(*config.Settings) {}
 
-// placeAndRecord places tasks of a job on machines of its own and records them.
+// placeAndRecord places a range of a job's tasks, each on a machine that runs no other job, and
+// marks their placement records for writing.
 func placeAndRecord(leader *leader, job *cluster.Job, from, to int) {
 	for i := from; i < to; i++ {
 		job.TaskStates[i] = cluster.Task{Attempt: job.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
@@ -59,7 +60,7 @@
 	}
 }
 
-// recordedTasks counts the tasks of a job that a next leader would find placed.
+// recordedTasks returns the number of a job's tasks that the next leader would restore as placed.
 func recordedTasks(harness *harness, id string, tasks int) int {
 	leader := newLeader(harness.core, election.Leadership{Term: 5, TermVersion: harness.store[election.KeyTerm].Version, Lease: 1})
 	leader.applyOpenRecord(id, harness.store[records.OpenKey(id)].Version, harness.openRecord(id))
@@ -73,8 +74,8 @@
 	return n
 }
 
-// addNumberedJob adds a job whose tasks are all placed, with placement records as an earlier version
-// writes them: numbered, as large as they are now.
+// addNumberedJob adds a job whose tasks are all placed, with numbered placement records as an
+// earlier version writes them, of the size that this version uses by default.
 func addNumberedJob(harness *harness, leader *leader, id string, tasks int) {
 	const tasksPerRecord = 128
 	addRecord(harness, leader, wire.Job{ID: id, Tasks: tasks}, nil)
@@ -97,8 +98,8 @@
 	}
 }
 
-// changeAttempts changes the attempt of every seventh task of a job, so that all of its placement
-// records have to be written again.
+// changeAttempts changes the attempt of every seventh task of a job, so that all its placement
+// records have to be rewritten.
 func changeAttempts(leader *leader, job *cluster.Job) {
 	for i := 0; i < len(job.TaskStates); i += 7 {
 		job.TaskStates[i].Attempt, job.TaskStates[i].Persisted = job.NextAttempt, false
@@ -107,38 +108,39 @@
 	}
 }
 
-// expectRecorded checks that all tasks of a job are on record, where a next leader finds them.
+// expectRecorded checks that all tasks of a job are recorded, and that the next leader would
+// restore them.
 func expectRecorded(t *testing.T, harness *harness, job *cluster.Job) {
 	t.Helper()
 	tasks := len(job.TaskStates)
 	for i := range job.TaskStates {
 		if !job.TaskStates[i].Persisted {
-			t.Fatalf("task %d of %s is not recorded", i, job.ID)
+			t.Fatalf("placement of task %d of %s is not recorded", i, job.ID)
 		}
 	}
 	if got := recordedTasks(harness, job.ID, tasks); got != tasks {
-		t.Errorf("a next leader finds %d tasks of %s placed, want %d", got, job.ID, tasks)
+		t.Errorf("next leader: got %d tasks of %s placed, want %d", got, job.ID, tasks)
 	}
 }
 
-// TestLimitsFall lowers the limits under jobs with placement records of 10 KiB and open records of
-// many sizes. All is recorded in the end, and transactions beyond the limits are sent a few
-// times at most.
-func TestLimitsFall(t *testing.T) {
+// TestLoweredStoreLimits lowers the store's limits while jobs have placement records of 10 KiB and
+// open records of different sizes. All changes must be recorded in the end, with at most a few
+// transactions that exceed the limits.
+func TestLoweredStoreLimits(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		settings   func(*config.Settings)
-		ops, bytes int
-		most       int // transactions rejected
+		name        string
+		settings    func(*config.Settings)
+		ops, bytes  int
+		maxRejected int // transactions rejected
 	}{
 		{"announced", withAnnouncedLimits(5), 5, 2048, 1},
-		{"announced, two changes", withAnnouncedLimits(2), 2, 2048, 1},
-		{"silent, fewer changes", withoutAnnouncedLimits, 5, 16384, 6},
-		{"silent, two changes", withoutAnnouncedLimits, 2, 16384, 8},
-		{"silent, smaller values", withoutAnnouncedLimits, 16, 2048, 12},
-		{"silent, smaller values yet", withoutAnnouncedLimits, 16, 1024, 12},
-		{"silent, both", withoutAnnouncedLimits, 5, 2048, 16},
-		{"silent, both lowest", withoutAnnouncedLimits, 2, 1024, 20},
+		{"announced, two writes", withAnnouncedLimits(2), 2, 2048, 1},
+		{"not announced, fewer writes", withoutAnnouncedLimits, 5, 16384, 6},
+		{"not announced, two writes", withoutAnnouncedLimits, 2, 16384, 8},
+		{"not announced, smaller values", withoutAnnouncedLimits, 16, 2048, 12},
+		{"not announced, smallest values", withoutAnnouncedLimits, 16, 1024, 12},
+		{"not announced, both", withoutAnnouncedLimits, 5, 2048, 16},
+		{"not announced, both lowest", withoutAnnouncedLimits, 2, 1024, 20},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
@@ -160,27 +162,27 @@
 				expectRecorded(t, harness, leader.Jobs[jobID(n)])
 			}
 			if !harness.hasEnded(jobID(8)) || !strings.Contains(string(harness.store[records.OpenKey(jobID(9))].Value), `"ra":`) {
-				t.Error("the job that is done has not ended, or its dependent does not become ready")
+				t.Error("the end of the job that is done is not recorded, or its dependent is not ready")
 			}
-			if *rejected > tc.most {
-				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
+			if *rejected > tc.maxRejected {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.maxRejected)
 			}
 			if tc.ops == 16 && harness.core.store.MaxWrites() != 16 {
-				t.Errorf("transactions keep to %d writes, though only the values became smaller", harness.core.store.MaxWrites())
+				t.Errorf("maximum writes per transaction: got %d, want 16, since only the values' limit was lowered", harness.core.store.MaxWrites())
 			}
 			if tc.bytes < 16384 && harness.core.settings.Deployment.Store.Next == nil {
-				// A controller that starts now learns it from the records.
+				// A controller that starts now learns the lower limit from the records.
 				harness.core.store = kv.NewClient(storeTransport{harness.core}, &harness.core.settings.Deployment)
 				recordedTasks(harness, jobID(0), 300)
 				if harness.core.store.MaxPlacementValue() != kv.SmallValue {
-					t.Errorf("a next leader writes records of %d bytes", harness.core.store.MaxPlacementValue())
+					t.Errorf("next leader: got maximum size of placement records %d, want kv.SmallValue", harness.core.store.MaxPlacementValue())
 				}
 			}
 		})
 	}
 }
 
-// longJob is a job whose description takes 5 KiB.
+// oversizedJob returns a job whose specification takes 5 KiB, more than the lowered limits allow.
 func oversizedJob(id string, tasks int) wire.Job {
 	var types []string
 	for n := range 300 {
@@ -192,15 +194,15 @@
 	}
 }
 
-// TestLongDescriptionCancelled cancels a job whose open record is larger than the store takes by
-// now: the request is recorded without what only a job that is to run needs, the job and its
-// dependents end, and hardly a write is rejected.
-func TestLongDescriptionCancelled(t *testing.T) {
+// TestOversizedRecordCancelled cancels a job whose open record exceeds the store's lowered limit.
+// The cancellation is recorded without the fields that only a job still to be run needs, the job
+// and its dependents end, and at most one transaction is rejected.
+func TestOversizedRecordCancelled(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		settings func(*config.Settings)
-		most     int
-	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncedLimits, 1}} {
+		name        string
+		settings    func(*config.Settings)
+		maxRejected int
+	}{{"announced", withAnnouncedLimits(5), 0}, {"not announced", withoutAnnouncedLimits, 1}} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
 			addRecord(harness, leader, oversizedJob(jobID(1), 40), nil)
@@ -209,7 +211,7 @@
 			placeAndRecord(leader, job, 0, 1)
 			harness.run(time.Second)
 			rejected := lowerStoreLimits(harness, 5, 2048)
-			var request records.Open // with the request
+			var request records.Open // with the cancellation
 			harness.afterCommit = func() {
 				if !harness.hasEnded(jobID(1)) {
 					request = harness.openRecord(jobID(1))
@@ -219,30 +221,30 @@
 			harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
 			harness.run(3 * time.Second)
 			if !request.Cancelled || request.Job.Tasks != 40 || request.Job.Team != "vision" || request.Job.CPUs != 4 || request.Job.Class != "c" {
-				t.Fatalf("recorded %+v", request)
+				t.Fatalf("recorded cancellation: got %+v, want 40 tasks of 4 CPUs, team vision, class c", request)
 			}
 			if !harness.hasEnded(jobID(2)) {
-				t.Error("its dependent has not ended")
+				t.Error("the dependent's end is not recorded")
 			}
 			if !harness.hasEnded(jobID(1)) || harness.store[records.OpenKey(jobID(1))].Key != "" {
-				t.Error("the job has not ended")
+				t.Error("the job's end is not recorded, or its open record still exists")
 			}
-			if *rejected > tc.most {
-				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
+			if *rejected > tc.maxRejected {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.maxRejected)
 			}
 		})
 	}
 }
 
-// TestLongDescriptionRuns runs a job whose open record is larger than the store takes by
-// now: its tasks are placed and recorded, and other jobs' records are not held up. So do jobs
-// whose placement records change their layout.
-func TestLongDescriptionRuns(t *testing.T) {
+// TestOversizedRecordRuns runs a job whose open record exceeds the store's lowered limit: its tasks
+// may be placed, and the records of other jobs are not delayed. The placements of another oversized
+// job, whose placement records change their layout, are recorded too.
+func TestOversizedRecordRuns(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		settings func(*config.Settings)
-		most     int
-	}{{"announced", withAnnouncedLimits(5), 0}, {"silent", withoutAnnouncedLimits, 16}} {
+		name        string
+		settings    func(*config.Settings)
+		maxRejected int
+	}{{"announced", withAnnouncedLimits(5), 0}, {"not announced", withoutAnnouncedLimits, 16}} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
 			addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
@@ -257,41 +259,41 @@
 			if harness.core.settings.Deployment.Store.Next != nil {
 				leader.writer.AllowNamedRanges() // as once every controller reads them
 			}
-			placeAndRecord(leader, leader.Jobs[jobID(3)], 90, 100) // again, elsewhere
+			placeAndRecord(leader, leader.Jobs[jobID(3)], 90, 100) // again, with new attempts
 			addRecord(harness, leader, wire.Job{ID: jobID(4)}, nil)
 			leader.markDone(leader.Jobs[jobID(1)], 0)
 			leader.markDone(leader.Jobs[jobID(4)], 0)
 			harness.run(20 * time.Second)
 			if !harness.hasEnded(jobID(1)) || !harness.hasEnded(jobID(4)) {
-				t.Fatal("the ends of other jobs are not recorded")
+				t.Fatal("the ends of job-101 and job-104, which are done, are not recorded")
 			}
 			job := leader.Jobs[jobID(2)]
 			if job.AwaitingDependencies || len(job.PendingTasks()) != 40 {
-				t.Errorf("it does not run: waits %v, %d tasks may be placed", job.AwaitingDependencies, len(job.PendingTasks()))
+				t.Errorf("oversized job: got waiting for dependencies %v, %d placeable tasks, want false, 40", job.AwaitingDependencies, len(job.PendingTasks()))
 			}
 			for i := range other.TaskStates {
 				if !other.TaskStates[i].Persisted {
-					t.Fatalf("task %d is not recorded", i)
+					t.Fatalf("placement of task %d is not recorded", i)
 				}
 			}
 			if got := recordedTasks(harness, jobID(3), 100); got != 100 {
-				t.Errorf("a next leader finds %d tasks placed", got)
+				t.Errorf("next leader: got %d tasks placed, want 100", got)
 			}
-			if *rejected > tc.most {
-				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
+			if *rejected > tc.maxRejected {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.maxRejected)
 			}
-			// The next leader learns it by itself.
+			// The next leader determines by itself that the dependencies are done.
 			next := startNextLeader(harness, leader, "")
 			if k := next.Jobs[jobID(2)]; k.AwaitingDependencies && !k.DependenciesDone {
-				t.Error("it waits again under the next leader")
+				t.Error("the oversized job waits for its dependencies again under the next leader")
 			}
 		})
 	}
 }
 
-// TestLongDescriptionsRun runs many such jobs together. With two of them in one
-// transaction, nobody can tell which one is rejected.
-func TestLongDescriptionsRun(t *testing.T) {
+// TestOversizedRecordsRun runs many jobs with oversized open records together. If a transaction
+// with several records is rejected, the rejection does not tell which record caused it.
+func TestOversizedRecordsRun(t *testing.T) {
 	harness, leader := newLeadingHarness(t, withoutAnnouncedLimits)
 	addRecord(harness, leader, wire.Job{ID: jobID(0)}, nil)
 	for n := range 9 {
@@ -307,18 +309,18 @@
 	harness.run(20 * time.Second)
 	for n := range 9 {
 		if leader.Jobs[jobID(1+n)].AwaitingDependencies {
-			t.Errorf("%s does not become ready", jobID(1+n))
+			t.Errorf("%s is not ready after its dependency is done", jobID(1+n))
 		}
 	}
 	if *rejected > 70 {
-		t.Errorf("%d transactions rejected", *rejected)
+		t.Errorf("%d transactions rejected, want at most 70", *rejected)
 	}
 }
 
-// TestPoisonedRecord makes the store reject whatever concerns one job, for a reason that this
-// program knows nothing of: it is retried less and less often, and the others' records are
-// written.
-func TestPoisonedRecord(t *testing.T) {
+// TestPermanentlyRejectedRecord makes the store reject every transaction with a record of one job,
+// for a reason that the leader does not know. These writes must be retried with backoff, and the
+// records of the other jobs must be written.
+func TestPermanentlyRejectedRecord(t *testing.T) {
 	harness, leader := newLeadingHarness(t, withoutAnnouncedLimits)
 	rejected := 0
 	harness.intercept = func(txn *wire.Txn, carryOut func() int) int {
@@ -337,29 +339,30 @@
 	harness.run(120 * time.Second)
 	for n := range 8 {
 		if harness.hasEnded(jobID(n)) != (n != 3) {
-			t.Errorf("%s has ended: %v", jobID(n), harness.hasEnded(jobID(n)))
+			t.Errorf("end of %s recorded: got %v, want true for all but job-103", jobID(n), harness.hasEnded(jobID(n)))
 		}
 	}
 	if rejected > 20 {
-		t.Errorf("%d transactions rejected in 120 s", rejected)
+		t.Errorf("%d transactions rejected in 120 s, want at most 20", rejected)
 	}
 }
 
-// TestLongDescriptionHasDependents submits dependents of a job whose open record is larger than the
-// store takes by now. They are accepted though it cannot be marked as having dependents. Its
-// cancellation is recorded as that of a job with dependents, and cancels them as well.
-func TestLongDescriptionHasDependents(t *testing.T) {
+// TestOversizedRecordHasDependents submits a dependent of a job whose open record exceeds the
+// store's lowered limit. The dependent is accepted although the job cannot be marked as having
+// dependents. The job's cancellation is recorded together with that mark, and cancels the dependent
+// as well.
+func TestOversizedRecordHasDependents(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		settings func(*config.Settings)
-		others   int  // further unfinished dependencies
-		late     bool // the leader learns of the dependent after the job's end
-		most     int
+		name        string
+		settings    func(*config.Settings)
+		others      int  // further unfinished dependencies
+		late        bool // the leader learns of the dependent after the job's end
+		maxRejected int
 	}{
 		{"announced", withAnnouncedLimits(5), 0, false, 0},
-		{"silent", withoutAnnouncedLimits, 0, false, 2},
-		{"among more than a transaction marks", withAnnouncedLimits(5), 9, false, 0},
-		{"silent, among more than a transaction marks", withoutAnnouncedLimits, 9, false, 6},
+		{"not announced", withoutAnnouncedLimits, 0, false, 2},
+		{"more dependencies than one transaction can mark", withAnnouncedLimits(5), 9, false, 0},
+		{"not announced, more dependencies than one transaction can mark", withoutAnnouncedLimits, 9, false, 6},
 		{"the leader learns of the dependent late", withAnnouncedLimits(5), 0, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -381,10 +384,10 @@
 			}
 			dependent := jobID(2)
 			if a := harness.request("POST", "/submissions", submissionWithDependencies(2, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
-				t.Fatalf("the dependent is answered %d %s", a.Status, a.Body)
+				t.Fatalf("submission of the dependent: got %d %s, want 201", a.Status, a.Body)
 			}
 			if request.HasDependents {
-				t.Error("a record that is too large was written")
+				t.Error("the oversized open record was rewritten with the mark")
 			}
 			learn := func() {
 				item, open := harness.store[records.OpenKey(dependent)]
@@ -404,15 +407,15 @@
 				harness.run(time.Second)
 			}
 			if !request.Cancelled || !request.HasDependents {
-				t.Errorf("the cancellation is recorded as %+v", request)
+				t.Errorf("recorded cancellation: got %+v, want it marked as having dependents", request)
 			}
 			for _, id := range []string{jobID(1), dependent} {
 				if final := string(harness.store[records.FinalKey(id)].Value); !strings.Contains(final, string(wire.StatusCancelled)) {
-					t.Errorf("%s ended as %q", id, final)
+					t.Errorf("final record of %s: got %q, want a cancelled job", id, final)
 				}
 			}
-			if *rejected > tc.most {
-				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.most)
+			if *rejected > tc.maxRejected {
+				t.Errorf("%d transactions rejected, want at most %d", *rejected, tc.maxRejected)
 			}
 		})
 	}
--- a/internal/core/submission_dependencies_test.go
+++ b/internal/core/submission_dependencies_test.go
@@ -8,12 +8,13 @@
 	"github.com/brookwalk/brookwalk/internal/core/records"
 )
 
-// submissionWithDependencies is a submission body of the job n with dependencies.
+// submissionWithDependencies returns the body of a submission of job number n with dependencies,
+// given as JSON.
 func submissionWithDependencies(n int, dependencies string) string {
-	return strings.TrimSuffix(body("nameId", `"`+jobID(n)+`"`), "}") + `,"awaits":` + dependencies + "}"
+	return strings.TrimSuffix(submissionBody("nameId", `"`+jobID(n)+`"`), "}") + `,"awaits":` + dependencies + "}"
 }
 
-// Numbers of the jobs that a submission depends on in these tests, by their state.
+// Job numbers in these tests: a dependency in each state, and the submitted job.
 const (
 	openJob           = 1
 	doneJob           = 2
@@ -23,26 +24,26 @@
 	submittedJob      = 9
 )
 
-// dependencyCase is a submission with dependencies and what becomes of it.
+// dependencyCase is a submission with dependencies and its expected result.
 type dependencyCase struct {
 	name         string
 	dependencies string // JSON
 	status       int
-	state        string // of the answer
-	recorded     string // the dependencies on record; "" for none
+	state        string // job status in the answer; "" if refused
+	recorded     string // recorded dependencies; "" for none
 }
 
-// newHarnessWithDependencies makes a harness with a job in each state.
+// newHarnessWithDependencies returns a harness with a job in each state.
 func newHarnessWithDependencies(t *testing.T) *harness {
 	t.Helper()
 	harness := newHarness(t, testMachineTypes)
 	for _, submission := range []string{
-		body("nameId", `"`+jobID(openJob)+`"`),
-		body("nameId", `"`+jobID(openService)+`"`, "shape", `"daemon"`),
-		body("nameId", `"`+jobID(jobBeingCancelled)+`"`),
+		submissionBody("nameId", `"`+jobID(openJob)+`"`),
+		submissionBody("nameId", `"`+jobID(openService)+`"`, "shape", `"daemon"`),
+		submissionBody("nameId", `"`+jobID(jobBeingCancelled)+`"`),
 	} {
 		if a := harness.request("POST", "/submissions", submission); a.Status != 201 {
-			t.Fatalf("%s: %d %s", submission, a.Status, a.Body)
+			t.Fatalf("submission %s: got %d %s, want 201", submission, a.Status, a.Body)
 		}
 	}
 	harness.write(records.FinalKey(jobID(doneJob)), "", []byte(`{"s":"done","n":16}`))
@@ -52,7 +53,8 @@
 	return harness
 }
 
-// TestDependenciesOfSubmission submits jobs with dependencies in every state, well and badly named.
+// TestDependenciesOfSubmission submits jobs with dependencies in every state, and with malformed
+// lists of dependencies.
 func TestDependenciesOfSubmission(t *testing.T) {
 	open, done, cancelled, service, cancelling := jobID(openJob), jobID(doneJob), jobID(cancelledJob), jobID(openService), jobID(jobBeingCancelled)
 	for _, tc := range []dependencyCase{
@@ -105,45 +107,46 @@
 	}
 }
 
-// checkSubmission submits the job of a case, and repeats the submission if it is accepted.
+// checkSubmission submits the job of a test case, and repeats the submission if it is accepted.
 func checkSubmission(t *testing.T, harness *harness, tc dependencyCase) {
 	t.Helper()
 	a := harness.request("POST", "/submissions", submissionWithDependencies(submittedJob, tc.dependencies))
 	if a.Status != tc.status || tc.state != "" && !strings.Contains(string(a.Body), `"status":"`+tc.state+`"`) {
-		t.Fatalf("answered %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
+		t.Fatalf("submission: got %d %s, want %d %s", a.Status, a.Body, tc.status, tc.state)
 	}
 	_, isOpen := harness.store[records.OpenKey(jobID(submittedJob))]
 	_, isFinal := harness.store[records.FinalKey(jobID(submittedJob))]
 	if isOpen != (tc.state == "pending") || isFinal != (tc.state == "withdrawn") {
-		t.Errorf("open on record: %v, final: %v", isOpen, isFinal)
+		t.Errorf("got open record %v, final record %v, want an open one if pending, a final one if withdrawn", isOpen, isFinal)
 	}
 	if got := strings.Join(harness.openRecord(jobID(submittedJob)).Job.Dependencies, ","); got != tc.recorded {
-		t.Errorf("dependencies %q on record, want %q", got, tc.recorded)
+		t.Errorf("recorded dependencies: got %q, want %q", got, tc.recorded)
 	}
 	if tc.recorded != "" && !strings.Contains(string(harness.store[records.OpenKey(jobID(openJob))].Value), `"nd":true`) {
 		t.Error("the dependency is not marked as having dependents")
 	}
 	if tc.status == 201 {
 		if a := harness.request("POST", "/submissions", submissionWithDependencies(submittedJob, tc.dependencies)); a.Status != 200 {
-			t.Errorf("the repeat is answered %d %s", a.Status, a.Body)
+			t.Errorf("repeated submission: got %d %s, want 200", a.Status, a.Body)
 		}
 	}
 }
 
-// TestManyDependencies names more dependencies than a transaction has conditions or writes.
+// TestManyDependencies submits a job with more dependencies than a transaction can have conditions
+// or writes.
 func TestManyDependencies(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	harness.core.settings.Deployment.Store.TxnOps = 5
 	var names []string
 	for n := range 50 {
-		if a := harness.request("POST", "/submissions", body("nameId", `"`+jobID(n)+`"`)); a.Status != 201 {
-			t.Fatalf("job %d: %d %s", n, a.Status, a.Body)
+		if a := harness.request("POST", "/submissions", submissionBody("nameId", `"`+jobID(n)+`"`)); a.Status != 201 {
+			t.Fatalf("submission of job %d: got %d %s, want 201", n, a.Status, a.Body)
 		}
 		names = append(names, `"`+jobID(n)+`"`)
 	}
 	harness.core.jobCache.RemoveAllOpen()
 	if a := harness.request("POST", "/submissions", submissionWithDependencies(99, "["+strings.Join(names, ",")+"]")); a.Status != 201 {
-		t.Fatalf("answered %d %s", a.Status, a.Body)
+		t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 	}
 	for n := range 50 {
 		if !strings.Contains(string(harness.store[records.OpenKey(jobID(n))].Value), `"nd":true`) {
@@ -152,22 +155,22 @@
 	}
 }
 
-// TestDependencyCancelledDuringSubmission cancels a dependency between the moment at which it is read and the one at which
-// its dependent is recorded.
-func TestDependencyCancelledDuringSubmission(t *testing.T) {
+// TestDependencyCancelledSinceCached submits a job whose dependency has been cancelled since the
+// controller cached its record. The job must be recorded as cancelled.
+func TestDependencyCancelledSinceCached(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
-	if a := harness.request("POST", "/submissions", body("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
-		t.Fatalf("answered %d %s", a.Status, a.Body)
+	if a := harness.request("POST", "/submissions", submissionBody("nameId", `"`+jobID(1)+`"`)); a.Status != 201 {
+		t.Fatalf("submission: got %d %s, want 201", a.Status, a.Body)
 	}
 	harness.requestCancellation(jobID(1), 1)
 	if harness.core.jobCache.Open(jobID(1)).Record.Cancelled {
-		t.Fatal("known already")
+		t.Fatal("the cancellation is already in the cache")
 	}
 	a := harness.request("POST", "/submissions", submissionWithDependencies(2, `["`+jobID(1)+`"]`))
 	if a.Status != 201 || !strings.Contains(string(a.Body), "withdrawn") {
-		t.Errorf("answered %d %s, want 201 and withdrawn", a.Status, a.Body)
+		t.Errorf("submission of the dependent: got %d %s, want 201 and withdrawn", a.Status, a.Body)
 	}
 	if _, ok := harness.store[records.OpenKey(jobID(2))]; ok {
-		t.Error("open on record though its dependency is cancelled")
+		t.Error("the dependent has an open record although its dependency is cancelled")
 	}
 }
--- a/internal/core/submission_pacing_test.go
+++ b/internal/core/submission_pacing_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// submitAndCollectCommits submits a job and returns the transactions that are sent along with it.
+// submitAndCollectCommits submits a job and returns the transactions that are sent in the same
+// step.
 func submitAndCollectCommits(harness *harness, body string) []Call {
 	harness.lastRequestID++
 	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions", Body: []byte(body)})
@@ -19,28 +20,28 @@
 }
 
 // TestFewSubmissionsBypassPacing checks that a few submissions bypass the pacing of transactions,
-// as the leader's records do, and that many at a time keep to it. A leader that had used up the
-// rate of changes for its own records once turned away the submissions that came to it.
+// as the leader's records do, and that many submissions at a time are paced. Otherwise a leader
+// that used the whole write rate for its own records refuses the submissions that it receives.
 func TestFewSubmissionsBypassPacing(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
-	submission := func(n int) string { return body("nameId", `"`+jobID(n)+`"`) }
+	submission := func(n int) string { return submissionBody("nameId", `"`+jobID(n)+`"`) }
 	first := submitAndCollectCommits(harness, submission(1))
 	if len(first) != 1 || !first[0].Urgent {
-		t.Fatalf("a single submission is paced: %+v", first)
+		t.Fatalf("single submission: got transactions %+v, want one that is urgent", first)
 	}
 	ops := harness.core.store.MaxWrites()
 	for n := range ops {
 		if late := submitAndCollectCommits(harness, submission(2+n)); len(late) != 0 {
-			t.Fatalf("a second transaction is sent beside the first: %+v", late)
+			t.Fatalf("while a transaction is in progress: got transactions %+v, want none", late)
 		}
 	}
 	out := harness.core.Step(harness.now, time.Unix(1e9, 0).Add(harness.now), Result{ID: first[0].ID, Status: 200, Body: []byte(`{"logline":2}`)})
 	for _, call := range out.Calls {
 		if call.Path == "/commit" && (call.Urgent || call.Writes != ops) {
-			t.Fatalf("%d submissions at a time: %d changes, urgent %v", ops, call.Writes, call.Urgent)
+			t.Fatalf("%d submissions at a time: got %d writes, urgent %v, want all in one transaction that is not urgent", ops, call.Writes, call.Urgent)
 		}
 	}
 	if len(out.Calls) == 0 {
-		t.Fatal("the waiting submissions are not recorded")
+		t.Fatal("no transaction is sent for the waiting submissions")
 	}
 }
--- a/internal/core/task_ends_test.go
+++ b/internal/core/task_ends_test.go
@@ -9,8 +9,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestTaskEndsAreDeferred ends tasks of an array with successive heartbeats: that is one change of its
-// record. The job's own end is recorded at once, in place of what was deferred.
+// TestTaskEndsAreDeferred checks that the ends of array tasks in successive heartbeats are written
+// to the placement record together, in one write, and that the end of the job itself is recorded
+// without delay and without a preceding write of the placement record.
 func TestTaskEndsAreDeferred(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 8}, nil)
@@ -18,7 +19,7 @@
 	for _, id := range []string{"job-1", "job-2"} {
 		leader.Jobs[id].Loaded = true
 	}
-	changes := func(id string) int {
+	countWrites := func(id string) int {
 		n := 0
 		for _, body := range harness.commits {
 			n += strings.Count(body, `"put":"`+records.PrefixPlacement+id)
@@ -30,12 +31,12 @@
 		harness.run(leader.core.heartbeatInterval() / 2)
 	}
 	harness.run(leader.core.heartbeatInterval())
-	if n := changes("job-1"); n != 1 {
-		t.Errorf("four ends within two heartbeats: %d changes", n)
+	if n := countWrites("job-1"); n != 1 {
+		t.Errorf("four task ends within two heartbeat intervals: got %d writes of the placement record, want 1", n)
 	}
 	leader.markDone(leader.Jobs["job-2"], 0)
 	harness.run(leader.core.heartbeatInterval() / 2)
-	if leader.Jobs["job-2"] != nil || changes("job-2") != 0 {
-		t.Errorf("the end of a job is delayed, or its record written first")
+	if leader.Jobs["job-2"] != nil || countWrites("job-2") != 0 {
+		t.Errorf("the end of the job is delayed, or its placement record was written first")
 	}
 }
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -6,9 +6,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Package reconcile decides when a task is confirmed to have terminated; its termination.go lists the
-// four cases. This file applies these decisions. No other code calls unplace for a task that may have
-// run.
+// Package reconcile decides when a task is confirmed to have terminated; its termination.go lists
+// the four cases. This file applies these decisions. No other code calls unplace for a task that
+// may have run.
 
 // reconcilePlacements compares a machine's placements with the worker's newest message.
 // workerKnowsTerm is true if the worker had seen this term when it sent the message.
@@ -42,8 +42,8 @@
 	}
 }
 
-// expireLease removes the placements of a silent worker once its lease is guaranteed to have expired:
-// case 4.
+// expireLease removes the placements of a silent worker once its lease is guaranteed to have
+// expired: case 4.
 func (l *leader) expireLease(machine *cluster.Machine) {
 	if !reconcile.LeaseExpiryDue(machine, l.leadership.Term, l.core.now, l.core.reconcileTiming()) || !l.leaseExpired(machine) {
 		return
@@ -109,8 +109,8 @@
 	log("task exited", "task", placement.Name, "machine", placement.Task().Machine.Name, "cause", cause)
 }
 
-// recordTaskDone records that a task is done. The tasks of a gang complete together: if one is done,
-// all are.
+// recordTaskDone records that a task is done. The tasks of a gang complete together: if one is
+// done, all are.
 func (l *leader) recordTaskDone(placement cluster.TaskReference) {
 	job, task := placement.Job, placement.Task()
 	l.learnRun(job, task)
@@ -125,8 +125,8 @@
 	}
 }
 
-// abortGangAttempt stops the remaining tasks of a gang. The gang starts again as a whole once all its
-// tasks have terminated.
+// abortGangAttempt stops the remaining tasks of a gang. The gang starts again as a whole once all
+// its tasks have terminated.
 func (l *leader) abortGangAttempt(job *cluster.Job) {
 	for i := range job.TaskStates {
 		if task := &job.TaskStates[i]; task.Machine != nil && task.Stop == nil {
--- a/internal/core/termination_test.go
+++ b/internal/core/termination_test.go
@@ -10,9 +10,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestEarlierAttemptListed sends heartbeats that list an exited attempt at a task beside the
-// running one, in either order: the running one still counts. It was once mistaken for lost,
-// started elsewhere, and ran twice.
+// TestEarlierAttemptListed checks that a running attempt is not lost when heartbeats also list an
+// exited earlier attempt at the same task, in either order. Such a running task was considered
+// lost, started on another machine, and ran twice.
 func TestEarlierAttemptListed(t *testing.T) {
 	harness := newHarness(t, testMachineTypes)
 	leader := newLeader(harness.core, testLeadership(5))
@@ -22,7 +22,7 @@
 	job, machine := leader.Jobs[spec.ID], leader.machineNamed("n-000001")
 	job.TaskStates[0] = cluster.Task{Attempt: 2, Zone: "a", Incarnation: 1, Persisted: true, PlacedThisTerm: true, StartSent: true}
 	leader.place(job, 0, machine)
-	job.PlacementRecords[0].Dirty = true // the exit of the earlier attempt is not on record yet
+	job.PlacementRecords[0].Dirty = true // the exit of the earlier attempt is not recorded yet
 	exited := wire.TaskStatus{Task: "job-000001/0", Attempt: 1, State: wire.TaskExited, Cause: wire.CauseStopped}
 	running := wire.TaskStatus{Task: "job-000001/0", Attempt: 2, State: wire.TaskRunning}
 	for i, rows := range [][]wire.TaskStatus{{exited, running}, {running, exited}, {exited, running}} {
@@ -31,10 +31,10 @@
 			Incarnation: 1, Sequence: uint64(i + 1), FencingToken: 5, Tasks: rows,
 		}
 		if status, body := leader.handleHeartbeat(kv.Encode(heartbeat), "n0"); status != httpstatus.OK {
-			t.Fatalf("heartbeat %d: %d %s", i, status, body)
+			t.Fatalf("heartbeat %d: got %d %s, want 200", i, status, body)
 		}
 		if task := &job.TaskStates[0]; task.Machine != machine || task.State != wire.TaskRunning {
-			t.Fatalf("after heartbeat %d the running task is %q on %v", i, task.State, task.Machine)
+			t.Fatalf("after heartbeat %d: got task state %q on machine %v, want running on n-000001", i, task.State, task.Machine)
 		}
 	}
 }
