--- a/internal/core/cancelled_ends.go
+++ b/internal/core/cancelled_ends.go
@@ -35,7 +35,7 @@
 			if dependency == nil || !dependency.Cancellation.Requested() || !l.writer.EndRecordable(dependency) {
 				return
 			}
-			if !l.hasLiveDependents(id) && add(dependency) {
+			if !l.hasUnfinishedDependents(id) && add(dependency) {
 				queue = append(queue, dependency)
 			}
 		})
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -87,7 +87,7 @@
 		return
 	}
 	if l.lookups.running >= l.core.frontEnd.MaxWaitingRequests()/8 {
-		l.lookups.dueAt[id] = l.core.now // the rest of the lookup capacity is reserved for users' requests
+		l.lookups.dueAt[id] = l.core.now // leaves lookup capacity for users' requests
 		return
 	}
 	l.lookups.running++
@@ -100,8 +100,8 @@
 	})
 }
 
-// applyDependencyLookup applies the result of a lookup. A lookup that failed or found
-// no record is repeated.
+// applyDependencyLookup applies the result of a lookup. A lookup that failed or found no record is
+// repeated.
 func (l *leader) applyDependencyLookup(id string, result frontend.LookupResult) {
 	switch {
 	case result.Final != nil:
@@ -176,8 +176,8 @@
 	l.recomputeUrgency(affected)
 }
 
-// hasLiveDependents reports whether a job has, or may have, dependents that have not ended.
-func (l *leader) hasLiveDependents(id string) bool {
+// hasUnfinishedDependents reports whether a job has, or may have, dependents that have not ended.
+func (l *leader) hasUnfinishedDependents(id string) bool {
 	if job := l.Jobs[id]; job != nil && l.mayHaveUnknownDependents(job) {
 		return true
 	}
--- a/internal/core/dependency_lists.go
+++ b/internal/core/dependency_lists.go
@@ -95,46 +95,46 @@
 func (c *Core) listCleanupInterval() time.Duration { return 3 * c.abandonedListAge() }
 
 // findAbandonedLists reads all list records, page by page, and then deletes those of abandoned
-// attempts. found are the attempts of the previous pages.
-func (l *leader) findAbandonedLists(after string, found []dependencylist.Attempt) {
+// submission attempts. attempts holds the attempts found on the previous pages.
+func (l *leader) findAbandonedLists(after string, attempts []dependencylist.Attempt) {
 	l.core.store.List(records.PrefixDependencyList, after, func(r kv.ListResult) {
 		if l.steppedDown || r.Status != kv.OK {
 			return
 		}
 		for _, item := range r.Page.Items {
 			after = item.Key
-			found = dependencylist.AddItem(found, item)
+			attempts = dependencylist.AddItem(attempts, item)
 		}
 		if r.Page.More {
-			l.findAbandonedLists(after, found)
+			l.findAbandonedLists(after, attempts)
 			return
 		}
-		l.deleteAbandonedLists(found)
+		l.deleteAbandonedLists(attempts)
 	})
 }
 
 // deleteAbandonedLists deletes the list records of those of the given attempts that are abandoned,
 // one transaction at a time.
-func (l *leader) deleteAbandonedLists(found []dependencylist.Attempt) {
-	for len(found) > 0 && !l.isAbandoned(&found[0]) {
-		found = found[1:]
+func (l *leader) deleteAbandonedLists(attempts []dependencylist.Attempt) {
+	for len(attempts) > 0 && !l.isAbandoned(&attempts[0]) {
+		attempts = attempts[1:]
 	}
-	if len(found) == 0 {
+	if len(attempts) == 0 {
 		return
 	}
-	attempt := &found[0]
+	attempt := &attempts[0]
 	txn := attempt.DeletionTxn(l.termCondition(), l.core.store.MaxWrites())
 	l.core.store.Commit(txn, func(r kv.TxnResult) {
 		if l.steppedDown || r.Status != kv.OK && r.Status != kv.Conflict {
 			return // the next search retries
 		}
 		if r.Status == kv.Conflict {
-			l.deleteAbandonedLists(found[1:])
+			l.deleteAbandonedLists(attempts[1:])
 			return
 		}
 		l.core.log.Debug("deleted records of abandoned dependency list", "job", attempt.Job, "records", len(txn.Writes))
 		attempt.MarkDeleted(txn)
-		l.deleteAbandonedLists(found)
+		l.deleteAbandonedLists(attempts)
 	})
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -40,7 +40,7 @@
 
 	// Reconciliation.
 	openProbes     int
-	zoneReachedAt  map[string]time.Duration // by zone; when one of its machines last responded or sent a heartbeat to this controller
+	zoneReachedAt  map[string]time.Duration // by zone; last heartbeat or response that this controller received
 	outliers       *outlier.Detector
 	pullStatistics pullEvidence
 
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -129,7 +129,7 @@
 	var ends wire.Ends
 	for _, id := range sortedKeys(l.cancelledJobs) {
 		job := l.cancelledJobs[id]
-		tasksLeft := !job.Loaded || job.TasksPlaced > 0 || l.hasLiveDependents(id)
+		tasksLeft := !job.Loaded || job.TasksPlaced > 0 || l.hasUnfinishedDependents(id)
 		job.Cancellation.UpdateTasks(tasksLeft, l.core.now)
 		if l.mayAnnounceTermination(job) && job.Cancellation.AnnounceOnce() {
 			ends.Gone = append(ends.Gone, id)
