--- a/internal/core/fleet_size.go
+++ b/internal/core/fleet_size.go
@@ -11,10 +11,10 @@
 func (l *leader) checkFleetSize() {
 	machines, capacity := len(l.MachinesByName), l.core.failoverWorkerCapacity()
 	outgrown := machines > capacity
-	if outgrown && !l.controllersOutgrown {
+	if outgrown && !l.fleetExceedsControllers {
 		deployment := &l.core.settings.Deployment
 		l.core.log.Warn("fleet outgrows the controllers' sockets", "machines", machines, "capacity_with_one_down", capacity,
 			"max_connections", deployment.MachineLimits.MaxConnections, "controllers", deployment.Size)
 	}
-	l.controllersOutgrown = outgrown
+	l.fleetExceedsControllers = outgrown
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -51,17 +51,17 @@
 	bestEffortTeams map[string]bool // teams without a guarantee, if other teams have one
 	quota           *quota.Manager  // shares limits with other regions; nil if sharing is not configured
 	regionDemands   map[string]balance.Demand
-	quotaLoadRetry  func() // reads the quota records again after a failed read
+	retryQuotaLoad  func() // reads the quota records again after a failed read
 	quotaRetryAt    time.Duration
 	reservations    reservationCache
 
 	// Provisioning.
-	fleet                 fleet
-	returnedMachines      map[string]time.Duration // by name; when the cloud confirmed their return
-	controllersOutgrown   bool                     // the fleet is larger than the controllers can serve, see checkFleetSize
-	arrivalsByClass       map[string]*classArrivals
-	runTimesByClass       map[string]*forecast.RunTimeCorrection
-	provisioningLatencies *bootlatency.History
+	fleet                   fleet
+	returnedMachines        map[string]time.Duration // by name; when the cloud confirmed their return
+	fleetExceedsControllers bool                     // the fleet is larger than the controllers can serve, see checkFleetSize
+	arrivalsByClass         map[string]*classArrivals
+	runTimesByClass         map[string]*forecast.RunTimeCorrection
+	provisioningLatencies   *bootlatency.History
 }
 
 // newLeader returns the leader of a term that this controller has won. It makes no decisions before
--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -40,8 +40,8 @@
 	if l.quota == nil {
 		return
 	}
-	if retry := l.quotaLoadRetry; retry != nil && l.core.now >= l.quotaRetryAt {
-		l.quotaLoadRetry = nil
+	if retry := l.retryQuotaLoad; retry != nil && l.core.now >= l.quotaRetryAt {
+		l.retryQuotaLoad = nil
 		retry()
 	}
 	l.quota.Tick()
@@ -92,7 +92,7 @@
 		switch {
 		case q.leader.steppedDown:
 		case r.Status != kv.OK:
-			q.leader.quotaLoadRetry = func() { q.readAfter(after) }
+			q.leader.retryQuotaLoad = func() { q.readAfter(after) }
 			q.leader.quotaRetryAt = q.leader.core.now + q.leader.core.leaderLeaseDuration()/quotaRetriesPerLease
 		default:
 			q.onPage(&r.Page)
