--- a/internal/wake/activator/activator.go
+++ b/internal/wake/activator/activator.go
@@ -1,8 +1,8 @@
-// Package activator runs the state machine of package wake in a process: it serves requests to
+// Package activator runs the state machine of package wake in a process: it accepts requests to
 // models over HTTP, and calls the key-value store and the model servers for the state machine.
 //
-// It owns the sockets, the clock and the lock of the state machine, and decides nothing. The
-// command wake of cmd/brookwalk starts it, beside each controller.
+// It owns the sockets, the clock and the lock of the state machine, which makes all decisions.
+// The wake command of cmd/brookwalk starts it, next to each controller.
 package activator
 
 import (
@@ -20,14 +20,15 @@
 	"github.com/brookwalk/brookwalk/internal/wake"
 )
 
-// Config says where an activator listens and what it calls.
+// Config holds an activator's settings.
 type Config struct {
 	Name         string // of the controller
-	Incarnation  uint64 // differs from that of any other run of the program
-	Listen       string // address for requests to models; port 0 takes a free one
+	Incarnation  uint64 // must differ from that of any other run of the program
+	Listen       string // address for requests to models; with port 0, a free port is chosen
 	StoreAddress string // of the key-value store
 	Registry     *wake.Registry
-	// RequestTimeout is how long a request may wait; it may ask for less.
+	// RequestTimeout bounds how long a request waits for its answer. A request may ask for a
+	// shorter time.
 	RequestTimeout time.Duration
 	Log            *slog.Logger
 }
@@ -41,9 +42,9 @@
 
 	store        *httpwire.Client
 	watchStore   *httpwire.Client
-	forwardSlots budget.Semaphore // requests that are with model servers
+	forwardSlots budget.Semaphore // one for each request being forwarded to a model server
 
-	mu             sync.Mutex // of the state machine and of what follows
+	mu             sync.Mutex // protects the state machine and the fields below
 	controller     *wake.Controller
 	pendingReplies map[uint64]func(httpserve.Response) // by request ID
 	lastRequestID  uint64
@@ -52,22 +53,22 @@
 }
 
 const (
-	// maxForwards bounds the requests that are with model servers; each has a socket.
+	// maxForwards bounds the requests being forwarded to model servers; each uses a socket.
 	maxForwards = 64
-	// maxIdleConnections bounds the idle connections that are kept to the store and to each
-	// model server.
+	// maxIdleConnections bounds the idle connections kept open to the store and to each model
+	// server.
 	maxIdleConnections = 8
-	// ticksPerLease is how often the state machine is called within a controller's lease.
+	// ticksPerLease is how many ticks the state machine gets within a controller's lease.
 	ticksPerLease = 64
 )
 
-// Methods of the protocols.
+// HTTP methods of the protocols.
 const (
 	methodGet  = "GET"
 	methodPost = "POST"
 )
 
-// Start begins to serve requests.
+// Start starts an activator.
 func Start(config Config) (*Server, error) {
 	s := &Server{
 		config:         config,
@@ -91,7 +92,7 @@
 // Addr is the address for requests to models.
 func (s *Server) Addr() string { return s.listener.Addr() }
 
-// Stop ends the server at once, as a kill does: requests that wait get no answer.
+// Stop stops the server at once, as if the process were killed: waiting requests get no answer.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -108,9 +109,9 @@
 	}
 }
 
-// leases is a number of leases of a controller.
-func (s *Server) leases(number float64) time.Duration {
-	return time.Duration(number * s.config.Registry.LeaseSeconds * float64(time.Second))
+// leases returns a multiple of the duration of a controller's lease.
+func (s *Server) leases(factor float64) time.Duration {
+	return time.Duration(factor * s.config.Registry.LeaseSeconds * float64(time.Second))
 }
 
 func (s *Server) tickLoop() {
@@ -135,7 +136,7 @@
 	}
 }
 
-// handleRequest serves POST /models/MODEL/KEY, with ?wait=SECONDS for a shorter timeout.
+// handleRequest handles POST /models/MODEL/KEY. The query wait=SECONDS sets a shorter timeout.
 func (s *Server) handleRequest(request *httpwire.Request, reply func(httpserve.Response)) {
 	model, key, ok := parsePath(request)
 	if !ok {
@@ -165,8 +166,8 @@
 	return parts[2], parts[3], true
 }
 
-// requestTimeout is how long a request with a query waits. A query that cannot be parsed is
-// ignored.
+// requestTimeout returns how long a request with the given query waits for its answer. A query
+// that cannot be parsed is ignored.
 func (s *Server) requestTimeout(query string) time.Duration {
 	timeout := s.config.RequestTimeout
 	values, err := url.ParseQuery(query)
@@ -179,10 +180,10 @@
 	return timeout
 }
 
-// Now is the steady time since the start.
+// Now returns the time since the start, by a monotonic clock.
 func (s *Server) Now() time.Duration { return time.Since(s.started) }
 
-// Reply answers a request. It is called with the state machine locked.
+// Reply sends the answer to a request. It is called with the state machine locked.
 func (s *Server) Reply(id uint64, answer wake.Reply) {
 	reply := s.pendingReplies[id]
 	delete(s.pendingReplies, id)
@@ -196,7 +197,7 @@
 	reply(httpserve.Response{Status: int(answer.Status), Body: body, RetryAfter: answer.RetryAfterSeconds})
 }
 
-// errorText is what the client reads about a request that was not served.
+// errorText returns the error in the answer to a request that was not served.
 func errorText(status wake.Status) string {
 	switch status {
 	case wake.StatusNotFound:
@@ -213,8 +214,8 @@
 // callTimeout bounds the calls to the store, and the commands to model servers.
 func (s *Server) callTimeout() time.Duration { return s.leases(0.5) }
 
-// call makes a call in the background and passes its answer on with the state machine locked:
-// httpstatus.NoAnswer if none came.
+// call sends a request from a goroutine of its own and calls done with the answer, with the state
+// machine locked. The status is httpstatus.NoAnswer if no answer came in time.
 func (s *Server) call(client *httpwire.Client, method, path string, body []byte, timeout time.Duration, done func(status int, body []byte)) {
 	go func() {
 		response, err := client.Do(method, path, body, timeout)
--- a/internal/wake/activator/activator_test.go
+++ b/internal/wake/activator/activator_test.go
@@ -23,19 +23,18 @@
 	"github.com/brookwalk/brookwalk/internal/wake"
 )
 
-// Both are long enough that a busy machine delays a run and does not fail it: a replica without
-// commands ends after the first, and a request expires after the second.
+// Both times are long enough that a busy machine delays a run but does not make it fail.
 const (
-	replicaLease   = 30 * time.Second
-	requestTimeout = 60 * time.Second
+	replicaLease   = 30 * time.Second // a replica ends after this time without a command
+	requestTimeout = 60 * time.Second // a request times out after this time
 )
 
-// testCluster is a key-value store, two model servers and some activators on loopback.
+// testCluster is a key-value store, two model servers and several activators on loopback.
 type testCluster struct {
 	t            *testing.T
 	live         *sim.Live
 	registry     *wake.Registry
-	storeProxies []*httpserve.Server // one for each activator, so that each can be partitioned
+	storeProxies []*httpserve.Server // one for each activator, so that each can be partitioned alone
 	partitioned  []bool
 	activators   []*Server
 	addresses    []string // of the activators
@@ -48,8 +47,8 @@
 	executions       map[string]int
 }
 
-// newTestCluster starts a cluster without activators. A replica loads in about the load time, and
-// serves a request in the service time.
+// newTestCluster starts a cluster without activators. A replica takes about the load time to load
+// and the service time to serve a request.
 func newTestCluster(t *testing.T, activators int, load, service time.Duration) *testCluster {
 	t.Helper()
 	cluster := &testCluster{
@@ -81,7 +80,7 @@
 	}}
 }
 
-// startModelServers starts two model servers, and writes the registry that names them.
+// startModelServers starts two model servers and sets the registry that lists them.
 func (p *testCluster) startModelServers(load, service time.Duration) {
 	p.t.Helper()
 	var addresses []string
@@ -109,7 +108,7 @@
 	p.registry = registry
 }
 
-// serveStore passes an activator's request on to the store, unless it is partitioned.
+// serveStore forwards an activator's request to the store, unless the activator is partitioned.
 func (p *testCluster) serveStore(activator int, request *httpwire.Request, reply func(httpserve.Response)) {
 	if p.isPartitioned(activator) {
 		return // no answer
@@ -161,7 +160,7 @@
 	return activator
 }
 
-// restartActivator kills an activator and starts it again after a time.
+// restartActivator stops an activator without notice and starts it again after a delay.
 func (p *testCluster) restartActivator(i int, after time.Duration) {
 	p.t.Helper()
 	p.mu.Lock()
@@ -174,7 +173,7 @@
 	p.activators[i], p.addresses[i] = restarted, restarted.Addr()
 }
 
-// listen serves a free port until the test ends.
+// listen serves requests on a free port until the test ends.
 func (p *testCluster) listen(handler httpserve.Handler) *httpserve.Server {
 	p.t.Helper()
 	server, err := httpserve.Listen("127.0.0.1:0", &httpserve.Traffic{}, handler)
@@ -187,7 +186,7 @@
 
 func (p *testCluster) now() time.Duration { return time.Since(p.start) }
 
-// serveModel serves a request to a model server.
+// serveModel handles a request to a model server.
 func (p *testCluster) serveModel(server *sim.ModelServer, request *httpwire.Request, service time.Duration, reply func(httpserve.Response)) {
 	if request.Path == "/copy" {
 		reply(httpserve.Response{Status: httpstatus.OK, Body: p.command(server, request.Body)})
@@ -219,18 +218,18 @@
 	}
 }
 
-// command carries out a command and returns the body of its answer.
+// command executes a command and returns the body of its answer.
 func (p *testCluster) command(server *sim.ModelServer, body []byte) []byte {
 	var command wake.Command
 	if err := json.Unmarshal(body, &command); err != nil {
-		p.t.Errorf("command %s: %v", body, err)
+		p.t.Errorf("model server got malformed command %s: %v", body, err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return kv.Encode(server.Command(command, p.now()))
 }
 
-// checkReplicas checks from outside that the model never has two replicas.
+// checkReplicas records whether the model ever has a replica on both model servers at a time.
 func (p *testCluster) checkReplicas(ctx context.Context) {
 	for ctx.Err() == nil {
 		p.mu.Lock()
@@ -240,7 +239,7 @@
 	}
 }
 
-// replicaStarts counts the replicas that were started.
+// replicaStarts returns the number of replicas that were started.
 func (p *testCluster) replicaStarts() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -252,7 +251,7 @@
 }
 
 // request sends a request to one activator after another until one answers, as a client does
-// whose connection ends. It returns how many answers came and the last one's status.
+// when its connection is closed. It returns the number of answers, 0 or 1, and the status.
 func (p *testCluster) request(first int, key string) (answers, status int) {
 	for try := range 20 {
 		p.mu.Lock()
@@ -263,7 +262,7 @@
 		client.CloseIdle()
 		if err == nil {
 			if response.Status == httpstatus.OK && string(response.Body) != key {
-				p.t.Errorf("%s got the answer to %s", key, response.Body)
+				p.t.Errorf("request %s: got the answer to request %s", key, response.Body)
 			}
 			return 1, response.Status
 		}
@@ -272,8 +271,8 @@
 	return 0, 0
 }
 
-// checkWakeOnce sends requests to all activators at once while one of them fails, and checks
-// starts and answers.
+// checkWakeOnce sends requests to all activators at once while one of them is restarted or
+// partitioned, and checks that one replica is started and every request is served.
 func checkWakeOnce(t *testing.T, seed uint64) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 31))
@@ -282,7 +281,7 @@
 	cluster.startActivators()
 	time.Sleep(300 * time.Millisecond) // the activators register
 	var clients sync.WaitGroup
-	defer clients.Wait() // also where the test ends early
+	defer clients.Wait() // also if the test ends early
 	var served atomic.Int64
 	for i := range requests {
 		clients.Go(func() {
@@ -290,13 +289,13 @@
 			if answers == 1 && status == httpstatus.OK {
 				served.Add(1)
 			} else {
-				t.Errorf("seed %d: k%d got %d answers, status %d", seed, i, answers, status)
+				t.Errorf("seed %d: request k%d: got %d answers, status %d, want 1 answer, status OK", seed, i, answers, status)
 			}
 		})
 	}
 	victim := rng.IntN(activators)
 	time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
-	if seed%2 == 0 { // an activator is killed and restarted, at any moment of the start
+	if seed%2 == 0 { // an activator is stopped at a random time and restarted
 		cluster.restartActivator(victim, time.Duration(rng.IntN(500))*time.Millisecond)
 	} else { // an activator is partitioned from the store, not from the model servers
 		cluster.partition(victim, true)
@@ -310,27 +309,27 @@
 	cluster.checkStartedOnce(seed)
 }
 
-// checkStartedOnce checks that one replica was started, and each request executed once.
+// checkStartedOnce checks that one replica was started and that each request was executed once.
 func (p *testCluster) checkStartedOnce(seed uint64) {
 	p.t.Helper()
 	if n := p.replicaStarts(); n != 1 {
-		p.t.Errorf("seed %d: %d replicas were started", seed, n)
+		p.t.Errorf("seed %d: %d replicas were started, want 1", seed, n)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.duplicateReplica {
-		p.t.Errorf("seed %d: two replicas at a time", seed)
+		p.t.Errorf("seed %d: the model had two replicas at a time, want at most one", seed)
 	}
 	for key, n := range p.executions {
 		if n != 1 {
-			p.t.Errorf("seed %d: %s was executed %d times", seed, key, n)
+			p.t.Errorf("seed %d: request %s was executed %d times, want once", seed, key, n)
 		}
 	}
 }
 
 // TestWakeOnceOnLoopback starts a model over real sockets while an activator is restarted or
-// partitioned: one replica is started, and every request is answered once. BROOKWALK_SOAK sets
-// the number of runs.
+// partitioned from the store: one replica must be started, and every request executed and
+// answered once. BROOKWALK_SOAK sets the number of runs.
 func TestWakeOnceOnLoopback(t *testing.T) {
 	runs := 8
 	if v, err := strconv.Atoi(os.Getenv("BROOKWALK_SOAK")); err == nil {
@@ -344,8 +343,8 @@
 	}
 }
 
-// TestRejectedRequests checks that requests which name no model, or one that is not in the
-// registry, are answered at once.
+// TestRejectedRequests checks the answers to requests with a malformed path, for a model that is
+// not in the registry, and with a timeout that expires before the model is ready.
 func TestRejectedRequests(t *testing.T) {
 	cluster := newTestCluster(t, 1, time.Second, time.Millisecond)
 	cluster.startActivators()
@@ -363,7 +362,7 @@
 		t.Run(tc.path, func(t *testing.T) {
 			response, err := client.Do("POST", tc.path, nil, 5*time.Second)
 			if err != nil || response.Status != tc.want {
-				t.Errorf("answered %+v (%v), want %d", response, err, tc.want)
+				t.Errorf("got response %+v, error %v, want status %d", response, err, tc.want)
 			}
 		})
 	}
--- a/internal/wake/activator/models.go
+++ b/internal/wake/activator/models.go
@@ -12,7 +12,7 @@
 )
 
 // Command sends an owner's command to a model server. An answer that cannot be decoded counts
-// as none.
+// as no answer.
 func (s *Server) Command(server string, command wake.Command, done func(wake.ReplicaStatus)) {
 	s.call(s.clientFor(server), methodPost, "/copy", kv.Encode(command), s.callTimeout(), func(status int, body []byte) {
 		var replica wake.ReplicaStatus
@@ -23,7 +23,8 @@
 	})
 }
 
-// Forward sends a request to a model server, as soon as the number of connections permits.
+// Forward sends a request to a model server once fewer than maxForwards requests are being
+// forwarded.
 func (s *Server) Forward(server string, request *wake.Request, done func(wake.Outcome, []byte)) {
 	client, timeout := s.clientFor(server), request.Deadline-s.Now()
 	go func() {
@@ -32,7 +33,8 @@
 	}()
 }
 
-// forward blocks until a model server has answered a request or the time is over.
+// forward sends a request to a model server and blocks until it has been answered or has timed
+// out.
 func (s *Server) forward(client *httpwire.Client, request *wake.Request, timeout time.Duration) (wake.Outcome, []byte) {
 	deadline := time.Now().Add(timeout)
 	if !s.forwardSlots.Acquire(timeout) {
@@ -47,14 +49,14 @@
 	switch response.Status {
 	case httpstatus.OK:
 		return wake.OutcomeServed, response.Body
-	case httpstatus.Conflict: // no replica takes it
+	case httpstatus.Conflict: // the server has no replica that accepts the request
 		return wake.OutcomeRejected, nil
 	default:
 		return wake.OutcomeUnknown, nil
 	}
 }
 
-// clientFor is the client of a model server. It is called with the state machine locked.
+// clientFor returns the client of a model server. It is called with the state machine locked.
 func (s *Server) clientFor(address string) *httpwire.Client {
 	client := s.modelServers[address]
 	if client == nil {
--- a/internal/wake/activator/process_test.go
+++ b/internal/wake/activator/process_test.go
@@ -16,7 +16,7 @@
 	"github.com/brookwalk/brookwalk/internal/loopback/loopbacktest"
 )
 
-// buildProgram builds the program as the deploy file's build does, without its linker flags.
+// buildProgram builds the program as the build of the deploy file does, without its linker flags.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "brookwalk")
@@ -27,7 +27,7 @@
 	return program
 }
 
-// writeSettings writes the settings of a controller whose key-value store is at an address, and
+// writeSettings writes the settings file of a controller that uses the given key-value store, and
 // returns the file's path.
 func writeSettings(t *testing.T, dir, name, store string) string {
 	t.Helper()
@@ -69,8 +69,9 @@
 	}
 }
 
-// TestWakeByProcesses runs the command wake as three processes, two of which are killed while the
-// replica loads: the one replica that was started serves all requests.
+// TestWakeByProcesses runs the wake command as three processes and kills two of them one after
+// the other while the replica loads: only one replica must be started, and it must serve all
+// requests.
 func TestWakeByProcesses(t *testing.T) {
 	t.Parallel()
 	program, dir := buildProgram(t), t.TempDir()
@@ -86,8 +87,8 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() {
-			_ = process.Process.Kill() // it may have been killed already
-			_ = process.Wait()         // it was killed, which is an error
+			_ = process.Process.Kill() // fails if the process has been killed already
+			_ = process.Wait()         // reports the kill as an error
 		})
 		processes = append(processes, process)
 	}
@@ -96,19 +97,19 @@
 	for i := range 60 {
 		clients.Go(func() {
 			if answers, status := cluster.request(i, fmt.Sprint("k", i)); answers != 1 || status != httpstatus.OK {
-				t.Errorf("k%d got %d answers, status %d", i, answers, status)
+				t.Errorf("request k%d: got %d answers, status %d, want 1 answer, status OK", i, answers, status)
 			}
 		})
 	}
 	for began := time.Now(); cluster.replicaStarts() == 0 && time.Since(began) < 10*time.Second; {
 		time.Sleep(5 * time.Millisecond)
 	}
-	// Whichever owns the replica, two of three are killed one after the other while it loads.
+	// Two of the three processes are killed while the replica loads, whichever of them owns it.
 	kill(t, processes[0])
 	time.Sleep(300 * time.Millisecond)
 	kill(t, processes[1])
 	clients.Wait()
 	if n := cluster.replicaStarts(); n != 1 {
-		t.Errorf("%d replicas were started", n)
+		t.Errorf("%d replicas were started, want 1", n)
 	}
 }
--- a/internal/wake/activator/store_test.go
+++ b/internal/wake/activator/store_test.go
@@ -13,10 +13,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// storeRequest is a request to the store as it is on the wire.
+// storeRequest is a request as the store received it.
 type storeRequest struct{ method, target, body string }
 
-// TestStoreRequests compares the requests of each call with the store's protocol.
+// TestStoreRequests checks the request that each call sends against the store's protocol.
 func TestStoreRequests(t *testing.T) {
 	received := make(chan storeRequest, 1)
 	store, err := httpserve.Listen("127.0.0.1:0", &httpserve.Traffic{}, func(r *httpwire.Request, reply func(httpserve.Response)) {
@@ -72,7 +72,7 @@
 				t.Errorf("sent %+v, want %+v", got, tc.want)
 			}
 			if got := <-status; got != kv.Unavailable {
-				t.Errorf("status %v, want unavailable", got)
+				t.Errorf("got status %v, want kv.Unavailable", got)
 			}
 		})
 	}
--- a/internal/wake/controller.go
+++ b/internal/wake/controller.go
@@ -19,7 +19,7 @@
 	log         *slog.Logger
 
 	models      map[string]*modelState
-	modelNames  []string                              // in order
+	modelNames  []string                              // sorted
 	controllers map[string]kv.Versioned[registration] // those that are alive, by name
 	slots       kv.Versioned[wakeSlots]
 
@@ -27,27 +27,27 @@
 	listing  bool // a listing is in flight
 	revision uint64
 	watching bool          // a watch is in flight
-	retryAt  time.Duration // no call to the store before, after one that failed
+	retryAt  time.Duration // after a failed call to the store, when the next one may be made
 
 	leaseID          uint64
-	leaseExpiry      time.Duration // the lease is certainly valid until then; 0 for none
+	leaseExpiry      time.Duration // the lease is valid at least until then; 0 for none
 	leaseCallPending bool
 	nextLeaseCall    time.Duration
 }
 
-// modelState is what a controller knows of a model.
+// modelState is the state that a controller keeps for a model.
 type modelState struct {
 	Model
 	record        kv.Versioned[Record]
 	queue         queue
 	inFlight      map[uint64]*Request // forwarded to the replica, by ID
-	writePending  bool                // a transaction on its record is in flight
+	writePending  bool                // a transaction that writes its record is in flight
 	ownership     ownership
-	lastFailure   time.Duration // when the record last showed one more failed start
-	lastRejection time.Duration // when the replica last did not take a request
+	lastFailure   time.Duration // when the record last showed a further failed start
+	lastRejection time.Duration // when a forwarded request was last not served; 0 for none
 }
 
-// New makes a controller. The incarnation has to differ from that of any other run of the
+// New creates a controller. The incarnation must differ from that of any other run of the
 // program.
 func New(name string, incarnation uint64, registry *Registry, store Store, servers ModelServers, host Host, log *slog.Logger) *Controller {
 	c := &Controller{
@@ -73,19 +73,20 @@
 	return c
 }
 
-// Ratios of times to the lease of a controller.
+// Fractions of a controller's lease.
 const (
-	pollDivisor  = 8 // time between two probes of a replica, and between retries
-	renewDivisor = 4 // time between two renewals of the lease
+	pollDivisor  = 8 // interval of commands to a replica's server, and of retries
+	renewDivisor = 4 // interval of renewals of the lease
 )
 
 // leaseDuration is how long a controller counts as alive without renewing its lease.
 func (c *Controller) leaseDuration() time.Duration { return seconds(c.registry.LeaseSeconds) }
 
-// pollInterval is the time between two probes of a replica, and between retries.
+// pollInterval is the time between two commands to a replica's server, and between retries.
 func (c *Controller) pollInterval() time.Duration { return c.leaseDuration() / pollDivisor }
 
-// Tick does what is due. It is called several times per lease.
+// Tick does the periodic work: it maintains the lease and the view, answers expired requests and
+// reconciles every model. It is called several times per lease.
 func (c *Controller) Tick() {
 	now := c.host.Now()
 	c.maintainLease(now)
@@ -97,7 +98,8 @@
 	}
 }
 
-// reconcile does what a model's record and its queue require of this controller.
+// reconcile takes the actions that a model's record and queue require of this controller: it
+// commands the replica, forwards requests, starts the model or takes over its replica.
 func (c *Controller) reconcile(model *modelState) {
 	if !c.listed {
 		return
--- a/internal/wake/controller_test.go
+++ b/internal/wake/controller_test.go
@@ -10,14 +10,15 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// fakeBackends is a store, model servers and a host that answer at once, unless told not to.
+// fakeBackends is a store, model servers and a host. Calls are answered at once, except watches,
+// forwarded requests and, if dropRenewals is set, renewals of leases.
 type fakeBackends struct {
 	now          time.Duration
 	items        map[string]wire.Item
 	revision     uint64
 	dropRenewals bool   // renewals of leases get no answer
-	beforeCommit func() // is called before each transaction
-	conflicts    int    // transactions whose conditions did not hold
+	beforeCommit func() // called before each transaction, if set
+	conflicts    int    // transactions that failed with a conflict
 	commands     []Command
 }
 
@@ -78,7 +79,7 @@
 	f.items[key] = wire.Item{Key: key, Value: kv.Encode(value), Version: f.revision}
 }
 
-// newTestController makes a controller of one model.
+// newTestController creates a controller of one model.
 func newTestController(t *testing.T, backends *fakeBackends) *Controller {
 	t.Helper()
 	registry, err := ParseRegistry("lease_s = 4\ncopy_lease_s = 12\nmax_waking = 2\nmax_waiting = 10\n" +
@@ -89,8 +90,9 @@
 	return New("node-0", 1, registry, backends, backends, backends, slog.New(slog.DiscardHandler))
 }
 
-// TestTakeoverRequiresOwnerKeyDeleted lets the owner of a replica return between the moment at which
-// its key was seen to be deleted and the takeover: the owner keeps the replica.
+// TestTakeoverRequiresOwnerKeyDeleted lets the owner of a replica register again after another
+// controller has found its key deleted and before that controller commits the takeover: the
+// takeover must fail, and the owner keep the replica.
 func TestTakeoverRequiresOwnerKeyDeleted(t *testing.T) {
 	backends := newFakeBackends()
 	backends.put(modelKey("a"), Record{Phase: PhaseAwake, Epoch: 3, Owner: "node-1", Incarnation: 7, Server: "gpu-0"})
@@ -113,13 +115,13 @@
 		t.Fatal(err)
 	}
 	if record.Owner != "node-1" || record.Epoch != 3 || backends.conflicts == 0 {
-		t.Errorf("%s owns the replica under epoch %d although the previous owner is alive", record.Owner, record.Epoch)
+		t.Errorf("replica owned by %s under epoch %d, want node-1 under epoch 3 and a takeover that fails with a conflict", record.Owner, record.Epoch)
 	}
 }
 
-// TestOwnerStopsOnceLeaseMayHaveExpired leaves the renewals of an owner's lease unanswered: it
-// commands the model server until the lease may have expired by its own clock, and no longer,
-// since another controller may have taken over by then.
+// TestOwnerStopsOnceLeaseMayHaveExpired leaves the renewals of an owner's lease unanswered. Once
+// the lease may have expired by the owner's clock, it must send no further commands to the model
+// server, since another controller may have taken over by then.
 func TestOwnerStopsOnceLeaseMayHaveExpired(t *testing.T) {
 	backends := newFakeBackends()
 	controller := newTestController(t, backends)
@@ -127,7 +129,7 @@
 	controller.Handle(&Request{ID: 1, Model: "a", IdempotencyKey: "k", Deadline: time.Hour})
 	controller.Tick()
 	if len(backends.commands) == 0 {
-		t.Fatal("the model server got no command")
+		t.Fatal("the owner sent no command to the model server before its lease expired")
 	}
 	backends.dropRenewals = true
 	for backends.now < controller.leaseDuration() {
@@ -140,12 +142,12 @@
 		controller.Tick()
 	}
 	if n := len(backends.commands) - before; n > 0 {
-		t.Errorf("%d commands after the lease may have expired", n)
+		t.Errorf("got %d commands after the lease may have expired, want 0", n)
 	}
 }
 
-// TestMalformedRecord lists a record that cannot be decoded: its version is known, so that the
-// next write replaces it.
+// TestMalformedRecord lists a record that cannot be decoded. Its version is known all the same,
+// so the next write must replace it.
 func TestMalformedRecord(t *testing.T) {
 	backends := newFakeBackends()
 	backends.items[modelKey("a")] = wire.Item{Key: modelKey("a"), Value: []byte("{"), Version: 1}
@@ -154,6 +156,6 @@
 	controller.Handle(&Request{ID: 1, Model: "a", IdempotencyKey: "k", Deadline: time.Hour})
 	var record Record
 	if err := json.Unmarshal(backends.items[modelKey("a")].Value, &record); err != nil || record.Owner != "node-0" {
-		t.Errorf("the record is %+v, %v", record, err)
+		t.Errorf("got record %+v, decode error %v, want a record owned by node-0", record, err)
 	}
 }
--- a/internal/wake/lease.go
+++ b/internal/wake/lease.go
@@ -7,10 +7,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// maintainLease keeps the key in the store that shows that this controller is alive. Once the
-// lease may have expired the controller acts on no replica until it is registered again, under
-// the same incarnation; until then whoever finds the key deleted takes its replicas over, this
-// controller included.
+// maintainLease keeps this controller's key in the store, which shows that it is alive. Once the
+// lease may have expired, the controller sends no commands to its replicas until it has
+// registered again under the same incarnation. In the meantime any other controller that finds
+// the key deleted takes over the replicas; those that none took over remain this controller's.
 func (c *Controller) maintainLease(now time.Duration) {
 	if c.leaseCallPending || now < c.nextLeaseCall {
 		return
@@ -24,7 +24,8 @@
 	}
 }
 
-// renew renews the lease. Its expiry counts from when the renewal was asked for.
+// renew renews the lease. The new expiry is counted from when the renewal was sent, so that it
+// is never later than the store's.
 func (c *Controller) renew(now time.Duration) {
 	c.store.Renew(c.leaseID, func(status kv.Status) {
 		c.leaseCallPending = false
@@ -35,12 +36,12 @@
 			c.leaseID = 0
 			c.nextLeaseCall = c.host.Now()
 			c.relist()
-		default: // the lease may still be valid; the next renewal will show it
+		default: // the lease may still be valid; the next renewal will tell
 		}
 	})
 }
 
-// grant asks for a lease and registers under it.
+// grant requests a lease and registers this controller under it.
 func (c *Controller) grant(now time.Duration) {
 	c.store.Grant(c.leaseDuration(), func(result kv.GrantResult) {
 		if result.Status != kv.OK {
@@ -51,7 +52,8 @@
 	})
 }
 
-// register writes this controller's key under a lease that was granted at a time.
+// register writes this controller's key, attached to a lease that was requested at the given
+// time.
 func (c *Controller) register(granted time.Duration, lease uint64) {
 	own := registration{Incarnation: c.incarnation}
 	txn := &wire.Txn{Writes: []wire.Write{{Put: controllerKey(c.name), Value: kv.Encode(own), Lease: lease}}}
--- a/internal/wake/owner.go
+++ b/internal/wake/owner.go
@@ -5,8 +5,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// mayWake reports whether a start may begin: the number of concurrent starts is bounded, and
-// a start that failed is retried with exponential backoff.
+// mayWake reports whether a model may be started now: the number of concurrent starts is
+// bounded, and failed starts are retried with exponential backoff.
 func (c *Controller) mayWake(model *modelState) bool {
 	if len(c.slots.Value.Holders) >= c.registry.MaxWaking {
 		return false
@@ -19,11 +19,12 @@
 	return c.host.Now() >= model.lastFailure+backoff
 }
 
-// maxBackoffDoublings bounds the time between two starts of a replica that fails to load.
+// maxBackoffDoublings bounds the backoff between starts of a replica that fails to load, at 16
+// times its LoadSeconds.
 const maxBackoffDoublings = 4
 
-// registered reports whether this controller's key shows that it is alive, and will do so until
-// leaseExpiry at least.
+// registered reports whether this controller is registered as alive: its key exists under this
+// incarnation, and its lease is valid until leaseExpiry at least.
 func (c *Controller) registered() bool {
 	return c.leaseID != 0 && c.host.Now() < c.leaseExpiry && c.controllers[c.name].Value.Incarnation == c.incarnation
 }
@@ -34,7 +35,8 @@
 	return record.Owner == c.name && record.Incarnation == c.incarnation && record.Phase != PhaseAsleep
 }
 
-// orphaned reports whether the key of the replica's owner has expired.
+// orphaned reports whether the owner of a model's replica is no longer registered: its key has
+// been deleted, or belongs to another incarnation.
 func (c *Controller) orphaned(model *modelState) bool {
 	record := &model.record.Value
 	if record.Phase == PhaseAsleep || record.Phase == phaseNoRecord || c.owns(model) {
@@ -43,7 +45,8 @@
 	return c.controllers[record.Owner].Value.Incarnation != record.Incarnation
 }
 
-// claim records that this controller starts a model.
+// claim writes a record that makes this controller the owner of a new replica, which it then
+// starts.
 func (c *Controller) claim(model *modelState) {
 	record := model.record.Value
 	next := Record{
@@ -60,17 +63,18 @@
 	c.writeRecord(model, next, slotAcquired)
 }
 
-// takeOver records that this controller owns a replica whose owner no longer exists. The server
-// stays the same: it is the only one that may have the replica.
+// takeOver writes a record that makes this controller the owner of an orphaned replica. The
+// server stays the same, since it is the only one that may have the replica.
 func (c *Controller) takeOver(model *modelState) {
 	next := model.record.Value
 	next.Epoch++
 	next.Owner, next.Incarnation = c.name, c.incarnation
-	c.log.Info("replica taken over", "model", model.Name, "previous_owner", model.record.Value.Owner, "phase", next.Phase, "epoch", next.Epoch)
+	c.log.Info("taking over replica: its owner is no longer registered", "model", model.Name, "previous_owner", model.record.Value.Owner, "phase", next.Phase, "epoch", next.Epoch)
 	c.writeRecord(model, next, slotUnchanged)
 }
 
-// slotChange is what a change of a record does to the list of models that are being started.
+// slotChange is how a change of a model's record affects the list of models that are being
+// started.
 type slotChange int
 
 const (
@@ -79,8 +83,9 @@
 	slotReleased
 )
 
-// writeRecord writes a model's record by a compare-and-swap: nothing may have changed since it
-// was read, and this controller's key must still exist.
+// writeRecord writes a model's record in a compare-and-swap transaction. It commits only if the
+// record, this controller's key and, if a slot changes, the list of slots are unchanged since
+// they were read.
 func (c *Controller) writeRecord(model *modelState, next Record, slot slotChange) {
 	if model.writePending || !c.registered() || c.host.Now() < c.retryAt {
 		return
@@ -107,8 +112,8 @@
 	})
 }
 
-// recordTxn is the transaction that writes a model's record. If it takes the replica over, the
-// key of the previous owner must still not exist.
+// recordTxn returns the transaction that writes a model's record. A takeover is also conditional
+// on the previous owner's key being unchanged since the replica was found orphaned.
 func (c *Controller) recordTxn(model *modelState, next Record) *wire.Txn {
 	txn := &wire.Txn{
 		Conditions: []wire.Condition{
@@ -124,8 +129,9 @@
 	return txn
 }
 
-// onWriteFailed reads the records anew after a conflict or an unknown outcome: they show what
-// happened, also where the transaction is carried out later.
+// onWriteFailed lists the records again after a transaction that did not commit or whose outcome
+// is unknown. The listing and the watch after it show the outcome, even if the transaction is
+// executed later.
 func (c *Controller) onWriteFailed(status kv.Status) {
 	c.relist()
 	if status != kv.Conflict {
@@ -133,7 +139,7 @@
 	}
 }
 
-// updateSlots is the list of models that are being started, after a change of one of them.
+// updateSlots returns the list of models that are being started after a model's slot has changed.
 func updateSlots(holders []string, name string, change slotChange) []string {
 	updated := []string{}
 	for _, holder := range holders {
--- a/internal/wake/ports.go
+++ b/internal/wake/ports.go
@@ -8,17 +8,17 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Store is the key-value store. Each call is answered later, by its callback.
+// Store is the key-value store. The result of each call is passed to its callback.
 type Store interface {
-	// List reads all keys below a prefix.
+	// List reads all keys with a prefix.
 	List(prefix string, done func(kv.ListResult))
-	// Commit carries out a transaction.
+	// Commit executes a transaction.
 	Commit(txn *wire.Txn, done func(kv.TxnResult))
-	// Grant asks for a lease.
+	// Grant requests a lease.
 	Grant(ttl time.Duration, done func(kv.GrantResult))
 	// Renew renews a lease; NotFound means that it has expired.
 	Renew(lease uint64, done func(kv.Status))
-	// Watch waits for changes below a prefix after a revision.
+	// Watch waits for changes of keys with a prefix after a revision.
 	Watch(prefix string, since uint64, done func(kv.WatchResult))
 }
 
@@ -30,27 +30,29 @@
 	ReplicaAbsent      ReplicaState = "none"
 	ReplicaLoading     ReplicaState = "loading"
 	ReplicaReady       ReplicaState = "ready"
-	ReplicaClosed      ReplicaState = "closed" // takes no further requests
+	ReplicaClosed      ReplicaState = "closed" // accepts no further requests
 	ReplicaFailed      ReplicaState = "failed" // the load failed, and there is no replica
-	ReplicaFenced      ReplicaState = "fenced" // the server knows a later epoch and did nothing
+	ReplicaFenced      ReplicaState = "fenced" // the server has seen a later epoch and did nothing
 	ReplicaUnreachable ReplicaState = ""
 )
 
 // ReplicaStatus is a model server's answer to a command.
 type ReplicaStatus struct {
 	State ReplicaState `json:"state"`
-	// StartToken permits one start, for as long as a replica's lease, by the server's clock.
+	// StartToken permits a single start. It is valid for the duration of a replica's lease, by
+	// the server's clock.
 	StartToken  uint64  `json:"ticket,omitempty"`
-	InFlight    int     `json:"busy"`   // requests that are being served
+	InFlight    int     `json:"busy"`   // requests being served
 	IdleSeconds float64 `json:"idle_s"` // since the last request
 }
 
-// Verb is what a command asks of a model server.
+// Verb is the action that a command requests of a model server.
 type Verb string
 
 // The verbs of commands. Each command renews the replica's lease and fences earlier epochs. A
-// start needs the token that a probe has returned where there is no replica, so that a start
-// that is late or repeated never starts a second replica; it does nothing where there is one.
+// probe of a server without a replica returns a token, which the start must present, so that a
+// late or repeated start never starts a second replica. A start has no effect if there is a
+// replica.
 const (
 	VerbProbe Verb = "look"
 	VerbStart Verb = "start"
@@ -58,7 +60,7 @@
 	VerbStop  Verb = "stop" // ends a closed replica that serves no request
 )
 
-// Command is a command of a replica's owner to the model server.
+// Command is a command that a replica's owner sends to the model server.
 type Command struct {
 	Verb       Verb   `json:"verb"`
 	Model      string `json:"model"`
@@ -66,19 +68,20 @@
 	StartToken uint64 `json:"ticket,omitempty"`
 }
 
-// Outcome is what became of a request that was forwarded to a replica.
+// Outcome is the outcome of a request that was forwarded to a replica.
 type Outcome int
 
-// The outcomes. After OutcomeRejected the replica has certainly not begun the request. After
-// OutcomeUnknown, when no answer came, the request is forwarded again under its idempotency
-// key, and the replica serves it once.
+// The outcomes. OutcomeRejected means that the replica has not begun to serve the request.
+// OutcomeUnknown means that no usable answer came: the request is forwarded again under its
+// idempotency key, and the replica serves it once.
 const (
 	OutcomeServed Outcome = iota
 	OutcomeRejected
 	OutcomeUnknown
 )
 
-// ModelServers are the servers that run replicas. Each call is answered later, by its callback.
+// ModelServers are the servers that run replicas. The result of each call is passed to its
+// callback.
 type ModelServers interface {
 	// Command sends a command to a server.
 	Command(server string, command Command, done func(ReplicaStatus))
@@ -86,28 +89,28 @@
 	Forward(server string, request *Request, done func(outcome Outcome, body []byte))
 }
 
-// Status is how a request ended, as a status number of HTTP.
+// Status is the outcome of a request, as an HTTP status code.
 type Status int
 
 // The final answers.
 const (
 	StatusServed      Status = httpstatus.OK
 	StatusNotFound    Status = httpstatus.NotFound           // no such model
-	StatusUnavailable Status = httpstatus.ServiceUnavailable // to be repeated after RetryAfterSeconds
+	StatusUnavailable Status = httpstatus.ServiceUnavailable // the queue is full; retry after RetryAfterSeconds
 	StatusTimeout     Status = httpstatus.GatewayTimeout
 )
 
-// Reply is the one final answer to a request.
+// Reply is the only answer to a request.
 type Reply struct {
 	Status            Status
 	Body              []byte
 	RetryAfterSeconds int
 }
 
-// Host is the process around a controller.
+// Host is the process that runs a controller.
 type Host interface {
-	// Now is the steady time.
+	// Now returns the time of a monotonic clock.
 	Now() time.Duration
-	// Reply gives a request its final answer.
+	// Reply sends the answer to a request.
 	Reply(id uint64, reply Reply)
 }
--- a/internal/wake/queue.go
+++ b/internal/wake/queue.go
@@ -4,14 +4,15 @@
 
 // Request is a request to a model.
 type Request struct {
-	ID             uint64 // of the connection that waits for the answer
+	ID             uint64 // identifies the client that waits for the reply
 	Model          string
-	IdempotencyKey string // chosen by the client; a repeated request has the same one
+	IdempotencyKey string // chosen by the client; a retried request has the same one
 	Body           []byte
-	Deadline       time.Duration // when the client gives up, by the controller's clock
+	Deadline       time.Duration // when the request times out, by the controller's clock
 }
 
-// queue holds the requests that wait for a model, in order of arrival. Its length is bounded.
+// queue holds the requests that wait for a model, in order of arrival. Its length is bounded by
+// limit.
 type queue struct {
 	limit    int
 	requests []*Request
@@ -26,8 +27,8 @@
 	return true
 }
 
-// pushFront returns a request that was forwarded to the head of the queue. The limit does not
-// apply: the request was counted when it arrived.
+// pushFront puts a request that was forwarded but not served back at the head of the queue. The
+// limit does not apply, since the request was admitted when it arrived.
 func (q *queue) pushFront(request *Request) {
 	q.requests = append([]*Request{request}, q.requests...)
 }
--- a/internal/wake/record.go
+++ b/internal/wake/record.go
@@ -1,13 +1,14 @@
-// Package wake implements scale from zero: any number of controllers agree that a sleeping
-// model, one without a replica, is started exactly once, and every request that waits for it
-// is served by that one replica.
+// Package wake implements scaling models from zero and back: any number of controllers agree
+// that a model without a replica is started exactly once, and every request that waits for the
+// model is served by that one replica.
 //
 // A record in the key-value store names the controller that owns a model's replica, under an
-// epoch that each change of owner raises. Model servers reject commands of an older epoch, so
-// an owner that was paused or partitioned can do no harm when it resumes. The package is a
-// state machine: requests, ticks and answers in; calls and replies out. It has no clock, socket
-// or goroutine. Package wake/activator runs it in a process, and internal/sim in virtual time.
-// It writes only keys below Prefix. docs/design-wake.md compares the alternatives.
+// epoch that increases with each change of owner. Model servers reject commands of an older
+// epoch, so an owner that was paused or partitioned cannot interfere with its successor when it
+// resumes. The package is a state machine: its inputs are requests, ticks and answers, its
+// outputs calls and replies. It has no clock, socket or goroutine. Package wake/activator runs it
+// in a process, and internal/sim in virtual time. It writes only keys that begin with Prefix.
+// docs/design-wake.md compares the alternatives.
 package wake
 
 // Prefix begins all keys of this package in the key-value store.
@@ -22,11 +23,11 @@
 // modelKey is the key of a model's record.
 func modelKey(model string) string { return modelPrefix + model }
 
-// controllerKey is the key that shows that a controller is alive. It is attached to the
+// controllerKey is the key that exists while a controller is alive. It is attached to the
 // controller's lease.
 func controllerKey(controller string) string { return controllerPrefix + controller }
 
-// Phase is where a model's replica is in its life.
+// Phase is the phase of the life cycle of a model's replica.
 type Phase string
 
 // The phases of a replica. A model without a record is asleep.
@@ -35,18 +36,18 @@
 	PhaseAsleep   Phase = "asleep"   // scaled to zero
 	PhaseWaking   Phase = "waking"   // being started
 	PhaseAwake    Phase = "awake"    // serves requests
-	PhaseDraining Phase = "draining" // takes no further requests and is then stopped
+	PhaseDraining Phase = "draining" // accepts no further requests and is then stopped
 )
 
-// Record is what the store holds of a model. Its JSON names are in stored records and never
-// change.
+// Record is a model's record in the key-value store. Its JSON names are in stored records and
+// must never change.
 type Record struct {
 	Phase       Phase  `json:"p"`
-	Epoch       uint64 `json:"e"`           // raised by every claim, takeover and change of server
+	Epoch       uint64 `json:"e"`           // increased by every claim, takeover and failover
 	Owner       string `json:"d,omitempty"` // the controller that owns the replica
 	Incarnation uint64 `json:"r,omitempty"` // of the owner's process
-	Server      string `json:"s,omitempty"` // the only one that may have a replica
-	Failures    int    `json:"f,omitempty"` // consecutive starts that led to no replica
+	Server      string `json:"s,omitempty"` // the only server that may have a replica
+	Failures    int    `json:"f,omitempty"` // consecutive failed starts
 }
 
 // registration is the value of a controller's key.
@@ -54,7 +55,7 @@
 	Incarnation uint64 `json:"r"`
 }
 
-// wakeSlots lists the models that are being started. Their number is bounded.
+// wakeSlots lists the models that are being started, at most MaxWaking of them.
 type wakeSlots struct {
 	Holders []string `json:"w"`
 }
--- a/internal/wake/registry.go
+++ b/internal/wake/registry.go
@@ -15,12 +15,13 @@
 type Registry struct {
 	// LeaseSeconds is how long a controller counts as alive without renewing its lease.
 	LeaseSeconds float64 `toml:"lease_s"`
-	// ReplicaLeaseSeconds is how long a replica runs without a command of its owner. It is
-	// more than LeaseSeconds, so that a takeover finds the replica.
+	// ReplicaLeaseSeconds is how long a replica runs without a command from its owner. It must
+	// be more than LeaseSeconds, so that the replica still runs when another controller takes
+	// it over.
 	ReplicaLeaseSeconds float64 `toml:"copy_lease_s"`
 	// MaxWaking is how many models may be started at a time.
 	MaxWaking int `toml:"max_waking"`
-	// MaxWaiting is how many requests for a model may wait on a controller.
+	// MaxWaiting is how many requests for a model may be queued on a controller.
 	MaxWaiting int     `toml:"max_waiting"`
 	Models     []Model `toml:"models"`
 }
@@ -28,12 +29,12 @@
 // Model is a model that may be scaled to zero.
 type Model struct {
 	Name        string   `toml:"name"`
-	Servers     []string `toml:"servers"` // addresses that may run its replica, the preferred one first
+	Servers     []string `toml:"servers"` // addresses of the model servers that may run its replica, preferred first
 	LoadSeconds float64  `toml:"load_s"`  // how long a replica usually takes to load
 	IdleSeconds float64  `toml:"idle_s"`  // time without a request before scaling to zero; 0 for never
 }
 
-// ParseRegistry reads and validates a registry. An unknown field is an error that names it.
+// ParseRegistry parses and validates a registry. An unknown field is an error that names it.
 func ParseRegistry(text string) (*Registry, error) {
 	var registry Registry
 	meta, err := toml.Decode(text, &registry)
@@ -49,7 +50,7 @@
 	return &registry, nil
 }
 
-// LoadRegistry reads and validates a registry from a file.
+// LoadRegistry reads, parses and validates a registry file.
 func LoadRegistry(path string) (*Registry, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -58,7 +59,7 @@
 	return ParseRegistry(string(text))
 }
 
-// validate checks the values. The error names every wrong field.
+// validate checks the values. The error names every invalid field.
 func (r *Registry) validate() error {
 	var problems []string
 	require := func(ok bool, format string, args ...any) {
@@ -66,19 +67,19 @@
 			problems = append(problems, fmt.Sprintf(format, args...))
 		}
 	}
-	require(r.LeaseSeconds > 0, "lease_s: %v, more than 0 is expected", r.LeaseSeconds)
-	require(r.ReplicaLeaseSeconds > r.LeaseSeconds, "copy_lease_s: %v, more than lease_s (%v) is expected", r.ReplicaLeaseSeconds, r.LeaseSeconds)
-	require(r.MaxWaking > 0, "max_waking: %d, 1 or more is expected", r.MaxWaking)
-	require(r.MaxWaiting > 0, "max_waiting: %d, 1 or more is expected", r.MaxWaiting)
-	require(len(r.Models) > 0, "models: missing")
+	require(r.LeaseSeconds > 0, "lease_s: got %v, must be more than 0", r.LeaseSeconds)
+	require(r.ReplicaLeaseSeconds > r.LeaseSeconds, "copy_lease_s: got %v, must be more than lease_s (%v)", r.ReplicaLeaseSeconds, r.LeaseSeconds)
+	require(r.MaxWaking > 0, "max_waking: got %d, must be at least 1", r.MaxWaking)
+	require(r.MaxWaiting > 0, "max_waiting: got %d, must be at least 1", r.MaxWaiting)
+	require(len(r.Models) > 0, "models: missing, at least one model is required")
 	seen := map[string]bool{}
 	for i, model := range r.Models {
 		require(model.Name != "" && !strings.Contains(model.Name, "/") && !seen[model.Name],
-			"models[%d].name: %q is missing, repeated or holds a slash", i, model.Name)
+			"models[%d].name: %q is empty, repeated or contains a slash", i, model.Name)
 		seen[model.Name] = true
-		require(len(model.Servers) > 0, "models[%d].servers: missing", i)
-		require(model.LoadSeconds > 0, "models[%d].load_s: %v, more than 0 is expected", i, model.LoadSeconds)
-		require(model.IdleSeconds >= 0, "models[%d].idle_s: %v, 0 or more is expected", i, model.IdleSeconds)
+		require(len(model.Servers) > 0, "models[%d].servers: missing, at least one server is required", i)
+		require(model.LoadSeconds > 0, "models[%d].load_s: got %v, must be more than 0", i, model.LoadSeconds)
+		require(model.IdleSeconds >= 0, "models[%d].idle_s: got %v, must be at least 0", i, model.IdleSeconds)
 	}
 	if len(problems) > 0 {
 		return errors.New(strings.Join(problems, "; "))
--- a/internal/wake/replica.go
+++ b/internal/wake/replica.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// ownership is what the owner of a replica knows of it, under one epoch.
+// ownership is the state that a replica's owner keeps for it under one epoch.
 type ownership struct {
 	epoch          uint64
 	commandPending bool          // a command is in flight
 	nextCommand    time.Duration // when the next command is due
-	startToken     uint64        // permits to start the replica; 0 for none
+	startToken     uint64        // to be sent with the next start; 0 for none
 	lastAnswer     time.Duration // when the server last answered
 	since          time.Duration // when this ownership began
-	replicaSeen    bool          // the replica existed under this epoch
-	closed         bool          // the replica takes no further requests
+	replicaSeen    bool          // the server reported a loading or ready replica under this epoch
+	closed         bool          // the replica accepts no further requests
 }
 
-// reconcileReplica does what is due for a replica that this controller owns.
+// reconcileReplica sends the next command for a replica that this controller owns, or fails the
+// model over if the replica's lease has expired.
 func (c *Controller) reconcileReplica(model *modelState) {
 	if !c.registered() {
 		return // another controller may own it by now
@@ -36,7 +37,7 @@
 	c.servers.Command(record.Server, command, func(status ReplicaStatus) { c.onStatus(model, command, status) })
 }
 
-// nextVerb is the next command to the replica's server.
+// nextVerb returns the verb of the next command to the replica's server.
 func nextVerb(model *modelState) Verb {
 	owned := &model.ownership
 	switch model.record.Value.Phase {
@@ -54,24 +55,26 @@
 	return VerbProbe
 }
 
-// replicaExpired reports whether the replica's lease has certainly expired and the replica has
-// ended by itself: its server has not answered for longer than the lease, with a margin of a
-// twentieth for the drift of the clocks. After a takeover the time counts from then, since the
-// previous owner may have renewed the replica's lease until its own expired.
+// replicaExpired reports whether the replica's lease is considered expired, so that the replica
+// has ended by itself: its server has not answered for longer than the replica's lease, plus one
+// twentieth of it for clock drift, plus one controller lease. After a takeover the time is
+// counted from the takeover, since the previous owner may have renewed the replica's lease until
+// its own expired.
 func (c *Controller) replicaExpired(model *modelState, now time.Duration) bool {
 	since := max(model.ownership.lastAnswer, model.ownership.since)
 	lease := seconds(c.registry.ReplicaLeaseSeconds)
 	return now-since > lease+lease/driftDivisor+c.leaseDuration()
 }
 
-// driftDivisor is the part of a replica's lease by which clocks may drift during it.
+// driftDivisor is the divisor of a replica's lease that gives the allowance for clock drift
+// during it.
 const driftDivisor = 20
 
 // onStatus handles a model server's answer to a command.
 func (c *Controller) onStatus(model *modelState, command Command, status ReplicaStatus) {
 	owned, now := &model.ownership, c.host.Now()
 	if owned.epoch != command.Epoch || !c.owns(model) {
-		return // the owner has changed meanwhile
+		return // the owner or the epoch has changed since the command was sent
 	}
 	owned.commandPending = false
 	owned.nextCommand = now + c.pollInterval()
@@ -99,7 +102,7 @@
 	}
 }
 
-// onFailed records that the replica failed to load.
+// onFailed handles that the replica failed to load.
 func (c *Controller) onFailed(model *modelState) {
 	record := model.record.Value
 	failures := record.Failures + 1
@@ -107,28 +110,28 @@
 	c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch, Failures: failures}, slotReleased)
 }
 
-// onAbsent handles that the server has no replica. The token permits to start one.
+// onAbsent handles that the server has no replica. The token permits one start.
 func (c *Controller) onAbsent(model *modelState, startToken uint64) {
 	record := model.record.Value
 	switch record.Phase {
 	case PhaseWaking:
 		if model.ownership.replicaSeen {
-			// The replica existed and has ended: a load that was aborted.
+			// The replica existed under this epoch and has ended, as after an aborted load.
 			c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch, Failures: record.Failures + 1}, slotReleased)
 			return
 		}
-		if startToken != 0 { // no owner has started it: start it now
+		if startToken != 0 { // no replica was started under this epoch: start it now
 			model.ownership.startToken, model.ownership.nextCommand = startToken, c.host.Now()
 			c.reconcileReplica(model)
 		}
 	case PhaseAwake, PhaseDraining:
-		c.log.Info("replica ended", "model", model.Name, "server", record.Server, "phase", record.Phase)
+		c.log.Info("replica no longer exists on its model server", "model", model.Name, "server", record.Server, "phase", record.Phase)
 		c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch}, slotUnchanged)
-	case PhaseAsleep, phaseNoRecord: // no owner, so no command
+	case PhaseAsleep, phaseNoRecord: // without an owner, no command is sent
 	}
 }
 
-// onReady handles that the replica can take requests, and drains it once it is idle.
+// onReady handles that the replica can serve requests, and starts to drain it once it is idle.
 func (c *Controller) onReady(model *modelState, status ReplicaStatus) {
 	record := model.record.Value
 	switch record.Phase {
@@ -140,12 +143,12 @@
 			record.Phase = PhaseDraining
 			c.writeRecord(model, record, slotUnchanged)
 		}
-	case PhaseDraining, PhaseAsleep, phaseNoRecord: // the next command closes the replica, if any
+	case PhaseDraining, PhaseAsleep, phaseNoRecord: // while draining, the next command closes it
 	}
 }
 
-// idle reports whether the replica is to sleep: neither the server nor this controller has had
-// a request for it for long enough.
+// idle reports whether the model is to be scaled to zero: its server has served no request for
+// IdleSeconds and has none in flight, and this controller has none queued or forwarded.
 func (m *modelState) idle(status ReplicaStatus) bool {
 	if m.IdleSeconds <= 0 || status.InFlight != 0 || status.IdleSeconds < m.IdleSeconds {
 		return false
@@ -153,12 +156,12 @@
 	return len(m.queue.requests)+len(m.inFlight) == 0
 }
 
-// onClosed handles that the replica takes no further requests.
+// onClosed handles that the replica accepts no further requests.
 func (c *Controller) onClosed(model *modelState, status ReplicaStatus) {
 	model.ownership.closed = true
 	if model.record.Value.Phase == PhaseWaking {
-		// A previous owner closed it and did not record that. The model is started again once
-		// that replica has ended.
+		// A previous owner closed it without recording that. The model is started again once
+		// this replica has ended.
 		record := model.record.Value
 		record.Phase = PhaseDraining
 		c.writeRecord(model, record, slotReleased)
@@ -169,15 +172,15 @@
 	}
 }
 
-// failOver starts a model on its next server, once the replica on the unreachable one has
-// certainly ended. A replica that was draining has then ended as well.
+// failOver starts a model on its next server after the lease of the replica on the unreachable
+// server has expired. A replica that was draining is recorded as stopped instead.
 func (c *Controller) failOver(model *modelState) {
 	record := model.record.Value
 	if record.Phase == PhaseDraining {
 		c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch}, slotUnchanged)
 		return
 	}
-	slot := slotUnchanged // a model that was being started has a slot already
+	slot := slotUnchanged // a model that was being started already holds a slot
 	if record.Phase == PhaseAwake {
 		slot = slotAcquired
 	}
@@ -189,11 +192,12 @@
 		Server:      model.serverAfter(record.Server),
 		Failures:    record.Failures,
 	}
-	c.log.Warn("model server unreachable", "model", model.Name, "server", record.Server, "next_server", next.Server)
+	c.log.Warn("model server unreachable past the replica's lease; starting the model on its next server", "model", model.Name, "server", record.Server, "next_server", next.Server)
 	c.writeRecord(model, next, slot)
 }
 
-// serverAfter is the server that follows one in a model's list, the first after the last.
+// serverAfter returns the server that follows the given one in a model's list, wrapping around
+// at the end; the first one if the given one is not listed.
 func (m *modelState) serverAfter(server string) string {
 	for i, candidate := range m.Servers {
 		if candidate == server {
--- a/internal/wake/requests.go
+++ b/internal/wake/requests.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Handle accepts a request, which gets exactly one reply.
+// Handle accepts a request, to which exactly one reply is sent.
 func (c *Controller) Handle(request *Request) {
 	model := c.models[request.Model]
 	switch {
@@ -21,11 +21,11 @@
 	}
 }
 
-// retryAfter is when a client whose request was rejected should repeat it, in seconds: by then
-// the replica may have loaded.
+// retryAfter returns after how many seconds a client should retry a request that was rejected:
+// the time that the replica usually takes to load.
 func retryAfter(model *modelState) int { return int(math.Ceil(model.LoadSeconds)) }
 
-// expireRequests answers the requests whose deadlines have passed, queued or forwarded.
+// expireRequests answers the requests, queued or forwarded, whose deadlines have passed.
 func (c *Controller) expireRequests(model *modelState, now time.Duration) {
 	for _, request := range model.queue.removeExpired(now) {
 		c.host.Reply(request.ID, Reply{Status: StatusTimeout})
@@ -47,7 +47,8 @@
 	return ids
 }
 
-// forwardAll forwards the queued requests to the replica, unless it has just rejected one.
+// forwardAll forwards the queued requests to the replica. After one was not served, it waits for
+// the poll interval.
 func (c *Controller) forwardAll(model *modelState) {
 	if len(model.queue.requests) == 0 {
 		return
@@ -67,7 +68,7 @@
 // onForwarded handles the outcome of a forwarded request.
 func (c *Controller) onForwarded(model *modelState, request *Request, outcome Outcome, body []byte) {
 	if model.inFlight[request.ID] != request {
-		return // it has expired meanwhile
+		return // its deadline has passed, and it was answered
 	}
 	delete(model.inFlight, request.ID)
 	if outcome == OutcomeServed {
@@ -75,8 +76,8 @@
 		c.host.Reply(request.ID, Reply{Status: StatusServed, Body: body})
 		return
 	}
-	// The replica is closing, stopped or unreachable, and its record will show which. The request
-	// keeps its place.
+	// The replica is closing, stopped or unreachable; a change of its record will show which. The
+	// request goes back to the head of the queue.
 	model.lastRejection = c.host.Now()
 	model.queue.pushFront(request)
 }
--- a/internal/wake/view.go
+++ b/internal/wake/view.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// maintainView keeps this controller's view of the records current: they are listed once, then
-// watched.
+// maintainView keeps this controller's view of the records up to date: it lists them once and
+// then watches for changes.
 func (c *Controller) maintainView(now time.Duration) {
 	switch {
 	case now < c.retryAt:
@@ -21,7 +21,7 @@
 	}
 }
 
-// relist requests a new listing of the records.
+// relist makes the next call of maintainView list the records again.
 func (c *Controller) relist() { c.listed = false }
 
 func (c *Controller) list() {
@@ -33,13 +33,13 @@
 			return
 		}
 		if result.Page.Revision < c.revision {
-			return // older than what the watch has shown
+			return // older than the changes that the watch has returned
 		}
 		c.replaceView(&result.Page)
 	})
 }
 
-// replaceView replaces the view by a listing of all records.
+// replaceView replaces the view with a listing of all records.
 func (c *Controller) replaceView(page *wire.Page) {
 	items := map[string]wire.Item{}
 	for _, item := range page.Items {
@@ -66,8 +66,9 @@
 }
 
 // decode decodes a record; a key that does not exist has the zero value. Only controllers write
-// these keys, so a value that cannot be decoded shows a fault of theirs: it is logged, and what
-// could be decoded is used, since every write is conditional on the version.
+// these keys, so a value that cannot be decoded indicates a bug in one of them: the error is
+// logged and the part that could be decoded is used. This is safe because every write is
+// conditional on the version.
 func decode[T any](log *slog.Logger, item wire.Item) kv.Versioned[T] {
 	decoded, err := kv.Decode[T](item.Value, item.Version)
 	if err != nil {
@@ -86,13 +87,13 @@
 			c.relist()
 		case result.Status != kv.OK:
 			c.retryAt = c.host.Now() + c.pollInterval()
-		case since == c.revision: // else a listing has overtaken the watch
+		case since == c.revision: // otherwise a listing has replaced the view during the watch
 			c.apply(&result.Changes)
 		}
 	})
 }
 
-// apply applies the changes that a watch has shown.
+// apply applies the changes that a watch has returned.
 func (c *Controller) apply(changes *wire.Changes) {
 	for i := range changes.Events {
 		c.applyItem(changedItem(&changes.Events[i]))
@@ -101,7 +102,7 @@
 	c.reconcileAll()
 }
 
-// changedItem is a key after a change, at version 0 if it was deleted.
+// changedItem returns a key's state after a change, with version 0 if the key was deleted.
 func changedItem(event *wire.Event) wire.Item {
 	if event.Put == "" {
 		return wire.Item{Key: event.Delete}
@@ -109,7 +110,7 @@
 	return wire.Item{Key: event.Put, Value: event.Value, Version: event.Version}
 }
 
-// applyItem records the new value of a key.
+// applyItem updates the view with the new state of a key.
 func (c *Controller) applyItem(item wire.Item) {
 	if item.Key == slotsKey {
 		c.applySlots(decode[wakeSlots](c.log, item))
@@ -122,7 +123,8 @@
 	}
 }
 
-// applyRegistration records whether a controller is alive.
+// applyRegistration adds a controller to those that are alive, or removes it if its key was
+// deleted.
 func (c *Controller) applyRegistration(name string, registered kv.Versioned[registration]) {
 	if registered.Version == 0 {
 		delete(c.controllers, name)
@@ -133,14 +135,14 @@
 	}
 }
 
-// applySlots records which models are being started.
+// applySlots updates which models are being started, unless a later version is known.
 func (c *Controller) applySlots(slots kv.Versioned[wakeSlots]) {
 	if slots.Version >= c.slots.Version {
 		c.slots = slots
 	}
 }
 
-// applyRecord records a model's record, unless a later one is known.
+// applyRecord updates a model's record, unless a later version is known.
 func (c *Controller) applyRecord(model *modelState, record kv.Versioned[Record]) {
 	if record.Version >= model.record.Version {
 		c.setRecord(model, record)
