--- a/internal/cloud/cloud.go
+++ b/internal/cloud/cloud.go
@@ -1,6 +1,6 @@
-// Package cloud is the client of the cloud that provisions machines. It keeps to the cloud's rate and
-// does not retry: the core repeats its requests. Package node calls it; the simulation uses the
-// rate limiter.
+// Package cloud is the client of the cloud that provisions machines. It stays within the cloud's
+// rate limit and does not retry, since the core retries its requests. Package node calls it; the
+// simulation uses the rate limiter.
 package cloud
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/brookwalk/brookwalk/internal/httpcall"
 )
 
-// maxIdleConnections bounds how many idle connections to the cloud are kept.
+// maxIdleConnections bounds the idle connections kept open to the cloud.
 const maxIdleConnections = 4
 
 // Client sends the core's calls to the cloud.
@@ -23,7 +23,7 @@
 	limiter *RateLimiter
 }
 
-// New makes a client under the settings' limits.
+// New creates a client within the limits of the settings.
 func New(settings *config.Settings) *Client {
 	return &Client{
 		http:    httpwire.Client{Addr: settings.External.Cloud, MaxIdle: maxIdleConnections},
@@ -31,7 +31,7 @@
 	}
 }
 
-// Do executes a call and blocks until it ends.
+// Do makes a call and blocks until it ends.
 func (c *Client) Do(call core.Call) core.Result {
 	deadline := time.Now().Add(call.Timeout)
 	wait, ok := c.limiter.Reserve(time.Now(), &call)
@@ -42,23 +42,23 @@
 	return httpcall.Do(&c.http, &call, deadline)
 }
 
-// usedShare is the part of the cloud's rate that a controller uses. The rest is for the calls of
-// other controllers.
+// usedShare is the share of the cloud's rate limit that a controller uses. The rest is left for
+// the calls of other controllers.
 const usedShare = 0.8
 
-// RateLimiter keeps a controller's calls under the cloud's rate.
+// RateLimiter limits the rate of a controller's calls to the cloud.
 type RateLimiter struct {
 	requests *budget.Bucket
 }
 
-// NewRateLimiter makes a limiter for the settings' rate.
+// NewRateLimiter creates a limiter for the rate of the settings.
 func NewRateLimiter(settings *config.Settings) *RateLimiter {
 	rate := settings.Deployment.Cloud.RPS
 	return &RateLimiter{requests: budget.New(usedShare*rate, rate)}
 }
 
-// Reserve returns how long a call has to wait. It is not to be made if that is longer than half
-// of its timeout; urgent calls never wait.
+// Reserve returns how long the caller must wait before it makes a call. If that is longer than
+// half of the call's timeout, ok is false and the call must not be made. Urgent calls never wait.
 func (l *RateLimiter) Reserve(now time.Time, call *core.Call) (wait time.Duration, ok bool) {
 	if call.Urgent {
 		l.requests.SpendAt(now, 1)
--- a/internal/cloudapi/cloudapi.go
+++ b/internal/cloudapi/cloudapi.go
@@ -1,9 +1,9 @@
-// Package cloudapi is the port to the cloud that provisions machines.
+// Package cloudapi is the interface to the cloud that provisions machines.
 //
-// It owns the cloud's protocol: paths, status numbers, limits of a request, timeouts and the
-// typed results of each call. The package has no clock, socket or goroutine: requests go out by
-// a Transport, and the results come back by callbacks. internal/core uses it; package
-// internal/cloud carries out the calls.
+// It owns the cloud's protocol: paths, status codes, limits of a request, timeouts and the typed
+// results of each call. The package has no clock, socket or goroutine: requests are sent by a
+// Transport, and results are passed to callbacks. internal/core uses it; package internal/cloud
+// sends the requests.
 package cloudapi
 
 import (
@@ -14,11 +14,11 @@
 
 // Limits of the cloud's protocol.
 const (
-	// MaxMachinesPerProvision is how many machines one provisioning request may ask for.
+	// MaxMachinesPerProvision is the maximum number of machines in a provisioning request.
 	MaxMachinesPerProvision = 50
-	// MaxMachinesPerReturn is how many machines one request may return.
+	// MaxMachinesPerReturn is the maximum number of machines in a return request.
 	MaxMachinesPerReturn = 100
-	// ListPageSize is how many machines a page of the machine list has at most.
+	// ListPageSize is the maximum number of machines in a page of the machine list.
 	ListPageSize = 500
 )
 
@@ -27,8 +27,8 @@
 	machineTypesTimeout = 3 * time.Second
 )
 
-// A Transport carries requests to the cloud. It calls done once, with the answer, or with
-// Number 0 after the request's timeout.
+// A Transport sends requests to the cloud. It calls done once: with the answer, or with Number 0
+// if none came within the request's timeout.
 type Transport interface {
 	Send(request Request, done func(Response))
 }
@@ -38,22 +38,23 @@
 	transport Transport
 }
 
-// NewClient makes a client.
+// NewClient creates a client.
 func NewClient(transport Transport) *Client { return &Client{transport: transport} }
 
-// Provision asks for machines. It is idempotent: repeated under the same ID, it names the
-// machines that the first request provisioned.
+// Provision requests machines. It is idempotent: a repeated request with the same ID returns the
+// machines that the first one provisioned.
 func (c *Client) Provision(request wire.ProvisionRequest, done func(ProvisionResult)) {
 	c.send(provisionRequest(request), func(r Response) { done(ParseProvision(r)) })
 }
 
-// Return gives machines back. Once it is Done, they are terminated with all that ran on them.
+// Return returns machines to the cloud. Once the status is Done, the machines and everything
+// that ran on them are terminated.
 func (c *Client) Return(machines []string, done func(Status)) {
 	c.send(returnRequest(machines), func(r Response) { done(StatusOf(r.Number)) })
 }
 
-// ListMachines reads the page of the machine list that begins after a machine's name; an empty
-// name means the first page. The list may be out of date by the deployment's list lag.
+// ListMachines reads the page of the machine list that starts after the given machine name; an
+// empty name means the first page. The list may be stale by up to the deployment's list lag.
 func (c *Client) ListMachines(after string, done func(ListResult)) {
 	c.send(listRequest(after), func(r Response) { done(ParseList(r)) })
 }
--- a/internal/cloudapi/cloudapi_test.go
+++ b/internal/cloudapi/cloudapi_test.go
@@ -9,14 +9,14 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// recordingTransport keeps the requests and answers none.
+// recordingTransport records the requests and answers none of them.
 type recordingTransport struct{ requests []Request }
 
 func (t *recordingTransport) Send(request Request, _ func(Response)) {
 	t.requests = append(t.requests, request)
 }
 
-// TestRequests compares the requests of each call with the cloud's protocol.
+// TestRequests checks the request that each call sends against the cloud's protocol.
 func TestRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -77,7 +77,7 @@
 	}
 }
 
-// TestParseProvision decodes answers to provisioning requests, malformed ones among them.
+// TestParseProvision decodes answers to provisioning requests, including malformed ones.
 func TestParseProvision(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -92,10 +92,10 @@
 		{"no capacity", httpstatus.ServiceUnavailable, `{"error":"no capacity"}`, NoCapacity, nil, false},
 		{"another error", httpstatus.ServiceUnavailable, `{"error":"trouble"}`, Unavailable, nil, false},
 		{"unavailable, not decodable", httpstatus.ServiceUnavailable, `<html>`, Unavailable, nil, false},
-		{"no capacity under another number", httpstatus.TooManyRequests, `{"error":"no capacity"}`, Throttled, nil, false},
+		{"no capacity with another status code", httpstatus.TooManyRequests, `{"error":"no capacity"}`, Throttled, nil, false},
 		{"rejected", httpstatus.BadRequest, `{}`, Rejected, nil, false},
 		{"unanswered", httpstatus.NoAnswer, ``, Unanswered, nil, false},
-		{"unknown number", 599, `{}`, Failed, nil, false},
+		{"unknown status code", 599, `{}`, Failed, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := ParseProvision(Response{Number: tc.number, Body: []byte(tc.body)})
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestParseList decodes pages of the machine list.
+// TestParseList decodes pages of the machine list, including malformed ones.
 func TestParseList(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
--- a/internal/cloudapi/request.go
+++ b/internal/cloudapi/request.go
@@ -14,11 +14,11 @@
 	Path    string
 	Body    []byte
 	Timeout time.Duration
-	// Urgent requests go ahead of others when the rate is used up.
+	// Urgent requests are sent without a wait even if the rate limit is used up.
 	Urgent bool
 }
 
-// Methods of the cloud's protocol.
+// HTTP methods of the cloud's protocol.
 const (
 	methodGet  = "GET"
 	methodPost = "POST"
@@ -45,7 +45,7 @@
 	return Request{Method: methodGet, Path: "/machine_types", Timeout: machineTypesTimeout}
 }
 
-// encode encodes a message of package wire, all of which can be encoded.
+// encode encodes a message of package wire, all of which can be encoded. It panics otherwise.
 func encode(message any) []byte {
 	encoded, err := json.Marshal(message)
 	if err != nil {
--- a/internal/cloudapi/result.go
+++ b/internal/cloudapi/result.go
@@ -6,30 +6,30 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A Status is what became of a call.
+// A Status is the outcome of a call.
 type Status int
 
-// The outcomes of calls. After Unanswered and Failed a call may have been carried out, or may be
-// carried out later; after the other failures it certainly was not.
+// The outcomes of calls. After Unanswered and Failed a call may have been executed, or may be
+// executed later; after the other failures it was not executed and will not be.
 const (
 	// Unanswered: no answer came in time.
 	Unanswered Status = iota
-	// Done: the call was carried out.
+	// Done: the call was executed.
 	Done
-	// NoCapacity: the cloud has no machine of the offer that was asked for.
+	// NoCapacity: the cloud has no machine of the requested offer (type, zone, spot or not).
 	NoCapacity
-	// Rejected: the cloud found the call malformed.
+	// Rejected: the call is malformed.
 	Rejected
-	// Throttled: the call was above the permitted rate.
+	// Throttled: the call exceeded the rate limit.
 	Throttled
-	// Unavailable: the cloud does not serve calls at present.
+	// Unavailable: the cloud cannot serve calls at present.
 	Unavailable
-	// Failed: any other answer, or a list that cannot be decoded.
+	// Failed: any other answer, or a page of the machine list that cannot be decoded.
 	Failed
 )
 
-// StatusOf maps a status number of the cloud's protocol; 0 means no answer. For a
-// provisioning request, ParseProvision distinguishes NoCapacity from Unavailable.
+// StatusOf maps a status code of the cloud's protocol; 0 means no answer. For a provisioning
+// request, ParseProvision distinguishes NoCapacity from Unavailable.
 func StatusOf(number int) Status {
 	switch number {
 	case httpstatus.NoAnswer:
@@ -47,20 +47,20 @@
 	}
 }
 
-// A Response is the cloud's answer to a request, as the transport has it.
+// A Response is the cloud's answer to a request, as the transport received it.
 type Response struct {
-	Number int // status number of the protocol; 0 if no answer came
+	Number int // status code of the protocol; 0 if no answer came
 	Body   []byte
 }
 
 // A ProvisionResult is the result of a provisioning request.
 type ProvisionResult struct {
 	Status Status
-	// Machines are the provisioned machines, at most as many as were asked for, if the status
-	// is Done.
+	// Machines are the names of the provisioned machines, at most as many as requested, if the
+	// status is Done.
 	Machines []string
-	// DecodeError is why a Done answer does not name its machines, nil if it does. The machines
-	// were provisioned all the same, and appear in the machine list.
+	// DecodeError is set if the status is Done but the answer cannot be decoded. The machines
+	// were provisioned nevertheless, and appear in the machine list.
 	DecodeError error
 }
 
@@ -81,15 +81,16 @@
 	return result
 }
 
-// errorNoCapacity is the error in the body of an answer that means NoCapacity.
+// errorNoCapacity is the error text in the body of an answer that means NoCapacity.
 const errorNoCapacity = "no capacity"
 
-// errorOf is the error that an answer names, empty if it names none.
+// errorOf returns the error text in the body of an answer, or "" if there is none.
 func errorOf(body []byte) string {
 	var answer struct {
 		Error string `json:"error"`
 	}
-	// A body that cannot be decoded names no error: the call counts as Unavailable and is retried.
+	// A body that cannot be decoded has no error text: the call counts as Unavailable and is
+	// retried.
 	_ = json.Unmarshal(body, &answer)
 	return answer.Error
 }
@@ -109,8 +110,9 @@
 	return result
 }
 
-// A MachineTypesResult is the answer to a request for the machine types. Body is a
-// wire.MachineTypes, not yet decoded, if the status is Done: the core also stores it as it came.
+// A MachineTypesResult is the answer to a request for the machine types. If the status is Done,
+// Body is an encoded wire.MachineTypes: it is not decoded here since the core also stores it
+// unchanged.
 type MachineTypesResult struct {
 	Status Status
 	Body   []byte
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,9 +1,9 @@
-// Package kv is the port to the consensus-backed key-value store in which all state is kept.
+// Package kv is the interface to the consensus-backed key-value store that holds all state.
 //
-// It owns the store's protocol: paths, status numbers, the encoding of values and the typed
+// It owns the store's protocol: paths, status codes, the encoding of values and the typed
 // results of each call. Client adds what a controller learns about the store: its limits and
-// whether it answers. The package has no clock, socket or goroutine: requests go out by a
-// Transport, and the results come back by callbacks. internal/core, internal/wake and
+// whether it is available. The package has no clock, socket or goroutine: requests are sent by a
+// Transport, and results are passed to callbacks. internal/core, internal/wake and
 // internal/quota use it.
 package kv
 
@@ -13,11 +13,11 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// A Status is what became of a call.
+// A Status is the outcome of a call.
 type Status int
 
-// The outcomes of calls. After Unanswered and Failed a transaction may have been carried out, or
-// may be carried out later; after the other failures it certainly was not.
+// The outcomes of calls. After Unanswered and Failed a transaction may have been executed, or
+// may be executed later; after the other failures it was not executed and will not be.
 const (
 	// Unanswered: no answer came in time.
 	Unanswered Status = iota
@@ -25,21 +25,21 @@
 	OK
 	// NotFound: the key does not exist, or a lease has expired.
 	NotFound
-	// Conflict: a key of a compare-and-swap does not have the version that was required.
+	// Conflict: a key in the conditions of a transaction does not have the required version.
 	Conflict
-	// Rejected: the store found the call malformed, or larger than it takes.
+	// Rejected: the call is malformed or exceeds the store's limits.
 	Rejected
-	// Compacted: the changes that a watch asked for are no longer kept.
+	// Compacted: the store no longer keeps the changes that a watch requested.
 	Compacted
-	// Throttled: the call was above the permitted rate.
+	// Throttled: the call exceeded the rate limit.
 	Throttled
-	// Unavailable: the store does not serve this caller at present.
+	// Unavailable: the store cannot serve this caller at present.
 	Unavailable
 	// Failed: any other answer, or one that cannot be decoded.
 	Failed
 )
 
-// StatusOf maps a status number of the store's protocol; 0 means no answer.
+// StatusOf maps a status code of the store's protocol; 0 means no answer.
 func StatusOf(number int) Status {
 	switch number {
 	case httpstatus.NoAnswer:
@@ -63,13 +63,13 @@
 	}
 }
 
-// A Response is the store's answer to a request, as the transport has it.
+// A Response is the store's answer to a request, as the transport received it.
 type Response struct {
-	Number int // status number of the protocol; 0 if no answer came
+	Number int // status code of the protocol; 0 if no answer came
 	Body   []byte
 }
 
-// decode returns the status of a response and decodes its body if the call was carried out.
+// decode returns the status of a response and decodes its body if the status is OK.
 // An answer that cannot be decoded counts as Failed.
 func (r Response) decode(into any) Status {
 	status := StatusOf(r.Number)
@@ -85,14 +85,14 @@
 	Item   wire.Item
 }
 
-// ParseGet decodes the answer to the read of a key.
+// ParseGet decodes the answer to a read of a key.
 func ParseGet(r Response) GetResult {
 	var result GetResult
 	result.Status = r.decode(&result.Item)
 	return result
 }
 
-// A ListResult is a page of the keys below a prefix. Page is set if the status is OK.
+// A ListResult is a page of the keys with a prefix. Page is set if the status is OK.
 type ListResult struct {
 	Status Status
 	Page   wire.Page
@@ -108,15 +108,15 @@
 // A TxnResult is the result of a transaction.
 type TxnResult struct {
 	Status    Status
-	Revision  uint64   // of all keys that were written, if the status is OK
-	Conflicts []string // keys whose versions differ, if the status is Conflict
+	Revision  uint64   // the new version of all written keys, if the status is OK
+	Conflicts []string // keys that do not have the required versions, if the status is Conflict
 }
 
-// Committed reports whether the transaction was carried out.
+// Committed reports whether the transaction was committed.
 func (r TxnResult) Committed() bool { return r.Status == OK }
 
-// ParseTxn decodes the answer to a transaction. A conflict that does not name its keys is
-// still one.
+// ParseTxn decodes the answer to a transaction. The status is Conflict even if the answer does
+// not list the conflicting keys.
 func ParseTxn(r Response) TxnResult {
 	var body wire.TxnResult
 	status := StatusOf(r.Number)
@@ -127,7 +127,7 @@
 	return TxnResult{Status: status, Revision: body.Revision, Conflicts: body.Conflicts}
 }
 
-// A GrantResult is the result of asking for a lease. Lease is set if the status is OK.
+// A GrantResult is the result of requesting a lease. Lease, its ID, is set if the status is OK.
 type GrantResult struct {
 	Status Status
 	Lease  uint64
@@ -140,8 +140,8 @@
 	return GrantResult{Status: status, Lease: body.Lease}
 }
 
-// A WatchResult has the changes below a prefix since a revision. Changes is set if the status
-// is OK.
+// A WatchResult has the changes of the keys with a prefix since a revision. Changes is set if
+// the status is OK.
 type WatchResult struct {
 	Status  Status
 	Changes wire.Changes
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -10,7 +10,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestParseTxn decodes answers to transactions, malformed ones among them.
+// TestParseTxn decodes answers to transactions, including malformed ones.
 func TestParseTxn(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -26,7 +26,7 @@
 		{"throttled", httpstatus.TooManyRequests, `{}`, TxnResult{Status: Throttled}},
 		{"unavailable", httpstatus.ServiceUnavailable, `{}`, TxnResult{Status: Unavailable}},
 		{"unanswered", httpstatus.NoAnswer, ``, TxnResult{Status: Unanswered}},
-		{"unknown number", 599, `{}`, TxnResult{Status: Failed}},
+		{"unknown status code", 599, `{}`, TxnResult{Status: Failed}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := ParseTxn(Response{Number: tc.number, Body: []byte(tc.body)})
@@ -34,13 +34,13 @@
 				t.Errorf("got %+v, want %+v", got, tc.want)
 			}
 			if got.Committed() != (tc.want.Status == OK) {
-				t.Errorf("committed: %v", got.Committed())
+				t.Errorf("Committed: got %v, want the opposite", got.Committed())
 			}
 		})
 	}
 }
 
-// fakeTransport answers each request with a number that the test sets.
+// fakeTransport answers each request at once with the status code and body that the test sets.
 type fakeTransport struct {
 	now      time.Duration
 	number   int
@@ -64,7 +64,7 @@
 	return NewClient(transport, deployment), transport
 }
 
-// TestRequests compares the requests of each call with the store's protocol.
+// TestRequests checks the request that each call sends against the store's protocol.
 func TestRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -120,7 +120,8 @@
 	}
 }
 
-// TestAvailability follows a store that stops answering, throttles, and answers again.
+// TestAvailability checks Available and UnavailableFor for a store that stops answering,
+// throttles, and answers again.
 func TestAvailability(t *testing.T) {
 	client, transport := newTestClient()
 	for _, step := range []struct {
@@ -128,7 +129,7 @@
 		want   time.Duration
 	}{
 		{httpstatus.OK, 0},
-		{httpstatus.NoAnswer, 0}, // since now
+		{httpstatus.NoAnswer, 0}, // unavailable from this step on
 		{httpstatus.ServiceUnavailable, time.Second},
 		{httpstatus.TooManyRequests, 2 * time.Second},
 		{httpstatus.Conflict, 0},
@@ -137,44 +138,44 @@
 		transport.number = step.number
 		client.Commit(&wire.Txn{}, func(TxnResult) {})
 		if got := client.UnavailableFor(); got != step.want {
-			t.Errorf("after %d: unavailable for %v, want %v", step.number, got, step.want)
+			t.Errorf("after status %d: unavailable for %v, want %v", step.number, got, step.want)
 		}
 		transport.now += time.Second
 	}
 	transport.number = httpstatus.NoAnswer
 	client.Get("a", func(GetResult) {})
 	if !client.Available() {
-		t.Error("reading a key changed the availability")
+		t.Error("Available: got false after Get without an answer, want true, since Get does not update it")
 	}
 }
 
-// TestLimits shrinks the limits as the store rejects what they allow.
+// TestLimits checks that the limits are lowered when the store rejects what they allow.
 func TestLimits(t *testing.T) {
 	client, _ := newTestClient()
 	if client.MaxWrites() != 16 || client.MaxConditions() != 64 || client.MaxValue() != 16384 || client.ShrinkValues() {
-		t.Errorf("announced limits: %d writes, %d conditions, %d bytes", client.MaxWrites(), client.MaxConditions(), client.MaxValue())
+		t.Errorf("announced limits: got %d writes, %d conditions, %d bytes, want 16, 64, 16384 and no lower limit for values", client.MaxWrites(), client.MaxConditions(), client.MaxValue())
 	}
 	if client.RejectedWrites(2) || client.MaxWrites() != 16 {
-		t.Error("two writes were too many")
+		t.Error("after a transaction with 2 writes was rejected: RejectedWrites returned true or lowered MaxWrites, want false and 16 still")
 	}
 	if !client.RejectedWrites(8) || client.MaxWrites() != 6 {
-		t.Errorf("after 8 writes were rejected: %d", client.MaxWrites())
+		t.Errorf("after a transaction with 8 writes was rejected: got MaxWrites %d, want 6 and RejectedWrites true", client.MaxWrites())
 	}
 	client.RejectedValue()
 	if client.MaxWrites() != 16 || !client.ShrinkValues() || client.MaxPlacementValue() != SmallValue || client.MaxValue() != 16384 {
-		t.Errorf("after a value was rejected: %d writes, placement records of %d bytes", client.MaxWrites(), client.MaxPlacementValue())
+		t.Errorf("after a value was rejected: got %d writes, placement records of %d bytes, want 16 writes, SmallValue bytes and other values unchanged", client.MaxWrites(), client.MaxPlacementValue())
 	}
 }
 
-// TestDecode decodes a value, none and a malformed one.
+// TestDecode decodes a value, the value of a key that does not exist, and a malformed value.
 func TestDecode(t *testing.T) {
 	if v, err := Decode[int]([]byte("5"), 3); err != nil || v.Value != 5 || v.Version != 3 {
-		t.Errorf("%+v, %v", v, err)
+		t.Errorf("valid value: got %+v, error %v, want value 5, version 3", v, err)
 	}
 	if v, err := Decode[int](nil, 0); err != nil || v.Value != 0 || v.Version != 0 {
-		t.Errorf("no key: %+v, %v", v, err)
+		t.Errorf("missing key: got %+v, error %v, want the zero value, version 0", v, err)
 	}
 	if _, err := Decode[int]([]byte("x"), 3); err == nil {
-		t.Error("a malformed value was decoded")
+		t.Error("malformed value: got no error, want one")
 	}
 }
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -3,29 +3,30 @@
 import "github.com/brookwalk/brookwalk/internal/config"
 
 const (
-	// MaxTxnBytes bounds the values of a transaction, of which the store takes 64 KiB in all.
+	// MaxTxnBytes bounds the values of a transaction with their overhead. The store accepts
+	// 64 KiB per transaction.
 	MaxTxnBytes = 48 << 10
-	// WriteOverhead is what a write takes in addition to its value, in bytes, at most.
+	// WriteOverhead is the most that a write adds to the size of its value, in bytes.
 	WriteOverhead = 200
-	// SmallValue is the size in bytes to which placement records are kept once a value was
-	// rejected that the settings allow: how far the limit fell is not known.
+	// SmallValue bounds placement records, in bytes, after the store has rejected a value that
+	// the settings allow: how far the store's limit was lowered is not known.
 	SmallValue = 1 << 10
-	// conditionsPerWrite is how many conditions a transaction may have for each write that
-	// it may have, by the store's protocol.
+	// conditionsPerWrite is the ratio, by the store's protocol, of the limit of conditions in a
+	// transaction to the limit of writes.
 	conditionsPerWrite = 4
-	// alwaysAccepted is a number of writes that any store takes in a transaction.
+	// alwaysAccepted is a number of writes in a transaction that every store accepts.
 	alwaysAccepted = 2
 )
 
-// Limits are what the store takes. They begin with what the settings announce, for now and
-// later, and shrink as the store rejects what they allow.
+// Limits are the store's limits as far as they are known. They start as the lower of the present
+// and the next limits in the settings, and are lowered when the store rejects what they allow.
 type Limits struct {
 	announced   *config.StoreLimits
-	fewerWrites int // writes in a transaction, if fewer than announced; 0 if not known
-	smallValues bool
+	fewerWrites int  // limit of writes derived from a rejected transaction; 0 for none
+	smallValues bool // the store rejected a value that the settings allow
 }
 
-// bound returns the announced limits with what was learned since.
+// bound returns the lower of the announced and the derived limits.
 func (l *Limits) bound() config.StoreLimits {
 	bound := l.announced.Strictest()
 	if l.fewerWrites > 0 {
@@ -34,16 +35,16 @@
 	return bound
 }
 
-// MaxWrites is how many writes a transaction may have.
+// MaxWrites returns how many writes a transaction may have.
 func (l *Limits) MaxWrites() int { return l.bound().TxnOps }
 
-// MaxConditions is how many conditions a transaction may have.
+// MaxConditions returns how many conditions a transaction may have.
 func (l *Limits) MaxConditions() int { return conditionsPerWrite * l.MaxWrites() }
 
-// MaxValue is the largest value, in bytes.
+// MaxValue returns the maximum size of a value, in bytes.
 func (l *Limits) MaxValue() int { return min(int(l.bound().ValueKB*1024), MaxTxnBytes) }
 
-// MaxPlacementValue is the largest value of a placement record, in bytes.
+// MaxPlacementValue returns the maximum size of a placement record, in bytes.
 func (l *Limits) MaxPlacementValue() int {
 	if l.smallValues {
 		return min(l.MaxValue(), SmallValue)
@@ -51,17 +52,18 @@
 	return l.MaxValue()
 }
 
-// ShrinkValues reports whether values are, or are announced to become, smaller than the settings
-// allow at present.
+// ShrinkValues reports whether values must be smaller than the settings allow at present, because
+// the settings announce a lower limit or the store has rejected a value.
 func (l *Limits) ShrinkValues() bool { return l.AnnouncedToShrink() || l.smallValues }
 
-// AnnouncedToShrink reports whether the settings announce smaller values for later.
+// AnnouncedToShrink reports whether the settings announce a lower limit for values.
 func (l *Limits) AnnouncedToShrink() bool { return l.bound().ValueKB < l.announced.ValueKB }
 
-// RejectedWrites records that a transaction with a number of writes was rejected: the store's
-// limits are lower than announced. Otherwise what is too large would be sent again for
-// ever and block everything behind it. It reports whether smaller transactions may do;
-// they may not if the transaction had so few writes that its values must be the cause.
+// RejectedWrites lowers MaxWrites after the store has rejected a transaction with that many
+// writes, since its limits are lower than announced. Otherwise a transaction that is too large
+// would be retried for ever and block those behind it. It reports whether smaller transactions
+// may be accepted. They are not if the transaction had so few writes that every store accepts
+// them: then its values must be the cause.
 func (l *Limits) RejectedWrites(writes int) bool {
 	if writes <= alwaysAccepted {
 		return false
@@ -70,18 +72,20 @@
 	return true
 }
 
-// RejectedValue records that a value was rejected though the settings allow it. What was
-// concluded about the number of writes is in doubt then, and is forgotten.
+// RejectedValue lowers MaxPlacementValue after the store has rejected a value that the settings
+// allow. Earlier rejections may have had the same cause, so a limit of writes that was derived
+// from them is dropped.
 func (l *Limits) RejectedValue() {
 	l.smallValues = true
 	l.ForgetFewerWrites()
 }
 
-// ForgetFewerWrites forgets what rejected transactions have shown of the number of writes.
+// ForgetFewerWrites drops the limit of writes that was derived from rejected transactions.
 func (l *Limits) ForgetFewerWrites() { l.fewerWrites = 0 }
 
-// SmallValues reports whether a value was rejected that the settings allow.
+// SmallValues reports whether the store has rejected a value that the settings allow.
 func (l *Limits) SmallValues() bool { return l.smallValues }
 
-// AssumeSmallValues records that an earlier leader found values to be rejected.
+// AssumeSmallValues lowers MaxPlacementValue because the store rejected a value of an earlier
+// leader.
 func (l *Limits) AssumeSmallValues() { l.smallValues = true }
--- a/internal/kv/request.go
+++ b/internal/kv/request.go
@@ -13,21 +13,21 @@
 	Path    string
 	Body    []byte
 	Timeout time.Duration
-	// Writes is the number of puts and deletes, for the write rate.
+	// Writes is the number of puts and deletes, which count against the write rate limit.
 	Writes int
-	// Urgent requests go ahead of others when the rate is used up.
+	// Urgent requests are sent without a wait even if the rate limit is used up.
 	Urgent bool
-	// Watch marks a request that stays open.
+	// Watch marks a request that the store holds open.
 	Watch bool
 }
 
-// Methods of the store's protocol.
+// HTTP methods of the store's protocol.
 const (
 	methodGet  = "GET"
 	methodPost = "POST"
 )
 
-// listLimit is how many keys a page of a listing has at most.
+// listLimit is the maximum number of keys in a page of a listing.
 const listLimit = 500
 
 func getRequest(key string) Request {
--- a/internal/kv/value.go
+++ b/internal/kv/value.go
@@ -2,15 +2,14 @@
 
 import "github.com/segmentio/encoding/json"
 
-// Versioned is the value of a key with its version; version 0 means that the key does not
-// exist.
+// Versioned is the value of a key and its version; version 0 means that the key does not exist.
 type Versioned[T any] struct {
 	Value   T
 	Version uint64
 }
 
-// Decode decodes the value that a key has at a version. The value is the zero value if the key
-// does not exist, and what could be decoded if there is an error.
+// Decode decodes the value of a key. If the key does not exist (version 0), the result has the
+// zero value. With an error, the result has the part of the value that could be decoded.
 func Decode[T any](value json.RawMessage, version uint64) (Versioned[T], error) {
 	decoded := Versioned[T]{Version: version}
 	if version == 0 {
@@ -19,7 +18,8 @@
 	return decoded, json.Unmarshal(value, &decoded.Value)
 }
 
-// Encode encodes a value of one of this program's own types, all of which can be encoded.
+// Encode encodes a value of one of this program's own types, all of which can be encoded. It
+// panics otherwise.
 func Encode(value any) []byte {
 	encoded, err := json.Marshal(value)
 	if err != nil {
--- a/internal/store/ratelimiter.go
+++ b/internal/store/ratelimiter.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// usedShare is the part of the store's rates that a controller uses. The rest is for what
-	// other controllers send at the same time.
+	// usedShare is the share of the store's rate limits that a controller uses. The rest is left
+	// for requests that other controllers send at the same time.
 	usedShare = 0.9
-	// requestBurst is the burst of requests, as a multiple of their rate.
+	// requestBurst is the burst of requests, in seconds of the store's request rate.
 	requestBurst = 0.5
 )
 
-// RateLimiter keeps a controller's calls under the store's rates.
+// RateLimiter limits the rates of a controller's calls and writes to the store.
 type RateLimiter struct {
 	requests *budget.Bucket
 	writes   *budget.Bucket
 }
 
-// NewRateLimiter makes a limiter for the lower of the store's present and announced rates.
+// NewRateLimiter creates a limiter for the lower of the store's present and announced rates.
 func NewRateLimiter(settings *config.Settings) *RateLimiter {
 	limits := settings.Deployment.Store.Strictest()
 	return &RateLimiter{
@@ -31,8 +31,8 @@
 	}
 }
 
-// Reserve returns how long a call has to wait. It is not to be made if that is longer than
-// maxWait; urgent calls never wait.
+// Reserve returns how long the caller must wait before it makes a call. If that is longer than
+// maxWait, ok is false and the call must not be made. Urgent calls never wait.
 func (l *RateLimiter) Reserve(now time.Time, call *core.Call, maxWait time.Duration) (wait time.Duration, ok bool) {
 	if call.Urgent {
 		l.requests.SpendAt(now, 1)
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,6 +1,7 @@
-// Package store is the client of the key-value store. It keeps to the store's rates for requests
-// and writes, bounds the sockets that calls hold, and retries what was certainly not executed.
-// Package node calls it; the simulation uses the rate limiter and its times.
+// Package store is the client of the key-value store. It stays within the store's rate limits for
+// requests and writes, bounds the sockets in use, and retries calls that the store rejected for
+// their rate as well as, once, reads without an answer. Package node calls it; the simulation uses
+// the rate limiter and the times of retries.
 package store
 
 import (
@@ -17,14 +18,15 @@
 // Bounds of a client's connections.
 const (
 	maxIdleConnections = 8
-	// connectionsPerCall is how many of the controller's connections there are for each call
-	// under way that is not urgent: a store that does not answer holds each until its deadline.
+	// connectionsPerCall bounds concurrent non-urgent calls: one for each 48 connections that the
+	// controller may have. If the store does not answer, each call holds its connection until its
+	// deadline.
 	connectionsPerCall = 48
-	// minCalls may be under way however few connections there are.
+	// minCalls is the bound of concurrent non-urgent calls if connectionsPerCall gives fewer.
 	minCalls = 4
 )
 
-// A call that the store refused for its rate is made again after RetryDelay, if at least
+// A call that the store rejected for its rate is retried after RetryDelay, if at least
 // MinTimeToRetry is left until its deadline.
 const (
 	RetryDelay     = 60 * time.Millisecond
@@ -36,10 +38,10 @@
 	http      httpwire.Client
 	watchHTTP httpwire.Client
 	limiter   *RateLimiter
-	semaphore budget.Semaphore // of calls that are not urgent
+	semaphore budget.Semaphore // bounds concurrent non-urgent calls
 }
 
-// New makes a client under the settings' limits.
+// New creates a client within the limits of the settings.
 func New(settings *config.Settings) *Client {
 	calls := max(minCalls, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)
 	return &Client{
@@ -50,7 +52,7 @@
 	}
 }
 
-// Do executes a call and blocks until it ends. Watches have no limits.
+// Do makes a call and blocks until it ends. Watches are limited neither in rate nor in number.
 func (c *Client) Do(call core.Call) core.Result {
 	deadline := time.Now().Add(call.Timeout)
 	if call.Watch {
@@ -65,8 +67,8 @@
 	return c.executeLimited(call, deadline)
 }
 
-// executeLimited executes a call under the store's rates, again while the store refuses it for
-// them and time is left.
+// executeLimited makes a call within the store's rate limits, and retries it while the store
+// rejects it for its rate and time is left.
 func (c *Client) executeLimited(call core.Call, deadline time.Time) core.Result {
 	for {
 		wait, ok := c.limiter.Reserve(time.Now(), &call, time.Until(deadline))
@@ -87,8 +89,8 @@
 	return core.Result{ID: call.ID, NotSent: true, Status: httpstatus.TooManyRequests}
 }
 
-// execute makes a call. A read without an answer is repeated once while time is left, since a kept
-// connection may have been reset.
+// execute makes a call. A read without an answer is retried once if time is left, since the idle
+// connection that it reused may have been reset.
 func execute(call core.Call, client *httpwire.Client, deadline time.Time) core.Result {
 	result := httpcall.Do(client, &call, deadline)
 	if result.Status == httpstatus.NoAnswer && call.Method == "GET" && !call.Watch && time.Until(deadline) > 0 {
