--- a/internal/cloudapi/cloudapi_test.go
+++ b/internal/cloudapi/cloudapi_test.go
@@ -80,12 +80,12 @@
 // TestParseProvision decodes answers to provisioning requests, including malformed ones.
 func TestParseProvision(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		number    int
-		body      string
-		status    Status
-		machines  []string
-		malformed bool
+		name       string
+		statusCode int
+		body       string
+		status     Status
+		machines   []string
+		malformed  bool
 	}{
 		{"done", httpstatus.OK, `{"hosts":["n-1","n-2"]}`, Done, []string{"n-1", "n-2"}, false},
 		{"done, not decodable", httpstatus.OK, `{`, Done, nil, true},
@@ -98,7 +98,7 @@
 		{"unknown status code", 599, `{}`, Failed, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseProvision(Response{Number: tc.number, Body: []byte(tc.body)})
+			got := ParseProvision(Response{Number: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.status || !slices.Equal(got.Machines, tc.machines) || (got.DecodeError != nil) != tc.malformed {
 				t.Errorf("got %+v, want status %v, machines %v, malformed %v", got, tc.status, tc.machines, tc.malformed)
 			}
@@ -109,12 +109,12 @@
 // TestParseList decodes pages of the machine list, including malformed ones.
 func TestParseList(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		number   int
-		body     string
-		status   Status
-		machines int
-		more     bool
+		name       string
+		statusCode int
+		body       string
+		status     Status
+		machines   int
+		more       bool
 	}{
 		{"a page", httpstatus.OK, `{"hosts":[{},{}],"truncated":true}`, Done, 2, true},
 		{"the last page", httpstatus.OK, `{"hosts":[{}]}`, Done, 1, false},
@@ -123,7 +123,7 @@
 		{"unanswered", httpstatus.NoAnswer, ``, Unanswered, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseList(Response{Number: tc.number, Body: []byte(tc.body)})
+			got := ParseList(Response{Number: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.status || len(got.Page.Machines) != tc.machines || got.Page.More != tc.more {
 				t.Errorf("got %+v, want status %v, %d machines, more %v", got, tc.status, tc.machines, tc.more)
 			}
--- a/internal/cloudapi/result.go
+++ b/internal/cloudapi/result.go
@@ -30,8 +30,8 @@
 
 // StatusOf maps a status code of the cloud's protocol; 0 means no answer. For a provisioning
 // request, ParseProvision distinguishes NoCapacity from Unavailable.
-func StatusOf(number int) Status {
-	switch number {
+func StatusOf(code int) Status {
+	switch code {
 	case httpstatus.NoAnswer:
 		return Unanswered
 	case httpstatus.OK:
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -40,8 +40,8 @@
 )
 
 // StatusOf maps a status code of the store's protocol; 0 means no answer.
-func StatusOf(number int) Status {
-	switch number {
+func StatusOf(code int) Status {
+	switch code {
 	case httpstatus.NoAnswer:
 		return Unanswered
 	case httpstatus.OK:
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -13,10 +13,10 @@
 // TestParseTxn decodes answers to transactions, including malformed ones.
 func TestParseTxn(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		number int
-		body   string
-		want   TxnResult
+		name       string
+		statusCode int
+		body       string
+		want       TxnResult
 	}{
 		{"committed", httpstatus.OK, `{"logline":7}`, TxnResult{Status: OK, Revision: 7}},
 		{"committed, not decodable", httpstatus.OK, `{"logline":`, TxnResult{Status: Failed}},
@@ -29,7 +29,7 @@
 		{"unknown status code", 599, `{}`, TxnResult{Status: Failed}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseTxn(Response{Number: tc.number, Body: []byte(tc.body)})
+			got := ParseTxn(Response{Number: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.want.Status || got.Revision != tc.want.Revision || !slices.Equal(got.Conflicts, tc.want.Conflicts) {
 				t.Errorf("got %+v, want %+v", got, tc.want)
 			}
@@ -42,17 +42,17 @@
 
 // fakeTransport answers each request at once with the status code and body that the test sets.
 type fakeTransport struct {
-	now      time.Duration
-	number   int
-	body     string
-	requests []Request
+	now        time.Duration
+	statusCode int
+	body       string
+	requests   []Request
 }
 
 func (f *fakeTransport) Now() time.Duration { return f.now }
 
 func (f *fakeTransport) Send(request Request, done func(Response)) {
 	f.requests = append(f.requests, request)
-	done(Response{Number: f.number, Body: []byte(f.body)})
+	done(Response{Number: f.statusCode, Body: []byte(f.body)})
 }
 
 func newTestClient() (*Client, *fakeTransport) {
@@ -125,8 +125,8 @@
 func TestAvailability(t *testing.T) {
 	client, transport := newTestClient()
 	for _, step := range []struct {
-		number int
-		want   time.Duration
+		statusCode int
+		want       time.Duration
 	}{
 		{httpstatus.OK, 0},
 		{httpstatus.NoAnswer, 0}, // unavailable from this step on
@@ -135,14 +135,14 @@
 		{httpstatus.Conflict, 0},
 		{httpstatus.TooManyRequests, 0},
 	} {
-		transport.number = step.number
+		transport.statusCode = step.statusCode
 		client.Commit(&wire.Txn{}, func(TxnResult) {})
 		if got := client.UnavailableFor(); got != step.want {
-			t.Errorf("after status %d: unavailable for %v, want %v", step.number, got, step.want)
+			t.Errorf("after status %d: unavailable for %v, want %v", step.statusCode, got, step.want)
 		}
 		transport.now += time.Second
 	}
-	transport.number = httpstatus.NoAnswer
+	transport.statusCode = httpstatus.NoAnswer
 	client.Get("a", func(GetResult) {})
 	if !client.Available() {
 		t.Error("Available: got false after Get without an answer, want true, since Get does not update it")
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -14,39 +14,39 @@
 	// conditionsPerWrite is the ratio, by the store's protocol, of the limit of conditions in a
 	// transaction to the limit of writes.
 	conditionsPerWrite = 4
-	// alwaysAccepted is a number of writes in a transaction that every store accepts.
-	alwaysAccepted = 2
+	// alwaysAcceptedWrites is a number of writes in a transaction that every store accepts.
+	alwaysAcceptedWrites = 2
 )
 
 // Limits are the store's limits as far as they are known. They start as the lower of the present
 // and the next limits in the settings, and are lowered when the store rejects what they allow.
 type Limits struct {
-	announced   *config.StoreLimits
-	fewerWrites int  // limit of writes derived from a rejected transaction; 0 for none
-	smallValues bool // the store rejected a value that the settings allow
+	announced           *config.StoreLimits
+	derivedMaxWrites    int  // limit of writes derived from a rejected transaction; 0 for none
+	largeValuesRejected bool // the store rejected a value that the settings allow
 }
 
-// bound returns the lower of the announced and the derived limits.
-func (l *Limits) bound() config.StoreLimits {
-	bound := l.announced.Strictest()
-	if l.fewerWrites > 0 {
-		bound.TxnOps = min(bound.TxnOps, l.fewerWrites)
+// effective returns the lower of the announced and the derived limits.
+func (l *Limits) effective() config.StoreLimits {
+	limits := l.announced.Strictest()
+	if l.derivedMaxWrites > 0 {
+		limits.TxnOps = min(limits.TxnOps, l.derivedMaxWrites)
 	}
-	return bound
+	return limits
 }
 
 // MaxWrites returns how many writes a transaction may have.
-func (l *Limits) MaxWrites() int { return l.bound().TxnOps }
+func (l *Limits) MaxWrites() int { return l.effective().TxnOps }
 
 // MaxConditions returns how many conditions a transaction may have.
 func (l *Limits) MaxConditions() int { return conditionsPerWrite * l.MaxWrites() }
 
 // MaxValue returns the maximum size of a value, in bytes.
-func (l *Limits) MaxValue() int { return min(int(l.bound().ValueKB*1024), MaxTxnBytes) }
+func (l *Limits) MaxValue() int { return min(int(l.effective().ValueKB*1024), MaxTxnBytes) }
 
 // MaxPlacementValue returns the maximum size of a placement record, in bytes.
 func (l *Limits) MaxPlacementValue() int {
-	if l.smallValues {
+	if l.largeValuesRejected {
 		return min(l.MaxValue(), SmallValue)
 	}
 	return l.MaxValue()
@@ -54,10 +54,10 @@
 
 // ShrinkValues reports whether values must be smaller than the settings allow at present, because
 // the settings announce a lower limit or the store has rejected a value.
-func (l *Limits) ShrinkValues() bool { return l.AnnouncedToShrink() || l.smallValues }
+func (l *Limits) ShrinkValues() bool { return l.AnnouncedToShrink() || l.largeValuesRejected }
 
 // AnnouncedToShrink reports whether the settings announce a lower limit for values.
-func (l *Limits) AnnouncedToShrink() bool { return l.bound().ValueKB < l.announced.ValueKB }
+func (l *Limits) AnnouncedToShrink() bool { return l.effective().ValueKB < l.announced.ValueKB }
 
 // RejectedWrites lowers MaxWrites after the store has rejected a transaction with that many
 // writes, since its limits are lower than announced. Otherwise a transaction that is too large
@@ -65,10 +65,10 @@
 // may be accepted. They are not if the transaction had so few writes that every store accepts
 // them: then its values must be the cause.
 func (l *Limits) RejectedWrites(writes int) bool {
-	if writes <= alwaysAccepted {
+	if writes <= alwaysAcceptedWrites {
 		return false
 	}
-	l.fewerWrites = max(alwaysAccepted, writes*3/4)
+	l.derivedMaxWrites = max(alwaysAcceptedWrites, writes*3/4)
 	return true
 }
 
@@ -76,16 +76,16 @@
 // allow. Earlier rejections may have had the same cause, so a limit of writes that was derived
 // from them is dropped.
 func (l *Limits) RejectedValue() {
-	l.smallValues = true
+	l.largeValuesRejected = true
 	l.ForgetFewerWrites()
 }
 
 // ForgetFewerWrites drops the limit of writes that was derived from rejected transactions.
-func (l *Limits) ForgetFewerWrites() { l.fewerWrites = 0 }
+func (l *Limits) ForgetFewerWrites() { l.derivedMaxWrites = 0 }
 
 // SmallValues reports whether the store has rejected a value that the settings allow.
-func (l *Limits) SmallValues() bool { return l.smallValues }
+func (l *Limits) SmallValues() bool { return l.largeValuesRejected }
 
 // AssumeSmallValues lowers MaxPlacementValue because the store rejected a value of an earlier
 // leader.
-func (l *Limits) AssumeSmallValues() { l.smallValues = true }
+func (l *Limits) AssumeSmallValues() { l.largeValuesRejected = true }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -22,8 +22,8 @@
 	// controller may have. If the store does not answer, each call holds its connection until its
 	// deadline.
 	connectionsPerCall = 48
-	// minCalls is the bound of concurrent non-urgent calls if connectionsPerCall gives fewer.
-	minCalls = 4
+	// minConcurrentCalls is the bound of concurrent non-urgent calls if connectionsPerCall gives fewer.
+	minConcurrentCalls = 4
 )
 
 // A call that the store rejected for its rate is retried after RetryDelay, if at least
@@ -43,7 +43,7 @@
 
 // New creates a client within the limits of the settings.
 func New(settings *config.Settings) *Client {
-	calls := max(minCalls, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)
+	calls := max(minConcurrentCalls, settings.Deployment.MachineLimits.MaxConnections/connectionsPerCall)
 	return &Client{
 		http:      httpwire.Client{Addr: settings.External.Store, MaxIdle: maxIdleConnections},
 		watchHTTP: httpwire.Client{Addr: settings.External.Store, MaxIdle: 1},
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -12,9 +12,9 @@
 // than the lower of the present and the announced rates, and at least 80% of them.
 func TestRateLimiterKeepsToLowerLimits(t *testing.T) {
 	for _, tc := range []struct {
-		name         string
-		next         *config.StoreLimits
-		reqs, writes float64 // per second
+		name             string
+		next             *config.StoreLimits
+		requests, writes float64 // per second
 	}{
 		{"nothing announced", nil, 250, 100},
 		{"fewer writes", &config.StoreLimits{WriteRPS: 40}, 250, 40},
@@ -28,8 +28,8 @@
 				call core.Call
 				rate float64
 			}{
-				{"requests", core.Call{}, tc.reqs},
-				{"writes", core.Call{Writes: 1}, min(tc.writes, tc.reqs)},
+				{"requests", core.Call{}, tc.requests},
+				{"writes", core.Call{Writes: 1}, min(tc.writes, tc.requests)},
 			} {
 				got := callsInTenSeconds(NewRateLimiter(&settings), &kind.call)
 				if got > 10*kind.rate || got < 8*kind.rate {
--- a/internal/wake/activator/activator.go
+++ b/internal/wake/activator/activator.go
@@ -35,13 +35,13 @@
 
 // Server is a running activator.
 type Server struct {
-	config   Config
-	started  time.Time
-	listener *httpserve.Server
-	done     chan struct{} // closed when the server stops
+	config    Config
+	startTime time.Time
+	listener  *httpserve.Server
+	done      chan struct{} // closed when the server stops
 
-	store        *httpwire.Client
-	watchStore   *httpwire.Client
+	storeClient  *httpwire.Client
+	watchClient  *httpwire.Client
 	forwardSlots budget.Semaphore // one for each request being forwarded to a model server
 
 	mu             sync.Mutex // protects the state machine and the fields below
@@ -49,7 +49,7 @@
 	pendingReplies map[uint64]func(httpserve.Response) // by request ID
 	lastRequestID  uint64
 	stopped        bool
-	modelServers   map[string]*httpwire.Client // by address
+	modelClients   map[string]*httpwire.Client // by address
 }
 
 const (
@@ -72,13 +72,13 @@
 func Start(config Config) (*Server, error) {
 	s := &Server{
 		config:         config,
-		started:        time.Now(),
+		startTime:      time.Now(),
 		done:           make(chan struct{}),
-		store:          &httpwire.Client{Addr: config.StoreAddress, MaxIdle: maxIdleConnections},
-		watchStore:     &httpwire.Client{Addr: config.StoreAddress, MaxIdle: 1},
+		storeClient:    &httpwire.Client{Addr: config.StoreAddress, MaxIdle: maxIdleConnections},
+		watchClient:    &httpwire.Client{Addr: config.StoreAddress, MaxIdle: 1},
 		forwardSlots:   budget.NewSemaphore(maxForwards),
 		pendingReplies: map[uint64]func(httpserve.Response){},
-		modelServers:   map[string]*httpwire.Client{},
+		modelClients:   map[string]*httpwire.Client{},
 	}
 	s.controller = wake.New(config.Name, config.Incarnation, config.Registry, s, s, s, config.Log)
 	var err error
@@ -102,20 +102,20 @@
 	s.stopped = true
 	close(s.done)
 	s.listener.CloseAll()
-	s.store.CloseIdle()
-	s.watchStore.CloseIdle()
-	for _, client := range s.modelServers {
+	s.storeClient.CloseIdle()
+	s.watchClient.CloseIdle()
+	for _, client := range s.modelClients {
 		client.CloseIdle()
 	}
 }
 
-// leases returns a multiple of the duration of a controller's lease.
-func (s *Server) leases(factor float64) time.Duration {
+// leaseMultiple returns a multiple of the duration of a controller's lease.
+func (s *Server) leaseMultiple(factor float64) time.Duration {
 	return time.Duration(factor * s.config.Registry.LeaseSeconds * float64(time.Second))
 }
 
 func (s *Server) tickLoop() {
-	ticker := time.NewTicker(s.leases(1.0 / ticksPerLease))
+	ticker := time.NewTicker(s.leaseMultiple(1.0 / ticksPerLease))
 	defer ticker.Stop()
 	for {
 		select {
@@ -181,7 +181,7 @@
 }
 
 // Now returns the time since the start, by a monotonic clock.
-func (s *Server) Now() time.Duration { return time.Since(s.started) }
+func (s *Server) Now() time.Duration { return time.Since(s.startTime) }
 
 // Reply sends the answer to a request. It is called with the state machine locked.
 func (s *Server) Reply(id uint64, answer wake.Reply) {
@@ -212,7 +212,7 @@
 }
 
 // callTimeout bounds the calls to the store, and the commands to model servers.
-func (s *Server) callTimeout() time.Duration { return s.leases(0.5) }
+func (s *Server) callTimeout() time.Duration { return s.leaseMultiple(0.5) }
 
 // call sends a request from a goroutine of its own and calls done with the answer, with the state
 // machine locked. The status is httpstatus.NoAnswer if no answer came in time.
--- a/internal/wake/activator/activator_test.go
+++ b/internal/wake/activator/activator_test.go
@@ -42,7 +42,7 @@
 
 	mu               sync.Mutex
 	start            time.Time
-	models           []*sim.ModelServer
+	modelServers     []*sim.ModelServer
 	duplicateReplica bool // the model had two replicas at a time
 	executions       map[string]int
 }
@@ -81,14 +81,14 @@
 }
 
 // startModelServers starts two model servers and sets the registry that lists them.
-func (p *testCluster) startModelServers(load, service time.Duration) {
-	p.t.Helper()
+func (c *testCluster) startModelServers(load, service time.Duration) {
+	c.t.Helper()
 	var addresses []string
 	for i := range 2 {
-		model := sim.NewModelServer(replicaLease, sim.RandomLoad(rand.New(rand.NewPCG(uint64(i), 1)), load, 0))
-		p.models = append(p.models, model)
-		server := p.listen(func(r *httpwire.Request, reply func(httpserve.Response)) {
-			p.serveModel(model, r, service, reply)
+		modelServer := sim.NewModelServer(replicaLease, sim.RandomLoad(rand.New(rand.NewPCG(uint64(i), 1)), load, 0))
+		c.modelServers = append(c.modelServers, modelServer)
+		server := c.listen(func(r *httpwire.Request, reply func(httpserve.Response)) {
+			c.serveModel(modelServer, r, service, reply)
 		})
 		addresses = append(addresses, server.Addr())
 	}
@@ -103,115 +103,115 @@
 load_s = %g
 `, replicaLease.Seconds(), addresses[0], addresses[1], load.Seconds()))
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	p.registry = registry
+	c.registry = registry
 }
 
 // serveStore forwards an activator's request to the store, unless the activator is partitioned.
-func (p *testCluster) serveStore(activator int, request *httpwire.Request, reply func(httpserve.Response)) {
-	if p.isPartitioned(activator) {
+func (c *testCluster) serveStore(activator int, request *httpwire.Request, reply func(httpserve.Response)) {
+	if c.isPartitioned(activator) {
 		return // no answer
 	}
-	p.live.Do(func() {
-		p.live.ServeStore(request.Method, httpserve.RequestTarget(request), request.Body, func(status int, body []byte) {
+	c.live.Do(func() {
+		c.live.ServeStore(request.Method, httpserve.RequestTarget(request), request.Body, func(status int, body []byte) {
 			reply(httpserve.Response{Status: status, Body: body})
 		})
 	})
 }
 
-func (p *testCluster) isPartitioned(activator int) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.partitioned[activator]
+func (c *testCluster) isPartitioned(activator int) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.partitioned[activator]
 }
 
-func (p *testCluster) partition(activator int, partitioned bool) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.partitioned[activator] = partitioned
+func (c *testCluster) partition(activator int, partitioned bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.partitioned[activator] = partitioned
 }
 
 // startActivators starts all activators in this process.
-func (p *testCluster) startActivators() {
-	p.t.Helper()
-	for i := range p.storeProxies {
-		activator := p.startActivator(i)
-		p.activators, p.addresses = append(p.activators, activator), append(p.addresses, activator.Addr())
+func (c *testCluster) startActivators() {
+	c.t.Helper()
+	for i := range c.storeProxies {
+		activator := c.startActivator(i)
+		c.activators, c.addresses = append(c.activators, activator), append(c.addresses, activator.Addr())
 	}
 }
 
-func (p *testCluster) startActivator(i int) *Server {
-	p.t.Helper()
-	p.incarnations++
+func (c *testCluster) startActivator(i int) *Server {
+	c.t.Helper()
+	c.incarnations++
 	activator, err := Start(Config{
 		Name:           "node-" + strconv.Itoa(i),
-		Incarnation:    p.incarnations,
+		Incarnation:    c.incarnations,
 		Listen:         "127.0.0.1:0",
-		StoreAddress:   p.storeProxies[i].Addr(),
-		Registry:       p.registry,
+		StoreAddress:   c.storeProxies[i].Addr(),
+		Registry:       c.registry,
 		RequestTimeout: requestTimeout,
 		Log:            slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	p.t.Cleanup(activator.Stop)
+	c.t.Cleanup(activator.Stop)
 	return activator
 }
 
 // restartActivator stops an activator without notice and starts it again after a delay.
-func (p *testCluster) restartActivator(i int, after time.Duration) {
-	p.t.Helper()
-	p.mu.Lock()
-	p.activators[i].Stop()
-	p.mu.Unlock()
+func (c *testCluster) restartActivator(i int, after time.Duration) {
+	c.t.Helper()
+	c.mu.Lock()
+	c.activators[i].Stop()
+	c.mu.Unlock()
 	time.Sleep(after)
-	restarted := p.startActivator(i)
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.activators[i], p.addresses[i] = restarted, restarted.Addr()
+	restarted := c.startActivator(i)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.activators[i], c.addresses[i] = restarted, restarted.Addr()
 }
 
 // listen serves requests on a free port until the test ends.
-func (p *testCluster) listen(handler httpserve.Handler) *httpserve.Server {
-	p.t.Helper()
+func (c *testCluster) listen(handler httpserve.Handler) *httpserve.Server {
+	c.t.Helper()
 	server, err := httpserve.Listen("127.0.0.1:0", &httpserve.Traffic{}, handler)
 	if err != nil {
-		p.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	p.t.Cleanup(server.CloseAll)
+	c.t.Cleanup(server.CloseAll)
 	return server
 }
 
-func (p *testCluster) now() time.Duration { return time.Since(p.start) }
+func (c *testCluster) now() time.Duration { return time.Since(c.start) }
 
 // serveModel handles a request to a model server.
-func (p *testCluster) serveModel(server *sim.ModelServer, request *httpwire.Request, service time.Duration, reply func(httpserve.Response)) {
+func (c *testCluster) serveModel(server *sim.ModelServer, request *httpwire.Request, service time.Duration, reply func(httpserve.Response)) {
 	if request.Path == "/copy" {
-		reply(httpserve.Response{Status: httpstatus.OK, Body: p.command(server, request.Body)})
+		reply(httpserve.Response{Status: httpstatus.OK, Body: c.command(server, request.Body)})
 		return
 	}
 	parts := strings.Split(request.Path, "/") // /ask/MODEL/KEY
 	model, key := parts[2], parts[3]
-	p.mu.Lock()
-	result, answer := server.Ask(model, key, p.now())
+	c.mu.Lock()
+	result, answer := server.Ask(model, key, c.now())
 	if result == sim.AskStarted {
-		p.executions[key]++
+		c.executions[key]++
 	}
-	p.mu.Unlock()
+	c.mu.Unlock()
 	switch result {
 	case sim.AskRejected:
 		reply(httpserve.Response{Status: httpstatus.Conflict})
 	case sim.AskAnswered:
 		reply(httpserve.Response{Status: httpstatus.OK, Body: answer})
 	case sim.AskInProgress:
-		time.AfterFunc(service, func() { p.serveModel(server, request, service, reply) })
+		time.AfterFunc(service, func() { c.serveModel(server, request, service, reply) })
 	case sim.AskStarted:
 		time.AfterFunc(service, func() {
-			p.mu.Lock()
-			defer p.mu.Unlock()
-			if server.Finish(model, key, []byte(key), p.now()) {
+			c.mu.Lock()
+			defer c.mu.Unlock()
+			if server.Finish(model, key, []byte(key), c.now()) {
 				reply(httpserve.Response{Status: httpstatus.OK, Body: []byte(key)})
 			}
 		})
@@ -219,32 +219,32 @@
 }
 
 // command executes a command and returns the body of its answer.
-func (p *testCluster) command(server *sim.ModelServer, body []byte) []byte {
+func (c *testCluster) command(server *sim.ModelServer, body []byte) []byte {
 	var command wake.Command
 	if err := json.Unmarshal(body, &command); err != nil {
-		p.t.Errorf("model server got malformed command %s: %v", body, err)
+		c.t.Errorf("model server got malformed command %s: %v", body, err)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return kv.Encode(server.Command(command, p.now()))
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return kv.Encode(server.Command(command, c.now()))
 }
 
 // checkReplicas records whether the model ever has a replica on both model servers at a time.
-func (p *testCluster) checkReplicas(ctx context.Context) {
+func (c *testCluster) checkReplicas(ctx context.Context) {
 	for ctx.Err() == nil {
-		p.mu.Lock()
-		p.duplicateReplica = p.duplicateReplica || p.models[0].HasReplica("m", p.now()) && p.models[1].HasReplica("m", p.now())
-		p.mu.Unlock()
+		c.mu.Lock()
+		c.duplicateReplica = c.duplicateReplica || c.modelServers[0].HasReplica("m", c.now()) && c.modelServers[1].HasReplica("m", c.now())
+		c.mu.Unlock()
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
 // replicaStarts returns the number of replicas that were started.
-func (p *testCluster) replicaStarts() int {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (c *testCluster) replicaStarts() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	starts := 0
-	for _, model := range p.models {
+	for _, model := range c.modelServers {
 		starts += model.Starts
 	}
 	return starts
@@ -252,17 +252,17 @@
 
 // request sends a request to one activator after another until one answers, as a client does
 // when its connection is closed. It returns the number of answers, 0 or 1, and the status.
-func (p *testCluster) request(first int, key string) (answers, status int) {
+func (c *testCluster) request(first int, key string) (answers, status int) {
 	for try := range 20 {
-		p.mu.Lock()
-		addr := p.addresses[(first+try)%len(p.addresses)]
-		p.mu.Unlock()
+		c.mu.Lock()
+		addr := c.addresses[(first+try)%len(c.addresses)]
+		c.mu.Unlock()
 		client := httpwire.Client{Addr: addr, MaxIdle: 1}
 		response, err := client.Do("POST", "/models/m/"+key, nil, requestTimeout+10*time.Second)
 		client.CloseIdle()
 		if err == nil {
 			if response.Status == httpstatus.OK && string(response.Body) != key {
-				p.t.Errorf("request %s: got the answer to request %s", key, response.Body)
+				c.t.Errorf("request %s: got the answer to request %s", key, response.Body)
 			}
 			return 1, response.Status
 		}
@@ -293,14 +293,14 @@
 			}
 		})
 	}
-	victim := rng.IntN(activators)
+	target := rng.IntN(activators)
 	time.Sleep(time.Duration(rng.IntN(900)) * time.Millisecond)
 	if seed%2 == 0 { // an activator is stopped at a random time and restarted
-		cluster.restartActivator(victim, time.Duration(rng.IntN(500))*time.Millisecond)
+		cluster.restartActivator(target, time.Duration(rng.IntN(500))*time.Millisecond)
 	} else { // an activator is partitioned from the store, not from the model servers
-		cluster.partition(victim, true)
+		cluster.partition(target, true)
 		time.Sleep(time.Duration(1000+rng.IntN(1500)) * time.Millisecond)
-		cluster.partition(victim, false)
+		cluster.partition(target, false)
 	}
 	clients.Wait()
 	if n := served.Load(); n != requests {
@@ -310,19 +310,19 @@
 }
 
 // checkStartedOnce checks that one replica was started and that each request was executed once.
-func (p *testCluster) checkStartedOnce(seed uint64) {
-	p.t.Helper()
-	if n := p.replicaStarts(); n != 1 {
-		p.t.Errorf("seed %d: %d replicas were started, want 1", seed, n)
+func (c *testCluster) checkStartedOnce(seed uint64) {
+	c.t.Helper()
+	if n := c.replicaStarts(); n != 1 {
+		c.t.Errorf("seed %d: %d replicas were started, want 1", seed, n)
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if p.duplicateReplica {
-		p.t.Errorf("seed %d: the model had two replicas at a time, want at most one", seed)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.duplicateReplica {
+		c.t.Errorf("seed %d: the model had two replicas at a time, want at most one", seed)
 	}
-	for key, n := range p.executions {
+	for key, n := range c.executions {
 		if n != 1 {
-			p.t.Errorf("seed %d: request %s was executed %d times, want once", seed, key, n)
+			c.t.Errorf("seed %d: request %s was executed %d times, want once", seed, key, n)
 		}
 	}
 }
--- a/internal/wake/activator/models.go
+++ b/internal/wake/activator/models.go
@@ -58,10 +58,10 @@
 
 // clientFor returns the client of a model server. It is called with the state machine locked.
 func (s *Server) clientFor(address string) *httpwire.Client {
-	client := s.modelServers[address]
+	client := s.modelClients[address]
 	if client == nil {
 		client = &httpwire.Client{Addr: address, MaxIdle: maxIdleConnections}
-		s.modelServers[address] = client
+		s.modelClients[address] = client
 	}
 	return client
 }
--- a/internal/wake/activator/process_test.go
+++ b/internal/wake/activator/process_test.go
@@ -101,7 +101,7 @@
 			}
 		})
 	}
-	for began := time.Now(); cluster.replicaStarts() == 0 && time.Since(began) < 10*time.Second; {
+	for start := time.Now(); cluster.replicaStarts() == 0 && time.Since(start) < 10*time.Second; {
 		time.Sleep(5 * time.Millisecond)
 	}
 	// Two of the three processes are killed while the replica loads, whichever of them owns it.
--- a/internal/wake/activator/store.go
+++ b/internal/wake/activator/store.go
@@ -39,7 +39,7 @@
 func (s *Server) Watch(prefix string, since uint64, done func(kv.WatchResult)) {
 	path := "/changes?under=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(since, 10) +
 		"&holdMs=" + strconv.Itoa(int(s.watchHold()/time.Millisecond))
-	s.call(s.watchStore, methodGet, path, nil, s.watchHold()+s.callTimeout(), func(status int, body []byte) {
+	s.call(s.watchClient, methodGet, path, nil, s.watchHold()+s.callTimeout(), func(status int, body []byte) {
 		done(kv.ParseWatch(kv.Response{Number: status, Body: body}))
 	})
 }
@@ -47,11 +47,11 @@
 // watchHold is how long the store holds a watch open without changes. An activator that was
 // partitioned from the store during a watch detects it when the watch times out, callTimeout
 // after that time.
-func (s *Server) watchHold() time.Duration { return s.leases(2) }
+func (s *Server) watchHold() time.Duration { return s.leaseMultiple(2) }
 
 // callStore sends a request other than a watch to the store.
 func (s *Server) callStore(method, path string, body []byte, done func(kv.Response)) {
-	s.call(s.store, method, path, body, s.callTimeout(), func(status int, body []byte) {
+	s.call(s.storeClient, method, path, body, s.callTimeout(), func(status int, body []byte) {
 		done(kv.Response{Number: status, Body: body})
 	})
 }
--- a/internal/wake/activator/store_test.go
+++ b/internal/wake/activator/store_test.go
@@ -28,12 +28,12 @@
 	}
 	t.Cleanup(store.CloseAll)
 	server := &Server{
-		config:     Config{Registry: &wake.Registry{LeaseSeconds: 10}, Log: slog.New(slog.DiscardHandler)},
-		store:      &httpwire.Client{Addr: store.Addr(), MaxIdle: 1},
-		watchStore: &httpwire.Client{Addr: store.Addr(), MaxIdle: 1},
+		config:      Config{Registry: &wake.Registry{LeaseSeconds: 10}, Log: slog.New(slog.DiscardHandler)},
+		storeClient: &httpwire.Client{Addr: store.Addr(), MaxIdle: 1},
+		watchClient: &httpwire.Client{Addr: store.Addr(), MaxIdle: 1},
 	}
-	t.Cleanup(server.store.CloseIdle)
-	t.Cleanup(server.watchStore.CloseIdle)
+	t.Cleanup(server.storeClient.CloseIdle)
+	t.Cleanup(server.watchClient.CloseIdle)
 	for _, tc := range []struct {
 		name string
 		call func(done func(kv.Status))
--- a/internal/wake/controller.go
+++ b/internal/wake/controller.go
@@ -21,7 +21,7 @@
 	models      map[string]*modelState
 	modelNames  []string                              // sorted
 	controllers map[string]kv.Versioned[registration] // those that are alive, by name
-	slots       kv.Versioned[wakeSlots]
+	slots       kv.Versioned[startSlots]
 
 	listed   bool // the records are known
 	listing  bool // a listing is in flight
@@ -111,7 +111,7 @@
 	case PhaseAwake:
 		c.forwardAll(model)
 	case PhaseAsleep, phaseNoRecord:
-		if len(model.queue.requests) > 0 && c.mayWake(model) {
+		if len(model.queue.requests) > 0 && c.mayStart(model) {
 			c.claim(model)
 		}
 	case PhaseWaking, PhaseDraining: // requests wait for the next phase
--- a/internal/wake/lease.go
+++ b/internal/wake/lease.go
@@ -54,7 +54,7 @@
 
 // register writes this controller's key, attached to a lease that was requested at the given
 // time.
-func (c *Controller) register(granted time.Duration, lease uint64) {
+func (c *Controller) register(requestedAt time.Duration, lease uint64) {
 	own := registration{Incarnation: c.incarnation}
 	txn := &wire.Txn{Writes: []wire.Write{{Put: controllerKey(c.name), Value: kv.Encode(own), Lease: lease}}}
 	c.store.Commit(txn, func(result kv.TxnResult) {
@@ -62,7 +62,7 @@
 		if !result.Committed() {
 			return
 		}
-		c.leaseID, c.leaseExpiry = lease, granted+c.leaseDuration()
+		c.leaseID, c.leaseExpiry = lease, requestedAt+c.leaseDuration()
 		if known := c.controllers[c.name]; known.Version < result.Revision {
 			c.controllers[c.name] = kv.Versioned[registration]{Value: own, Version: result.Revision}
 		}
--- a/internal/wake/owner.go
+++ b/internal/wake/owner.go
@@ -5,9 +5,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// mayWake reports whether a model may be started now: the number of concurrent starts is
+// mayStart reports whether a model may be started now: the number of concurrent starts is
 // bounded, and failed starts are retried with exponential backoff.
-func (c *Controller) mayWake(model *modelState) bool {
+func (c *Controller) mayStart(model *modelState) bool {
 	if len(c.slots.Value.Holders) >= c.registry.MaxWaking {
 		return false
 	}
@@ -93,7 +93,7 @@
 	txn := c.recordTxn(model, next)
 	nextSlots := c.slots.Value
 	if slot != slotUnchanged {
-		nextSlots = wakeSlots{Holders: updateSlots(c.slots.Value.Holders, model.Name, slot)}
+		nextSlots = startSlots{Holders: updateSlots(c.slots.Value.Holders, model.Name, slot)}
 		txn.Conditions = append(txn.Conditions, wire.Condition{Key: slotsKey, Version: c.slots.Version})
 		txn.Writes = append(txn.Writes, wire.Write{Put: slotsKey, Value: kv.Encode(nextSlots)})
 	}
@@ -106,7 +106,7 @@
 		}
 		c.applyRecord(model, kv.Versioned[Record]{Value: next, Version: result.Revision})
 		if slot != slotUnchanged {
-			c.applySlots(kv.Versioned[wakeSlots]{Value: nextSlots, Version: result.Revision})
+			c.applySlots(kv.Versioned[startSlots]{Value: nextSlots, Version: result.Revision})
 		}
 		c.reconcile(model)
 	})
--- a/internal/wake/queue.go
+++ b/internal/wake/queue.go
@@ -42,14 +42,14 @@
 
 // removeExpired removes and returns the requests whose deadlines have passed.
 func (q *queue) removeExpired(now time.Duration) []*Request {
-	var expired, left []*Request
+	var expired, remaining []*Request
 	for _, request := range q.requests {
 		if now >= request.Deadline {
 			expired = append(expired, request)
 		} else {
-			left = append(left, request)
+			remaining = append(remaining, request)
 		}
 	}
-	q.requests = left
+	q.requests = remaining
 	return expired
 }
--- a/internal/wake/record.go
+++ b/internal/wake/record.go
@@ -55,7 +55,7 @@
 	Incarnation uint64 `json:"r"`
 }
 
-// wakeSlots lists the models that are being started, at most MaxWaking of them.
-type wakeSlots struct {
+// startSlots lists the models that are being started, at most MaxWaking of them.
+type startSlots struct {
 	Holders []string `json:"w"`
 }
--- a/internal/wake/view.go
+++ b/internal/wake/view.go
@@ -52,7 +52,7 @@
 			c.applyRegistration(name, decode[registration](c.log, item))
 		}
 	}
-	c.slots = decode[wakeSlots](c.log, items[slotsKey])
+	c.slots = decode[startSlots](c.log, items[slotsKey])
 	for _, name := range c.modelNames {
 		c.setRecord(c.models[name], decode[Record](c.log, items[modelKey(name)]))
 	}
@@ -88,13 +88,13 @@
 		case result.Status != kv.OK:
 			c.retryAt = c.host.Now() + c.pollInterval()
 		case since == c.revision: // otherwise a listing has replaced the view during the watch
-			c.apply(&result.Changes)
+			c.applyChanges(&result.Changes)
 		}
 	})
 }
 
-// apply applies the changes that a watch has returned.
-func (c *Controller) apply(changes *wire.Changes) {
+// applyChanges applies the changes that a watch has returned.
+func (c *Controller) applyChanges(changes *wire.Changes) {
 	for i := range changes.Events {
 		c.applyItem(changedItem(&changes.Events[i]))
 	}
@@ -113,7 +113,7 @@
 // applyItem updates the view with the new state of a key.
 func (c *Controller) applyItem(item wire.Item) {
 	if item.Key == slotsKey {
-		c.applySlots(decode[wakeSlots](c.log, item))
+		c.applySlots(decode[startSlots](c.log, item))
 	} else if name, ok := strings.CutPrefix(item.Key, modelPrefix); ok {
 		if model := c.models[name]; model != nil {
 			c.applyRecord(model, decode[Record](c.log, item))
@@ -136,7 +136,7 @@
 }
 
 // applySlots updates which models are being started, unless a later version is known.
-func (c *Controller) applySlots(slots kv.Versioned[wakeSlots]) {
+func (c *Controller) applySlots(slots kv.Versioned[startSlots]) {
 	if slots.Version >= c.slots.Version {
 		c.slots = slots
 	}
