--- a/internal/wake/controller.go
+++ b/internal/wake/controller.go
@@ -108,13 +108,13 @@
 		c.reconcileReplica(model)
 	}
 	switch model.record.Value.Phase {
-	case PhaseAwake:
+	case PhaseServing:
 		c.forwardAll(model)
-	case PhaseAsleep, phaseNoRecord:
+	case PhaseScaledToZero, phaseNoRecord:
 		if len(model.queue.requests) > 0 && c.mayStart(model) {
 			c.claim(model)
 		}
-	case PhaseWaking, PhaseDraining: // requests wait for the next phase
+	case PhaseStarting, PhaseDraining: // requests wait for the next phase
 	}
 	if c.orphaned(model) {
 		c.takeOver(model)
--- a/internal/wake/controller_test.go
+++ b/internal/wake/controller_test.go
@@ -95,7 +95,7 @@
 // takeover must fail, and the owner keep the replica.
 func TestTakeoverRequiresOwnerKeyDeleted(t *testing.T) {
 	backends := newFakeBackends()
-	backends.put(modelKey("a"), Record{Phase: PhaseAwake, Epoch: 3, Owner: "node-1", Incarnation: 7, Server: "gpu-0"})
+	backends.put(modelKey("a"), Record{Phase: PhaseServing, Epoch: 3, Owner: "node-1", Incarnation: 7, Server: "gpu-0"})
 	controller := newTestController(t, backends)
 	returned := false
 	backends.beforeCommit = func() {
--- a/internal/wake/owner.go
+++ b/internal/wake/owner.go
@@ -32,14 +32,14 @@
 // owns reports whether this incarnation of this controller owns a model's replica.
 func (c *Controller) owns(model *modelState) bool {
 	record := &model.record.Value
-	return record.Owner == c.name && record.Incarnation == c.incarnation && record.Phase != PhaseAsleep
+	return record.Owner == c.name && record.Incarnation == c.incarnation && record.Phase != PhaseScaledToZero
 }
 
 // orphaned reports whether the owner of a model's replica is no longer registered: its key has
 // been deleted, or belongs to another incarnation.
 func (c *Controller) orphaned(model *modelState) bool {
 	record := &model.record.Value
-	if record.Phase == PhaseAsleep || record.Phase == phaseNoRecord || c.owns(model) {
+	if record.Phase == PhaseScaledToZero || record.Phase == phaseNoRecord || c.owns(model) {
 		return false
 	}
 	return c.controllers[record.Owner].Value.Incarnation != record.Incarnation
@@ -50,7 +50,7 @@
 func (c *Controller) claim(model *modelState) {
 	record := model.record.Value
 	next := Record{
-		Phase:       PhaseWaking,
+		Phase:       PhaseStarting,
 		Epoch:       record.Epoch + 1,
 		Owner:       c.name,
 		Incarnation: c.incarnation,
--- a/internal/wake/record.go
+++ b/internal/wake/record.go
@@ -30,13 +30,14 @@
 // Phase is the phase of the life cycle of a model's replica.
 type Phase string
 
-// The phases of a replica. A model without a record is asleep.
+// The phases of a replica. A model without a record is scaled to zero. The values are in stored
+// records and must never change.
 const (
-	phaseNoRecord Phase = ""
-	PhaseAsleep   Phase = "asleep"   // scaled to zero
-	PhaseWaking   Phase = "waking"   // being started
-	PhaseAwake    Phase = "awake"    // serves requests
-	PhaseDraining Phase = "draining" // accepts no further requests and is then stopped
+	phaseNoRecord     Phase = ""
+	PhaseScaledToZero Phase = "asleep"   // there is no replica
+	PhaseStarting     Phase = "waking"   // being started
+	PhaseServing      Phase = "awake"    // serves requests
+	PhaseDraining     Phase = "draining" // accepts no further requests and is then stopped
 )
 
 // Record is a model's record in the key-value store. Its JSON names are in stored records and
--- a/internal/wake/replica.go
+++ b/internal/wake/replica.go
@@ -41,7 +41,7 @@
 func nextVerb(model *modelState) Verb {
 	owned := &model.ownership
 	switch model.record.Value.Phase {
-	case PhaseWaking:
+	case PhaseStarting:
 		if owned.startToken != 0 {
 			return VerbStart
 		}
@@ -50,7 +50,7 @@
 			return VerbStop
 		}
 		return VerbClose
-	case PhaseAwake, PhaseAsleep, phaseNoRecord:
+	case PhaseServing, PhaseScaledToZero, phaseNoRecord:
 	}
 	return VerbProbe
 }
@@ -107,27 +107,27 @@
 	record := model.record.Value
 	failures := record.Failures + 1
 	c.log.Warn("replica failed to load", "model", model.Name, "server", record.Server, "failures", failures)
-	c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch, Failures: failures}, slotReleased)
+	c.writeRecord(model, Record{Phase: PhaseScaledToZero, Epoch: record.Epoch, Failures: failures}, slotReleased)
 }
 
 // onAbsent handles that the server has no replica. The token permits one start.
 func (c *Controller) onAbsent(model *modelState, startToken uint64) {
 	record := model.record.Value
 	switch record.Phase {
-	case PhaseWaking:
+	case PhaseStarting:
 		if model.ownership.replicaSeen {
 			// The replica existed under this epoch and has ended, as after an aborted load.
-			c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch, Failures: record.Failures + 1}, slotReleased)
+			c.writeRecord(model, Record{Phase: PhaseScaledToZero, Epoch: record.Epoch, Failures: record.Failures + 1}, slotReleased)
 			return
 		}
 		if startToken != 0 { // no replica was started under this epoch: start it now
 			model.ownership.startToken, model.ownership.nextCommand = startToken, c.host.Now()
 			c.reconcileReplica(model)
 		}
-	case PhaseAwake, PhaseDraining:
+	case PhaseServing, PhaseDraining:
 		c.log.Info("replica no longer exists on its model server", "model", model.Name, "server", record.Server, "phase", record.Phase)
-		c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch}, slotUnchanged)
-	case PhaseAsleep, phaseNoRecord: // without an owner, no command is sent
+		c.writeRecord(model, Record{Phase: PhaseScaledToZero, Epoch: record.Epoch}, slotUnchanged)
+	case PhaseScaledToZero, phaseNoRecord: // without an owner, no command is sent
 	}
 }
 
@@ -135,15 +135,15 @@
 func (c *Controller) onReady(model *modelState, status ReplicaStatus) {
 	record := model.record.Value
 	switch record.Phase {
-	case PhaseWaking:
-		record.Phase, record.Failures = PhaseAwake, 0
+	case PhaseStarting:
+		record.Phase, record.Failures = PhaseServing, 0
 		c.writeRecord(model, record, slotReleased)
-	case PhaseAwake:
+	case PhaseServing:
 		if model.idle(status) {
 			record.Phase = PhaseDraining
 			c.writeRecord(model, record, slotUnchanged)
 		}
-	case PhaseDraining, PhaseAsleep, phaseNoRecord: // while draining, the next command closes it
+	case PhaseDraining, PhaseScaledToZero, phaseNoRecord: // while draining, the next command closes it
 	}
 }
 
@@ -159,7 +159,7 @@
 // onClosed handles that the replica accepts no further requests.
 func (c *Controller) onClosed(model *modelState, status ReplicaStatus) {
 	model.ownership.closed = true
-	if model.record.Value.Phase == PhaseWaking {
+	if model.record.Value.Phase == PhaseStarting {
 		// A previous owner closed it without recording that. The model is started again once
 		// this replica has ended.
 		record := model.record.Value
@@ -177,15 +177,15 @@
 func (c *Controller) failOver(model *modelState) {
 	record := model.record.Value
 	if record.Phase == PhaseDraining {
-		c.writeRecord(model, Record{Phase: PhaseAsleep, Epoch: record.Epoch}, slotUnchanged)
+		c.writeRecord(model, Record{Phase: PhaseScaledToZero, Epoch: record.Epoch}, slotUnchanged)
 		return
 	}
 	slot := slotUnchanged // a model that was being started already holds a slot
-	if record.Phase == PhaseAwake {
+	if record.Phase == PhaseServing {
 		slot = slotAcquired
 	}
 	next := Record{
-		Phase:       PhaseWaking,
+		Phase:       PhaseStarting,
 		Epoch:       record.Epoch + 1,
 		Owner:       c.name,
 		Incarnation: c.incarnation,
