--- a/internal/wake/controller.go
+++ b/internal/wake/controller.go
@@ -64,7 +64,7 @@
 	for _, registered := range registry.Models {
 		c.models[registered.Name] = &modelState{
 			Model:    registered,
-			queue:    queue{limit: registry.MaxWaiting},
+			queue:    queue{limit: registry.MaxQueuedRequests},
 			inFlight: map[uint64]*Request{},
 		}
 		c.modelNames = append(c.modelNames, registered.Name)
--- a/internal/wake/owner.go
+++ b/internal/wake/owner.go
@@ -8,7 +8,7 @@
 // mayStart reports whether a model may be started now: the number of concurrent starts is
 // bounded, and failed starts are retried with exponential backoff.
 func (c *Controller) mayStart(model *modelState) bool {
-	if len(c.slots.Value.Holders) >= c.registry.MaxWaking {
+	if len(c.slots.Value.Holders) >= c.registry.MaxConcurrentStarts {
 		return false
 	}
 	failures := model.record.Value.Failures
--- a/internal/wake/record.go
+++ b/internal/wake/record.go
@@ -56,7 +56,8 @@
 	Incarnation uint64 `json:"r"`
 }
 
-// startSlots lists the models that are being started, at most MaxWaking of them.
+// startSlots lists the models that are being started, at most MaxConcurrentStarts of
+// them.
 type startSlots struct {
 	Holders []string `json:"w"`
 }
--- a/internal/wake/registry.go
+++ b/internal/wake/registry.go
@@ -19,11 +19,11 @@
 	// be more than LeaseSeconds, so that the replica still runs when another controller takes
 	// it over.
 	ReplicaLeaseSeconds float64 `toml:"copy_lease_s"`
-	// MaxWaking is how many models may be started at a time.
-	MaxWaking int `toml:"max_waking"`
-	// MaxWaiting is how many requests for a model may be queued on a controller.
-	MaxWaiting int     `toml:"max_waiting"`
-	Models     []Model `toml:"models"`
+	// MaxConcurrentStarts is how many models may be in the process of starting at a time.
+	MaxConcurrentStarts int `toml:"max_waking"`
+	// MaxQueuedRequests is how many requests for a model may be queued on a controller.
+	MaxQueuedRequests int     `toml:"max_waiting"`
+	Models            []Model `toml:"models"`
 }
 
 // Model is a model that may be scaled to zero.
@@ -69,8 +69,8 @@
 	}
 	require(r.LeaseSeconds > 0, "lease_s: got %v, must be more than 0", r.LeaseSeconds)
 	require(r.ReplicaLeaseSeconds > r.LeaseSeconds, "copy_lease_s: got %v, must be more than lease_s (%v)", r.ReplicaLeaseSeconds, r.LeaseSeconds)
-	require(r.MaxWaking > 0, "max_waking: got %d, must be at least 1", r.MaxWaking)
-	require(r.MaxWaiting > 0, "max_waiting: got %d, must be at least 1", r.MaxWaiting)
+	require(r.MaxConcurrentStarts > 0, "max_waking: got %d, must be at least 1", r.MaxConcurrentStarts)
+	require(r.MaxQueuedRequests > 0, "max_waiting: got %d, must be at least 1", r.MaxQueuedRequests)
 	require(len(r.Models) > 0, "models: missing, at least one model is required")
 	seen := map[string]bool{}
 	for i, model := range r.Models {
