--- a/internal/cloudapi/cloudapi.go
+++ b/internal/cloudapi/cloudapi.go
@@ -27,8 +27,8 @@
 	machineTypesTimeout = 3 * time.Second
 )
 
-// A Transport sends requests to the cloud. It calls done once: with the answer, or with Number 0
-// if none came within the request's timeout.
+// A Transport sends requests to the cloud. It calls done once: with the answer, or with
+// StatusCode 0 if none came within the request's timeout.
 type Transport interface {
 	Send(request Request, done func(Response))
 }
@@ -50,7 +50,7 @@
 // Return returns machines to the cloud. Once the status is Done, the machines and everything
 // that ran on them are terminated.
 func (c *Client) Return(machines []string, done func(Status)) {
-	c.send(returnRequest(machines), func(r Response) { done(StatusOf(r.Number)) })
+	c.send(returnRequest(machines), func(r Response) { done(StatusOf(r.StatusCode)) })
 }
 
 // ListMachines reads the page of the machine list that starts after the given machine name; an
@@ -62,7 +62,7 @@
 // MachineTypes reads the machine types that the cloud offers.
 func (c *Client) MachineTypes(done func(MachineTypesResult)) {
 	c.send(machineTypesRequest(), func(r Response) {
-		done(MachineTypesResult{Status: StatusOf(r.Number), Body: r.Body})
+		done(MachineTypesResult{Status: StatusOf(r.StatusCode), Body: r.Body})
 	})
 }
 
--- a/internal/cloudapi/cloudapi_test.go
+++ b/internal/cloudapi/cloudapi_test.go
@@ -98,7 +98,7 @@
 		{"unknown status code", 599, `{}`, Failed, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseProvision(Response{Number: tc.statusCode, Body: []byte(tc.body)})
+			got := ParseProvision(Response{StatusCode: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.status || !slices.Equal(got.Machines, tc.machines) || (got.DecodeError != nil) != tc.malformed {
 				t.Errorf("got %+v, want status %v, machines %v, malformed %v", got, tc.status, tc.machines, tc.malformed)
 			}
@@ -123,7 +123,7 @@
 		{"unanswered", httpstatus.NoAnswer, ``, Unanswered, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseList(Response{Number: tc.statusCode, Body: []byte(tc.body)})
+			got := ParseList(Response{StatusCode: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.status || len(got.Page.Machines) != tc.machines || got.Page.More != tc.more {
 				t.Errorf("got %+v, want status %v, %d machines, more %v", got, tc.status, tc.machines, tc.more)
 			}
--- a/internal/cloudapi/result.go
+++ b/internal/cloudapi/result.go
@@ -49,8 +49,8 @@
 
 // A Response is the cloud's answer to a request, as the transport received it.
 type Response struct {
-	Number int // status code of the protocol; 0 if no answer came
-	Body   []byte
+	StatusCode int // of the cloud's protocol; 0 if no answer came
+	Body       []byte
 }
 
 // A ProvisionResult is the result of a provisioning request.
@@ -66,7 +66,7 @@
 
 // ParseProvision decodes the answer to a provisioning request.
 func ParseProvision(r Response) ProvisionResult {
-	result := ProvisionResult{Status: StatusOf(r.Number)}
+	result := ProvisionResult{Status: StatusOf(r.StatusCode)}
 	switch result.Status {
 	case Done:
 		var names wire.MachineNames
@@ -103,7 +103,7 @@
 
 // ParseList decodes a page of the machine list. A page that cannot be decoded counts as Failed.
 func ParseList(r Response) ListResult {
-	result := ListResult{Status: StatusOf(r.Number)}
+	result := ListResult{Status: StatusOf(r.StatusCode)}
 	if result.Status == Done && json.Unmarshal(r.Body, &result.Page) != nil {
 		return ListResult{Status: Failed}
 	}
--- a/internal/core/cloud_transport.go
+++ b/internal/core/cloud_transport.go
@@ -22,5 +22,5 @@
 		Timeout:     request.Timeout,
 		Urgent:      request.Urgent,
 	}
-	t.core.call(call, func(r Result) { done(cloudapi.Response{Number: r.Status, Body: r.Body}) })
+	t.core.call(call, func(r Result) { done(cloudapi.Response{StatusCode: r.Status, Body: r.Body}) })
 }
--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -29,7 +29,7 @@
 
 // answerLater sends an answer that deliver delivers, or loses it.
 func (s *fakeStore) answerLater(done func(kv.Response), number int, v any) {
-	response := kv.Response{Number: number, Body: kv.Encode(v)}
+	response := kv.Response{StatusCode: number, Body: kv.Encode(v)}
 	if s.random.Float64() < s.lostAnswers {
 		response = kv.Response{}
 	}
@@ -93,7 +93,7 @@
 }
 
 func (s *fakeStore) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
-	answer := func(r kv.Response) { done(kv.StatusOf(r.Number)) }
+	answer := func(r kv.Response) { done(kv.StatusOf(r.StatusCode)) }
 	if _, ok := s.leases[lease]; !ok {
 		s.answerLater(answer, http.StatusNotFound, struct{}{})
 		return
--- a/internal/core/frontend/frontend_test.go
+++ b/internal/core/frontend/frontend_test.go
@@ -74,7 +74,7 @@
 	}
 	request := h.heldRequests[0]
 	h.heldRequests = h.heldRequests[1:]
-	request.done(kv.Response{Number: status, Body: kv.Encode(body)})
+	request.done(kv.Response{StatusCode: status, Body: kv.Encode(body)})
 	return request.Request
 }
 
--- a/internal/core/store_transport.go
+++ b/internal/core/store_transport.go
@@ -24,7 +24,7 @@
 		Urgent:      request.Urgent,
 		Watch:       request.Watch,
 	}
-	t.core.call(call, func(r Result) { done(kv.Response{Number: r.Status, Body: r.Body}) })
+	t.core.call(call, func(r Result) { done(kv.Response{StatusCode: r.Status, Body: r.Body}) })
 }
 
 // rejectedWrites records that the store rejected a transaction with a number of writes, and
--- a/internal/kv/client.go
+++ b/internal/kv/client.go
@@ -7,8 +7,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// A Transport sends requests to the store. It calls done once: with the answer, or with Number 0
-// if none came within the request's timeout.
+// A Transport sends requests to the store. It calls done once: with the answer, or with
+// StatusCode 0 if none came within the request's timeout.
 type Transport interface {
 	// Send sends a request.
 	Send(request Request, done func(Response))
@@ -115,7 +115,7 @@
 	request := renewRequest(lease)
 	request.Urgent = true
 	request.Timeout = timeout
-	c.transport.Send(request, func(r Response) { done(StatusOf(r.Number)) })
+	c.transport.Send(request, func(r Response) { done(StatusOf(r.StatusCode)) })
 }
 
 // Watch waits until a key with a prefix changes after a revision, or until the hold time has
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -65,14 +65,14 @@
 
 // A Response is the store's answer to a request, as the transport received it.
 type Response struct {
-	Number int // status code of the protocol; 0 if no answer came
-	Body   []byte
+	StatusCode int // of the store's protocol; 0 if no answer came
+	Body       []byte
 }
 
 // decode returns the status of a response and decodes its body if the status is OK.
 // An answer that cannot be decoded counts as Failed.
 func (r Response) decode(into any) Status {
-	status := StatusOf(r.Number)
+	status := StatusOf(r.StatusCode)
 	if status == OK && json.Unmarshal(r.Body, into) != nil {
 		return Failed
 	}
@@ -119,7 +119,7 @@
 // not list the conflicting keys.
 func ParseTxn(r Response) TxnResult {
 	var body wire.TxnResult
-	status := StatusOf(r.Number)
+	status := StatusOf(r.StatusCode)
 	decodeErr := json.Unmarshal(r.Body, &body)
 	if status == OK && decodeErr != nil {
 		status = Failed
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -29,7 +29,7 @@
 		{"unknown status code", 599, `{}`, TxnResult{Status: Failed}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseTxn(Response{Number: tc.statusCode, Body: []byte(tc.body)})
+			got := ParseTxn(Response{StatusCode: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.want.Status || got.Revision != tc.want.Revision || !slices.Equal(got.Conflicts, tc.want.Conflicts) {
 				t.Errorf("got %+v, want %+v", got, tc.want)
 			}
@@ -52,7 +52,7 @@
 
 func (f *fakeTransport) Send(request Request, done func(Response)) {
 	f.requests = append(f.requests, request)
-	done(Response{Number: f.statusCode, Body: []byte(f.body)})
+	done(Response{StatusCode: f.statusCode, Body: []byte(f.body)})
 }
 
 func newTestClient() (*Client, *fakeTransport) {
--- a/internal/sim/wake_activator_test.go
+++ b/internal/sim/wake_activator_test.go
@@ -121,7 +121,7 @@
 	a.recordAction(method, path, string(body), timeout)
 	a.call(storeEndpoint, timeout, func(reply func(func())) {
 		a.world.store.handle(a.name, method, path, body, func(status int, answer []byte) {
-			reply(func() { done(kv.Response{Number: status, Body: answer}) })
+			reply(func() { done(kv.Response{StatusCode: status, Body: answer}) })
 		})
 	}, func() { done(kv.Response{}) })
 }
@@ -141,7 +141,7 @@
 
 func (a *activator) Renew(lease uint64, done func(kv.Status)) {
 	path := fmt.Sprintf("/grants/%d/extend", lease)
-	a.storeCall("POST", path, nil, callTimeout, func(r kv.Response) { done(kv.StatusOf(r.Number)) })
+	a.storeCall("POST", path, nil, callTimeout, func(r kv.Response) { done(kv.StatusOf(r.StatusCode)) })
 }
 
 func (a *activator) Watch(prefix string, since uint64, done func(kv.WatchResult)) {
--- a/internal/wake/activator/store.go
+++ b/internal/wake/activator/store.go
@@ -32,7 +32,7 @@
 // Renew renews a lease; NotFound means that it has expired.
 func (s *Server) Renew(lease uint64, done func(kv.Status)) {
 	path := "/grants/" + strconv.FormatUint(lease, 10) + "/extend"
-	s.callStore(methodPost, path, []byte("{}"), func(r kv.Response) { done(kv.StatusOf(r.Number)) })
+	s.callStore(methodPost, path, []byte("{}"), func(r kv.Response) { done(kv.StatusOf(r.StatusCode)) })
 }
 
 // Watch waits for changes of keys with a prefix after a revision.
@@ -40,7 +40,7 @@
 	path := "/changes?under=" + url.QueryEscape(prefix) + "&since=" + strconv.FormatUint(since, 10) +
 		"&holdMs=" + strconv.Itoa(int(s.watchHold()/time.Millisecond))
 	s.call(s.watchClient, methodGet, path, nil, s.watchHold()+s.callTimeout(), func(status int, body []byte) {
-		done(kv.ParseWatch(kv.Response{Number: status, Body: body}))
+		done(kv.ParseWatch(kv.Response{StatusCode: status, Body: body}))
 	})
 }
 
@@ -52,6 +52,6 @@
 // callStore sends a request other than a watch to the store.
 func (s *Server) callStore(method, path string, body []byte, done func(kv.Response)) {
 	s.call(s.storeClient, method, path, body, s.callTimeout(), func(status int, body []byte) {
-		done(kv.Response{Number: status, Body: body})
+		done(kv.Response{StatusCode: status, Body: body})
 	})
 }
