--- a/internal/core/dependencylist/dependencylist.go
+++ b/internal/core/dependencylist/dependencylist.go
@@ -91,7 +91,7 @@
 		if len(txn.Writes) > 0 && bytes+len(value) > kv.MaxTxnBytes {
 			break
 		}
-		bytes += len(value) + kv.WriteOverhead
+		bytes += len(value) + kv.WriteOverheadBytes
 		txn.Writes = append(txn.Writes, wire.Write{Put: w.ref.Key(n), Value: value})
 	}
 	return txn
--- a/internal/core/frontend/batch.go
+++ b/internal/core/frontend/batch.go
@@ -20,7 +20,7 @@
 
 func (t *submissionTxn) put(key string, value []byte) {
 	t.writes = append(t.writes, wire.Write{Put: key, Value: value})
-	t.bytes += len(value) + kv.WriteOverhead
+	t.bytes += len(value) + kv.WriteOverheadBytes
 }
 
 // submissionBatch is a transaction that records many submissions.
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -116,7 +116,7 @@
 
 // mayBeUnmarked reports whether an open record is so large that the store may have rejected its
 // mark.
-func mayBeUnmarked(record records.Open) bool { return len(kv.Encode(record)) > kv.SmallValue }
+func mayBeUnmarked(record records.Open) bool { return len(kv.Encode(record)) > kv.SmallValueBytes }
 
 // cacheMarked remembers jobs that were marked.
 func (f *FrontEnd) cacheMarked(marks map[string]records.Open, revision uint64) {
--- a/internal/core/persistence/rejections.go
+++ b/internal/core/persistence/rejections.go
@@ -27,7 +27,7 @@
 		w.host.RejectedWrites(len(txn.Writes))
 	case !w.store.SmallValues() && writesLargeValue(txn, records.PrefixPlacement):
 		w.store.RejectedValue()
-		w.log.Info("store takes smaller values only", "bytes", kv.SmallValue)
+		w.log.Info("store takes smaller values only", "bytes", kv.SmallValueBytes)
 	case len(jobs) > 1:
 		w.singleJobTransactions = true
 	default:
@@ -53,7 +53,7 @@
 // writesLargeValue reports whether a transaction writes a large record of a kind.
 func writesLargeValue(txn *wire.Txn, prefix string) bool {
 	for _, write := range txn.Writes {
-		if strings.HasPrefix(write.Put, prefix) && len(write.Value) > kv.SmallValue/2 {
+		if strings.HasPrefix(write.Put, prefix) && len(write.Value) > kv.SmallValueBytes/2 {
 			return true
 		}
 	}
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -172,7 +172,7 @@
 				// A controller that starts now learns it from the records.
 				harness.core.store = kv.NewClient(storeTransport{harness.core}, &harness.core.settings.Deployment)
 				recordedTasks(harness, jobID(0), 300)
-				if harness.core.store.MaxPlacementValue() != kv.SmallValue {
+				if harness.core.store.MaxPlacementValue() != kv.SmallValueBytes {
 					t.Errorf("a next leader writes records of %d bytes", harness.core.store.MaxPlacementValue())
 				}
 			}
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -162,8 +162,8 @@
 		t.Errorf("after a transaction with 8 writes was rejected: got MaxWrites %d, want 6 and RejectedWrites true", client.MaxWrites())
 	}
 	client.RejectedValue()
-	if client.MaxWrites() != 16 || !client.ShrinkValues() || client.MaxPlacementValue() != SmallValue || client.MaxValue() != 16384 {
-		t.Errorf("after a value was rejected: got %d writes, placement records of %d bytes, want 16 writes, SmallValue bytes and other values unchanged", client.MaxWrites(), client.MaxPlacementValue())
+	if client.MaxWrites() != 16 || !client.ShrinkValues() || client.MaxPlacementValue() != SmallValueBytes || client.MaxValue() != 16384 {
+		t.Errorf("after a value was rejected: got %d writes, placement records of %d bytes, want 16 writes, SmallValueBytes and other values unchanged", client.MaxWrites(), client.MaxPlacementValue())
 	}
 }
 
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -6,11 +6,11 @@
 	// MaxTxnBytes bounds the values of a transaction with their overhead. The store accepts
 	// 64 KiB per transaction.
 	MaxTxnBytes = 48 << 10
-	// WriteOverhead is the most that a write adds to the size of its value, in bytes.
-	WriteOverhead = 200
-	// SmallValue bounds placement records, in bytes, after the store has rejected a value that
+	// WriteOverheadBytes is the most that a write adds to the size of its value.
+	WriteOverheadBytes = 200
+	// SmallValueBytes bounds placement records after the store has rejected a value that
 	// the settings allow: how far the store's limit was lowered is not known.
-	SmallValue = 1 << 10
+	SmallValueBytes = 1 << 10
 	// conditionsPerWrite is the ratio, by the store's protocol, of the limit of conditions in a
 	// transaction to the limit of writes.
 	conditionsPerWrite = 4
@@ -47,7 +47,7 @@
 // MaxPlacementValue returns the maximum size of a placement record, in bytes.
 func (l *Limits) MaxPlacementValue() int {
 	if l.largeValuesRejected {
-		return min(l.MaxValue(), SmallValue)
+		return min(l.MaxValue(), SmallValueBytes)
 	}
 	return l.MaxValue()
 }
