--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -39,7 +39,7 @@
 
 // writesNamedRanges reports whether records that name their range are to be written.
 func (w *Writer) writesNamedRanges() bool {
-	return w.store.ShrinkValues() && (w.namedRangesAllowed || w.host.PeersReadNamedRanges())
+	return w.store.ValueLimitReduced() && (w.namedRangesAllowed || w.host.PeersReadNamedRanges())
 }
 
 // InitPlacementRecords lays out the placement records of a job that has none.
@@ -169,9 +169,9 @@
 // Adopt takes over a job's placement records of an earlier term.
 func (w *Writer) Adopt(job *cluster.Job, found []LoadedPlacement) {
 	covered, named := namedRanges(found, len(job.TaskStates))
-	if named && !w.store.AnnouncedToShrink() {
+	if named && !w.store.ValueLimitReductionAnnounced() {
 		// An earlier leader found out that the store takes less than the settings say.
-		w.store.AssumeSmallValues()
+		w.store.AssumeLargeValuesRejected()
 		w.AllowNamedRanges()
 	}
 	job.PlacementRecords = nil
--- a/internal/core/persistence/rejections.go
+++ b/internal/core/persistence/rejections.go
@@ -25,8 +25,8 @@
 	switch {
 	case len(txn.Writes) > 2:
 		w.host.RejectedWrites(len(txn.Writes))
-	case !w.store.SmallValues() && writesLargeValue(txn, records.PrefixPlacement):
-		w.store.RejectedValue()
+	case !w.store.LargeValuesRejected() && writesLargeValue(txn, records.PrefixPlacement):
+		w.store.LowerMaxPlacementValue()
 		w.log.Info("store takes smaller values only", "bytes", kv.SmallValueBytes)
 	case len(jobs) > 1:
 		w.singleJobTransactions = true
@@ -42,7 +42,7 @@
 func (w *Writer) backOff(job *cluster.Job, txn *wire.Txn) {
 	if writesLargeValue(txn, records.PrefixOpen) && !job.OpenRecordTooLarge {
 		job.OpenRecordTooLarge = true
-		w.store.ForgetFewerWrites()
+		w.store.ResetMaxWrites()
 	}
 	job.Rejections++
 	delay := w.host.LeaderLease() << min(job.Rejections, maxBackoffDoublings) / 8
--- a/internal/core/store_transport.go
+++ b/internal/core/store_transport.go
@@ -30,7 +30,7 @@
 // rejectedWrites records that the store rejected a transaction with a number of writes, and
 // reports whether the same changes may do in smaller transactions.
 func (c *Core) rejectedWrites(writes int) bool {
-	if !c.store.RejectedWrites(writes) {
+	if !c.store.LowerMaxWrites(writes) {
 		return false
 	}
 	c.log.Info("store takes fewer writes in a transaction", "writes", c.store.MaxWrites())
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -152,17 +152,17 @@
 // TestLimits checks that the limits are lowered when the store rejects what they allow.
 func TestLimits(t *testing.T) {
 	client, _ := newTestClient()
-	if client.MaxWrites() != 16 || client.MaxConditions() != 64 || client.MaxValue() != 16384 || client.ShrinkValues() {
+	if client.MaxWrites() != 16 || client.MaxConditions() != 64 || client.MaxValue() != 16384 || client.ValueLimitReduced() {
 		t.Errorf("announced limits: got %d writes, %d conditions, %d bytes, want 16, 64, 16384 and no lower limit for values", client.MaxWrites(), client.MaxConditions(), client.MaxValue())
 	}
-	if client.RejectedWrites(2) || client.MaxWrites() != 16 {
-		t.Error("after a transaction with 2 writes was rejected: RejectedWrites returned true or lowered MaxWrites, want false and 16 still")
+	if client.LowerMaxWrites(2) || client.MaxWrites() != 16 {
+		t.Error("after a transaction with 2 writes was rejected: LowerMaxWrites returned true or lowered MaxWrites, want false and 16 still")
 	}
-	if !client.RejectedWrites(8) || client.MaxWrites() != 6 {
-		t.Errorf("after a transaction with 8 writes was rejected: got MaxWrites %d, want 6 and RejectedWrites true", client.MaxWrites())
+	if !client.LowerMaxWrites(8) || client.MaxWrites() != 6 {
+		t.Errorf("after a transaction with 8 writes was rejected: got MaxWrites %d, want 6 and LowerMaxWrites true", client.MaxWrites())
 	}
-	client.RejectedValue()
-	if client.MaxWrites() != 16 || !client.ShrinkValues() || client.MaxPlacementValue() != SmallValueBytes || client.MaxValue() != 16384 {
+	client.LowerMaxPlacementValue()
+	if client.MaxWrites() != 16 || !client.ValueLimitReduced() || client.MaxPlacementValue() != SmallValueBytes || client.MaxValue() != 16384 {
 		t.Errorf("after a value was rejected: got %d writes, placement records of %d bytes, want 16 writes, SmallValueBytes and other values unchanged", client.MaxWrites(), client.MaxPlacementValue())
 	}
 }
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -52,19 +52,23 @@
 	return l.MaxValue()
 }
 
-// ShrinkValues reports whether values must be smaller than the settings allow at present, because
-// the settings announce a lower limit or the store has rejected a value.
-func (l *Limits) ShrinkValues() bool { return l.AnnouncedToShrink() || l.largeValuesRejected }
+// ValueLimitReduced reports whether values must be smaller than the settings allow at present,
+// because the settings announce a lower limit or the store has rejected a value.
+func (l *Limits) ValueLimitReduced() bool {
+	return l.ValueLimitReductionAnnounced() || l.largeValuesRejected
+}
 
-// AnnouncedToShrink reports whether the settings announce a lower limit for values.
-func (l *Limits) AnnouncedToShrink() bool { return l.effective().ValueKB < l.announced.ValueKB }
+// ValueLimitReductionAnnounced reports whether the settings announce a lower limit for values.
+func (l *Limits) ValueLimitReductionAnnounced() bool {
+	return l.effective().ValueKB < l.announced.ValueKB
+}
 
-// RejectedWrites lowers MaxWrites after the store has rejected a transaction with that many
+// LowerMaxWrites lowers MaxWrites after the store has rejected a transaction with that many
 // writes, since its limits are lower than announced. Otherwise a transaction that is too large
 // would be retried for ever and block those behind it. It reports whether smaller transactions
 // may be accepted. They are not if the transaction had so few writes that every store accepts
 // them: then its values must be the cause.
-func (l *Limits) RejectedWrites(writes int) bool {
+func (l *Limits) LowerMaxWrites(writes int) bool {
 	if writes <= alwaysAcceptedWrites {
 		return false
 	}
@@ -72,20 +76,20 @@
 	return true
 }
 
-// RejectedValue lowers MaxPlacementValue after the store has rejected a value that the settings
-// allow. Earlier rejections may have had the same cause, so a limit of writes that was derived
-// from them is dropped.
-func (l *Limits) RejectedValue() {
+// LowerMaxPlacementValue lowers MaxPlacementValue after the store has rejected a value that the
+// settings allow. Earlier rejections may have had the same cause, so a limit of writes that was
+// derived from them is dropped.
+func (l *Limits) LowerMaxPlacementValue() {
 	l.largeValuesRejected = true
-	l.ForgetFewerWrites()
+	l.ResetMaxWrites()
 }
 
-// ForgetFewerWrites drops the limit of writes that was derived from rejected transactions.
-func (l *Limits) ForgetFewerWrites() { l.derivedMaxWrites = 0 }
+// ResetMaxWrites drops the limit of writes that was derived from rejected transactions.
+func (l *Limits) ResetMaxWrites() { l.derivedMaxWrites = 0 }
 
-// SmallValues reports whether the store has rejected a value that the settings allow.
-func (l *Limits) SmallValues() bool { return l.largeValuesRejected }
+// LargeValuesRejected reports whether the store has rejected a value that the settings allow.
+func (l *Limits) LargeValuesRejected() bool { return l.largeValuesRejected }
 
-// AssumeSmallValues lowers MaxPlacementValue because the store rejected a value of an earlier
-// leader.
-func (l *Limits) AssumeSmallValues() { l.largeValuesRejected = true }
+// AssumeLargeValuesRejected lowers MaxPlacementValue because the store rejected a value of an
+// earlier leader.
+func (l *Limits) AssumeLargeValuesRejected() { l.largeValuesRejected = true }
--- a/internal/wake/record.go
+++ b/internal/wake/record.go
@@ -56,8 +56,7 @@
 	Incarnation uint64 `json:"r"`
 }
 
-// startSlots lists the models that are being started, at most MaxConcurrentStarts of
-// them.
+// startSlots lists the models that are being started, at most MaxConcurrentStarts of them.
 type startSlots struct {
 	Holders []string `json:"w"`
 }
