--- a/internal/store/ratelimiter.go
+++ b/internal/store/ratelimiter.go
@@ -12,7 +12,7 @@
 	// usedShare is the share of the store's rate limits that a controller uses. The rest is left
 	// for requests that other controllers send at the same time.
 	usedShare = 0.9
-	// requestBurst is the burst of requests, in seconds of the store's request rate.
+	// requestBurst is the burst of requests, as a multiple of the store's rate per second.
 	requestBurst = 0.5
 )
 
--- a/internal/wake/controller.go
+++ b/internal/wake/controller.go
@@ -27,7 +27,7 @@
 	listing  bool // a listing is in flight
 	revision uint64
 	watching bool          // a watch is in flight
-	retryAt  time.Duration // after a failed call to the store, when the next one may be made
+	retryAt  time.Duration // no listing, watch or write of a record before then, after a failure
 
 	leaseID          uint64
 	leaseExpiry      time.Duration // the lease is valid at least until then; 0 for none
@@ -73,10 +73,10 @@
 	return c
 }
 
-// Fractions of a controller's lease.
+// Divisors of a controller's lease that give intervals.
 const (
-	pollDivisor  = 8 // interval of commands to a replica's server, and of retries
-	renewDivisor = 4 // interval of renewals of the lease
+	pollDivisor  = 8 // between commands to a replica's server, and between retries
+	renewDivisor = 4 // between renewals of the lease
 )
 
 // leaseDuration is how long a controller counts as alive without renewing its lease.
--- a/internal/wake/ports.go
+++ b/internal/wake/ports.go
@@ -96,7 +96,7 @@
 const (
 	StatusServed      Status = httpstatus.OK
 	StatusNotFound    Status = httpstatus.NotFound           // no such model
-	StatusUnavailable Status = httpstatus.ServiceUnavailable // the queue is full; retry after RetryAfterSeconds
+	StatusUnavailable Status = httpstatus.ServiceUnavailable // queue full; retry after RetryAfterSeconds
 	StatusTimeout     Status = httpstatus.GatewayTimeout
 )
 
--- a/internal/wake/registry.go
+++ b/internal/wake/registry.go
@@ -29,7 +29,7 @@
 // Model is a model that may be scaled to zero.
 type Model struct {
 	Name        string   `toml:"name"`
-	Servers     []string `toml:"servers"` // addresses of the model servers that may run its replica, preferred first
+	Servers     []string `toml:"servers"` // that may run its replica, by address, preferred first
 	LoadSeconds float64  `toml:"load_s"`  // how long a replica usually takes to load
 	IdleSeconds float64  `toml:"idle_s"`  // time without a request before scaling to zero; 0 for never
 }
--- a/internal/wake/replica.go
+++ b/internal/wake/replica.go
@@ -173,7 +173,7 @@
 }
 
 // failOver starts a model on its next server after the lease of the replica on the unreachable
-// server has expired. A replica that was draining is recorded as stopped instead.
+// server has expired. A model whose replica was draining is recorded as scaled to zero instead.
 func (c *Controller) failOver(model *modelState) {
 	record := model.record.Value
 	if record.Phase == PhaseDraining {
