--- a/internal/wake/controller.go
+++ b/internal/wake/controller.go
@@ -8,7 +8,7 @@
 	"github.com/brookwalk/brookwalk/internal/kv"
 )
 
-// Controller is the state machine of one controller.
+// Controller is the state machine that one controller process runs for the models of a registry.
 type Controller struct {
 	name        string
 	incarnation uint64
