--- a/internal/wake/replica.go
+++ b/internal/wake/replica.go
@@ -59,7 +59,8 @@
 // has ended by itself: its server has not answered for longer than the replica's lease, plus one
 // twentieth of it for clock drift, plus one controller lease. After a takeover the time is
 // counted from the takeover, since the previous owner may have renewed the replica's lease until
-// its own expired.
+// its own expired. A command that was executed although its answer was lost also renews the
+// replica's lease; this is not taken into account.
 func (c *Controller) replicaExpired(model *modelState, now time.Duration) bool {
 	since := max(model.ownership.lastAnswer, model.ownership.since)
 	lease := seconds(c.registry.ReplicaLeaseSeconds)
