--- a/internal/cloudapi/cloudapi_test.go
+++ b/internal/cloudapi/cloudapi_test.go
@@ -9,14 +9,14 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// recordingTransport keeps the requests and answers none.
+// recordingTransport records the requests and answers none of them.
 type recordingTransport struct{ requests []Request }
 
 func (t *recordingTransport) Send(request Request, _ func(Response)) {
 	t.requests = append(t.requests, request)
 }
 
-// TestRequests compares the requests of each call with the cloud's protocol.
+// TestRequests checks the request that each call sends against the cloud's protocol.
 func TestRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -77,28 +77,28 @@
 	}
 }
 
-// TestParseProvision decodes answers to provisioning requests, malformed ones among them.
+// TestParseProvision decodes answers to provisioning requests, including malformed ones.
 func TestParseProvision(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		number    int
-		body      string
-		status    Status
-		machines  []string
-		malformed bool
+		name       string
+		statusCode int
+		body       string
+		status     Status
+		machines   []string
+		malformed  bool
 	}{
 		{"done", httpstatus.OK, `{"hosts":["n-1","n-2"]}`, Done, []string{"n-1", "n-2"}, false},
 		{"done, not decodable", httpstatus.OK, `{`, Done, nil, true},
 		{"no capacity", httpstatus.ServiceUnavailable, `{"error":"no capacity"}`, NoCapacity, nil, false},
 		{"another error", httpstatus.ServiceUnavailable, `{"error":"trouble"}`, Unavailable, nil, false},
 		{"unavailable, not decodable", httpstatus.ServiceUnavailable, `<html>`, Unavailable, nil, false},
-		{"no capacity under another number", httpstatus.TooManyRequests, `{"error":"no capacity"}`, Throttled, nil, false},
+		{"no capacity with another status code", httpstatus.TooManyRequests, `{"error":"no capacity"}`, Throttled, nil, false},
 		{"rejected", httpstatus.BadRequest, `{}`, Rejected, nil, false},
 		{"unanswered", httpstatus.NoAnswer, ``, Unanswered, nil, false},
-		{"unknown number", 599, `{}`, Failed, nil, false},
+		{"unknown status code", 599, `{}`, Failed, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseProvision(Response{Number: tc.number, Body: []byte(tc.body)})
+			got := ParseProvision(Response{StatusCode: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.status || !slices.Equal(got.Machines, tc.machines) || (got.DecodeError != nil) != tc.malformed {
 				t.Errorf("got %+v, want status %v, machines %v, malformed %v", got, tc.status, tc.machines, tc.malformed)
 			}
@@ -106,15 +106,15 @@
 	}
 }
 
-// TestParseList decodes pages of the machine list.
+// TestParseList decodes pages of the machine list, including malformed ones.
 func TestParseList(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		number   int
-		body     string
-		status   Status
-		machines int
-		more     bool
+		name       string
+		statusCode int
+		body       string
+		status     Status
+		machines   int
+		more       bool
 	}{
 		{"a page", httpstatus.OK, `{"hosts":[{},{}],"truncated":true}`, Done, 2, true},
 		{"the last page", httpstatus.OK, `{"hosts":[{}]}`, Done, 1, false},
@@ -123,7 +123,7 @@
 		{"unanswered", httpstatus.NoAnswer, ``, Unanswered, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := ParseList(Response{Number: tc.number, Body: []byte(tc.body)})
+			got := ParseList(Response{StatusCode: tc.statusCode, Body: []byte(tc.body)})
 			if got.Status != tc.status || len(got.Page.Machines) != tc.machines || got.Page.More != tc.more {
 				t.Errorf("got %+v, want status %v, %d machines, more %v", got, tc.status, tc.machines, tc.more)
 			}
--- a/internal/core/frontend/dependencies.go
+++ b/internal/core/frontend/dependencies.go
@@ -124,7 +124,9 @@
 
 // mayBeTooLargeToMark reports whether an open record is so large that the store may have rejected
 // it when the job was to be marked.
-func mayBeTooLargeToMark(record records.Open) bool { return len(kv.Encode(record)) > kv.SmallValue }
+func mayBeTooLargeToMark(record records.Open) bool {
+	return len(kv.Encode(record)) > kv.SmallValueBytes
+}
 
 // cacheMarkedDependencies caches the open records of jobs that were marked at a revision.
 func (f *FrontEnd) cacheMarkedDependencies(marked map[string]records.Open, revision uint64) {
--- a/internal/core/frontend/frontend_test.go
+++ b/internal/core/frontend/frontend_test.go
@@ -74,7 +74,7 @@
 	}
 	request := h.pendingRequests[0]
 	h.pendingRequests = h.pendingRequests[1:]
-	request.done(kv.Response{Number: status, Body: kv.Encode(body)})
+	request.done(kv.Response{StatusCode: status, Body: kv.Encode(body)})
 	return request.Request
 }
 
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -3,85 +3,93 @@
 import "github.com/brookwalk/brookwalk/internal/config"
 
 const (
-	// MaxTxnBytes bounds the values of a transaction, of which the store takes 64 KiB in all.
+	// MaxTxnBytes bounds the values of a transaction with their overhead. The store accepts
+	// 64 KiB per transaction.
 	MaxTxnBytes = 48 << 10
-	// WriteOverhead is what a write takes in addition to its value, in bytes, at most.
-	WriteOverhead = 200
-	// SmallValue is the size in bytes to which placement records are kept once a value was
-	// rejected that the settings allow: how far the limit fell is not known.
-	SmallValue = 1 << 10
-	// conditionsPerWrite is how many conditions a transaction may have for each write that
-	// it may have, by the store's protocol.
+	// WriteOverheadBytes is the most that a write adds to the size of its value.
+	WriteOverheadBytes = 200
+	// SmallValueBytes bounds placement records after the store has rejected a value that
+	// the settings allow: how far the store's limit was lowered is not known.
+	SmallValueBytes = 1 << 10
+	// conditionsPerWrite is the ratio, by the store's protocol, of the limit of conditions in a
+	// transaction to the limit of writes.
 	conditionsPerWrite = 4
-	// alwaysAccepted is a number of writes that any store takes in a transaction.
-	alwaysAccepted = 2
+	// alwaysAcceptedWrites is a number of writes in a transaction that every store accepts.
+	alwaysAcceptedWrites = 2
 )
 
-// Limits are what the store takes. They begin with what the settings announce, for now and
-// later, and shrink as the store rejects what they allow.
+// Limits are the store's limits as far as they are known. They start as the lower of the present
+// and the next limits in the settings, and are lowered when the store rejects what they allow.
 type Limits struct {
-	announced   *config.StoreLimits
-	fewerWrites int // writes in a transaction, if fewer than announced; 0 if not known
-	smallValues bool
+	announced           *config.StoreLimits
+	derivedMaxWrites    int  // limit of writes derived from a rejected transaction; 0 for none
+	largeValuesRejected bool // the store rejected a value that the settings allow
 }
 
-// bound returns the announced limits with what was learned since.
-func (l *Limits) bound() config.StoreLimits {
-	bound := l.announced.Strictest()
-	if l.fewerWrites > 0 {
-		bound.TxnOps = min(bound.TxnOps, l.fewerWrites)
+// effective returns the lower of the announced and the derived limits.
+func (l *Limits) effective() config.StoreLimits {
+	limits := l.announced.Strictest()
+	if l.derivedMaxWrites > 0 {
+		limits.TxnOps = min(limits.TxnOps, l.derivedMaxWrites)
 	}
-	return bound
+	return limits
 }
 
-// MaxWrites is how many writes a transaction may have.
-func (l *Limits) MaxWrites() int { return l.bound().TxnOps }
+// MaxWrites returns how many writes a transaction may have.
+func (l *Limits) MaxWrites() int { return l.effective().TxnOps }
 
-// MaxConditions is how many conditions a transaction may have.
+// MaxConditions returns how many conditions a transaction may have.
 func (l *Limits) MaxConditions() int { return conditionsPerWrite * l.MaxWrites() }
 
-// MaxValue is the largest value, in bytes.
-func (l *Limits) MaxValue() int { return min(int(l.bound().ValueKB*1024), MaxTxnBytes) }
+// MaxValue returns the maximum size of a value, in bytes.
+func (l *Limits) MaxValue() int { return min(int(l.effective().ValueKB*1024), MaxTxnBytes) }
 
-// MaxPlacementValue is the largest value of a placement record, in bytes.
+// MaxPlacementValue returns the maximum size of a placement record, in bytes.
 func (l *Limits) MaxPlacementValue() int {
-	if l.smallValues {
-		return min(l.MaxValue(), SmallValue)
+	if l.largeValuesRejected {
+		return min(l.MaxValue(), SmallValueBytes)
 	}
 	return l.MaxValue()
 }
 
-// ShrinkValues reports whether values are, or are announced to become, smaller than the settings
-// allow at present.
-func (l *Limits) ShrinkValues() bool { return l.AnnouncedToShrink() || l.smallValues }
+// ValueLimitReduced reports whether values must be smaller than the settings allow at present,
+// because the settings announce a lower limit or the store has rejected a value.
+func (l *Limits) ValueLimitReduced() bool {
+	return l.ValueLimitReductionAnnounced() || l.largeValuesRejected
+}
 
-// AnnouncedToShrink reports whether the settings announce smaller values for later.
-func (l *Limits) AnnouncedToShrink() bool { return l.bound().ValueKB < l.announced.ValueKB }
+// ValueLimitReductionAnnounced reports whether the settings announce a lower limit for values.
+func (l *Limits) ValueLimitReductionAnnounced() bool {
+	return l.effective().ValueKB < l.announced.ValueKB
+}
 
-// RejectedWrites records that a transaction with a number of writes was rejected: the store's
-// limits are lower than announced. Otherwise what is too large would be sent again for
-// ever and block everything behind it. It reports whether smaller transactions may do;
-// they may not if the transaction had so few writes that its values must be the cause.
-func (l *Limits) RejectedWrites(writes int) bool {
-	if writes <= alwaysAccepted {
+// LowerMaxWrites lowers MaxWrites after the store has rejected a transaction with that many
+// writes, since its limits are lower than announced. Otherwise a transaction that is too large
+// would be retried for ever and block those behind it. It reports whether smaller transactions
+// may be accepted. They are not if the transaction had so few writes that every store accepts
+// them: then its values must be the cause.
+func (l *Limits) LowerMaxWrites(writes int) bool {
+	if writes <= alwaysAcceptedWrites {
 		return false
 	}
-	l.fewerWrites = max(alwaysAccepted, writes*3/4)
+	l.derivedMaxWrites = max(alwaysAcceptedWrites, writes*3/4)
 	return true
 }
 
-// RejectedValue records that a value was rejected though the settings allow it. What was
-// concluded about the number of writes is in doubt then, and is forgotten.
-func (l *Limits) RejectedValue() {
-	l.smallValues = true
-	l.ForgetFewerWrites()
+// LowerMaxPlacementValue lowers MaxPlacementValue after the store has rejected a value that the
+// settings allow. Earlier rejections may have had the same cause, so a limit of writes that was
+// derived from them is dropped.
+func (l *Limits) LowerMaxPlacementValue() {
+	l.largeValuesRejected = true
+	l.ResetMaxWrites()
 }
 
-// ForgetFewerWrites forgets what rejected transactions have shown of the number of writes.
-func (l *Limits) ForgetFewerWrites() { l.fewerWrites = 0 }
+// ResetMaxWrites drops the limit of writes that was derived from rejected transactions.
+func (l *Limits) ResetMaxWrites() { l.derivedMaxWrites = 0 }
 
-// SmallValues reports whether a value was rejected that the settings allow.
-func (l *Limits) SmallValues() bool { return l.smallValues }
+// LargeValuesRejected reports whether the store has rejected a value that the settings allow.
+func (l *Limits) LargeValuesRejected() bool { return l.largeValuesRejected }
 
-// AssumeSmallValues records that an earlier leader found values to be rejected.
-func (l *Limits) AssumeSmallValues() { l.smallValues = true }
+// AssumeLargeValuesRejected lowers MaxPlacementValue because the store rejected a value of an
+// earlier leader.
+func (l *Limits) AssumeLargeValuesRejected() { l.largeValuesRejected = true }
