--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,6 +1,6 @@
-// Package history keeps the history of a run: values by time in named charts, and the moments of
-// failures. It writes them as columns (Apache Parquet) and as one HTML page with plots that needs no
-// other file. Package hollow fills and writes it.
+// Package history records the history of a run: time series, grouped into named charts, and events such
+// as injected failures. It writes them to an Apache Parquet file and to a self-contained HTML page with
+// plots. Package hollow uses it.
 package history
 
 import (
@@ -9,16 +9,15 @@
 	"time"
 )
 
-// Log is the history of a run. Its zero value is empty and ready to use. It may be used by several
-// goroutines.
+// Log is the history of a run. Its zero value is empty and ready to use. It is safe for concurrent use.
 type Log struct {
 	mu     sync.Mutex
 	points []Point
-	marks  []Mark
+	events []Mark
 	limits map[string]float64 // by chart
 }
 
-// Point is a value at a time since the beginning of the run.
+// Point is a value of a time series. Seconds is the time since the start of the run.
 type Point struct {
 	Chart   string  `parquet:"chart,dict"`
 	Series  string  `parquet:"series,dict"`
@@ -26,20 +25,20 @@
 	Value   float64 `parquet:"value"`
 }
 
-// Mark is an event at a time since the beginning of the run.
+// Mark is an event of a run. Seconds is the time since the start of the run.
 type Mark struct {
 	Seconds float64
 	Text    string
 }
 
-// Add adds a value to a series of a chart.
+// Add adds a value to a series of a chart. at is the time since the start of the run.
 func (l *Log) Add(chart, series string, at time.Duration, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.points = append(l.points, Point{chart, series, at.Seconds(), value})
 }
 
-// SetLimit sets the limit of a chart's values. 0 is none.
+// SetLimit sets the limit that a chart's plot shows. 0 means no limit.
 func (l *Log) SetLimit(chart string, value float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,14 +48,14 @@
 	l.limits[chart] = value
 }
 
-// AddMark adds an event.
+// AddMark adds an event. at is the time since the start of the run.
 func (l *Log) AddMark(at time.Duration, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.marks = append(l.marks, Mark{at.Seconds(), text})
+	l.events = append(l.events, Mark{at.Seconds(), text})
 }
 
-// Points returns all values in the order in which they were added.
+// Points returns the values of all series in the order in which they were added.
 func (l *Log) Points() []Point {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sampleLog has two charts, a limit and a failure.
+// sampleLog returns a log with two charts, a limit and an event.
 func sampleLog() *Log {
 	l := &Log{}
 	l.SetLimit("GPUs", 8)
@@ -22,7 +22,8 @@
 	return l
 }
 
-// TestParquet writes a history to a Parquet file and reads it back.
+// TestParquet writes a history to a Parquet file and reads it back. All values and the event must be in
+// it, and reading a file that does not exist must fail.
 func TestParquet(t *testing.T) {
 	l := sampleLog()
 	path := filepath.Join(t.TempDir(), "run.parquet")
@@ -35,14 +36,15 @@
 	}
 	want := append(l.Points(), Point{Chart: "failures", Series: "leader killed <north>", Seconds: 2})
 	if !slices.Equal(got, want) {
-		t.Errorf("read %v, want %v", got, want)
+		t.Errorf("rows of the Parquet file: got %v, want %v", got, want)
 	}
 	if _, err := ReadParquet(filepath.Join(t.TempDir(), "none")); err == nil {
-		t.Error("a file that does not exist was read")
+		t.Error("reading a file that does not exist: got no error")
 	}
 }
 
-// TestPage writes a page. It has a drawing of each chart, escaped text, and loads nothing.
+// TestPage checks the HTML page of a history: it must contain a plot of each chart and escape text, and
+// must not load scripts or other files.
 func TestPage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "run.html")
 	if err := sampleLog().WritePage(path, "A <run>", "rules broken: 0"); err != nil {
@@ -54,16 +56,16 @@
 	}
 	page := string(data)
 	if n := strings.Count(page, "<svg"); n != 2 {
-		t.Errorf("%d drawings, want 2", n)
+		t.Errorf("plots on the page: got %d, want 2", n)
 	}
 	for _, want := range []string{"A &lt;run&gt;", "rules broken: 0", "<h2>GPUs</h2>", "2.0 s: leader killed &lt;north&gt;"} {
 		if !strings.Contains(page, want) {
-			t.Errorf("the page lacks %q", want)
+			t.Errorf("the page does not contain %q", want)
 		}
 	}
 	for _, other := range []string{"<script", "src=", "<?xml"} {
 		if strings.Contains(page, other) {
-			t.Errorf("the page has %q", other)
+			t.Errorf("the page contains %q, want a page that needs no script and no other file", other)
 		}
 	}
 }
--- a/internal/history/page.go
+++ b/internal/history/page.go
@@ -7,7 +7,7 @@
 	"os"
 )
 
-// pageTemplate is the page, with the plots as SVG.
+// pageTemplate is the HTML page. The plots are inline SVG.
 var pageTemplate = template.Must(template.New("page").Parse(`<!DOCTYPE html>
 <html lang="en"><head><meta charset="utf-8"><title>{{.Title}}</title>
 <style>body{font-family:sans-serif;margin:2em;max-width:60em}pre{background:#f4f4f4;padding:1em;overflow:auto}svg{width:100%;height:auto}</style></head>
@@ -18,14 +18,14 @@
 </body></html>
 `))
 
-// chartDrawing is a chart on the page.
+// chartDrawing is the plot of a chart as inline SVG.
 type chartDrawing struct {
 	Name    string
 	Drawing template.HTML
 }
 
-// WritePage writes one HTML page with a plot of each chart. Horizontal dashed lines are limits, vertical
-// ones failures. The summary is shown as preformatted text.
+// WritePage writes a self-contained HTML page with a plot of each chart. Horizontal dashed lines show
+// limits, vertical dashed lines show events. The summary is shown as preformatted text.
 func (l *Log) WritePage(path, title, summary string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -33,8 +33,8 @@
 		Title, Summary string
 		Charts         []chartDrawing
 		Marks          []Mark
-	}{Title: title, Summary: summary, Marks: l.marks}
-	for _, name := range l.charts() {
+	}{Title: title, Summary: summary, Marks: l.events}
+	for _, name := range l.chartNames() {
 		drawing, err := l.chart(name).draw()
 		if err != nil {
 			return fmt.Errorf("history: %s: %w", name, err)
@@ -48,8 +48,8 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// charts lists the names of the charts in the order in which they first got a value.
-func (l *Log) charts() []string {
+// chartNames lists the names of the charts in the order of their first values. The log is locked.
+func (l *Log) chartNames() []string {
 	var names []string
 	seen := map[string]bool{}
 	for _, p := range l.points {
--- a/internal/history/parquet.go
+++ b/internal/history/parquet.go
@@ -6,16 +6,16 @@
 	"github.com/parquet-go/parquet-go"
 )
 
-// markChart is the chart of marks in a Parquet file.
-const markChart = "failures"
+// eventChart is the name in the chart column of events in a Parquet file.
+const eventChart = "failures"
 
-// WriteParquet writes values and marks to a Parquet file with the columns chart, series, seconds and
-// value. Marks have the chart "failures" and their text as the series.
+// WriteParquet writes values and events to a Parquet file with the columns chart, series, seconds and
+// value. An event's row has the chart "failures", its text as the series and the value 0.
 func (l *Log) WriteParquet(path string) error {
 	rows := l.Points()
 	l.mu.Lock()
-	for _, mark := range l.marks {
-		rows = append(rows, Point{Chart: markChart, Series: mark.Text, Seconds: mark.Seconds})
+	for _, event := range l.events {
+		rows = append(rows, Point{Chart: eventChart, Series: event.Text, Seconds: event.Seconds})
 	}
 	l.mu.Unlock()
 	if err := parquet.WriteFile(path, rows); err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// ReadParquet reads the rows of a file that WriteParquet wrote, marks included.
+// ReadParquet reads the rows of a file that WriteParquet wrote, including those of events.
 func ReadParquet(path string) ([]Point, error) {
 	rows, err := parquet.ReadFile[Point](path)
 	if err != nil {
--- a/internal/history/plot.go
+++ b/internal/history/plot.go
@@ -12,42 +12,43 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Sizes of a plot on the page.
+// Size of a plot on the page.
 const (
 	plotWidth  = 9 * vg.Inch
 	plotHeight = 3 * vg.Inch
-	// legendSpace is how much wider than its values a plot is, so that the legend covers none.
+	// legendSpace is the length of the time axis as a multiple of the run's duration. The room after
+	// the last value is for the legend, which would cover values otherwise.
 	legendSpace = 1.3
 )
 
-// chart is what is drawn of a chart.
+// chart is the data of a plot.
 type chart struct {
-	series map[string]plotter.XYs
-	limit  float64 // 0 for none
-	marks  []Mark
-	end    float64 // time of the last value in seconds
-	top    float64 // highest value or limit
+	series   map[string]plotter.XYs
+	limit    float64 // 0 for none
+	events   []Mark
+	endS     float64 // time of the last value in seconds
+	maxValue float64 // highest value or limit
 }
 
-// chart collects what is drawn of a chart. The log is locked.
+// chart collects the data of a chart's plot. The log is locked.
 func (l *Log) chart(name string) *chart {
-	c := &chart{series: map[string]plotter.XYs{}, limit: l.limits[name], marks: l.marks, top: l.limits[name]}
+	c := &chart{series: map[string]plotter.XYs{}, limit: l.limits[name], events: l.events, maxValue: l.limits[name]}
 	for _, point := range l.points {
 		if point.Chart != name {
 			continue
 		}
 		c.series[point.Series] = append(c.series[point.Series], plotter.XY{X: point.Seconds, Y: point.Value})
-		c.end = max(c.end, point.Seconds)
-		c.top = max(c.top, point.Value)
+		c.endS = max(c.endS, point.Seconds)
+		c.maxValue = max(c.maxValue, point.Value)
 	}
 	return c
 }
 
-// draw draws the chart as SVG.
+// draw returns the plot as SVG.
 func (c *chart) draw() (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
-	p.X.Max = c.end * legendSpace
+	p.X.Max = c.endS * legendSpace
 	p.Y.Min = 0
 	p.Legend.Top = true
 	for i, name := range slices.Sorted(maps.Keys(c.series)) {
@@ -61,19 +62,19 @@
 		p.Legend.Add(name, line)
 	}
 	if c.limit > 0 {
-		if err := addDashedLine(p, plotter.XYs{{X: 0, Y: c.limit}, {X: c.end, Y: c.limit}}); err != nil {
+		if err := addDashedLine(p, plotter.XYs{{X: 0, Y: c.limit}, {X: c.endS, Y: c.limit}}); err != nil {
 			return "", err
 		}
 	}
-	for _, mark := range c.marks {
-		if err := addDashedLine(p, plotter.XYs{{X: mark.Seconds, Y: 0}, {X: mark.Seconds, Y: c.top}}); err != nil {
+	for _, event := range c.events {
+		if err := addDashedLine(p, plotter.XYs{{X: event.Seconds, Y: 0}, {X: event.Seconds, Y: c.maxValue}}); err != nil {
 			return "", err
 		}
 	}
 	return renderSVG(p)
 }
 
-// addDashedLine adds a dashed line.
+// addDashedLine adds a dashed line through the points to the plot.
 func addDashedLine(p *plot.Plot, points plotter.XYs) error {
 	line, err := plotter.NewLine(points)
 	if err != nil {
@@ -84,7 +85,7 @@
 	return nil
 }
 
-// renderSVG writes a plot as an SVG element for an HTML page.
+// renderSVG renders a plot as an SVG element that can stand in an HTML page.
 func renderSVG(p *plot.Plot) (template.HTML, error) {
 	writer, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
@@ -96,7 +97,7 @@
 	}
 	svg := out.Bytes()
 	if start := bytes.Index(svg, []byte("<svg")); start > 0 {
-		svg = svg[start:] // without the head of an XML file
+		svg = svg[start:] // an HTML page must not contain the XML header
 	}
 	return template.HTML(svg), nil
 }
