--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -16,35 +16,35 @@
 	"github.com/brookwalk/brookwalk/internal/httpserve"
 )
 
-// controllerProcess is a controller: a process of the program under test, which is started again
-// after failures. It implements sim.Process.
+// controllerProcess runs one controller as a process of the program under test. The process is
+// restarted after failures. It implements sim.Process.
 type controllerProcess struct {
 	name    string
-	listen  string // address for workers and users
+	listen  string // address that serves workers and users
 	command []string
-	// operatorPath is the path of the operators' own settings; empty if there are none.
+	// operatorPath is the path of the operators' settings file; empty if there is none.
 	operatorPath string
-	output       *os.File // what the process writes to standard error
+	output       *os.File // receives the process's standard error
 	log          *slog.Logger
 
-	// withWorld calls a function with the world locked.
-	withWorld     func(func())
+	// withLock calls a function with the simulation locked.
+	withLock      func(func())
 	userTraffic   *httpserve.Traffic
 	workerTraffic *httpserve.Traffic
 	usage         processMeter
 
-	exits sync.WaitGroup // one for each process that was started
+	exits sync.WaitGroup // counts the started processes that have not exited
 
-	mu             sync.Mutex
-	closed         bool
-	process        *os.Process // nil while there is none
-	starts         int
-	unexpectedEnds int                         // exits without a Kill
-	clients        map[string]*httpwire.Client // by sender
+	mu              sync.Mutex
+	closed          bool        // the run has ended; no process is started any more
+	process         *os.Process // nil while no process runs
+	starts          int
+	unexpectedExits int                         // exits that Kill did not cause
+	clients         map[string]*httpwire.Client // by sender
 }
 
-// Start starts the process, unless the run has ended: late answers to requests may still carry out
-// a scheduled start.
+// Start starts the process, unless the run has ended: a response that arrives after the end of the
+// run advances the simulation and may trigger a restart that was scheduled before.
 func (c *controllerProcess) Start() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -65,13 +65,14 @@
 	c.exits.Go(func() { c.awaitExit(cmd) })
 }
 
-// Environment variables of the program.
+// Environment variables that the program reads.
 const (
 	logLevelVariable = "LOG_LEVEL"
 	operatorVariable = "BROOKWALK_OPERATOR"
 )
 
-// environment is that of this process, with the program's own variables set by the experiment.
+// environment returns this process's environment with the program's variables replaced by those of
+// the experiment.
 func (c *controllerProcess) environment() []string {
 	environment := slices.DeleteFunc(os.Environ(), func(variable string) bool {
 		return strings.HasPrefix(variable, logLevelVariable+"=") || strings.HasPrefix(variable, operatorVariable+"=")
@@ -83,19 +84,19 @@
 	return environment
 }
 
-// awaitExit waits for the end of a process and records it if nobody killed the process.
+// awaitExit waits until a process exits and records an exit that Kill did not cause.
 func (c *controllerProcess) awaitExit(cmd *exec.Cmd) {
 	err := cmd.Wait()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.process == cmd.Process {
 		c.process = nil
-		c.unexpectedEnds++
+		c.unexpectedExits++
 		c.log.Error("controller exited unexpectedly", "controller", c.name, "error", err)
 	}
 }
 
-// Kill ends the process without notice. It does not wait for its end.
+// Kill sends SIGKILL to the process. It does not wait for the exit.
 func (c *controllerProcess) Kill() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -108,7 +109,7 @@
 	c.process = nil
 }
 
-// close kills the process, waits for its end and closes its log.
+// close kills the process, waits until all started processes have exited and closes the log file.
 func (c *controllerProcess) close() {
 	c.mu.Lock()
 	c.closed = true
@@ -118,14 +119,14 @@
 	closeLogged(c.log, c.output.Name(), c.output)
 }
 
-// startsAndEnds returns how often the process was started, and how often it exited unexpectedly.
-func (c *controllerProcess) startsAndEnds() (starts, unexpectedEnds int) {
+// startsAndExits returns how often the process was started and how often it exited unexpectedly.
+func (c *controllerProcess) startsAndExits() (starts, unexpectedEnds int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.starts, c.unexpectedEnds
+	return c.starts, c.unexpectedExits
 }
 
-// pid returns the process's ID; 0 if there is no process.
+// pid returns the process ID; 0 if no process runs.
 func (c *controllerProcess) pid() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,16 +136,16 @@
 	return c.process.Pid
 }
 
-// userSender is the sender of users' requests; other senders are machines.
+// userSender is the sender name of all users; a worker's sender name is the name of its machine.
 const userSender = "user"
 
-// Connections that a worker, and all users together, keep open to a controller.
+// Maximum idle connections to a controller, per worker and for all users together.
 const (
 	workerConnections = 1
 	userConnections   = 16
 )
 
-// client returns the client for a sender's requests; nil if there is no process.
+// client returns the HTTP client for a sender's requests; nil if no process runs.
 func (c *controllerProcess) client(from string) *httpwire.Client {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -162,7 +163,7 @@
 	return client
 }
 
-// closeClient closes the connections of a worker that was removed.
+// closeClient closes the idle connections of a worker that was removed.
 func (c *controllerProcess) closeClient(worker string) {
 	c.mu.Lock()
 	client := c.clients[worker]
@@ -173,19 +174,21 @@
 	}
 }
 
-// Ask sends a request of a user or a worker.
+// Ask sends a request of a user or a worker asynchronously and calls done with the answer, with the
+// simulation locked.
 func (c *controllerProcess) Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	go func() {
 		answer := c.request(from, method, path, body, timeout)
-		c.withWorld(func() { done(answer) })
+		c.withLock(func() { done(answer) })
 	}()
 }
 
-// request sends a request and waits for the answer; its status is 0 if none came.
+// request sends a request and waits for the answer. The status of the answer is 0 if there is no
+// response within the timeout.
 func (c *controllerProcess) request(from, method, path string, body []byte, timeout time.Duration) core.Answer {
 	client := c.client(from)
 	if client == nil {
-		return core.Answer{} // refused at once, as by a machine without the process
+		return core.Answer{} // no process listens: the connection would be refused at once
 	}
 	response, err := client.Do(method, path, body, timeout)
 	if err != nil {
@@ -193,18 +196,18 @@
 		return core.Answer{}
 	}
 	if response.Status == httpstatus.MisdirectedRequest {
-		client.CloseIdle() // the worker goes to another controller
+		client.CloseIdle() // the worker connects to another controller
 	}
 	retryAfter, err := strconv.Atoi(response.RetryAfter)
 	if err != nil {
-		retryAfter = 0 // the answer has no such header
+		retryAfter = 0 // the response has no Retry-After header
 	}
 	c.countTraffic(from, httpwire.AppendRequest(nil, method, path, c.listen, body),
 		httpwire.AppendResponse(nil, httpwire.Reply{Status: response.Status, Body: response.Body, RetryAfter: retryAfter, Close: response.Close}))
 	return core.Answer{Status: response.Status, Body: response.Body, RetryAfterS: retryAfter}
 }
 
-// countTraffic counts a request with its response.
+// countTraffic adds the sizes of a request and its response to the sender's traffic counters.
 func (c *controllerProcess) countTraffic(from string, request, response []byte) {
 	traffic := c.workerTraffic
 	if from == userSender {
@@ -213,13 +216,13 @@
 	traffic.Add(len(request), len(response))
 }
 
-// sampleUsage samples what the process uses, in a phase of the run.
+// sampleUsage takes a sample of the process's resource usage during a phase of the run.
 func (c *controllerProcess) sampleUsage(phase runPhase) {
 	pid := c.pid()
 	if pid == 0 {
 		return
 	}
-	if used, err := readUsage(pid); err == nil { // else the process has just ended
+	if used, err := readUsage(pid); err == nil { // fails if the process has just exited
 		c.usage.addSample(pid, used, time.Now(), phase)
 	}
 }
--- a/internal/hollow/experiment.go
+++ b/internal/hollow/experiment.go
@@ -1,9 +1,10 @@
-// Package hollow runs real controller processes among stand-ins that speak the real protocol over
-// loopback: thousands of hollow workers, users, a cloud and a key-value store in one process, by the
-// real clock. A hollow worker is a simulated worker in front of a real controller, as the hollow nodes
-// of Kubernetes' load tests are. The stand-ins and the checker of rules are those of package sim.
+// Package hollow runs load tests and failure tests of real controller processes. Thousands of hollow
+// workers, the users, the cloud and the key-value store are simulated in one process; they use the real
+// protocol over loopback and the real clock. A hollow worker is a simulated worker that reports to a
+// real controller, like the hollow nodes of Kubernetes' load tests. The simulation and the checker,
+// which reports violations of the scheduler's rules, are those of package sim.
 //
-// The package starts and ends processes, listens on loopback addresses and writes files to the
+// The package starts and kills processes, listens on loopback addresses and writes files to the
 // directory of a run. The command brookwalk-hollow calls it.
 package hollow
 
@@ -20,11 +21,11 @@
 // Experiment is the content of an experiment file. Times are in seconds.
 type Experiment struct {
 	Name        string               `toml:"name"`
-	Seconds     float64              `toml:"seconds"` // how long it runs
+	Seconds     float64              `toml:"seconds"` // duration of the run
 	Seed        uint64               `toml:"seed"`
 	Controllers int                  `toml:"controllers"`
 	Zones       []string             `toml:"zones"`
-	RestartS    float64              `toml:"restart_s"` // from the kill of a controller to its next start
+	RestartS    float64              `toml:"restart_s"` // from the kill of a controller to its restart
 	Workers     config.WorkerTimings `toml:"workers"`
 	State       config.StoreLimits   `toml:"state"`
 	Cloud       config.CloudLimits   `toml:"cloud"`
@@ -35,17 +36,19 @@
 	Objectives  []ClassObjective     `toml:"objectives"`
 	Jobs        []JobClass           `toml:"jobs"`
 	Failures    []Failure            `toml:"failures"`
-	// Regions are deployments of this kind that share the teams' limits; none for a single
-	// deployment.
+	// Regions are deployments that share the teams' limits; each has all that the other fields
+	// describe. Empty for a single deployment.
 	Regions []Region `toml:"regions"`
 }
 
-// Operator has the operators' own settings.
+// Operator has the settings that operators can change.
 type Operator struct {
-	IdleReturnS float64 `toml:"idle_return_s"` // after which idle machines are returned; 0 for the program's default
+	// IdleReturnS is the idle time after which a machine is returned to the cloud; 0 for the
+	// program's default.
+	IdleReturnS float64 `toml:"idle_return_s"`
 }
 
-// MachineType is a type of machine, and how many the cloud has.
+// MachineType is a type of machine and how many of them the cloud has.
 type MachineType struct {
 	Name          string  `toml:"name"`
 	CPUs          float64 `toml:"cpus"`
@@ -56,12 +59,13 @@
 	Price         float64 `toml:"price"`
 	SpotPrice     float64 `toml:"spot_price"`
 	BootS         float64 `toml:"boot_s"`
-	OnDemandCount int     `toml:"count"`    // on-demand machines over all zones
-	SpotCount     int     `toml:"spot"`     // spot machines over all zones
-	UpShare       float64 `toml:"up_share"` // of the on-demand machines, up from the beginning
+	OnDemandCount int     `toml:"count"`    // on-demand machines in all zones together
+	SpotCount     int     `toml:"spot"`     // spot machines in all zones together
+	UpShare       float64 `toml:"up_share"` // share of the on-demand machines that are up at the start
 }
 
-// Teams are a number of teams that share a guarantee and a limit evenly.
+// Teams describes a number of equal teams: CPUs and GPUs are the sums of their guarantees, CPUsMax and
+// GPUsMax the sums of their limits.
 type Teams struct {
 	Count   int     `toml:"count"`
 	CPUs    float64 `toml:"cpus"`
@@ -70,13 +74,14 @@
 	GPUsMax float64 `toml:"gpus_max"`
 }
 
-// teamLimit is the guarantee and the limit of each team.
+// teamLimit returns the guarantee and the limit of each team.
 func (e *Experiment) teamLimit() config.Team {
 	teams, count := e.Teams, float64(e.Teams.Count)
 	return config.Team{CPUs: teams.CPUs / count, CPUsMax: teams.CPUsMax / count, GPUs: teams.GPUs / count, GPUsMax: teams.GPUsMax / count}
 }
 
-// ClassObjective is the service-level objective of a class.
+// ClassObjective is the service-level objective of a class of jobs: the share of them that has to meet
+// the time, see config.Objective.
 type ClassObjective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -89,18 +94,18 @@
 	Class          string  `toml:"class"`
 	Shape          string  `toml:"shape"` // array, gang or service
 	Priority       string  `toml:"priority"`
-	Tasks          []int   `toml:"tasks"` // sizes of its jobs, in turn
+	Tasks          []int   `toml:"tasks"` // tasks per job; the jobs take these sizes in turn
 	CPUs           float64 `toml:"cpus"`
 	GPUs           float64 `toml:"gpus"`
 	MemoryGB       float64 `toml:"memory_gb"`
 	RunS           float64 `toml:"run_s"` // mean run time of a task
 	CheckpointS    float64 `toml:"checkpoint_s"`
 	SaveS          float64 `toml:"save_s"`
-	Images         int     `toml:"images"`
-	ImageGB        float64 `toml:"image_gb"`
-	InitialTasks   int     `toml:"initial"`         // tasks submitted at the start
-	InitialS       float64 `toml:"initial_s"`       // time over which they are submitted
-	TasksPerSecond float64 `toml:"starts_per_s"`    // tasks submitted a second from then on
+	Images         int     `toml:"images"`          // number of different container images
+	ImageGB        float64 `toml:"image_gb"`        // size of each image
+	InitialTasks   int     `toml:"initial"`         // tasks of the initial load
+	InitialS       float64 `toml:"initial_s"`       // time over which the initial load is submitted
+	TasksPerSecond float64 `toml:"starts_per_s"`    // tasks per second of the steady load
 	FromS          float64 `toml:"from_s"`          // when the steady load begins
 	CancelledShare float64 `toml:"cancelled_share"` // share of the jobs that their users cancel
 	OneZone        bool    `toml:"one_zone"`
@@ -108,7 +113,7 @@
 	Spot           bool    `toml:"spot"`
 }
 
-// Kinds of failures.
+// Kinds of failures in experiment files.
 const (
 	FailLeader     = "kill_leader"
 	FailAll        = "kill_all"
@@ -120,21 +125,23 @@
 
 var failureKinds = []string{FailLeader, FailAll, FailWorkers, FailZone, FailStore, FailRegionLink}
 
-// Failure is a fault that is injected at a time.
+// Failure is a fault that is injected at a given time.
 type Failure struct {
 	AtS   float64 `toml:"at_s"`
 	Kind  string  `toml:"kind"`
-	Share float64 `toml:"share"` // of the workers
+	Share float64 `toml:"share"` // share of the workers that are removed
 	Zone  string  `toml:"zone"`
 	ForS  float64 `toml:"for_s"`
-	// Region is where it happens; empty for all. A partition is from it to the region To, or to all
-	// others, and with BothWays also back.
+	// Region is the region in which the failure is injected; empty for all regions. A partition
+	// blocks connections from Region to the region To, or to all others if To is empty. With BothWays
+	// it also blocks the opposite direction.
 	Region   string `toml:"region"`
 	To       string `toml:"to"`
 	BothWays bool   `toml:"both"`
 }
 
-// Load reads and validates an experiment file. An error names the file, the field and the reason.
+// Load reads and validates an experiment file. A validation error names the file, the field and the
+// reason.
 func Load(path string) (*Experiment, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -162,8 +169,8 @@
 	return experiment, errors.Join(errs...)
 }
 
-// Scale multiplies the fleet and its load: machines, teams' limits and jobs. Controllers, the services'
-// limits and times stay.
+// Scale multiplies the numbers of machines, the teams' guarantees and limits, and the initial and
+// steady load. The number of controllers, the services' limits and all times stay.
 func (e *Experiment) Scale(factor float64) {
 	scaled := func(count int) int { return int(math.Round(float64(count) * factor)) }
 	for i := range e.Types {
--- a/internal/hollow/experiment_validate.go
+++ b/internal/hollow/experiment_validate.go
@@ -9,49 +9,49 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// FieldError is a field of an experiment file with an invalid value.
+// FieldError reports an invalid or unknown field of an experiment file.
 type FieldError struct {
-	Field  string // with its tables, as in "types[0].cpus"
+	Field  string // with the tables that hold it, as in "types[0].cpus"
 	Reason string
 }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// fieldErrors collects the errors of an experiment.
+// fieldErrors collects the FieldErrors of an experiment.
 type fieldErrors []error
 
 func (e *fieldErrors) add(field, format string, args ...any) {
 	*e = append(*e, &FieldError{field, fmt.Sprintf(format, args...)})
 }
 
-func (e *fieldErrors) positive(field string, v float64) {
-	if !(v > 0) || math.IsInf(v, 0) {
-		e.add(field, "must be above 0, is %v", v)
+func (e *fieldErrors) checkPositive(field string, value float64) {
+	if !(value > 0) || math.IsInf(value, 0) {
+		e.add(field, "must be greater than 0, is %v", value)
 	}
 }
 
-func (e *fieldErrors) share(field string, v float64) {
-	if !(v >= 0 && v <= 1) {
-		e.add(field, "must be from 0 to 1, is %v", v)
+func (e *fieldErrors) checkShare(field string, value float64) {
+	if !(value >= 0 && value <= 1) {
+		e.add(field, "must be from 0 to 1, is %v", value)
 	}
 }
 
-func (e *fieldErrors) oneOf(field, v string, allowed []string) {
-	if !slices.Contains(allowed, v) {
-		e.add(field, "must be one of %s, is %q", strings.Join(allowed, ", "), v)
+func (e *fieldErrors) checkOneOf(field, value string, allowed []string) {
+	if !slices.Contains(allowed, value) {
+		e.add(field, "must be one of %s, is %q", strings.Join(allowed, ", "), value)
 	}
 }
 
-// Sizes that one machine can run.
+// Limits of an experiment, so that it runs on one machine.
 const (
 	maxControllers = 9
 	maxWorkers     = 10000
 )
 
-// validate collects the errors of the experiment.
+// validate adds an error for each invalid field of the experiment.
 func (e *Experiment) validate(errs *fieldErrors) {
-	errs.positive("seconds", e.Seconds)
-	errs.positive("restart_s", e.RestartS)
+	errs.checkPositive("seconds", e.Seconds)
+	errs.checkPositive("restart_s", e.RestartS)
 	if e.Controllers < 1 || e.Controllers > maxControllers {
 		errs.add("controllers", "must be from 1 to %d, is %d", maxControllers, e.Controllers)
 	}
@@ -60,7 +60,7 @@
 	}
 	e.validateDeployment(errs)
 	if e.Teams.Count < 1 {
-		errs.add("teams.count", "must be above 0, is %d", e.Teams.Count)
+		errs.add("teams.count", "must be greater than 0, is %d", e.Teams.Count)
 	}
 	e.validateTypes(errs)
 	e.validateJobs(errs)
@@ -68,28 +68,29 @@
 	e.validateRegions(errs)
 }
 
-// validateDeployment validates the settings of controllers and the limits of services.
+// validateDeployment validates the controllers' settings and the rate limits of the key-value store and
+// the cloud.
 func (e *Experiment) validateDeployment(errs *fieldErrors) {
-	errs.positive("workers.report_s", e.Workers.ReportS)
-	errs.positive("workers.lease_s", e.Workers.LeaseS)
-	errs.positive("workers.cancel_s", e.Workers.CancelS)
-	errs.positive("state.rps", e.State.RPS)
-	errs.positive("state.write_rps", e.State.WriteRPS)
-	errs.positive("state.value_kb", e.State.ValueKB)
-	errs.positive("state.txn_ops", float64(e.State.TxnOps))
-	errs.positive("cloud.rps", e.Cloud.RPS)
-	errs.positive("controller.ram_mb", e.Limits.RAMMB)
+	errs.checkPositive("workers.report_s", e.Workers.ReportS)
+	errs.checkPositive("workers.lease_s", e.Workers.LeaseS)
+	errs.checkPositive("workers.cancel_s", e.Workers.CancelS)
+	errs.checkPositive("state.rps", e.State.RPS)
+	errs.checkPositive("state.write_rps", e.State.WriteRPS)
+	errs.checkPositive("state.value_kb", e.State.ValueKB)
+	errs.checkPositive("state.txn_ops", float64(e.State.TxnOps))
+	errs.checkPositive("cloud.rps", e.Cloud.RPS)
+	errs.checkPositive("controller.ram_mb", e.Limits.RAMMB)
 	if e.Operator.IdleReturnS < 0 {
-		errs.add("operator.idle_return_s", "must not be below 0, is %v", e.Operator.IdleReturnS)
+		errs.add("operator.idle_return_s", "must be 0 or greater, is %v", e.Operator.IdleReturnS)
 	}
-	errs.positive("controller.max_connections", float64(e.Limits.MaxConnections))
+	errs.checkPositive("controller.max_connections", float64(e.Limits.MaxConnections))
 }
 
 func (e *Experiment) hasRegion(name string) bool {
 	return slices.ContainsFunc(e.Regions, func(region Region) bool { return region.Name == name })
 }
 
-// validateRegions validates that the regions own each limit together.
+// validateRegions validates the regions. Their shares of the teams' limits must add up to 1.
 func (e *Experiment) validateRegions(errs *fieldErrors) {
 	owned := 0.0
 	for i, region := range e.Regions {
@@ -98,17 +99,17 @@
 			errs.add(table+"name", "missing")
 		}
 		if region.Load < 0 {
-			errs.add(table+"load", "must not be below 0, is %v", region.Load)
+			errs.add(table+"load", "must be 0 or greater, is %v", region.Load)
 		}
-		errs.share(table+"owned", region.Owned)
+		errs.checkShare(table+"owned", region.Owned)
 		owned += region.Owned
 	}
 	if len(e.Regions) == 1 || len(e.Regions) > 1 && math.Abs(owned-1) > 1e-9 {
-		errs.add("regions", "must be two or more that own 1 together, are %d that own %v", len(e.Regions), owned)
+		errs.add("regions", "must be none, or two or more whose owned shares add up to 1; are %d with a sum of %v", len(e.Regions), owned)
 	}
 }
 
-// validateTypes validates the types of machines and their number.
+// validateTypes validates the machine types and the total number of machines.
 func (e *Experiment) validateTypes(errs *fieldErrors) {
 	if len(e.Types) == 0 {
 		errs.add("types", "missing")
@@ -119,19 +120,19 @@
 		if machineType.Name == "" {
 			errs.add(table+"name", "missing")
 		}
-		errs.positive(table+"cpus", machineType.CPUs)
-		errs.positive(table+"memory_gb", machineType.MemoryGB)
-		errs.positive(table+"fetch_gb_per_s", machineType.FetchGBPS)
-		errs.positive(table+"price", machineType.Price)
-		errs.positive(table+"boot_s", machineType.BootS)
-		errs.share(table+"up_share", machineType.UpShare)
+		errs.checkPositive(table+"cpus", machineType.CPUs)
+		errs.checkPositive(table+"memory_gb", machineType.MemoryGB)
+		errs.checkPositive(table+"fetch_gb_per_s", machineType.FetchGBPS)
+		errs.checkPositive(table+"price", machineType.Price)
+		errs.checkPositive(table+"boot_s", machineType.BootS)
+		errs.checkShare(table+"up_share", machineType.UpShare)
 		if machineType.OnDemandCount < 0 || machineType.SpotCount < 0 || machineType.OnDemandCount+machineType.SpotCount == 0 {
-			errs.add(table+"count", "no machine of this type: %d and %d spot", machineType.OnDemandCount, machineType.SpotCount)
+			errs.add(table+"count", "count and spot must be 0 or greater and not both 0, are %d and %d", machineType.OnDemandCount, machineType.SpotCount)
 		}
 		workers += machineType.OnDemandCount + machineType.SpotCount
 	}
 	if workers > maxWorkers {
-		errs.add("types", "%d machines, at most %d", workers, maxWorkers)
+		errs.add("types", "%d machines in all types together, must be at most %d", workers, maxWorkers)
 	}
 }
 
@@ -142,10 +143,10 @@
 	shapeService = "service"
 )
 
-// jobShapes are the shapes of jobs by their names in experiment files.
+// jobShapes maps the names in experiment files to job shapes.
 var jobShapes = map[string]wire.Shape{shapeArray: wire.ShapeArray, shapeGang: wire.ShapeGang, shapeService: wire.ShapeService}
 
-// validateJobs validates the classes of jobs.
+// validateJobs validates the job classes.
 func (e *Experiment) validateJobs(errs *fieldErrors) {
 	if len(e.Jobs) == 0 {
 		errs.add("jobs", "missing")
@@ -155,41 +156,41 @@
 		if class.Class == "" {
 			errs.add(table+"class", "missing")
 		}
-		errs.oneOf(table+"shape", class.Shape, []string{shapeArray, shapeGang, shapeService})
-		errs.oneOf(table+"priority", class.Priority, []string{"critical", "urgent", "normal", "idle"})
+		errs.checkOneOf(table+"shape", class.Shape, []string{shapeArray, shapeGang, shapeService})
+		errs.checkOneOf(table+"priority", class.Priority, []string{"critical", "urgent", "normal", "idle"})
 		if len(class.Tasks) == 0 || slices.Min(class.Tasks) < 1 {
-			errs.add(table+"tasks", "must name sizes above 0, is %v", class.Tasks)
+			errs.add(table+"tasks", "must be a list of sizes greater than 0 and not be empty, is %v", class.Tasks)
 		}
-		errs.positive(table+"cpus", class.CPUs)
-		errs.positive(table+"memory_gb", class.MemoryGB)
-		errs.positive(table+"images", float64(class.Images))
+		errs.checkPositive(table+"cpus", class.CPUs)
+		errs.checkPositive(table+"memory_gb", class.MemoryGB)
+		errs.checkPositive(table+"images", float64(class.Images))
 		if class.Shape != shapeService {
-			errs.positive(table+"run_s", class.RunS)
+			errs.checkPositive(table+"run_s", class.RunS)
 		}
-		errs.share(table+"cancelled_share", class.CancelledShare)
+		errs.checkShare(table+"cancelled_share", class.CancelledShare)
 		if class.InitialTasks < 0 || class.TasksPerSecond < 0 || class.InitialS < 0 || class.FromS < 0 {
-			errs.add(table+"initial", "initial, initial_s, starts_per_s and from_s must not be below 0")
+			errs.add(table+"initial", "initial, initial_s, starts_per_s and from_s must be 0 or greater")
 		}
 	}
 }
 
-// validateFailures validates the failures against zones and regions.
+// validateFailures validates the failures. The zones and regions that they name must exist.
 func (e *Experiment) validateFailures(errs *fieldErrors) {
 	for i, failure := range e.Failures {
 		table := fmt.Sprintf("failures[%d].", i)
-		errs.oneOf(table+"kind", failure.Kind, failureKinds)
-		errs.share(table+"share", failure.Share)
+		errs.checkOneOf(table+"kind", failure.Kind, failureKinds)
+		errs.checkShare(table+"share", failure.Share)
 		if failure.AtS < 0 || failure.AtS >= e.Seconds {
 			errs.add(table+"at_s", "must be within the %v s of the run, is %v", e.Seconds, failure.AtS)
 		}
 		if failure.Region != "" && !e.hasRegion(failure.Region) || failure.Kind == FailRegionLink && failure.Region == "" {
-			errs.add(table+"region", "%q is none of the regions", failure.Region)
+			errs.add(table+"region", "%q is not a region of the experiment", failure.Region)
 		}
 		if failure.To != "" && !e.hasRegion(failure.To) {
-			errs.add(table+"to", "%q is none of the regions", failure.To)
+			errs.add(table+"to", "%q is not a region of the experiment", failure.To)
 		}
 		if failure.Kind == FailZone && !slices.Contains(e.Zones, failure.Zone) {
-			errs.add(table+"zone", "%q is none of the zones", failure.Zone)
+			errs.add(table+"zone", "%q is not a zone of the experiment", failure.Zone)
 		}
 	}
 }
--- a/internal/hollow/failures.go
+++ b/internal/hollow/failures.go
@@ -1,14 +1,14 @@
 package hollow
 
-// scheduleFailures schedules the failures of the experiment.
+// scheduleFailures schedules the failures of the experiment at their times.
 func (r *runner) scheduleFailures() {
 	for _, failure := range r.experiment.Failures {
 		r.live.After(seconds(failure.AtS), func() { r.injectFailure(failure) })
 	}
 }
 
-// markFailure marks a failure in the history.
-func (r *runner) markFailure(failure Failure) {
+// recordFailure adds a failure to the history as an event.
+func (r *runner) recordFailure(failure Failure) {
 	if r.region != nil {
 		r.region.run.usage.history.AddMark(r.live.Now(), failure.Kind+" in "+r.region.name)
 		return
@@ -16,9 +16,10 @@
 	r.history.AddMark(r.live.Now(), failure.Kind)
 }
 
-// injectFailure makes something fail. A leader is killed as soon as there is one.
+// injectFailure injects a failure. If there is no leader to kill, it tries again every
+// sampleInterval until there is one.
 func (r *runner) injectFailure(failure Failure) {
-	r.markFailure(failure)
+	r.recordFailure(failure)
 	log := r.options.Log.With("kind", failure.Kind, "at_s", failure.AtS)
 	switch failure.Kind {
 	case FailLeader:
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -15,11 +15,11 @@
 
 const smallExperiment = "../../experiments/small.toml"
 
-// TestExperimentFiles validates every experiment file of the project.
+// TestExperimentFiles checks that every experiment file of the repository is valid.
 func TestExperimentFiles(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no experiments", err)
+		t.Fatal("found no experiment files, error:", err)
 	}
 	for _, file := range files {
 		if _, err := Load(file); err != nil {
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestParseNamesField makes a valid experiment invalid in one place. The error has to name the field.
+// TestParseNamesField makes one field of a valid experiment invalid. The error must name that field.
 func TestParseNamesField(t *testing.T) {
 	data, err := os.ReadFile(smallExperiment)
 	if err != nil {
@@ -51,18 +51,18 @@
 		t.Run(tc.field, func(t *testing.T) {
 			text := strings.Replace(string(data), tc.valid, tc.invalid, 1)
 			if text == string(data) {
-				t.Fatalf("%q is not in the file", tc.valid)
+				t.Fatalf("%q is not in the experiment file", tc.valid)
 			}
 			_, err := Parse(text)
 			var fieldError *FieldError
 			if !errors.As(err, &fieldError) || fieldError.Field != tc.field {
-				t.Errorf("%s: error %v, want one of field %s", tc.invalid, err, tc.field)
+				t.Errorf("%s: got error %v, want a FieldError of field %s", tc.invalid, err, tc.field)
 			}
 		})
 	}
 }
 
-// buildProgram builds the program of the controllers.
+// buildProgram builds the controllers' program and returns its path.
 func buildProgram(t *testing.T) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "brookwalk")
@@ -73,9 +73,9 @@
 	return path
 }
 
-// runSmall runs the small experiment with a hundred workers and other failures until a condition holds.
-// It returns the report and the directory of the run.
-func runSmall(ctx context.Context, t *testing.T, stopWhen func(*observer) bool, failures ...Failure) (*Report, string) {
+// runSmallExperiment runs the small experiment, scaled to about a hundred workers and with the given
+// failures, until stopWhen returns true. It returns the report and the directory of the run. A rule violation fails the test.
+func runSmallExperiment(ctx context.Context, t *testing.T, stopWhen func(*observer) bool, failures ...Failure) (*Report, string) {
 	t.Helper()
 	experiment, err := Load(smallExperiment)
 	if err != nil {
@@ -94,8 +94,8 @@
 	return rep, dir
 }
 
-// TestRunSurvivesFailures kills the leader while a fifth of the workers is lost, and after that a zone.
-// Tasks have to start again under another leader, and no rule may be violated.
+// TestRunSurvivesFailures kills the leader and a fifth of the workers at the same time, and a zone four
+// seconds later. Another leader must start tasks after both failures, and no rule may be violated.
 func TestRunSurvivesFailures(t *testing.T) {
 	startsAtZoneLoss := 0
 	recovered := func(o *observer) bool {
@@ -104,13 +104,13 @@
 		}
 		return len(o.startsPerSecond) > 9 && len(o.failoverTimes) > 0 && o.killedTerm == 0 && o.starts > startsAtZoneLoss
 	}
-	rep, dir := runSmall(t.Context(), t, recovered, Failure{AtS: 3, Kind: FailWorkers, Share: 0.2},
+	rep, dir := runSmallExperiment(t.Context(), t, recovered, Failure{AtS: 3, Kind: FailWorkers, Share: 0.2},
 		Failure{AtS: 3, Kind: FailLeader}, Failure{AtS: 7, Kind: FailZone, Zone: "west", ForS: 1})
 	if len(rep.FailoverStartS) == 0 {
-		t.Error("no task started after the leader was killed")
+		t.Error("no task was started by a new leader after the leader was killed")
 	}
 	if rep.Tasks == 0 || rep.Urgent.Count == 0 {
-		t.Errorf("%d tasks on machines, %d urgent ones started", rep.Tasks, rep.Urgent.Count)
+		t.Errorf("at the end: got %d tasks on machines and %d started urgent tasks, want some of both", rep.Tasks, rep.Urgent.Count)
 	}
 	leaders := 0
 	for _, process := range rep.Processes {
@@ -123,28 +123,29 @@
 		}
 	}
 	if leaders != 1 {
-		t.Errorf("%d leaders at the end", leaders)
+		t.Errorf("leaders at the end: got %d, want 1", leaders)
 	}
 }
 
-// TestRunKillsItsProcesses interrupts a run. It has to return a report, and none of its controllers may
-// be left.
+// TestRunKillsItsProcesses cancels the context of a run. The run must return a report that is marked as
+// interrupted, and must kill all its controllers.
 func TestRunKillsItsProcesses(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	time.AfterFunc(2*time.Second, stop)
-	rep, dir := runSmall(ctx, t, nil)
+	rep, dir := runSmallExperiment(ctx, t, nil)
 	if !rep.Interrupted {
-		t.Error("the report does not mention the interruption")
+		t.Error("Interrupted in the report: got false, want true")
 	}
 	for deadline := time.Now().Add(time.Minute); processesRunning(t, dir); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("controllers are left")
+			t.Fatal("controllers still run a minute after the end of the run, want none")
 		}
 	}
 }
 
-// processesRunning reports whether a process has a file of a directory among its arguments.
+// processesRunning reports whether a running process has the directory in its command line, as the
+// controllers of a run do.
 func processesRunning(t *testing.T, dir string) bool {
 	t.Helper()
 	entries, err := os.ReadDir("/proc")
@@ -156,7 +157,7 @@
 			continue
 		}
 		commandLine, err := os.ReadFile("/proc/" + entry.Name() + "/cmdline")
-		if err == nil && strings.Contains(string(commandLine), dir) { // else it has just ended
+		if err == nil && strings.Contains(string(commandLine), dir) { // fails if the process has just exited
 			return true
 		}
 	}
--- a/internal/hollow/load_generator.go
+++ b/internal/hollow/load_generator.go
@@ -9,12 +9,13 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// loadGenerator submits the jobs of an experiment and cancels some of them.
+// loadGenerator submits the jobs of an experiment and cancels the share of them that the experiment
+// sets.
 type loadGenerator struct {
-	experiment *Experiment
-	live       *sim.Live
-	rng        *rand.Rand
-	lastJob    int // number of the last job
+	experiment    *Experiment
+	live          *sim.Live
+	rng           *rand.Rand
+	lastJobNumber int // number of the last submitted job
 }
 
 func newLoadGenerator(experiment *Experiment, live *sim.Live) *loadGenerator {
@@ -23,7 +24,7 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// schedule schedules the load of all classes.
+// schedule schedules the initial and the steady load of all classes.
 func (l *loadGenerator) schedule() {
 	for i := range l.experiment.Jobs {
 		class := &l.experiment.Jobs[i]
@@ -34,8 +35,8 @@
 	}
 }
 
-// submitInitial submits a class's initial tasks, spread evenly over their time. Only a gang may have
-// more tasks than are left.
+// submitInitial schedules the submission of a class's initial tasks, spread evenly over InitialS. The
+// last job is cut to the number of tasks left, unless it is a gang: gangs keep their size.
 func (l *loadGenerator) submitInitial(class *JobClass) {
 	submitted := 0
 	for i := 0; submitted < class.InitialTasks; i++ {
@@ -49,17 +50,18 @@
 	}
 }
 
-// jobSize is how many tasks the job of a number has.
+// jobSize returns the number of tasks of the class's job with index i. The sizes in Tasks repeat in
+// turn.
 func (c *JobClass) jobSize(i int) int { return c.Tasks[i%len(c.Tasks)] }
 
-// Bounds of the time between two jobs, as parts of its mean.
+// The interval between two jobs of a class is uniformly distributed from 0.5 to 1.5 of its mean.
 const (
 	minIntervalFactor   = 0.5
 	intervalFactorRange = 1.0
 )
 
-// submitNext submits the class's job of a number, and schedules the next one by the class's rate of
-// tasks.
+// submitNext submits the class's job with index i and schedules the next one so that the mean rate of
+// submitted tasks is TasksPerSecond.
 func (l *loadGenerator) submitNext(class *JobClass, i int) {
 	tasks := class.jobSize(i)
 	l.submit(class, tasks)
@@ -68,19 +70,19 @@
 	l.live.After(seconds(interval), func() { l.submitNext(class, i+1) })
 }
 
-// Bounds of a job's run time, as parts of its mean.
+// The run time of a job's tasks is uniformly distributed from 0.5 to 1.5 of the class's mean.
 const (
 	minRunFactor   = 0.5
 	runFactorRange = 1.0
 )
 
-// submit submits a job of a class, and schedules the cancellation of the share of jobs that are
-// cancelled.
+// submit submits a job of a class. For a random CancelledShare of the jobs it also schedules a
+// cancellation at a random time from 1 s to RunS + 1 s later.
 func (l *loadGenerator) submit(class *JobClass, tasks int) {
-	l.lastJob++
+	l.lastJobNumber++
 	runS := class.RunS * (minRunFactor + runFactorRange*l.rng.Float64())
 	job := sim.LiveJob{RunS: runS, Job: wire.Job{
-		ID: fmt.Sprintf("job-%06d", l.lastJob), Class: class.Class, Team: teamName(l.rng.IntN(l.experiment.Teams.Count)),
+		ID: fmt.Sprintf("job-%06d", l.lastJobNumber), Class: class.Class, Team: teamName(l.rng.IntN(l.experiment.Teams.Count)),
 		Shape: jobShapes[class.Shape], Priority: wire.Priority(class.Priority), Tasks: tasks,
 		CPUs: class.CPUs, GPUs: class.GPUs, MemGB: class.MemoryGB,
 		Image: fmt.Sprintf("%s-%d", class.Class, l.rng.IntN(class.Images)), ImageGB: class.ImageGB,
@@ -96,5 +98,5 @@
 	}
 }
 
-// teamName names a team by its number.
+// teamName returns the name of the team with index i.
 func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
--- a/internal/hollow/observer.go
+++ b/internal/hollow/observer.go
@@ -8,24 +8,25 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Waits are counted in milliseconds up to an hour, with three significant digits.
+// Histograms of waits count milliseconds with three significant digits. A longer wait than maxWaitMS,
+// an hour, counts as an hour.
 const (
-	longestWait   = int64(time.Hour / time.Millisecond)
-	waitPrecision = 3
+	maxWaitMS         = int64(time.Hour / time.Millisecond)
+	significantDigits = 3
 )
 
-// observer records the starts of tasks and how long the tasks waited. It implements sim.Observer and is
-// used with the world locked.
+// observer records the starts of tasks, how long the tasks waited and how long failovers took. It
+// implements sim.Observer and is used with the simulation locked.
 type observer struct {
-	waits                 map[string]*hdrhistogram.Histogram // of first starts, by class
-	urgentWaits           *hdrhistogram.Histogram            // of tasks of priority critical and urgent
+	waits                 map[string]*hdrhistogram.Histogram // until the first start of each task, by class
+	urgentWaits           *hdrhistogram.Histogram            // of tasks with priority critical or urgent
 	starts                int
-	startsPerSecond       []int           // starts in each second of the run
-	startsBefore          int             // before the current second
-	killedAt              time.Duration   // when a leader was killed
-	killedTerm            uint64          // of that leader; 0 once a start by a later one has followed
-	failoverTimes         []time.Duration // from the kill of a leader to the next start by a later one
-	failoversWithoutStart int             // kills that another one followed before a start
+	startsPerSecond       []int           // starts in each past second of the run
+	startsBeforeSecond    int             // starts before the current second
+	killedAt              time.Duration   // when the last leader was killed
+	killedTerm            uint64          // highest term that a worker had seen then; 0 if no failover is open
+	failoverTimes         []time.Duration // from the kill of a leader to the first task start by a later leader
+	failoversWithoutStart int             // kills followed by another kill before a later leader started a task
 }
 
 func newObserver() *observer {
@@ -33,10 +34,10 @@
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestWait, waitPrecision)
+	return hdrhistogram.New(1, maxWaitMS, significantDigits)
 }
 
-// Started counts a start.
+// Started records the start of a task. A start with a fencing token above killedTerm ends the failover.
 func (o *observer) Started(start sim.TaskStart) {
 	o.starts++
 	if o.killedTerm != 0 && start.FencingToken > o.killedTerm {
@@ -46,24 +47,25 @@
 	if !start.First {
 		return
 	}
-	wait := min(start.Waited.Milliseconds(), longestWait)
+	wait := min(start.Waited.Milliseconds(), maxWaitMS)
 	if o.waits[start.Class] == nil {
 		o.waits[start.Class] = newHistogram()
 	}
-	record(o.waits[start.Class], wait)
+	recordWait(o.waits[start.Class], wait)
 	if start.Priority == wire.PriorityCritical || start.Priority == wire.PriorityUrgent {
-		record(o.urgentWaits, wait)
+		recordWait(o.urgentWaits, wait)
 	}
 }
 
-// record adds a wait that is within the histogram's range.
-func record(histogram *hdrhistogram.Histogram, wait int64) {
+// recordWait adds a wait in milliseconds, which must be within the histogram's range.
+func recordWait(histogram *hdrhistogram.Histogram, wait int64) {
 	if err := histogram.RecordValue(wait); err != nil {
 		panic(err)
 	}
 }
 
-// recordLeaderKill records that a leader was killed, whose term was at most the given one.
+// recordLeaderKill records that a leader was killed. term is the highest term that a worker has seen, 0
+// before the first; it counts as at least 1 because a killedTerm of 0 means that no failover is open.
 func (o *observer) recordLeaderKill(at time.Duration, term uint64) {
 	if o.killedTerm != 0 {
 		o.failoversWithoutStart++
@@ -71,17 +73,17 @@
 	o.killedAt, o.killedTerm = at, max(term, 1)
 }
 
-// endSecond records the starts of one more second.
+// endSecond records the number of starts in the second that has just ended.
 func (o *observer) endSecond() {
-	o.startsPerSecond = append(o.startsPerSecond, o.starts-o.startsBefore)
-	o.startsBefore = o.starts
+	o.startsPerSecond = append(o.startsPerSecond, o.starts-o.startsBeforeSecond)
+	o.startsBeforeSecond = o.starts
 }
 
 // peakWindow is the number of seconds over which the peak rate of starts is averaged.
 const peakWindow = 5
 
-// peakStarts is the highest rate of starts over a few seconds.
-func (o *observer) peakStarts() float64 {
+// peakStartRate returns the highest mean number of starts per second over peakWindow seconds.
+func (o *observer) peakStartRate() float64 {
 	highest := 0
 	for i := range o.startsPerSecond {
 		sum := 0
--- a/internal/hollow/process_usage.go
+++ b/internal/hollow/process_usage.go
@@ -8,19 +8,20 @@
 	"time"
 )
 
-// processUsage is what a process has used so far, and what it holds now.
+// processUsage is the resource usage of a process since its start, and its open sockets.
 type processUsage struct {
 	cpu          time.Duration // user and system time
-	peakKB       int64         // most resident memory so far, in KiB
-	readBytes    int64         // of its read calls, sockets included
-	writtenBytes int64         // of its write calls
-	sockets      int           // open now
+	peakRSSKB    int64         // peak resident set size in KiB
+	readBytes    int64         // by read calls, including sockets
+	writtenBytes int64         // by write calls, including sockets
+	sockets      int           // currently open
 }
 
-// clockTick is the unit of processor times in /proc, the same on all usual builds of Linux.
+// clockTick is the unit of CPU times in /proc/PID/stat: USER_HZ is 100 on all common Linux builds.
 const clockTick = 10 * time.Millisecond
 
-// readUsage reads the usage of a process from /proc. What cannot be read but its times counts as 0.
+// readUsage reads the usage of a process from /proc. It fails if the CPU times cannot be read; other
+// values that cannot be read are 0.
 func readUsage(pid int) (processUsage, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	var used processUsage
@@ -28,8 +29,8 @@
 	if err != nil {
 		return used, err
 	}
-	// The name, in brackets, may hold spaces. The times are the 14th and 15th fields, the 12th and
-	// 13th after the name.
+	// The command name, the second field, is in parentheses and may contain spaces. User and system
+	// time are the 14th and 15th fields: the 12th and 13th after the name.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 13 {
 		return used, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
@@ -41,14 +42,14 @@
 		}
 		used.cpu += time.Duration(ticks) * clockTick
 	}
-	used.peakKB = readField(dir+"/status", "VmHWM:")
+	used.peakRSSKB = readField(dir+"/status", "VmHWM:")
 	used.readBytes = readField(dir+"/io", "rchar:")
 	used.writtenBytes = readField(dir+"/io", "wchar:")
 	used.sockets = countSockets(dir + "/fd")
 	return used, nil
 }
 
-// readField reads the number after a name in a file; 0 if there is none.
+// readField returns the number that follows a field name in a file; 0 if there is none.
 func readField(path, name string) int64 {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -67,7 +68,7 @@
 	return 0
 }
 
-// countSockets counts the sockets among the file descriptors in a directory; 0 if it cannot be read.
+// countSockets counts the sockets in a /proc/PID/fd directory; 0 if the directory cannot be read.
 func countSockets(dir string) int {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -82,30 +83,31 @@
 	return count
 }
 
-// runPhase is a part of a run.
+// runPhase is a phase of a run.
 type runPhase int
 
 const (
 	warmUp runPhase = iota
-	steady          // the last part, which counts for the steady means
+	steady          // from steadyFraction of the run on; steady-state means cover this phase only
 )
 
-// processMeter adds up the usage of the processes of a controller, or of this process.
+// processMeter accumulates the resource usage of a controller's successive processes, or of this
+// process.
 type processMeter struct {
-	pid        int // of the last sample
+	pid        int // of the process of the last sample
 	lastSample processUsage
 	lastAt     time.Time
 
-	total     processUsage // of all processes; peak memory and sockets are maxima
-	seconds   float64      // between samples of the same process
-	peakCores float64      // most between two samples
+	total     processUsage // over all processes; the sum, but the maximum of peak memory and sockets
+	seconds   float64      // time between consecutive samples of the same process
+	peakCores float64      // highest mean between two consecutive samples
 
-	// The steady means count the last part of the run only.
+	// CPU time and time between samples in the steady phase.
 	steadyCPU     time.Duration
 	steadySeconds float64
 }
 
-// addSample adds a sample of a process, taken in a phase of the run.
+// addSample adds a sample of a process that was taken during a phase of the run.
 func (m *processMeter) addSample(pid int, sample processUsage, at time.Time, phase runPhase) {
 	last, lastAt := m.lastSample, m.lastAt
 	if pid != m.pid {
@@ -116,7 +118,7 @@
 	m.total.cpu += cpu
 	m.total.readBytes += sample.readBytes - last.readBytes
 	m.total.writtenBytes += sample.writtenBytes - last.writtenBytes
-	m.total.peakKB = max(m.total.peakKB, sample.peakKB)
+	m.total.peakRSSKB = max(m.total.peakRSSKB, sample.peakRSSKB)
 	m.total.sockets = max(m.total.sockets, sample.sockets)
 	if elapsed := at.Sub(lastAt).Seconds(); elapsed > 0 {
 		m.seconds += elapsed
@@ -129,15 +131,15 @@
 	m.lastSample, m.lastAt = sample, at
 }
 
-// cores is the mean number of cores used.
+// cores returns the mean number of cores used over the run.
 func (m *processMeter) cores() float64 { return perSecond(m.total.cpu.Seconds(), m.seconds) }
 
-// steadyCores is the mean number of cores used over the last part of the run.
+// steadyCores returns the mean number of cores used in the steady phase.
 func (m *processMeter) steadyCores() float64 {
 	return perSecond(m.steadyCPU.Seconds(), m.steadySeconds)
 }
 
-// perSecond divides by a number of seconds; 0 if there are none.
+// perSecond returns the value per second; 0 if no time has passed.
 func perSecond(value, seconds float64) float64 {
 	if seconds <= 0 {
 		return 0
--- a/internal/hollow/region_link.go
+++ b/internal/hollow/region_link.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// regionLink forwards connections from one region to the controllers of another. It can be
-// partitioned: its connections are closed and no new ones accepted for a while.
+// regionLink is a TCP proxy from one region to the controllers of another. It simulates a network
+// partition by closing its connections and rejecting new ones for a while.
 type regionLink struct {
 	log *slog.Logger
 
 	mu               sync.Mutex
 	listeners        []net.Listener
-	connections      map[net.Conn]bool // open ones
+	connections      map[net.Conn]bool // the open connections of the sending region
 	partitionedUntil time.Time
 }
 
@@ -24,10 +24,11 @@
 	return &regionLink{log: log, connections: map[net.Conn]bool{}}
 }
 
-// dialTimeout is how long a link waits for a connection to a controller.
+// dialTimeout bounds the time to connect to a controller of the receiving region.
 const dialTimeout = time.Second
 
-// listen forwards to an address, and returns the link's own address for it.
+// listen starts forwarding to the target address. It returns the address on which the link listens
+// for it.
 func (l *regionLink) listen(target string) (string, error) {
 	listener, err := net.Listen("tcp4", serviceHost+":0")
 	if err != nil {
@@ -40,7 +41,7 @@
 	return listener.Addr().String(), nil
 }
 
-// accept forwards connections until the listener is closed.
+// accept accepts connections and forwards them until the listener is closed.
 func (l *regionLink) accept(listener net.Listener, target string) {
 	for {
 		conn, err := listener.Accept()
@@ -51,8 +52,8 @@
 	}
 }
 
-// forward passes on what the opening side sends, until either side or the link closes the
-// connection. The other direction has connections of its own.
+// forward copies the data of an accepted connection to the target until either side or the link closes
+// the connection. It copies in this direction only: the other region opens connections of its own.
 func (l *regionLink) forward(from net.Conn, target string) {
 	defer l.closeConnection(from)
 	if !l.track(from) {
@@ -61,7 +62,7 @@
 	defer l.untrack(from)
 	to, err := net.DialTimeout("tcp4", target, dialTimeout)
 	if err != nil {
-		return // the opening side sees its connection close
+		return // the deferred close tells the sender
 	}
 	defer l.closeConnection(to)
 	if _, err := io.Copy(to, from); err != nil {
@@ -69,14 +70,14 @@
 	}
 }
 
-// closeConnection closes a connection that a partition may have closed already.
+// closeConnection closes a connection. A partition may have closed it before, which is no error.
 func (l *regionLink) closeConnection(conn net.Conn) {
 	if err := conn.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		l.log.Debug("region link connection not closed", "error", err)
 	}
 }
 
-// track records an open connection; false during a partition.
+// track adds an open connection. It returns false during a partition, when connections are rejected.
 func (l *regionLink) track(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -93,7 +94,7 @@
 	delete(l.connections, conn)
 }
 
-// partition closes all connections and accepts none for a while.
+// partition closes all connections and rejects new ones for the duration.
 func (l *regionLink) partition(duration time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// close closes the link for good.
+// close closes the connections and the listeners.
 func (l *regionLink) close() {
 	l.partition(time.Hour) // longer than any run
 	l.mu.Lock()
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -13,63 +13,64 @@
 	"github.com/brookwalk/brookwalk/internal/quota/plan"
 )
 
-// Region is a region of an experiment with several: a deployment of its own, with all that the file
-// says of one. The teams' limits and guarantees hold over all regions.
+// Region is one of several regions of an experiment. Each region is a separate deployment with all
+// controllers, machines and jobs that the file describes. The teams' limits and guarantees hold over
+// all regions together.
 type Region struct {
 	Name string  `toml:"name"`
-	Load float64 `toml:"load"` // factor of its jobs
-	// Owned is the part of each limit that it owns at first.
+	Load float64 `toml:"load"` // factor by which the region's load is multiplied
+	// Owned is the share of each team's limit that the region owns at the start.
 	Owned float64 `toml:"owned"`
 }
 
-// regionRun is a run of several regions.
+// regionRun is a run of an experiment with several regions.
 type regionRun struct {
 	experiment *Experiment
 	options    Options
 	usage      *usageMeter
 	runners    []*runner
 	plan       *plan.Plan
-	links      map[regionPair]*regionLink
-	addresses  *loopback.Claim // of the controllers of all regions
+	links      map[linkDirection]*regionLink
+	addresses  *loopback.Claim // provides the controllers' addresses in all regions
 }
 
-// regionPair names the direction of a link between two regions.
-type regionPair struct{ from, to string }
+// linkDirection identifies the link from one region to another.
+type linkDirection struct{ from, to string }
 
-// regionMember is what a runner needs to play one region of several.
-type regionMember struct {
-	run      *regionRun
-	name     string
-	listen   []string // address of each controller for other regions
-	planPath string   // of the regions file
+// runnerRegion is the region that a runner runs, in an experiment with several regions.
+type runnerRegion struct {
+	run             *regionRun
+	name            string
+	regionListen    []string // address of each controller for connections from other regions
+	regionsFilePath string   // of the regions file of this region's controllers
 }
 
-// runRegions runs an experiment with several regions. Its report has the report of each region and the
-// teams' usage over all of them.
+// runRegions runs an experiment with several regions. Its report contains the report of each region and
+// the teams' usage over all regions.
 func runRegions(ctx context.Context, experiment *Experiment, options Options) (*Report, error) {
 	claim, err := loopback.NewClaim()
 	if err != nil {
 		return nil, err
 	}
-	defer closeLogged(options.Log, "address claim", claim) // after the processes have ended
-	run := &regionRun{experiment: experiment, options: options, usage: newUsageMeter(experiment), links: map[regionPair]*regionLink{}, addresses: claim}
+	defer closeLogged(options.Log, "address claim", claim) // runs last: the processes have exited by then
+	run := &regionRun{experiment: experiment, options: options, usage: newUsageMeter(experiment), links: map[linkDirection]*regionLink{}, addresses: claim}
 	defer run.close()
 	if err := run.prepare(); err != nil {
 		return nil, err
 	}
 	run.scheduleFailures()
 	reports := make([]*Report, len(run.runners))
-	var playing sync.WaitGroup
+	var running sync.WaitGroup
 	for i, runner := range run.runners {
-		playing.Go(func() { reports[i] = runner.run(ctx) })
+		running.Go(func() { reports[i] = runner.run(ctx) })
 	}
 	stopHistory := run.recordHistory()
-	playing.Wait()
+	running.Wait()
 	stopHistory()
 	return run.combineReports(reports), nil
 }
 
-// prepare makes the regions' runners and the links between them.
+// prepare creates the regions' runners and the links between the regions.
 func (g *regionRun) prepare() error {
 	addresses := make([][]string, len(g.experiment.Regions))
 	for i := range addresses {
@@ -80,20 +81,20 @@
 	}
 	g.plan = g.newPlan(addresses)
 	for i, region := range g.experiment.Regions {
-		member := &regionMember{run: g, name: region.Name, listen: addresses[i]}
+		own := &runnerRegion{run: g, name: region.Name, regionListen: addresses[i]}
 		dir := filepath.Join(g.options.Dir, region.Name)
 		if err := os.MkdirAll(dir, 0o755); err != nil {
 			return err
 		}
 		var err error
-		if member.planPath, err = g.writePlan(i, dir); err != nil {
+		if own.regionsFilePath, err = g.writeRegionsFile(i, dir); err != nil {
 			return err
 		}
 		options := g.options
 		options.Dir, options.Log = dir, options.Log.With("region", region.Name)
 		options.Progress = nil
 		runner := newRunner(g.regionExperiment(i), options, g.addresses)
-		runner.region = member
+		runner.region = own
 		g.runners = append(g.runners, runner)
 		if err := runner.prepare(); err != nil {
 			return err
@@ -102,7 +103,8 @@
 	return nil
 }
 
-// regionExperiment is the experiment of one region. Its failures are injected by the regionRun.
+// regionExperiment returns the experiment of one region. It has no failures: the regionRun injects
+// them.
 func (g *regionRun) regionExperiment(i int) *Experiment {
 	e, region := *g.experiment, g.experiment.Regions[i]
 	e.Name, e.Seed, e.Failures = region.Name, e.Seed+uint64(i), nil
@@ -115,7 +117,7 @@
 	return &e
 }
 
-// newPlan divides the teams' limits among the regions, in whole CPUs and GPUs.
+// newPlan divides the teams' limits among the regions.
 func (g *regionRun) newPlan(addresses [][]string) *plan.Plan {
 	quotaPlan := &plan.Plan{}
 	for i, region := range g.experiment.Regions {
@@ -127,7 +129,8 @@
 	return quotaPlan
 }
 
-// teamPlan divides the limits of a team. The last region owns what the others leave.
+// teamPlan divides the limits and guarantees of a team among the regions, in whole CPUs and GPUs. The
+// last region owns the remainder, so that the owned parts add up to the limit.
 func (g *regionRun) teamPlan(i int) plan.Team {
 	limit := g.experiment.teamLimit()
 	team := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
@@ -145,9 +148,9 @@
 	return team
 }
 
-// writePlan writes a region's regions file and returns its path. The other regions' controllers have
-// the addresses of links there, which can be partitioned.
-func (g *regionRun) writePlan(i int, dir string) (string, error) {
+// writeRegionsFile writes the regions file of a region and returns its path. The file lists the addresses
+// of links in place of the other regions' controllers, so that the regions can be partitioned.
+func (g *regionRun) writeRegionsFile(i int, dir string) (string, error) {
 	own := *g.plan
 	own.Regions = slices.Clone(g.plan.Regions)
 	for other := range own.Regions {
@@ -155,7 +158,7 @@
 			continue
 		}
 		link := newRegionLink(g.options.Log)
-		g.links[regionPair{own.Regions[i].Name, own.Regions[other].Name}] = link
+		g.links[linkDirection{own.Regions[i].Name, own.Regions[other].Name}] = link
 		var linked []string
 		for _, address := range g.plan.Regions[other].Controllers {
 			linkAddress, err := link.listen(address)
@@ -170,7 +173,7 @@
 	return path, writeTOML(path, own)
 }
 
-// scheduleFailures schedules the failures in the regions that they name.
+// scheduleFailures schedules each failure in the region that it names, or in all regions.
 func (g *regionRun) scheduleFailures() {
 	for _, failure := range g.experiment.Failures {
 		for i, runner := range g.runners {
@@ -185,7 +188,8 @@
 	}
 }
 
-// partition blocks the links from a region to another, or to all others, for a while.
+// partition blocks the links from the failure's region to another one or to all others, and with
+// BothWays also the links back.
 func (g *regionRun) partition(failure Failure) {
 	g.options.Log.Info("failure injected", "kind", failure.Kind, "at_s", failure.AtS, "region", failure.Region, "to", failure.To,
 		"both", failure.BothWays, "for_s", failure.ForS)
@@ -193,14 +197,14 @@
 		if region.Name == failure.Region || failure.To != "" && failure.To != region.Name {
 			continue
 		}
-		g.links[regionPair{failure.Region, region.Name}].partition(seconds(failure.ForS))
+		g.links[linkDirection{failure.Region, region.Name}].partition(seconds(failure.ForS))
 		if failure.BothWays {
-			g.links[regionPair{region.Name, failure.Region}].partition(seconds(failure.ForS))
+			g.links[linkDirection{region.Name, failure.Region}].partition(seconds(failure.ForS))
 		}
 	}
 }
 
-// close ends all processes and closes the links.
+// close kills all processes and closes the links.
 func (g *regionRun) close() {
 	for _, runner := range g.runners {
 		runner.close()
@@ -210,7 +214,7 @@
 	}
 }
 
-// combineReports combines the regions' reports with the teams' usage.
+// combineReports combines the regions' reports and the teams' usage over all regions into one report.
 func (g *regionRun) combineReports(reports []*Report) *Report {
 	combined := &Report{Experiment: g.experiment.Name, Regions: reports, Teams: g.usage.report(), History: g.usage.history}
 	for _, report := range reports {
@@ -224,11 +228,11 @@
 	return combined
 }
 
-// historyInterval is the time between two points of the history.
+// historyInterval is the time between two points of a series in the history.
 const historyInterval = 250 * time.Millisecond
 
-// recordHistory records what teams use and regions own until the function that it returns is
-// called.
+// recordHistory starts to record the teams' usage and the regions' owned shares. The returned function
+// stops it.
 func (g *regionRun) recordHistory() (stop func()) {
 	done := make(chan struct{})
 	var recorder sync.WaitGroup
@@ -239,6 +243,8 @@
 	}
 }
 
+// recordUntil samples the teams' usage every historyInterval, and writes the progress, until the channel
+// is closed.
 func (g *regionRun) recordUntil(done <-chan struct{}) {
 	startedAt, lastProgress := time.Now(), time.Now()
 	tick := time.NewTicker(historyInterval)
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -11,10 +11,10 @@
 	"github.com/brookwalk/brookwalk/internal/history"
 )
 
-// TestRegionsByProcesses runs three regions of real controllers that share the limits of four teams, with
-// more work than these allow, while a leader is killed, a region is partitioned from the others and another
-// one loses all its controllers. No team may use more than its limit at any time, every region has to start
-// work, and shares have to move.
+// TestRegionsByProcesses runs three regions of real controllers that share the limits of four teams. The
+// load exceeds the limits. A leader is killed, a region is partitioned from the others, and all controllers
+// of another region are killed. No team may exceed its limit at any time, every region must start tasks, and
+// shares of the limits must move between regions.
 func TestRegionsByProcesses(t *testing.T) {
 	experiment, err := Load("../../experiments/regions.toml")
 	if err != nil {
@@ -27,11 +27,11 @@
 		{AtS: 7, Kind: FailAll, Region: "south"},
 	}
 	program, dir := buildProgram(t), t.TempDir()
-	wasShown := false
+	ledgerShown := false
 	rep, err := Run(t.Context(), experiment, Options{
 		Command: []string{program, "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler),
 		Progress: progressFunc(func() {
-			wasShown = wasShown || showsLedger(program, filepath.Join(dir, "north", "node-0.toml"))
+			ledgerShown = ledgerShown || showsLedger(program, filepath.Join(dir, "north", "node-0.toml"))
 		}), ProgressEvery: time.Second,
 	})
 	if err != nil {
@@ -48,52 +48,52 @@
 		highest = max(highest, team.PeakGPUs/team.GPULimit)
 	}
 	if highest < 0.5 {
-		t.Errorf("no team used half of its limit: %+v", rep.Teams)
+		t.Errorf("no team used half of its GPU limit, want at least one: %+v", rep.Teams)
 	}
-	if !wasShown {
-		t.Error("quota show never showed the ledger of north")
+	if !ledgerShown {
+		t.Error("\"quota show\" never showed the ledger of region north during the run")
 	}
-	if movedShares(rep.History.Points()) == 0 {
-		t.Error("no share moved")
+	if countShareChanges(rep.History.Points()) == 0 {
+		t.Error("no share of a limit moved between regions, want at least one move")
 	}
 }
 
-// showsLedger reports whether the program shows a ledger with the last team.
+// showsLedger reports whether "quota show" succeeds and shows a ledger that contains the last team.
 func showsLedger(program, settingsPath string) bool {
 	output, err := exec.Command(program, "quota", "show", "--config", settingsPath).CombinedOutput()
 	return err == nil && strings.Contains(string(output), "team-03")
 }
 
-// checkRegion checks that a region started work, and that none of its processes exited unexpectedly.
+// checkRegion checks that a region started tasks and that none of its processes exited unexpectedly.
 func checkRegion(t *testing.T, region *Report) {
 	t.Helper()
 	if region.StartsSent == 0 {
-		t.Errorf("%s started nothing", region.Experiment)
+		t.Errorf("%s started no task, want at least one", region.Experiment)
 	}
 	for _, process := range region.Processes {
 		if process.UnexpectedEnds > 0 {
-			t.Errorf("%s of %s exited unexpectedly", process.Name, region.Experiment)
+			t.Errorf("controller %s of region %s exited unexpectedly", process.Name, region.Experiment)
 		}
 	}
 }
 
-// movedShares counts how often a region's share of a limit changed.
-func movedShares(points []history.Point) int {
-	owned, moved := map[string]float64{}, 0
+// countShareChanges counts how often a region's share of a limit changed.
+func countShareChanges(points []history.Point) int {
+	owned, changes := map[string]float64{}, 0
 	for _, point := range points {
 		if !strings.HasPrefix(point.Series, "owned by ") {
 			continue
 		}
 		key := point.Chart + point.Series
 		if before, known := owned[key]; known && before != point.Value {
-			moved++
+			changes++
 		}
 		owned[key] = point.Value
 	}
-	return moved
+	return changes
 }
 
-// progressFunc is called for each line of progress.
+// progressFunc is called for each progress line.
 type progressFunc func()
 
 // Write implements io.Writer.
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -2,7 +2,7 @@
 
 import "github.com/brookwalk/brookwalk/internal/history"
 
-// Report is the result of a run. Times are in seconds, amounts of data in bytes unless the name says
+// Report is the result of a run. Times are in seconds; data sizes are in bytes unless the name says
 // otherwise.
 type Report struct {
 	Experiment  string  `json:"experiment"`
@@ -13,8 +13,8 @@
 	Tasks        int `json:"tasks"`   // on machines at the end
 	Jobs         int `json:"jobs"`    // accepted and not finished at the end
 	Accepted     int `json:"jobs_accepted"`
-	StartsSent   int `json:"start_commands"`
-	ExpiredTasks int `json:"tasks_lost_with_a_lease"`
+	StartsSent   int `json:"start_commands"`          // carried out by workers
+	ExpiredTasks int `json:"tasks_lost_with_a_lease"` // killed by their worker when its lease expired
 
 	Processes []ProcessReport    `json:"roles"`
 	Channels  map[string]Channel `json:"channels"`
@@ -22,7 +22,7 @@
 	StoreKeys        int       `json:"state_keys"`
 	StoreChangesPerS float64   `json:"state_changes_a_second"`
 	StoreThrottled   int       `json:"state_refused_for_rates"`
-	StartsPeak       float64   `json:"starts_a_second_peak"` // mean of the best 5 s
+	StartsPeak       float64   `json:"starts_a_second_peak"` // highest mean over 5 s
 	StartsMean       float64   `json:"starts_a_second"`
 	Urgent           WaitStats `json:"urgent_wait"`
 
@@ -31,20 +31,21 @@
 	FailoversWithoutStart int                  `json:"leaders_without_a_next_start"`
 	Violations            []string             `json:"rules_broken"`
 
-	// Of a run of several regions: each region's report, and the teams' use over all of them.
+	// In an experiment with several regions: the report of each region, and the teams' usage over
+	// all regions.
 	Regions []*Report   `json:"regions,omitempty"`
 	Teams   []TeamUsage `json:"teams,omitempty"`
-	// History is the course of the run.
+	// History has the time series and the failures of the run.
 	History *history.Log `json:"-"`
 }
 
-// ProcessReport is what one process has used.
+// ProcessReport is the resource usage of a controller, or of the process that runs the simulation.
 type ProcessReport struct {
 	Name             string  `json:"name"`
-	Role             string  `json:"role"` // leader, follower (at the end) or stand-ins
+	Role             string  `json:"role"` // leader or follower at the end, or stand-ins (the simulation)
 	Cores            float64 `json:"cores"`
-	CoresSteady      float64 `json:"cores_steady"` // over the last two fifths of the run
-	CoresPeak        float64 `json:"cores_peak"`   // over one second
+	CoresSteady      float64 `json:"cores_steady"` // mean over the last two fifths of the run
+	CoresPeak        float64 `json:"cores_peak"`   // highest mean over one sampling interval
 	PeakMemoryMB     float64 `json:"peak_memory_mb"`
 	ReadBytesPerS    float64 `json:"read_bytes_per_s"`
 	WrittenBytesPerS float64 `json:"written_bytes_per_s"`
@@ -53,15 +54,15 @@
 	UnexpectedEnds   int     `json:"ended_by_itself"`
 }
 
-// Channel is what passed between the controllers and one kind of stand-in.
+// Channel is the traffic between the controllers and one kind of peer.
 type Channel struct {
-	MessagesPerS float64 `json:"messages_per_s"` // requests; each has one answer
+	MessagesPerS float64 `json:"messages_per_s"` // requests; each has one response
 	InBytesPerS  float64 `json:"request_bytes_per_s"`
 	OutBytesPerS float64 `json:"response_bytes_per_s"`
 }
 
-// WaitStats is how long tasks waited from the first attempt to submit their job to their
-// first start.
+// WaitStats summarizes how long tasks waited, from the first attempt to submit their job to their first
+// start.
 type WaitStats struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_s"`
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -10,15 +10,15 @@
 
 // Roles of processes in a report.
 const (
-	roleLeader   = "leader"
-	roleFollower = "follower"
-	roleStandIns = "stand-ins"
+	roleLeader    = "leader"
+	roleFollower  = "follower"
+	roleSimulator = "stand-ins" // this process, which simulates workers, users, cloud and key-value store
 )
 
-// noController is the index of the leader where there is none.
+// noController stands for the index of the leader if there is none.
 const noController = -1
 
-// report makes the report of a run that took a time.
+// report builds the report of a run that took the given time.
 func (r *runner) report(duration time.Duration) *Report {
 	var counts sim.Counts
 	leader := noController
@@ -38,19 +38,19 @@
 	}
 	r.reportStarts(report, duration)
 	r.reportProcesses(report, leader)
-	r.reportChannels(report, duration)
+	r.reportTraffic(report, duration)
 	return report
 }
 
-// reportStarts reports the starts of tasks, how long they waited and the failovers.
+// reportStarts adds the rates of task starts, the waits and the failovers to the report.
 func (r *runner) reportStarts(report *Report, duration time.Duration) {
 	observer := r.observer
-	report.StartsPeak = observer.peakStarts()
+	report.StartsPeak = observer.peakStartRate()
 	report.StartsMean = perSecond(float64(observer.starts), duration.Seconds())
-	report.Urgent = waitStats(observer.urgentWaits)
+	report.Urgent = newWaitStats(observer.urgentWaits)
 	report.Waits = map[string]WaitStats{}
 	for class, histogram := range observer.waits {
-		report.Waits[class] = waitStats(histogram)
+		report.Waits[class] = newWaitStats(histogram)
 	}
 	report.FailoverStartS = []float64{}
 	for _, failover := range observer.failoverTimes {
@@ -62,7 +62,7 @@
 	}
 }
 
-// reportProcesses reports what each process used.
+// reportProcesses adds the resource usage of each process to the report.
 func (r *runner) reportProcesses(report *Report, leader int) {
 	for i, c := range r.controllers {
 		role := roleFollower
@@ -70,45 +70,45 @@
 			role = roleLeader
 		}
 		process := newProcessReport(c.name, role, &c.usage)
-		process.Starts, process.UnexpectedEnds = c.startsAndEnds()
+		process.Starts, process.UnexpectedEnds = c.startsAndExits()
 		report.Processes = append(report.Processes, process)
 	}
-	standIns := newProcessReport(roleStandIns, roleStandIns, &r.standInUsage)
-	standIns.Starts = 1
-	report.Processes = append(report.Processes, standIns)
+	simulator := newProcessReport(roleSimulator, roleSimulator, &r.simulatorUsage)
+	simulator.Starts = 1
+	report.Processes = append(report.Processes, simulator)
 }
 
 func newProcessReport(name, role string, usage *processMeter) ProcessReport {
 	return ProcessReport{
 		Name: name, Role: role, Cores: usage.cores(), CoresSteady: usage.steadyCores(), CoresPeak: usage.peakCores,
-		PeakMemoryMB: float64(usage.total.peakKB) / 1024, ReadBytesPerS: perSecond(float64(usage.total.readBytes), usage.seconds),
+		PeakMemoryMB: float64(usage.total.peakRSSKB) / 1024, ReadBytesPerS: perSecond(float64(usage.total.readBytes), usage.seconds),
 		WrittenBytesPerS: perSecond(float64(usage.total.writtenBytes), usage.seconds), Sockets: usage.total.sockets,
 	}
 }
 
-// reportChannels reports the traffic of each channel.
-func (r *runner) reportChannels(report *Report, duration time.Duration) {
+// reportTraffic adds the traffic of each channel to the report.
+func (r *runner) reportTraffic(report *Report, duration time.Duration) {
 	report.Channels = map[string]Channel{
-		"workers' reports":    newChannel(&r.workerTraffic, duration),
-		"direct commands":     newChannel(&r.commandTraffic, duration),
-		"users":               newChannel(&r.userTraffic, duration),
-		"state service":       newChannel(&r.storeTraffic, duration),
-		"cloud":               newChannel(&r.cloudTraffic, duration),
-		"between controllers": r.peerChannel(duration),
+		"workers' reports":    newTrafficStats(&r.workerTraffic, duration),
+		"direct commands":     newTrafficStats(&r.commandTraffic, duration),
+		"users":               newTrafficStats(&r.userTraffic, duration),
+		"state service":       newTrafficStats(&r.storeTraffic, duration),
+		"cloud":               newTrafficStats(&r.cloudTraffic, duration),
+		"between controllers": r.peerTraffic(duration),
 	}
 }
 
-func newChannel(traffic *httpserve.Traffic, duration time.Duration) Channel {
-	s := duration.Seconds()
+func newTrafficStats(traffic *httpserve.Traffic, duration time.Duration) Channel {
+	durationS := duration.Seconds()
 	return Channel{
-		MessagesPerS: perSecond(float64(traffic.Requests.Load()), s),
-		InBytesPerS:  perSecond(float64(traffic.RequestBytes.Load()), s), OutBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), s),
+		MessagesPerS: perSecond(float64(traffic.Requests.Load()), durationS),
+		InBytesPerS:  perSecond(float64(traffic.RequestBytes.Load()), durationS), OutBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), durationS),
 	}
 }
 
-// peerChannel is what the controllers sent each other: what they read, less what the stand-ins sent
-// them. Its messages are not counted.
-func (r *runner) peerChannel(duration time.Duration) Channel {
+// peerTraffic returns the traffic between controllers. It is not counted directly: the bytes are all bytes
+// that the controllers read, less those that the simulation sent them. The number of messages is unknown.
+func (r *runner) peerTraffic(duration time.Duration) Channel {
 	read := int64(0)
 	for _, c := range r.controllers {
 		read += c.usage.total.readBytes
@@ -122,8 +122,8 @@
 	return Channel{InBytesPerS: perSecond(float64(max(0, read)), duration.Seconds())}
 }
 
-// waitStats summarizes a histogram of milliseconds.
-func waitStats(histogram *hdrhistogram.Histogram) WaitStats {
+// newWaitStats summarizes a histogram of waits in milliseconds.
+func newWaitStats(histogram *hdrhistogram.Histogram) WaitStats {
 	quantile := func(q float64) float64 { return float64(histogram.ValueAtQuantile(q)) / 1000 }
 	return WaitStats{Count: histogram.TotalCount(), P50: quantile(50), P90: quantile(90), P99: quantile(99), Max: float64(histogram.Max()) / 1000}
 }
--- a/internal/hollow/report_write.go
+++ b/internal/hollow/report_write.go
@@ -11,7 +11,7 @@
 	"text/tabwriter"
 )
 
-// WriteJSON writes the report to a file.
+// WriteJSON writes the report to a file as JSON.
 func (r *Report) WriteJSON(path string) error {
 	text, err := json.MarshalIndent(r, "", "  ")
 	if err != nil {
@@ -20,10 +20,11 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// maxListedViolations is how many violations a table lists.
+// maxListedViolations bounds how many violations a table lists.
 const maxListedViolations = 10
 
-// WriteTable writes a short table; of a run of several regions, one for each.
+// WriteTable writes a summary of the report as text tables. With several regions, it writes one summary for
+// each region and a table of the teams' usage.
 func (r *Report) WriteTable(out io.Writer) error {
 	var text strings.Builder
 	if len(r.Regions) > 0 {
@@ -47,7 +48,7 @@
 	return table.Flush()
 }
 
-// writeRun writes the figures of a run of one region.
+// writeRun writes the summary of a single region.
 func (r *Report) writeRun(out *strings.Builder) {
 	fmt.Fprintf(out, "%s: %.0f s, %d workers, %d tasks on machines, %d jobs (%d accepted)\n", r.Experiment, r.Seconds, r.Workers, r.Tasks, r.Jobs, r.Accepted)
 	fmt.Fprintln(out, "process\trole\tcores\tsteady\tpeak\tmemory MB\tread KB/s\twritten KB/s\tsockets")
@@ -57,8 +58,8 @@
 	}
 	fmt.Fprintln(out, "channel\tmessages/s\trequests KB/s\tanswers KB/s")
 	for _, name := range slices.Sorted(maps.Keys(r.Channels)) {
-		channel := r.Channels[name]
-		fmt.Fprintf(out, "%s\t%.1f\t%.1f\t%.1f\n", name, channel.MessagesPerS, channel.InBytesPerS/1024, channel.OutBytesPerS/1024)
+		traffic := r.Channels[name]
+		fmt.Fprintf(out, "%s\t%.1f\t%.1f\t%.1f\n", name, traffic.MessagesPerS, traffic.InBytesPerS/1024, traffic.OutBytesPerS/1024)
 	}
 	fmt.Fprintln(out, "wait\ttasks\tp50 s\tp90 s\tp99 s\tmax s")
 	for _, class := range slices.Sorted(maps.Keys(r.Waits)) {
@@ -69,7 +70,7 @@
 	fmt.Fprintf(out, "starts a second: %.0f on average, %.0f at the peak; next start after a leader's end: %.2f s\n", r.StartsMean, r.StartsPeak, r.FailoverStartS)
 }
 
-// writeTeams writes what teams used over all regions.
+// writeTeams writes the teams' peak usage over all regions.
 func (r *Report) writeTeams(out *strings.Builder) {
 	fmt.Fprintln(out, "team over all regions\tGPUs most used\tceiling\tCPUs most used\tceiling")
 	for _, team := range r.Teams {
@@ -77,7 +78,7 @@
 	}
 }
 
-// writeViolations writes the violations of rules.
+// writeViolations writes the number of rule violations and the first of them.
 func (r *Report) writeViolations(out *strings.Builder) {
 	fmt.Fprintf(out, "rules broken: %d\n", len(r.Violations))
 	for _, violation := range r.Violations[:min(len(r.Violations), maxListedViolations)] {
--- a/internal/hollow/runner.go
+++ b/internal/hollow/runner.go
@@ -13,44 +13,44 @@
 	"github.com/brookwalk/brookwalk/internal/sim"
 )
 
-// Options say how an experiment is run.
+// Options configures the run of an experiment.
 type Options struct {
-	// Command starts a controller; the path of its settings is appended.
+	// Command is the command line that starts a controller. The path of its settings file is appended.
 	Command []string
-	// Dir is where settings and the controllers' logs are written.
+	// Dir is the directory for the settings files and the controllers' logs.
 	Dir string
-	// Log is for the run itself, not for the controllers.
+	// Log receives the log of the run itself; each controller has a log file in Dir.
 	Log *slog.Logger
-	// Progress gets a line on the progress every ProgressEvery; nil for none.
+	// Progress receives a progress line every ProgressEvery; nil for none.
 	Progress      io.Writer
 	ProgressEvery time.Duration
 
-	// stopWhen, if set, ends the run as soon as it returns true. It is called with the world
-	// locked.
+	// stopWhen, if set, is checked every sampleInterval with the simulation locked. The run ends
+	// when it returns true.
 	stopWhen func(*observer) bool
 }
 
-// runner runs an experiment of one region, or the part of one region in an experiment of several.
+// runner runs an experiment with a single region, or one region of an experiment with several.
 type runner struct {
 	experiment *Experiment
 	options    Options
 	live       *sim.Live
 
-	controllers  []*controllerProcess
-	observer     *observer
-	history      *history.Log
-	region       *regionMember   // nil if there is one region only
-	addresses    *loopback.Claim // of the controllers
-	standInUsage processMeter    // of this process, with all stand-ins
+	controllers    []*controllerProcess
+	observer       *observer
+	history        *history.Log
+	region         *runnerRegion   // nil in an experiment with a single region
+	addresses      *loopback.Claim // provides the controllers' addresses
+	simulatorUsage processMeter    // of this process, which runs the simulation
 
 	workerTraffic, commandTraffic, userTraffic, storeTraffic, cloudTraffic httpserve.Traffic
 
 	mu        sync.Mutex
-	listeners map[string]io.Closer // by machine or service
+	listeners map[string]io.Closer // by name of machine or service
 }
 
-// Run runs an experiment to its end, or until the context ends, and returns its report. It ends
-// every process that it started.
+// Run runs an experiment until its end or until the context is cancelled, and returns the report. It
+// kills every process that it started before it returns.
 func Run(ctx context.Context, experiment *Experiment, options Options) (*Report, error) {
 	if len(experiment.Regions) > 0 {
 		return runRegions(ctx, experiment, options)
@@ -59,7 +59,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeLogged(options.Log, "address claim", addresses) // after the processes have ended
+	defer closeLogged(options.Log, "address claim", addresses) // runs last: the processes have exited by then
 	runner := newRunner(experiment, options, addresses)
 	defer runner.close()
 	if err := runner.prepare(); err != nil {
@@ -68,7 +68,7 @@
 	return runner.run(ctx), nil
 }
 
-// newRunner makes a runner whose controllers listen on the addresses of a claim.
+// newRunner returns a runner whose controllers listen on the claimed addresses.
 func newRunner(experiment *Experiment, options Options, addresses *loopback.Claim) *runner {
 	return &runner{
 		experiment: experiment, options: options, addresses: addresses, observer: newObserver(),
@@ -76,11 +76,11 @@
 	}
 }
 
-// run plays the experiment to its end and returns the report.
+// run runs the experiment until its end or until the context is cancelled, and returns the report.
 func (r *runner) run(ctx context.Context) *Report {
 	newLoadGenerator(r.experiment, r.live).schedule()
 	r.scheduleFailures()
-	playing, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	if r.options.stopWhen != nil {
 		r.stopOnCondition(stop)
@@ -89,7 +89,7 @@
 	var sampler sync.WaitGroup
 	sampler.Go(func() { r.sampleUntil(done) })
 	startedAt := time.Now()
-	r.live.Run(playing, seconds(r.experiment.Seconds))
+	r.live.Run(runCtx, seconds(r.experiment.Seconds))
 	duration := time.Since(startedAt)
 	close(done)
 	sampler.Wait()
@@ -98,7 +98,7 @@
 	return report
 }
 
-// stopOnCondition ends the run once its condition holds.
+// stopOnCondition calls stop when the stopWhen option returns true. It checks every sampleInterval.
 func (r *runner) stopOnCondition(stop func()) {
 	r.live.After(sampleInterval, func() {
 		if r.options.stopWhen(r.observer) {
@@ -109,7 +109,7 @@
 	})
 }
 
-// close ends the controllers' processes and closes the listeners.
+// close kills the controllers' processes and closes the listeners.
 func (r *runner) close() {
 	for _, c := range r.controllers {
 		c.close()
@@ -121,9 +121,9 @@
 	}
 }
 
-// closeLogged closes something whose failure to close has no effect on the run but is logged.
+// closeLogged closes c. An error does not affect the run; it is only logged.
 func closeLogged(log *slog.Logger, name string, c io.Closer) {
 	if err := c.Close(); err != nil {
-		log.Warn("not closed", "name", name, "error", err)
+		log.Warn("resource not closed", "name", name, "error", err)
 	}
 }
--- a/internal/hollow/runner_setup.go
+++ b/internal/hollow/runner_setup.go
@@ -21,18 +21,20 @@
 )
 
 const (
-	// serviceHost is the address of the key-value store and the cloud, which listen throughout.
+	// serviceHost is the IP address of the key-value store, the cloud and the region links. They listen
+	// during the whole run.
 	serviceHost = "127.0.0.1"
-	// unservedAddress is the address of a worker that could not listen: nothing listens there.
+	// unservedAddress is reported for a worker that could not listen. Nothing listens on this port.
 	unservedAddress = serviceHost + ":9"
-	// machinePrefix begins the names of machines; a number follows.
+	// machinePrefix is the prefix of machine names. A number follows.
 	machinePrefix = "n-"
-	// skewMs bounds the difference of the controllers' times of day: all processes share a
-	// clock.
+	// skewMs is the maximum clock skew between controllers. It is small because all processes use the
+	// clock of one machine.
 	skewMs = 10
 )
 
-// prepare starts the servers of the stand-ins and writes the controllers' settings.
+// prepare creates the simulation, starts the servers of the key-value store and the cloud, and writes the
+// controllers' settings.
 func (r *runner) prepare() error {
 	settings := r.settings()
 	r.live = sim.NewLive(sim.LiveConfig{
@@ -64,8 +66,8 @@
 	return nil
 }
 
-// usageObserver returns the function that records the changes of teams' usage; nil if there is one
-// region only.
+// usageObserver returns the function that records changes of the teams' usage; nil in an experiment with
+// a single region.
 func (r *runner) usageObserver() func(team string, cpus, gpus float64) {
 	if r.region == nil {
 		return nil
@@ -73,11 +75,12 @@
 	return func(team string, cpus, gpus float64) { r.region.run.usage.add(r.region.name, team, cpus, gpus) }
 }
 
-// A requestHandler answers a request of a controller, now or later. It is called with the world
-// locked.
+// A requestHandler handles a request of a controller. It is called with the simulation locked and may
+// call reply later.
 type requestHandler func(method, path string, body []byte, reply func(status int, body []byte))
 
-// listen serves a stand-in on an address until the runner is closed.
+// listen starts a server for a simulated service or worker on the address. It counts the traffic and
+// runs until the runner is closed.
 func (r *runner) listen(name, address string, traffic *httpserve.Traffic, handle requestHandler) (*httpserve.Server, error) {
 	server, err := httpserve.Listen(address, traffic, func(request *httpwire.Request, reply func(httpserve.Response)) {
 		r.live.Do(func() {
@@ -95,26 +98,26 @@
 	return server, nil
 }
 
-// serve serves the key-value store or the cloud on a port of its own.
+// serve starts the server of the key-value store or the cloud on a free port.
 func (r *runner) serve(name string, traffic *httpserve.Traffic, handle requestHandler) (*httpserve.Server, error) {
 	return r.listen(name, serviceHost+":0", traffic, handle)
 }
 
-// serveWorker begins to serve a machine's worker, on a loopback address of its own, and returns
-// the address. A worker that cannot listen gets no direct commands.
+// serveWorker starts the server of a machine's worker on an IP address of its own and returns the address.
+// A worker that cannot listen receives no direct commands.
 func (r *runner) serveWorker(machine string) string {
 	server, err := r.listen(machine, workerIP(machine)+":0", &r.commandTraffic,
 		func(method, path string, body []byte, reply func(int, []byte)) {
 			r.live.ServeWorker(machine, method, path, body, reply)
 		})
 	if err != nil {
-		r.options.Log.Error("worker does not listen", "machine", machine, "error", err)
+		r.options.Log.Error("worker cannot listen; it receives no direct commands", "machine", machine, "error", err)
 		return unservedAddress
 	}
 	return server.Addr()
 }
 
-// stopWorker closes the listener and the connections of a machine that was removed.
+// stopWorker closes the server and the client connections of a removed machine's worker.
 func (r *runner) stopWorker(machine string) {
 	r.mu.Lock()
 	listener := r.listeners[machine]
@@ -128,7 +131,7 @@
 	}
 }
 
-// workerIP is the loopback address of a machine's worker, 127.128.0.0 and up.
+// workerIP returns the loopback IP address of a machine's worker: 127.128.0.0 plus the machine's number.
 func workerIP(machine string) string {
 	number, _ := strconv.Atoi(strings.TrimPrefix(machine, machinePrefix)) // package sim names machines by number
 	var ip [net.IPv4len]byte
@@ -136,7 +139,7 @@
 	return net.IP(ip[:]).String()
 }
 
-// controllerAddresses takes an address for each controller from a claim.
+// controllerAddresses returns a claimed address for each controller.
 func controllerAddresses(claim *loopback.Claim, controllers int) ([]string, error) {
 	addresses := make([]string, controllers)
 	for i := range addresses {
@@ -148,8 +151,8 @@
 	return addresses, nil
 }
 
-// addController writes a controller's settings and makes its process, which the world starts.
-// listen and peerListen have the addresses of all controllers.
+// addController writes the settings of controller i and attaches its process to the simulation, which
+// starts it. listen and peerListen contain the addresses of all controllers.
 func (r *runner) addController(i int, settings config.Settings, listen, peerListen []string) error {
 	settings.Name, settings.Zone = r.live.Name(i), r.live.Zone(i)
 	settings.Listen, settings.PeerListen = listen[i], peerListen[i]
@@ -173,14 +176,14 @@
 	}
 	c := &controllerProcess{
 		name: settings.Name, listen: settings.Listen, command: append(slices.Clone(r.options.Command), settingsPath),
-		output: output, operatorPath: operatorPath, log: r.options.Log, withWorld: r.live.Do, userTraffic: &r.userTraffic, workerTraffic: &r.workerTraffic,
+		output: output, operatorPath: operatorPath, log: r.options.Log, withLock: r.live.Do, userTraffic: &r.userTraffic, workerTraffic: &r.workerTraffic,
 	}
 	r.controllers = append(r.controllers, c)
 	r.live.Attach(i, c)
 	return nil
 }
 
-// writeTOML writes a value to a new file.
+// writeTOML writes a value to a file, which it creates or truncates.
 func writeTOML(path string, value any) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -192,15 +195,15 @@
 	return nil
 }
 
-// writeOperatorSettings writes the operators' own settings for a controller, if there are any, and
-// returns their path; empty if there are none.
+// writeOperatorSettings writes the operators' settings file of controller i and returns its path. Without
+// such settings it writes no file and returns an empty path.
 func (r *runner) writeOperatorSettings(i int) (string, error) {
 	var text []byte
 	if r.experiment.Operator.IdleReturnS != 0 {
 		text = fmt.Appendf(text, "idle_return_s = %g\n", r.experiment.Operator.IdleReturnS)
 	}
 	if r.region != nil {
-		text = fmt.Appendf(text, "regions_file = %q\nregion = %q\nregion_listen = %q\n", r.region.planPath, r.region.name, r.region.listen[i])
+		text = fmt.Appendf(text, "regions_file = %q\nregion = %q\nregion_listen = %q\n", r.region.regionsFilePath, r.region.name, r.region.regionListen[i])
 	}
 	if text == nil {
 		return "", nil
@@ -209,7 +212,7 @@
 	return path, os.WriteFile(path, text, 0o644)
 }
 
-// settings are those of the deployment.
+// settings returns the settings that all controllers of the deployment share.
 func (r *runner) settings() *config.Settings {
 	e := r.experiment
 	deployment := config.Deployment{
@@ -238,7 +241,7 @@
 	return types
 }
 
-// stock spreads the machines of each type evenly over the zones.
+// stock returns the cloud's machines per type and zone, spread evenly over the zones.
 func (r *runner) stock() []sim.Stock {
 	var stock []sim.Stock
 	zones := len(r.experiment.Zones)
--- a/internal/hollow/sampling.go
+++ b/internal/hollow/sampling.go
@@ -8,13 +8,14 @@
 	"github.com/brookwalk/brookwalk/internal/sim"
 )
 
-// sampleInterval is the time between two samples of what the processes use.
+// sampleInterval is the time between two samples of the processes' resource usage.
 const sampleInterval = time.Second
 
-// steadyFraction is the part of the run after which samples count for the steady means.
+// steadyFraction is the fraction of the run after which the steady phase begins.
 const steadyFraction = 0.6
 
-// sampleUntil samples what the processes use, and writes the progress, until the channel is closed.
+// sampleUntil samples the processes' resource usage every sampleInterval, and writes the progress, until
+// the channel is closed.
 func (r *runner) sampleUntil(done <-chan struct{}) {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -38,20 +39,22 @@
 	}
 }
 
-// sampleProcesses samples what each process uses, in a phase of the run.
+// sampleProcesses samples the resource usage of the controllers and of this process during a phase of the
+// run.
 func (r *runner) sampleProcesses(phase runPhase) {
 	for _, c := range r.controllers {
 		c.sampleUsage(phase)
 	}
 	if used, err := readUsage(os.Getpid()); err == nil {
-		r.standInUsage.addSample(os.Getpid(), used, time.Now(), phase)
+		r.simulatorUsage.addSample(os.Getpid(), used, time.Now(), phase)
 	}
 }
 
-// recordSecond adds a second to the history. It is called with the world locked.
+// recordSecond adds the figures of the past second to the history. It is called with the simulation
+// locked.
 func (r *runner) recordSecond() {
 	r.observer.endSecond()
-	now, counts, urgent := r.live.Now(), r.live.Counts(), waitStats(r.observer.urgentWaits)
+	now, counts, urgent := r.live.Now(), r.live.Counts(), newWaitStats(r.observer.urgentWaits)
 	starts := r.observer.startsPerSecond
 	r.history.Add("Tasks and jobs", "tasks on machines", now, float64(counts.Tasks))
 	r.history.Add("Tasks and jobs", "jobs not over", now, float64(counts.Jobs))
@@ -60,14 +63,14 @@
 	r.history.Add("Wait of urgent work", "p99 so far, s", now, urgent.P99)
 }
 
-// writeProgress writes a line of progress.
+// writeProgress writes a formatted progress line.
 func (o *Options) writeProgress(format string, args ...any) {
 	if _, err := fmt.Fprintf(o.Progress, format, args...); err != nil {
 		o.Log.Warn("progress not written", "error", err)
 	}
 }
 
-// writeProgress writes how far the run is.
+// writeProgress writes a progress line with the state of the simulation.
 func (r *runner) writeProgress() {
 	var counts sim.Counts
 	var now time.Duration
--- a/internal/hollow/team_usage.go
+++ b/internal/hollow/team_usage.go
@@ -11,8 +11,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// usageMeter adds up what the tasks of each team use on the workers of all regions, at each change, and
-// checks it against the teams' limits.
+// usageMeter tracks the resources that each team's tasks use on the workers of all regions. It checks
+// every change against the team's limits.
 type usageMeter struct {
 	mu         sync.Mutex
 	teams      []string
@@ -28,7 +28,7 @@
 
 func (a *amount) add(cpus, gpus float64) { a.cpus, a.gpus = a.cpus+cpus, a.gpus+gpus }
 
-// TeamUsage is the peak usage of a team over all regions. A limit of 0 is none.
+// TeamUsage is the peak usage of a team over all regions. A limit of 0 means no limit.
 type TeamUsage struct {
 	Name     string  `json:"team"`
 	PeakCPUs float64 `json:"cpus_most"`
@@ -60,37 +60,38 @@
 	return usage
 }
 
-// amountTolerance makes up for the rounding of sums of resources.
+// amountTolerance absorbs rounding errors in sums of resources.
 const amountTolerance = 1e-6
 
-// add records a change of what a team uses in a region.
+// add records a change of a team's usage in a region. A change that leaves the usage above a limit is a
+// violation.
 func (m *usageMeter) add(region, team string, cpus, gpus float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	used, now := m.teamUsage[team], m.current[team]
-	if used == nil {
+	usage, current := m.teamUsage[team], m.current[team]
+	if usage == nil {
 		return
 	}
-	now.add(cpus, gpus)
+	current.add(cpus, gpus)
 	m.byRegion[region][team].add(cpus, gpus)
-	used.PeakCPUs, used.PeakGPUs = max(used.PeakCPUs, now.cpus), max(used.PeakGPUs, now.gpus)
-	if isAbove(now.gpus, used.GPULimit) || isAbove(now.cpus, used.CPULimit) {
-		used.Exceeded++
-		m.violations = append(m.violations, fmt.Sprintf("quota over regions: %s uses %g CPUs and %g GPUs", team, now.cpus, now.gpus))
+	usage.PeakCPUs, usage.PeakGPUs = max(usage.PeakCPUs, current.cpus), max(usage.PeakGPUs, current.gpus)
+	if isAbove(current.gpus, usage.GPULimit) || isAbove(current.cpus, usage.CPULimit) {
+		usage.Exceeded++
+		m.violations = append(m.violations, fmt.Sprintf("quota over regions: %s uses %g CPUs and %g GPUs", team, current.cpus, current.gpus))
 	}
 }
 
-// isAbove reports whether an amount is above a limit; one of 0 is none.
+// isAbove reports whether an amount is above a limit. A limit of 0 means no limit.
 func isAbove(amount, limit float64) bool { return limit > 0 && amount > limit+amountTolerance }
 
-// limitViolations lists the changes that exceeded a limit.
+// limitViolations describes each change that left a team's usage above a limit.
 func (m *usageMeter) limitViolations() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.violations)
 }
 
-// report returns what each team used.
+// report returns the peak usage of each team.
 func (m *usageMeter) report() []TeamUsage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,8 +102,8 @@
 	return teams
 }
 
-// readLedgers reads the ledger of each region. It leaves out one that cannot be read, as before the
-// first leader has written it.
+// readLedgers reads the quota ledgers of the regions from their key-value stores. It omits a ledger that
+// cannot be loaded, for example because the first leader has not written it yet.
 func readLedgers(runners []*runner) map[string]*ledger.Ledger {
 	ledgers := map[string]*ledger.Ledger{}
 	for _, runner := range runners {
@@ -115,7 +116,7 @@
 	return ledgers
 }
 
-// sample adds points to the history: what each team uses, and which share each region owns.
+// sample adds to the history each team's GPU usage and the GPUs of its limit that each region owns.
 func (m *usageMeter) sample(at time.Duration, runners []*runner) {
 	ledgers := readLedgers(runners)
 	m.mu.Lock()
@@ -133,8 +134,8 @@
 	}
 }
 
-// ownedGPUs is how many GPUs of a team's limit a region owns by its ledger; false if there is no ledger
-// or no limit.
+// ownedGPUs returns how many GPUs of a team's limit a region owns according to its ledger. hasLimit is
+// false if there is no ledger or no limit.
 func ownedGPUs(l *ledger.Ledger, team string) (gpus float64, hasLimit bool) {
 	if l == nil {
 		return 0, false
@@ -144,7 +145,7 @@
 	return gpus, share.Limit.GPUs > 0
 }
 
-// writeProgress writes how far the run is.
+// writeProgress writes a progress line with the teams' usage over all regions.
 func (m *usageMeter) writeProgress(options *Options, at time.Duration, seconds float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
