--- a/internal/hollow/region_link.go
+++ b/internal/hollow/region_link.go
@@ -16,7 +16,7 @@
 
 	mu               sync.Mutex
 	listeners        []net.Listener
-	connections      map[net.Conn]bool // the open connections of the sending region
+	connections      map[net.Conn]bool // accepted connections that are open
 	partitionedUntil time.Time
 }
 
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -24,11 +24,11 @@
 	StoreThrottled   int       `json:"state_refused_for_rates"`
 	StartsPeak       float64   `json:"starts_a_second_peak"` // highest mean over 5 s
 	StartsMean       float64   `json:"starts_a_second"`
-	Urgent           WaitStats `json:"urgent_wait"`
+	Urgent           WaitStats `json:"urgent_wait"` // of tasks with priority critical or urgent
 
 	Waits                 map[string]WaitStats `json:"waits"`
-	FailoverStartS        []float64            `json:"next_start_after_leader_s"`
-	FailoversWithoutStart int                  `json:"leaders_without_a_next_start"`
+	FailoverStartS        []float64            `json:"next_start_after_leader_s"`    // from each kill of a leader to a start by a later one
+	FailoversWithoutStart int                  `json:"leaders_without_a_next_start"` // kills of a leader without such a start
 	Violations            []string             `json:"rules_broken"`
 
 	// In an experiment with several regions: the report of each region, and the teams' usage over
