--- a/internal/core/records/records_test.go
+++ b/internal/core/records/records_test.go
@@ -19,15 +19,15 @@
 		t.Run(tc.key, func(t *testing.T) {
 			got, ok := ParsePlacementKey(tc.key, 10)
 			if ok != tc.ok || ok && got != tc.want {
-				t.Errorf("%+v %v, want %+v %v", got, ok, tc.want, tc.ok)
+				t.Errorf("range %+v, valid %v; want %+v, %v", got, ok, tc.want, tc.ok)
 			}
 		})
 	}
 }
 
-func TestJobs(t *testing.T) {
-	got := Jobs([]string{OpenKey("a"), FinalKey("b"), OpenKey("a")})
+func TestJobIDs(t *testing.T) {
+	got := JobIDs([]string{OpenKey("a"), FinalKey("b"), OpenKey("a")})
 	if len(got) != 2 || !got["a"] || !got["b"] {
-		t.Errorf("jobs %v, want a and b", got)
+		t.Errorf("job IDs %v, want a and b", got)
 	}
 }
