--- a/cmd/brookwalk-hollow/main.go
+++ b/cmd/brookwalk-hollow/main.go
@@ -115,7 +115,7 @@
 	}
 	experiment.Scale(r.Scale)
 	if r.Seconds > 0 {
-		experiment.Seconds = r.Seconds
+		experiment.DurationS = r.Seconds
 	}
 	return experiment, nil
 }
--- a/internal/hollow/experiment.go
+++ b/internal/hollow/experiment.go
@@ -20,22 +20,22 @@
 
 // Experiment is the content of an experiment file. Times are in seconds.
 type Experiment struct {
-	Name        string               `toml:"name"`
-	Seconds     float64              `toml:"seconds"` // duration of the run
-	Seed        uint64               `toml:"seed"`
-	Controllers int                  `toml:"controllers"`
-	Zones       []string             `toml:"zones"`
-	RestartS    float64              `toml:"restart_s"` // from the kill of a controller to its restart
-	Workers     config.WorkerTimings `toml:"workers"`
-	State       config.StoreLimits   `toml:"state"`
-	Cloud       config.CloudLimits   `toml:"cloud"`
-	Limits      config.MachineLimits `toml:"controller"`
-	Operator    Operator             `toml:"operator"`
-	Types       []MachineType        `toml:"types"`
-	Teams       Teams                `toml:"teams"`
-	Objectives  []ClassObjective     `toml:"objectives"`
-	Jobs        []JobClass           `toml:"jobs"`
-	Failures    []Failure            `toml:"failures"`
+	Name             string               `toml:"name"`
+	DurationS        float64              `toml:"seconds"` // duration of the run
+	Seed             uint64               `toml:"seed"`
+	Controllers      int                  `toml:"controllers"`
+	Zones            []string             `toml:"zones"`
+	RestartS         float64              `toml:"restart_s"` // from the kill of a controller to its restart
+	Workers          config.WorkerTimings `toml:"workers"`
+	Store            config.StoreLimits   `toml:"state"`
+	Cloud            config.CloudLimits   `toml:"cloud"`
+	ControllerLimits config.MachineLimits `toml:"controller"`
+	Operator         Operator             `toml:"operator"`
+	Types            []MachineType        `toml:"types"`
+	Teams            Teams                `toml:"teams"`
+	Objectives       []ClassObjective     `toml:"objectives"`
+	Jobs             []JobClass           `toml:"jobs"`
+	Failures         []Failure            `toml:"failures"`
 	// Regions are deployments that share the teams' limits; each has all that the other fields
 	// describe. Empty for a single deployment.
 	Regions []Region `toml:"regions"`
--- a/internal/hollow/experiment_validate.go
+++ b/internal/hollow/experiment_validate.go
@@ -50,7 +50,7 @@
 
 // validate adds an error for each invalid field of the experiment.
 func (e *Experiment) validate(errs *fieldErrors) {
-	errs.checkPositive("seconds", e.Seconds)
+	errs.checkPositive("seconds", e.DurationS)
 	errs.checkPositive("restart_s", e.RestartS)
 	if e.Controllers < 1 || e.Controllers > maxControllers {
 		errs.add("controllers", "must be from 1 to %d, is %d", maxControllers, e.Controllers)
@@ -74,16 +74,16 @@
 	errs.checkPositive("workers.report_s", e.Workers.ReportS)
 	errs.checkPositive("workers.lease_s", e.Workers.LeaseS)
 	errs.checkPositive("workers.cancel_s", e.Workers.CancelS)
-	errs.checkPositive("state.rps", e.State.RPS)
-	errs.checkPositive("state.write_rps", e.State.WriteRPS)
-	errs.checkPositive("state.value_kb", e.State.ValueKB)
-	errs.checkPositive("state.txn_ops", float64(e.State.TxnOps))
+	errs.checkPositive("state.rps", e.Store.RPS)
+	errs.checkPositive("state.write_rps", e.Store.WriteRPS)
+	errs.checkPositive("state.value_kb", e.Store.ValueKB)
+	errs.checkPositive("state.txn_ops", float64(e.Store.TxnOps))
 	errs.checkPositive("cloud.rps", e.Cloud.RPS)
-	errs.checkPositive("controller.ram_mb", e.Limits.RAMMB)
+	errs.checkPositive("controller.ram_mb", e.ControllerLimits.RAMMB)
 	if e.Operator.IdleReturnS < 0 {
 		errs.add("operator.idle_return_s", "must be 0 or greater, is %v", e.Operator.IdleReturnS)
 	}
-	errs.checkPositive("controller.max_connections", float64(e.Limits.MaxConnections))
+	errs.checkPositive("controller.max_connections", float64(e.ControllerLimits.MaxConnections))
 }
 
 func (e *Experiment) hasRegion(name string) bool {
@@ -180,8 +180,8 @@
 		table := fmt.Sprintf("failures[%d].", i)
 		errs.checkOneOf(table+"kind", failure.Kind, failureKinds)
 		errs.checkShare(table+"share", failure.Share)
-		if failure.AtS < 0 || failure.AtS >= e.Seconds {
-			errs.add(table+"at_s", "must be within the %v s of the run, is %v", e.Seconds, failure.AtS)
+		if failure.AtS < 0 || failure.AtS >= e.DurationS {
+			errs.add(table+"at_s", "must be within the %v s of the run, is %v", e.DurationS, failure.AtS)
 		}
 		if failure.Region != "" && !e.hasRegion(failure.Region) || failure.Kind == FailRegionLink && failure.Region == "" {
 			errs.add(table+"region", "%q is not a region of the experiment", failure.Region)
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -82,7 +82,7 @@
 		t.Fatal(err)
 	}
 	experiment.Scale(0.65)
-	experiment.Seconds, experiment.Failures = 100, failures
+	experiment.DurationS, experiment.Failures = 100, failures
 	dir := t.TempDir()
 	rep, err := Run(ctx, experiment, Options{Command: []string{buildProgram(t), "--config"}, Dir: dir, Log: slog.New(slog.DiscardHandler), stopWhen: stopWhen})
 	if err != nil {
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -258,7 +258,7 @@
 		g.usage.sample(time.Since(startedAt), g.runners)
 		if g.options.Progress != nil && time.Since(lastProgress) >= g.options.ProgressEvery {
 			lastProgress = time.Now()
-			g.usage.writeProgress(&g.options, time.Since(startedAt), g.experiment.Seconds)
+			g.usage.writeProgress(&g.options, time.Since(startedAt), g.experiment.DurationS)
 		}
 	}
 }
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	experiment.Seconds = 14
+	experiment.DurationS = 14
 	experiment.Failures = []Failure{
 		{AtS: 4, Kind: FailLeader, Region: "north"},
 		{AtS: 5, Kind: FailRegionLink, Region: "west", BothWays: true, ForS: 2},
--- a/internal/hollow/runner.go
+++ b/internal/hollow/runner.go
@@ -89,7 +89,7 @@
 	var sampler sync.WaitGroup
 	sampler.Go(func() { r.sampleUntil(done) })
 	startedAt := time.Now()
-	r.live.Run(runCtx, seconds(r.experiment.Seconds))
+	r.live.Run(runCtx, seconds(r.experiment.DurationS))
 	duration := time.Since(startedAt)
 	close(done)
 	sampler.Wait()
--- a/internal/hollow/runner_setup.go
+++ b/internal/hollow/runner_setup.go
@@ -217,7 +217,7 @@
 	e := r.experiment
 	deployment := config.Deployment{
 		Size: e.Controllers, Zones: e.Zones, SkewMs: skewMs, Workers: e.Workers,
-		Store: e.State, Cloud: e.Cloud, MachineLimits: e.Limits,
+		Store: e.Store, Cloud: e.Cloud, MachineLimits: e.ControllerLimits,
 	}
 	for i := range e.Teams.Count {
 		team := e.teamLimit()
--- a/internal/hollow/sampling.go
+++ b/internal/hollow/sampling.go
@@ -27,7 +27,7 @@
 		case <-tick.C:
 		}
 		phase := warmUp
-		if time.Since(startedAt) > seconds(steadyFraction*r.experiment.Seconds) {
+		if time.Since(startedAt) > seconds(steadyFraction*r.experiment.DurationS) {
 			phase = steady
 		}
 		r.sampleProcesses(phase)
@@ -76,5 +76,5 @@
 	var now time.Duration
 	r.live.Do(func() { counts, now = r.live.Counts(), r.live.Now() })
 	r.options.writeProgress("%4.0f of %.0f s: %d workers, %d tasks on machines, %d jobs, %d starts, %d rules broken\n",
-		now.Seconds(), r.experiment.Seconds, counts.Workers, counts.Tasks, counts.Jobs, counts.Starts, len(counts.Violations))
+		now.Seconds(), r.experiment.DurationS, counts.Workers, counts.Tasks, counts.Jobs, counts.Starts, len(counts.Violations))
 }
