--- a/internal/hollow/experiment.go
+++ b/internal/hollow/experiment.go
@@ -91,26 +91,26 @@
 
 // JobClass is a class of jobs and its load.
 type JobClass struct {
-	Class          string  `toml:"class"`
-	Shape          string  `toml:"shape"` // array, gang or service
-	Priority       string  `toml:"priority"`
-	Tasks          []int   `toml:"tasks"` // tasks per job; the jobs take these sizes in turn
-	CPUs           float64 `toml:"cpus"`
-	GPUs           float64 `toml:"gpus"`
-	MemoryGB       float64 `toml:"memory_gb"`
-	RunS           float64 `toml:"run_s"` // mean run time of a task
-	CheckpointS    float64 `toml:"checkpoint_s"`
-	SaveS          float64 `toml:"save_s"`
-	Images         int     `toml:"images"`          // number of different container images
-	ImageGB        float64 `toml:"image_gb"`        // size of each image
-	InitialTasks   int     `toml:"initial"`         // tasks of the initial load
-	InitialS       float64 `toml:"initial_s"`       // time over which the initial load is submitted
-	TasksPerSecond float64 `toml:"starts_per_s"`    // tasks per second of the steady load
-	FromS          float64 `toml:"from_s"`          // when the steady load begins
-	CancelledShare float64 `toml:"cancelled_share"` // share of the jobs that their users cancel
-	OneZone        bool    `toml:"one_zone"`
-	Spread         bool    `toml:"spread"`
-	Spot           bool    `toml:"spot"`
+	Class               string  `toml:"class"`
+	Shape               string  `toml:"shape"` // array, gang or service
+	Priority            string  `toml:"priority"`
+	Tasks               []int   `toml:"tasks"` // tasks per job; the jobs take these sizes in turn
+	CPUs                float64 `toml:"cpus"`
+	GPUs                float64 `toml:"gpus"`
+	MemoryGB            float64 `toml:"memory_gb"`
+	RunS                float64 `toml:"run_s"` // mean run time of a task
+	CheckpointIntervalS float64 `toml:"checkpoint_s"`
+	CheckpointDurationS float64 `toml:"save_s"`
+	Images              int     `toml:"images"`          // number of different container images
+	ImageGB             float64 `toml:"image_gb"`        // size of each image
+	InitialTasks        int     `toml:"initial"`         // tasks of the initial load
+	InitialS            float64 `toml:"initial_s"`       // time over which the initial load is submitted
+	TasksPerSecond      float64 `toml:"starts_per_s"`    // tasks per second of the steady load
+	SteadyFromS         float64 `toml:"from_s"`          // when the steady load begins
+	CancelledShare      float64 `toml:"cancelled_share"` // share of the jobs that their users cancel
+	OneZone             bool    `toml:"one_zone"`
+	SpreadZones         bool    `toml:"spread"`
+	AllowSpot           bool    `toml:"spot"`
 }
 
 // Kinds of failures in experiment files.
--- a/internal/hollow/experiment_validate.go
+++ b/internal/hollow/experiment_validate.go
@@ -168,7 +168,7 @@
 			errs.checkPositive(table+"run_s", class.RunS)
 		}
 		errs.checkShare(table+"cancelled_share", class.CancelledShare)
-		if class.InitialTasks < 0 || class.TasksPerSecond < 0 || class.InitialS < 0 || class.FromS < 0 {
+		if class.InitialTasks < 0 || class.TasksPerSecond < 0 || class.InitialS < 0 || class.SteadyFromS < 0 {
 			errs.add(table+"initial", "initial, initial_s, starts_per_s and from_s must be 0 or greater")
 		}
 	}
--- a/internal/hollow/load_generator.go
+++ b/internal/hollow/load_generator.go
@@ -30,7 +30,7 @@
 		class := &l.experiment.Jobs[i]
 		l.submitInitial(class)
 		if class.TasksPerSecond > 0 {
-			l.live.After(seconds(class.FromS), func() { l.submitNext(class, 0) })
+			l.live.After(seconds(class.SteadyFromS), func() { l.submitNext(class, 0) })
 		}
 	}
 }
@@ -86,8 +86,8 @@
 		Shape: jobShapes[class.Shape], Priority: wire.Priority(class.Priority), Tasks: tasks,
 		CPUs: class.CPUs, GPUs: class.GPUs, MemGB: class.MemoryGB,
 		Image: fmt.Sprintf("%s-%d", class.Class, l.rng.IntN(class.Images)), ImageGB: class.ImageGB,
-		OneZone: class.OneZone, SpreadZones: class.Spread, AllowSpot: class.Spot,
-		CheckpointIntervalS: class.CheckpointS, CheckpointDurationS: class.SaveS,
+		OneZone: class.OneZone, SpreadZones: class.SpreadZones, AllowSpot: class.AllowSpot,
+		CheckpointIntervalS: class.CheckpointIntervalS, CheckpointDurationS: class.CheckpointDurationS,
 	}}
 	if job.Shape != wire.ShapeService {
 		job.EstimatedRunS = class.RunS
