--- a/internal/hollow/experiment.go
+++ b/internal/hollow/experiment.go
@@ -115,15 +115,15 @@
 
 // Kinds of failures in experiment files.
 const (
-	FailLeader     = "kill_leader"
-	FailAll        = "kill_all"
-	FailWorkers    = "workers_gone"
-	FailZone       = "zone_gone"
-	FailStore      = "state_down"
-	FailRegionLink = "cut_regions"
+	FailLeader         = "kill_leader"
+	FailAllControllers = "kill_all"
+	FailWorkers        = "workers_gone"
+	FailZone           = "zone_gone"
+	FailStore          = "state_down"
+	FailRegionLink     = "cut_regions"
 )
 
-var failureKinds = []string{FailLeader, FailAll, FailWorkers, FailZone, FailStore, FailRegionLink}
+var failureKinds = []string{FailLeader, FailAllControllers, FailWorkers, FailZone, FailStore, FailRegionLink}
 
 // Failure is a fault that is injected at a given time.
 type Failure struct {
--- a/internal/hollow/experiment_validate.go
+++ b/internal/hollow/experiment_validate.go
@@ -98,11 +98,11 @@
 		if region.Name == "" {
 			errs.add(table+"name", "missing")
 		}
-		if region.Load < 0 {
-			errs.add(table+"load", "must be 0 or greater, is %v", region.Load)
+		if region.LoadFactor < 0 {
+			errs.add(table+"load", "must be 0 or greater, is %v", region.LoadFactor)
 		}
-		errs.checkShare(table+"owned", region.Owned)
-		owned += region.Owned
+		errs.checkShare(table+"owned", region.OwnedShare)
+		owned += region.OwnedShare
 	}
 	if len(e.Regions) == 1 || len(e.Regions) > 1 && math.Abs(owned-1) > 1e-9 {
 		errs.add("regions", "must be none, or two or more whose owned shares add up to 1; are %d with a sum of %v", len(e.Regions), owned)
--- a/internal/hollow/failures.go
+++ b/internal/hollow/failures.go
@@ -31,7 +31,7 @@
 		}
 		r.killLeader(leader)
 		log.Info("failure injected", "controller", r.live.Name(leader))
-	case FailAll:
+	case FailAllControllers:
 		r.killAllControllers()
 		log.Info("failure injected", "controllers", len(r.controllers))
 	case FailWorkers:
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -17,10 +17,10 @@
 // controllers, machines and jobs that the file describes. The teams' limits and guarantees hold over
 // all regions together.
 type Region struct {
-	Name string  `toml:"name"`
-	Load float64 `toml:"load"` // factor by which the region's load is multiplied
-	// Owned is the share of each team's limit that the region owns at the start.
-	Owned float64 `toml:"owned"`
+	Name       string  `toml:"name"`
+	LoadFactor float64 `toml:"load"` // factor by which the region's load is multiplied
+	// OwnedShare is the share of each team's limit that the region owns at the start.
+	OwnedShare float64 `toml:"owned"`
 }
 
 // regionRun is a run of an experiment with several regions.
@@ -111,8 +111,8 @@
 	e.Jobs = slices.Clone(e.Jobs)
 	for k := range e.Jobs {
 		class := &e.Jobs[k]
-		class.InitialTasks = int(float64(class.InitialTasks) * region.Load)
-		class.TasksPerSecond *= region.Load
+		class.InitialTasks = int(float64(class.InitialTasks) * region.LoadFactor)
+		class.TasksPerSecond *= region.LoadFactor
 	}
 	return &e
 }
@@ -136,13 +136,13 @@
 	team := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
 	cpusLeft, gpusLeft := limit.CPUsMax, limit.GPUsMax
 	for k, region := range g.experiment.Regions {
-		share := plan.Share{Region: region.Name, CPUsOwned: math.Trunc(limit.CPUsMax * region.Owned), GPUsOwned: math.Trunc(limit.GPUsMax * region.Owned)}
+		share := plan.Share{Region: region.Name, CPUsOwned: math.Trunc(limit.CPUsMax * region.OwnedShare), GPUsOwned: math.Trunc(limit.GPUsMax * region.OwnedShare)}
 		if k == len(g.experiment.Regions)-1 {
 			share.CPUsOwned, share.GPUsOwned = cpusLeft, gpusLeft
 		}
 		cpusLeft, gpusLeft = cpusLeft-share.CPUsOwned, gpusLeft-share.GPUsOwned
-		share.CPUs = math.Trunc(min(share.CPUsOwned, limit.CPUs*region.Owned))
-		share.GPUs = math.Trunc(min(share.GPUsOwned, limit.GPUs*region.Owned))
+		share.CPUs = math.Trunc(min(share.CPUsOwned, limit.CPUs*region.OwnedShare))
+		share.GPUs = math.Trunc(min(share.GPUsOwned, limit.GPUs*region.OwnedShare))
 		team.Shares = append(team.Shares, share)
 	}
 	return team
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -24,7 +24,7 @@
 	experiment.Failures = []Failure{
 		{AtS: 4, Kind: FailLeader, Region: "north"},
 		{AtS: 5, Kind: FailRegionLink, Region: "west", BothWays: true, ForS: 2},
-		{AtS: 7, Kind: FailAll, Region: "south"},
+		{AtS: 7, Kind: FailAllControllers, Region: "south"},
 	}
 	program, dir := buildProgram(t), t.TempDir()
 	ledgerShown := false
