--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -106,18 +106,18 @@
 	}
 	rep, dir := runSmallExperiment(t.Context(), t, recovered, Failure{AtS: 3, Kind: FailWorkers, Share: 0.2},
 		Failure{AtS: 3, Kind: FailLeader}, Failure{AtS: 7, Kind: FailZone, Zone: "west", ForS: 1})
-	if len(rep.FailoverStartS) == 0 {
+	if len(rep.FailoverS) == 0 {
 		t.Error("no task was started by a new leader after the leader was killed")
 	}
-	if rep.Tasks == 0 || rep.Urgent.Count == 0 {
-		t.Errorf("at the end: got %d tasks on machines and %d started urgent tasks, want some of both", rep.Tasks, rep.Urgent.Count)
+	if rep.Tasks == 0 || rep.UrgentWaits.Count == 0 {
+		t.Errorf("at the end: got %d tasks on machines and %d started urgent tasks, want some of both", rep.Tasks, rep.UrgentWaits.Count)
 	}
 	leaders := 0
 	for _, process := range rep.Processes {
 		if process.Role == roleLeader {
 			leaders++
 		}
-		if process.UnexpectedEnds > 0 {
+		if process.UnexpectedExits > 0 {
 			log, err := os.ReadFile(filepath.Join(dir, process.Name+".log"))
 			t.Errorf("%s exited unexpectedly:\n%s%v", process.Name, log, err)
 		}
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -218,7 +218,7 @@
 func (g *regionRun) combineReports(reports []*Report) *Report {
 	combined := &Report{Experiment: g.experiment.Name, Regions: reports, Teams: g.usage.report(), History: g.usage.history}
 	for _, report := range reports {
-		combined.Seconds = max(combined.Seconds, report.Seconds)
+		combined.DurationS = max(combined.DurationS, report.DurationS)
 		combined.Interrupted = combined.Interrupted || report.Interrupted
 		for _, violation := range report.Violations {
 			combined.Violations = append(combined.Violations, report.Experiment+": "+violation)
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -67,11 +67,11 @@
 // checkRegion checks that a region started tasks and that none of its processes exited unexpectedly.
 func checkRegion(t *testing.T, region *Report) {
 	t.Helper()
-	if region.StartsSent == 0 {
+	if region.StartCommands == 0 {
 		t.Errorf("%s started no task, want at least one", region.Experiment)
 	}
 	for _, process := range region.Processes {
-		if process.UnexpectedEnds > 0 {
+		if process.UnexpectedExits > 0 {
 			t.Errorf("controller %s of region %s exited unexpectedly", process.Name, region.Experiment)
 		}
 	}
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -6,15 +6,15 @@
 // otherwise.
 type Report struct {
 	Experiment  string  `json:"experiment"`
-	Seconds     float64 `json:"seconds"`
+	DurationS   float64 `json:"seconds"`
 	Interrupted bool    `json:"interrupted"`
 
-	Workers      int `json:"workers"` // up at the end
-	Tasks        int `json:"tasks"`   // on machines at the end
-	Jobs         int `json:"jobs"`    // accepted and not finished at the end
-	Accepted     int `json:"jobs_accepted"`
-	StartsSent   int `json:"start_commands"`          // carried out by workers
-	ExpiredTasks int `json:"tasks_lost_with_a_lease"` // killed by their worker when its lease expired
+	Workers       int `json:"workers"` // up at the end
+	Tasks         int `json:"tasks"`   // on machines at the end
+	Jobs          int `json:"jobs"`    // accepted and not finished at the end
+	AcceptedJobs  int `json:"jobs_accepted"`
+	StartCommands int `json:"start_commands"`          // carried out by workers
+	ExpiredTasks  int `json:"tasks_lost_with_a_lease"` // killed by their worker when its lease expired
 
 	Processes []ProcessReport    `json:"roles"`
 	Channels  map[string]Channel `json:"channels"`
@@ -22,12 +22,12 @@
 	StoreKeys        int       `json:"state_keys"`
 	StoreChangesPerS float64   `json:"state_changes_a_second"`
 	StoreThrottled   int       `json:"state_refused_for_rates"`
-	StartsPeak       float64   `json:"starts_a_second_peak"` // highest mean over 5 s
-	StartsMean       float64   `json:"starts_a_second"`
-	Urgent           WaitStats `json:"urgent_wait"` // of tasks with priority critical or urgent
+	PeakStartsPerS   float64   `json:"starts_a_second_peak"` // highest mean over 5 s
+	MeanStartsPerS   float64   `json:"starts_a_second"`
+	UrgentWaits      WaitStats `json:"urgent_wait"` // of tasks with priority critical or urgent
 
 	Waits                 map[string]WaitStats `json:"waits"`
-	FailoverStartS        []float64            `json:"next_start_after_leader_s"`    // from each kill of a leader to a start by a later one
+	FailoverS             []float64            `json:"next_start_after_leader_s"`    // from each kill of a leader to a start by a later one
 	FailoversWithoutStart int                  `json:"leaders_without_a_next_start"` // kills of a leader without such a start
 	Violations            []string             `json:"rules_broken"`
 
@@ -44,14 +44,14 @@
 	Name             string  `json:"name"`
 	Role             string  `json:"role"` // leader or follower at the end, or stand-ins (the simulation)
 	Cores            float64 `json:"cores"`
-	CoresSteady      float64 `json:"cores_steady"` // mean over the last two fifths of the run
-	CoresPeak        float64 `json:"cores_peak"`   // highest mean over one sampling interval
+	SteadyCores      float64 `json:"cores_steady"` // mean over the last two fifths of the run
+	PeakCores        float64 `json:"cores_peak"`   // highest mean over one sampling interval
 	PeakMemoryMB     float64 `json:"peak_memory_mb"`
 	ReadBytesPerS    float64 `json:"read_bytes_per_s"`
 	WrittenBytesPerS float64 `json:"written_bytes_per_s"`
 	Sockets          int     `json:"sockets"`
 	Starts           int     `json:"starts"`
-	UnexpectedEnds   int     `json:"ended_by_itself"`
+	UnexpectedExits  int     `json:"ended_by_itself"`
 }
 
 // Channel is the traffic between the controllers and one kind of peer.
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -29,9 +29,9 @@
 		}
 	})
 	report := &Report{
-		Experiment: r.experiment.Name, Seconds: duration.Seconds(),
-		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.Jobs, Accepted: counts.Accepted,
-		StartsSent: counts.Starts, ExpiredTasks: counts.ExpiredTasks,
+		Experiment: r.experiment.Name, DurationS: duration.Seconds(),
+		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.Jobs, AcceptedJobs: counts.Accepted,
+		StartCommands: counts.Starts, ExpiredTasks: counts.ExpiredTasks,
 		StoreKeys: counts.StoreKeys, StoreThrottled: counts.StoreThrottled,
 		StoreChangesPerS: perSecond(float64(counts.StoreChanges), duration.Seconds()),
 		Violations:       append([]string{}, counts.Violations...), History: r.history,
@@ -45,16 +45,16 @@
 // reportStarts adds the rates of task starts, the waits and the failovers to the report.
 func (r *runner) reportStarts(report *Report, duration time.Duration) {
 	observer := r.observer
-	report.StartsPeak = observer.peakStartRate()
-	report.StartsMean = perSecond(float64(observer.starts), duration.Seconds())
-	report.Urgent = newWaitStats(observer.urgentWaits)
+	report.PeakStartsPerS = observer.peakStartRate()
+	report.MeanStartsPerS = perSecond(float64(observer.starts), duration.Seconds())
+	report.UrgentWaits = newWaitStats(observer.urgentWaits)
 	report.Waits = map[string]WaitStats{}
 	for class, histogram := range observer.waits {
 		report.Waits[class] = newWaitStats(histogram)
 	}
-	report.FailoverStartS = []float64{}
+	report.FailoverS = []float64{}
 	for _, failover := range observer.failoverTimes {
-		report.FailoverStartS = append(report.FailoverStartS, failover.Seconds())
+		report.FailoverS = append(report.FailoverS, failover.Seconds())
 	}
 	report.FailoversWithoutStart = observer.failoversWithoutStart
 	if observer.killedTerm != 0 {
@@ -70,7 +70,7 @@
 			role = roleLeader
 		}
 		process := newProcessReport(c.name, role, &c.usage)
-		process.Starts, process.UnexpectedEnds = c.startsAndExits()
+		process.Starts, process.UnexpectedExits = c.startsAndExits()
 		report.Processes = append(report.Processes, process)
 	}
 	simulator := newProcessReport(roleSimulator, roleSimulator, &r.simulatorUsage)
@@ -80,7 +80,7 @@
 
 func newProcessReport(name, role string, usage *processMeter) ProcessReport {
 	return ProcessReport{
-		Name: name, Role: role, Cores: usage.cores(), CoresSteady: usage.steadyCores(), CoresPeak: usage.peakCores,
+		Name: name, Role: role, Cores: usage.cores(), SteadyCores: usage.steadyCores(), PeakCores: usage.peakCores,
 		PeakMemoryMB: float64(usage.total.peakRSSKB) / 1024, ReadBytesPerS: perSecond(float64(usage.total.readBytes), usage.seconds),
 		WrittenBytesPerS: perSecond(float64(usage.total.writtenBytes), usage.seconds), Sockets: usage.total.sockets,
 	}
--- a/internal/hollow/report_write.go
+++ b/internal/hollow/report_write.go
@@ -50,10 +50,10 @@
 
 // writeRun writes the summary of a single region.
 func (r *Report) writeRun(out *strings.Builder) {
-	fmt.Fprintf(out, "%s: %.0f s, %d workers, %d tasks on machines, %d jobs (%d accepted)\n", r.Experiment, r.Seconds, r.Workers, r.Tasks, r.Jobs, r.Accepted)
+	fmt.Fprintf(out, "%s: %.0f s, %d workers, %d tasks on machines, %d jobs (%d accepted)\n", r.Experiment, r.DurationS, r.Workers, r.Tasks, r.Jobs, r.AcceptedJobs)
 	fmt.Fprintln(out, "process\trole\tcores\tsteady\tpeak\tmemory MB\tread KB/s\twritten KB/s\tsockets")
 	for _, p := range r.Processes {
-		fmt.Fprintf(out, "%s\t%s\t%.3f\t%.3f\t%.2f\t%.0f\t%.0f\t%.0f\t%d\n", p.Name, p.Role, p.Cores, p.CoresSteady, p.CoresPeak,
+		fmt.Fprintf(out, "%s\t%s\t%.3f\t%.3f\t%.2f\t%.0f\t%.0f\t%.0f\t%d\n", p.Name, p.Role, p.Cores, p.SteadyCores, p.PeakCores,
 			p.PeakMemoryMB, p.ReadBytesPerS/1024, p.WrittenBytesPerS/1024, p.Sockets)
 	}
 	fmt.Fprintln(out, "channel\tmessages/s\trequests KB/s\tanswers KB/s")
@@ -65,9 +65,9 @@
 	for _, class := range slices.Sorted(maps.Keys(r.Waits)) {
 		r.Waits[class].writeRow(out, class)
 	}
-	r.Urgent.writeRow(out, "urgent and critical")
+	r.UrgentWaits.writeRow(out, "urgent and critical")
 	fmt.Fprintf(out, "state service: %d keys, %.0f changes a second, %d requests refused for its rates\n", r.StoreKeys, r.StoreChangesPerS, r.StoreThrottled)
-	fmt.Fprintf(out, "starts a second: %.0f on average, %.0f at the peak; next start after a leader's end: %.2f s\n", r.StartsMean, r.StartsPeak, r.FailoverStartS)
+	fmt.Fprintf(out, "starts a second: %.0f on average, %.0f at the peak; next start after a leader's end: %.2f s\n", r.MeanStartsPerS, r.PeakStartsPerS, r.FailoverS)
 }
 
 // writeTeams writes the teams' peak usage over all regions.
--- a/internal/hollow/team_usage.go
+++ b/internal/hollow/team_usage.go
@@ -30,12 +30,12 @@
 
 // TeamUsage is the peak usage of a team over all regions. A limit of 0 means no limit.
 type TeamUsage struct {
-	Name     string  `json:"team"`
-	PeakCPUs float64 `json:"cpus_most"`
-	PeakGPUs float64 `json:"gpus_most"`
-	CPULimit float64 `json:"cpus_max"`
-	GPULimit float64 `json:"gpus_max"`
-	Exceeded int     `json:"changes_above_ceiling"`
+	Name              string  `json:"team"`
+	PeakCPUs          float64 `json:"cpus_most"`
+	PeakGPUs          float64 `json:"gpus_most"`
+	CPULimit          float64 `json:"cpus_max"`
+	GPULimit          float64 `json:"gpus_max"`
+	ChangesAboveLimit int     `json:"changes_above_ceiling"`
 }
 
 func newUsageMeter(experiment *Experiment) *usageMeter {
@@ -76,7 +76,7 @@
 	m.byRegion[region][team].add(cpus, gpus)
 	usage.PeakCPUs, usage.PeakGPUs = max(usage.PeakCPUs, current.cpus), max(usage.PeakGPUs, current.gpus)
 	if isAbove(current.gpus, usage.GPULimit) || isAbove(current.cpus, usage.CPULimit) {
-		usage.Exceeded++
+		usage.ChangesAboveLimit++
 		m.violations = append(m.violations, fmt.Sprintf("quota over regions: %s uses %g CPUs and %g GPUs", team, current.cpus, current.gpus))
 	}
 }
@@ -152,7 +152,7 @@
 	gpus, exceeded := 0.0, 0
 	for _, team := range m.teams {
 		gpus += m.current[team].gpus
-		exceeded += m.teamUsage[team].Exceeded
+		exceeded += m.teamUsage[team].ChangesAboveLimit
 	}
 	options.writeProgress("%4.0f of %.0f s: %g GPUs in use over all regions, %d times above a ceiling\n", at.Seconds(), seconds, gpus, exceeded)
 }
