--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -16,8 +16,8 @@
 	StartCommands int `json:"start_commands"`          // carried out by workers
 	ExpiredTasks  int `json:"tasks_lost_with_a_lease"` // killed by their worker when its lease expired
 
-	Processes []ProcessReport    `json:"roles"`
-	Channels  map[string]Channel `json:"channels"`
+	Processes []ProcessReport         `json:"roles"`
+	Traffic   map[string]TrafficStats `json:"channels"`
 
 	StoreKeys        int       `json:"state_keys"`
 	StoreChangesPerS float64   `json:"state_changes_a_second"`
@@ -54,11 +54,11 @@
 	UnexpectedExits  int     `json:"ended_by_itself"`
 }
 
-// Channel is the traffic between the controllers and one kind of peer.
-type Channel struct {
-	MessagesPerS float64 `json:"messages_per_s"` // requests; each has one response
-	InBytesPerS  float64 `json:"request_bytes_per_s"`
-	OutBytesPerS float64 `json:"response_bytes_per_s"`
+// TrafficStats is the traffic between the controllers and one kind of peer.
+type TrafficStats struct {
+	MessagesPerS      float64 `json:"messages_per_s"` // requests; each has one response
+	RequestBytesPerS  float64 `json:"request_bytes_per_s"`
+	ResponseBytesPerS float64 `json:"response_bytes_per_s"`
 }
 
 // WaitStats summarizes how long tasks waited, from the first attempt to submit their job to their first
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -88,7 +88,7 @@
 
 // reportTraffic adds the traffic of each channel to the report.
 func (r *runner) reportTraffic(report *Report, duration time.Duration) {
-	report.Channels = map[string]Channel{
+	report.Traffic = map[string]TrafficStats{
 		"workers' reports":    newTrafficStats(&r.workerTraffic, duration),
 		"direct commands":     newTrafficStats(&r.commandTraffic, duration),
 		"users":               newTrafficStats(&r.userTraffic, duration),
@@ -98,17 +98,17 @@
 	}
 }
 
-func newTrafficStats(traffic *httpserve.Traffic, duration time.Duration) Channel {
+func newTrafficStats(traffic *httpserve.Traffic, duration time.Duration) TrafficStats {
 	durationS := duration.Seconds()
-	return Channel{
-		MessagesPerS: perSecond(float64(traffic.Requests.Load()), durationS),
-		InBytesPerS:  perSecond(float64(traffic.RequestBytes.Load()), durationS), OutBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), durationS),
+	return TrafficStats{
+		MessagesPerS:     perSecond(float64(traffic.Requests.Load()), durationS),
+		RequestBytesPerS: perSecond(float64(traffic.RequestBytes.Load()), durationS), ResponseBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), durationS),
 	}
 }
 
 // peerTraffic returns the traffic between controllers. It is not counted directly: the bytes are all bytes
 // that the controllers read, less those that the simulation sent them. The number of messages is unknown.
-func (r *runner) peerTraffic(duration time.Duration) Channel {
+func (r *runner) peerTraffic(duration time.Duration) TrafficStats {
 	read := int64(0)
 	for _, c := range r.controllers {
 		read += c.usage.total.readBytes
@@ -119,7 +119,7 @@
 	for _, traffic := range []*httpserve.Traffic{&r.commandTraffic, &r.storeTraffic, &r.cloudTraffic} {
 		read -= traffic.ResponseBytes.Load()
 	}
-	return Channel{InBytesPerS: perSecond(float64(max(0, read)), duration.Seconds())}
+	return TrafficStats{RequestBytesPerS: perSecond(float64(max(0, read)), duration.Seconds())}
 }
 
 // newWaitStats summarizes a histogram of waits in milliseconds.
--- a/internal/hollow/report_write.go
+++ b/internal/hollow/report_write.go
@@ -57,9 +57,9 @@
 			p.PeakMemoryMB, p.ReadBytesPerS/1024, p.WrittenBytesPerS/1024, p.Sockets)
 	}
 	fmt.Fprintln(out, "channel\tmessages/s\trequests KB/s\tanswers KB/s")
-	for _, name := range slices.Sorted(maps.Keys(r.Channels)) {
-		traffic := r.Channels[name]
-		fmt.Fprintf(out, "%s\t%.1f\t%.1f\t%.1f\n", name, traffic.MessagesPerS, traffic.InBytesPerS/1024, traffic.OutBytesPerS/1024)
+	for _, name := range slices.Sorted(maps.Keys(r.Traffic)) {
+		traffic := r.Traffic[name]
+		fmt.Fprintf(out, "%s\t%.1f\t%.1f\t%.1f\n", name, traffic.MessagesPerS, traffic.RequestBytesPerS/1024, traffic.ResponseBytesPerS/1024)
 	}
 	fmt.Fprintln(out, "wait\ttasks\tp50 s\tp90 s\tp99 s\tmax s")
 	for _, class := range slices.Sorted(maps.Keys(r.Waits)) {
