--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -13,7 +13,7 @@
 type Log struct {
 	mu     sync.Mutex
 	points []Point
-	events []Mark
+	events []Event
 	limits map[string]float64 // by chart
 }
 
@@ -25,8 +25,8 @@
 	Value   float64 `parquet:"value"`
 }
 
-// Mark is an event of a run. Seconds is the time since the start of the run.
-type Mark struct {
+// Event is an event of a run. Seconds is the time since the start of the run.
+type Event struct {
 	Seconds float64
 	Text    string
 }
@@ -48,11 +48,11 @@
 	l.limits[chart] = value
 }
 
-// AddMark adds an event. at is the time since the start of the run.
-func (l *Log) AddMark(at time.Duration, text string) {
+// AddEvent adds an event. at is the time since the start of the run.
+func (l *Log) AddEvent(at time.Duration, text string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.events = append(l.events, Mark{at.Seconds(), text})
+	l.events = append(l.events, Event{at.Seconds(), text})
 }
 
 // Points returns the values of all series in the order in which they were added.
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -18,7 +18,7 @@
 		l.Add("GPUs", "used", at, float64(i))
 		l.Add("Starts", "a second", at, 2)
 	}
-	l.AddMark(2*time.Second, "leader killed <north>")
+	l.AddEvent(2*time.Second, "leader killed <north>")
 	return l
 }
 
--- a/internal/history/page.go
+++ b/internal/history/page.go
@@ -14,7 +14,7 @@
 <body><h1>{{.Title}}</h1>
 <pre>{{.Summary}}</pre>
 {{range .Charts}}<h2>{{.Name}}</h2>{{.Drawing}}{{end}}
-{{if .Marks}}<h2>Failures</h2><ul>{{range .Marks}}<li>{{printf "%.1f" .Seconds}} s: {{.Text}}</li>{{end}}</ul>{{end}}
+{{if .Events}}<h2>Failures</h2><ul>{{range .Events}}<li>{{printf "%.1f" .Seconds}} s: {{.Text}}</li>{{end}}</ul>{{end}}
 </body></html>
 `))
 
@@ -32,8 +32,8 @@
 	page := struct {
 		Title, Summary string
 		Charts         []chartDrawing
-		Marks          []Mark
-	}{Title: title, Summary: summary, Marks: l.events}
+		Events         []Event
+	}{Title: title, Summary: summary, Events: l.events}
 	for _, name := range l.chartNames() {
 		drawing, err := l.chart(name).draw()
 		if err != nil {
--- a/internal/history/plot.go
+++ b/internal/history/plot.go
@@ -25,7 +25,7 @@
 type chart struct {
 	series   map[string]plotter.XYs
 	limit    float64 // 0 for none
-	events   []Mark
+	events   []Event
 	endS     float64 // time of the last value in seconds
 	maxValue float64 // highest value or limit
 }
--- a/internal/hollow/failures.go
+++ b/internal/hollow/failures.go
@@ -10,10 +10,10 @@
 // recordFailure adds a failure to the history as an event.
 func (r *runner) recordFailure(failure Failure) {
 	if r.region != nil {
-		r.region.run.usage.history.AddMark(r.live.Now(), failure.Kind+" in "+r.region.name)
+		r.region.run.usage.history.AddEvent(r.live.Now(), failure.Kind+" in "+r.region.name)
 		return
 	}
-	r.history.AddMark(r.live.Now(), failure.Kind)
+	r.history.AddEvent(r.live.Now(), failure.Kind)
 }
 
 // injectFailure injects a failure. If there is no leader to kill, it tries again every
