--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// reportTraffic adds the traffic of each channel to the report.
+// reportTraffic adds the traffic between the controllers and each kind of peer to the report.
 func (r *runner) reportTraffic(report *Report, duration time.Duration) {
 	report.Traffic = map[string]TrafficStats{
 		"workers' reports":    newTrafficStats(&r.workerTraffic, duration),
@@ -101,13 +101,15 @@
 func newTrafficStats(traffic *httpserve.Traffic, duration time.Duration) TrafficStats {
 	durationS := duration.Seconds()
 	return TrafficStats{
-		MessagesPerS:     perSecond(float64(traffic.Requests.Load()), durationS),
-		RequestBytesPerS: perSecond(float64(traffic.RequestBytes.Load()), durationS), ResponseBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), durationS),
+		MessagesPerS:      perSecond(float64(traffic.Requests.Load()), durationS),
+		RequestBytesPerS:  perSecond(float64(traffic.RequestBytes.Load()), durationS),
+		ResponseBytesPerS: perSecond(float64(traffic.ResponseBytes.Load()), durationS),
 	}
 }
 
-// peerTraffic returns the traffic between controllers. It is not counted directly: the bytes are all bytes
-// that the controllers read, less those that the simulation sent them. The number of messages is unknown.
+// peerTraffic returns the traffic between controllers. It is not counted directly: RequestBytesPerS is
+// computed from all bytes that the controllers read, less those that the simulation sent them. The number
+// of messages is unknown.
 func (r *runner) peerTraffic(duration time.Duration) TrafficStats {
 	read := int64(0)
 	for _, c := range r.controllers {
