--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,6 +1,6 @@
-// Package history records the history of a run: time series, grouped into named charts, and events such
-// as injected failures. It writes them to an Apache Parquet file and to a self-contained HTML page with
-// plots. Package hollow uses it.
+// Package history records the history of a run: time series, grouped into named charts, and events
+// such as injected failures. It writes them to an Apache Parquet file and to a self-contained HTML
+// page with plots. Package hollow uses it.
 package history
 
 import (
@@ -9,7 +9,8 @@
 	"time"
 )
 
-// Log is the history of a run. Its zero value is empty and ready to use. It is safe for concurrent use.
+// Log is the history of a run. Its zero value is empty and ready to use. It is safe for concurrent
+// use.
 type Log struct {
 	mu     sync.Mutex
 	points []Point
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -22,8 +22,8 @@
 	return l
 }
 
-// TestParquet writes a history to a Parquet file and reads it back. All values and the event must be in
-// it, and reading a file that does not exist must fail.
+// TestParquet writes a history to a Parquet file and reads it back. All values and the event must
+// be in it, and reading a file that does not exist must fail.
 func TestParquet(t *testing.T) {
 	l := sampleLog()
 	path := filepath.Join(t.TempDir(), "run.parquet")
@@ -43,8 +43,8 @@
 	}
 }
 
-// TestPage checks the HTML page of a history: it must contain a plot of each chart and escape text, and
-// must not load scripts or other files.
+// TestPage checks the HTML page of a history: it must contain a plot of each chart and escape text,
+// and must not load scripts or other files.
 func TestPage(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "run.html")
 	if err := sampleLog().WritePage(path, "A <run>", "rules broken: 0"); err != nil {
--- a/internal/history/page.go
+++ b/internal/history/page.go
@@ -24,8 +24,8 @@
 	Drawing template.HTML
 }
 
-// WritePage writes a self-contained HTML page with a plot of each chart. Horizontal dashed lines show
-// limits, vertical dashed lines show events. The summary is shown as preformatted text.
+// WritePage writes a self-contained HTML page with a plot of each chart. Horizontal dashed lines
+// show limits, vertical dashed lines show events. The summary is shown as preformatted text.
 func (l *Log) WritePage(path, title, summary string) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/history/parquet.go
+++ b/internal/history/parquet.go
@@ -9,8 +9,8 @@
 // eventChart is the name in the chart column of events in a Parquet file.
 const eventChart = "failures"
 
-// WriteParquet writes values and events to a Parquet file with the columns chart, series, seconds and
-// value. An event's row has the chart "failures", its text as the series and the value 0.
+// WriteParquet writes values and events to a Parquet file with the columns chart, series, seconds
+// and value. An event's row has the chart "failures", its text as the series and the value 0.
 func (l *Log) WriteParquet(path string) error {
 	rows := l.Points()
 	l.mu.Lock()
--- a/internal/hollow/experiment.go
+++ b/internal/hollow/experiment.go
@@ -1,8 +1,9 @@
-// Package hollow runs load tests and failure tests of real controller processes. Thousands of hollow
-// workers, the users, the cloud and the key-value store are simulated in one process; they use the real
-// protocol over loopback and the real clock. A hollow worker is a simulated worker that reports to a
-// real controller, like the hollow nodes of Kubernetes' load tests. The simulation and the checker,
-// which reports violations of the scheduler's rules, are those of package sim.
+// Package hollow runs load tests and failure tests of real controller processes. Thousands of
+// hollow workers, the users, the cloud and the key-value store are simulated in one process; they
+// use the real protocol over loopback and the real clock. A hollow worker is a simulated worker
+// that reports to a real controller, like the hollow nodes of Kubernetes' load tests. The
+// simulation and the checker, which reports violations of the scheduler's rules, are those of
+// package sim.
 //
 // The package starts and kills processes, listens on loopback addresses and writes files to the
 // directory of a run. The command brookwalk-hollow calls it.
@@ -64,8 +65,8 @@
 	UpShare       float64 `toml:"up_share"` // share of the on-demand machines that are up at the start
 }
 
-// Teams describes a number of equal teams: CPUs and GPUs are the sums of their guarantees, CPUsMax and
-// GPUsMax the sums of their limits.
+// Teams describes a number of equal teams: CPUs and GPUs are the sums of their guarantees, CPUsMax
+// and GPUsMax the sums of their limits.
 type Teams struct {
 	Count   int     `toml:"count"`
 	CPUs    float64 `toml:"cpus"`
@@ -80,8 +81,8 @@
 	return config.Team{CPUs: teams.CPUs / count, CPUsMax: teams.CPUsMax / count, GPUs: teams.GPUs / count, GPUsMax: teams.GPUsMax / count}
 }
 
-// ClassObjective is the service-level objective of a class of jobs: the share of them that has to meet
-// the time, see config.Objective.
+// ClassObjective is the service-level objective of a class of jobs: the share of them that has to
+// meet the time, see config.Objective.
 type ClassObjective struct {
 	Kind    string  `toml:"kind"`
 	Class   string  `toml:"class"`
@@ -130,8 +131,8 @@
 	AtS   float64 `toml:"at_s"`
 	Kind  string  `toml:"kind"`
 	Share float64 `toml:"share"` // share of the workers that are removed
-	Zone  string  `toml:"zone"`
-	ForS  float64 `toml:"for_s"`
+	Zone  string  `toml:"zone"`  // zone that fails; for workers_gone, their zone, or empty for all zones
+	ForS  float64 `toml:"for_s"` // duration of a zone failure, an outage or a partition
 	// Region is the region in which the failure is injected; empty for all regions. A partition
 	// blocks connections from Region to the region To, or to all others if To is empty. With BothWays
 	// it also blocks the opposite direction.
--- a/internal/hollow/experiment_validate.go
+++ b/internal/hollow/experiment_validate.go
@@ -68,8 +68,8 @@
 	e.validateRegions(errs)
 }
 
-// validateDeployment validates the controllers' settings and the rate limits of the key-value store and
-// the cloud.
+// validateDeployment validates the controllers' settings and the rate limits of the key-value store
+// and the cloud.
 func (e *Experiment) validateDeployment(errs *fieldErrors) {
 	errs.checkPositive("workers.report_s", e.Workers.ReportS)
 	errs.checkPositive("workers.lease_s", e.Workers.LeaseS)
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// TestParseNamesField makes one field of a valid experiment invalid. The error must name that field.
+// TestParseNamesField makes one field of a valid experiment invalid. The error must name that
+// field.
 func TestParseNamesField(t *testing.T) {
 	data, err := os.ReadFile(smallExperiment)
 	if err != nil {
@@ -73,8 +74,9 @@
 	return path
 }
 
-// runSmallExperiment runs the small experiment, scaled to about a hundred workers and with the given
-// failures, until stopWhen returns true. It returns the report and the directory of the run. A rule violation fails the test.
+// runSmallExperiment runs the small experiment, scaled to about a hundred workers and with the
+// given failures, until stopWhen returns true. It returns the report and the directory of the run.
+// A rule violation fails the test.
 func runSmallExperiment(ctx context.Context, t *testing.T, stopWhen func(*observer) bool, failures ...Failure) (*Report, string) {
 	t.Helper()
 	experiment, err := Load(smallExperiment)
@@ -94,8 +96,9 @@
 	return rep, dir
 }
 
-// TestRunSurvivesFailures kills the leader and a fifth of the workers at the same time, and a zone four
-// seconds later. Another leader must start tasks after both failures, and no rule may be violated.
+// TestRunSurvivesFailures kills the leader and a fifth of the workers at the same time, and a zone
+// four seconds later. The run ends when tasks start again after both failures. A later leader must
+// have started tasks, and no rule may be violated.
 func TestRunSurvivesFailures(t *testing.T) {
 	startsAtZoneLoss := 0
 	recovered := func(o *observer) bool {
@@ -127,8 +130,8 @@
 	}
 }
 
-// TestRunKillsItsProcesses cancels the context of a run. The run must return a report that is marked as
-// interrupted, and must kill all its controllers.
+// TestRunKillsItsProcesses cancels the context of a run. The run must return a report that is
+// marked as interrupted, and must kill all its controllers.
 func TestRunKillsItsProcesses(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
--- a/internal/hollow/load_generator.go
+++ b/internal/hollow/load_generator.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// submitInitial schedules the submission of a class's initial tasks, spread evenly over InitialS. The
-// last job is cut to the number of tasks left, unless it is a gang: gangs keep their size.
+// submitInitial schedules the submission of a class's initial tasks, spread evenly over InitialS.
+// The last job is cut to the number of tasks left, unless it is a gang: gangs keep their size.
 func (l *loadGenerator) submitInitial(class *JobClass) {
 	submitted := 0
 	for i := 0; submitted < class.InitialTasks; i++ {
@@ -60,8 +60,8 @@
 	intervalFactorRange = 1.0
 )
 
-// submitNext submits the class's job with index i and schedules the next one so that the mean rate of
-// submitted tasks is TasksPerSecond.
+// submitNext submits the class's job with index i and schedules the next one so that the mean rate
+// of submitted tasks is TasksPerSecond.
 func (l *loadGenerator) submitNext(class *JobClass, i int) {
 	tasks := class.jobSize(i)
 	l.submit(class, tasks)
--- a/internal/hollow/observer.go
+++ b/internal/hollow/observer.go
@@ -8,8 +8,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Histograms of waits count milliseconds with three significant digits. A longer wait than maxWaitMS,
-// an hour, counts as an hour.
+// Histograms of waits count milliseconds with three significant digits. A longer wait than
+// maxWaitMS, an hour, counts as an hour.
 const (
 	maxWaitMS         = int64(time.Hour / time.Millisecond)
 	significantDigits = 3
@@ -37,7 +37,8 @@
 	return hdrhistogram.New(1, maxWaitMS, significantDigits)
 }
 
-// Started records the start of a task. A start with a fencing token above killedTerm ends the failover.
+// Started records the start of a task. A start with a fencing token above killedTerm ends the
+// failover.
 func (o *observer) Started(start sim.TaskStart) {
 	o.starts++
 	if o.killedTerm != 0 && start.FencingToken > o.killedTerm {
@@ -64,8 +65,9 @@
 	}
 }
 
-// recordLeaderKill records that a leader was killed. term is the highest term that a worker has seen, 0
-// before the first; it counts as at least 1 because a killedTerm of 0 means that no failover is open.
+// recordLeaderKill records that a leader was killed. term is the highest term that a worker has
+// seen, 0 before the first; it counts as at least 1 because a killedTerm of 0 means that no
+// failover is open.
 func (o *observer) recordLeaderKill(at time.Duration, term uint64) {
 	if o.killedTerm != 0 {
 		o.failoversWithoutStart++
--- a/internal/hollow/process_usage.go
+++ b/internal/hollow/process_usage.go
@@ -20,8 +20,8 @@
 // clockTick is the unit of CPU times in /proc/PID/stat: USER_HZ is 100 on all common Linux builds.
 const clockTick = 10 * time.Millisecond
 
-// readUsage reads the usage of a process from /proc. It fails if the CPU times cannot be read; other
-// values that cannot be read are 0.
+// readUsage reads the usage of a process from /proc. It fails if the CPU times cannot be read;
+// other values that cannot be read are 0.
 func readUsage(pid int) (processUsage, error) {
 	dir := "/proc/" + strconv.Itoa(pid)
 	var used processUsage
--- a/internal/hollow/region_link.go
+++ b/internal/hollow/region_link.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// forward copies the data of an accepted connection to the target until either side or the link closes
-// the connection. It copies in this direction only: the other region opens connections of its own.
+// forward copies the data of an accepted connection to the target until either side or the link
+// closes the connection. It copies in this direction only: the other region opens connections of
+// its own.
 func (l *regionLink) forward(from net.Conn, target string) {
 	defer l.closeConnection(from)
 	if !l.track(from) {
@@ -77,7 +78,8 @@
 	}
 }
 
-// track adds an open connection. It returns false during a partition, when connections are rejected.
+// track adds an open connection. It returns false during a partition, when connections are
+// rejected.
 func (l *regionLink) track(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -14,8 +14,8 @@
 )
 
 // Region is one of several regions of an experiment. Each region is a separate deployment with all
-// controllers, machines and jobs that the file describes. The teams' limits and guarantees hold over
-// all regions together.
+// controllers, machines and jobs that the file describes. The teams' limits and guarantees hold
+// over all regions together.
 type Region struct {
 	Name       string  `toml:"name"`
 	LoadFactor float64 `toml:"load"` // factor by which the region's load is multiplied
@@ -42,11 +42,11 @@
 	run             *regionRun
 	name            string
 	regionListen    []string // address of each controller for connections from other regions
-	regionsFilePath string   // of the regions file of this region's controllers
+	regionsFilePath string   // path of this region's regions file
 }
 
-// runRegions runs an experiment with several regions. Its report contains the report of each region and
-// the teams' usage over all regions.
+// runRegions runs an experiment with several regions. Its report contains the report of each region
+// and the teams' usage over all regions.
 func runRegions(ctx context.Context, experiment *Experiment, options Options) (*Report, error) {
 	claim, err := loopback.NewClaim()
 	if err != nil {
@@ -129,8 +129,9 @@
 	return quotaPlan
 }
 
-// teamPlan divides the limits and guarantees of a team among the regions, in whole CPUs and GPUs. The
-// last region owns the remainder, so that the owned parts add up to the limit.
+// teamPlan divides the limits and guarantees of a team among the regions. Owned parts are rounded
+// down to whole CPUs and GPUs. The last region owns the remainder, so that they add up to the
+// limit.
 func (g *regionRun) teamPlan(i int) plan.Team {
 	limit := g.experiment.teamLimit()
 	team := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
@@ -148,8 +149,9 @@
 	return team
 }
 
-// writeRegionsFile writes the regions file of a region and returns its path. The file lists the addresses
-// of links in place of the other regions' controllers, so that the regions can be partitioned.
+// writeRegionsFile writes the regions file of a region and returns its path. The file lists the
+// addresses of links in place of the other regions' controllers, so that the regions can be
+// partitioned.
 func (g *regionRun) writeRegionsFile(i int, dir string) (string, error) {
 	own := *g.plan
 	own.Regions = slices.Clone(g.plan.Regions)
@@ -214,7 +216,8 @@
 	}
 }
 
-// combineReports combines the regions' reports and the teams' usage over all regions into one report.
+// combineReports combines the regions' reports and the teams' usage over all regions into one
+// report.
 func (g *regionRun) combineReports(reports []*Report) *Report {
 	combined := &Report{Experiment: g.experiment.Name, Regions: reports, Teams: g.usage.report(), History: g.usage.history}
 	for _, report := range reports {
@@ -231,8 +234,8 @@
 // historyInterval is the time between two points of a series in the history.
 const historyInterval = 250 * time.Millisecond
 
-// recordHistory starts to record the teams' usage and the regions' owned shares. The returned function
-// stops it.
+// recordHistory starts to record the teams' usage and the regions' owned shares. The returned
+// function stops it.
 func (g *regionRun) recordHistory() (stop func()) {
 	done := make(chan struct{})
 	var recorder sync.WaitGroup
@@ -243,8 +246,8 @@
 	}
 }
 
-// recordUntil samples the teams' usage every historyInterval, and writes the progress, until the channel
-// is closed.
+// recordUntil samples the teams' usage every historyInterval, and writes the progress, until the
+// channel is closed.
 func (g *regionRun) recordUntil(done <-chan struct{}) {
 	startedAt, lastProgress := time.Now(), time.Now()
 	tick := time.NewTicker(historyInterval)
--- a/internal/hollow/regions_test.go
+++ b/internal/hollow/regions_test.go
@@ -11,10 +11,10 @@
 	"github.com/brookwalk/brookwalk/internal/history"
 )
 
-// TestRegionsByProcesses runs three regions of real controllers that share the limits of four teams. The
-// load exceeds the limits. A leader is killed, a region is partitioned from the others, and all controllers
-// of another region are killed. No team may exceed its limit at any time, every region must start tasks, and
-// shares of the limits must move between regions.
+// TestRegionsByProcesses runs three regions of real controllers that share the limits of four
+// teams. The load exceeds the limits. A leader is killed, a region is partitioned from the others,
+// and all controllers of another region are killed. No team may exceed its limit at any time, every
+// region must start tasks, and shares of the limits must move between regions.
 func TestRegionsByProcesses(t *testing.T) {
 	experiment, err := Load("../../experiments/regions.toml")
 	if err != nil {
@@ -64,7 +64,8 @@
 	return err == nil && strings.Contains(string(output), "team-03")
 }
 
-// checkRegion checks that a region started tasks and that none of its processes exited unexpectedly.
+// checkRegion checks that a region started tasks and that none of its processes exited
+// unexpectedly.
 func checkRegion(t *testing.T, region *Report) {
 	t.Helper()
 	if region.StartCommands == 0 {
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -26,10 +26,12 @@
 	MeanStartsPerS   float64   `json:"starts_a_second"`
 	UrgentWaits      WaitStats `json:"urgent_wait"` // of tasks with priority critical or urgent
 
-	Waits                 map[string]WaitStats `json:"waits"`
-	FailoverS             []float64            `json:"next_start_after_leader_s"`    // from each kill of a leader to a start by a later one
-	FailoversWithoutStart int                  `json:"leaders_without_a_next_start"` // kills of a leader without such a start
-	Violations            []string             `json:"rules_broken"`
+	Waits map[string]WaitStats `json:"waits"`
+	// FailoverS has the times from the kill of a leader to the first task start by a later leader,
+	// FailoversWithoutStart the number of kills without such a start.
+	FailoverS             []float64 `json:"next_start_after_leader_s"`
+	FailoversWithoutStart int       `json:"leaders_without_a_next_start"`
+	Violations            []string  `json:"rules_broken"`
 
 	// In an experiment with several regions: the report of each region, and the teams' usage over
 	// all regions.
@@ -61,8 +63,8 @@
 	ResponseBytesPerS float64 `json:"response_bytes_per_s"`
 }
 
-// WaitStats summarizes how long tasks waited, from the first attempt to submit their job to their first
-// start.
+// WaitStats summarizes how long tasks waited, from the first attempt to submit their job to their
+// first start.
 type WaitStats struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_s"`
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// peerTraffic returns the traffic between controllers. It is not counted directly: RequestBytesPerS is
-// computed from all bytes that the controllers read, less those that the simulation sent them. The number
-// of messages is unknown.
+// peerTraffic returns the traffic between controllers. It is not counted directly: RequestBytesPerS
+// is computed from all bytes that the controllers read, less those that the simulation sent them.
+// The number of messages is unknown.
 func (r *runner) peerTraffic(duration time.Duration) TrafficStats {
 	read := int64(0)
 	for _, c := range r.controllers {
--- a/internal/hollow/report_write.go
+++ b/internal/hollow/report_write.go
@@ -23,8 +23,8 @@
 // maxListedViolations bounds how many violations a table lists.
 const maxListedViolations = 10
 
-// WriteTable writes a summary of the report as text tables. With several regions, it writes one summary for
-// each region and a table of the teams' usage.
+// WriteTable writes a summary of the report as text tables. With several regions, it writes one
+// summary for each region and a table of the teams' usage.
 func (r *Report) WriteTable(out io.Writer) error {
 	var text strings.Builder
 	if len(r.Regions) > 0 {
--- a/internal/hollow/runner.go
+++ b/internal/hollow/runner.go
@@ -49,8 +49,8 @@
 	listeners map[string]io.Closer // by name of machine or service
 }
 
-// Run runs an experiment until its end or until the context is cancelled, and returns the report. It
-// kills every process that it started before it returns.
+// Run runs an experiment until its end or until the context is cancelled, and returns the report.
+// It kills every process that it started before it returns.
 func Run(ctx context.Context, experiment *Experiment, options Options) (*Report, error) {
 	if len(experiment.Regions) > 0 {
 		return runRegions(ctx, experiment, options)
--- a/internal/hollow/runner_setup.go
+++ b/internal/hollow/runner_setup.go
@@ -33,8 +33,8 @@
 	skewMs = 10
 )
 
-// prepare creates the simulation, starts the servers of the key-value store and the cloud, and writes the
-// controllers' settings.
+// prepare creates the simulation, starts the servers of the key-value store and the cloud, and
+// writes the controllers' settings.
 func (r *runner) prepare() error {
 	settings := r.settings()
 	r.live = sim.NewLive(sim.LiveConfig{
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// usageObserver returns the function that records changes of the teams' usage; nil in an experiment with
-// a single region.
+// usageObserver returns the function that records changes of the teams' usage; nil in an experiment
+// with a single region.
 func (r *runner) usageObserver() func(team string, cpus, gpus float64) {
 	if r.region == nil {
 		return nil
@@ -75,12 +75,12 @@
 	return func(team string, cpus, gpus float64) { r.region.run.usage.add(r.region.name, team, cpus, gpus) }
 }
 
-// A requestHandler handles a request of a controller. It is called with the simulation locked and may
-// call reply later.
+// A requestHandler handles a request of a controller. It is called with the simulation locked and
+// may call reply later.
 type requestHandler func(method, path string, body []byte, reply func(status int, body []byte))
 
-// listen starts a server for a simulated service or worker on the address. It counts the traffic and
-// runs until the runner is closed.
+// listen starts a server for a simulated service or worker on the address. It counts the traffic
+// and runs until the runner is closed.
 func (r *runner) listen(name, address string, traffic *httpserve.Traffic, handle requestHandler) (*httpserve.Server, error) {
 	server, err := httpserve.Listen(address, traffic, func(request *httpwire.Request, reply func(httpserve.Response)) {
 		r.live.Do(func() {
@@ -103,8 +103,8 @@
 	return r.listen(name, serviceHost+":0", traffic, handle)
 }
 
-// serveWorker starts the server of a machine's worker on an IP address of its own and returns the address.
-// A worker that cannot listen receives no direct commands.
+// serveWorker starts the server of a machine's worker on an IP address of its own and returns the
+// address. A worker that cannot listen receives no direct commands.
 func (r *runner) serveWorker(machine string) string {
 	server, err := r.listen(machine, workerIP(machine)+":0", &r.commandTraffic,
 		func(method, path string, body []byte, reply func(int, []byte)) {
@@ -131,7 +131,8 @@
 	}
 }
 
-// workerIP returns the loopback IP address of a machine's worker: 127.128.0.0 plus the machine's number.
+// workerIP returns the loopback IP address of a machine's worker: 127.128.0.0 plus the machine's
+// number.
 func workerIP(machine string) string {
 	number, _ := strconv.Atoi(strings.TrimPrefix(machine, machinePrefix)) // package sim names machines by number
 	var ip [net.IPv4len]byte
@@ -151,8 +152,8 @@
 	return addresses, nil
 }
 
-// addController writes the settings of controller i and attaches its process to the simulation, which
-// starts it. listen and peerListen contain the addresses of all controllers.
+// addController writes the settings of controller i and attaches its process to the simulation,
+// which starts it. listen and peerListen contain the addresses of all controllers.
 func (r *runner) addController(i int, settings config.Settings, listen, peerListen []string) error {
 	settings.Name, settings.Zone = r.live.Name(i), r.live.Zone(i)
 	settings.Listen, settings.PeerListen = listen[i], peerListen[i]
@@ -195,8 +196,8 @@
 	return nil
 }
 
-// writeOperatorSettings writes the operators' settings file of controller i and returns its path. Without
-// such settings it writes no file and returns an empty path.
+// writeOperatorSettings writes the operators' settings file of controller i and returns its path.
+// Without such settings it writes no file and returns an empty path.
 func (r *runner) writeOperatorSettings(i int) (string, error) {
 	var text []byte
 	if r.experiment.Operator.IdleReturnS != 0 {
--- a/internal/hollow/sampling.go
+++ b/internal/hollow/sampling.go
@@ -14,8 +14,8 @@
 // steadyFraction is the fraction of the run after which the steady phase begins.
 const steadyFraction = 0.6
 
-// sampleUntil samples the processes' resource usage every sampleInterval, and writes the progress, until
-// the channel is closed.
+// sampleUntil samples the processes' resource usage every sampleInterval, and writes the progress,
+// until the channel is closed.
 func (r *runner) sampleUntil(done <-chan struct{}) {
 	tick := time.NewTicker(sampleInterval)
 	defer tick.Stop()
@@ -39,8 +39,8 @@
 	}
 }
 
-// sampleProcesses samples the resource usage of the controllers and of this process during a phase of the
-// run.
+// sampleProcesses samples the resource usage of the controllers and of this process during a phase
+// of the run.
 func (r *runner) sampleProcesses(phase runPhase) {
 	for _, c := range r.controllers {
 		c.sampleUsage(phase)
--- a/internal/hollow/team_usage.go
+++ b/internal/hollow/team_usage.go
@@ -11,8 +11,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// usageMeter tracks the resources that each team's tasks use on the workers of all regions. It checks
-// every change against the team's limits.
+// usageMeter tracks the resources that each team's tasks use on the workers of all regions. It
+// checks every change against the team's limits.
 type usageMeter struct {
 	mu         sync.Mutex
 	teams      []string
@@ -63,8 +63,8 @@
 // amountTolerance absorbs rounding errors in sums of resources.
 const amountTolerance = 1e-6
 
-// add records a change of a team's usage in a region. A change that leaves the usage above a limit is a
-// violation.
+// add records a change of a team's usage in a region. A change that leaves the usage above a limit
+// is a violation.
 func (m *usageMeter) add(region, team string, cpus, gpus float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,8 +102,8 @@
 	return teams
 }
 
-// readLedgers reads the quota ledgers of the regions from their key-value stores. It omits a ledger that
-// cannot be loaded, for example because the first leader has not written it yet.
+// readLedgers reads the quota ledgers of the regions from their key-value stores. It omits a ledger
+// that cannot be loaded, for example because the first leader has not written it yet.
 func readLedgers(runners []*runner) map[string]*ledger.Ledger {
 	ledgers := map[string]*ledger.Ledger{}
 	for _, runner := range runners {
@@ -134,8 +134,8 @@
 	}
 }
 
-// ownedGPUs returns how many GPUs of a team's limit a region owns according to its ledger. hasLimit is
-// false if there is no ledger or no limit.
+// ownedGPUs returns how many GPUs of a team's limit a region owns according to its ledger. hasLimit
+// is false if there is no ledger or no limit.
 func ownedGPUs(l *ledger.Ledger, team string) (gpus float64, hasLimit bool) {
 	if l == nil {
 		return 0, false
