--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -9,15 +9,17 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Best-effort teams have no guarantee while others have one. Their work gets what the other teams
-// leave, at a low price: no machine is provisioned or kept for it whose type costs expensiveRatio
-// times as much for it as another one does.
+// Best-effort teams have no guarantee while other teams have one. Their tasks run on capacity that
+// the other teams leave unused, at a low price: no machine is provisioned or kept for them if its
+// type costs at least expensiveRatio times as much per task as the cheapest type.
 
-// expensiveRatio is how many times as much as on the cheapest type a task costs on an expensive
-// one: more than the waste of tasks that fit badly, which is up to about twice.
+// expensiveRatio is the price per task from which on a machine type is expensive, as a multiple of
+// that of the cheapest type. Tasks that pack badly raise the price per task to about twice at most,
+// so the ratio is above that.
 const expensiveRatio = 4
 
-// taskPrice is the hourly price of a job's task on a full machine of a type; not ok if none fits.
+// taskPrice returns the hourly price of one of a job's tasks on a full machine of a type; ok is
+// false if no task fits.
 func taskPrice(job *wire.Job, machineType *wire.MachineType) (price float64, ok bool) {
 	fit := cluster.TypeCapacity(machineType).Fit(cluster.TaskSize(job), provisioning.MaxTasksPerMachine)
 	if fit == 0 {
@@ -26,12 +28,12 @@
 	return machineType.Price / float64(fit), true
 }
 
-// cheapTypes lists the machine types that a job may use and that are not expensive for it, by
-// name.
+// cheapTypes returns the names of the machine types that a job may use and that are not expensive
+// for it, in order.
 func (l *leader) cheapTypes(job *wire.Job) []string {
 	prices := map[string]float64{}
 	lowest := math.Inf(1)
-	for name, machineType := range l.core.machineTypes { // in any order: only the lowest price counts
+	for name, machineType := range l.core.machineTypes { // map order has no effect: only the lowest price counts
 		if price, ok := taskPrice(job, machineType); ok && emptyOrContains(job.MachineTypes, name) {
 			prices[name] = price
 			lowest = min(lowest, price)
@@ -40,14 +42,15 @@
 	return slices.DeleteFunc(sortedKeys(prices), func(name string) bool { return prices[name] >= expensiveRatio*lowest })
 }
 
-// releaseFromBestEffort drains a machine that is expensive for its tasks, once it has run only
-// those of best-effort teams for as long as a machine may be idle, so that it can be returned.
+// releaseFromBestEffort drains an expensive machine, so that it can be returned, once it has run
+// only tasks of best-effort teams for as long as a machine may be idle. The type must be expensive
+// for all of its tasks.
 func (l *leader) releaseFromBestEffort(machine *cluster.Machine) {
 	if !l.runsBestEffortOnly(machine) {
 		return
 	}
-	alone := l.core.now - max(machine.GuaranteedUntil, machine.FirstHeartbeat, l.recordsLoadedAt)
-	if alone < l.maxIdleTime() || l.core.now-machine.CreatedAt < minBilledTime {
+	bestEffortOnlyTime := l.core.now - max(machine.GuaranteedUntil, machine.FirstHeartbeat, l.recordsLoadedAt)
+	if bestEffortOnlyTime < l.maxIdleTime() || l.core.now-machine.CreatedAt < minBilledTime {
 		return
 	}
 	if l.isCheapForSomeTask(machine) {
@@ -57,8 +60,8 @@
 	machine.Evicting = true
 }
 
-// runsBestEffortOnly reports whether a usable machine that is not needed otherwise runs only tasks
-// of best-effort teams.
+// runsBestEffortOnly reports whether a usable machine runs only tasks of best-effort teams and is
+// neither used by the last plan nor reserved for a job.
 func (l *leader) runsBestEffortOnly(machine *cluster.Machine) bool {
 	if machine.GuaranteedTasks > 0 || len(machine.Placements) == 0 || !l.usable(machine) {
 		return false
@@ -66,7 +69,7 @@
 	return !l.fleet.keptIdle[machine.Name] && machine.ReservedFor == nil
 }
 
-// isCheapForSomeTask reports whether a machine is of a cheap type for one of its tasks.
+// isCheapForSomeTask reports whether a machine's type is cheap for at least one of its tasks.
 func (l *leader) isCheapForSomeTask(machine *cluster.Machine) bool {
 	var last *cluster.Job
 	for _, ref := range machine.Placements {
@@ -78,7 +81,7 @@
 	return false
 }
 
-// emptyOrContains reports whether a list names something; an empty list names all.
+// emptyOrContains reports whether a list allows a name; an empty list allows all names.
 func emptyOrContains(list []string, name string) bool {
 	return len(list) == 0 || slices.Contains(list, name)
 }
--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -11,10 +11,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// packCandidate packs a candidate's tasks, adds them to their team's usage and logs why they wait.
+// packCandidate packs a candidate's pending tasks, adds them to their team's usage and logs why
+// they wait.
 func (p *scaleOutPlan) packCandidate(candidate *candidate, usage map[string]topology.Resources) {
-	// Capacity that is being preempted for it is not provisioned as well, also where the
-	// placement pass did not come to it.
+	// No machines are provisioned for tasks that other tasks are being preempted for, even if the
+	// placement pass ended before it reached this candidate.
 	candidate.ReservedTasks = max(candidate.ReservedTasks, p.leader.reservedTasks(candidate.Job))
 	packing := p.newCandidatePacking(candidate, usage[candidate.Job.Team])
 	reason := packing.packTasks()
@@ -30,15 +31,16 @@
 	candidate   *candidate
 	spec        provisioning.TaskSpec
 	zones       provisioning.ZoneFilter
-	tasksByZone map[string]int // that were packed
-	last        *provisioning.Bin
+	tasksByZone map[string]int    // number of packed tasks
+	last        *provisioning.Bin // where the last task was packed; nil if there is none
 
 	limit       teamlimit.Limit
-	used        topology.Resources // by the team, with what was packed
-	preemptible topology.Resources // of it, what the team's limit does not count for this candidate
+	used        topology.Resources // by the team, including the packed tasks
+	preemptible topology.Resources // part of used that the limit does not count, as it may be preempted
 }
 
-// newCandidatePacking prepares to pack a candidate's tasks; used is what its team uses by then.
+// newCandidatePacking returns the packing of a candidate whose team uses the given resources so
+// far.
 func (p *scaleOutPlan) newCandidatePacking(candidate *candidate, used topology.Resources) *candidatePacking {
 	l, job := p.leader, candidate.Job
 	packing := &candidatePacking{
@@ -51,24 +53,26 @@
 	}
 	packing.zones = packing.allowedZones()
 	if candidate.PreemptionPriority > 0 && !packing.allows(len(candidate.Pending)) {
-		// Within the limit, the team's tasks of lower priorities are preempted, but only where
-		// there is a machine to start on.
+		// Tasks of the team with lower priorities are preempted to stay within the limit, but only
+		// once there is a machine for the candidate's tasks. It is therefore provisioned in spite
+		// of the limit.
 		packing.preemptible = p.preemptibleUsage(job.Team, candidate.PreemptionPriority)
 	}
 	return packing
 }
 
-// allows reports whether the team's limit allows a number of tasks more.
+// allows reports whether the team's limit allows a number of further tasks.
 func (c *candidatePacking) allows(tasks int) bool {
 	return c.limit.Allows(c.used.Sub(c.preemptible), c.spec.Resources, tasks)
 }
 
-// packTasks packs the candidate's tasks and returns why they wait; empty if there are none.
+// packTasks packs the candidate's tasks and returns why they wait; empty if no task waits.
 func (c *candidatePacking) packTasks() cluster.WaitReason {
 	l, demand := c.plan.leader, c.plan.demand
 	wanted := l.plannedTasks(c.candidate) - c.candidate.ReservedTasks
 	if demand != nil && c.candidate.Job.Shape == wire.ShapeGang && !c.allows(wanted) {
-		// A part of the gang cannot start, and would only take a share from other regions.
+		// A gang starts only as a whole: packing part of it would claim capacity from other
+		// regions without use.
 		demand.recordShortage(c.candidate, wanted)
 		return l.limitReason(c.candidate.Job)
 	}
@@ -90,7 +94,7 @@
 	return ""
 }
 
-// packNext packs one task and reports whether there is a machine for it.
+// packNext packs the next task and reports whether there is a machine for it.
 func (c *candidatePacking) packNext() bool {
 	c.last = c.plan.Pack(&c.spec, c.zones, c.last, c.candidate.Job.ID)
 	if c.last == nil {
@@ -101,7 +105,8 @@
 	return true
 }
 
-// allowedZones is the filter for the next task's zone, by how many tasks were packed in each zone.
+// allowedZones returns the filter for the zones in which the next task may be packed, which depends
+// on the number of tasks already packed in each zone. It is nil if all zones are allowed.
 func (c *candidatePacking) allowedZones() provisioning.ZoneFilter {
 	job := c.candidate.Job
 	if job.OneZone && job.TasksPlaced == 0 && c.candidate.ReservedTasks == 0 {
@@ -120,7 +125,7 @@
 	}
 }
 
-// preemptibleUsage is the leader's preemptibleUsage, found once in a plan.
+// preemptibleUsage returns the leader's preemptibleUsage, computed at most once per plan.
 func (p *scaleOutPlan) preemptibleUsage(team string, level int) topology.Resources {
 	key := teamLevel{team, level}
 	usage, ok := p.preemptible[key]
@@ -131,8 +136,8 @@
 	return usage
 }
 
-// candidateTaskSpec is what a pending task of a candidate requires of a machine. No expensive
-// machine is provisioned or kept for best-effort work.
+// candidateTaskSpec returns what a pending task of a candidate requires of a machine. For
+// best-effort tasks, no machines of expensive types are provisioned or kept.
 func (l *leader) candidateTaskSpec(candidate *candidate) provisioning.TaskSpec {
 	spec := taskSpec(candidate.Job)
 	if candidate.BestEffort {
@@ -141,16 +146,17 @@
 	return spec
 }
 
-// Of an array, a plan provisions for the tasks that together run longer than bootsOfWorkPerSlot
-// boots on a slot each, and for minPlannedTasks in any case: tens of thousands of tasks of a second
-// or two are done before machines for all of them have booted.
+// A plan provisions as many task slots for an array that each slot has work for bootsOfWorkPerSlot
+// boot times, but at least minPlannedTasks. Tens of thousands of tasks that run for a second or two
+// would be done before machines for all of them have booted.
 const (
 	bootsOfWorkPerSlot = 4
 	minPlannedTasks    = 500
 )
 
-// plannedTasks is for how many of a candidate's pending tasks a plan provisions: all of a service
-// or a gang, which cannot be larger than the fleet may be.
+// plannedTasks returns the number of a candidate's pending tasks that a plan provisions for: all
+// tasks of a service or a gang, which cannot be larger than the largest allowed fleet, and those of
+// an array as described above.
 func (l *leader) plannedTasks(candidate *candidate) int {
 	pending := len(candidate.Pending)
 	if candidate.Job.Shape != wire.ShapeArray || pending <= minPlannedTasks {
--- a/internal/core/cloud_transport.go
+++ b/internal/core/cloud_transport.go
@@ -6,13 +6,13 @@
 	"github.com/brookwalk/brookwalk/internal/cloudapi"
 )
 
-// cloudRetryDelay is the time between a call to the cloud that failed and the next one.
+// cloudRetryDelay is the time after which a failed call to the cloud is retried.
 const cloudRetryDelay = time.Second
 
-// cloudTransport carries the requests of the cloud's client as calls of the core.
+// cloudTransport sends the cloud client's requests as calls of the core.
 type cloudTransport struct{ core *Core }
 
-// Send makes a call to the cloud.
+// Send sends a request to the cloud; done receives the response.
 func (t cloudTransport) Send(request cloudapi.Request, done func(cloudapi.Response)) {
 	call := Call{
 		Destination: DestinationCloud,
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -11,28 +11,30 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// machinesPerConsolidation is how many machines a fleet has for each one that is emptied at a
-// time, so that a larger fleet shrinks as fast.
+// machinesPerConsolidation is the fleet size per machine that is emptied in a base interval: the
+// interval is divided by the number of such units, so that a larger fleet shrinks at the same
+// relative rate.
 const machinesPerConsolidation = 400
 
-// consolidate empties a machine all of whose replicas fit on other machines that are up and hold
-// their images, so that it can be returned. A replica that moves is away for the time of a stop
-// and a start. One machine is emptied at a time, and only while no task waits for capacity.
+// consolidate empties one machine whose replicas all fit on other usable machines that have their
+// images cached, so that it can be returned. A replica that moves is unavailable while it is
+// stopped and started. At most one machine is emptied per consolidation interval, and only while no
+// task waits for capacity.
 func (l *leader) consolidate(bins []*provisioning.Bin, candidates []*candidate) {
 	if !l.mayConsolidate(bins, candidates) {
 		return
 	}
 	fleet := &l.fleet
 	sources, targets := l.consolidationSources(bins), l.consolidationTargets(bins)
-	// Whether all replicas fit changes slowly, and finding out costs an evaluation of many
-	// machines for each source.
+	// The search evaluates many machines for each source, and its result changes slowly: it is
+	// repeated at most once per heartbeat interval.
 	fleet.nextConsolidationAt = l.core.now + l.core.heartbeatInterval()
 	limit := l.scheduler.Evaluations() + l.scheduler.EvaluationBudget()
 	first := slices.IndexFunc(sources, func(machine *cluster.Machine) bool { return machine.Name == fleet.consolidateFrom })
 	fleet.consolidateFrom = ""
 	for _, source := range sources[max(first, 0):] {
 		if l.scheduler.Evaluations() > limit {
-			fleet.consolidateFrom = source.Name // the next call resumes there
+			fleet.consolidateFrom = source.Name // the next call resumes here
 			return
 		}
 		if destinations := l.consolidationPlan(source, targets); destinations != nil {
@@ -43,7 +45,8 @@
 	}
 }
 
-// mayConsolidate reports whether it is time to empty a machine: no task waits and nothing is to
+// mayConsolidate reports whether a machine may be emptied now: the consolidation interval has
+// passed, the records were loaded at least a worker lease ago, no task waits and no machine is to
 // be provisioned.
 func (l *leader) mayConsolidate(bins []*provisioning.Bin, candidates []*candidate) bool {
 	if l.core.now < l.fleet.nextConsolidationAt || l.core.now-l.recordsLoadedAt < l.core.workerLease() {
@@ -55,7 +58,7 @@
 	return !slices.ContainsFunc(bins, func(b *provisioning.Bin) bool { return b.ToProvision })
 }
 
-// anyPending reports whether tasks wait for capacity, other than those that fail on every machine.
+// anyPending reports whether any tasks wait for capacity. Tasks of faulty jobs do not count.
 func anyPending(candidates []*candidate) bool {
 	return slices.ContainsFunc(candidates, func(c *candidate) bool { return len(c.Pending) > 0 && !c.Faulty })
 }
@@ -66,8 +69,8 @@
 	machine *cluster.Machine
 }
 
-// consolidationTargets lists the machines with free capacity that replicas may move to, by the
-// images that they hold.
+// consolidationTargets returns the machines with free capacity that replicas may move to, by the
+// name of each image in their caches.
 func (l *leader) consolidationTargets(bins []*provisioning.Bin) map[string][]consolidationTarget {
 	targets := map[string][]consolidationTarget{}
 	for _, b := range bins {
@@ -82,8 +85,8 @@
 	return targets
 }
 
-// consolidationSources lists the machines that may be emptied: first those that are cordoned and
-// run replicas only, then the most expensive ones.
+// consolidationSources returns the machines that may be emptied, all of which run replicas only:
+// first the cordoned ones, then the most expensive ones.
 func (l *leader) consolidationSources(bins []*provisioning.Bin) []*cluster.Machine {
 	var sources []*cluster.Machine
 	for _, b := range bins {
@@ -101,7 +104,8 @@
 	return sources
 }
 
-// consolidatesBefore orders the machines that may be emptied.
+// consolidatesBefore reports whether machine a is to be emptied before machine b: cordoned machines
+// come first, then those with a higher price, then those with fewer tasks.
 func (l *leader) consolidatesBefore(a, b *cluster.Machine) bool {
 	if cordonedA, cordonedB := a.DrainReason != "", b.DrainReason != ""; cordonedA != cordonedB {
 		return cordonedA
@@ -112,7 +116,8 @@
 	return len(a.Placements) < len(b.Placements)
 }
 
-// evacuate moves a machine's replicas to others, given in their order.
+// evacuate moves a machine's replicas to the destinations, which are in the order of its
+// placements.
 func (l *leader) evacuate(machine *cluster.Machine, destinations []*cluster.Machine) {
 	for i, replica := range machine.Placements {
 		replica.Job.ReschedulingTargets[replica.Index] = destinations[i]
@@ -121,14 +126,14 @@
 	machine.Evicting = true
 }
 
-// consolidationInterval is the time between two machines that are emptied.
+// consolidationInterval returns the time after which the next machine may be emptied.
 func (l *leader) consolidationInterval() time.Duration {
 	return l.baseConsolidationInterval() / time.Duration(max(1, len(l.MachinesByName)/machinesPerConsolidation))
 }
 
-// baseConsolidationInterval is that of a fleet that empties one machine at a time. A returned
-// machine takes its images with it: while jobs of a class arrive whose image is pulled too slowly
-// everywhere, the interval is long.
+// baseConsolidationInterval returns the consolidation interval of a small fleet. Returning a
+// machine loses its cached images, so the interval is longer while jobs arrive of a class whose
+// image takes too long to pull on every machine type.
 func (l *leader) baseConsolidationInterval() time.Duration {
 	for _, class := range sortedKeys(l.arrivalsByClass) {
 		arrivals := l.arrivalsByClass[class]
@@ -142,14 +147,14 @@
 	return 2 * l.core.heartbeatInterval()
 }
 
-// jobZone names a job in a zone.
+// jobZone is a job and a zone, as a map key.
 type jobZone struct {
 	job  *cluster.Job
 	zone string
 }
 
-// consolidationPlan finds a machine for each replica of a source, in their order; nil if one of
-// them fits nowhere.
+// consolidationPlan returns a machine for each replica of a source, in the order of its placements;
+// nil if there is none for one of them.
 func (l *leader) consolidationPlan(source *cluster.Machine, targets map[string][]consolidationTarget) []*cluster.Machine {
 	plan := &consolidation{
 		leader:      l,
@@ -171,16 +176,16 @@
 	return destinations
 }
 
-// consolidation is the plan to empty a machine.
+// consolidation is a plan to empty a machine.
 type consolidation struct {
 	leader      *leader
 	source      *cluster.Machine
-	planned     map[*provisioning.Bin]topology.Resources // used by moves that are planned
-	movedToZone map[jobZone]int                          // replicas of a job that move to a zone
+	planned     map[*provisioning.Bin]topology.Resources // used by planned moves
+	movedToZone map[jobZone]int                          // number of a job's replicas that move to a zone
 }
 
-// chooseTarget finds the target with the least free capacity for a replica of a job, and plans the
-// move; one without a machine if there is none.
+// chooseTarget returns the target with the least free capacity that can hold a replica of a job
+// (best fit), and plans the move. The result has no machine if no target can.
 func (p *consolidation) chooseTarget(job *cluster.Job, targets []consolidationTarget) consolidationTarget {
 	size := cluster.TaskSize(&job.Job)
 	zoneBound := scheduler.ZoneBound(job)
@@ -209,24 +214,25 @@
 	return best
 }
 
-// mayMoveTo reports whether a replica of a job may move to a target, if it fits there.
+// mayMoveTo reports whether a replica of a job may move to a target, apart from capacity and zone
+// bounds.
 func (p *consolidation) mayMoveTo(job *cluster.Job, target consolidationTarget) bool {
 	machine := target.machine
 	return machine != p.source && scheduler.AllowsMachine(job, machine) && !p.leader.outliers.HasFailures(machine.Name) && !p.returnedSoon(target)
 }
 
-// zoneCapacity is how many more replicas of a job may move to a zone within its bound.
+// zoneCapacity returns how many more replicas of a job may move to a zone within the zone's bound.
 func (p *consolidation) zoneCapacity(job *cluster.Job, zone string, bound func(string) int) int {
 	n := bound(zone) - p.movedToZone[jobZone{job, zone}]
 	if zone == p.source.Zone {
-		n++ // the replica that moves no longer counts there
+		n++ // the moved replica no longer counts in its old zone
 	}
 	return n
 }
 
-// returnedSoon reports whether a target is idle, needed for nothing and no cheaper than the
-// source: it is about to be returned itself. After a job's end replicas once moved from a machine
-// that ran well to one that the job had left empty.
+// returnedSoon reports whether a target is idle, unused by the plan and no cheaper than the source,
+// so that it is about to be returned itself. Without this check, replicas moved from a machine that
+// ran well to one left empty by a job that had ended. A cordoned source is emptied to any target.
 func (p *consolidation) returnedSoon(target consolidationTarget) bool {
 	machine := target.machine
 	idle := !target.Used && len(machine.Placements) == 0
--- a/internal/core/dependent_plan.go
+++ b/internal/core/dependent_plan.go
@@ -7,11 +7,11 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// A job that waits for dependencies is known before it may start. Machines for it are provisioned
-// while its last dependencies run, so that it need not wait for a boot once they are done.
+// A job that waits for dependencies is known before it may start. Its machines are provisioned
+// while its last dependencies run, so that they have booted once the dependencies are done.
 
-// packDependents packs the jobs that wait for dependencies and are ready before a machine that is
-// provisioned now would be up, within their teams' limits.
+// packDependents packs, within their teams' limits, the jobs that wait for dependencies but are
+// expected to be ready before a machine provisioned now would be.
 func (p *scaleOutPlan) packDependents(usage map[string]topology.Resources) {
 	for _, job := range p.leader.JobsBySubmission {
 		if !p.leader.startsSoon(job) {
@@ -25,8 +25,8 @@
 	}
 }
 
-// startsSoon reports whether a job that waits for dependencies is expected to be ready before a
-// machine that is provisioned for it now would be up.
+// startsSoon reports whether a job waits for dependencies that are expected to be done before a
+// machine provisioned now would be ready for the job.
 func (l *leader) startsSoon(job *cluster.Job) bool {
 	if !job.AwaitingDependencies || !job.Loaded || job.Cancellation.Requested() {
 		return false
@@ -41,8 +41,8 @@
 	})
 }
 
-// remainingRunTime is how long a job is expected to run on, in seconds; infinite while it waits or
-// some of its tasks have no machine.
+// remainingRunTime returns how much longer a job is expected to run, in seconds. It is infinite
+// while the job waits for dependencies or some of its tasks have no machine.
 func (l *leader) remainingRunTime(job *cluster.Job) float64 {
 	if job.AwaitingDependencies || !job.Loaded || job.TasksPlaced+job.TasksDone < len(job.TaskStates) {
 		return math.Inf(1)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -7,27 +7,27 @@
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 )
 
-// fleet is the leader's state of provisioning: what it requests from the cloud and returns to it,
-// and what it knows of the cloud's answers. Its parts are grouped by concern; each names the file
-// that changes it.
+// fleet is the leader's state of scaling the fleet: provisioning requests, machine returns and what
+// is known from the cloud's responses. Its fields are grouped by concern; the comment on each group
+// names the files that change it.
 type fleet struct {
 	scaleOut
 	scaleIn
 	inventory
 	consolidationState
 
-	partitionedAt  map[string]time.Duration // when a zone was last seen partitioned; health.go
-	urgentCommands map[string]bool          // machines to send commands to at once; stops.go
+	partitionedAt  map[string]time.Duration // when a zone was last found partitioned; health.go
+	urgentCommands map[string]bool          // machines to send commands to at this tick; stops.go
 }
 
-// consolidationState is the state of emptying machines whose replicas fit on others, see
-// consolidation.go.
+// consolidationState is the state of emptying machines whose replicas fit on other machines. Only
+// consolidation.go changes it.
 type consolidationState struct {
-	consolidateFrom     string        // the machine to begin with, if the last search was cut short
-	nextConsolidationAt time.Duration // no machine is consolidated before
+	consolidateFrom     string        // machine at which the next search starts, if the last one exceeded its budget
+	nextConsolidationAt time.Duration // earliest time of the next search
 }
 
-// newFleet makes the state of a new leader for its term.
+// newFleet returns the fleet state of a new leader.
 func newFleet(deployment *config.Deployment, term uint64) fleet {
 	return fleet{
 		scaleOut: scaleOut{
@@ -41,7 +41,7 @@
 	}
 }
 
-// tickFleet makes the calls to the cloud that are due, and drains and returns machines.
+// tickFleet makes the due calls to the cloud, and drains and returns machines.
 func (l *leader) tickFleet() {
 	l.checkFleetSize()
 	l.returnPending()
--- a/internal/core/fleet_size.go
+++ b/internal/core/fleet_size.go
@@ -1,19 +1,21 @@
 package core
 
-// failoverWorkerCapacity is how many workers the controllers serve while one of them is down.
+// failoverWorkerCapacity returns how many workers the controllers can serve while one of them is
+// down.
 func (c *Core) failoverWorkerCapacity() int {
 	deployment := &c.settings.Deployment
 	return deployment.MaxWorkers(deployment.Size - 1)
 }
 
-// checkFleetSize warns, once each time, when the fleet outgrows the sockets that the controllers
-// have while one of them is down: the leases of the workers beyond them would expire.
+// checkFleetSize logs a warning, once each time, when the fleet has more machines than the
+// controllers have connections for while one of them is down: the leases of the workers without a
+// connection would expire.
 func (l *leader) checkFleetSize() {
 	machines, capacity := len(l.MachinesByName), l.core.failoverWorkerCapacity()
 	outgrown := machines > capacity
 	if outgrown && !l.controllersOutgrown {
 		deployment := &l.core.settings.Deployment
-		l.core.log.Warn("fleet outgrows the controllers' sockets", "machines", machines, "capacity_with_one_down", capacity,
+		l.core.log.Warn("fleet has more machines than the controllers can serve with one of them down", "machines", machines, "capacity_with_one_down", capacity,
 			"max_connections", deployment.MachineLimits.MaxConnections, "controllers", deployment.Size)
 	}
 	l.controllersOutgrown = outgrown
--- a/internal/core/forecast.go
+++ b/internal/core/forecast.go
@@ -10,32 +10,32 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// classArrivals is what the leader keeps of a class's submissions.
+// classArrivals records the submissions of a class.
 type classArrivals struct {
 	forecast.Arrivals
-	lastJob *cluster.Job // the newest one
+	lastJob *cluster.Job // submitted last
 }
 
-// recordArrival counts a submission, by the time of its record: a new leader learns from the open
-// jobs what was submitted lately.
+// recordArrival records the submission of a job at the time stored in its record, so that a new
+// leader knows the recent arrivals from the records of open jobs.
 func (l *leader) recordArrival(job *cluster.Job) {
 	arrivals := l.arrivalsByClass[job.Class]
 	if arrivals == nil {
 		arrivals = &classArrivals{}
 		l.arrivalsByClass[job.Class] = arrivals
 	}
-	starts := 1
+	arrivalCount := 1
 	if job.Shape != wire.ShapeArray {
-		starts = len(job.TaskStates)
+		arrivalCount = len(job.TaskStates)
 	}
 	age := time.Duration(max(0, l.core.wallClockMS-job.WaitingSinceMS)) * time.Millisecond
-	arrivals.Record(l.core.now-age, l.core.now, len(job.TaskStates), starts)
+	arrivals.Record(l.core.now-age, l.core.now, len(job.TaskStates), arrivalCount)
 	arrivals.lastJob = job
 }
 
-// forecastObjectives lists the objectives that future tasks are provisioned for: the waiting times
-// of classes and, for the classes without one whose last job was within its team's quota, the
-// waiting time of guaranteed work.
+// forecastObjectives returns the objectives for which machines are provisioned in advance: the
+// waiting-time objectives of classes and, for each class without one whose last job was guaranteed,
+// the waiting-time objective of guaranteed jobs.
 func (l *leader) forecastObjectives() []config.Objective {
 	var waits, guarantees []config.Objective
 	hasWait := map[string]bool{} // by class
@@ -59,16 +59,17 @@
 	return append(waits, guarantees...)
 }
 
-// isGuaranteed reports whether a job is within the quota of a team that has a guarantee of what the
-// job uses. The job may be nil.
+// isGuaranteed reports whether a job is within its team's quota and some team has a guarantee of a
+// resource that the job uses. The job may be nil.
 func (l *leader) isGuaranteed(job *cluster.Job) bool {
 	return job != nil && job.WithinQuota && l.core.anyGuaranteeFor(&job.Job)
 }
 
-// expectedTasks is how many tasks of a class to provision for: as many as may be submitted while a
-// machine boots and pulls the class's image, if on a slow boot that takes longer than the class may
-// wait. The share of the objective sets the probability that they suffice; a class that has been
-// seen always has capacity for a task.
+// expectedTasks returns the number of future tasks of a class to provision for: the tasks expected
+// to be submitted while a machine boots and pulls the class's image. It is 0 if even a slow boot
+// and the pull finish within the waiting time of the objective. The objective's share is the
+// probability that the number suffices. A class with a recorded submission has capacity for at
+// least one task.
 func (l *leader) expectedTasks(arrivals *classArrivals, objective config.Objective) int {
 	leadS, slowLeadS, ok := l.leadTime(arrivals.lastJob)
 	if !ok || slowLeadS <= objective.WithinS {
@@ -76,7 +77,7 @@
 	}
 	tasks := arrivals.Expected(l.core.now, leadS, objective.Share)
 	if objective.Kind == objectiveGuarantee && arrivals.lastJob.Shape == wire.ShapeArray {
-		// The objective counts an array's wait up to the start of its last task.
+		// The objective measures an array's wait until its last task starts.
 		tasks *= int(math.Round(arrivals.AverageJobSize()))
 	}
 	if limit := l.core.operatorSettings.WarmMachines; limit != nil {
@@ -85,11 +86,12 @@
 	return tasks
 }
 
-// leadTime is how long a machine for a job takes to boot and to pull the job's image, at its type's
-// usual boot time and at a slow one, in seconds; not ok if no machine type may run the job.
+// leadTime returns how long a machine for a job takes to boot and to pull the job's image, in
+// seconds: with the usual boot time of its type and with a slow one. ok is false if no machine type
+// can run the job.
 func (l *leader) leadTime(job *cluster.Job) (usualS, slowS float64, ok bool) {
 	usualS, slowS = math.Inf(1), math.Inf(1)
-	for _, machineType := range l.core.machineTypes { // in any order: only the least counts
+	for _, machineType := range l.core.machineTypes { // map order has no effect: only the minimum counts
 		if !emptyOrContains(job.MachineTypes, machineType.Name) || !cluster.TypeCapacity(machineType).Holds(cluster.TaskSize(&job.Job)) {
 			continue
 		}
--- a/internal/core/image_cache.go
+++ b/internal/core/image_cache.go
@@ -6,26 +6,26 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// recordImageUse records that a machine holds an image, and which of the others its cache must have
-// evicted for it, the least recently used first.
+// recordImageUse records that a machine has an image in its cache, and removes the least recently
+// used images, which the cache must have evicted to make room.
 func (l *leader) recordImageUse(machine *cluster.Machine, name string, gb float64) {
-	used := cluster.Image{Name: name, GB: gb}
-	if len(machine.CachedImages) > 0 && machine.CachedImages[0] == used {
+	mostRecent := cluster.Image{Name: name, GB: gb}
+	if len(machine.CachedImages) > 0 && machine.CachedImages[0] == mostRecent {
 		return
 	}
-	limit := math.Inf(1)
+	capacityGB := math.Inf(1)
 	if machineType := l.core.machineTypes[machine.TypeName]; machineType != nil && machineType.CacheGB > 0 {
-		limit = machineType.CacheGB
+		capacityGB = machineType.CacheGB
 	}
 	added := !machine.HasImage(name)
 	cached := make([]cluster.Image, 0, len(machine.CachedImages)+1)
-	cached = append(cached, used)
-	sum := gb
+	cached = append(cached, mostRecent)
+	usedGB := gb
 	for _, image := range machine.CachedImages {
 		if image.Name == name {
 			continue
 		}
-		if sum += image.GB; sum > limit {
+		if usedGB += image.GB; usedGB > capacityGB {
 			break
 		}
 		cached = append(cached, image)
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -10,31 +10,31 @@
 )
 
 const (
-	minListInterval = 2 * time.Second // between two readings of the machine list
-	listCallShare   = 4               // at most one in so many calls to the cloud reads the list
+	minListInterval = 2 * time.Second // between two reads of the machine list
+	listCallShare   = 4               // at most one in listCallShare calls to the cloud reads the list
 )
 
-// inventory is the state of reading the cloud's machine list, which shows machines that came or
-// went unnoticed. This file changes it.
+// inventory is the state of reading the cloud's machine list. The list shows machines that the
+// leader does not know of, and machines that no longer exist. Only this file changes it.
 type inventory struct {
 	listInFlight   bool
 	nextListAt     time.Duration
-	listedMachines map[string]bool // by the present or the last reading
+	listedMachines map[string]bool // listed by the read in progress or the last one
 }
 
-// listInterval is the time between two readings of the list: the more pages it has, the longer, to
-// leave calls for provisioning and returns.
+// listInterval returns the time between two reads of the machine list. It grows with the number of
+// pages, to leave enough of the cloud's rate limit for provisioning and returns.
 func (l *leader) listInterval() time.Duration {
 	pages := (len(l.fleet.listedMachines) + cloudapi.ListPageSize - 1) / cloudapi.ListPageSize
 	return max(minListInterval, config.Seconds(float64(pages*listCallShare)/l.core.settings.Deployment.Cloud.RPS))
 }
 
-// listLag is how old the list may be.
+// listLag returns the maximum age of the cloud's machine list.
 func (l *leader) listLag() time.Duration {
 	return time.Duration(l.core.settings.Deployment.Cloud.ListLagS * float64(time.Second))
 }
 
-// startListing begins to read the list when it is due.
+// startListing starts to read the machine list if it is due.
 func (l *leader) startListing() {
 	if l.fleet.listInFlight || l.core.now < l.fleet.nextListAt {
 		return
@@ -44,7 +44,7 @@
 	l.listPage("")
 }
 
-// listPage reads the page of the list that begins after a machine's name.
+// listPage reads the page of the machine list that starts after the given machine name.
 func (l *leader) listPage(after string) {
 	l.core.cloud.ListMachines(after, func(result cloudapi.ListResult) {
 		switch {
@@ -58,7 +58,7 @@
 	})
 }
 
-// recordListPage records the machines of a page, and reads the next one if there is one.
+// recordListPage records the machines of a page, and reads the next page if there is one.
 func (l *leader) recordListPage(page *wire.MachineList) {
 	for i := range page.Machines {
 		listed := &page.Machines[i]
@@ -74,8 +74,8 @@
 	l.returnUnlisted()
 }
 
-// returnUnlisted returns machines that a whole reading of the list did not show, if that is not
-// due to its lag.
+// returnUnlisted returns the machines that are missing from a complete read of the list, unless the
+// list's lag may be the reason.
 func (l *leader) returnUnlisted() {
 	policy := l.scaleInPolicy()
 	for _, machine := range l.MachinesByName {
@@ -89,7 +89,7 @@
 	}
 }
 
-// recordListed records a machine that the cloud lists.
+// recordListed records a machine from the cloud's list.
 func (l *leader) recordListed(listed *wire.Machine) {
 	if returnedAt, ok := l.returnedMachines[listed.Name]; ok {
 		l.returnAgain(listed.Name, returnedAt)
@@ -98,12 +98,13 @@
 	machine, known := l.Machines[listed.Name]
 	if !known {
 		machine = l.machineNamed(listed.Name)
-		l.core.log.Info("machine listed", "machine", listed.Name, "type", listed.Type, "zone", listed.Zone, "status", listed.Status)
+		l.core.log.Info("unknown machine found in the cloud's list", "machine", listed.Name, "type", listed.Type, "zone", listed.Zone, "status", listed.Status)
 	}
-	// Without its listed age, a machine that is known from records or heartbeats was as old as
-	// this leader's knowledge of it, and was kept for the least billed time once more. One that
-	// is known from records and has not sent a heartbeat yet keeps that age: by the listed one it
-	// would count as late in booting, and a second machine would be provisioned for its work.
+	// The leader first takes a machine known from records or heartbeats to be as old as its own
+	// knowledge of it. If the listed age did not correct that, the machine would be kept for the
+	// minimum billed time once more. A machine known from records that has sent no heartbeat yet
+	// is not corrected: by its listed age it would be late in booting, and a second machine would
+	// be provisioned for its tasks.
 	if !known || machine.LastHeartbeat != 0 {
 		machine.CreatedAt = min(machine.CreatedAt, l.core.now-config.Seconds(listed.AgeS))
 	}
@@ -115,8 +116,8 @@
 	machine.ListedAs = listed.Status
 }
 
-// returnAgain returns a machine once more if it is still listed long after its return was
-// confirmed.
+// returnAgain returns a machine once more if it is still listed more than four list lags after its
+// return was confirmed.
 func (l *leader) returnAgain(name string, returnedAt time.Duration) {
 	if l.core.now-returnedAt > 4*l.listLag() {
 		l.returnedMachines[name] = l.core.now
--- a/internal/core/machine_types.go
+++ b/internal/core/machine_types.go
@@ -10,14 +10,15 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// How often the cloud is asked for its machine types.
+// Intervals at which the machine types are requested from the cloud.
 const (
 	machineTypesPeriod        = 20 * time.Second
 	machineTypesInitialPeriod = time.Second // while none are known
 )
 
-// tickMachineTypes asks the cloud for its machine types periodically, and stores the last answer
-// so that a restart during an outage of the cloud can still validate submissions.
+// tickMachineTypes requests the machine types from the cloud periodically, and stores the last
+// response so that a controller that restarts during an outage of the cloud can still validate
+// submissions.
 func (c *Core) tickMachineTypes() {
 	period := machineTypesPeriod
 	if len(c.machineTypes) == 0 {
@@ -38,8 +39,8 @@
 	})
 }
 
-// storeMachineTypes stores an answer of the cloud, if this controller leads and the answer has
-// changed.
+// storeMachineTypes stores a response of the cloud if this controller leads, the response has
+// changed and it fits in a value of the store.
 func (c *Core) storeMachineTypes(body []byte) {
 	raw := string(body)
 	if c.leader == nil || raw == c.machineTypesStored || len(raw) > c.store.MaxValue() {
@@ -50,10 +51,11 @@
 		Conditions: []wire.Condition{c.leader.termCondition()},
 		Writes:     []wire.Write{{Put: records.KeyMachineTypes, Value: body}},
 	}
-	c.store.Commit(txn, func(kv.TxnResult) {}) // if it fails, the next answer of the cloud is kept
+	c.store.Commit(txn, func(kv.TxnResult) {}) // after a failure, the next response that differs is stored
 }
 
-// loadMachineTypes reads the stored answer of the cloud, for a controller that has had none.
+// loadMachineTypes reads the stored response of the cloud, for a controller that has not received
+// one.
 func (c *Core) loadMachineTypes() {
 	c.store.Get(records.KeyMachineTypes, func(result kv.GetResult) {
 		if result.Status == kv.OK && len(c.machineTypes) == 0 {
@@ -62,8 +64,8 @@
 	})
 }
 
-// setMachineTypes replaces the machine types by those of an answer of the cloud. It reports
-// whether the answer holds any.
+// setMachineTypes replaces the machine types with those of a response of the cloud. It returns
+// false and changes nothing if the response contains none or cannot be decoded.
 func (c *Core) setMachineTypes(body []byte) bool {
 	var answer wire.MachineTypes
 	if json.Unmarshal(body, &answer) != nil || len(answer.Types) == 0 {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -6,18 +6,19 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// machineNamed finds a machine; one that is not known is added.
+// machineNamed returns the machine of the given name, and adds it if it is not known.
 func (l *leader) machineNamed(name string) *cluster.Machine {
 	return l.GetOrAddMachine(name, l.core.now)
 }
 
-// dropMachine forgets a machine.
+// dropMachine removes a machine and the evidence about its task failures.
 func (l *leader) dropMachine(machine *cluster.Machine) {
 	l.outliers.ForgetMachine(machine.Name)
 	l.DropMachine(machine)
 }
 
-// describe sets what kind of machine one is. An empty address leaves the one that is known.
+// describe sets a machine's address, type, zone and whether it is a spot machine. An empty address
+// leaves the known one unchanged.
 func (l *leader) describe(machine *cluster.Machine, address, typeName, zone string, spot bool) {
 	if address != "" {
 		machine.Address = address
@@ -25,7 +26,7 @@
 	machine.TypeName, machine.Zone, machine.Spot, machine.Described = typeName, zone, spot, true
 }
 
-// capacityOf is all that a machine offers; false if its type is not known.
+// capacityOf returns the total capacity of a machine; false if its type is not known.
 func (l *leader) capacityOf(machine *cluster.Machine) (topology.Resources, bool) {
 	machineType := l.typeOf(machine)
 	if machineType == nil || !machine.Described {
@@ -34,8 +35,8 @@
 	return cluster.TypeCapacity(machineType), true
 }
 
-// typeOf is the type of a machine as the cloud last described it; nil if that is not known. It
-// is looked up by name once for each answer of the cloud.
+// typeOf returns the type of a machine as the cloud last described it; nil if it is not known. The
+// lookup by name is cached until the cloud's next response.
 func (l *leader) typeOf(machine *cluster.Machine) *wire.MachineType {
 	if machine.MachineType == nil || machine.MachineType.Name != machine.TypeName || machine.MachineTypeGeneration != l.core.machineTypesGeneration {
 		machine.MachineType, machine.MachineTypeGeneration = l.core.machineTypes[machine.TypeName], l.core.machineTypesGeneration
@@ -43,9 +44,11 @@
 	return machine.MachineType
 }
 
-// usable reports whether a machine may take tasks. Its worker must have heard of this term: a
-// late copy of a heartbeat never shows that. A worker that answers but whose lease expired
-// reaches no controller with its heartbeats: whatever it is given ends with the next lease.
+// usable reports whether a machine accepts tasks: it is not leaving the fleet, commands reach it,
+// it has been in contact recently, and its worker has reported this term's fencing token, which a
+// delayed heartbeat of an earlier term cannot contain. A worker that answers probes but whose lease
+// has expired is not usable either: its heartbeats reach no controller, so that tasks placed there
+// would end when the next lease expires.
 func (l *leader) usable(machine *cluster.Machine) bool {
 	switch {
 	case machine.FencingToken < l.leadership.Term:
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -9,13 +9,13 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// machinePrice is the price of a machine, an hour.
+// machinePrice returns the hourly price of a machine.
 func (l *leader) machinePrice(machine *cluster.Machine) float64 {
 	return offerPrice(l.typeOf(machine), machine.Offer())
 }
 
-// offerPrice is the price of an offer's machines, an hour; 0 if their type is nil, that is, not
-// known.
+// offerPrice returns the hourly price of an offer's machines, of the given type; 0 if the type is
+// nil because it is not known.
 func offerPrice(machineType *wire.MachineType, offer provisioning.Offer) float64 {
 	switch {
 	case machineType == nil:
@@ -27,8 +27,8 @@
 	}
 }
 
-// offersOf is what the cloud offers of a machine type in zones that are not partitioned: by zone,
-// spot machines first.
+// offersOf returns the offers for a machine type in the zones that are not partitioned, zone by
+// zone, spot machines first.
 func (l *leader) offersOf(machineType *wire.MachineType) iter.Seq[provisioning.Offer] {
 	return func(yield func(provisioning.Offer) bool) {
 		for _, zone := range machineType.Zones {
@@ -44,7 +44,7 @@
 	}
 }
 
-// availableOffers lists the offers of which machines may be requested now, by type.
+// availableOffers returns the offers of which machines may be requested now, ordered by type.
 func (l *leader) availableOffers() []provisioning.OfferDetails {
 	var available []provisioning.OfferDetails
 	for _, name := range sortedKeys(l.core.machineTypes) {
@@ -65,9 +65,9 @@
 	return available
 }
 
-// anyOfferFor reports whether the cloud may grant a machine for a job now.
+// anyOfferFor reports whether there is an offer for a job that is not in its backoff.
 func (l *leader) anyOfferFor(job *wire.Job) bool {
-	for _, machineType := range l.core.machineTypes { // in any order: one is enough
+	for _, machineType := range l.core.machineTypes { // map order has no effect: one is enough
 		if !cluster.TypeCapacity(machineType).Holds(cluster.TaskSize(job)) {
 			continue
 		}
@@ -80,15 +80,15 @@
 	return false
 }
 
-// zonePartitioned reports whether a zone is, or was a moment ago, partitioned from this controller:
-// a machine that is provisioned there is of no use before the partition ends.
+// zonePartitioned reports whether a zone was partitioned from this controller within the last
+// heartbeat interval. A machine provisioned there would be of no use until the partition ends.
 func (l *leader) zonePartitioned(zone string) bool {
 	at, ok := l.fleet.partitionedAt[zone]
 	return ok && l.core.now-at < l.core.heartbeatInterval()
 }
 
-// backOffOffer records that the cloud has no more machines of an offer. The next plan takes
-// another one.
+// backOffOffer records that the cloud has refused an offer, and requests a pass whose plan uses
+// other offers.
 func (l *leader) backOffOffer(offer provisioning.Offer, backoff time.Duration) {
 	l.fleet.availability.RecordRefusal(offer, l.core.now+backoff)
 	l.fleet.requests.DropOffer(offer)
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -7,43 +7,44 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Bounds of the time for which a job whose tasks fail waits until the next one is placed.
+// Bounds of the exponential backoff before the next task of a failing job is placed.
 const (
 	maxRetryDoublings = 6
 	maxRetryLeases    = 2 // worker leases
 )
 
-// recordTaskFailure records that a task failed on a machine. Package outlier decides which of the
-// two is the cause. After a first failure a machine is only avoided where there is a choice; a
-// job that fails on several waits longer and longer (exponential backoff).
+// recordTaskFailure records that a task failed on a machine. Package outlier decides whether the
+// job or the machine is the cause. After a first failure, the job's tasks avoid the machine if
+// there is another one; a job that fails on several machines is retried with exponential backoff.
 func (l *leader) recordTaskFailure(job *cluster.Job, machine *cluster.Machine) {
 	wasFaulty := l.outliers.JobFaulty(job.ID)
 	l.outliers.RecordFailure(job.ID, machine.Name)
 	if !wasFaulty && l.outliers.JobFaulty(job.ID) {
-		l.core.log.Info("job fails on every machine", "job", job.ID, "class", job.Class, "machines", l.outliers.FailedMachineCount(job.ID))
+		l.core.log.Info("job considered faulty: its tasks fail on every machine", "job", job.ID, "class", job.Class, "machines", l.outliers.FailedMachineCount(job.ID))
 	}
 	l.backOff(job)
 	l.evaluateMachine(machine)
 }
 
-// backOff sets when the next task of a job that has failed may be placed.
+// backOff sets the earliest time at which the next task of a failing job may be placed.
 func (l *leader) backOff(job *cluster.Job) {
 	if l.outliers.FailedMachineCount(job.ID) < 2 {
 		job.RetryAt = l.core.now + l.core.heartbeatInterval()/5
 		return
 	}
-	if l.core.now >= job.RetryAt { // tasks that fail together are one failure
+	if l.core.now >= job.RetryAt { // tasks that fail during the backoff count as one failure
 		job.ConsecutiveFailures++
 	}
-	wait := time.Second << min(job.ConsecutiveFailures, maxRetryDoublings)
-	job.RetryAt = l.core.now + min(wait, maxRetryLeases*l.core.workerLease())
+	backoff := time.Second << min(job.ConsecutiveFailures, maxRetryDoublings)
+	job.RetryAt = l.core.now + min(backoff, maxRetryLeases*l.core.workerLease())
 }
 
-// healthyAfterHeartbeats is for how long a task has to run, in heartbeat intervals, until its
-// start counts as healthy: one that fails may be seen running for a moment.
+// healthyAfterHeartbeats is how long a task has to run, in heartbeat intervals, until it counts as
+// started successfully: a heartbeat may also list a task as running that fails shortly after its
+// start.
 const healthyAfterHeartbeats = 2
 
-// recordRunning records that a heartbeat shows a task running.
+// recordRunning records that a heartbeat lists a task as running.
 func (l *leader) recordRunning(placement cluster.TaskReference) {
 	task := placement.Task()
 	if !task.PlacedThisTerm || task.StartedHealthy {
@@ -54,7 +55,7 @@
 	}
 }
 
-// recordSuccess records that a task started healthy or is done.
+// recordSuccess records that a task has started successfully or is done.
 func (l *leader) recordSuccess(placement cluster.TaskReference) {
 	job, task := placement.Job, placement.Task()
 	task.StartedHealthy = true
@@ -65,8 +66,8 @@
 	job.ConsecutiveFailures = 0
 }
 
-// tickOutliers evaluates the machines on which a task failed again: what became of their jobs
-// elsewhere meanwhile is evidence for or against them.
+// tickOutliers re-evaluates the machines on which tasks have failed: the results of the same jobs
+// on other machines are evidence for or against them.
 func (l *leader) tickOutliers() {
 	for _, name := range l.outliers.MachinesWithFailures() {
 		if machine := l.Machines[name]; machine != nil {
@@ -75,8 +76,8 @@
 	}
 }
 
-// evaluateMachine cordons a machine that fails tasks, and uncordons it if the jobs turn out to be
-// the cause.
+// evaluateMachine cordons a machine that is found faulty, and uncordons it if the failed jobs turn
+// out to be the cause.
 func (l *leader) evaluateMachine(machine *cluster.Machine) {
 	if l.outliers.MachineFaulty(machine.Name) {
 		l.cordon(machine, cluster.DrainOutlier)
@@ -84,14 +85,14 @@
 	}
 	leaving := machine.Evicting || machine.Returning || l.fleet.pendingReturns[machine.Name]
 	if machine.DrainReason == cluster.DrainOutlier && !leaving {
-		l.core.log.Info("machine uncordoned", "machine", machine.Name, "reason", "the jobs that failed there fail elsewhere too")
+		l.core.log.Info("machine uncordoned", "machine", machine.Name, "reason", "the jobs that failed there fail on other machines too")
 		machine.DrainReason = ""
 	}
 }
 
-// throttleFaultyJob returns which of a faulty job's pending tasks may be placed now: one at a
-// time, so that the job holds next to nothing until its user cancels it, and is still found to be
-// healthy if it is. A gang is placed whole.
+// throttleFaultyJob returns which of a faulty job's pending tasks may be placed now. Only one task
+// runs at a time until it has started successfully: the job occupies almost no capacity until its
+// user cancels it, and is still found to be healthy if it is. A gang is placed as a whole.
 func (l *leader) throttleFaultyJob(job *cluster.Job, pending []int) []int {
 	if job.Shape == wire.ShapeGang {
 		return pending
@@ -104,9 +105,9 @@
 	return pending[:1]
 }
 
-// cordon stops a machine from taking tasks; it is returned once empty. Its tasks keep running: a
-// machine that fails new tasks may well serve old ones, and stopping a replica before another
-// machine holds its image costs more.
+// cordon excludes a machine from new tasks; the machine is returned once it is empty. Its tasks
+// keep running: a machine on which new tasks fail may run its old ones well, and stopping a replica
+// before another machine has its image costs more.
 func (l *leader) cordon(machine *cluster.Machine, reason cluster.DrainReason) {
 	if machine.DrainReason == "" {
 		l.core.log.Info("machine cordoned", "machine", machine.Name, "reason", reason)
@@ -114,8 +115,9 @@
 	}
 }
 
-// mayBeHealthy reports whether a machine that fails tasks may still turn out to be healthy: the
-// jobs are tried elsewhere meanwhile.
+// mayBeHealthy reports whether a machine that was cordoned because of task failures may still turn
+// out to be healthy. For three worker leases, the results of the jobs on other machines are
+// awaited.
 func (l *leader) mayBeHealthy(machine *cluster.Machine) bool {
 	return machine.DrainReason == cluster.DrainOutlier && l.core.now-machine.CordonedAt < 3*l.core.workerLease()
 }
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -9,15 +9,16 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// maxOpenProbes is how many probes may be open at a time. Each probe of a machine that hangs
-// holds a socket: of those for direct commands no more than half go to probes, however many
-// machines are silent.
+// maxOpenProbes returns how many probes may be open at a time. Each probe of a machine that hangs
+// occupies a connection. Probes use at most half of the connections for direct commands, however
+// many machines are silent.
 func (l *leader) maxOpenProbes() int {
 	return max(1, l.core.settings.Deployment.MachineLimits.MaxConnections/16)
 }
 
-// probe asks a silent worker for its state and announces this term to it: its heartbeats may
-// still go to a leader of an earlier term that is partitioned from this one.
+// probe requests the status of a silent worker and announces this term to it if the worker has not
+// seen it: its heartbeats may still go to the leader of an earlier term that is partitioned from
+// this one.
 func (l *leader) probe(machine *cluster.Machine) {
 	if !reconcile.CanProbe(machine, l.core.now) || l.openProbes >= l.maxOpenProbes() {
 		return
@@ -41,8 +42,9 @@
 	})
 }
 
-// handleProbeResult handles the result of a probe that was sent at a time. Any status but OK
-// says nothing of the worker.
+// handleProbeResult handles the result of a probe that was sent at the given time. If there is no
+// response, a reference machine is probed too, if the health check names one. A response with
+// another status than OK contains no information about the worker.
 func (l *leader) handleProbeResult(machine *cluster.Machine, sentAt time.Duration, result Result) {
 	switch result.Status {
 	case httpstatus.NoAnswer:
@@ -60,7 +62,8 @@
 	}
 }
 
-// announceTerm sends a worker that has not heard this term an empty list of commands.
+// announceTerm sends an empty command list, with this term's fencing token, to a worker that has
+// not seen the term.
 func (l *leader) announceTerm(machine *cluster.Machine, incarnation uint64) {
 	reconcile.BeginTermAnnouncement(machine)
 	l.callWorker(machine, incarnation, []wire.Command{}, func(result Result) {
--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -11,15 +11,15 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// quotaMessagesPerHeartbeat is how many complete messages other regions are sent in one
+// quotaMessagesPerHeartbeat is the number of complete messages sent to each other region per
 // heartbeat interval.
 const quotaMessagesPerHeartbeat = 2
 
-// quotaRetriesPerLease is how often the quota's records are read again within a leader's lease
-// while that fails.
+// quotaRetriesPerLease is how often a failed read of the quota records is retried per leader lease.
 const quotaRetriesPerLease = 20
 
-// startQuota begins to share limits with other regions, once it is known which tasks run.
+// startQuota starts to share limits with other regions. It is called once the records are loaded,
+// so that it is known which tasks run.
 func (l *leader) startQuota() {
 	if l.core.regions.plan == nil {
 		return
@@ -35,7 +35,8 @@
 	}, quotaStore{l}, quotaHost{l})
 }
 
-// tickQuota retries a failed read, and runs the periodic work of the quota manager.
+// tickQuota retries a failed read of quota records, and runs the periodic work of the quota
+// manager.
 func (l *leader) tickQuota() {
 	if l.quota == nil {
 		return
@@ -47,7 +48,7 @@
 	l.quota.Tick()
 }
 
-// shareLimit is what a team's tasks may use in this region now.
+// shareLimit returns this region's current share of a team's limit.
 func (l *leader) shareLimit(team string) teamlimit.Limit {
 	cpus, gpus := l.quota.Limit(team).Units()
 	return teamlimit.Limit{CPUs: cpus, GPUs: gpus}
@@ -58,17 +59,17 @@
 	return l.core.regions.sharedTeams[team] && l.quota != nil
 }
 
-// quotaStore is the key-value store as a quota manager uses it. Results that come after the
-// leader has stepped down are dropped.
+// quotaStore provides the key-value store to a quota manager. Results that arrive after the leader
+// has stepped down are dropped.
 type quotaStore struct{ leader *leader }
 
-// Load reads all records below a prefix.
+// Load reads all records under a prefix.
 func (s quotaStore) Load(prefix string, done func([]wire.Item)) {
 	load := &quotaLoad{leader: s.leader, prefix: prefix, done: done}
 	load.readAfter("")
 }
 
-// Commit carries out a transaction.
+// Commit executes a transaction.
 func (s quotaStore) Commit(txn *wire.Txn, done func(kv.TxnResult)) {
 	s.leader.core.store.Commit(txn, func(r kv.TxnResult) {
 		if !s.leader.steppedDown {
@@ -77,7 +78,7 @@
 	})
 }
 
-// quotaLoad reads all records below a prefix, page by page.
+// quotaLoad reads all records under a prefix, page by page.
 type quotaLoad struct {
 	leader *leader
 	prefix string
@@ -85,8 +86,7 @@
 	done   func([]wire.Item)
 }
 
-// readAfter reads the pages after a key. A page that could not be read is read again at a later
-// tick.
+// readAfter reads the pages after a key. A failed read of a page is retried at a later tick.
 func (q *quotaLoad) readAfter(after string) {
 	q.leader.core.store.ListUrgent(q.prefix, after, func(r kv.ListResult) {
 		switch {
@@ -100,7 +100,7 @@
 	})
 }
 
-// onPage adds a page, and reads the next one.
+// onPage adds a page, and reads the next one or completes the load.
 func (q *quotaLoad) onPage(page *wire.Page) {
 	q.items = append(q.items, page.Items...)
 	if page.More && len(page.Items) > 0 {
@@ -110,15 +110,15 @@
 	q.done(q.items)
 }
 
-// quotaHost is the leader as a quota manager sees it.
+// quotaHost implements quota.Host for a leader.
 type quotaHost struct{ leader *leader }
 
-// Now is the steady time.
+// Now returns the monotonic time.
 func (h quotaHost) Now() time.Duration { return h.leader.core.now }
 
-// NewIncarnation makes the number of a quota manager's incarnation from the process's own and
-// a count: it differs from those of other processes as those of the processes do. It is never
-// 0.
+// NewIncarnation returns the incarnation of a new quota manager, never 0. It is derived from the
+// incarnation of the process and a counter, so it is as unlikely to equal one of another process as
+// the incarnations of the processes are to be equal.
 func (h quotaHost) NewIncarnation() uint64 {
 	core := h.leader.core
 	core.regions.managerRuns++
@@ -126,7 +126,7 @@
 	return max(incarnation, 1)
 }
 
-// splitMix64 spreads the bits of a number: the finalizer of splitmix64.
+// splitMix64 mixes the bits of a number, with the increment and the finalizer of SplitMix64.
 func splitMix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
@@ -134,7 +134,7 @@
 	return x ^ x>>31
 }
 
-// Term is the condition under which this leader writes.
+// Term returns the condition of this leader's writes: that no later term has begun.
 func (h quotaHost) Term() wire.Condition { return h.leader.termCondition() }
 
 // Send sends a message to another region.
@@ -143,8 +143,8 @@
 	out.RegionSends = append(out.RegionSends, RegionSend{To: region, Message: message})
 }
 
-// Demand is what the region does with a team's share. What the last plan found is raised to
-// what is used and reserved at this moment.
+// Demand returns the region's demand for a team's limit, as found by the last plan. Its planned
+// amount is raised to at least what is used and reserved now.
 func (h quotaHost) Demand(team string) balance.Demand {
 	demand := h.leader.regionDemands[team]
 	if !h.leader.teamUsage.IsCounting() {
@@ -155,24 +155,25 @@
 	return demand
 }
 
-// SharesChanged requests a placement pass, since waiting work may fit now.
+// SharesChanged requests a placement pass, because waiting tasks may be within the limits now.
 func (h quotaHost) SharesChanged() { h.leader.passes.requested = true }
 
-// TermChanged ends the leadership.
+// TermChanged makes the leader step down.
 func (h quotaHost) TermChanged() {
 	if !h.leader.steppedDown {
 		h.leader.core.stepDown(stepDownTermChanged)
 	}
 }
 
-// reservationCache is what was reserved of the teams' limits at a time: one message asks for
-// every team.
+// reservationCache caches what is reserved of the teams' limits at one time, because each message
+// to another region queries it for every team.
 type reservationCache struct {
 	at       time.Duration
 	reserved teamlimit.Reservations // nil after a placement pass
 }
 
-// currentReservations is limitReservations, computed once for each time.
+// currentReservations returns limitReservations, computed once per step and after each placement
+// pass.
 func (l *leader) currentReservations() teamlimit.Reservations {
 	if cache := &l.reservations; cache.reserved == nil || cache.at != l.core.now {
 		*cache = reservationCache{at: l.core.now, reserved: l.limitReservations()}
--- a/internal/core/region_demand.go
+++ b/internal/core/region_demand.go
@@ -10,16 +10,15 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// regionDemand collects, while a provisioning plan is made, what teams use and lack of their
-// shares of limits over several regions. It is nil, and records nothing, where no limits are
-// shared.
+// regionDemand collects, during a scale-out plan, what teams use of this region's shares of their
+// limits and what they need in addition. It is nil and records nothing if no limits are shared.
 type regionDemand struct {
 	leader  *leader
 	byTeam  map[string]balance.Demand
-	growing bool // some team lacks more than at the last plan
+	growing bool // a team's shortfall is larger than at the last plan
 }
 
-// newRegionDemand begins to collect for a plan.
+// newRegionDemand returns an empty demand for a plan; nil if no limits are shared.
 func (l *leader) newRegionDemand() *regionDemand {
 	if l.quota == nil {
 		return nil
@@ -27,8 +26,8 @@
 	return &regionDemand{leader: l, byTeam: map[string]balance.Demand{}}
 }
 
-// recordShortage records that a number of a candidate's tasks wait for the share alone. Of the
-// gangs of a team only the first one counts.
+// recordShortage records that a number of a candidate's tasks wait only because the region's share
+// is used up. Only the first gang of a team counts.
 func (d *regionDemand) recordShortage(candidate *candidate, tasks int) {
 	if d == nil || tasks < 1 || !d.leader.sharesLimit(candidate.Job.Team) {
 		return
@@ -46,8 +45,8 @@
 	d.byTeam[job.Team] = demand
 }
 
-// finish replaces the demand of the last plan by the collected one, and tells other regions if
-// it grows. planned is, by team, what tasks use or are planned to use.
+// finish replaces the demand of the last plan with the collected one, and notifies the quota
+// manager if a shortfall has grown. planned is what tasks use or are planned to use, by team.
 func (d *regionDemand) finish(planned map[string]topology.Resources) {
 	if d == nil {
 		return
@@ -70,7 +69,7 @@
 	}
 }
 
-// withReservations adds to what is planned the tasks that machines are reserved for.
+// withReservations returns planned plus the resources of the tasks that machines are reserved for.
 func (d *regionDemand) withReservations(planned map[string]topology.Resources) map[string]topology.Resources {
 	total := maps.Clone(planned)
 	for _, job := range d.leader.JobsBySubmission {
--- a/internal/core/regions.go
+++ b/internal/core/regions.go
@@ -6,18 +6,18 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// regions is what a controller keeps of the limits that hold over several regions, see package
+// regions is a controller's state of the limits that are shared by several regions, see package
 // quota. quota_host.go connects the quota manager to the leader.
 type regions struct {
-	plan        *plan.Plan // nil if limits are not shared
-	self        string
-	sharedTeams map[string]bool // teams that the regions file names
-	managerRuns uint64          // quota managers that this process has made
+	plan        *plan.Plan      // nil if limits are not shared
+	self        string          // name of this region
+	sharedTeams map[string]bool // teams in the regions file
+	managerRuns uint64          // number of quota managers that this process has created
 }
 
-// JoinRegions makes the teams of a regions file share their limits with other regions. It is
-// called before the first step. The limits of the file, and its guarantees in this region,
-// replace those of the settings; teams that the file does not name keep theirs.
+// JoinRegions makes the teams of a regions file share their limits with other regions. It must be
+// called before the first step. The file's limits and its guarantees in this region replace those
+// of the settings. Teams that are not in the file keep theirs.
 func (c *Core) JoinRegions(regionPlan *plan.Plan, self string) {
 	c.regions = regions{plan: regionPlan, self: self, sharedTeams: map[string]bool{}}
 	settings := *c.settings
@@ -35,8 +35,8 @@
 	}
 }
 
-// regionalTeam returns a team's settings in one region: its limit over all regions, and its
-// guarantee in this one.
+// regionalTeam returns a team's settings in one region: its limit over all regions and its
+// guarantee in that region.
 func regionalTeam(team *plan.Team, region string) config.Team {
 	share := team.Share(region)
 	return config.Team{
@@ -48,12 +48,12 @@
 	}
 }
 
-// RegionInput is a message of another region.
+// RegionInput is a message from another region.
 type RegionInput struct {
 	Message *wire.RegionMessage
 }
 
-// apply hands the message to the leader, which may be a peer.
+// apply passes the message to the leader, forwarding it if the leader is a peer.
 func (r RegionInput) apply(c *Core) {
 	leader := c.election.Leader()
 	switch {
@@ -65,7 +65,7 @@
 	}
 }
 
-// onRegionMessage handles another region's message; it is dropped until the records are
+// onRegionMessage handles a message from another region. It is dropped until the records are
 // loaded.
 func (l *leader) onRegionMessage(message *wire.RegionMessage) {
 	if l.quota != nil && message != nil {
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -10,15 +10,15 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// scaleIn is the state of returning machines. This file and inventory.go change it.
+// scaleIn is the state of returning machines to the cloud. This file and inventory.go change it.
 type scaleIn struct {
-	pendingReturns map[string]bool // machines to return; kept until the cloud confirms it
-	returnInFlight bool            // a return, or the check of the term before it
-	returnRetryAt  time.Duration   // no machine is returned before
+	pendingReturns map[string]bool // machines to return, until the cloud confirms the return
+	returnInFlight bool            // a return request or the term check before it is in progress
+	returnRetryAt  time.Duration   // earliest time of the next return request
 }
 
-// returnMachine requests the return of a machine to the cloud. Whatever runs on it has terminated
-// once the cloud confirms.
+// returnMachine queues a machine to be returned to the cloud. Once the cloud confirms the return,
+// all tasks of the machine have terminated.
 func (l *leader) returnMachine(machine *cluster.Machine, reason cluster.DrainReason) {
 	if machine.DrainReason == "" {
 		machine.DrainReason = reason
@@ -27,9 +27,9 @@
 	l.fleet.pendingReturns[machine.Name] = true
 }
 
-// returnPending returns machines, once it is certain that this term still holds: a partitioned
-// leader that others have replaced sees every machine silent, and would return the fleet of its
-// successor.
+// returnPending returns the queued machines after checking in the store that this leader's term is
+// still the current one. A partitioned leader that has been replaced receives no heartbeats, and
+// would otherwise return its successor's whole fleet.
 func (l *leader) returnPending() {
 	fleet := &l.fleet
 	if fleet.returnInFlight || len(fleet.pendingReturns) == 0 || l.core.now < fleet.returnRetryAt {
@@ -44,8 +44,8 @@
 		case result.Status == kv.Conflict:
 			l.core.stepDown(stepDownTermChanged)
 		case result.Committed(), l.core.membership.HasPeerContact():
-			// During a general outage of the store nobody is elected; a peer that knew of a
-			// higher term would have told this controller.
+			// While the store is down for all controllers, none can be elected. If there were a
+			// higher term, a peer in contact with this controller would have reported it.
 			l.sendReturns()
 		default:
 			fleet.returnRetryAt = l.core.now + cloudRetryDelay
@@ -53,7 +53,7 @@
 	})
 }
 
-// sendReturns asks the cloud to take pending machines back, as many as one request may name.
+// sendReturns sends a request to return queued machines, up to the maximum of one request.
 func (l *leader) sendReturns() {
 	names := sortedKeys(l.fleet.pendingReturns)
 	if len(names) > cloudapi.MaxMachinesPerReturn {
@@ -77,7 +77,7 @@
 	})
 }
 
-// recordReturned records that the cloud has taken machines back.
+// recordReturned records that the cloud has confirmed the return of machines.
 func (l *leader) recordReturned(names []string) {
 	for _, name := range names {
 		delete(l.fleet.pendingReturns, name)
@@ -88,21 +88,21 @@
 	}
 }
 
-// evictTasks stops the tasks of a machine with a preemption notice or of one that is being
-// drained, with the grace period that their checkpoints take.
+// evictTasks stops the tasks of a machine that has a preemption notice or whose tasks are to be
+// evicted. The grace period of each task is the duration of its checkpoint.
 func (l *leader) evictTasks(machine *cluster.Machine) {
 	if machine.PreemptionAt == 0 && !machine.Evicting || len(machine.Placements) == 0 {
 		return
 	}
 	for _, placed := range machine.Placements {
 		if task := placed.Task(); task.Machine != machine || task.Stop != nil {
-			continue // unplaced or stopped meanwhile, with its gang
+			continue // unplaced or stopped earlier in this loop, together with its gang
 		}
 		l.evictTask(placed)
 	}
 }
 
-// evictTask stops a task, or the gang that it is of, to start again on another machine.
+// evictTask stops a task, or all of its gang, so that it restarts on another machine.
 func (l *leader) evictTask(placed cluster.TaskReference) {
 	job := placed.Job
 	gracePeriodS := 0.0
@@ -116,10 +116,10 @@
 	l.stopTask(job, placed.Index, gracePeriodS, stopDrained)
 }
 
-// minBilledTime is the least time that the cloud charges for a machine.
+// minBilledTime is the minimum time that the cloud bills for a machine.
 const minBilledTime = scalein.MinBilledTime
 
-// maxIdleTime is how long a machine that nothing needs is kept.
+// maxIdleTime returns how long an idle machine that no plan uses is kept.
 func (l *leader) maxIdleTime() time.Duration {
 	if s := l.core.operatorSettings.IdleReturnS; s != nil {
 		return time.Duration(*s * float64(time.Second))
@@ -127,7 +127,7 @@
 	return 3 * l.core.workerLease()
 }
 
-// scaleInPolicy decides at this moment which machines are not needed.
+// scaleInPolicy returns the policy that decides which machines are not needed now.
 func (l *leader) scaleInPolicy() *scalein.Policy {
 	return &scalein.Policy{
 		Host:              scaleInHost{l},
@@ -140,15 +140,16 @@
 	}
 }
 
-// scaleInHost answers the policy's questions.
+// scaleInHost implements scalein.Host for a leader.
 type scaleInHost struct{ leader *leader }
 
-// BootTimeRatio is how many times its type's boot time a booting machine has taken.
+// BootTimeRatio returns how long a machine has been booting, as a multiple of its type's boot time.
 func (h scaleInHost) BootTimeRatio(machine *cluster.Machine) float64 {
 	return h.leader.bootTimeRatio(machine)
 }
 
-// MayBeHealthy reports whether a machine that failures were attributed to may be healthy.
+// MayBeHealthy reports whether a machine that is cordoned because of task failures may still turn
+// out to be healthy.
 func (h scaleInHost) MayBeHealthy(machine *cluster.Machine) bool {
 	return h.leader.mayBeHealthy(machine)
 }
@@ -158,7 +159,7 @@
 	return h.leader.fleet.keptIdle[machine.Name]
 }
 
-// returnUnneeded returns a machine that nothing needs.
+// returnUnneeded returns a machine if the policy has a reason to.
 func (l *leader) returnUnneeded(policy *scalein.Policy, machine *cluster.Machine) {
 	if machine.Returning || l.fleet.pendingReturns[machine.Name] {
 		return
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -8,36 +8,35 @@
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 )
 
-// scaleOut is the state of provisioning machines. This file and scale_out_plan.go change it.
+// scaleOut is the state of provisioning. This file and scale_out_plan.go change it.
 type scaleOut struct {
 	requests     *provisioning.Queue
 	availability *provisioning.Availability
-	keptIdle     map[string]bool   // machines that the last plan uses: they are not returned as idle
-	keptPurpose  map[string]string // for what empty machines are kept, as it was logged
+	keptIdle     map[string]bool   // machines used by the last plan, which are not returned as idle
+	keptPurpose  map[string]string // logged purposes of the empty machines that are kept
 }
 
-// Paces of provisioning, in calls that the cloud's rate allows meanwhile.
+// Intervals of provisioning, as numbers of calls that the cloud's rate limit allows in that time.
 const (
-	scaleOutIntervalCalls = 2  // between two new requests: the rest is left to retries and other calls
-	offerBackoffCalls     = 48 // before an offer without capacity is requested again: all offers together stay well below the rate
+	scaleOutIntervalCalls = 2  // between two new requests; the remaining calls are for retries and other purposes
+	offerBackoffCalls     = 48 // before a refused offer is requested again; all offers together stay well below the rate limit
 )
 
-// cloudCalls is how long a number of calls takes at the cloud's rate.
+// cloudCalls returns how long a number of calls takes at the cloud's rate limit.
 func cloudCalls(deployment *config.Deployment, calls float64) time.Duration {
 	return time.Duration(calls / deployment.Cloud.RPS * float64(time.Second))
 }
 
-// offerBackoff is how long an offer without capacity is not requested again.
+// offerBackoff returns how long an offer is not requested after the cloud had no capacity for it.
 func (l *leader) offerBackoff() time.Duration {
 	return cloudCalls(&l.core.settings.Deployment, offerBackoffCalls)
 }
 
-// malformedBackoffFactor is by how much longer the backoff is after a request that was rejected as
-// malformed.
+// malformedBackoffFactor multiplies the backoff after a request that was rejected as malformed.
 const malformedBackoffFactor = 10
 
-// requestShortfalls requests what a plan lacks, as far as the cloud's rate allows; the rest waits
-// for the next tick or the next plan.
+// requestShortfalls requests the machines that a plan needs, within the cloud's rate limit. The
+// rest is requested at the next tick or by the next plan.
 func (l *leader) requestShortfalls(shortfalls []provisioning.Shortfall) {
 	l.fleet.requests.Replace(shortfalls)
 	l.sendScaleOuts()
@@ -46,8 +45,9 @@
 	}
 }
 
-// sendScaleOuts sends the provisioning requests that the cloud's rate allows now. It is called
-// between plans too: those of a large fleet are too far apart for one request each.
+// sendScaleOuts sends the provisioning requests that the cloud's rate limit allows now. It is also
+// called between plans: the plans of a large fleet are so far apart that one request per plan would
+// leave most of the rate unused.
 func (l *leader) sendScaleOuts() {
 	for {
 		request := l.fleet.requests.Next(l.core.now)
@@ -60,7 +60,7 @@
 	}
 }
 
-// retryScaleOuts repeats requests whose last call failed.
+// retryScaleOuts resends the requests whose last call failed.
 func (l *leader) retryScaleOuts() {
 	for _, request := range l.fleet.requests.OpenRequests() {
 		if !request.InFlight && l.core.now >= request.RetryAt {
@@ -69,7 +69,7 @@
 	}
 }
 
-// sendScaleOut sends a provisioning request.
+// sendScaleOut sends one provisioning request.
 func (l *leader) sendScaleOut(request *provisioning.Request) {
 	request.InFlight = true
 	requestedAt := l.core.now
@@ -82,8 +82,9 @@
 	})
 }
 
-// onProvisionResult closes a request that was answered and applies the answer; after a failure the
-// request is repeated. An offer without capacity backs off.
+// onProvisionResult closes a request that the cloud has decided on and applies the result. A
+// request that failed is retried later. An offer without capacity is not requested during a
+// backoff.
 func (l *leader) onProvisionResult(request *provisioning.Request, requestedAt time.Duration, result cloudapi.ProvisionResult) {
 	offer := request.Offer()
 	switch result.Status {
@@ -92,7 +93,7 @@
 		l.recordProvisioned(request, requestedAt, result)
 	case cloudapi.NoCapacity:
 		l.fleet.requests.Close(request)
-		l.core.log.Debug("no capacity", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot)
+		l.core.log.Debug("provisioning refused: no capacity", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot)
 		l.backOffOffer(offer, l.offerBackoff())
 	case cloudapi.Rejected:
 		l.fleet.requests.Close(request)
@@ -103,13 +104,13 @@
 	}
 }
 
-// recordProvisioned adds the machines that a request has provisioned. Fewer than were requested
-// mean that the offer has no more.
+// recordProvisioned adds the machines provisioned by a request. If there are fewer than requested,
+// the offer has no more capacity.
 func (l *leader) recordProvisioned(request *provisioning.Request, requestedAt time.Duration, result cloudapi.ProvisionResult) {
 	offer := request.Offer()
 	if result.DecodeError != nil {
-		// The machines exist nevertheless: the inventory finds them.
-		l.core.log.Warn("answer to provisioning request malformed", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot,
+		// The machines exist; the inventory will find them in the cloud's list.
+		l.core.log.Warn("provisioning response malformed", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot,
 			"error", result.DecodeError)
 	}
 	l.core.log.Info("machines provisioned", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot,
@@ -125,8 +126,8 @@
 	l.passes.requested = true
 }
 
-// addProvisioned adds a machine, unless it was returned meanwhile: the answer may be that to a
-// repeated request.
+// addProvisioned adds a provisioned machine, unless it was already returned: a retried request gets
+// the same machines again, and some of them may have been returned since.
 func (l *leader) addProvisioned(name string, offer provisioning.Offer, requestedAt time.Duration) {
 	if _, returned := l.returnedMachines[name]; returned {
 		return
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -9,24 +9,25 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// scaleOutPlan packs the tasks that were not placed, and those that are forecast while a machine
-// boots, into the machines of the fleet, those that are requested and those that may be
-// provisioned, see package provisioning.
+// scaleOutPlan packs tasks into the machines of the fleet, into requested machines and into
+// machines that may be provisioned, see package provisioning. The tasks are those that were not
+// placed and those forecast to arrive while a machine boots.
 type scaleOutPlan struct {
 	*provisioning.Plan
 	leader      *leader
-	preemptible map[teamLevel]topology.Resources // see preemptibleUsage
+	preemptible map[teamLevel]topology.Resources // cache of preemptibleUsage
 	demand      *regionDemand                    // nil if limits are not shared with other regions
 }
 
-// teamLevel names the work of a team below a priority level.
+// teamLevel identifies the tasks of a team below a priority level.
 type teamLevel struct {
 	team  string
 	level int
 }
 
 // planScaleOut provisions machines for the tasks that were not placed, and keeps or provisions
-// some capacity for dependent jobs and for those that are forecast while a machine boots.
+// capacity for jobs whose dependencies will soon be done and for tasks that are forecast to arrive
+// while a machine boots.
 func (l *leader) planScaleOut(candidates []*candidate, usage map[string]topology.Resources) {
 	plan := newScaleOutPlan(l)
 	planned := maps.Clone(usage)
@@ -41,8 +42,8 @@
 	l.requestShortfalls(plan.Shortfalls())
 }
 
-// newScaleOutPlan begins a plan with the machines that are usable or about to be, and with those
-// that are requested.
+// newScaleOutPlan returns a plan that contains the machines that accept tasks now or soon, and the
+// requested machines.
 func newScaleOutPlan(l *leader) *scaleOutPlan {
 	plan := &scaleOutPlan{
 		Plan:        provisioning.New(l.availableOffers()),
@@ -55,8 +56,8 @@
 	return plan
 }
 
-// addMachines adds the machines that take tasks now or soon. Of those that boot for too long, some
-// are expected nevertheless, see package bootlatency.
+// addMachines adds the machines that accept tasks now or soon. Of the machines that are late in
+// booting, some are still expected to boot, see package bootlatency.
 func (p *scaleOutPlan) addMachines() {
 	l := p.leader
 	late := l.provisioningLatencies.NewLateCounter(l.core.now)
@@ -72,7 +73,7 @@
 	}
 }
 
-// leavesFleet reports whether a machine is cordoned, is being returned or will be preempted.
+// leavesFleet reports whether a machine is cordoned, is being returned or has a preemption notice.
 func (l *leader) leavesFleet(machine *cluster.Machine) bool {
 	return machine.Returning || l.fleet.pendingReturns[machine.Name] || machine.DrainReason != "" || machine.PreemptionAt != 0
 }
@@ -86,7 +87,7 @@
 	}
 }
 
-// taskSpec is what a pending task of a job requires of a machine.
+// taskSpec returns what a pending task of a job requires of a machine.
 func taskSpec(job *cluster.Job) provisioning.TaskSpec {
 	return provisioning.TaskSpec{
 		Resources:     cluster.TaskSize(&job.Job),
@@ -97,15 +98,16 @@
 	}
 }
 
-// forecastTaskSpec is what a task like a job's, not yet submitted, requires of a machine.
+// forecastTaskSpec returns what a future task, assumed to be like those of the given job, requires
+// of a machine.
 func forecastTaskSpec(job *cluster.Job) provisioning.TaskSpec {
 	spec := taskSpec(job)
 	spec.Forecast = true
 	return spec
 }
 
-// packPending packs the candidates' tasks, within their teams' limits, and adds them to the teams'
-// usage.
+// packPending packs the candidates' pending tasks within the limits of their teams, and adds them
+// to the usage of the teams.
 func (p *scaleOutPlan) packPending(candidates []*candidate, usage map[string]topology.Resources) {
 	for _, candidate := range candidates {
 		if candidate.Faulty {
@@ -116,7 +118,7 @@
 	}
 }
 
-// packForecast packs the tasks that are forecast of classes with an objective for their waiting
+// packForecast packs the forecast tasks of the classes that have an objective for their waiting
 // time.
 func (p *scaleOutPlan) packForecast() {
 	for _, objective := range p.leader.forecastObjectives() {
@@ -129,7 +131,7 @@
 	}
 }
 
-// packEqual packs equal tasks, until there is no machine for one.
+// packEqual packs a number of identical tasks and stops at the first one that fits on no machine.
 func (p *scaleOutPlan) packEqual(spec *provisioning.TaskSpec, count int, purpose string) {
 	var last *provisioning.Bin
 	for range count {
@@ -140,7 +142,7 @@
 	}
 }
 
-// usedMachines names the machines of the fleet that the plan uses.
+// usedMachines returns the names of the fleet's machines that the plan uses.
 func (p *scaleOutPlan) usedMachines() map[string]bool {
 	used := map[string]bool{}
 	for _, bin := range p.Bins() {
@@ -151,7 +153,7 @@
 	return used
 }
 
-// logKeptMachines logs for what empty machines are kept, whenever that changes.
+// logKeptMachines logs the purpose for which an empty machine is kept, whenever it changes.
 func (p *scaleOutPlan) logKeptMachines() {
 	fleet := &p.leader.fleet
 	kept := map[string]string{}
--- a/internal/core/stops.go
+++ b/internal/core/stops.go
@@ -5,7 +5,8 @@
 	"github.com/brookwalk/brookwalk/internal/core/reconcile"
 )
 
-// stopTask requests that a task ends. Without a grace period, in seconds, it saves no checkpoint.
+// stopTask requests that a task is stopped, with a grace period in seconds; without one, the task
+// saves no checkpoint. A task that is already being stopped can only be changed to no grace period.
 func (l *leader) stopTask(job *cluster.Job, index int, gracePeriodS float64, reason stopReason) {
 	task := &job.TaskStates[index]
 	if task.Machine == nil || task.Stop != nil && (task.Stop.GracePeriodS == 0 || gracePeriodS > 0) {
@@ -13,19 +14,20 @@
 	}
 	task.Stop = &cluster.StopRequest{GracePeriodS: gracePeriodS, RequestedAt: l.core.now, Killed: gracePeriodS == 0}
 	task.Machine.NeedsRefresh = true
-	l.core.log.Debug("stop task", "task", cluster.TaskName(job.ID, index), "machine", task.Machine.Name, "reason", reason, "grace_s", gracePeriodS)
+	l.core.log.Debug("task stop requested", "task", cluster.TaskName(job.ID, index), "machine", task.Machine.Name, "reason", reason, "grace_s", gracePeriodS)
 	if task.Persisted && task.StartSent {
 		l.fleet.urgentCommands[task.Machine.Name] = true
 		return
 	}
-	// Not on record yet or never sent: nothing started.
+	// The placement is not persisted or the start was never sent. A task placed in this term whose
+	// start was not sent has certainly not started.
 	if task.PlacedThisTerm && !task.StartSent {
 		l.unplace(job, index)
 	}
 }
 
-// stopGang requests that all tasks of a gang end: they have to be told together, or their
-// checkpoint fails.
+// stopGang requests that all tasks of a gang are stopped. They have to be stopped together, because
+// otherwise their checkpoint fails.
 func (l *leader) stopGang(job *cluster.Job, gracePeriodS float64, reason stopReason) {
 	for i := range job.TaskStates {
 		if job.TaskStates[i].Machine != nil {
@@ -35,15 +37,15 @@
 }
 
 // tickStops stops the tasks of jobs that have ended, kills tasks that take too long to save a
-// checkpoint, and returns machines on which the termination of cancelled tasks is not confirmed.
-// It detects machines that commands do not reach.
+// checkpoint, returns machines on which the termination of cancelled tasks is not confirmed in
+// time, and detects machines that commands do not reach.
 func (l *leader) tickStops() {
 	timing := l.core.reconcileTiming()
 	for _, machine := range l.MachinesByName {
 		for _, placement := range machine.Placements {
 			task := placement.Task()
 			switch {
-			case task.Machine != machine: // unplaced on the way
+			case task.Machine != machine: // unplaced earlier in this loop
 			case task.Stop == nil:
 				l.stopIfEnded(placement)
 				if reconcile.DetectUnreachable(machine, task, l.core.now, timing) {
@@ -57,7 +59,8 @@
 	l.sendUrgentCommands()
 }
 
-// sendUrgentCommands sends commands to the machines that are to have them at once.
+// sendUrgentCommands sends commands directly to the machines that need them before their next
+// heartbeat.
 func (l *leader) sendUrgentCommands() {
 	for _, name := range sortedKeys(l.fleet.urgentCommands) {
 		delete(l.fleet.urgentCommands, name)
@@ -67,7 +70,7 @@
 	}
 }
 
-// stopIfEnded stops a task that is done, or whose job is cancelled or has ended.
+// stopIfEnded stops a task that is done or whose job is cancelled or has ended.
 func (l *leader) stopIfEnded(placement cluster.TaskReference) {
 	job := placement.Job
 	if job.Cancellation.Requested() {
@@ -77,8 +80,9 @@
 	}
 }
 
-// enforceStop kills a task that takes too long to save its checkpoint, and returns the machine if
-// the termination of a cancelled task is not confirmed in time.
+// enforceStop kills a task that takes too long to save its checkpoint. It returns the machine if
+// the termination of a cancelled task is not confirmed in time, except while the machine has just
+// reconnected.
 func (l *leader) enforceStop(machine *cluster.Machine, placement cluster.TaskReference) {
 	request := placement.Task().Stop
 	if reconcile.CheckpointOverdue(request, l.core.now) {
--- a/internal/core/task_accounting.go
+++ b/internal/core/task_accounting.go
@@ -5,10 +5,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// place counts a task on a machine: in what is used there, and against its team's limit.
+// place assigns a task to a machine and adds the task to the usage of the machine and of its team.
 func (l *leader) place(job *cluster.Job, index int, machine *cluster.Machine) {
-	t := &job.TaskStates[index]
-	t.Machine = machine
+	task := &job.TaskStates[index]
+	task.Machine = machine
 	machine.AddTask(cluster.NewTaskReference(job, index))
 	machine.AdjustUsage(job, 1)
 	if !l.bestEffortTeams[job.Team] {
@@ -18,8 +18,9 @@
 	job.TasksPlaced++
 }
 
-// unplace ends the counting of a task. termination.go alone calls it for a task that may have run;
-// stopTask does for one whose start was never sent.
+// unplace removes a task from its machine and from the usage of the machine and of its team. For a
+// task that may have run, only termination.go calls it; stopTask calls it for a task whose start
+// was never sent.
 func (l *leader) unplace(job *cluster.Job, index int) {
 	task := &job.TaskStates[index]
 	machine := task.Machine
@@ -41,7 +42,7 @@
 	l.passes.requested = true
 }
 
-// markDone records that a task is certainly done.
+// markDone records that a task is confirmed to be done.
 func (l *leader) markDone(job *cluster.Job, index int) {
 	if !job.TaskStates[index].Done {
 		job.TaskStates[index].Done = true
@@ -50,8 +51,8 @@
 	}
 }
 
-// forgetJob drops a job whose end is on record. Copies of its tasks that still count on machines
-// do so until they have certainly terminated.
+// forgetJob removes a job whose end is stored. Its tasks that are still placed on machines count
+// there until they are confirmed to have terminated.
 func (l *leader) forgetJob(job *cluster.Job) {
 	l.DropJob(job)
 	delete(l.cancelledJobs, job.ID)
@@ -65,39 +66,39 @@
 			l.writer.MarkDirty()
 		}
 	}
-	if !job.Cancellation.Requested() { // else they were updated when it was cancelled
+	if !job.Cancellation.Requested() { // otherwise the urgency was recomputed when the job was cancelled
 		l.recomputeUrgency(dependencies)
 	}
 	l.passes.requested = true
 }
 
-// jobCounts lists the counts of unfinished jobs for the other controllers, which answer users'
-// queries with them.
+// jobCounts returns the task counts of unfinished jobs, for the other controllers to answer users'
+// queries. Jobs without running or completed tasks are left out.
 func (l *leader) jobCounts() []wire.JobCount {
-	out := make([]wire.JobCount, 0, len(l.JobsBySubmission))
+	counts := make([]wire.JobCount, 0, len(l.JobsBySubmission))
 	for _, job := range l.JobsBySubmission {
-		if n := l.jobCount(job); n.Done+n.Running > 0 {
-			out = append(out, n)
+		if count := l.jobCount(job); count.Done+count.Running > 0 {
+			counts = append(counts, count)
 		}
 	}
-	return out
+	return counts
 }
 
-// jobCount counts the tasks of a job that are done and running.
+// jobCount returns how many tasks of a job are done and how many are running.
 func (l *leader) jobCount(job *cluster.Job) wire.JobCount {
-	n := wire.JobCount{ID: job.ID, Done: job.TasksDone}
+	count := wire.JobCount{ID: job.ID, Done: job.TasksDone}
 	if job.TasksPlaced == 0 {
-		return n
+		return count
 	}
 	for i := range job.TaskStates {
 		if job.TaskStates[i].State == wire.TaskRunning {
-			n.Running++
+			count.Running++
 		}
 	}
-	return n
+	return count
 }
 
-// jobCountByID is jobCount for a job by its id; zero for one that is not known.
+// jobCountByID returns the jobCount of the job with the given ID; zero counts if it is not known.
 func (l *leader) jobCountByID(id string) wire.JobCount {
 	if job := l.Jobs[id]; job != nil {
 		return l.jobCount(job)
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -11,7 +11,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// team finds a team of the deployment; nil if there is none of that name.
+// team returns the deployment's team of the given name; nil if there is none.
 func (c *Core) team(name string) *config.Team {
 	for i := range c.settings.Deployment.Teams {
 		if c.settings.Deployment.Teams[i].Name == name {
@@ -21,7 +21,7 @@
 	return nil
 }
 
-// configuredLimit is a team's limit by the settings.
+// configuredLimit returns a team's limit in the settings.
 func (c *Core) configuredLimit(name string) teamlimit.Limit {
 	team := c.team(name)
 	if team == nil {
@@ -30,7 +30,7 @@
 	return teamlimit.FromSettings(team.CPUsMax, team.GPUsMax)
 }
 
-// limit is what a team's tasks may use in this region now.
+// limit returns what a team's tasks may use in this region now.
 func (l *leader) limit(team string) teamlimit.Limit {
 	if l.sharesLimit(team) {
 		return l.shareLimit(team)
@@ -38,39 +38,39 @@
 	return l.core.configuredLimit(team)
 }
 
-// teamUsage is what the tasks of each team use that have not certainly terminated. It follows
-// every placement and is recounted from time to time.
+// teamUsage is what the tasks of each team use until they are confirmed to have terminated. It is
+// updated with every placement and recounted once per worker lease.
 type teamUsage struct {
 	teamlimit.Usage
 	recountAt time.Duration
 }
 
-// add adds a number of a job's tasks; a negative number subtracts them.
+// add adds a number of a job's tasks to the usage of its team; a negative number subtracts them.
 func (u *teamUsage) add(job *cluster.Job, tasks int) {
 	u.Add(job.Team, cluster.TaskSize(&job.Job), tasks)
 }
 
-// refreshUsage brings what machines and teams use up to date, and returns the latter by team.
+// refreshUsage updates the usage of machines and teams, and returns the usage by team.
 func (l *leader) refreshUsage() map[string]topology.Resources {
 	if !l.teamUsage.IsCounting() || l.core.now >= l.teamUsage.recountAt {
 		l.recountUsage()
 	}
-	for _, m := range l.MachinesByName {
-		if m.NeedsRefresh {
-			m.Refresh()
+	for _, machine := range l.MachinesByName {
+		if machine.NeedsRefresh {
+			machine.Refresh()
 		}
 	}
 	return l.teamUsage.Snapshot()
 }
 
-// recountUsage adds up what all teams use.
+// recountUsage recomputes the usage of all teams from the placements.
 func (l *leader) recountUsage() {
 	l.teamUsage.recountAt = l.core.now + l.core.workerLease()
 	l.teamUsage.Reset()
-	for _, m := range l.MachinesByName {
-		m.NeedsRefresh = true
-		for _, ref := range m.Placements {
-			l.teamUsage.add(ref.Job, 1)
+	for _, machine := range l.MachinesByName {
+		machine.NeedsRefresh = true
+		for _, placement := range machine.Placements {
+			l.teamUsage.add(placement.Job, 1)
 		}
 	}
 }
--- a/internal/core/urgency_inheritance.go
+++ b/internal/core/urgency_inheritance.go
@@ -5,13 +5,13 @@
 	"github.com/brookwalk/brookwalk/internal/core/depgraph"
 )
 
-// A dependency inherits the highest priority of its dependents, and the deadline by which it has
-// to be done so that the rest of the chain can be, where they are more urgent than its own: users
-// set both on the last job only.
+// A dependency inherits the highest priority of its dependents and the deadline by which it must be
+// done for the rest of the chain to meet its deadline, if they are more urgent than its own. Users
+// set both on the last job of a chain only.
 
-// propagateUrgency lets the dependencies of jobs inherit their urgency. A dependency is handled
-// after all of its dependents that change, and so once: followed along each path, a job of a
-// layered graph would be handled as often as there are paths.
+// propagateUrgency propagates the urgency of jobs to their dependencies. A dependency is visited
+// after all of its changed dependents, and therefore only once. A traversal along every path would
+// visit a job of a layered graph once for each path that leads to it.
 func (l *leader) propagateUrgency(dependents ...*cluster.Job) {
 	var changed depgraph.Worklist
 	for _, job := range dependents {
@@ -37,8 +37,8 @@
 	}
 }
 
-// recomputeUrgency works out the urgency of jobs, and of their dependencies, after a dependent of
-// theirs has ended or was cancelled.
+// recomputeUrgency recomputes the urgency of jobs and of their dependencies, after a dependent of
+// the jobs has ended or was cancelled.
 func (l *leader) recomputeUrgency(ids []string) {
 	var changed depgraph.Worklist
 	for _, id := range ids {
@@ -58,20 +58,22 @@
 	}
 }
 
-// hasOwnUrgency reports whether a job has inherited nothing.
+// hasOwnUrgency reports whether a job has its own priority and deadline and inherits neither.
 func hasOwnUrgency(job *cluster.Job) bool {
 	return job.Level == cluster.PriorityLevel[job.Priority] && job.Deadline == cluster.OwnDeadline(&job.Record)
 }
 
-// queueDependency queues a dependency of a job that has changed.
+// queueDependency queues a dependency of a job whose urgency has changed. A dependency that is not
+// on a lower level of the graph is part of a cycle, which only corrupt records contain, and is left
+// out.
 func (l *leader) queueDependency(changed *depgraph.Worklist, id, dependency string) {
 	if level := l.dependencies.Level(dependency); level < l.dependencies.Level(id) {
 		changed.Add(dependency, level)
 	}
 }
 
-// inheritedUrgency returns the priority level and the deadline of a job, of its own and those of
-// its dependents. The deadline is a time of day in seconds.
+// inheritedUrgency returns the highest priority level and the earliest deadline that a job has by
+// itself or inherits from its dependents. The deadline is a wall clock time in seconds.
 func (l *leader) inheritedUrgency(job *cluster.Job) (level int, deadline float64) {
 	level, deadline = cluster.PriorityLevel[job.Priority], cluster.OwnDeadline(&job.Record)
 	l.dependencies.EachDependent(job.ID, func(id string) {
@@ -92,7 +94,7 @@
 	l.passes.requested = true
 }
 
-// setPriority changes a job's priority level, and what its machines count by level.
+// setPriority changes a job's priority level, and the usage by level of the job's machines.
 func setPriority(job *cluster.Job, level int) {
 	for i := range job.TaskStates {
 		if m := job.TaskStates[i].Machine; m != nil {
--- a/internal/core/wait_reason.go
+++ b/internal/core/wait_reason.go
@@ -6,12 +6,12 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// logWaitAfter is how long a job waits before the reason is logged at level info, and the least
-// time between two such lines of a job.
+// logWaitAfter is how long a job waits until the reason is logged at level info, and the minimum
+// time between two such lines for a job.
 const logWaitAfter = 30 * time.Second
 
-// logWait logs why a job waits, when the reason changes: at level info once it has waited for
-// long, at debug always.
+// logWait logs why a job waits when the reason has changed: at level info once the job has waited
+// for logWaitAfter, otherwise at level debug.
 func (l *leader) logWait(job *cluster.Job, reason cluster.WaitReason) {
 	logged := &job.WaitLog
 	waited := l.scheduler.WaitingTime(job)
@@ -28,8 +28,8 @@
 	log("job waits for capacity", "job", job.ID, "class", job.Class, "tasks", unplaced, "reason", reason, "waited_s", waited.Seconds())
 }
 
-// waitInfoDue reports whether a reason is to be logged at level info: it is not the last one that
-// was, and that was not a moment ago.
+// waitInfoDue reports whether a reason is to be logged at level info: it differs from the one last
+// logged at this level, and logWaitAfter has passed since then.
 func (l *leader) waitInfoDue(logged *cluster.LoggedWait, reason cluster.WaitReason) bool {
 	if logged.LastInfoReason == reason {
 		return false
@@ -37,7 +37,7 @@
 	return logged.LastInfoAt == 0 || l.core.now-logged.LastInfoAt >= logWaitAfter
 }
 
-// limitReason is which limit a job waits for: its team's, or the region's share of it.
+// limitReason returns which limit a job waits for: its team's or the region's share of it.
 func (l *leader) limitReason(job *cluster.Job) cluster.WaitReason {
 	configured := l.core.configuredLimit(job.Team)
 	if limit := l.limit(job.Team); limit.CPUs < configured.CPUs || limit.GPUs < configured.GPUs {
