--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -42,10 +42,10 @@
 	return slices.DeleteFunc(sortedKeys(prices), func(name string) bool { return prices[name] >= expensiveRatio*lowest })
 }
 
-// releaseFromBestEffort drains an expensive machine, so that it can be returned, once it has run
+// drainExpensiveMachine drains an expensive machine, so that it can be returned, once it has run
 // only tasks of best-effort teams for as long as a machine may be idle. The type must be expensive
 // for all of its tasks.
-func (l *leader) releaseFromBestEffort(machine *cluster.Machine) {
+func (l *leader) drainExpensiveMachine(machine *cluster.Machine) {
 	if !l.runsBestEffortOnly(machine) {
 		return
 	}
@@ -66,7 +66,7 @@
 	if machine.GuaranteedTasks > 0 || len(machine.Placements) == 0 || !l.usable(machine) {
 		return false
 	}
-	return !l.fleet.keptIdle[machine.Name] && machine.ReservedFor == nil
+	return !l.fleet.plannedMachines[machine.Name] && machine.ReservedFor == nil
 }
 
 // isCheapForSomeTask reports whether a machine's type is cheap for at least one of its tasks.
--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -105,7 +105,7 @@
 		{"an expensive machine", "g4", 4, nil, true},
 		{"a cheap machine", "small", 4, nil, false},
 		{"not long enough", "g4", 2, nil, false},
-		{"needed by forecast work", "g4", 4, func(leader *leader, m *cluster.Machine) { leader.fleet.keptIdle[m.Name] = true }, false},
+		{"needed by forecast work", "g4", 4, func(leader *leader, m *cluster.Machine) { leader.fleet.plannedMachines[m.Name] = true }, false},
 		{"a task of a team with a guarantee on it", "g4", 4, func(leader *leader, m *cluster.Machine) {
 			leader.bindTasks(addArray(leader, "job-9", "vision", "sweep", 1, 0), []int{0}, []*cluster.Machine{m})
 		}, false},
@@ -130,7 +130,7 @@
 			if tc.setUp != nil {
 				tc.setUp(leader, machine)
 			}
-			leader.releaseFromBestEffort(machine)
+			leader.drainExpensiveMachine(machine)
 			leader.evictTasks(machine)
 			if stopped := bestEffort.TaskStates[0].Stop != nil; machine.Evicting != tc.want || stopped != tc.want {
 				t.Errorf("evicting: %v, tasks stopped: %v, want %v", machine.Evicting, stopped, tc.want)
--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -32,7 +32,7 @@
 	spec        provisioning.TaskSpec
 	zones       provisioning.ZoneFilter
 	tasksByZone map[string]int    // number of packed tasks
-	last        *provisioning.Bin // where the last task was packed; nil if there is none
+	lastBin     *provisioning.Bin // where the last task was packed; nil if there is none
 
 	limit       teamlimit.Limit
 	used        topology.Resources // by the team, including the packed tasks
@@ -73,12 +73,12 @@
 	if demand != nil && c.candidate.Job.Shape == wire.ShapeGang && !c.allows(wanted) {
 		// A gang starts only as a whole: packing part of it would claim capacity from other
 		// regions without use.
-		demand.recordShortage(c.candidate, wanted)
+		demand.recordShortfall(c.candidate, wanted)
 		return l.limitReason(c.candidate.Job)
 	}
 	for packed := range wanted {
 		if !c.allows(1) {
-			demand.recordShortage(c.candidate, wanted-packed)
+			demand.recordShortfall(c.candidate, wanted-packed)
 			return l.limitReason(c.candidate.Job)
 		}
 		if !c.packNext() {
@@ -86,7 +86,7 @@
 		}
 	}
 	switch {
-	case c.last != nil:
+	case c.lastBin != nil:
 		return cluster.WaitForMachines
 	case c.candidate.ReservedTasks > 0:
 		return cluster.WaitForPreemption
@@ -96,11 +96,11 @@
 
 // packNext packs the next task and reports whether there is a machine for it.
 func (c *candidatePacking) packNext() bool {
-	c.last = c.plan.Pack(&c.spec, c.zones, c.last, c.candidate.Job.ID)
-	if c.last == nil {
+	c.lastBin = c.plan.Pack(&c.spec, c.zones, c.lastBin, c.candidate.Job.ID)
+	if c.lastBin == nil {
 		return false
 	}
-	c.tasksByZone[c.last.Offer.Zone]++
+	c.tasksByZone[c.lastBin.Offer.Zone]++
 	c.used = c.used.Add(c.spec.Resources)
 	return true
 }
@@ -146,12 +146,12 @@
 	return spec
 }
 
-// A plan provisions as many task slots for an array that each slot has work for bootsOfWorkPerSlot
-// boot times, but at least minPlannedTasks. Tens of thousands of tasks that run for a second or two
-// would be done before machines for all of them have booted.
+// A plan provisions as many task slots for an array that each slot has work for
+// bootTimesOfWorkPerSlot boot times, but at least minPlannedTasks. Tens of thousands of tasks that
+// run for a second or two would be done before machines for all of them have booted.
 const (
-	bootsOfWorkPerSlot = 4
-	minPlannedTasks    = 500
+	bootTimesOfWorkPerSlot = 4
+	minPlannedTasks        = 500
 )
 
 // plannedTasks returns the number of a candidate's pending tasks that a plan provisions for: all
@@ -166,6 +166,6 @@
 	if !ok || bootS <= 0 {
 		return pending
 	}
-	slots := math.Ceil(float64(pending) * l.runEstimate(candidate.Job) / (bootsOfWorkPerSlot * bootS))
+	slots := math.Ceil(float64(pending) * l.runEstimate(candidate.Job) / (bootTimesOfWorkPerSlot * bootS))
 	return min(pending, max(minPlannedTasks, int(slots)))
 }
--- a/internal/core/commands_test.go
+++ b/internal/core/commands_test.go
@@ -35,7 +35,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, withoutAnnouncement)
 			addRecord(harness, leader, wire.Job{ID: "job-101"}, nil)
-			job, machine := leader.Jobs["job-101"], leader.machineNamed("n-1")
+			job, machine := leader.Jobs["job-101"], leader.getOrAddMachine("n-1")
 			machine.FencingToken, machine.ReportedTasks = leader.leadership.Term, tc.listed
 			if tc.placed != nil {
 				job.TaskStates[0] = *tc.placed
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -218,7 +218,7 @@
 // bounds.
 func (p *consolidation) mayMoveTo(job *cluster.Job, target consolidationTarget) bool {
 	machine := target.machine
-	return machine != p.source && scheduler.AllowsMachine(job, machine) && !p.leader.outliers.HasFailures(machine.Name) && !p.returnedSoon(target)
+	return machine != p.source && scheduler.AllowsMachine(job, machine) && !p.leader.outliers.HasFailures(machine.Name) && !p.aboutToBeReturned(target)
 }
 
 // zoneCapacity returns how many more replicas of a job may move to a zone within the zone's bound.
@@ -230,10 +230,11 @@
 	return n
 }
 
-// returnedSoon reports whether a target is idle, unused by the plan and no cheaper than the source,
-// so that it is about to be returned itself. Without this check, replicas moved from a machine that
-// ran well to one left empty by a job that had ended. A cordoned source is emptied to any target.
-func (p *consolidation) returnedSoon(target consolidationTarget) bool {
+// aboutToBeReturned reports whether a target is idle, unused by the plan and no cheaper than the
+// source, so that it is about to be returned itself. Without this check, replicas moved from a
+// machine that ran well to one left empty by a job that had ended. A cordoned source is emptied to
+// any target.
+func (p *consolidation) aboutToBeReturned(target consolidationTarget) bool {
 	machine := target.machine
 	idle := !target.Used && len(machine.Placements) == 0
 	return idle && p.source.DrainReason == "" && p.leader.machinePrice(machine) >= p.leader.machinePrice(p.source)
--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -18,7 +18,7 @@
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	due := 900.0
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
-	machine := leader.machineNamed("n-000001")
+	machine := leader.getOrAddMachine("n-000001")
 	leader.place(leader.Jobs["job-1"], 0, machine)
 	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, func(r *records.Open) { r.Job.EstimatedRunS = 50 })
 	addRecord(harness, leader, wire.Job{ID: "job-3", Dependencies: []string{"job-2"}}, func(r *records.Open) {
--- a/internal/core/dependent_plan.go
+++ b/internal/core/dependent_plan.go
@@ -31,13 +31,13 @@
 	if !job.AwaitingDependencies || !job.Loaded || job.Cancellation.Requested() {
 		return false
 	}
-	lead, _, ok := l.leadTime(job)
+	leadS, _, ok := l.leadTime(job)
 	if !ok {
 		return false
 	}
 	return !l.dependencies.AnyDependency(job.ID, func(id string) bool {
 		dependency := l.Jobs[id]
-		return dependency != nil && l.remainingRunTime(dependency) > lead
+		return dependency != nil && l.remainingRunTime(dependency) > leadS
 	})
 }
 
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -31,9 +31,9 @@
 func newFleet(deployment *config.Deployment, term uint64) fleet {
 	return fleet{
 		scaleOut: scaleOut{
-			requests:     provisioning.NewQueue(term, cloudCalls(deployment, scaleOutIntervalCalls)),
-			availability: provisioning.NewAvailability(),
-			keptIdle:     map[string]bool{},
+			requests:        provisioning.NewQueue(term, cloudCallDuration(deployment, scaleOutIntervalCalls)),
+			availability:    provisioning.NewAvailability(),
+			plannedMachines: map[string]bool{},
 		},
 		scaleIn:        scaleIn{pendingReturns: map[string]bool{}},
 		partitionedAt:  map[string]time.Duration{},
@@ -50,7 +50,7 @@
 	l.sendScaleOuts()
 	policy := l.scaleInPolicy()
 	for _, machine := range l.MachinesByName {
-		l.releaseFromBestEffort(machine)
+		l.drainExpensiveMachine(machine)
 		l.evictTasks(machine)
 		l.returnUnneeded(policy, machine)
 	}
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -25,7 +25,7 @@
 		if logged.Len() > 0 {
 			t.Fatalf("logged with %d machines, want no log line: %s", i, logged.String())
 		}
-		last = leader.machineNamed(fmt.Sprintf("n-%06d", i))
+		last = leader.getOrAddMachine(fmt.Sprintf("n-%06d", i))
 	}
 	leader.checkFleetSize()
 	leader.checkFleetSize()
@@ -34,7 +34,7 @@
 	}
 	leader.dropMachine(last)
 	leader.checkFleetSize()
-	leader.machineNamed(last.Name)
+	leader.getOrAddMachine(last.Name)
 	leader.checkFleetSize()
 	if n := strings.Count(logged.String(), "fleet has more machines"); n != 2 {
 		t.Errorf("got %d warnings after the fleet has been smaller, want 2: %s", n, logged.String())
--- a/internal/core/forecast.go
+++ b/internal/core/forecast.go
@@ -16,8 +16,8 @@
 	lastJob *cluster.Job // submitted last
 }
 
-// recordArrival records the submission of a job at the time stored in its record, so that a new
-// leader knows the recent arrivals from the records of open jobs.
+// recordArrival records the arrival of a job at the time, stored in its record, from which its
+// waiting time counts. A new leader thus knows the recent arrivals from the records of open jobs.
 func (l *leader) recordArrival(job *cluster.Job) {
 	arrivals := l.arrivalsByClass[job.Class]
 	if arrivals == nil {
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -33,7 +33,7 @@
 		// The cloud has confirmed the machine's return: a late copy.
 		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
-	machine := l.machineNamed(heartbeat.Machine)
+	machine := l.getOrAddMachine(heartbeat.Machine)
 	if !heartbeat.NewerThan(machine.HeartbeatIncarnation, machine.HeartbeatSequence) {
 		// A late or repeated copy must not refresh anything.
 		l.core.log.Debug("stale heartbeat", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence)
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -97,7 +97,7 @@
 	}
 	machine, known := l.Machines[listed.Name]
 	if !known {
-		machine = l.machineNamed(listed.Name)
+		machine = l.getOrAddMachine(listed.Name)
 		l.core.log.Info("unknown machine found in the cloud's list", "machine", listed.Name, "type", listed.Type, "zone", listed.Zone, "status", listed.Status)
 	}
 	// The leader first takes a machine known from records or heartbeats to be as old as its own
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -29,7 +29,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newForecastLeader(t)
-			vanished := leader.machineNamed("n-0")
+			vanished := leader.getOrAddMachine("n-0")
 			vanished.ListedAt = leader.core.now - 10*leader.listLag()
 			leader.startListing()
 			if got := lastCall(t, leader).Path; got != "/machines?limit=500" {
@@ -66,7 +66,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newForecastLeader(t)
 			if tc.known {
-				leader.machineNamed("n-1").LastHeartbeat = tc.lastHeartbeat
+				leader.getOrAddMachine("n-1").LastHeartbeat = tc.lastHeartbeat
 			}
 			leader.recordListed(&wire.Machine{Name: "n-1", Addr: "10.0.0.1:1", Type: "small", Zone: "b", Spot: true, AgeS: ageS, Status: wire.MachineBooting})
 			machine := leader.Machines["n-1"]
@@ -109,7 +109,7 @@
 // from the cloud's list, once the machine has sent a heartbeat.
 func TestAgeOfKnownMachines(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
-	recorded, provisioned, silent := leader.machineNamed("n-000001"), leader.machineNamed("n-000002"), leader.machineNamed("n-000004")
+	recorded, provisioned, silent := leader.getOrAddMachine("n-000001"), leader.getOrAddMachine("n-000002"), leader.getOrAddMachine("n-000004")
 	recorded.LastHeartbeat, provisioned.LastHeartbeat = harness.core.now, harness.core.now
 	provisioned.CreatedAt = harness.core.now - 90*time.Second
 	for _, name := range []string{"n-000001", "n-000002", "n-000003", "n-000004"} {
--- a/internal/core/machines.go
+++ b/internal/core/machines.go
@@ -6,8 +6,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// machineNamed returns the machine of the given name, and adds it if it is not known.
-func (l *leader) machineNamed(name string) *cluster.Machine {
+// getOrAddMachine returns the machine of the given name, and adds it if it is not known.
+func (l *leader) getOrAddMachine(name string) *cluster.Machine {
 	return l.GetOrAddMachine(name, l.core.now)
 }
 
--- a/internal/core/outliers.go
+++ b/internal/core/outliers.go
@@ -9,8 +9,8 @@
 
 // Bounds of the exponential backoff before the next task of a failing job is placed.
 const (
-	maxRetryDoublings = 6
-	maxRetryLeases    = 2 // worker leases
+	maxBackoffDoublings = 6
+	maxBackoffLeases    = 2 // worker leases
 )
 
 // recordTaskFailure records that a task failed on a machine. Package outlier decides whether the
@@ -22,12 +22,12 @@
 	if !wasFaulty && l.outliers.JobFaulty(job.ID) {
 		l.core.log.Info("job considered faulty: its tasks fail on every machine", "job", job.ID, "class", job.Class, "machines", l.outliers.FailedMachineCount(job.ID))
 	}
-	l.backOff(job)
+	l.backOffJob(job)
 	l.evaluateMachine(machine)
 }
 
-// backOff sets the earliest time at which the next task of a failing job may be placed.
-func (l *leader) backOff(job *cluster.Job) {
+// backOffJob sets the earliest time at which the next task of a failing job may be placed.
+func (l *leader) backOffJob(job *cluster.Job) {
 	if l.outliers.FailedMachineCount(job.ID) < 2 {
 		job.RetryAt = l.core.now + l.core.heartbeatInterval()/5
 		return
@@ -35,8 +35,8 @@
 	if l.core.now >= job.RetryAt { // tasks that fail during the backoff count as one failure
 		job.ConsecutiveFailures++
 	}
-	backoff := time.Second << min(job.ConsecutiveFailures, maxRetryDoublings)
-	job.RetryAt = l.core.now + min(backoff, maxRetryLeases*l.core.workerLease())
+	backoff := time.Second << min(job.ConsecutiveFailures, maxBackoffDoublings)
+	job.RetryAt = l.core.now + min(backoff, maxBackoffLeases*l.core.workerLease())
 }
 
 // healthyAfterHeartbeats is how long a task has to run, in heartbeat intervals, until it counts as
--- a/internal/core/overdue_cancellation_test.go
+++ b/internal/core/overdue_cancellation_test.go
@@ -22,7 +22,7 @@
 			addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
 			job := leader.Jobs["job-1"]
 			job.Loaded = true
-			leader.place(job, 0, leader.machineNamed("n-000001"))
+			leader.place(job, 0, leader.getOrAddMachine("n-000001"))
 			job.TaskStates[0].Persisted, job.TaskStates[0].StartSent = true, true
 			leader.markCancelled(job)
 			early, late := frontend.UserRetryPeriod*3/4, frontend.UserRetryPeriod-2*leader.core.heartbeatInterval()
@@ -55,7 +55,7 @@
 			harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 			addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
 			job := leader.Jobs["job-1"]
-			machine := leader.machineNamed("n-000001")
+			machine := leader.getOrAddMachine("n-000001")
 			leader.place(job, 0, machine)
 			leader.markCancelled(job)
 			job.Cancellation.Request(harness.core.now - frontend.UserRetryPeriod)
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -83,7 +83,7 @@
 
 // PlacementRead places a task where its placement record says that it may be.
 func (h persistenceHost) PlacementRead(job *cluster.Job, placed records.PlacedTask) {
-	machine := h.leader.machineNamed(placed.Machine)
+	machine := h.leader.getOrAddMachine(placed.Machine)
 	task := &job.TaskStates[placed.Task]
 	task.Attempt, task.Zone, task.Incarnation = placed.Attempt, placed.Zone, placed.Incarnation
 	task.Persisted, task.StartSent = true, true
--- a/internal/core/placement_records_test.go
+++ b/internal/core/placement_records_test.go
@@ -80,7 +80,7 @@
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 100}, nil)
 	job := leader.Jobs["job-1"]
 	for i := range job.TaskStates[:60] {
-		machine := leader.machineNamed(fmt.Sprintf("n-%06d", i))
+		machine := leader.getOrAddMachine(fmt.Sprintf("n-%06d", i))
 		job.TaskStates[i] = cluster.Task{Attempt: uint64(i + 1), Zone: "a", Incarnation: 1, PlacedThisTerm: true}
 		job.NextAttempt = uint64(i + 2)
 		leader.place(job, i, machine)
--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -121,8 +121,8 @@
 // the incarnations of the processes are to be equal.
 func (h quotaHost) NewIncarnation() uint64 {
 	core := h.leader.core
-	core.regions.managerRuns++
-	incarnation := splitMix64(core.incarnation ^ splitMix64(core.regions.managerRuns))
+	core.regions.managersCreated++
+	incarnation := splitMix64(core.incarnation ^ splitMix64(core.regions.managersCreated))
 	return max(incarnation, 1)
 }
 
--- a/internal/core/region_demand.go
+++ b/internal/core/region_demand.go
@@ -26,9 +26,9 @@
 	return &regionDemand{leader: l, byTeam: map[string]balance.Demand{}}
 }
 
-// recordShortage records that a number of a candidate's tasks wait only because the region's share
+// recordShortfall records that a number of a candidate's tasks wait only because the region's share
 // is used up. Only the first gang of a team counts.
-func (d *regionDemand) recordShortage(candidate *candidate, tasks int) {
+func (d *regionDemand) recordShortfall(candidate *candidate, tasks int) {
 	if d == nil || tasks < 1 || !d.leader.sharesLimit(candidate.Job.Team) {
 		return
 	}
--- a/internal/core/regions.go
+++ b/internal/core/regions.go
@@ -9,10 +9,10 @@
 // regions is a controller's state of the limits that are shared by several regions, see package
 // quota. quota_host.go connects the quota manager to the leader.
 type regions struct {
-	plan        *plan.Plan      // nil if limits are not shared
-	self        string          // name of this region
-	sharedTeams map[string]bool // teams in the regions file
-	managerRuns uint64          // number of quota managers that this process has created
+	plan            *plan.Plan      // nil if limits are not shared
+	self            string          // name of this region
+	sharedTeams     map[string]bool // teams in the regions file
+	managersCreated uint64          // number of quota managers that this process has created
 }
 
 // JoinRegions makes the teams of a regions file share their limits with other regions. It must be
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -54,7 +54,7 @@
 	for i := from; i < to; i++ {
 		job.TaskStates[i] = cluster.Task{Attempt: job.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
 		job.NextAttempt++
-		leader.place(job, i, leader.machineNamed(fmt.Sprintf("n-%s-%06d", job.ID, i)))
+		leader.place(job, i, leader.getOrAddMachine(fmt.Sprintf("n-%s-%06d", job.ID, i)))
 		leader.writer.MarkPlacement(job, i)
 	}
 }
--- a/internal/core/run_estimate.go
+++ b/internal/core/run_estimate.go
@@ -5,9 +5,9 @@
 	"github.com/brookwalk/brookwalk/internal/core/forecast"
 )
 
-// learnRun corrects the run time estimates of a job's class with the run time of a task that is
-// done now.
-func (l *leader) learnRun(job *cluster.Job, task *cluster.Task) {
+// recordRunTime corrects the run time estimates of a job's class with the run time of a task that
+// is done now.
+func (l *leader) recordRunTime(job *cluster.Job, task *cluster.Task) {
 	runTime := l.core.now - task.RunningSince
 	if task.RunningSince == 0 || job.EstimatedRunS <= 0 || runTime <= 0 {
 		return
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -156,7 +156,7 @@
 
 // Planned reports whether the last scale-out plan uses a machine.
 func (h scaleInHost) Planned(machine *cluster.Machine) bool {
-	return h.leader.fleet.keptIdle[machine.Name]
+	return h.leader.fleet.plannedMachines[machine.Name]
 }
 
 // returnUnneeded returns a machine if the policy has a reason to.
--- a/internal/core/scale_in_test.go
+++ b/internal/core/scale_in_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, leader := newLeadingHarness(t, func(*config.Settings) {})
-			machine := leader.machineNamed("n-1")
+			machine := leader.getOrAddMachine("n-1")
 			leader.returnMachine(machine, cluster.DrainIdle)
 			leader.returnPending()
 			if machine.Returning {
@@ -69,7 +69,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newForecastLeader(t)
 			for i := range machines {
-				leader.returnMachine(leader.machineNamed(fmt.Sprintf("n-%03d", i)), cluster.DrainIdle)
+				leader.returnMachine(leader.getOrAddMachine(fmt.Sprintf("n-%03d", i)), cluster.DrainIdle)
 			}
 			leader.sendReturns()
 			answerLastCall(t, leader, tc.number, `{}`)
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -10,10 +10,10 @@
 
 // scaleOut is the state of provisioning. This file and scale_out_plan.go change it.
 type scaleOut struct {
-	requests     *provisioning.Queue
-	availability *provisioning.Availability
-	keptIdle     map[string]bool   // machines used by the last plan, which are not returned as idle
-	keptPurpose  map[string]string // logged purposes of the empty machines that are kept
+	requests        *provisioning.Queue
+	availability    *provisioning.Availability
+	plannedMachines map[string]bool   // machines used by the last plan, which are not returned as idle
+	loggedPurposes  map[string]string // logged purposes of the empty machines that are kept
 }
 
 // Intervals of provisioning, as numbers of calls that the cloud's rate limit allows in that time.
@@ -22,14 +22,14 @@
 	offerBackoffCalls     = 48 // before a refused offer is requested again; all offers together stay well below the rate limit
 )
 
-// cloudCalls returns how long a number of calls takes at the cloud's rate limit.
-func cloudCalls(deployment *config.Deployment, calls float64) time.Duration {
+// cloudCallDuration returns how long a number of calls takes at the cloud's rate limit.
+func cloudCallDuration(deployment *config.Deployment, calls float64) time.Duration {
 	return time.Duration(calls / deployment.Cloud.RPS * float64(time.Second))
 }
 
 // offerBackoff returns how long an offer is not requested after the cloud had no capacity for it.
 func (l *leader) offerBackoff() time.Duration {
-	return cloudCalls(&l.core.settings.Deployment, offerBackoffCalls)
+	return cloudCallDuration(&l.core.settings.Deployment, offerBackoffCalls)
 }
 
 // malformedBackoffFactor multiplies the backoff after a request that was rejected as malformed.
@@ -132,7 +132,7 @@
 	if _, returned := l.returnedMachines[name]; returned {
 		return
 	}
-	machine := l.machineNamed(name)
+	machine := l.getOrAddMachine(name)
 	if !machine.Described {
 		l.describe(machine, "", offer.Type, offer.Zone, offer.Spot)
 	}
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -37,7 +37,7 @@
 	plan.packForecast()
 	l.scheduler.AddEvaluations(plan.Evaluations())
 	l.consolidate(plan.Bins(), candidates)
-	l.fleet.keptIdle = plan.usedMachines()
+	l.fleet.plannedMachines = plan.usedMachines()
 	plan.logKeptMachines()
 	l.requestShortfalls(plan.Shortfalls())
 }
@@ -163,9 +163,9 @@
 			continue
 		}
 		kept[bin.Machine] = bin.Purpose
-		if fleet.keptPurpose[bin.Machine] != bin.Purpose {
+		if fleet.loggedPurposes[bin.Machine] != bin.Purpose {
 			p.leader.core.log.Debug("idle machine kept", "machine", bin.Machine, "purpose", bin.Purpose)
 		}
 	}
-	fleet.keptPurpose = kept
+	fleet.loggedPurposes = kept
 }
--- a/internal/core/scale_out_plan_test.go
+++ b/internal/core/scale_out_plan_test.go
@@ -39,7 +39,7 @@
 
 // bootingMachine adds a machine that boots.
 func bootingMachine(leader *leader, name, machineType, zone string) *cluster.Machine {
-	machine := leader.machineNamed(name)
+	machine := leader.getOrAddMachine(name)
 	leader.describe(machine, "", machineType, zone, false)
 	machine.CreatedAt = leader.core.now
 	return machine
--- a/internal/core/scheduler_host_test.go
+++ b/internal/core/scheduler_host_test.go
@@ -24,7 +24,7 @@
 	leader := newLeader(harness.core, testLeadership(5))
 	leader.recordsLoaded = true
 	for i := range machines {
-		machine := leader.machineNamed(fmt.Sprintf("n-%06d", i))
+		machine := leader.getOrAddMachine(fmt.Sprintf("n-%06d", i))
 		leader.describe(machine, "", "plain", []string{"a", "b", "c"}[i%3], false)
 		machine.FencingToken, machine.LastHeartbeat, machine.FirstHeartbeat, machine.Incarnation = 5, harness.core.now, 1, 1
 		job := addJob(leader, wire.Job{ID: fmt.Sprintf("job-%06d", i), Class: "gate", Shape: wire.ShapeService, Priority: wire.PriorityCritical, CPUs: 1, MemGB: 1, Tasks: busyTasksPerMachine})
@@ -78,7 +78,7 @@
 
 // idleMachine adds a machine of zone a that sends heartbeats and has heard of the term.
 func idleMachine(leader *leader, name, machineType string) *cluster.Machine {
-	machine := leader.machineNamed(name)
+	machine := leader.getOrAddMachine(name)
 	leader.describe(machine, "", machineType, "a", false)
 	machine.LastHeartbeat, machine.FencingToken, machine.Incarnation = leader.core.now, leader.leadership.Term, 1
 	return machine
--- a/internal/core/termination.go
+++ b/internal/core/termination.go
@@ -112,7 +112,7 @@
 // together.
 func (l *leader) recordTaskDone(placement cluster.TaskReference) {
 	job, task := placement.Job, placement.Task()
-	l.learnRun(job, task)
+	l.recordRunTime(job, task)
 	if task.PlacedThisTerm {
 		l.recordSuccess(placement)
 	}
--- a/internal/core/termination_test.go
+++ b/internal/core/termination_test.go
@@ -19,7 +19,7 @@
 	harness.core.leader, leader.recordsLoaded = leader, true
 	spec := wire.Job{ID: "job-000001", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityIdle, Tasks: 1, CPUs: 1, MemGB: 1}
 	leader.applyOpenRecord(spec.ID, 7, records.Open{Job: spec, SubmittedAt: harness.core.wallClockMS})
-	job, machine := leader.Jobs[spec.ID], leader.machineNamed("n-000001")
+	job, machine := leader.Jobs[spec.ID], leader.getOrAddMachine("n-000001")
 	job.TaskStates[0] = cluster.Task{Attempt: 2, Zone: "a", Incarnation: 1, Persisted: true, PlacedThisTerm: true, StartSent: true}
 	leader.place(job, 0, machine)
 	job.PlacementRecords[0].Dirty = true // the exit of the earlier attempt is not on record yet
