--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// newBestEffortLeader leads a fleet of g4 machines for a team with a guarantee of GPUs and a
-// best-effort team.
+// newBestEffortLeader returns a leader whose machine type is g4, with a team that has a guarantee
+// of GPUs and a best-effort team.
 func newBestEffortLeader(t *testing.T) (*harness, *leader) {
 	t.Helper()
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
@@ -41,8 +41,9 @@
 	return job
 }
 
-// newExpensiveFleetLeader leads for a best-effort team and one with a guarantee of GPUs. A task
-// without GPUs costs 0.1 an hour on a small machine, 0.6 on one with GPUs.
+// newExpensiveFleetLeader returns a leader with a team that has a guarantee of GPUs and a
+// best-effort team. A task without GPUs costs 0.1 per hour on a small machine and 0.6 on a g4
+// machine.
 func newExpensiveFleetLeader(t *testing.T) *leader {
 	t.Helper()
 	_, leader := newBestEffortLeader(t)
@@ -53,7 +54,7 @@
 	return leader
 }
 
-// TestCheapTypes lists the types that are not expensive for a task, of those that it fits.
+// TestCheapTypes checks which of the machine types that a task fits are not expensive for it.
 func TestCheapTypes(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -71,14 +72,14 @@
 			job := addArray(leader, "job-1", "lab", "scan", 1, tc.gpus)
 			job.MachineTypes = tc.types
 			if got := leader.cheapTypes(&job.Job); !slices.Equal(got, tc.want) {
-				t.Errorf("cheap types %v, want %v", got, tc.want)
+				t.Errorf("cheap types: got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestBestEffortTeamsGetNoExpensiveMachine plans for pending tasks while only the expensive type is
-// available: it is provisioned for the team with a guarantee alone.
+// TestBestEffortTeamsGetNoExpensiveMachine checks that, while only the expensive type is available,
+// it is provisioned for the team with a guarantee and not for the best-effort team.
 func TestBestEffortTeamsGetNoExpensiveMachine(t *testing.T) {
 	for _, team := range []string{"lab", "vision"} {
 		leader := newExpensiveFleetLeader(t)
@@ -86,30 +87,30 @@
 		addArray(leader, "job-1", team, "scan", 4, 0)
 		leader.planScaleOut(leader.candidates(), leader.refreshUsage())
 		if requests := len(leader.fleet.requests.OpenRequests()); (requests > 0) != (team == "vision") {
-			t.Errorf("%d provisioning requests for team %s", requests, team)
+			t.Errorf("got %d provisioning requests for team %s, want some for team vision only", requests, team)
 		}
 	}
 }
 
-// TestExpensiveMachineIsDrainedOfBestEffortWork drains an expensive machine once nothing but
-// best-effort work has run on it for as long as a machine may be idle, unless forecast work needs
-// it.
+// TestExpensiveMachineIsDrainedOfBestEffortWork checks that an expensive machine is drained once it
+// has run only best-effort tasks for as long as a machine may be idle, unless the plan uses it for
+// forecast tasks.
 func TestExpensiveMachineIsDrainedOfBestEffortWork(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		typ   string
-		alone time.Duration // since the last other task, in leases
+		alone time.Duration // since the last other task, in worker leases
 		setUp func(leader *leader, m *cluster.Machine)
 		want  bool
 	}{
 		{"an expensive machine", "g4", 4, nil, true},
 		{"a cheap machine", "small", 4, nil, false},
-		{"not long enough", "g4", 2, nil, false},
-		{"needed by forecast work", "g4", 4, func(leader *leader, m *cluster.Machine) { leader.fleet.plannedMachines[m.Name] = true }, false},
+		{"best-effort only for too short a time", "g4", 2, nil, false},
+		{"used by the plan for forecast tasks", "g4", 4, func(leader *leader, m *cluster.Machine) { leader.fleet.plannedMachines[m.Name] = true }, false},
 		{"a task of a team with a guarantee on it", "g4", 4, func(leader *leader, m *cluster.Machine) {
 			leader.bindTasks(addArray(leader, "job-9", "vision", "sweep", 1, 0), []int{0}, []*cluster.Machine{m})
 		}, false},
-		{"best-effort work beside it that fits on no cheap machine", "g4", 4, func(leader *leader, m *cluster.Machine) {
+		{"one of the best-effort tasks fits on no cheap machine", "g4", 4, func(leader *leader, m *cluster.Machine) {
 			leader.bindTasks(addArray(leader, "job-9", "lab", "scan", 1, 1), []int{0}, []*cluster.Machine{m})
 		}, false},
 	} {
@@ -133,10 +134,10 @@
 			leader.drainExpensiveMachine(machine)
 			leader.evictTasks(machine)
 			if stopped := bestEffort.TaskStates[0].Stop != nil; machine.Evicting != tc.want || stopped != tc.want {
-				t.Errorf("evicting: %v, tasks stopped: %v, want %v", machine.Evicting, stopped, tc.want)
+				t.Errorf("machine evicting: %v, task stopped: %v; want %v for both", machine.Evicting, stopped, tc.want)
 			}
 			if tc.want && bestEffort.TaskStates[0].Stop != nil && bestEffort.TaskStates[0].Stop.GracePeriodS != bestEffort.CheckpointDurationS {
-				t.Errorf("grace period of %v s", bestEffort.TaskStates[0].Stop.GracePeriodS)
+				t.Errorf("grace period: got %v s, want the checkpoint duration of the job", bestEffort.TaskStates[0].Stop.GracePeriodS)
 			}
 		})
 	}
--- a/internal/core/dependent_plan_test.go
+++ b/internal/core/dependent_plan_test.go
@@ -12,8 +12,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestPackDependents plans while a job of one task runs on which another one depends, whose three
-// tasks fill a machine and a half.
+// TestPackDependents checks what is provisioned for a job that waits for a dependency. The
+// dependency has one task, which runs; the three tasks of the waiting job fill one and a half
+// machines.
 func TestPackDependents(t *testing.T) {
 	one := 1
 	large := func(count int) []provisioning.Shortfall {
@@ -30,11 +31,11 @@
 			want:   []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
-			name:   "it runs for longer",
+			name:   "the dependency runs for longer than a machine boots",
 			change: func(leader *leader, dependency, waiting *cluster.Job) { dependency.EstimatedRunS = 300 },
 		},
 		{
-			name: "most of a long run is over",
+			name: "most of a long run of the dependency is over",
 			change: func(leader *leader, dependency, waiting *cluster.Job) {
 				dependency.EstimatedRunS = 300
 				dependency.TaskStates[0].RunningSince = leader.core.now - 280*time.Second
@@ -42,11 +43,11 @@
 			want: []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
-			name:   "it has no machine itself",
+			name:   "the dependency has no machine",
 			change: func(leader *leader, dependency, waiting *cluster.Job) { dependency.TasksPlaced = 0 },
 		},
 		{
-			name: "it waits for another job",
+			name: "the dependency waits for another job",
 			change: func(leader *leader, dependency, waiting *cluster.Job) {
 				dependency.AwaitingDependencies = true
 				leader.dependencies.Add(dependency.ID, []string{"job-3"})
@@ -59,16 +60,16 @@
 			},
 		},
 		{
-			name:   "the job is cancelled",
+			name:   "the waiting job is cancelled",
 			change: func(leader *leader, dependency, waiting *cluster.Job) { waiting.Cancellation.Request(0) },
 		},
 		{
-			name:   "the team's limit",
+			name:   "the team's limit allows two tasks",
 			change: func(leader *leader, dependency, waiting *cluster.Job) { leader.core.team("vision").CPUsMax = 4 },
 			want:   large(1),
 		},
 		{
-			name: "the operators' bound on machines provisioned in advance",
+			name: "the operators' limit on machines provisioned in advance",
 			change: func(leader *leader, dependency, waiting *cluster.Job) {
 				leader.core.operatorSettings.WarmMachines = &one
 			},
@@ -90,14 +91,14 @@
 			plan := newScaleOutPlan(leader)
 			plan.packDependents(map[string]topology.Resources{})
 			if got := shortfallsWithoutPurpose(plan); !slices.Equal(got, tc.want) {
-				t.Errorf("provisions %v, want %v", got, tc.want)
+				t.Errorf("shortfalls: got %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// dependentJob is a job whose tasks fill half of a large machine each and run for
-// as long as it takes to boot.
+// dependentJob returns a job whose tasks each fill half of a large machine and run for as long as
+// such a machine boots.
 func dependentJob(id string, tasks int) *cluster.Job {
 	job := cluster.NewJob(records.Open{Job: wire.Job{
 		ID: id, Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
--- a/internal/core/fleet_size_test.go
+++ b/internal/core/fleet_size_test.go
@@ -11,9 +11,9 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// TestFleetOutgrowsSockets checks that a warning is logged once when the fleet exceeds the
+// TestFleetSizeWarning checks that a warning is logged once when the fleet exceeds the
 // controllers' connections, and once more when it does so again after it has been smaller.
-func TestFleetOutgrowsSockets(t *testing.T) {
+func TestFleetSizeWarning(t *testing.T) {
 	_, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Size, s.Deployment.MachineLimits.MaxConnections = 3, 12 // 10 workers each
 	})
--- a/internal/core/forecast_objectives_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -9,10 +9,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestCapacityForGuaranteedWork provisions for future jobs of a class whose jobs are within the
-// guarantee, by the guarantee's waiting time, though the class has no objective of its own: for
-// whole arrays, since the objective counts up to the start of the last task. Jobs beyond the
-// guarantee or of resources without one, and a guarantee without a waiting time, get nothing.
+// TestCapacityForGuaranteedWork checks that machines are provisioned for future jobs of a class
+// without an objective of its own, if its jobs are within the team's guarantee and there is an
+// objective for guaranteed jobs. They are provisioned for whole arrays, because the objective
+// measures the wait until the last task starts.
 func TestCapacityForGuaranteedWork(t *testing.T) {
 	const types = `{"hulls":[{"label":"g8","cpus":96,"accelerators":8,"memGb":768,"fetchGbPerS":1,"rate":12,"lowPrice":4,"bootS":40,"berths":["a"]}]}`
 	wait := []config.Objective{{Kind: "guarantee", WithinS: 20, Share: 0.85}}
@@ -34,7 +34,7 @@
 				s.Deployment.Teams = []config.Team{{Name: "vision", GPUs: 8, GPUsMax: 16}}
 			})
 			if !harness.core.setMachineTypes([]byte(types)) {
-				t.Fatal("the machine types were not decoded")
+				t.Fatal("setMachineTypes rejected the machine types")
 			}
 			addRecord(harness, leader, wire.Job{
 				ID: "job-1", Class: "c", Team: "vision", Shape: wire.ShapeArray, Priority: wire.PriorityNormal,
@@ -48,17 +48,18 @@
 				provisioned += 8 * float64(request.Count)
 			}
 			if (provisioned > 0) != tc.want || tc.want && provisioned < 2*float64(tc.tasks) {
-				t.Errorf("%v GPUs are provisioned, two arrays of %d tasks may be submitted", provisioned, tc.tasks)
+				t.Errorf("provisioned GPUs: got %v, want enough for two arrays of %d tasks within the guarantee, else none", provisioned, tc.tasks)
 			}
 		})
 	}
 }
 
-// TestHugeArrayIsNotForecast submits a huge array: it is one event, not the size of future ones.
+// TestHugeArrayIsNotForecast checks that a huge array, as a single event, does not make the
+// forecast expect arrays of its size.
 func TestHugeArrayIsNotForecast(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: "job-1", Tasks: 50 * forecast.MaxCountedTasksPerJob}, nil)
 	if size := leader.arrivalsByClass["c"].AverageJobSize(); size > forecast.MaxCountedTasksPerJob {
-		t.Errorf("arrays of %v tasks are forecast", size)
+		t.Errorf("average job size: got %v tasks, want at most MaxCountedTasksPerJob", size)
 	}
 }
--- a/internal/core/forecast_test.go
+++ b/internal/core/forecast_test.go
@@ -10,13 +10,13 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// forecastTypes are two machine types; a task of 2 CPUs fits only the second.
+// forecastTypes are two machine types. A task with 2 CPUs fits only the large one.
 var forecastTypes = map[string]*wire.MachineType{
 	"small": {Name: "small", CPUs: 1, MemGB: 8, BootS: 10, PullGBPerS: 1, Price: 1, SpotPrice: 0.5, Zones: []string{"a", "b"}},
 	"large": {Name: "large", CPUs: 4, MemGB: 32, BootS: 60, PullGBPerS: 0.5, Price: 3, SpotPrice: 1.5, Zones: []string{"a", "b"}},
 }
 
-// newForecastLeader makes a leader that knows forecastTypes, 1000 s after its start.
+// newForecastLeader returns a leader that knows forecastTypes, 1000 s after its start.
 func newForecastLeader(t *testing.T) *leader {
 	t.Helper()
 	harness := newHarness(t, testMachineTypes)
@@ -25,7 +25,8 @@
 	return newLeader(harness.core, testLeadership(5))
 }
 
-// TestLeadTime finds the machine type that is ready first of those that may run a job.
+// TestLeadTime checks the lead time of the machine type that is ready first among those that can
+// run a job.
 func TestLeadTime(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -42,13 +43,14 @@
 			leader := newForecastLeader(t)
 			usual, slow, ok := leader.leadTime(&cluster.Job{Job: tc.job})
 			if ok != tc.ok || ok && (usual != tc.usual || slow != tc.slow) {
-				t.Errorf("%v s, slow %v s, %v; want %v, %v, %v", usual, slow, ok, tc.usual, tc.slow, tc.ok)
+				t.Errorf("usual and slow lead time: got %v s, %v s, ok %v; want %v s, %v s, ok %v", usual, slow, ok, tc.usual, tc.slow, tc.ok)
 			}
 		})
 	}
 }
 
-// TestExpectedTasks forecasts tasks from arrivals, for objectives with several shares.
+// TestExpectedTasks checks the number of tasks that is forecast from arrivals, for several shares
+// of an objective.
 func TestExpectedTasks(t *testing.T) {
 	two := 2
 	for _, tc := range []struct {
@@ -60,13 +62,13 @@
 		warm      *int
 		want      int
 	}{
-		{"a slow boot is soon enough", 1, 24, 0, config.Objective{WithinS: 15, Share: 0.9}, nil, 0},
-		{"half an arrival a second, an even chance", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, nil, 30},
+		{"even a slow boot is within the objective", 1, 24, 0, config.Objective{WithinS: 15, Share: 0.9}, nil, 0},
+		{"half an arrival per second, probability 0.5", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, nil, 30},
 		{"a larger share needs more", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.95}, nil, 40},
 		{"a share below the lowest probability", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.1}, nil, 30},
 		{"a share above the highest probability", 2, 60, 0, config.Objective{WithinS: 15, Share: 1}, nil, 43},
 		{"old arrivals do not count", 2, 4, 60, config.Objective{WithinS: 15, Share: 0.5}, nil, 2},
-		{"at least one", 2, 0, 60, config.Objective{WithinS: 15, Share: 0.5}, nil, 1},
+		{"at least one task", 2, 0, 60, config.Objective{WithinS: 15, Share: 0.5}, nil, 1},
 		{"the operators' limit", 2, 60, 0, config.Objective{WithinS: 15, Share: 0.5}, &two, 2},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -80,13 +82,13 @@
 				arrivals.Record(leader.core.now-forecast.ArrivalWindow, leader.core.now, 1, 1)
 			}
 			if got := leader.expectedTasks(arrivals, tc.objective); got != tc.want {
-				t.Errorf("%d tasks, want %d", got, tc.want)
+				t.Errorf("expected tasks: got %d, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestRecordArrival records one submission and counts the arrivals that it is.
+// TestRecordArrival checks as how many arrivals one submission counts.
 func TestRecordArrival(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -104,7 +106,7 @@
 			leader := newForecastLeader(t)
 			leader.recordArrival(&cluster.Job{Job: wire.Job{Class: "c", Shape: tc.shape}, TaskStates: make([]cluster.Task, tc.tasks), WaitingSinceMS: leader.core.wallClockMS - tc.ageS*1000})
 			if got := leader.arrivalsByClass["c"].Recent(leader.core.now); got != tc.want {
-				t.Errorf("%d arrivals, want %d", got, tc.want)
+				t.Errorf("arrivals: got %d, want %d", got, tc.want)
 			}
 		})
 	}
--- a/internal/core/huge_array_test.go
+++ b/internal/core/huge_array_test.go
@@ -8,8 +8,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestHugeArrayInPasses places an array of 100,000 tasks on 4,200 empty machines, over several passes
-// each of which costs little more than a pass may: the scale-out plan comes on top.
+// TestHugeArrayInPasses checks that an array of 100,000 tasks is placed on 4,200 empty machines
+// over several passes, each of which exceeds its evaluation budget by at most half, for the
+// scale-out plan.
 func TestHugeArrayInPasses(t *testing.T) {
 	const machines, tasksPerMachine = 4200, 16
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) { s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: 100}} })
@@ -24,19 +25,19 @@
 		limit := leader.scheduler.EvaluationBudget()
 		leader.runPlacementPass()
 		if cost := leader.scheduler.Evaluations() - before; cost > limit+limit/2 {
-			t.Fatalf("pass %d places %d tasks and costs %d evaluations, of %d", passes, job.TasksPlaced-placed, cost, limit)
+			t.Fatalf("pass %d placed %d tasks with %d evaluations, want at most 1.5 times the budget of %d", passes, job.TasksPlaced-placed, cost, limit)
 		}
 		if job.TasksPlaced == placed {
-			t.Fatalf("pass %d places nothing after %d tasks", passes, placed)
+			t.Fatalf("pass %d placed no task, after %d tasks in earlier passes", passes, placed)
 		}
 	}
 	if passes < 3 {
-		t.Errorf("%d tasks placed in %d passes", job.TasksPlaced, passes)
+		t.Errorf("%d tasks placed in %d passes, want at least 3 passes", job.TasksPlaced, passes)
 	}
 }
 
-// TestPlannedTasks provisions for all of a service or a gang however large, and for so many tasks of
-// an array that a machine is worth the time that it takes to boot.
+// TestPlannedTasks checks that a plan provisions for all tasks of a service or a gang, however
+// large, and only for so many tasks of an array that each slot has work for several boot times.
 func TestPlannedTasks(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -57,7 +58,7 @@
 			job := addArray(leader, "job-1", "vision", "sweep", test.tasks, 0)
 			job.Shape, job.EstimatedRunS = test.shape, test.estimate
 			if got := leader.plannedTasks(&candidate{Job: job, Pending: job.UnplacedTasks()}); got != test.want {
-				t.Errorf("%d tasks, want %d", got, test.want)
+				t.Errorf("planned tasks: got %d, want %d", got, test.want)
 			}
 		})
 	}
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -11,12 +11,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pullTypes pulls 1 GB a second.
+// pullTypes is a machine type that pulls 1 GB per second.
 var pullTypes = map[string]*wire.MachineType{
 	"g4": {Name: "g4", CPUs: 16, GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4},
 }
 
-// newPullingLeader leads with an empty machine.
+// newPullingLeader returns a leader and its only machine, which is empty.
 func newPullingLeader(t *testing.T) (leader *leader, first *cluster.Machine) {
 	t.Helper()
 	harness, leader := newLeadingHarness(t, func(s *config.Settings) {
@@ -28,24 +28,25 @@
 	return leader, idleMachine(leader, "n-1", "g4")
 }
 
-// startPull adds a service with one replica, and places it on a machine that pulls its image of
-// 20 GB.
+// startPull adds a service with one replica and places it on a machine, which then pulls its image
+// of 20 GB.
 func startPull(leader *leader, id, image string, machine *cluster.Machine) {
 	job := cluster.NewJob(records.Open{Job: wire.Job{ID: id, Team: "vision", Class: "chat", Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: 1, MemGB: 1, Image: image, ImageGB: 20}}, 1)
 	leader.writer.InitPlacementRecords(job)
 	leader.bindTasks(job, []int{0}, []*cluster.Machine{machine})
 }
 
-// TestPullEvidence learns how machines pull images from pulls that began behind others.
+// TestPullEvidence checks that the leader infers whether machines pull images sequentially from the
+// durations of pulls that began while others were in progress.
 func TestPullEvidence(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
-		took       time.Duration // by an image of 20 GB behind one of 20 GB
+		took       time.Duration // for the pull of 20 GB that began during another one of 20 GB
 		sequential bool
 	}{
 		{"as long as both", 40 * time.Second, true},
-		{"as long as by itself", 20 * time.Second, false},
-		{"a little longer than by itself", 28 * time.Second, false},
+		{"as long as alone", 20 * time.Second, false},
+		{"a little longer than alone", 28 * time.Second, false},
 		{"a little shorter than both", 32 * time.Second, true},
 	} {
 		leader, machine := newPullingLeader(t)
@@ -54,18 +55,18 @@
 		leader.core.now += 20 * time.Second
 		leader.recordPulled(machine, "x")
 		if leader.pullStatistics != (pullEvidence{}) {
-			t.Errorf("%s: a pull that was not behind another is evidence %+v", tc.name, leader.pullStatistics)
+			t.Errorf("%s: evidence from a pull that began alone: got %+v, want none", tc.name, leader.pullStatistics)
 		}
 		leader.core.now += tc.took - 20*time.Second
 		leader.recordPulled(machine, "y")
 		if got := leader.pullStatistics.isSequential(); got != tc.sequential {
-			t.Errorf("%s: sequential %v, want %v", tc.name, got, tc.sequential)
+			t.Errorf("%s: sequential: got %v, want %v", tc.name, got, tc.sequential)
 		}
 	}
 }
 
-// TestPullOfUnknownAge ends a pull whose start is not known, since an earlier leader placed the task:
-// it is no evidence.
+// TestPullOfUnknownAge checks that a pull is no evidence if its start is not known because an
+// earlier leader placed the task.
 func TestPullOfUnknownAge(t *testing.T) {
 	leader, machine := newPullingLeader(t)
 	startPull(leader, "job-1", "x", machine)
@@ -75,16 +76,16 @@
 	leader.core.now += time.Second
 	leader.recordPulled(machine, "y")
 	if leader.pullStatistics != (pullEvidence{}) {
-		t.Errorf("evidence %+v, want none", leader.pullStatistics)
+		t.Errorf("evidence: got %+v, want none", leader.pullStatistics)
 	}
 }
 
-// TestPullEvidenceAfterFailover lets a new leader use the evidence of the previous one, until it has
-// its own.
+// TestPullEvidenceAfterFailover checks that a new leader uses the finding of the previous one until
+// it has evidence of its own.
 func TestPullEvidenceAfterFailover(t *testing.T) {
 	for _, tc := range []struct {
-		e    pullEvidence
-		want bool
+		evidence pullEvidence
+		want     bool
 	}{
 		{pullEvidence{}, false},
 		{pullEvidence{inherited: true}, true},
@@ -92,8 +93,8 @@
 		{pullEvidence{inherited: true, parallel: 1, sequential: 1}, false},
 		{pullEvidence{sequential: 2, parallel: 1}, true},
 	} {
-		if got := tc.e.isSequential(); got != tc.want {
-			t.Errorf("%+v: %v, want %v", tc.e, got, tc.want)
+		if got := tc.evidence.isSequential(); got != tc.want {
+			t.Errorf("evidence %+v: sequential: got %v, want %v", tc.evidence, got, tc.want)
 		}
 	}
 	harness := newHarness(t, testMachineTypes)
@@ -102,13 +103,13 @@
 		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: sequential}}})
 		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !sequential}}})
 		if got := newLeader(harness.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != sequential {
-			t.Errorf("sequential %v for the new leader, %v for the previous one", got, sequential)
+			t.Errorf("sequential for the new leader: got %v, want %v as for the previous one", got, sequential)
 		}
 	}
 }
 
-// TestPullEvidenceIsShared checks that a leader's digest says how machines pull images.
-func TestPullEvidenceIsShared(t *testing.T) {
+// TestDigestReportsPullOrder checks that a leader's digest reports whether pulls are sequential.
+func TestDigestReportsPullOrder(t *testing.T) {
 	leader, _ := newPullingLeader(t)
 	leader.core.leader = leader
 	setPeers(leader.core, config.Peer{Name: "n1", Zone: "b"})
@@ -117,7 +118,7 @@
 		leader.core.out = Output{}
 		leader.core.sendDigests()
 		if sent := leader.core.out.PeerSends; len(sent) == 0 || sent[0].Message.Digest.FetchesQueue != (sequential > 0) {
-			t.Errorf("with evidence %+v the digest is %+v", leader.pullStatistics, sent)
+			t.Errorf("evidence %+v: sent %+v, want a digest with FetchesQueue true only if pulls are sequential", leader.pullStatistics, sent)
 		}
 	}
 }
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -11,19 +11,18 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestListPages reads a list of two pages. Of the machines that it does not show, one that has not
-// been listed for long is returned. The machines of a list that could not be read in whole are not
-// compared.
+// TestListPages reads a machine list of two pages. A machine that is missing from it, and was last
+// listed long ago, is returned, but only if both pages could be read.
 func TestListPages(t *testing.T) {
 	const first, last = `{"hosts":[{"nameId":"n-1"},{"nameId":"n-2"}],"truncated":true}`, `{"hosts":[{"nameId":"n-3"}]}`
 	for _, tc := range []struct {
 		name     string
-		number   int // of the second page
+		number   int // status of the response with the second page
 		body     string
 		returned bool
 		nextIn   time.Duration
 	}{
-		{"read in whole", httpstatus.OK, last, true, 2 * time.Second},
+		{"both pages read", httpstatus.OK, last, true, 2 * time.Second},
 		{"second page unanswered", httpstatus.NoAnswer, ``, false, time.Second},
 		{"second page not decodable", httpstatus.OK, `{"hosts":[`, false, time.Second},
 	} {
@@ -33,31 +32,31 @@
 			vanished.ListedAt = leader.core.now - 10*leader.listLag()
 			leader.startListing()
 			if got := lastCall(t, leader).Path; got != "/machines?limit=500" {
-				t.Errorf("first page: %s", got)
+				t.Errorf("path of the first page: got %s, want /machines?limit=500", got)
 			}
 			answerLastCall(t, leader, httpstatus.OK, first)
 			if got := lastCall(t, leader).Path; got != "/machines?limit=500&since=n-2" {
-				t.Errorf("second page: %s", got)
+				t.Errorf("path of the second page: got %s, want /machines?limit=500&since=n-2", got)
 			}
 			answerLastCall(t, leader, tc.number, tc.body)
 			if got := leader.fleet.pendingReturns["n-0"]; got != tc.returned {
-				t.Errorf("machine that is not listed returned: %v, want %v", got, tc.returned)
+				t.Errorf("unlisted machine returned: got %v, want %v", got, tc.returned)
 			}
 			if leader.fleet.listInFlight || leader.fleet.nextListAt != leader.core.now+tc.nextIn {
-				t.Errorf("next list at %v, now is %v", leader.fleet.nextListAt, leader.core.now)
+				t.Errorf("next read of the list at %v, now %v; want no read in flight and the next one after nextIn", leader.fleet.nextListAt, leader.core.now)
 			}
 		})
 	}
 }
 
-// TestRecordListedAge estimates when a listed machine was provisioned.
+// TestRecordListedAge checks which age the leader assumes for a listed machine.
 func TestRecordListedAge(t *testing.T) {
 	const ageS = 100
 	for _, tc := range []struct {
 		name          string
 		known         bool
 		lastHeartbeat time.Duration
-		want          time.Duration // age afterwards; a machine that is known was created now
+		want          time.Duration // age afterwards; a known machine has age 0 before
 	}{
 		{"new", false, 0, ageS * time.Second},
 		{"known by heartbeats", true, time.Second, ageS * time.Second},
@@ -71,21 +70,21 @@
 			leader.recordListed(&wire.Machine{Name: "n-1", Addr: "10.0.0.1:1", Type: "small", Zone: "b", Spot: true, AgeS: ageS, Status: wire.MachineBooting})
 			machine := leader.Machines["n-1"]
 			if got := leader.core.now - machine.CreatedAt; got != tc.want {
-				t.Errorf("age %v, want %v", got, tc.want)
+				t.Errorf("age: got %v, want %v", got, tc.want)
 			}
 			if machine.Offer() != offer("small", "b", true) || machine.Address != "10.0.0.1:1" || machine.ListedAs != wire.MachineBooting {
-				t.Errorf("machine %+v", machine.Identity)
+				t.Errorf("machine: got %+v, want a booting spot machine of type small in zone b at 10.0.0.1:1", machine.Identity)
 			}
 		})
 	}
 }
 
-// TestRecordListedReturned lists a machine whose return was confirmed: long after that, it is
-// returned again.
+// TestRecordListedReturned checks that a machine that is still listed long after its return was
+// confirmed is returned again.
 func TestRecordListedReturned(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		ago  time.Duration // since the return, beyond four lags of the list
+		ago  time.Duration // since the return, in excess of four list lags
 		want bool
 	}{
 		{"the list may be old", 0, false},
@@ -96,17 +95,17 @@
 			leader.returnedMachines["n-1"] = leader.core.now - 4*leader.listLag() - tc.ago
 			leader.recordListed(&wire.Machine{Name: "n-1", Type: "small", Zone: "b"})
 			if got := leader.fleet.pendingReturns["n-1"]; got != tc.want {
-				t.Errorf("returned again: %v, want %v", got, tc.want)
+				t.Errorf("returned again: got %v, want %v", got, tc.want)
 			}
 			if leader.Machines["n-1"] != nil {
-				t.Error("the machine is known again")
+				t.Error("returned machine was added again, want it to stay unknown")
 			}
 		})
 	}
 }
 
-// TestAgeOfKnownMachines takes the age of a machine that a new leader knows from the records
-// from the cloud's list, once the machine has sent a heartbeat.
+// TestAgeOfKnownMachines checks that the age of a machine that a new leader knows from the records
+// is taken from the cloud's list once the machine has sent a heartbeat.
 func TestAgeOfKnownMachines(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	recorded, provisioned, silent := leader.getOrAddMachine("n-000001"), leader.getOrAddMachine("n-000002"), leader.getOrAddMachine("n-000004")
@@ -122,10 +121,10 @@
 		silent:                      0,
 	} {
 		if age := harness.core.now - machine.CreatedAt; age != want {
-			t.Errorf("%s is %v old, want %v", machine.Name, age, want)
+			t.Errorf("age of %s: got %v, want %v", machine.Name, age, want)
 		}
 	}
 	if slices.Contains(sortedKeys(leader.fleet.pendingReturns), "n-000001") {
-		t.Error("returned")
+		t.Error("n-000001 is pending return, want it kept")
 	}
 }
--- a/internal/core/leader_placement_test.go
+++ b/internal/core/leader_placement_test.go
@@ -13,46 +13,47 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// The tests of package scheduler have a host of their own. The cases below are played by a leader,
-// with its limits, offers, usage and stops.
+// The tests of package scheduler use a fake host. The cases below run the scheduler on a real
+// leader, with its limits, offers, usage and stops.
 
-// placedJob is a job that runs on machines.
-type placedJob struct {
+// runningJob is a job whose tasks run on machines.
+type runningJob struct {
 	wire.Job
-	on     []string
+	on     []string // machines, by task
 	ranFor time.Duration
 }
 
-// leaderCase is a fleet that runs jobs, and a job for whose tasks there is no room.
-type leaderCase struct {
+// placementCase is a fleet that runs jobs, and a pending job that is to be placed.
+type placementCase struct {
 	name       string
-	machines   map[string]string   // their zones
-	images     map[string][]string // that they hold, by machine
-	cpus       float64             // of a machine
+	machines   map[string]string   // zone by machine
+	images     map[string][]string // cached images by machine
+	cpus       float64             // of each machine; 0 for 4
 	offered    []string            // zones in which the cloud has machines
-	limit      float64             // of the team vision, in GPUs
-	sequential int                 // evidence that a machine pulls one image after the other
-	pulls      map[string]string   // the image that a machine pulls
-	running    []placedJob
-	job        wire.Job
-	waited     time.Duration
+	limit      float64             // of team vision, in GPUs; 0 for 100
+	sequential int                 // number of pulls that are evidence for sequential pulls
+	pulls      map[string]string   // image being pulled by machine
+	running    []runningJob
+	job        wire.Job      // to be placed
+	waited     time.Duration // by the job so far
 
-	stopped  []string
-	graceS   float64  // of the tasks that are stopped
+	stopped  []string // tasks
+	graceS   float64  // grace period of the stopped tasks
 	to       []string // machines to which the stopped replicas move
-	reserved []string
+	reserved []string // machines reserved for the job
 	placed   []string // machines of the job's tasks
 }
 
-// TestLeaderPlaces plays passes of the scheduler with a leader as its host.
-func TestLeaderPlaces(t *testing.T) {
+// TestLeaderPlacement runs a pass of the scheduler with a leader as its host and checks
+// preemptions, moves, reservations and placements.
+func TestLeaderPlacement(t *testing.T) {
 	array := func(id, team string, priority wire.Priority, gpus float64) wire.Job {
 		return wire.Job{ID: id, Team: team, Shape: wire.ShapeArray, Priority: priority, Tasks: 1, GPUs: gpus, MemGB: 1}
 	}
 	service := func(id, class, image string, gpus, imageGB float64) wire.Job {
 		return wire.Job{ID: id, Team: "vision", Class: class, Shape: wire.ShapeService, Priority: wire.PriorityCritical, Tasks: 1, GPUs: gpus, MemGB: 1, Image: image, ImageGB: imageGB}
 	}
-	saving := func(job wire.Job) wire.Job {
+	withCheckpoint := func(job wire.Job) wire.Job {
 		job.CheckpointIntervalS, job.CheckpointDurationS = 10, 2
 		return job
 	}
@@ -61,40 +62,40 @@
 	idle := array("job-1", "vision", wire.PriorityIdle, 4)
 	idleGang := wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityIdle, Tasks: 2, GPUs: 4, MemGB: 1, OneZone: true}
 	urgentGang := wire.Job{ID: "job-9", Team: "vision", Class: "train", Shape: wire.ShapeGang, Priority: wire.PriorityUrgent, Tasks: 2, GPUs: 4, MemGB: 1, OneZone: true, Image: "g", ImageGB: 1}
-	var onFour []placedJob
+	var onFour []runningJob
 	for i, machine := range []string{"n-1", "n-2", "n-3", "n-4"} {
-		onFour = append(onFour, placedJob{service(fmt.Sprintf("job-%d", i+1), "", "x", 1, 1), []string{machine}, settled})
+		onFour = append(onFour, runningJob{service(fmt.Sprintf("job-%d", i+1), "", "x", 1, 1), []string{machine}, settled})
 	}
 	four := map[string]string{"n-1": "a", "n-2": "a", "n-3": "b", "n-4": "b"}
 	imageX := map[string][]string{"n-1": {"x"}, "n-2": {"x"}, "n-3": {"x"}, "n-4": {"x"}}
-	for _, tc := range []leaderCase{
+	for _, tc := range []placementCase{
 		{
-			name: "a lower priority is preempted", machines: one,
-			running: []placedJob{{idle, []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			name: "a task of lower priority is preempted", machines: one,
+			running: []runningJob{{idle, []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
 			stopped: []string{"job-1/0"}, reserved: []string{"n-1"},
 		},
 		{
-			name: "and gets the time to save a checkpoint", machines: one,
-			running: []placedJob{{saving(idle), []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			name: "a preempted task gets a grace period for its checkpoint", machines: one,
+			running: []runningJob{{withCheckpoint(idle), []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
 			stopped: []string{"job-1/0"}, graceS: 2, reserved: []string{"n-1"},
 		},
 		{
 			name: "a gang stops as a whole", machines: two,
-			running: []placedJob{{idleGang, []string{"n-1", "n-2"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			running: []runningJob{{idleGang, []string{"n-1", "n-2"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
 			stopped: []string{"job-1/0", "job-1/1"}, reserved: []string{"n-1"},
 		},
 		{
-			name: "not beyond the team's limit", machines: one, limit: 3,
-			running: []placedJob{{array("job-1", "other", wire.PriorityIdle, 4), []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			name: "no preemption beyond the team's limit", machines: one, limit: 3,
+			running: []runningJob{{array("job-1", "other", wire.PriorityIdle, 4), []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
 		},
 		{
-			name: "at the limit, the team's own lower priority is preempted though a machine is idle", machines: two, limit: 4,
-			running: []placedJob{{idle, []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
+			name: "at the limit, the team's own task of lower priority is preempted even if a machine is idle", machines: two, limit: 4,
+			running: []runningJob{{idle, []string{"n-1"}, 0}}, job: array("job-9", "vision", wire.PriorityNormal, 4),
 			stopped: []string{"job-1/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name: "at the limit, a gang stops as a whole, and all of it counts", limit: 5, machines: map[string]string{"n-1": "a", "n-2": "a", "n-3": "a"},
-			running: []placedJob{
+			name: "at the limit, a gang stops as a whole and frees all of its usage", limit: 5, machines: map[string]string{"n-1": "a", "n-2": "a", "n-3": "a"},
+			running: []runningJob{
 				{wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityIdle, Tasks: 2, GPUs: 2, MemGB: 1}, []string{"n-1", "n-2"}, 0},
 				{array("job-2", "vision", wire.PriorityIdle, 1), []string{"n-1"}, 900 * time.Second},
 			},
@@ -102,29 +103,29 @@
 			stopped: []string{"job-1/0", "job-1/1"}, reserved: []string{"n-3"},
 		},
 		{
-			name: "a replica moves from where the image is", machines: two, cpus: 16, images: map[string][]string{"n-1": {"x", "y"}, "n-2": {"y"}},
-			running: []placedJob{{service("job-1", "chat", "y", 4, 40), []string{"n-1"}, settled}}, job: service("job-9", "chat", "x", 4, 40),
+			name: "a replica moves away from the only machine with the pending job's image", machines: two, cpus: 16, images: map[string][]string{"n-1": {"x", "y"}, "n-2": {"y"}},
+			running: []runningJob{{service("job-1", "chat", "y", 4, 40), []string{"n-1"}, settled}}, job: service("job-9", "chat", "x", 4, 40),
 			stopped: []string{"job-1/0"}, to: []string{"n-2"}, reserved: []string{"n-1"},
 		},
 		{
-			name: "not for a team at its limit", machines: two, cpus: 16, limit: 4, images: map[string][]string{"n-1": {"x", "y"}, "n-2": {"y"}},
-			running: []placedJob{{service("job-1", "chat", "y", 4, 40), []string{"n-1"}, settled}}, job: service("job-9", "chat", "x", 4, 40),
+			name: "no replica moves for a team at its limit", machines: two, cpus: 16, limit: 4, images: map[string][]string{"n-1": {"x", "y"}, "n-2": {"y"}},
+			running: []runningJob{{service("job-1", "chat", "y", 4, 40), []string{"n-1"}, settled}}, job: service("job-9", "chat", "x", 4, 40),
 		},
 		{
-			name: "replicas of one zone move for a gang", machines: four, cpus: 16, images: imageX, running: onFour, job: urgentGang, waited: 3 * time.Minute,
+			name: "replicas move out of one zone for a gang", machines: four, cpus: 16, images: imageX, running: onFour, job: urgentGang, waited: 3 * time.Minute,
 			stopped: []string{"job-1/0", "job-2/0"}, to: []string{"n-3", "n-4"}, reserved: []string{"n-1", "n-2"},
 		},
 		{
-			name: "not while machines can be provisioned", machines: four, cpus: 16, images: imageX, offered: []string{"a", "b"}, running: onFour, job: urgentGang, waited: 3 * time.Minute,
+			name: "no replica moves for a gang while machines can be provisioned", machines: four, cpus: 16, images: imageX, offered: []string{"a", "b"}, running: onFour, job: urgentGang, waited: 3 * time.Minute,
 		},
 		{
-			name: "pulls are spread over machines if they are sequential", machines: two, cpus: 16, sequential: 1, pulls: map[string]string{"n-1": "x"},
-			running: []placedJob{{service("job-1", "chat", "x", 1, 20), []string{"n-1"}, 0}}, job: service("job-9", "chat", "y", 1, 20),
+			name: "sequential pulls are spread over machines", machines: two, cpus: 16, sequential: 1, pulls: map[string]string{"n-1": "x"},
+			running: []runningJob{{service("job-1", "chat", "x", 1, 20), []string{"n-1"}, 0}}, job: service("job-9", "chat", "y", 1, 20),
 			placed: []string{"n-2"},
 		},
 		{
-			name: "not if they are parallel", machines: two, cpus: 16, pulls: map[string]string{"n-1": "x"},
-			running: []placedJob{{service("job-1", "chat", "x", 1, 20), []string{"n-1"}, 0}}, job: service("job-9", "chat", "y", 1, 20),
+			name: "parallel pulls are not spread over machines", machines: two, cpus: 16, pulls: map[string]string{"n-1": "x"},
+			running: []runningJob{{service("job-1", "chat", "x", 1, 20), []string{"n-1"}, 0}}, job: service("job-9", "chat", "y", 1, 20),
 			placed: []string{"n-1"},
 		},
 	} {
@@ -132,7 +133,8 @@
 	}
 }
 
-func (tc *leaderCase) run(t *testing.T) {
+// run sets up the case, runs a placement pass and checks its results.
+func (tc *placementCase) run(t *testing.T) {
 	_, leader := newLeadingHarness(t, func(s *config.Settings) {
 		s.Deployment.Teams = []config.Team{{Name: "vision", GPUsMax: cmp.Or(tc.limit, 100)}, {Name: "other", GPUsMax: 100}}
 		s.Deployment.Objectives = []config.Objective{{Kind: objectiveWait, Class: "chat", WithinS: 10, Share: 0.9}}
@@ -164,12 +166,12 @@
 		}
 	}
 	if !slices.Equal(reserved, tc.reserved) || !slices.Equal(placed, tc.placed) {
-		t.Errorf("reserved %q and placed on %q, want %q and %q", reserved, placed, tc.reserved, tc.placed)
+		t.Errorf("got machines %q reserved and tasks on %q, want %q and %q", reserved, placed, tc.reserved, tc.placed)
 	}
 }
 
 // addMachines adds the case's machines.
-func (tc *leaderCase) addMachines(leader *leader) {
+func (tc *placementCase) addMachines(leader *leader) {
 	for _, name := range sortedKeys(tc.machines) {
 		m := idleMachine(leader, name, "g4")
 		leader.describe(m, "", "g4", tc.machines[name], false)
@@ -182,8 +184,8 @@
 	}
 }
 
-// addRunning places the case's jobs that run.
-func (tc *leaderCase) addRunning(leader *leader) []*cluster.Job {
+// addRunning places the running jobs of the case and returns them.
+func (tc *placementCase) addRunning(leader *leader) []*cluster.Job {
 	var running []*cluster.Job
 	for _, r := range tc.running {
 		job := cluster.NewJob(records.Open{Job: r.Job}, 1)
@@ -204,8 +206,9 @@
 	return running
 }
 
-// checkStops compares which tasks are stopped, how, and where they are to run.
-func (tc *leaderCase) checkStops(t *testing.T, running []*cluster.Job) {
+// checkStops checks which tasks are stopped, with which grace period, and to which machines they
+// move.
+func (tc *placementCase) checkStops(t *testing.T, running []*cluster.Job) {
 	t.Helper()
 	var stopped, to []string
 	for _, job := range running {
@@ -216,7 +219,7 @@
 			}
 			stopped = append(stopped, cluster.TaskName(job.ID, i))
 			if stop.GracePeriodS != tc.graceS {
-				t.Errorf("%s has %v s to save, want %v", cluster.TaskName(job.ID, i), stop.GracePeriodS, tc.graceS)
+				t.Errorf("grace period of task %s: got %v s, want %v s", cluster.TaskName(job.ID, i), stop.GracePeriodS, tc.graceS)
 			}
 			if target := job.ReschedulingTargets[i]; target != nil {
 				to = append(to, target.Name)
@@ -224,6 +227,6 @@
 		}
 	}
 	if !slices.Equal(stopped, tc.stopped) || !slices.Equal(to, tc.to) {
-		t.Errorf("%q stop and move to %q, want %q to %q", stopped, to, tc.stopped, tc.to)
+		t.Errorf("got tasks %q stopped and moved to %q, want %q and %q", stopped, to, tc.stopped, tc.to)
 	}
 }
--- a/internal/core/scale_in_test.go
+++ b/internal/core/scale_in_test.go
@@ -10,14 +10,14 @@
 	"github.com/brookwalk/brookwalk/internal/core/cluster"
 )
 
-// answerLastCall ends the last call of the core with a status number and a body.
+// answerLastCall answers the core's last call with a response status and a body.
 func answerLastCall(t *testing.T, leader *leader, number int, body string) {
 	t.Helper()
 	Result{ID: lastCall(t, leader).ID, Status: number, Body: []byte(body)}.apply(leader.core)
 }
 
-// TestReturnPendingChecksTerm returns a machine only once the store has confirmed the term. Without
-// an answer and without a peer, the check is repeated.
+// TestReturnPendingChecksTerm checks that a machine is returned only after the store has confirmed
+// the term. If the store does not answer and no peer is in contact, the check is retried.
 func TestReturnPendingChecksTerm(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
@@ -37,24 +37,24 @@
 			leader.returnMachine(machine, cluster.DrainIdle)
 			leader.returnPending()
 			if machine.Returning {
-				t.Fatal("returned before the check")
+				t.Fatal("machine is being returned before the term was checked")
 			}
 			answerLastCall(t, leader, tc.number, tc.body)
 			if sent := lastCall(t, leader).Path == "/machines/return"; sent != tc.returned || machine.Returning != tc.returned {
-				t.Errorf("return sent: %v, machine returning: %v, want %v", sent, machine.Returning, tc.returned)
+				t.Errorf("return sent: %v, machine returning: %v; want %v for both", sent, machine.Returning, tc.returned)
 			}
 			if leader.steppedDown != tc.steppedDown {
-				t.Errorf("stepped down: %v, want %v", leader.steppedDown, tc.steppedDown)
+				t.Errorf("stepped down: got %v, want %v", leader.steppedDown, tc.steppedDown)
 			}
 			if tc.retryIn != 0 && leader.fleet.returnRetryAt != leader.core.now+tc.retryIn {
-				t.Errorf("retried at %v, now is %v", leader.fleet.returnRetryAt, leader.core.now)
+				t.Errorf("retry at %v, now %v; want a retry after retryIn", leader.fleet.returnRetryAt, leader.core.now)
 			}
 		})
 	}
 }
 
-// TestSendReturns returns more machines than one request may name. Those whose return is confirmed
-// are terminated; after a failure all stay pending.
+// TestSendReturns returns more machines than one request may contain. Machines whose return is
+// confirmed are removed; after a failure all returns stay pending.
 func TestSendReturns(t *testing.T) {
 	const machines, perRequest = 101, 100
 	for _, tc := range []struct {
@@ -74,16 +74,16 @@
 			leader.sendReturns()
 			answerLastCall(t, leader, tc.number, `{}`)
 			if got := len(leader.fleet.pendingReturns); got != tc.pending {
-				t.Errorf("%d machines pending, want %d", got, tc.pending)
+				t.Errorf("pending returns: got %d machines, want %d", got, tc.pending)
 			}
 			if got := len(leader.Machines); got != tc.pending {
-				t.Errorf("%d machines known, want %d", got, tc.pending)
+				t.Errorf("known machines: got %d, want %d", got, tc.pending)
 			}
 			if got := len(leader.returnedMachines); got != machines-tc.pending {
-				t.Errorf("%d machines returned, want %d", got, machines-tc.pending)
+				t.Errorf("returned machines: got %d, want %d", got, machines-tc.pending)
 			}
 			if failed := tc.pending == machines; failed != (leader.fleet.returnRetryAt == leader.core.now+time.Second) {
-				t.Errorf("retried at %v, now is %v", leader.fleet.returnRetryAt, leader.core.now)
+				t.Errorf("retry at %v, now %v; want a retry in 1 s if and only if the return failed", leader.fleet.returnRetryAt, leader.core.now)
 			}
 		})
 	}
--- a/internal/core/scale_out_plan_test.go
+++ b/internal/core/scale_out_plan_test.go
@@ -12,7 +12,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pendingCandidate is a job of team vision whose tasks are all pending.
+// pendingCandidate returns a job of team vision whose tasks are all pending.
 func pendingCandidate(spec wire.Job, tasks int) *candidate {
 	spec.Team = "vision"
 	c := &candidate{Job: &cluster.Job{Job: spec, TaskStates: make([]cluster.Task, tasks)}}
@@ -22,12 +22,12 @@
 	return c
 }
 
-// offer names an offer.
+// offer returns the offer of a machine type in a zone.
 func offer(machineType, zone string, spot bool) provisioning.Offer {
 	return provisioning.Offer{Type: machineType, Zone: zone, Spot: spot}
 }
 
-// shortfallsWithoutPurpose is what a plan wants to provision, without the purposes.
+// shortfallsWithoutPurpose returns the shortfalls of a plan without their purposes.
 func shortfallsWithoutPurpose(plan *scaleOutPlan) []provisioning.Shortfall {
 	var out []provisioning.Shortfall
 	for _, shortfall := range plan.Shortfalls() {
@@ -37,7 +37,7 @@
 	return out
 }
 
-// bootingMachine adds a machine that boots.
+// bootingMachine adds a machine that has just begun to boot.
 func bootingMachine(leader *leader, name, machineType, zone string) *cluster.Machine {
 	machine := leader.getOrAddMachine(name)
 	leader.describe(machine, "", machineType, zone, false)
@@ -45,25 +45,26 @@
 	return machine
 }
 
-// refuse records that the cloud has refused an offer, for a second.
+// refuse records that the cloud has refused an offer, with a backoff of one second.
 func refuse(leader *leader, offer provisioning.Offer) {
 	leader.fleet.availability.RecordRefusal(offer, leader.core.now+time.Second)
 }
 
-// refuseType records that the cloud has refused all that it offers of a machine type in a zone.
+// refuseType records that the cloud has refused all offers of a machine type in a zone.
 func refuseType(leader *leader, machineType, zone string) {
 	refuse(leader, offer(machineType, zone, false))
 	refuse(leader, offer(machineType, zone, true))
 }
 
-// refuseZone records that the cloud has refused all that it offers in a zone.
+// refuseZone records that the cloud has refused all offers in a zone.
 func refuseZone(leader *leader, zone string) {
 	for _, machineType := range sortedKeys(leader.core.machineTypes) {
 		refuseType(leader, machineType, zone)
 	}
 }
 
-// TestScaleOutPlan plans for pending tasks, from an empty fleet unless a case adds machines.
+// TestScaleOutPlan checks what a plan provisions for pending tasks and which machines it uses. The
+// fleet is empty unless the case adds machines.
 func TestScaleOutPlan(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -99,14 +100,14 @@
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 2}},
 		},
 		{
-			name:       "a job in one zone, where the least has to be provisioned",
+			name:       "a job in one zone, in the zone where the fewest machines have to be provisioned",
 			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b") },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1, OneZone: true}, 3)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
 			used:       []string{"n-1"},
 		},
 		{
-			name: "a job in one zone, in the one with most capacity where none has enough",
+			name: "a job in one zone, in the zone with most capacity if none has enough",
 			setUp: func(leader *leader) {
 				bootingMachine(leader, "n-1", "large", "b")
 				refuseZone(leader, "a")
@@ -116,7 +117,7 @@
 			used:       []string{"n-1"},
 		},
 		{
-			name: "a job in one zone, where it has a task",
+			name: "a job in one zone, in the zone where it already has a task",
 			setUp: func(leader *leader) {
 				bootingMachine(leader, "n-1", "large", "a")
 				bootingMachine(leader, "n-2", "large", "a")
@@ -130,7 +131,7 @@
 			want: []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
-			name:       "a machine that boots is used first",
+			name:       "a booting machine is used first",
 			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b") },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 3)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
@@ -152,13 +153,13 @@
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
 		{
-			name:       "a machine that boots for too long is not counted on",
+			name:       "a machine that is late in booting is not used",
 			setUp:      func(leader *leader) { bootingMachine(leader, "n-1", "large", "b").CreatedAt -= 100 * time.Second },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
 		{
-			name: "what is requested is not requested again",
+			name: "requested machines are not requested again",
 			setUp: func(leader *leader) {
 				leader.fleet.requests.Replace([]provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 2}})
 				leader.fleet.requests.Next(leader.core.now)
@@ -166,25 +167,25 @@
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 4)},
 		},
 		{
-			name:       "an offer that was refused lately",
+			name:       "an offer that was refused recently is not used",
 			setUp:      func(leader *leader) { refuse(leader, offer("large", "a", false)) },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
-			name:       "a partitioned zone",
+			name:       "a partitioned zone is not used",
 			setUp:      func(leader *leader) { leader.fleet.partitionedAt["a"] = leader.core.now },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "b", false), Count: 1}},
 		},
 		{
-			name:       "the team's limit",
+			name:       "the team's limit allows two tasks",
 			setUp:      func(leader *leader) { leader.core.team("vision").CPUsMax = 4 },
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 10)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}},
 		},
 		{
-			name: "a job that fails everywhere",
+			name: "nothing is provisioned for a faulty job",
 			candidates: []*candidate{func() *candidate {
 				c := pendingCandidate(wire.Job{CPUs: 2, MemGB: 1}, 1)
 				c.Faulty = true
@@ -192,7 +193,7 @@
 			}()},
 		},
 		{
-			name:       "the first candidate's machines first",
+			name:       "the machines for the first candidate come first",
 			candidates: []*candidate{pendingCandidate(wire.Job{CPUs: 4, MemGB: 1}, 1), pendingCandidate(wire.Job{CPUs: 1, MemGB: 1, AllowSpot: true}, 1)},
 			want:       []provisioning.Shortfall{{Offer: offer("large", "a", false), Count: 1}, {Offer: offer("large", "b", true), Count: 1}},
 		},
@@ -205,17 +206,17 @@
 			plan := newScaleOutPlan(leader)
 			plan.packPending(tc.candidates, map[string]topology.Resources{})
 			if got := shortfallsWithoutPurpose(plan); !slices.Equal(got, tc.want) {
-				t.Errorf("shortfalls %v, want %v", got, tc.want)
+				t.Errorf("shortfalls: got %v, want %v", got, tc.want)
 			}
 			if got := slices.Sorted(maps.Keys(plan.usedMachines())); !slices.Equal(got, tc.used) {
-				t.Errorf("uses %v, want %v", got, tc.used)
+				t.Errorf("used machines: got %v, want %v", got, tc.used)
 			}
 		})
 	}
 }
 
-// TestRequestShortfalls requests more than one request may ask for, and more than the cloud's rate
-// allows at once.
+// TestRequestShortfalls requests more machines than one request may ask for, and more requests than
+// the cloud's rate limit allows at once.
 func TestRequestShortfalls(t *testing.T) {
 	leader := newForecastLeader(t)
 	shortfalls := []provisioning.Shortfall{
@@ -225,16 +226,16 @@
 	leader.requestShortfalls(shortfalls)
 	open := leader.fleet.requests.OpenRequests()
 	if len(open) != 1 || open[0].Count != provisioning.MaxMachinesPerRequest {
-		t.Fatalf("%d requests, the first one %+v", len(open), open[0])
+		t.Fatalf("open requests: got %d, the first one %+v; want one for MaxMachinesPerRequest machines", len(open), open[0])
 	}
 	if !leader.passes.requested {
-		t.Error("the rest is not planned again")
+		t.Error("no pass is requested for the remaining shortfalls, want one")
 	}
 	for range 2 * provisioning.MaxOpenRequests {
 		leader.core.now += time.Second
 		leader.requestShortfalls(shortfalls)
 	}
 	if n := len(leader.fleet.requests.OpenRequests()); n != provisioning.MaxOpenRequests {
-		t.Errorf("%d requests without an answer, at most %d allowed", n, provisioning.MaxOpenRequests)
+		t.Errorf("open requests: got %d, want %d", n, provisioning.MaxOpenRequests)
 	}
 }
--- a/internal/core/scale_out_test.go
+++ b/internal/core/scale_out_test.go
@@ -8,24 +8,24 @@
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 )
 
-// lastCall is the last call that the core has made.
+// lastCall returns the last call that the core has made.
 func lastCall(t *testing.T, leader *leader) Call {
 	t.Helper()
 	calls := leader.core.out.Calls
 	if len(calls) == 0 {
-		t.Fatal("no call")
+		t.Fatal("the core has made no call, want one")
 	}
 	return calls[len(calls)-1]
 }
 
-// TestProvisionResult answers a request for two machines in each way. A request that the cloud has
-// decided on is closed; any other is repeated a second later. An offer that was not granted in full
-// backs off.
+// TestProvisionResult answers a request for two machines with each possible result. A request that
+// the cloud has decided on is closed; any other is retried a second later. An offer that was not
+// granted in full is in backoff.
 func TestProvisionResult(t *testing.T) {
 	requested := offer("large", "a", false)
 	for _, tc := range []struct {
 		name     string
-		number   int
+		number   int // status of the response
 		body     string
 		open     bool
 		backoff  time.Duration // of the offer
@@ -49,21 +49,21 @@
 
 			open := leader.fleet.requests.OpenRequests()
 			if (len(open) > 0) != tc.open {
-				t.Errorf("%d open requests", len(open))
+				t.Errorf("open requests: got %d, want one if and only if the cloud has not decided on the request", len(open))
 			}
 			if tc.open && (open[0].InFlight || open[0].RetryAt != leader.core.now+time.Second) {
-				t.Errorf("not repeated: %+v", open[0])
+				t.Errorf("open request: got %+v, want it not in flight and retried in 1 s", open[0])
 			}
 			availability := leader.fleet.availability
 			if tc.backoff > 0 && !availability.InBackoff(requested, leader.core.now+tc.backoff-1) || availability.InBackoff(requested, leader.core.now+tc.backoff) {
-				t.Errorf("backoff is not %v", tc.backoff)
+				t.Errorf("backoff of the offer: want exactly %v", tc.backoff)
 			}
 			if len(leader.Machines) != tc.machines {
-				t.Errorf("%d machines known, want %d", len(leader.Machines), tc.machines)
+				t.Errorf("known machines: got %d, want %d", len(leader.Machines), tc.machines)
 			}
 			for _, machine := range leader.MachinesByName {
 				if machine.Offer() != requested || machine.ProvisionRequestedAt != leader.core.now {
-					t.Errorf("machine %+v", machine)
+					t.Errorf("machine: got %+v, want the requested offer and the time of the request", machine)
 				}
 			}
 		})
--- a/internal/core/scheduler_host_test.go
+++ b/internal/core/scheduler_host_test.go
@@ -11,10 +11,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// busyTasksPerMachine is how many tasks each machine of a busy fleet runs, in these benchmarks.
+// busyTasksPerMachine is how many tasks each machine of a busy fleet runs in the benchmarks.
 const busyTasksPerMachine = 29
 
-// newBusyFleetLeader makes a leader of a fleet whose machines hold three more tasks each.
+// newBusyFleetLeader returns the leader of a fleet whose machines each run busyTasksPerMachine
+// tasks and have capacity for three more.
 func newBusyFleetLeader(tb testing.TB, machines int) *leader {
 	tb.Helper()
 	harness := newHarness(tb, testMachineTypes)
@@ -36,7 +37,7 @@
 	return leader
 }
 
-// addJob adds a job with tasks to place.
+// addJob adds an open job without placed tasks.
 func addJob(leader *leader, spec wire.Job) *cluster.Job {
 	spec.Team, spec.Image = "vision", "img"
 	job := cluster.NewJob(records.Open{Job: spec}, uint64(len(leader.JobsBySubmission)+1))
@@ -46,8 +47,8 @@
 	return job
 }
 
-// BenchmarkPass is a placement pass with its scale-out plan over a busy fleet in which nothing
-// waits: what every pass costs.
+// BenchmarkPass measures the base cost of a pass: a placement pass with its scale-out plan over a
+// busy fleet without pending tasks.
 func BenchmarkPass(b *testing.B) {
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -59,7 +60,8 @@
 	}
 }
 
-// BenchmarkScaleOutPlan plans for as many waiting tasks as the fleet has capacity for.
+// BenchmarkScaleOutPlan measures a scale-out plan with three pending tasks per machine, which is
+// the free capacity of the fleet.
 func BenchmarkScaleOutPlan(b *testing.B) {
 	for _, machines := range []int{300, 1000, 2000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
@@ -76,7 +78,8 @@
 	}
 }
 
-// idleMachine adds a machine of zone a that sends heartbeats and has heard of the term.
+// idleMachine adds an idle machine in zone a that has sent a heartbeat with this term's fencing
+// token.
 func idleMachine(leader *leader, name, machineType string) *cluster.Machine {
 	machine := leader.getOrAddMachine(name)
 	leader.describe(machine, "", machineType, "a", false)
@@ -84,10 +87,10 @@
 	return machine
 }
 
-// candidates lists the jobs with tasks to place.
+// candidates returns the jobs with tasks to place.
 func (l *leader) candidates() []*candidate { return l.scheduler.Candidates() }
 
-// bindTasks places tasks on machines, given in their order, as a pass of the scheduler does.
+// bindTasks places tasks on the machines at the same indices, as a placement pass does.
 func (l *leader) bindTasks(job *cluster.Job, tasks []int, machines []*cluster.Machine) {
 	for i, index := range tasks {
 		machine, task := machines[i], &job.TaskStates[index]
@@ -99,5 +102,5 @@
 	}
 }
 
-// markWithinQuota marks the jobs that are within quota, as every pass does.
+// markWithinQuota marks the jobs that are within quota, as every placement pass does.
 func (l *leader) markWithinQuota() { l.scheduler.Candidates() }
--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestWaitReasons logs why a job waits once it has waited for long, each reason once and at a bounded
-// rate.
+// TestWaitReasons checks that the reason why a job waits is logged at level info once the job has
+// waited for logWaitAfter: each reason once, and at a limited rate.
 func TestWaitReasons(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
@@ -38,23 +38,23 @@
 		leader.core.now, leader.core.wallClockMS = start+step.at, job.WaitingSinceMS+step.at.Milliseconds()
 		leader.logWait(job, step.reason)
 		if logged := strings.Contains(out.String(), string(step.reason)); logged != step.logged {
-			t.Errorf("after %v: logged %v, want %v (%s)", step.at, logged, step.logged, out.String())
+			t.Errorf("reason logged after %v: got %v, want %v; log: %s", step.at, logged, step.logged, out.String())
 		}
 	}
 }
 
-// TestPlanNamesWaitReason checks that a plan names the reason that holds for a candidate.
-func TestPlanNamesWaitReason(t *testing.T) {
+// TestPlanLogsWaitReason checks the wait reason that a plan logs for a candidate.
+func TestPlanLogsWaitReason(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		setUp func(leader *leader, c *candidate)
 		want  cluster.WaitReason
 	}{
 		{"a machine is provisioned", func(*leader, *candidate) {}, cluster.WaitForMachines},
-		{"a machine boots", func(leader *leader, _ *candidate) { bootingMachine(leader, "n-1", "large", "a") }, cluster.WaitForMachines},
-		{"the limit", func(leader *leader, _ *candidate) { leader.core.team("vision").CPUsMax = 1 }, cluster.WaitTeamLimit},
+		{"a machine is booting", func(leader *leader, _ *candidate) { bootingMachine(leader, "n-1", "large", "a") }, cluster.WaitForMachines},
+		{"the team is at its limit", func(leader *leader, _ *candidate) { leader.core.team("vision").CPUsMax = 1 }, cluster.WaitTeamLimit},
 		{"no capacity", func(leader *leader, _ *candidate) { refuseZone(leader, "a"); refuseZone(leader, "b") }, cluster.WaitNoOffer},
-		{"tasks are preempted", func(_ *leader, c *candidate) { c.ReservedTasks = 1 }, cluster.WaitForPreemption},
+		{"other tasks are being preempted", func(_ *leader, c *candidate) { c.ReservedTasks = 1 }, cluster.WaitForPreemption},
 	} {
 		leader := newForecastLeader(t)
 		c := pendingCandidate(wire.Job{ID: "job-1", CPUs: 2, MemGB: 1}, 1)
@@ -62,13 +62,14 @@
 		plan := newScaleOutPlan(leader)
 		plan.packPending([]*candidate{c}, map[string]topology.Resources{})
 		if got := c.Job.WaitLog.LastReason; got != tc.want {
-			t.Errorf("%s: %q, want %q", tc.name, got, tc.want)
+			t.Errorf("%s: wait reason: got %q, want %q", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestPlanNamesPurposes logs a provisioned machine and one that is kept, with their purposes.
-func TestPlanNamesPurposes(t *testing.T) {
+// TestPlanLogsPurposes checks that a plan logs the purposes of a provisioned machine and of an
+// idle machine that is kept, each once.
+func TestPlanLogsPurposes(t *testing.T) {
 	leader := newForecastLeader(t)
 	var out bytes.Buffer
 	leader.core.log = slog.New(slog.NewTextHandler(&out, &slog.HandlerOptions{Level: slog.LevelDebug}))
@@ -81,7 +82,7 @@
 	}
 	for _, want := range []string{`msg="idle machine kept" machine=n-1 purpose=job-000007`, `msg="provisioning requested" type=large zone=a spot=false count=1 purpose=job-000008`} {
 		if n := strings.Count(out.String(), want); n != 1 {
-			t.Errorf("%d lines %s in\n%s", n, want, out.String())
+			t.Errorf("log lines with %s: got %d, want 1, in\n%s", want, n, out.String())
 		}
 	}
 }
--- a/internal/core/zone_loss_test.go
+++ b/internal/core/zone_loss_test.go
@@ -8,9 +8,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// newZoneLossLeader makes a leader of a fleet that has just lost a zone: a third of the tasks of
-// every job has no machine. The machines left are full; a third of the jobs and an array
-// are of the lowest priority, so that they may be preempted.
+// newZoneLossLeader returns the leader of a fleet that has just lost a zone: a third of the tasks
+// of every job have no machine. The remaining machines are full. A third of the jobs and an array
+// have the lowest priority, so that their tasks may be preempted.
 func newZoneLossLeader(tb testing.TB, machines int) *leader {
 	tb.Helper()
 	leader := newBusyFleetLeader(tb, machines)
@@ -21,7 +21,7 @@
 			setPriority(job, 0)
 		}
 	}
-	// The tasks of a job are placed anew, so that each job has some in every zone.
+	// The tasks are placed again, so that each job has tasks in every zone.
 	for _, job := range leader.JobsBySubmission {
 		for k := range job.TaskStates {
 			leader.unplace(job, k)
@@ -58,7 +58,7 @@
 	}
 }
 
-// BenchmarkZoneLoss is the longest of the passes after the loss of a zone.
+// BenchmarkZoneLoss measures the longest placement pass after the loss of a zone.
 func BenchmarkZoneLoss(b *testing.B) {
 	for _, machines := range []int{300, 1000, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) {
