--- a/internal/core/best_effort.go
+++ b/internal/core/best_effort.go
@@ -28,8 +28,8 @@
 	return machineType.Price / float64(fit), true
 }
 
-// cheapTypes returns the names of the machine types that a job may use and that are not expensive
-// for it, in order.
+// cheapTypes returns the sorted names of the machine types that a job may use and that are not
+// expensive for it.
 func (l *leader) cheapTypes(job *wire.Job) []string {
 	prices := map[string]float64{}
 	lowest := math.Inf(1)
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -17,7 +17,7 @@
 	consolidationState
 
 	partitionedAt  map[string]time.Duration // when a zone was last found partitioned; health.go
-	urgentCommands map[string]bool          // machines to send commands to at this tick; stops.go
+	urgentCommands map[string]bool          // machines to send commands to before their next heartbeat; stops.go
 }
 
 // consolidationState is the state of emptying machines whose replicas fit on other machines. Only
--- a/internal/core/forecast.go
+++ b/internal/core/forecast.go
@@ -86,9 +86,9 @@
 	return tasks
 }
 
-// leadTime returns how long a machine for a job takes to boot and to pull the job's image, in
-// seconds: with the usual boot time of its type and with a slow one. ok is false if no machine type
-// can run the job.
+// leadTime returns how long a machine of the fastest type for a job takes to boot and to pull the
+// job's image, in seconds: with the usual boot time and with a slow one. ok is false if no machine
+// type can run the job.
 func (l *leader) leadTime(job *cluster.Job) (usualS, slowS float64, ok bool) {
 	usualS, slowS = math.Inf(1), math.Inf(1)
 	for _, machineType := range l.core.machineTypes { // map order has no effect: only the minimum counts
--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -116,9 +116,8 @@
 // Now returns the monotonic time.
 func (h quotaHost) Now() time.Duration { return h.leader.core.now }
 
-// NewIncarnation returns the incarnation of a new quota manager, never 0. It is derived from the
-// incarnation of the process and a counter, so it is as unlikely to equal one of another process as
-// the incarnations of the processes are to be equal.
+// NewIncarnation returns the incarnation of a new quota manager, never 0. It is a hash of the
+// process's incarnation, which no other process has, and a counter.
 func (h quotaHost) NewIncarnation() uint64 {
 	core := h.leader.core
 	core.regions.managersCreated++
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -8,7 +8,7 @@
 	"github.com/brookwalk/brookwalk/internal/core/provisioning"
 )
 
-// scaleOut is the state of provisioning. This file and scale_out_plan.go change it.
+// scaleOut is the state of provisioning. This file, scale_out_plan.go and offers.go change it.
 type scaleOut struct {
 	requests        *provisioning.Queue
 	availability    *provisioning.Availability
