--- a/internal/core/quota_host.go
+++ b/internal/core/quota_host.go
@@ -11,7 +11,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// quotaMessagesPerHeartbeat is the number of complete messages sent to each other region per
+// quotaMessagesPerHeartbeat is the number of full messages sent to each other region per
 // heartbeat interval.
 const quotaMessagesPerHeartbeat = 2
 
