--- a/internal/core/best_effort_test.go
+++ b/internal/core/best_effort_test.go
@@ -97,11 +97,11 @@
 // forecast tasks.
 func TestExpensiveMachineIsDrainedOfBestEffortWork(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		typ   string
-		alone time.Duration // since the last other task, in worker leases
-		setUp func(leader *leader, m *cluster.Machine)
-		want  bool
+		name               string
+		typ                string
+		bestEffortOnlyTime time.Duration // since the last other task, in worker leases
+		setUp              func(leader *leader, m *cluster.Machine)
+		want               bool
 	}{
 		{"an expensive machine", "g4", 4, nil, true},
 		{"a cheap machine", "small", 4, nil, false},
@@ -126,7 +126,7 @@
 				bestEffort.TaskStates[i].Persisted, bestEffort.TaskStates[i].StartSent = true, true
 			}
 			leader.unplace(guaranteed, 0)
-			leader.core.now += tc.alone * leader.core.workerLease()
+			leader.core.now += tc.bestEffortOnlyTime * leader.core.workerLease()
 			machine.LastHeartbeat = leader.core.now
 			if tc.setUp != nil {
 				tc.setUp(leader, machine)
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -30,11 +30,11 @@
 	// repeated at most once per heartbeat interval.
 	fleet.nextConsolidationAt = l.core.now + l.core.heartbeatInterval()
 	limit := l.scheduler.Evaluations() + l.scheduler.EvaluationBudget()
-	first := slices.IndexFunc(sources, func(machine *cluster.Machine) bool { return machine.Name == fleet.consolidateFrom })
-	fleet.consolidateFrom = ""
+	first := slices.IndexFunc(sources, func(machine *cluster.Machine) bool { return machine.Name == fleet.resumeConsolidationFrom })
+	fleet.resumeConsolidationFrom = ""
 	for _, source := range sources[max(first, 0):] {
 		if l.scheduler.Evaluations() > limit {
-			fleet.consolidateFrom = source.Name // the next call resumes here
+			fleet.resumeConsolidationFrom = source.Name // the next call resumes here
 			return
 		}
 		if destinations := l.consolidationPlan(source, targets); destinations != nil {
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -23,15 +23,15 @@
 // consolidationState is the state of emptying machines whose replicas fit on other machines. Only
 // consolidation.go changes it.
 type consolidationState struct {
-	consolidateFrom     string        // machine at which the next search starts, if the last one exceeded its budget
-	nextConsolidationAt time.Duration // earliest time of the next search
+	resumeConsolidationFrom string        // machine at which the next search starts, if the last one exceeded its budget
+	nextConsolidationAt     time.Duration // earliest time of the next search
 }
 
 // newFleet returns the fleet state of a new leader.
 func newFleet(deployment *config.Deployment, term uint64) fleet {
 	return fleet{
 		scaleOut: scaleOut{
-			requests:        provisioning.NewQueue(term, cloudCallDuration(deployment, scaleOutIntervalCalls)),
+			requests:        provisioning.NewQueue(term, cloudCallDuration(deployment, requestIntervalCalls)),
 			availability:    provisioning.NewAvailability(),
 			plannedMachines: map[string]bool{},
 		},
@@ -46,8 +46,8 @@
 	l.checkFleetSize()
 	l.returnPending()
 	l.startListing()
-	l.retryScaleOuts()
-	l.sendScaleOuts()
+	l.retryProvisioningRequests()
+	l.sendProvisioningRequests()
 	policy := l.scaleInPolicy()
 	for _, machine := range l.MachinesByName {
 		l.drainExpensiveMachine(machine)
--- a/internal/core/inventory.go
+++ b/internal/core/inventory.go
@@ -10,12 +10,13 @@
 )
 
 const (
-	minListInterval = 2 * time.Second // between two reads of the machine list
-	listCallShare   = 4               // at most one in listCallShare calls to the cloud reads the list
+	minListInterval  = 2 * time.Second // between two reads of the machine list
+	callsPerListCall = 4               // at most one in callsPerListCall calls to the cloud reads the list
 )
 
-// inventory is the state of reading the cloud's machine list. The list shows machines that the
-// leader does not know of, and machines that no longer exist. Only this file changes it.
+// inventory is the state of reading the cloud's machine list. The list reveals machines that the
+// leader does not know of and, by their absence, machines that no longer exist. Only this file
+// changes this state.
 type inventory struct {
 	listInFlight   bool
 	nextListAt     time.Duration
@@ -26,7 +27,7 @@
 // pages, to leave enough of the cloud's rate limit for provisioning and returns.
 func (l *leader) listInterval() time.Duration {
 	pages := (len(l.fleet.listedMachines) + cloudapi.ListPageSize - 1) / cloudapi.ListPageSize
-	return max(minListInterval, config.Seconds(float64(pages*listCallShare)/l.core.settings.Deployment.Cloud.RPS))
+	return max(minListInterval, config.Seconds(float64(pages*callsPerListCall)/l.core.settings.Deployment.Cloud.RPS))
 }
 
 // listLag returns the maximum age of the cloud's machine list.
--- a/internal/core/inventory_test.go
+++ b/internal/core/inventory_test.go
@@ -17,7 +17,7 @@
 	const first, last = `{"hosts":[{"nameId":"n-1"},{"nameId":"n-2"}],"truncated":true}`, `{"hosts":[{"nameId":"n-3"}]}`
 	for _, tc := range []struct {
 		name     string
-		number   int // status of the response with the second page
+		status   int // status of the response with the second page
 		body     string
 		returned bool
 		nextIn   time.Duration
@@ -38,7 +38,7 @@
 			if got := lastCall(t, leader).Path; got != "/machines?limit=500&since=n-2" {
 				t.Errorf("path of the second page: got %s, want /machines?limit=500&since=n-2", got)
 			}
-			answerLastCall(t, leader, tc.number, tc.body)
+			answerLastCall(t, leader, tc.status, tc.body)
 			if got := leader.fleet.pendingReturns["n-0"]; got != tc.returned {
 				t.Errorf("unlisted machine returned: got %v, want %v", got, tc.returned)
 			}
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -112,7 +112,7 @@
 	l.tickDependencies()
 	l.tickDependencyLists()
 	l.tickQuota()
-	if l.core.now >= l.passes.earliest+l.core.heartbeatInterval()/3 {
+	if l.core.now >= l.passes.earliestStart+l.core.heartbeatInterval()/3 {
 		l.passes.requested = true
 	}
 }
@@ -123,11 +123,11 @@
 
 // runDuePass runs a scheduling pass if one is requested and it is time for it.
 func (l *leader) runDuePass() {
-	if !l.isActive() || !l.passes.requested || l.core.now < l.passes.earliest {
+	if !l.isActive() || !l.passes.requested || l.core.now < l.passes.earliestStart {
 		return
 	}
 	l.passes.requested = false
-	l.passes.earliest = l.core.now + l.core.heartbeatInterval()/50
+	l.passes.earliestStart = l.core.now + l.core.heartbeatInterval()/50
 	l.runPlacementPass()
 }
 
--- a/internal/core/leader_placement_test.go
+++ b/internal/core/leader_placement_test.go
@@ -62,9 +62,9 @@
 	idle := array("job-1", "vision", wire.PriorityIdle, 4)
 	idleGang := wire.Job{ID: "job-1", Team: "vision", Shape: wire.ShapeGang, Priority: wire.PriorityIdle, Tasks: 2, GPUs: 4, MemGB: 1, OneZone: true}
 	urgentGang := wire.Job{ID: "job-9", Team: "vision", Class: "train", Shape: wire.ShapeGang, Priority: wire.PriorityUrgent, Tasks: 2, GPUs: 4, MemGB: 1, OneZone: true, Image: "g", ImageGB: 1}
-	var onFour []runningJob
+	var runningOnFour []runningJob
 	for i, machine := range []string{"n-1", "n-2", "n-3", "n-4"} {
-		onFour = append(onFour, runningJob{service(fmt.Sprintf("job-%d", i+1), "", "x", 1, 1), []string{machine}, settled})
+		runningOnFour = append(runningOnFour, runningJob{service(fmt.Sprintf("job-%d", i+1), "", "x", 1, 1), []string{machine}, settled})
 	}
 	four := map[string]string{"n-1": "a", "n-2": "a", "n-3": "b", "n-4": "b"}
 	imageX := map[string][]string{"n-1": {"x"}, "n-2": {"x"}, "n-3": {"x"}, "n-4": {"x"}}
@@ -112,11 +112,11 @@
 			running: []runningJob{{service("job-1", "chat", "y", 4, 40), []string{"n-1"}, settled}}, job: service("job-9", "chat", "x", 4, 40),
 		},
 		{
-			name: "replicas move out of one zone for a gang", machines: four, cpus: 16, images: imageX, running: onFour, job: urgentGang, waited: 3 * time.Minute,
+			name: "replicas move out of one zone for a gang", machines: four, cpus: 16, images: imageX, running: runningOnFour, job: urgentGang, waited: 3 * time.Minute,
 			stopped: []string{"job-1/0", "job-2/0"}, to: []string{"n-3", "n-4"}, reserved: []string{"n-1", "n-2"},
 		},
 		{
-			name: "no replica moves for a gang while machines can be provisioned", machines: four, cpus: 16, images: imageX, offered: []string{"a", "b"}, running: onFour, job: urgentGang, waited: 3 * time.Minute,
+			name: "no replica moves for a gang while machines can be provisioned", machines: four, cpus: 16, images: imageX, offered: []string{"a", "b"}, running: runningOnFour, job: urgentGang, waited: 3 * time.Minute,
 		},
 		{
 			name: "sequential pulls are spread over machines", machines: two, cpus: 16, sequential: 1, pulls: map[string]string{"n-1": "x"},
--- a/internal/core/scale_in_test.go
+++ b/internal/core/scale_in_test.go
@@ -11,9 +11,9 @@
 )
 
 // answerLastCall answers the core's last call with a response status and a body.
-func answerLastCall(t *testing.T, leader *leader, number int, body string) {
+func answerLastCall(t *testing.T, leader *leader, status int, body string) {
 	t.Helper()
-	Result{ID: lastCall(t, leader).ID, Status: number, Body: []byte(body)}.apply(leader.core)
+	Result{ID: lastCall(t, leader).ID, Status: status, Body: []byte(body)}.apply(leader.core)
 }
 
 // TestReturnPendingChecksTerm checks that a machine is returned only after the store has confirmed
@@ -21,7 +21,7 @@
 func TestReturnPendingChecksTerm(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
-		number      int
+		status      int
 		body        string
 		returned    bool
 		steppedDown bool
@@ -39,7 +39,7 @@
 			if machine.Returning {
 				t.Fatal("machine is being returned before the term was checked")
 			}
-			answerLastCall(t, leader, tc.number, tc.body)
+			answerLastCall(t, leader, tc.status, tc.body)
 			if sent := lastCall(t, leader).Path == "/machines/return"; sent != tc.returned || machine.Returning != tc.returned {
 				t.Errorf("return sent: %v, machine returning: %v; want %v for both", sent, machine.Returning, tc.returned)
 			}
@@ -59,7 +59,7 @@
 	const machines, perRequest = 101, 100
 	for _, tc := range []struct {
 		name    string
-		number  int
+		status  int
 		pending int
 	}{
 		{"done", httpstatus.OK, machines - perRequest},
@@ -72,7 +72,7 @@
 				leader.returnMachine(leader.getOrAddMachine(fmt.Sprintf("n-%03d", i)), cluster.DrainIdle)
 			}
 			leader.sendReturns()
-			answerLastCall(t, leader, tc.number, `{}`)
+			answerLastCall(t, leader, tc.status, `{}`)
 			if got := len(leader.fleet.pendingReturns); got != tc.pending {
 				t.Errorf("pending returns: got %d machines, want %d", got, tc.pending)
 			}
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -18,8 +18,8 @@
 
 // Intervals of provisioning, as numbers of calls that the cloud's rate limit allows in that time.
 const (
-	scaleOutIntervalCalls = 2  // between two new requests; the remaining calls are for retries and other purposes
-	offerBackoffCalls     = 48 // before a refused offer is requested again; all offers together stay well below the rate limit
+	requestIntervalCalls = 2  // between two new requests; the remaining calls are for retries and other purposes
+	offerBackoffCalls    = 48 // before a refused offer is requested again; all offers together stay well below the rate limit
 )
 
 // cloudCallDuration returns how long a number of calls takes at the cloud's rate limit.
@@ -39,16 +39,16 @@
 // rest is requested at the next tick or by the next plan.
 func (l *leader) requestShortfalls(shortfalls []provisioning.Shortfall) {
 	l.fleet.requests.Replace(shortfalls)
-	l.sendScaleOuts()
+	l.sendProvisioningRequests()
 	if l.fleet.requests.HasShortfalls() {
 		l.passes.requested = true
 	}
 }
 
-// sendScaleOuts sends the provisioning requests that the cloud's rate limit allows now. It is also
-// called between plans: the plans of a large fleet are so far apart that one request per plan would
-// leave most of the rate unused.
-func (l *leader) sendScaleOuts() {
+// sendProvisioningRequests sends the provisioning requests that the cloud's rate limit allows now.
+// It is also called between plans: the plans of a large fleet are so far apart that one request per
+// plan would leave most of the rate unused.
+func (l *leader) sendProvisioningRequests() {
 	for {
 		request := l.fleet.requests.Next(l.core.now)
 		if request == nil {
@@ -56,21 +56,21 @@
 		}
 		l.core.log.Info("provisioning requested", "type", request.Type, "zone", request.Zone, "spot", request.Spot,
 			"count", request.Count, "purpose", request.Purpose)
-		l.sendScaleOut(request)
+		l.sendProvisioningRequest(request)
 	}
 }
 
-// retryScaleOuts resends the requests whose last call failed.
-func (l *leader) retryScaleOuts() {
+// retryProvisioningRequests resends the requests whose last call failed.
+func (l *leader) retryProvisioningRequests() {
 	for _, request := range l.fleet.requests.OpenRequests() {
 		if !request.InFlight && l.core.now >= request.RetryAt {
-			l.sendScaleOut(request)
+			l.sendProvisioningRequest(request)
 		}
 	}
 }
 
-// sendScaleOut sends one provisioning request.
-func (l *leader) sendScaleOut(request *provisioning.Request) {
+// sendProvisioningRequest sends one provisioning request.
+func (l *leader) sendProvisioningRequest(request *provisioning.Request) {
 	request.InFlight = true
 	requestedAt := l.core.now
 	l.core.cloud.Provision(request.ProvisionRequest, func(result cloudapi.ProvisionResult) {
--- a/internal/core/scale_out_test.go
+++ b/internal/core/scale_out_test.go
@@ -25,7 +25,7 @@
 	requested := offer("large", "a", false)
 	for _, tc := range []struct {
 		name     string
-		number   int // status of the response
+		status   int // status of the response
 		body     string
 		open     bool
 		backoff  time.Duration // of the offer
@@ -45,7 +45,7 @@
 			leader := newForecastLeader(t)
 			leader.returnedMachines["n-returned"] = leader.core.now
 			leader.requestShortfalls([]provisioning.Shortfall{{Offer: requested, Count: 2}})
-			Result{ID: lastCall(t, leader).ID, Status: tc.number, Body: []byte(tc.body)}.apply(leader.core)
+			Result{ID: lastCall(t, leader).ID, Status: tc.status, Body: []byte(tc.body)}.apply(leader.core)
 
 			open := leader.fleet.requests.OpenRequests()
 			if (len(open) > 0) != tc.open {
--- a/internal/core/scheduler_host.go
+++ b/internal/core/scheduler_host.go
@@ -21,8 +21,8 @@
 
 // passState records whether a placement pass is requested and when it may run.
 type passState struct {
-	requested bool          // there may be tasks to place or machines to provision
-	earliest  time.Duration // when the next pass may begin
+	requested     bool          // there may be tasks to place or machines to provision
+	earliestStart time.Duration // when the next pass may begin
 }
 
 // runPlacementPass places pending tasks, preempts tasks of lower priority for those without a
@@ -38,7 +38,7 @@
 	l.planScaleOut(candidates, usage)
 	// Passes take at most a third of the leader's time.
 	cost := l.scheduler.EvaluationTime(l.scheduler.Evaluations() - before)
-	l.passes.earliest = max(l.passes.earliest, l.core.now+2*cost)
+	l.passes.earliestStart = max(l.passes.earliestStart, l.core.now+2*cost)
 }
 
 // reservedTasks returns the number of a job's tasks for which machines are reserved.
