--- a/internal/core/wait_reason_test.go
+++ b/internal/core/wait_reason_test.go
@@ -82,7 +82,7 @@
 	}
 	for _, want := range []string{`msg="idle machine kept" machine=n-1 purpose=job-000007`, `msg="provisioning requested" type=large zone=a spot=false count=1 purpose=job-000008`} {
 		if n := strings.Count(out.String(), want); n != 1 {
-			t.Errorf("log lines with %s: got %d, want 1, in\n%s", want, n, out.String())
+			t.Errorf("got %d log lines with %s, want 1, in\n%s", n, want, out.String())
 		}
 	}
 }
