--- a/internal/core/election/election_test.go
+++ b/internal/core/election/election_test.go
@@ -29,7 +29,7 @@
 
 // respond queues a response for deliver, or queues one without a status if the response is lost.
 func (s *fakeStore) respond(done func(kv.Response), number int, v any) {
-	response := kv.Response{Number: number, Body: kv.Encode(v)}
+	response := kv.Response{StatusCode: number, Body: kv.Encode(v)}
 	if s.random.Float64() < s.lossProbability {
 		response = kv.Response{}
 	}
@@ -93,7 +93,7 @@
 }
 
 func (s *fakeStore) Renew(lease uint64, _ time.Duration, done func(kv.Status)) {
-	parse := func(r kv.Response) { done(kv.StatusOf(r.Number)) }
+	parse := func(r kv.Response) { done(kv.StatusOf(r.StatusCode)) }
 	if _, ok := s.leases[lease]; !ok {
 		s.respond(parse, http.StatusNotFound, struct{}{})
 		return
--- a/internal/core/heartbeat.go
+++ b/internal/core/heartbeat.go
@@ -33,7 +33,7 @@
 		// The cloud has confirmed the machine's return: this is a delayed copy of a heartbeat.
 		return httpstatus.ServiceUnavailable, []byte("{}")
 	}
-	machine := l.machineNamed(heartbeat.Machine)
+	machine := l.getOrAddMachine(heartbeat.Machine)
 	if !heartbeat.NewerThan(machine.HeartbeatIncarnation, machine.HeartbeatSequence) {
 		// A delayed or repeated copy must not renew the lease or change the machine's state.
 		l.core.log.Debug("stale heartbeat rejected", "machine", heartbeat.Machine, "incarnation", heartbeat.Incarnation, "sequence", heartbeat.Sequence)
--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -40,7 +40,7 @@
 
 // writesNamedRanges reports whether to write records with named ranges.
 func (w *Writer) writesNamedRanges() bool {
-	return w.store.ShrinkValues() && (w.namedRangesAllowed || w.host.PeersReadNamedRanges())
+	return w.store.ValueLimitReduced() && (w.namedRangesAllowed || w.host.PeersReadNamedRanges())
 }
 
 // InitPlacementRecords divides a job's tasks into new placement records, which are not stored yet.
@@ -172,9 +172,9 @@
 // RestorePlacements restores a job's placements from the placement records of earlier terms.
 func (w *Writer) RestorePlacements(job *cluster.Job, found []LoadedPlacement) {
 	covered, named := coveredByNamedRanges(found, len(job.TaskStates))
-	if named && !w.store.AnnouncedToShrink() {
+	if named && !w.store.ValueLimitReductionAnnounced() {
 		// The store rejected values of an earlier leader that the settings allow.
-		w.store.AssumeSmallValues()
+		w.store.AssumeLargeValuesRejected()
 		w.AllowNamedRanges()
 	}
 	job.PlacementRecords = nil
--- a/internal/core/persistence/rejections.go
+++ b/internal/core/persistence/rejections.go
@@ -25,9 +25,9 @@
 	switch {
 	case len(txn.Writes) > 2:
 		w.host.RejectedWrites(len(txn.Writes))
-	case !w.store.SmallValues() && writesLargeValue(txn, records.PrefixPlacement):
-		w.store.RejectedValue()
-		w.log.Info("store rejected a large placement record; reducing the size of placement records", "bytes", kv.SmallValue)
+	case !w.store.LargeValuesRejected() && writesLargeValue(txn, records.PrefixPlacement):
+		w.store.LowerMaxPlacementValue()
+		w.log.Info("store rejected a large placement record; reducing the size of placement records", "bytes", kv.SmallValueBytes)
 	case len(jobs) > 1:
 		w.singleJobTransactions = true
 	default:
@@ -42,7 +42,7 @@
 func (w *Writer) backOff(job *cluster.Job, txn *wire.Txn) {
 	if writesLargeValue(txn, records.PrefixOpen) && !job.OpenRecordTooLarge {
 		job.OpenRecordTooLarge = true
-		w.store.ForgetFewerWrites()
+		w.store.ResetMaxWrites()
 	}
 	job.Rejections++
 	delay := w.host.LeaderLease() << min(job.Rejections, maxBackoffDoublings) / 8
@@ -53,7 +53,7 @@
 // writesLargeValue reports whether a transaction writes a large value to a key with a prefix.
 func writesLargeValue(txn *wire.Txn, prefix string) bool {
 	for _, write := range txn.Writes {
-		if strings.HasPrefix(write.Put, prefix) && len(write.Value) > kv.SmallValue/2 {
+		if strings.HasPrefix(write.Put, prefix) && len(write.Value) > kv.SmallValueBytes/2 {
 			return true
 		}
 	}
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -55,7 +55,7 @@
 	for i := from; i < to; i++ {
 		job.TaskStates[i] = cluster.Task{Attempt: job.NextAttempt, Zone: "a", Incarnation: 1, PlacedThisTerm: true}
 		job.NextAttempt++
-		leader.place(job, i, leader.machineNamed(fmt.Sprintf("n-%s-%06d", job.ID, i)))
+		leader.place(job, i, leader.getOrAddMachine(fmt.Sprintf("n-%s-%06d", job.ID, i)))
 		leader.writer.MarkPlacement(job, i)
 	}
 }
@@ -174,8 +174,8 @@
 				// A controller that starts now learns the lower limit from the records.
 				harness.core.store = kv.NewClient(storeTransport{harness.core}, &harness.core.settings.Deployment)
 				recordedTasks(harness, jobID(0), 300)
-				if harness.core.store.MaxPlacementValue() != kv.SmallValue {
-					t.Errorf("next leader: got maximum size of placement records %d, want kv.SmallValue", harness.core.store.MaxPlacementValue())
+				if harness.core.store.MaxPlacementValue() != kv.SmallValueBytes {
+					t.Errorf("next leader: got maximum size of placement records %d, want kv.SmallValueBytes", harness.core.store.MaxPlacementValue())
 				}
 			}
 		})
--- a/internal/core/store_transport.go
+++ b/internal/core/store_transport.go
@@ -24,13 +24,13 @@
 		Urgent:      request.Urgent,
 		Watch:       request.Watch,
 	}
-	t.core.call(call, func(r Result) { done(kv.Response{Number: r.Status, Body: r.Body}) })
+	t.core.call(call, func(r Result) { done(kv.Response{StatusCode: r.Status, Body: r.Body}) })
 }
 
 // recordRejectedWrites records that the store rejected a transaction with a number of writes, and
 // reports whether the same changes may be accepted in smaller transactions.
 func (c *Core) recordRejectedWrites(writes int) bool {
-	if !c.store.RejectedWrites(writes) {
+	if !c.store.LowerMaxWrites(writes) {
 		return false
 	}
 	c.log.Info("store rejected transaction; reduced maximum writes per transaction", "writes", c.store.MaxWrites())
