--- a/internal/core/output.go
+++ b/internal/core/output.go
@@ -41,8 +41,8 @@
 	Watch bool
 }
 
-// Send is a message to send to a peer. It may be lost.
-type Send struct {
+// PeerSend is a message to send to a peer. It may be lost.
+type PeerSend struct {
 	To      string
 	Message *wire.PeerMessage
 }
@@ -57,6 +57,6 @@
 type Output struct {
 	Answers     []Answer
 	Calls       []Call
-	PeerSends   []Send
+	PeerSends   []PeerSend
 	RegionSends []RegionSend
 }
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -36,7 +36,7 @@
 // send sends a message to another controller.
 func (c *Core) send(to string, message *wire.PeerMessage) {
 	message.From = c.settings.Name
-	c.out.PeerSends = append(c.out.PeerSends, Send{To: to, Message: message})
+	c.out.PeerSends = append(c.out.PeerSends, PeerSend{To: to, Message: message})
 }
 
 // onPeerMessage handles a message from another controller.
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -147,7 +147,7 @@
 	}
 }
 
-func (c *controller) sendToPeer(send core.Send) {
+func (c *controller) sendToPeer(send core.PeerSend) {
 	c.world.deliver(c.name, send.To, func() {
 		for _, other := range c.world.controllers {
 			if other.name == send.To && other.alive {
--- a/internal/sim/upgrade_child_test.go
+++ b/internal/sim/upgrade_child_test.go
@@ -174,7 +174,7 @@
 		})
 	}
 	for _, send := range message.Sends {
-		out.PeerSends = append(out.PeerSends, core.Send{To: send.To, Message: send.Msg})
+		out.PeerSends = append(out.PeerSends, core.PeerSend{To: send.To, Message: send.Msg})
 	}
 	return out
 }
