--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -19,7 +19,8 @@
 // During a rolling upgrade, controllers of two versions share the records in the key-value store.
 // The types below are frozen copies of the record types of the version in production: this version
 // must preserve all of their fields when it rewrites a record. The types whose names begin with
-// "later" are copies from a later old version (testdata/chains), which may run as well.
+// "later" are copies from the later of the two old versions (testdata/chains), which may run as
+// well.
 
 type productionJob struct {
 	ID          string   `json:"nameId"`
@@ -202,9 +203,9 @@
 	}
 }
 
-// TestLaterVersionRecord checks that this version decodes an open record in which the later old
-// version has set every field, and that its own encoding decodes into the frozen types of both old
-// versions without loss.
+// TestLaterVersionRecord checks that this version decodes an open record in which the later of the
+// two old versions has set every field, and that its own encoding decodes into the frozen types of
+// both old versions without loss.
 func TestLaterVersionRecord(t *testing.T) {
 	data, err := os.ReadFile("testdata/chains/open_every_field.json")
 	if err != nil {
--- a/internal/core/dependency_lifecycle_test.go
+++ b/internal/core/dependency_lifecycle_test.go
@@ -38,9 +38,8 @@
 	}
 }
 
-// TestCancelOfCompletingJob cancels a job whose end as done is recorded just before the
-// cancellation. The request is answered with the status done, and the job's dependent becomes
-// ready.
+// TestCancelOfCompletingJob cancels a job that is recorded as done just before the cancellation is
+// recorded. The request is answered with the status done, and the job's dependent becomes ready.
 func TestCancelOfCompletingJob(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
 	addRecord(harness, leader, wire.Job{ID: jobID(1)}, nil)
--- a/internal/core/harness_test.go
+++ b/internal/core/harness_test.go
@@ -281,7 +281,8 @@
 // omitted is the value that leaves a field out of a submission.
 const omitted = "-"
 
-// body returns a valid submission with some fields changed, given as name, value, name, value...
+// submissionBody returns a valid submission with some fields changed, given as name, value, name,
+// value...
 func submissionBody(change ...string) string {
 	changed := map[string]string{}
 	for i := 0; i < len(change); i += 2 {
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -265,7 +265,7 @@
 			leader.markDone(leader.Jobs[jobID(4)], 0)
 			harness.run(20 * time.Second)
 			if !harness.hasEnded(jobID(1)) || !harness.hasEnded(jobID(4)) {
-				t.Fatal("the ends of job-101 and job-104, which are done, are not recorded")
+				t.Fatal("the ends of job-101 and job-104, which are done, are not both recorded")
 			}
 			job := leader.Jobs[jobID(2)]
 			if job.AwaitingDependencies || len(job.PendingTasks()) != 40 {
