--- a/internal/sim/capacity.go
+++ b/internal/sim/capacity.go
@@ -2,16 +2,16 @@
 
 import "github.com/brookwalk/brookwalk/wire"
 
-// amountTolerance makes up for the rounding of sums of resources.
+// amountTolerance allows for rounding errors in sums of resources.
 const amountTolerance = 1e-6
 
-// freeCapacity is what is free on a machine.
+// freeCapacity is the free resources of a machine.
 type freeCapacity struct {
 	machine              *machine
 	cpus, gpus, memoryGB float64
 }
 
-// freeCapacityOf is what the tasks on a machine leave free.
+// freeCapacityOf returns the resources of a machine that its tasks leave free.
 func (c *cloudService) freeCapacityOf(m *machine) freeCapacity {
 	total := c.machineType(m.machineType)
 	free := freeCapacity{m, total.CPUs, total.GPUs, total.MemGB}
@@ -25,12 +25,13 @@
 	return free
 }
 
-// holds reports whether there is room for a task of a job, wherever its tasks may be.
+// holds reports whether a task of a job fits into the resources. It does not check whether the
+// job may use the machine.
 func (f freeCapacity) holds(job *groundTruth) bool {
 	return f.cpus+amountTolerance >= job.CPUs && f.gpus+amountTolerance >= job.GPUs && f.memoryGB+amountTolerance >= job.MemGB
 }
 
-// tasksThatFit is for how many tasks of a job there is room, 0 if they may not be on this
+// tasksThatFit returns how many tasks of a job fit on the machine; 0 if the job may not use the
 // machine.
 func (f freeCapacity) tasksThatFit(job *groundTruth) int {
 	if !job.eligibleOn(f.machine) {
--- a/internal/sim/checker_mutations_test.go
+++ b/internal/sim/checker_mutations_test.go
@@ -13,11 +13,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// mutation changes the output of a core, so that it breaks a rule.
+// mutation changes the output of a core so that it violates a rule.
 type mutation func(c *controller, out *core.Output)
 
-// mutatedDay is the day that broken cores play.
-const mutatedDay = soakSetup + `
+// mutatedScenario is the scenario that runs with mutated cores.
+const mutatedScenario = soakSetup + `
 until 120
 at 1 submit job-000001 team=t tasks=4 cpus=0.5 run=30 image_gb=0
 at 1 submit job-000002 shape=service team=t priority=critical tasks=4 cpus=0.5 image_gb=0 apart
@@ -25,7 +25,8 @@
 at 50 cancel job-000003
 `
 
-// dependentsOfCancelled are jobs that depend on one which is cancelled while it runs.
+// dependentsOfCancelled adds a job that is cancelled while it runs, and jobs that depend on it,
+// directly and indirectly.
 const dependentsOfCancelled = `
 at 1 submit job-000006 team=u tasks=2 cpus=0.5 run=300 image_gb=0
 at 50 cancel job-000006
@@ -33,18 +34,18 @@
 at 3 submit job-000005 cpus=0.5 image_gb=0 awaits=job-000004
 `
 
-// dependentOfDone is a job that depends on one which is done after a while.
+// dependentOfDone adds a job that depends on one that completes during the scenario.
 const dependentOfDone = "at 2 submit job-000004 team=t cpus=0.5 run=300 image_gb=0 awaits=job-000001\n"
 
-// TestCheckerCatches shows that the checker detects a broken core: each mutation makes the cores
-// do one forbidden thing, and its rule has to be reported.
-func TestCheckerCatches(t *testing.T) {
+// TestCheckerReportsMutations tests that the checker detects broken cores: each mutation makes the
+// cores violate one rule, which the checker must report.
+func TestCheckerReportsMutations(t *testing.T) {
 	for _, tc := range []struct {
 		rule   string
 		mutate mutation
 		extra  string // lines of the scenario
 	}{
-		{"ran_twice", startTwice, ""},
+		{"ran_twice", startOnSecondMachine, ""},
 		{"not_done", changeAnswers("job-000002", 200, `"status":"running"`, `"status":"done"`), ""},
 		{"forgotten", changeAnswers("job-000001", 404, "", ""), ""},
 		{"went_back", changeAnswers("job-000002", 200, `"status":"running"`, `"status":"withdrawn"`), ""},
@@ -57,29 +58,29 @@
 		{"accepted_impossible", changeStatus(422, 201), "at 10 odd_requests for=60"},
 		{"wrong_answer", changeStatus(422, 400), "at 10 odd_requests for=60"},
 		{"forgotten", changeStatus(200, 201), "at 10 odd_requests for=60"},
-		{"too_early", startEverywhere("job-000004/0", 20*time.Second, 28*time.Second), dependentOfDone},
+		{"too_early", startOnAllMachines("job-000004/0", 20*time.Second, 28*time.Second), dependentOfDone},
 		{"orphaned", changeAnswers("job-000005", 200, `"status":"withdrawn"`, `"status":"pending"`), dependentsOfCancelled},
-		{"ran_cancelled", startEverywhere("job-000004/0", 85*time.Second, 95*time.Second), dependentsOfCancelled},
+		{"ran_cancelled", startOnAllMachines("job-000004/0", 85*time.Second, 95*time.Second), dependentsOfCancelled},
 		{"went_back", changeAnswers("job-000004", 200, `"status":"running"`, `"status":"withdrawn"`), dependentOfDone},
-		{"went_back", since(95*time.Second, changeAnswers("job-000004", 200, `"status":"running"`, `"status":"withdrawn"`)), dependentOfDone + "at 80 cancel job-000001"},
+		{"went_back", startingAt(95*time.Second, changeAnswers("job-000004", 200, `"status":"running"`, `"status":"withdrawn"`)), dependentOfDone + "at 80 cancel job-000001"},
 		{"forgotten", changeAnswers("job-000004", 422, "", ""), "at 12 submit job-000004 awaits=job-000001,job-000001"},
 		{"left_waiting", misplaceRecords, "until 260\n" + dependentOfDone},
 		{"limits", padTransactions, "next txn_ops=5"},
 	} {
 		t.Run(tc.rule, func(t *testing.T) {
-			scenario := parseScenario(t, mutatedDay+tc.extra)
+			scenario := parseScenario(t, mutatedScenario+tc.extra)
 			world := scenario.newWorld(slog.New(slog.DiscardHandler))
 			world.mutate = tc.mutate
-			faults := strings.Join(scenario.finish(world), "\n")
-			if !strings.Contains(faults, tc.rule) {
-				t.Errorf("%s was not reported; reported: %s", tc.rule, faults)
+			failures := strings.Join(scenario.finish(world), "\n")
+			if !strings.Contains(failures, tc.rule) {
+				t.Errorf("no violation of rule %s was reported; reported: %s", tc.rule, failures)
 			}
 		})
 	}
 }
 
-// since applies a mutation from a time on.
-func since(from time.Duration, mutate mutation) mutation {
+// startingAt applies a mutation from a time on.
+func startingAt(from time.Duration, mutate mutation) mutation {
 	return func(c *controller, out *core.Output) {
 		if c.world.now >= from {
 			mutate(c, out)
@@ -87,12 +88,12 @@
 	}
 }
 
-// replaceText replaces text of a body.
+// replaceText replaces text in a body.
 func replaceText(body []byte, from, to string) []byte {
 	return []byte(strings.ReplaceAll(string(body), from, to))
 }
 
-// changeStatus gives all answers of a status another one.
+// changeStatus replaces one status by another in all answers.
 func changeStatus(from, to int) mutation {
 	return func(_ *controller, out *core.Output) {
 		for i := range out.Answers {
@@ -103,7 +104,8 @@
 	}
 }
 
-// changeAnswers gives all answers with a text a status, and replaces text in them.
+// changeAnswers sets the status of all answers that contain a text, and replaces text in them. It
+// applies from 10 s on.
 func changeAnswers(text string, status int, from, to string) mutation {
 	return func(c *controller, out *core.Output) {
 		for i := range out.Answers {
@@ -116,7 +118,7 @@
 	}
 }
 
-// sortedMachinesUp lists the machines that are up, by name.
+// sortedMachinesUp returns the machines that are up, sorted by name.
 func sortedMachinesUp(w *World) []*machine {
 	var up []*machine
 	for _, name := range w.cloud.machineNames() {
@@ -127,8 +129,9 @@
 	return up
 }
 
-// startTwice sends direct start commands to a second machine too, once that one is up.
-func startTwice(c *controller, out *core.Output) {
+// startOnSecondMachine executes the start commands of direct requests on a second machine too, 20 s
+// later.
+func startOnSecondMachine(c *controller, out *core.Output) {
 	for _, call := range out.Calls {
 		if call.Path != commandsPath || !strings.Contains(string(call.Body), `"run"`) {
 			continue
@@ -147,8 +150,9 @@
 	}
 }
 
-// startEverywhere starts a task, between two times, on all machines that have room for it.
-func startEverywhere(task string, from, to time.Duration) mutation {
+// startOnAllMachines sends start commands for a task to all machines that are up, between two
+// times.
+func startOnAllMachines(task string, from, to time.Duration) mutation {
 	return func(c *controller, _ *core.Output) {
 		if c.world.now < from || c.world.now > to {
 			return
@@ -159,7 +163,7 @@
 	}
 }
 
-// restartCancelled starts a task of a cancelled job once more.
+// restartCancelled starts a task of a cancelled job again.
 func restartCancelled(c *controller, _ *core.Output) {
 	if c.world.now <= 53*time.Second || c.world.now >= 54*time.Second {
 		return
@@ -171,8 +175,9 @@
 	}
 }
 
-// stopNoTasks tells users of a cancellation before the tasks are gone, and stops no task. Without
-// the first nobody is told, and nothing is promised.
+// stopNoTasks suppresses the stop commands of tasks and the return of machines, and answers that
+// the job is cancelled while its tasks still run. The answer is needed for a violation: until a
+// user is told of the cancellation, tasks of the job may run.
 func stopNoTasks(_ *controller, out *core.Output) {
 	for i := range out.Calls {
 		call := &out.Calls[i]
@@ -190,16 +195,16 @@
 	}
 }
 
-// misplaceRecords accepts a job and records it where no leader looks for it. (Start commands that
-// never arrive would not do: the machines count as unreachable and are returned, so there is no
-// steady room.)
+// misplaceRecords stores the record of an accepted job under a key that leaders do not read, so the
+// job never starts. Dropped start commands would not cause starvation: their machines count as
+// unreachable and are returned, so there is no steady room.
 func misplaceRecords(_ *controller, out *core.Output) {
 	for i := range out.Calls {
 		out.Calls[i].Body = replaceText(out.Calls[i].Body, `"o/job-000004"`, `"x/job-000004"`)
 	}
 }
 
-// padTransactions adds writes to transactions that nobody needs.
+// padTransactions adds writes without effect to transactions, beyond the limit on operations.
 func padTransactions(_ *controller, out *core.Output) {
 	for i := range out.Calls {
 		call := &out.Calls[i]
--- a/internal/sim/checker_test.go
+++ b/internal/sim/checker_test.go
@@ -10,21 +10,21 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// taskZones lists where the tasks of a job are: "zone", or "zone spot" for a spot machine.
+// taskZones lists the zones of a job's tasks: "zone", or "zone spot" for a spot machine.
 type taskZones []string
 
-// TestCheckerPlacement starts the last task of a job beside the others. The checker has to report what
-// is wrong with its placement or with its team's usage, and nothing else.
+// TestCheckerPlacement starts the last task of a job after the others. The checker must report the
+// violation by its placement or by the team's usage, and nothing else.
 func TestCheckerPlacement(t *testing.T) {
-	const typ = "small"
+	const machineType = "small"
 	for _, tc := range []struct {
 		name string
 		job  wire.Job
 		on   taskZones
-		rule string // that is violated; none if empty
+		rule string // the violated rule; empty for none
 	}{
 		{name: "anywhere", job: wire.Job{Tasks: 3}, on: taskZones{"east", "north", "north"}},
-		{name: "an allowed type", job: wire.Job{Tasks: 1, MachineTypes: []string{typ}}, on: taskZones{"east"}},
+		{name: "an allowed type", job: wire.Job{Tasks: 1, MachineTypes: []string{machineType}}, on: taskZones{"east"}},
 		{name: "another type", job: wire.Job{Tasks: 1, MachineTypes: []string{"large"}}, on: taskZones{"east"}, rule: "wrong_place"},
 		{name: "the job's zone", job: wire.Job{Tasks: 1, Zone: "east"}, on: taskZones{"east"}},
 		{name: "another zone", job: wire.Job{Tasks: 1, Zone: "east"}, on: taskZones{"west"}, rule: "wrong_place"},
@@ -46,15 +46,15 @@
 			tc.job.ID, tc.job.Team = "job-000001", "t"
 			job := &groundTruth{Job: tc.job, doneTasks: map[int]bool{}}
 			world.jobs[job.ID] = job
-			for i, where := range tc.on {
-				zone, spot := strings.CutSuffix(where, " spot")
-				m := &machine{world: world, name: fmt.Sprintf("n-%06d", i), offer: offer{typ, zone, spot}, tasks: map[string]*task{}}
+			for i, location := range tc.on {
+				zone, spot := strings.CutSuffix(location, " spot")
+				m := &machine{world: world, name: fmt.Sprintf("n-%06d", i), offer: offer{machineType, zone, spot}, tasks: map[string]*task{}}
 				world.cloud.machines[m.name] = m
-				x := &task{name: fmt.Sprintf("%s/%d", job.ID, i), job: job, index: i, state: wire.TaskRunning}
-				m.tasks[x.name] = x
-				world.addPlacement(m, x)
+				placed := &task{name: fmt.Sprintf("%s/%d", job.ID, i), job: job, index: i, state: wire.TaskRunning}
+				m.tasks[placed.name] = placed
+				world.addPlacement(m, placed)
 				if i == len(tc.on)-1 {
-					world.checker.checkStart(m, x)
+					world.checker.checkStart(m, placed)
 				}
 			}
 			expectViolation(t, world, tc.rule)
@@ -62,8 +62,8 @@
 	}
 }
 
-// TestCheckerGangRoom computes for how many tasks of a gang there is room, given the room in each zone
-// and the tasks that it has there.
+// TestCheckerGangRoom computes for how many tasks of a gang there is room, given the room in each
+// zone and the tasks that the gang has there.
 func TestCheckerGangRoom(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -78,21 +78,21 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := gangRoom(&groundTruth{Job: tc.job}, tc.inZone, tc.zones); got != tc.want {
-				t.Errorf("room for %d tasks, want %d", got, tc.want)
+				t.Errorf("got room for %d tasks, want %d", got, tc.want)
 			}
 		})
 	}
 }
 
-// expectViolation fails unless the checker has reported one violation of a rule; none if the rule is
-// empty.
+// expectViolation fails the test unless the checker has reported exactly one violation, of the given
+// rule, or none if the rule is empty.
 func expectViolation(t *testing.T, world *World, rule string) {
 	t.Helper()
 	found := world.checker.violations
 	switch {
 	case rule == "" && len(found) > 0:
-		t.Errorf("found %q", found)
+		t.Errorf("got violations %q, want none", found)
 	case rule != "" && (len(found) != 1 || !strings.HasPrefix(found[0], rule+" at ")):
-		t.Errorf("found %q, want one violation of %s", found, rule)
+		t.Errorf("got violations %q, want one of rule %s", found, rule)
 	}
 }
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -14,7 +14,7 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// cloudService stands in for the cloud that rents machines.
+// cloudService simulates the cloud that rents out machines.
 type cloudService struct {
 	world         *World
 	types         []wire.MachineType
@@ -22,32 +22,32 @@
 	machines      map[string]*machine
 	sortedCache   []string // see machineNames
 	byAddress     map[string]*machine
-	rentals       map[string][]string // machines by the request that rented them
-	rentedTotal   int                 // machines that were ever rented
+	rentals       map[string][]string // names of machines by the ID of the request that rented them
+	rentedTotal   int                 // machines that were ever rented or added
 	requestBudget *budget.Bucket
 
 	outageUntil  time.Duration
-	failedBoots  bootFault // machines that never come up
-	delayedBoots bootFault // machines that come up late
+	failedBoots  bootFault // machines that never boot
+	delayedBoots bootFault // machines that boot late
 
 	workerAddress  func(machine string) string // if not nil, chooses a worker's address
-	machineRemoved func(machine string)        // if not nil, gets machines that are removed for good
+	machineRemoved func(machine string)        // if not nil, is called with each machine that is removed
 }
 
-// offer is a kind of machine that the cloud rents.
+// offer is a kind of machine that the cloud rents out.
 type offer struct {
 	machineType, zone string
 	spot              bool
 }
 
-// bootFault affects machines that are rented while it lasts.
+// bootFault is a fault that affects machines rented while it lasts.
 type bootFault struct {
 	randomFault
-	machineType, zone string  // only machines of these; all if empty
+	machineType, zone string  // restrict the fault to a type and a zone; all if empty
 	factor            float64 // how many times as long a delayed machine takes to boot
 }
 
-// affects reports at random whether the fault affects a machine that is rented now.
+// affects reports, at random, whether the fault affects a machine that is rented now.
 func (f bootFault) affects(m *machine) bool {
 	if f.machineType != "" && f.machineType != m.machineType || f.zone != "" && f.zone != m.zone {
 		return false
@@ -63,7 +63,7 @@
 	}
 }
 
-// rentedMachines is how many machines of a type, or of all if it is empty, are rented now.
+// rentedMachines returns how many machines of a type are rented now; of all types if it is empty.
 func (c *cloudService) rentedMachines(machineType string) int {
 	count := 0
 	for _, m := range c.machines {
@@ -74,8 +74,8 @@
 	return count
 }
 
-// machineNames lists all machines that were ever rented, by name. The list is shared: callers
-// do not change it.
+// machineNames returns the sorted names of all machines that were ever rented. Callers must not
+// modify the slice: it is cached.
 func (c *cloudService) machineNames() []string {
 	if len(c.sortedCache) != len(c.machines) {
 		c.sortedCache = slices.Sorted(maps.Keys(c.machines))
@@ -83,17 +83,17 @@
 	return c.sortedCache
 }
 
-// The most machines that a rental, a return or a page of the list may name.
+// Limits on the number of machines in one rental, one return and one page of the list.
 const (
-	maxRentedAtOnce   = 50
-	maxReturnedAtOnce = 100
-	maxListed         = 500
+	maxMachinesPerRental = 50
+	maxMachinesPerReturn = 100
+	maxMachinesPerPage   = 500
 )
 
-// cloudLatency is how long the cloud takes over a request.
+// cloudLatency is the time that the cloud takes for a request.
 const cloudLatency = 100 * time.Millisecond
 
-// cloudError is the body of an answer to a request that the cloud does not carry out.
+// cloudError is the body of an answer to a request that the cloud rejects.
 type cloudError struct {
 	Error string `json:"error"`
 }
@@ -109,7 +109,7 @@
 		return
 	}
 	if _, ok := c.requestBudget.ReserveAt(c.world.wallClock(), 1, 0); !ok {
-		send(httpstatus.TooManyRequests, noMessage)
+		send(httpstatus.TooManyRequests, emptyBody)
 		return
 	}
 	switch {
@@ -117,39 +117,39 @@
 		send(httpstatus.OK, wire.MachineTypes{Types: c.types})
 	case path == "/machines/return":
 		c.returnMachines(body)
-		send(httpstatus.OK, noMessage)
+		send(httpstatus.OK, emptyBody)
 	case method == "POST":
 		c.rentMachines(body, send)
 	case strings.HasPrefix(path, "/machines"):
 		target, err := url.Parse(path)
 		if err != nil {
-			send(httpstatus.BadRequest, noMessage)
+			send(httpstatus.BadRequest, emptyBody)
 			return
 		}
 		send(httpstatus.OK, c.listMachines(target.Query()))
 	default:
-		send(httpstatus.BadRequest, noMessage)
+		send(httpstatus.BadRequest, emptyBody)
 	}
 }
 
-// returnMachines takes back the machines that a controller returns.
+// returnMachines removes the machines that a controller returns.
 func (c *cloudService) returnMachines(body []byte) {
 	var request wire.MachineNames
 	decode(body, &request)
-	if len(request.Machines) > maxReturnedAtOnce {
-		c.world.checker.addViolation("limits", "a return of %d machines", len(request.Machines))
+	if len(request.Machines) > maxMachinesPerReturn {
+		c.world.checker.addViolation("limits", "a request to return %d machines", len(request.Machines))
 	}
 	for _, name := range request.Machines {
 		c.removeMachine(name)
 	}
 }
 
-// listMachines is a page of the machines as they were a while ago.
+// listMachines returns a page of the list of machines as of the list lag ago.
 func (c *cloudService) listMachines(query url.Values) wire.MachineList {
 	then := c.world.now - seconds(c.world.settings.Deployment.Cloud.ListLagS)
 	limit, err := strconv.Atoi(query.Get("limit"))
-	if err != nil || limit < 1 || limit > maxListed {
-		c.world.checker.addViolation("limits", "a list of %d machines", limit)
+	if err != nil || limit < 1 || limit > maxMachinesPerPage {
+		c.world.checker.addViolation("limits", "a request to list %d machines", limit)
 	}
 	list := wire.MachineList{Machines: []wire.Machine{}}
 	for _, name := range c.machineNames() {
@@ -176,13 +176,13 @@
 	return list
 }
 
-// rentMachines rents as many machines as the capacity allows. A repeated request gets the
-// machines of the first one.
+// rentMachines rents out as many of the requested machines as the capacity allows. It is
+// idempotent: a repeated request gets the machines of the first one.
 func (c *cloudService) rentMachines(body []byte, send responder) {
 	var request wire.ProvisionRequest
 	decode(body, &request)
-	if request.Count > maxRentedAtOnce {
-		c.world.checker.addViolation("limits", "a rental of %d machines", request.Count)
+	if request.Count > maxMachinesPerRental {
+		c.world.checker.addViolation("limits", "a request to rent %d machines", request.Count)
 	}
 	if names, repeated := c.rentals[request.ID]; repeated {
 		send(httpstatus.OK, wire.MachineNames{Machines: names})
@@ -205,7 +205,7 @@
 	send(httpstatus.OK, wire.MachineNames{Machines: names})
 }
 
-// addMachine adds a machine that is not up yet.
+// addMachine adds a machine whose worker is not started yet.
 func (c *cloudService) addMachine(kind offer) *machine {
 	c.rentedTotal++
 	m := newMachine(c.world, fmt.Sprintf("%s%06d", machinePrefix, c.rentedTotal), kind)
@@ -214,7 +214,7 @@
 	return m
 }
 
-// removeMachine removes a machine with all that is on it.
+// removeMachine removes a machine and terminates its tasks. Its capacity can be rented again.
 func (c *cloudService) removeMachine(name string) {
 	m := c.machines[name]
 	if m == nil || m.removed {
@@ -231,7 +231,7 @@
 	}
 }
 
-// machineType describes a type of machine; nil if there is none of the name.
+// machineType returns the machine type of a name; nil if there is none.
 func (c *cloudService) machineType(name string) *wire.MachineType {
 	for i := range c.types {
 		if c.types[i].Name == name {
--- a/internal/sim/codec.go
+++ b/internal/sim/codec.go
@@ -12,15 +12,16 @@
 	submissionsPath = "/submissions"
 )
 
-// encode writes a message of a stand-in. All its types can be written as JSON.
+// encode writes a message of a simulated service as JSON. It panics on a type that JSON cannot
+// represent, which no message has.
 func encode(message any) []byte {
 	body, err := json.Marshal(message)
 	if err != nil {
-		panic(fmt.Sprintf("sim: %T: %v", message, err))
+		panic(fmt.Sprintf("sim: encode %T: %v", message, err))
 	}
 	return body
 }
 
-// decode reads a message of a controller. What cannot be read is left at its zero value: the
-// stand-ins refuse such a message for its fields.
+// decode reads a message of a controller. Fields that cannot be decoded keep their zero values:
+// with these a direct command or a rental is refused, and a return of machines has no effect.
 func decode(body []byte, into any) { _ = json.Unmarshal(body, into) }
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -10,16 +10,16 @@
 	"github.com/brookwalk/brookwalk/internal/store"
 )
 
-// controller stands in for the process of a controller around its core.
+// controller simulates a controller process around its core.
 type controller struct {
 	world *World
 	index int
 	name  string
 	alive bool
-	// incarnation counts starts and crashes: a callback of an earlier one is dropped.
+	// incarnation counts starts and crashes. Callbacks of an earlier incarnation are dropped.
 	incarnation int
 
-	// process, if set, is a real process of a controller. The fields below are not used then.
+	// process, if set, is a real controller process. Then the fields below are unused.
 	process Process
 
 	core            stepper
@@ -31,10 +31,11 @@
 
 	pausedAt    time.Duration
 	pausedUntil time.Duration
-	heldInputs  []core.Input // that came during the pause
+	heldInputs  []core.Input // inputs that arrived during the pause
 }
 
-// settings are those of the deployment with the controller's own name, zone and peers.
+// settings returns the settings of the deployment with the controller's own name, zone and
+// peers.
 func (c *controller) settings() *config.Settings {
 	s := *c.world.settings
 	s.Name, s.Zone = c.name, c.world.zoneOf(c.name)
@@ -47,7 +48,7 @@
 	return &s
 }
 
-// start starts the process, without any state of an earlier one.
+// start starts the process. It keeps no state of an earlier process.
 func (c *controller) start() {
 	c.alive = true
 	c.incarnation++
@@ -68,7 +69,7 @@
 	c.tick(c.incarnation)
 }
 
-// crash ends the process without notice and starts it again after a while.
+// crash kills the process and restarts it after a delay.
 func (c *controller) crash(restartAfter time.Duration) {
 	c.alive = false
 	c.incarnation++
@@ -96,7 +97,7 @@
 	c.world.after(tickInterval, func() { c.tick(incarnation) })
 }
 
-// pause pauses the process. Inputs that come meanwhile are handled when it goes on.
+// pause pauses the process. Inputs that arrive meanwhile are handled when it resumes.
 func (c *controller) pause(duration time.Duration) {
 	c.pausedAt, c.pausedUntil = c.world.now, c.world.now+duration
 	incarnation := c.incarnation
@@ -112,18 +113,18 @@
 	})
 }
 
-// clockDrift is by which part the monotonic clock of each controller runs faster than that of
-// the one before; the protocol allows it.
-const clockDrift = 4000
+// clockDriftDivisor sets the drift between controllers: the monotonic clock of controller i runs
+// faster than true time by the fraction i/clockDriftDivisor. The protocol tolerates that.
+const clockDriftDivisor = 4000
 
-// step hands an input to the core and carries out what it asks for.
+// step passes an input to the core and executes its output.
 func (c *controller) step(in core.Input) {
 	if c.world.now < c.pausedUntil {
 		c.heldInputs = append(c.heldInputs, in)
 		return
 	}
 	now := c.world.now - c.startedAt + time.Millisecond
-	now += now * time.Duration(c.index) / clockDrift
+	now += now * time.Duration(c.index) / clockDriftDivisor
 	out := c.core.Step(now, c.world.wallClock(), in)
 	if c.world.mutate != nil {
 		c.world.mutate(c, &out)
@@ -157,13 +158,13 @@
 	})
 }
 
-// request sends an HTTP request to the controller. done gets the answer, or status 0 after the
-// timeout.
+// request sends an HTTP request to the controller. It calls done with the answer, or with
+// status 0 after the timeout.
 func (c *controller) request(from, method, path string, body []byte, timeout time.Duration, done func(status int, body []byte)) {
 	c.requestAnswer(from, method, path, body, timeout, func(a core.Answer) { done(a.Status, a.Body) })
 }
 
-// requestAnswer is request for those who need more of the answer than status and body.
+// requestAnswer is like request, but passes the whole answer to done.
 func (c *controller) requestAnswer(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	if c.process != nil {
 		c.process.Ask(from, method, path, body, timeout, done)
@@ -179,7 +180,7 @@
 	c.world.after(timeout, func() { finish(core.Answer{}) })
 	c.world.deliver(from, c.name, func() {
 		if !c.alive {
-			// The connection is refused, which the caller learns soon.
+			// The connection is refused: the caller gets an error before the timeout.
 			c.world.deliver(c.name, from, func() { finish(core.Answer{}) })
 			return
 		}
@@ -200,8 +201,8 @@
 	finished    bool
 }
 
-// call carries out a call of the core. The core gets one result: the answer, or an empty one
-// after the timeout.
+// call executes a call of the core. The core gets exactly one result: the answer, or an empty
+// result after the timeout.
 func (c *controller) call(call core.Call) {
 	p := &pendingCall{Call: call, controller: c, incarnation: c.incarnation, deadline: c.world.now + call.Timeout}
 	c.world.after(call.Timeout, func() { p.finish(core.Result{}) })
@@ -215,7 +216,7 @@
 	}
 }
 
-// finish hands the result to the core, unless it has one or its process has ended.
+// finish passes the result to the core, unless the core already has one or its process has ended.
 func (p *pendingCall) finish(result core.Result) {
 	c := p.controller
 	if p.finished || !c.alive || c.incarnation != p.incarnation {
@@ -226,12 +227,13 @@
 	c.step(result)
 }
 
-// finishThrottled reports that the call was not sent, since it would exceed a rate limit.
+// finishThrottled reports to the core that the call was not sent because it would exceed a rate
+// limit.
 func (p *pendingCall) finishThrottled() {
 	p.controller.world.after(0, func() { p.finish(core.Result{Status: httpstatus.TooManyRequests, NotSent: true}) })
 }
 
-// replyFrom returns what carries an answer from an endpoint back.
+// replyFrom returns a function that delivers an endpoint's answer to the controller.
 func (p *pendingCall) replyFrom(endpoint string) func(status int, body []byte) {
 	return func(status int, body []byte) {
 		p.controller.world.deliver(endpoint, p.controller.name, func() { p.finish(core.Result{Status: status, Body: body}) })
@@ -261,8 +263,8 @@
 	world.deliver(p.controller.name, m.name, func() { m.handleDirect(p.Method, p.Path, p.Body, p.replyFrom(m.name)) })
 }
 
-// callStore calls the key-value store as package store's client does: at the rate of its
-// limits, and again while the store throttles the call.
+// callStore calls the key-value store as the client of package store does: within the store's
+// rate limits, and with retries while the store throttles the call.
 func (p *pendingCall) callStore() {
 	world := p.controller.world
 	if p.Watch {
--- a/internal/sim/fault_pairs_test.go
+++ b/internal/sim/fault_pairs_test.go
@@ -168,13 +168,13 @@
 // TestFaultPairs plays days on which two of the faults that operators met overlap: a sample of the
 // pairs, or as many days as BROOKWALK_SOAK says, each pair with other random numbers.
 func TestFaultPairs(t *testing.T) {
-	days := uint64(soakDays(42))
+	days := uint64(soakRunCount(42))
 	step := max(1, uint64(len(faultKinds)*(len(faultKinds)+1)/2)/days)
 	for day := range days {
 		name, text := faultPairDay(day * step)
 		t.Run(fmt.Sprint(day*step, " ", name), func(t *testing.T) {
 			t.Parallel()
-			playDay(t, text)
+			runRandomScenario(t, text)
 		})
 	}
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -34,7 +34,7 @@
 			lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*rng.IntN(2))}
 			lines = append(lines, randomFleetFaults(rng, 130)...)
 			lines = append(lines, massMachineFaults(rng, 40, 130)...)
-			world := playScenario(t, startupWaveScenario(scale, 200, lines...))
+			world := runScenario(t, startupWaveScenario(scale, 200, lines...))
 			if started, accepted := world.startedJobs(); started*2 < accepted {
 				t.Errorf("%d of %d jobs have started", started, accepted)
 			}
@@ -53,7 +53,7 @@
 			rng := rand.New(rand.NewPCG(seed, 5))
 			machines := []int{24, 48, 100, 240}[seed%4]
 			lines := append([]string{fmt.Sprint("controllers ", 3+2*rng.IntN(2))}, randomFleetFaults(rng, 200)...)
-			world := playScenario(t, grownFleetScenario(machines, seed, 280, lines...))
+			world := runScenario(t, grownFleetScenario(machines, seed, 280, lines...))
 			started, _ := world.startedJobs()
 			if all := len(world.users.jobs); started*2 < all {
 				t.Errorf("%d of %d jobs have started", started, all)
@@ -75,7 +75,7 @@
 // looked at a machine for a decision, divided by the product of machines and jobs.
 func evaluationsPerPair(t *testing.T, machines int) float64 {
 	t.Helper()
-	world := playScenario(t, startupWaveScenario(float64(machines)/1000, 60))
+	world := runScenario(t, startupWaveScenario(float64(machines)/1000, 60))
 	leader := world.leader()
 	if leader == nil || leader.core.(*core.Core).Evaluations() == 0 {
 		t.Fatal("there is no leader")
@@ -95,7 +95,7 @@
 func benchmarkScenario(b *testing.B, text string) {
 	b.Helper()
 	for b.Loop() {
-		playScenario(b, text)
+		runScenario(b, text)
 	}
 }
 
--- a/internal/sim/heartbeat.go
+++ b/internal/sim/heartbeat.go
@@ -9,23 +9,23 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Timing of heartbeats beside the interval in the settings.
+// Timing of heartbeats, besides the interval in the settings.
 const (
-	// heartbeatTimeout is how long a worker waits for an answer, also for a connection.
+	// heartbeatTimeout is how long a worker waits for a connection and an answer.
 	heartbeatTimeout = 4 * time.Second
 	// retryDelay is how long a worker waits before it tries the next controller.
 	retryDelay = time.Second
 	// maxRedirectDelay bounds how long a worker waits before it follows a redirect.
 	maxRedirectDelay = time.Second / 2
-	// minDuplicateDelay is by how much a random copy of a heartbeat is delayed at the least.
+	// minDuplicateDelay is the minimum delay of a random copy of a heartbeat.
 	minDuplicateDelay = 2 * time.Second
 
-	// Intervals vary between these parts of the one in the settings.
+	// An interval is the one in the settings times a random factor in this range.
 	minIntervalFactor   = 0.75
 	intervalFactorRange = 0.5
 )
 
-// heartbeat makes the worker's next message with the state of all its tasks.
+// heartbeat returns the worker's next heartbeat, with the state of all its tasks.
 func (m *machine) heartbeat() *wire.Heartbeat {
 	m.sequence++
 	heartbeat := &wire.Heartbeat{
@@ -36,7 +36,7 @@
 		notice := (m.preemptionAt - m.world.now).Seconds()
 		heartbeat.PreemptionNoticeS = &notice
 	}
-	shuffled := slices.Clone(m.sortedTasks()) // the protocol gives no order
+	shuffled := slices.Clone(m.sortedTasks()) // the protocol defines no order
 	m.world.rng.Shuffle(len(shuffled), func(a, b int) { shuffled[a], shuffled[b] = shuffled[b], shuffled[a] })
 	for _, t := range shuffled {
 		heartbeat.Tasks = append(heartbeat.Tasks, wire.TaskStatus{Task: t.name, Attempt: t.attempt, State: t.state, Cause: t.cause, Checkpointed: t.checkpointed})
@@ -44,7 +44,7 @@
 	return heartbeat
 }
 
-// sendHeartbeat sends a heartbeat, and copies of it where a fault duplicates it.
+// sendHeartbeat sends a heartbeat, and copies of it if a fault duplicates it.
 func (m *machine) sendHeartbeat() {
 	world := m.world
 	m.awaitsAnswer, m.statusChanged = true, false
@@ -55,15 +55,16 @@
 	m.duplicateHeartbeat(body)
 	done := func(status int, answer []byte) { m.heartbeatAnswered(sentAt, incarnation, status, answer) }
 	if world.now < m.outboundBlockedUntil {
-		// The connection is not established. Connections that a controller opens to the
-		// worker are, so no partition stands for this fault.
+		// The connection is not established. A partition cannot simulate this fault because
+		// controllers can still connect to the worker.
 		world.after(heartbeatTimeout, func() { done(httpstatus.NoAnswer, nil) })
 		return
 	}
 	world.controllers[m.controllerIndex].request(m.name, "POST", heartbeatPath, body, heartbeatTimeout, done)
 }
 
-// duplicateHeartbeat sends delayed copies of a heartbeat to any controllers.
+// duplicateHeartbeat sends delayed copies of a heartbeat to random controllers, if a fault
+// duplicates it.
 func (m *machine) duplicateHeartbeat(body []byte) {
 	world := m.world
 	if world.now < m.outboundBlockedUntil {
@@ -84,8 +85,8 @@
 
 func (w *World) randomController() *controller { return w.controllers[w.rng.IntN(len(w.controllers))] }
 
-// heartbeatAnswered handles the answer to a heartbeat of an incarnation; status 0 if there is
-// none.
+// heartbeatAnswered handles the answer to a heartbeat that an incarnation sent. The status is 0 if
+// there was no answer.
 func (m *machine) heartbeatAnswered(sentAt time.Duration, incarnation uint64, status int, answer []byte) {
 	if m.removed {
 		return
@@ -112,8 +113,8 @@
 	m.execute(list.Commands)
 }
 
-// followRedirect sends the next heartbeats to the controller that the answer names; false if
-// there is no other one of that name.
+// followRedirect directs the next heartbeats to the controller named in the answer. It returns
+// false if there is no such controller, or if heartbeats already go to it.
 func (m *machine) followRedirect(answer []byte) bool {
 	var redirect wire.Redirect
 	decode(answer, &redirect)
@@ -127,7 +128,7 @@
 	return false
 }
 
-// observeToken keeps the highest fencing token.
+// observeToken records a fencing token if it is the highest so far.
 func (m *machine) observeToken(token uint64) {
 	if token > m.fencingToken {
 		m.fencingToken = token
--- a/internal/sim/huge_array_test.go
+++ b/internal/sim/huge_array_test.go
@@ -24,7 +24,7 @@
 // tasks at each start, and took 505 s for it.
 func TestHugeArray(t *testing.T) {
 	t.Parallel()
-	world := playScenario(t, hugeArray)
+	world := runScenario(t, hugeArray)
 	if world.cloud.rentedTotal < 1000 {
 		t.Errorf("%d machines were rented", world.cloud.rentedTotal)
 	}
--- a/internal/sim/key_value_store.go
+++ b/internal/sim/key_value_store.go
@@ -15,8 +15,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// keyValueStore stands in for the consensus-backed key-value store. It is a single process: the
-// replicas behind the real one are of no concern to its clients.
+// keyValueStore simulates the consensus-backed key-value store. It is not replicated: the
+// replication of the real store is not visible to clients.
 type keyValueStore struct {
 	world     *World
 	revision  uint64
@@ -37,26 +37,27 @@
 	slowUntil      time.Duration
 	latency        time.Duration // of requests until slowUntil
 	delayedCommits randomFault
-	reducedLimits  *config.StoreLimits // lower limits that apply by now; nil for none
+	reducedLimits  *config.StoreLimits // lower limits that are in force; nil for none
 
 	// Counts for reports and expectations.
-	throttled   int           // requests above the rates
-	rejected    int           // transactions beyond reducedLimits
-	changeCount int           // puts and deletes carried out
-	downtime    time.Duration // sum of all outages
+	throttled   int           // requests rejected for exceeding the rates
+	rejected    int           // transactions rejected for exceeding reducedLimits
+	changeCount int           // puts and deletes applied
+	downtime    time.Duration // total duration of outages
 }
 
-// storeEntry is a key's value.
+// storeEntry is the value of a key with its version and lease.
 type storeEntry struct {
 	value   json.RawMessage
 	version uint64
 	lease   uint64 // 0 for none
 }
 
-// initialRevision is the revision of an empty store. It is not 0, which stands for no version.
+// initialRevision is the revision of an empty store. It is above 0, the version of a key that
+// does not exist.
 const initialRevision = 100
 
-// leaseCheckInterval is the time between two looks at the leases.
+// leaseCheckInterval is the time between two checks for expired leases.
 const leaseCheckInterval = 50 * time.Millisecond
 
 func newKeyValueStore(world *World) *keyValueStore {
@@ -70,7 +71,7 @@
 	return s
 }
 
-// expireLeases ends the leases whose time is over. None ends during an outage.
+// expireLeases ends expired leases. During an outage no lease ends.
 func (s *keyValueStore) expireLeases() {
 	s.world.after(leaseCheckInterval, s.expireLeases)
 	if s.world.now < s.outageUntil {
@@ -104,7 +105,8 @@
 	s.notifyWatchers()
 }
 
-// beginOutage makes the store refuse every request for a while. Leases begin anew after it.
+// beginOutage makes the store reject every request for a duration. After it, every lease has its
+// full TTL again.
 func (s *keyValueStore) beginOutage(duration time.Duration) {
 	s.outageUntil = s.world.now + duration
 	s.world.after(duration, func() {
@@ -115,50 +117,50 @@
 	})
 }
 
-// responder answers a request with a status and a message.
+// responder answers a request with a status and a message, which it encodes as JSON.
 type responder func(status int, message any)
 
-// noMessage is the body of an answer that says all by its status.
-var noMessage = struct{}{}
+// emptyBody is the body of an answer without data besides its status.
+var emptyBody = struct{}{}
 
-// handle serves a request of a controller, unless the store is out, refuses this controller, or
-// the request is above its rate.
+// handle serves a request of a controller. It rejects the request during an outage, if the store
+// refuses this controller, or if the request exceeds the request rate.
 func (s *keyValueStore) handle(from, method, path string, body []byte, reply func(int, []byte)) {
 	send := func(status int, message any) { reply(status, encode(message)) }
 	if s.world.now < s.outageUntil || s.world.now < s.refusedUntil[from] {
-		send(httpstatus.ServiceUnavailable, noMessage)
+		send(httpstatus.ServiceUnavailable, emptyBody)
 		return
 	}
 	if _, ok := s.requestBudget.ReserveAt(s.world.wallClock(), 1, 0); !ok {
 		s.throttled++
-		send(httpstatus.TooManyRequests, noMessage)
+		send(httpstatus.TooManyRequests, emptyBody)
 		return
 	}
 	target, err := url.Parse(path)
 	switch {
 	case err != nil:
-		send(httpstatus.BadRequest, noMessage)
+		send(httpstatus.BadRequest, emptyBody)
 	case method == "GET":
 		s.handleRead(target, send, reply)
 	case method == "POST":
 		s.handleWrite(target.Path, body, send)
 	default:
-		send(httpstatus.BadRequest, noMessage)
+		send(httpstatus.BadRequest, emptyBody)
 	}
 }
 
 // handleRead serves a listing, a read of one key, or a watch.
 func (s *keyValueStore) handleRead(target *url.URL, send responder, reply func(int, []byte)) {
-	key, ofKey := strings.CutPrefix(target.Path, "/store/")
+	key, isKey := strings.CutPrefix(target.Path, "/store/")
 	switch {
 	case target.Path == "/store":
 		send(httpstatus.OK, s.page(target.Query()))
-	case ofKey:
+	case isKey:
 		s.get(key, send)
 	case target.Path == "/changes":
 		s.watch(target.Query(), send, reply)
 	default:
-		send(httpstatus.BadRequest, noMessage)
+		send(httpstatus.BadRequest, emptyBody)
 	}
 }
 
@@ -172,11 +174,11 @@
 	case strings.HasSuffix(path, "/extend"):
 		s.extendLease(strings.Split(path, "/")[2], send)
 	default:
-		send(httpstatus.BadRequest, noMessage)
+		send(httpstatus.BadRequest, emptyBody)
 	}
 }
 
-// withLatency serves a request after the present latency.
+// withLatency runs serve after the current latency of the store.
 func (s *keyValueStore) withLatency(serve func()) {
 	if s.world.now < s.slowUntil {
 		s.world.after(s.latency, serve)
@@ -185,13 +187,13 @@
 	serve()
 }
 
-// Limits of a page.
+// Limits of a page of keys.
 const (
 	maxPageItems = 1000
 	maxPageBytes = 512 << 10
 )
 
-// page lists the keys below a prefix, from the first one after a key.
+// page returns a page of the keys with a prefix that follow the key in the query.
 func (s *keyValueStore) page(query url.Values) wire.Page {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit == 0 || limit > maxPageItems {
@@ -235,9 +237,9 @@
 func (s *keyValueStore) extendLease(lease string, send responder) {
 	id, err := strconv.ParseUint(lease, 10, 64)
 	if _, exists := s.leaseEnds[id]; err != nil || !exists {
-		send(httpstatus.NotFound, noMessage)
+		send(httpstatus.NotFound, emptyBody)
 		return
 	}
 	s.leaseEnds[id] = s.world.now + s.leaseTTLs[id]
-	send(httpstatus.OK, noMessage)
+	send(httpstatus.OK, emptyBody)
 }
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -13,12 +13,12 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Process is a controller that runs as a process of its own and is reached over the network.
-// Its methods are called with the world locked and do not block.
+// Process is a controller that runs as a separate process and is reached over the network. Its
+// methods are called with the world locked and must not block.
 type Process interface {
 	// Start starts the process.
 	Start()
-	// Kill ends the process without notice.
+	// Kill kills the process.
 	Kill()
 	// Ask sends a request of a user ("user") or of a worker (its machine's name). done is
 	// called once, by Live.Do, with the answer; its status is 0 if none came within the
@@ -31,13 +31,14 @@
 	Class        string
 	Priority     wire.Priority
 	Waited       time.Duration // since the first attempt to submit the job
-	FencingToken uint64        // the highest one that the worker has seen
-	At           time.Duration // since the beginning of Live.Run
+	FencingToken uint64        // the highest one that the worker has received
+	At           time.Duration // since the start of Live.Run
 	First        bool          // the task has not run before
 }
 
-// Observer follows a live world. Its methods are called with the world locked.
+// Observer receives events of a live world. Its methods are called with the world locked.
 type Observer interface {
+	// Started reports that a task starts to run.
 	Started(TaskStart)
 }
 
@@ -46,7 +47,7 @@
 	Type, Zone string
 	Spot       bool
 	Count      int
-	Up         int // how many of them are rented and up from the beginning
+	Up         int // how many of them are rented and up from the start
 }
 
 // LiveConfig describes a live world.
@@ -59,28 +60,28 @@
 	Log      *slog.Logger
 	// WorkerAddress chooses the address on which a machine's worker listens.
 	WorkerAddress func(machine string) string
-	// UsageChanged gets, with the world locked, by how many CPUs and GPUs the usage of a team
-	// changes; it may be nil.
+	// UsageChanged, if not nil, is called with the change of a team's usage of CPUs and GPUs.
+	// The world is locked during the call.
 	UsageChanged func(team string, cpus, gpus float64)
-	// MachineRemoved gets, with the world locked, a machine that is removed for good; it may
-	// be nil.
+	// MachineRemoved, if not nil, is called with a machine that is removed and does not return.
+	// The world is locked during the call.
 	MachineRemoved func(machine string)
 }
 
-// Live plays a world by the real clock, around controllers that are processes of their own. Its
-// checker checks the rules as in virtual time, except for those about unanswered users and
-// waiting jobs, whose checks look at all machines for every job.
+// Live runs a world in real time, around controllers that are separate processes. The checker
+// works as in virtual time, except that it does not check the rules on unanswered users and
+// waiting jobs: their cost grows with the number of jobs times the number of machines.
 type Live struct {
 	mu        sync.Mutex
 	world     *World
 	startedAt time.Time
 }
 
-// NewLive makes a live world. Its time begins with Run.
+// NewLive makes a live world. Its clock starts with Run.
 func NewLive(c LiveConfig) *Live {
 	world := newWorld(c.Settings, c.Seed, c.Log)
 	world.events = eventqueue.Queue{} // drops the starts of simulated controllers
-	world.faultsEnd = never           // so that some rules are not checked, see Live
+	world.faultsEnd = never           // disables the rules that Live does not check
 	world.observer = c.Observer
 	world.usageChanged = c.UsageChanged
 	world.cloud.types = c.Types
@@ -98,7 +99,7 @@
 	return &Live{world: world}
 }
 
-// Attach sets the process of a controller. Run starts it.
+// Attach sets the process of a controller. Run starts the process.
 func (l *Live) Attach(controller int, p Process) { l.world.controllers[controller].process = p }
 
 // Name returns the name of a controller.
@@ -107,7 +108,7 @@
 // Zone returns the zone of a controller.
 func (l *Live) Zone(controller int) string { return l.world.zoneOf(l.Name(controller)) }
 
-// Do calls a function with the world locked and its time brought up to the clock.
+// Do brings the world up to the current time and calls a function, with the world locked.
 func (l *Live) Do(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,17 +116,17 @@
 	f()
 }
 
-// catchUp carries out the events that are due.
+// catchUp executes the events that are due.
 func (l *Live) catchUp() {
 	if !l.startedAt.IsZero() {
 		l.world.run(time.Since(l.startedAt))
 	}
 }
 
-// livePollInterval is how often a live world looks for events that are due.
+// livePollInterval is the interval at which a live world executes due events.
 const livePollInterval = 2 * time.Millisecond
 
-// Run starts the controllers and plays the world until the context ends or the time is over.
+// Run starts the controllers and runs the world until the context ends or the duration is over.
 func (l *Live) Run(ctx context.Context, duration time.Duration) {
 	l.mu.Lock()
 	l.startedAt = time.Now()
@@ -148,28 +149,28 @@
 // Now returns how long the world has run. It is called with the world locked.
 func (l *Live) Now() time.Duration { return l.world.now }
 
-// After calls a function with the world locked, a while from now. It is itself called with the
-// world locked, or before Run.
+// After schedules a function to be called after a delay, with the world locked. After itself must
+// be called with the world locked, or before Run.
 func (l *Live) After(delay time.Duration, f func()) { l.world.after(delay, f) }
 
 // LiveJob is a job of a live world.
 type LiveJob struct {
 	wire.Job
-	RunS float64 // a task's run time in seconds; not of services
+	RunS float64 // run time of a task in seconds; unused for services
 }
 
-// Submit makes a user submit a job and poll its status until it is finished. It is called with
-// the world locked, as are the methods below.
+// Submit makes a user submit a job and poll its status until it is finished. It must be called
+// with the world locked, as must the methods below.
 func (l *Live) Submit(j LiveJob) {
 	truth := newGroundTruth(j.Job)
 	truth.runS = j.RunS
-	l.world.users.submit(truth, submitAtOnce)
+	l.world.users.submit(truth, submitImmediately)
 }
 
 // Cancel makes a job's user cancel it.
 func (l *Live) Cancel(id string) { l.world.users.cancel(id) }
 
-// Leader returns the index of the controller that holds the leader's key; false if none does.
+// Leader returns the index of the controller that holds the leader key; false if none does.
 func (l *Live) Leader() (int, bool) {
 	leader := l.world.leader()
 	if leader == nil {
@@ -178,7 +179,7 @@
 	return leader.index, true
 }
 
-// Term returns the highest term that a worker has heard of; 0 before the first.
+// Term returns the highest term that any worker has received; 0 before the first.
 func (l *Live) Term() uint64 {
 	var term uint64
 	for _, m := range l.world.cloud.machines {
@@ -187,13 +188,13 @@
 	return term
 }
 
-// KillController ends a controller without notice and starts it again after a while.
+// KillController kills a controller and restarts it after a delay.
 func (l *Live) KillController(i int, restartAfter time.Duration) {
 	l.world.controllers[i].crash(restartAfter)
 }
 
-// RemoveWorkers removes a share of the machines that are up, at once, of one zone or, if it is
-// empty, of all. It returns how many.
+// RemoveWorkers removes a share of the machines that are up in a zone, or in all zones if zone is
+// empty, all at the same time. It returns the number of removed machines.
 func (l *Live) RemoveWorkers(share float64, zone string) int {
 	up := l.world.machinesUp(zone)
 	count := int(share * float64(len(up)))
@@ -203,9 +204,9 @@
 	return count
 }
 
-// RemoveZone removes all machines of a zone and kills its controllers. After a while the
-// controllers are started again, and the cloud has machines there again. It returns how many
-// machines it removed.
+// RemoveZone removes all machines of a zone and kills its controllers. After a delay the
+// controllers are restarted and the cloud has capacity in the zone again. It returns the number
+// of removed machines.
 func (l *Live) RemoveZone(zone string, restoreAfter time.Duration) int {
 	world := l.world
 	for _, c := range world.controllers {
@@ -228,46 +229,48 @@
 	return removed
 }
 
-// StopStore makes the key-value store refuse every request for a while.
+// StopStore makes the key-value store reject every request for a duration.
 func (l *Live) StopStore(duration time.Duration) { l.world.store.beginOutage(duration) }
 
-// ServeStore answers a controller's request to the key-value store, now or later.
+// ServeStore serves a controller's request to the key-value store. It calls reply immediately or
+// later.
 func (l *Live) ServeStore(method, path string, body []byte, reply func(int, []byte)) {
 	l.world.store.handle("", method, path, body, reply)
 }
 
-// ServeCloud answers a controller's request to the cloud, a moment later.
+// ServeCloud serves a controller's request to the cloud. It calls reply after the cloud's latency.
 func (l *Live) ServeCloud(method, path string, body []byte, reply func(int, []byte)) {
 	l.world.cloud.handle(method, path, body, reply)
 }
 
-// ServeWorker answers a controller's request to a worker. A removed one does not answer.
+// ServeWorker serves a controller's request to a worker. Removed machines do not answer.
 func (l *Live) ServeWorker(machine, method, path string, body []byte, reply func(int, []byte)) {
 	if m := l.world.cloud.machines[machine]; m != nil {
 		m.handleDirect(method, path, body, reply)
 	}
 }
 
-// Records lists the keys of the key-value store below a prefix, in order.
+// Records returns the keys of the key-value store with a prefix, in order, up to the limits of one
+// page.
 func (l *Live) Records(prefix string) []wire.Item {
 	return l.world.store.page(url.Values{"under": {prefix}}).Items
 }
 
-// Counts are figures of a live world, for reports.
+// Counts are statistics of a live world for reports.
 type Counts struct {
 	Workers        int // up
 	Tasks          int // on machines
 	Jobs           int // accepted and not finished
-	Accepted       int // jobs in all
-	Starts         int // start commands that workers have carried out
+	Accepted       int // all jobs ever accepted
+	Starts         int // start commands that workers have executed
 	ExpiredTasks   int // tasks that a worker killed at its lease expiry
 	StoreKeys      int
-	StoreChanges   int // puts and deletes that the key-value store has carried out
-	StoreThrottled int // requests that the key-value store refused for its rates
+	StoreChanges   int // puts and deletes that the key-value store has applied
+	StoreThrottled int // requests that the key-value store rejected for exceeding its rates
 	Violations     []string
 }
 
-// Counts counts what the world holds.
+// Counts returns the current statistics.
 func (l *Live) Counts() Counts {
 	world := l.world
 	counts := Counts{
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -10,10 +10,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// never is a time that no run reaches.
+// never is a time later than the end of any run.
 const never = time.Duration(math.MaxInt64)
 
-// machine stands in for a machine and its worker.
+// machine simulates a machine and its worker.
 type machine struct {
 	world        *World
 	name         string
@@ -25,15 +25,15 @@
 	removedAt    time.Duration
 	cachedImages map[string]bool
 
-	// What a worker holds by the protocol.
+	// State of the worker that the protocol defines.
 	incarnation    uint64
 	sequence       uint64
 	fencingToken   uint64
-	acknowledgedAt time.Duration // when the last answered heartbeat was sent
+	acknowledgedAt time.Duration // send time of the last heartbeat that was answered
 	tasks          map[string]*task
-	sortedCache    []*task // see sortedTasks; nil once tasks have changed
+	sortedCache    []*task // see sortedTasks; nil when tasks have changed
 
-	controllerIndex int // of the controller that gets the heartbeats
+	controllerIndex int // of the controller to which heartbeats are sent
 	awaitsAnswer    bool
 	nextHeartbeat   time.Duration
 	lastHeartbeat   time.Duration
@@ -41,12 +41,12 @@
 
 	// Faults.
 	faulty               bool          // every task exits with an error
-	preemptionAt         time.Duration // when the cloud takes the machine back; 0 without a notice
-	duplicateUntil       time.Duration // until then a copy of each heartbeat arrives later
+	preemptionAt         time.Duration // when the cloud preempts the machine; 0 without a notice
+	duplicateUntil       time.Duration // until then a delayed copy of each heartbeat is sent too
 	duplicateDelay       time.Duration
-	hangUntil            time.Duration // until then the worker does nothing but let its lease expire
-	outboundBlockedUntil time.Duration // until then it opens no connection to a controller
-	heldCommands         []func()      // that came while it hung
+	hangUntil            time.Duration // until then the worker does nothing, except that its lease can expire
+	outboundBlockedUntil time.Duration // until then it cannot connect to any controller
+	heldCommands         []func()      // commands that arrived while it hung
 }
 
 func newMachine(world *World, name string, kind offer) *machine {
@@ -63,13 +63,13 @@
 	return m
 }
 
-// Boot times vary between these parts of the one that the cloud states.
+// A machine's boot time is the one that the cloud states times a random factor in this range.
 const (
 	minBootFactor   = 0.6
 	bootFactorRange = 0.9
 )
 
-// boot makes a rented machine come up after its boot time, unless a fault prevents it.
+// boot starts the worker of a rented machine after its boot time, unless a fault prevents that.
 func (m *machine) boot() {
 	cloud := m.world.cloud
 	delay := seconds(cloud.machineType(m.machineType).BootS * (minBootFactor + bootFactorRange*m.world.rng.Float64()))
@@ -83,7 +83,7 @@
 	m.startWorkerAfter(delay)
 }
 
-// startWorkerAfter starts the machine's worker after a while.
+// startWorkerAfter starts the machine's worker after a delay.
 func (m *machine) startWorkerAfter(delay time.Duration) {
 	world := m.world
 	m.upAt = world.now + delay
@@ -100,7 +100,8 @@
 // workerTickInterval is the time between two ticks of a worker.
 const workerTickInterval = 100 * time.Millisecond
 
-// minHeartbeatInterval is the time between two heartbeats at the least, however much changes.
+// minHeartbeatInterval is the minimum time between two heartbeats, also when the status changes
+// more often.
 const minHeartbeatInterval = 500 * time.Millisecond
 
 func (m *machine) tick() {
@@ -108,7 +109,7 @@
 		return
 	}
 	m.world.after(workerTickInterval, m.tick)
-	// The lease expires on a machine that hangs too.
+	// The lease also expires on a machine that hangs.
 	if m.world.now-m.acknowledgedAt > seconds(m.world.settings.Deployment.Workers.LeaseS) {
 		m.expireLease()
 	}
@@ -131,7 +132,7 @@
 	}
 }
 
-// expireLease kills all tasks and begins a new incarnation.
+// expireLease kills all tasks and starts a new incarnation.
 func (m *machine) expireLease() {
 	for _, t := range m.sortedTasks() {
 		if t.placed {
@@ -145,8 +146,8 @@
 	m.statusChanged = true
 }
 
-// sortedTasks lists the tasks by name and attempt. The list is shared: callers do not change
-// it.
+// sortedTasks returns the tasks sorted by name and attempt. Callers must not modify the slice:
+// it is cached.
 func (m *machine) sortedTasks() []*task {
 	if m.sortedCache != nil && len(m.sortedCache) == len(m.tasks) {
 		return m.sortedCache
@@ -160,15 +161,16 @@
 	return sorted
 }
 
-// clearTasks drops all tasks.
+// clearTasks removes all tasks.
 func (m *machine) clearTasks() { m.tasks, m.sortedCache = map[string]*task{}, nil }
 
-// exitedKey is the key of an exited attempt whose task has a later one on the machine.
+// exitedKey returns the key in machine.tasks of an exited attempt whose task has a later attempt
+// on the machine.
 func exitedKey(name string, attempt uint64) string {
 	return name + "#" + strconv.FormatUint(attempt, 10)
 }
 
-// advance moves a task on in time.
+// advance updates a task's state to the current time.
 func (m *machine) advance(t *task) {
 	now, timings := m.world.now, m.world.settings.Deployment.Workers
 	switch t.state {
@@ -192,11 +194,11 @@
 			t.checkpointed = true
 			m.exit(t, wire.CauseStopped)
 		}
-	case wire.TaskExited: // nothing happens to it any more
+	case wire.TaskExited: // final state
 	}
 }
 
-// imagePulled starts a task whose image is in the cache; a gang's task waits for the others.
+// imagePulled starts a task whose image is in the cache; a task of a gang waits for the others.
 func (m *machine) imagePulled(t *task) {
 	m.cachedImages[t.job.Image] = true
 	m.world.addPlacement(m, t)
@@ -239,7 +241,7 @@
 	m.world.cancelFinishedJob(job)
 }
 
-// terminate takes a task off the machine. The worker does not report it.
+// terminate ends a task without a cause to report.
 func (m *machine) terminate(t *task) {
 	if t.state == wire.TaskExited {
 		return
@@ -257,7 +259,7 @@
 	}
 }
 
-// exit ends a task with a cause, which the worker reports.
+// exit ends a task with a cause that the worker reports.
 func (m *machine) exit(t *task, cause wire.ExitCause) {
 	m.terminate(t)
 	t.cause = cause
--- a/internal/sim/model_server.go
+++ b/internal/sim/model_server.go
@@ -7,38 +7,37 @@
 	"github.com/brookwalk/brookwalk/internal/wake"
 )
 
-// ModelServer stands in for a server that holds replicas of models, one of each model at the
-// most. It keeps no clock: each call names the time, in the time of its caller. It also counts
-// what a checker needs.
+// ModelServer simulates a server that runs replicas of models, at most one of each model. It has
+// no clock: the caller passes the time to each call. It also counts what a checker needs.
 type ModelServer struct {
 	ReplicaLease time.Duration
-	// Load draws how long a load takes and whether it fails.
+	// Load returns how long a load takes and whether it fails.
 	Load func() (time.Duration, bool)
-	// Starts is how many replicas were started so far.
+	// Starts is the number of replicas started so far.
 	Starts int
 
 	lastToken uint64
 	models    map[string]*servedModel
 }
 
-// servedModel is what a server knows of a model.
+// servedModel is a server's state of one model.
 type servedModel struct {
-	fencingEpoch  uint64 // the highest epoch that the server has heard
-	startToken    uint64 // allows a start; 0 for none
+	fencingEpoch  uint64 // the highest epoch that the server has received
+	startToken    uint64 // the token that a start command must carry; 0 for none
 	tokenIssuedAt time.Duration
 	replica       *modelReplica
-	// answers of the replica by the clients' keys; nil for a request in progress. They are
-	// lost with the replica.
+	// answers holds the replica's answers by the clients' idempotency keys; nil for a request
+	// in progress. They are lost with the replica.
 	answers map[string][]byte
 }
 
 // modelReplica is a replica that is loading or loaded.
 type modelReplica struct {
-	number         int           // of all that the server has started
-	readyAt        time.Duration // end of the load
-	failAt         time.Duration // 0 for a load that succeeds
-	leaseEnd       time.Duration // when the replica ends unless a driver renews its lease
-	closed         bool          // it takes no new requests
+	number         int           // among all replicas that the server has started, from 1
+	readyAt        time.Duration // when the load ends
+	failAt         time.Duration // when the load fails; 0 if it succeeds
+	leaseEnd       time.Duration // when the replica ends unless a command renews its lease
+	closed         bool          // the replica accepts no new requests
 	activeRequests int
 	lastRequestAt  time.Duration
 }
@@ -48,20 +47,21 @@
 	return &ModelServer{ReplicaLease: replicaLease, Load: load, models: map[string]*servedModel{}}
 }
 
-// Loads vary between these parts of their mean time.
+// A load takes the mean time times a random factor in this range.
 const (
 	minLoadFactor   = 0.8
 	loadFactorRange = 0.4
 )
 
-// RandomLoad draws loads of a mean time, a share of which fail.
-func RandomLoad(rng *rand.Rand, mean time.Duration, failingShare float64) func() (time.Duration, bool) {
+// RandomLoad returns a function for ModelServer.Load that draws load times around a mean and lets
+// a share of the loads fail.
+func RandomLoad(rng *rand.Rand, mean time.Duration, failureShare float64) func() (time.Duration, bool) {
 	return func() (time.Duration, bool) {
-		return time.Duration(float64(mean) * (minLoadFactor + loadFactorRange*rng.Float64())), rng.Float64() < failingShare
+		return time.Duration(float64(mean) * (minLoadFactor + loadFactorRange*rng.Float64())), rng.Float64() < failureShare
 	}
 }
 
-// Crash ends all replicas; the server forgets everything.
+// Crash ends all replicas and discards the server's state of all models.
 func (s *ModelServer) Crash() { s.models = map[string]*servedModel{} }
 
 // HasReplica reports whether a replica of a model is loading or loaded.
@@ -69,8 +69,8 @@
 	return s.model(model, now).replica != nil
 }
 
-// ReplicaNumber returns the number of a model's replica among all that the server has started;
-// 0 if there is none.
+// ReplicaNumber returns the number of a model's replica among all replicas that the server has
+// started; 0 if the model has none.
 func (s *ModelServer) ReplicaNumber(model string, now time.Duration) int {
 	if r := s.model(model, now).replica; r != nil {
 		return r.number
@@ -78,7 +78,7 @@
 	return 0
 }
 
-// model finds what is known of a model, after ending a replica whose lease has expired.
+// model returns the state of a model. It first ends the model's replica if its lease has expired.
 func (s *ModelServer) model(name string, now time.Duration) *servedModel {
 	model := s.models[name]
 	if model == nil {
@@ -93,7 +93,8 @@
 
 func (m *servedModel) endReplica() { m.replica, m.answers = nil, nil }
 
-// Command carries out a driver's command and renews the replica's lease.
+// Command executes a command and renews the replica's lease. It rejects commands of an epoch lower
+// than the highest one received.
 func (s *ModelServer) Command(c wake.Command, now time.Duration) wake.ReplicaStatus {
 	model := s.model(c.Model, now)
 	if c.Epoch < model.fencingEpoch {
@@ -104,7 +105,7 @@
 		model.replica.leaseEnd = now + s.ReplicaLease
 	}
 	switch c.Verb {
-	case wake.VerbProbe: // has no other effect
+	case wake.VerbProbe: // a probe only renews the lease
 	case wake.VerbStart:
 		s.start(model, c.StartToken, now)
 	case wake.VerbClose:
@@ -119,7 +120,7 @@
 	return s.status(model, now)
 }
 
-// start begins to load a replica, if the start token is valid and there is no replica.
+// start starts to load a replica if the start token is valid and the model has no replica.
 func (s *ModelServer) start(model *servedModel, startToken uint64, now time.Duration) {
 	isValid := startToken != 0 && startToken == model.startToken && now-model.tokenIssuedAt <= s.ReplicaLease
 	if !isValid || model.replica != nil {
@@ -135,7 +136,7 @@
 	model.answers = map[string][]byte{}
 }
 
-// status is the state of a model's replica, with a new start token where there is none. It
+// status returns the state of a model's replica. Without a replica it issues a new start token. It
 // ends a replica whose load has failed.
 func (s *ModelServer) status(model *servedModel, now time.Duration) wake.ReplicaStatus {
 	r := model.replica
@@ -155,11 +156,11 @@
 	return wake.ReplicaStatus{State: wake.ReplicaReady, InFlight: r.activeRequests, IdleSeconds: (now - r.lastRequestAt).Seconds()}
 }
 
-// AskResult is what a server does with a request.
+// AskResult is how a server handles a request.
 type AskResult int
 
-// What a server does with a request: no replica takes it; it is started; it is in progress, or
-// has been answered, under the same key.
+// How a server handles a request: no replica accepts it; its processing starts; a request with
+// the same key is in progress; a request with the same key has been answered.
 const (
 	AskRejected AskResult = iota
 	AskStarted
@@ -167,7 +168,7 @@
 	AskAnswered
 )
 
-// Ask handles a request. The answer is set for AskAnswered only.
+// Ask handles a request with an idempotency key. The answer is set only for AskAnswered.
 func (s *ModelServer) Ask(model, key string, now time.Duration) (AskResult, []byte) {
 	served := s.model(model, now)
 	r := served.replica
@@ -189,8 +190,8 @@
 	return AskStarted, nil
 }
 
-// Finish ends a request that a replica has started, with its answer; false if the replica has
-// ended.
+// Finish records the answer of a request that a replica has processed. It returns false if the
+// replica has ended.
 func (s *ModelServer) Finish(model, key string, answer []byte, now time.Duration) bool {
 	served := s.model(model, now)
 	r := served.replica
--- a/internal/sim/network.go
+++ b/internal/sim/network.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Names of endpoints, and patterns that stand for several of them. Scenario files use them too.
+// Names of endpoints, and patterns that match several of them. Scenario files use them too.
 const (
 	storeEndpoint      = "state"
 	cloudEndpoint      = "cloud"
@@ -22,23 +22,23 @@
 type partition struct {
 	from, to string // patterns, see World.matches
 	until    time.Duration
-	// holdsMessages delays messages to the end of the partition in place of losing them.
+	// holdsMessages delays messages until the end of the partition instead of dropping them.
 	holdsMessages bool
 }
 
-// partition blocks messages from one set of endpoints to another for a while.
+// partition blocks messages from one set of endpoints to another for a duration.
 func (w *World) partition(from, to string, duration time.Duration, holdsMessages bool) {
 	w.partitions = append(w.partitions, &partition{from, to, w.now + duration, holdsMessages})
 }
 
-// partitionBothWays blocks messages between two sets of endpoints for a while.
+// partitionBothWays blocks messages between two sets of endpoints for a duration.
 func (w *World) partitionBothWays(a, b string, duration time.Duration, holdsMessages bool) {
 	w.partition(a, b, duration, holdsMessages)
 	w.partition(b, a, duration, holdsMessages)
 }
 
-// matches reports whether a pattern stands for an endpoint: it is the endpoint's name, a kind
-// of endpoints, or "zone:" with the endpoint's zone.
+// matches reports whether a pattern matches an endpoint: the pattern is the endpoint's name, a
+// kind of endpoints, or "zone:" with the endpoint's zone.
 func (w *World) matches(pattern, name string) bool {
 	if pattern == name {
 		return true
@@ -53,7 +53,7 @@
 	return isZone && w.zoneOf(name) == zone
 }
 
-// zoneOf is the zone of a controller or a machine; empty for other endpoints.
+// zoneOf returns the zone of a controller or a machine; empty for other endpoints.
 func (w *World) zoneOf(name string) string {
 	zones := w.settings.Deployment.Zones
 	for _, c := range w.controllers {
@@ -67,14 +67,14 @@
 	return ""
 }
 
-// Bounds of the time that a message takes.
+// Bounds of the delay of a message.
 const (
 	minMessageDelay   = time.Millisecond
 	messageDelayRange = 4 * time.Millisecond
 )
 
-// deliver carries a message: receive runs at the receiver, unless a partition drops the
-// message.
+// deliver sends a message: it schedules receive after a random delay. A partition drops the
+// message, or delays it until its end.
 func (w *World) deliver(from, to string, receive func()) {
 	delay := minMessageDelay + time.Duration(w.rng.Int64N(int64(messageDelayRange)))
 	for _, p := range w.partitions {
--- a/internal/sim/one_type_test.go
+++ b/internal/sim/one_type_test.go
@@ -63,5 +63,5 @@
 func TestOneType(t *testing.T) {
 	// On seed 474 a gang of whole machines once never began: replicas were scattered over all
 	// machines that the cloud had.
-	playSeeds(t, soakSeeds(25, 474), oneTypeDay)
+	runSeeds(t, soakSeeds(25, 474), oneTypeDay)
 }
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -111,7 +111,7 @@
 			seeds = append(seeds, seed)
 		}
 	}
-	playSeeds(t, seeds, pipelinesDay)
+	runSeeds(t, seeds, pipelinesDay)
 }
 
 // commitStatus commits a transaction of writes, with values of a size in bytes, and conditions that
--- a/internal/sim/placements.go
+++ b/internal/sim/placements.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// placement is a task that is on a machine.
+// placement is a task and the machine that it is on.
 type placement struct {
 	task    *task
 	machine *machine
 }
 
-// jobPlacements are the tasks of a job that are on machines. To check a start against the job's
-// other tasks, the checker looks at those of its index and at the zones' counts, however many
-// tasks there are.
+// jobPlacements are the placements of a job's tasks. They are indexed by task index and counted
+// by zone, so that the cost of checking a start against the job's other tasks does not grow with
+// the number of tasks.
 type jobPlacements struct {
 	machines map[*task]*machine
-	byIndex  map[int][]placement // in the order in which they were added
+	byIndex  map[int][]placement // in the order of addition
 	byZone   map[string]int
 }
 
-// addPlacement records that a task is on a machine from now on.
+// addPlacement records that a task is now on a machine.
 func (w *World) addPlacement(m *machine, t *task) {
 	t.placed = true
 	placed := w.placementsByJob[t.job]
@@ -39,7 +39,7 @@
 	w.reportUsage(t.job, 1)
 }
 
-// removePlacement records that a task is on no machine any more.
+// removePlacement records that a task has left its machine.
 func (w *World) removePlacement(t *task) {
 	t.placed = false
 	placed := w.placementsByJob[t.job]
@@ -59,15 +59,15 @@
 	}
 }
 
-// reportUsage passes a change of a team's usage on: tasks of a job that were added, or removed
-// if negative.
+// reportUsage calls usageChanged for a number of tasks of a job that were added, or removed if
+// the number is negative.
 func (w *World) reportUsage(job *groundTruth, tasks int) {
 	if w.usageChanged != nil {
 		w.usageChanged(job.Team, float64(tasks)*job.CPUs, float64(tasks)*job.GPUs)
 	}
 }
 
-// placedTaskCount is how many tasks of a job are on machines.
+// placedTaskCount returns how many tasks of a job are on machines.
 func (w *World) placedTaskCount(job *groundTruth) int {
 	if placed := w.placementsByJob[job]; placed != nil {
 		return len(placed.machines)
@@ -75,7 +75,8 @@
 	return 0
 }
 
-// sortedPlacements lists the tasks of a job that are on machines, by machine, name and attempt.
+// sortedPlacements returns the placements of a job's tasks, sorted by machine, task name and
+// attempt.
 func (w *World) sortedPlacements(job *groundTruth) []placement {
 	placed := w.placementsByJob[job]
 	if placed == nil {
@@ -91,7 +92,7 @@
 	return sorted
 }
 
-// teamUsage is what the tasks of a team that are on machines use.
+// teamUsage returns the resources of a team's tasks that are on machines.
 func (w *World) teamUsage(team string) (gpus, cpus float64) {
 	for job := range w.jobsByTeam[team] {
 		count := float64(w.placedTaskCount(job))
@@ -101,7 +102,7 @@
 	return gpus, cpus
 }
 
-// observeStart reports a task that begins to run to the observer.
+// observeStart reports to the observer that a task starts to run.
 func (w *World) observeStart(m *machine, t *task) {
 	if w.observer == nil {
 		return
--- a/internal/sim/random_days_test.go
+++ b/internal/sim/random_days_test.go
@@ -178,12 +178,12 @@
 	// Seed 174 once ran a task twice: an incarnation that the leader had learned from a
 	// direct answer seemed to have expired by the clock of the one before. Seed 65 found no
 	// machine for a fault.
-	playSeeds(t, soakSeeds(40, 65, 174), soakDay)
+	runSeeds(t, soakSeeds(40, 65, 174), soakDay)
 }
 
 // TestOverlappingFaults plays random days on which faults overlap.
 func TestOverlappingFaults(t *testing.T) {
-	playSeeds(t, soakSeeds(25), overlappingFaultsDay)
+	runSeeds(t, soakSeeds(25), overlappingFaultsDay)
 }
 
 // operationsDay writes an overlappingFaultsDay on which, besides, machines boot late or never,
@@ -237,5 +237,5 @@
 
 // TestOperations plays random days of the faults that operators met.
 func TestOperations(t *testing.T) {
-	playSeeds(t, soakSeeds(25), operationsDay)
+	runSeeds(t, soakSeeds(25), operationsDay)
 }
--- a/internal/sim/region_worlds_test.go
+++ b/internal/sim/region_worlds_test.go
@@ -208,7 +208,7 @@
 	world := g.world(region)
 	truth := newGroundTruth(job)
 	truth.runS = runS
-	world.users.submit(truth, submitAtOnce)
+	world.users.submit(truth, submitImmediately)
 	return job.ID
 }
 
--- a/internal/sim/regions_test.go
+++ b/internal/sim/regions_test.go
@@ -13,7 +13,7 @@
 // controllers each, with faults of every kind. No limit is exceeded and no rule violated in any region.
 func TestRegions(t *testing.T) {
 	t.Parallel()
-	days := soakDays(4)
+	days := soakRunCount(4)
 	started := make([]int, days)
 	for seed := range uint64(days) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -58,7 +58,7 @@
 	t.Parallel()
 	quotaPlan := newRegionPlan(3, 2, 36)
 	quotaPlan.Teams[1].Shares[0].GPUs = 8 // of team-1 in region-0
-	for seed := range uint64(soakDays(3)) {
+	for seed := range uint64(soakRunCount(3)) {
 		regions := newRegionWorlds(t, seed, quotaPlan, slog.New(slog.DiscardHandler))
 		world := regions.world("region-0")
 		for _, zone := range world.settings.Deployment.Zones {
--- a/internal/sim/rental_test.go
+++ b/internal/sim/rental_test.go
@@ -20,7 +20,7 @@
 	for i := range jobs {
 		fmt.Fprintf(&text, "at 1 submit job-%06d tasks=%d run=300 image=i%d\n", i, tasksOfJob, i%4)
 	}
-	world := playScenario(t, text.String())
+	world := runScenario(t, text.String())
 	if want := jobs * tasksOfJob / tasksOfMachine; world.cloud.rentedTotal < want {
 		t.Errorf("%d machines rented within 30 s, %d wanted", world.cloud.rentedTotal, want)
 	}
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -13,19 +13,19 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// Scenario is a parsed scenario file: settings, actions at their times, and expectations at the
-// end. testdata/README.md describes the words of the file.
+// Scenario is a parsed section of a scenario file: settings, timed actions, and expectations for
+// the end. testdata/README.md describes the syntax.
 type Scenario struct {
 	settings     *config.Settings
 	seed         uint64
-	seedCount    int // how many days are played, each with the next seed
+	seedCount    int // in how many runs the scenario is run, each with the next seed
 	until        time.Duration
 	machineTypes []scenarioLine
 	actions      []scenarioLine
 	expectations []scenarioLine
 }
 
-// defaultSettings are those of a scenario that changes none.
+// defaultSettings returns the settings of a scenario that changes none.
 func defaultSettings() *config.Settings {
 	return &config.Settings{Deployment: config.Deployment{
 		Size:          3,
@@ -37,9 +37,9 @@
 	}}
 }
 
-// ParseScenario reads a scenario. An error names the line.
+// ParseScenario parses a scenario. Errors in a line contain the line's number.
 func ParseScenario(text string) (scenario *Scenario, err error) {
-	defer func() { // accessors of scenarioLine panic
+	defer func() { // the accessors of scenarioLine panic on invalid lines
 		if r := recover(); r != nil {
 			err = fmt.Errorf("scenario: %v", r)
 		}
@@ -55,7 +55,7 @@
 		}
 	}
 	if scenario.until == 0 {
-		return nil, errors.New("scenario: no until")
+		return nil, errors.New("scenario: line \"until\" is missing")
 	}
 	return scenario, nil
 }
@@ -84,7 +84,7 @@
 	return err
 }
 
-// addSetting changes the settings of the deployment as a line says.
+// addSetting applies a line to the settings of the deployment.
 func (s *Scenario) addSetting(line scenarioLine) (err error) {
 	deployment := &s.settings.Deployment
 	switch line.word {
@@ -118,9 +118,9 @@
 	return err
 }
 
-// Run plays the scenario and returns the violations of rules and the expectations that were
-// not met.
-func (s *Scenario) Run(log *slog.Logger) (world *World, faults []string) {
+// Run runs the scenario and returns the violations of rules and the expectations that were not
+// met.
+func (s *Scenario) Run(log *slog.Logger) (world *World, failures []string) {
 	if log == nil {
 		log = slog.New(slog.DiscardHandler)
 	}
@@ -128,7 +128,7 @@
 	return world, s.finish(world)
 }
 
-// newWorld makes the world of the scenario, with its actions scheduled.
+// newWorld makes the world of the scenario and schedules the actions.
 func (s *Scenario) newWorld(log *slog.Logger) *World {
 	world := newWorld(s.settings, s.seed, log)
 	for _, line := range s.machineTypes {
@@ -143,7 +143,7 @@
 	return world
 }
 
-// addMachineType adds a type of machine as a line describes it.
+// addMachineType adds the machine type that a line describes.
 func (c *cloudService) addMachineType(line scenarioLine, zones []string) {
 	if names := line.options["zones"]; names != "" {
 		zones = strings.Split(names, ",")
@@ -160,11 +160,11 @@
 	}
 }
 
-// lastQueriesTime is how long the answers to the last queries may take.
-const lastQueriesTime = 3 * time.Second
+// finalQueryTimeout is how long the answers to the final queries may take.
+const finalQueryTimeout = 3 * time.Second
 
-// finish plays the world to its end, asks every controller for every accepted job, and returns
-// what went wrong.
+// finish runs the world to its end, queries every running controller for every accepted job, and
+// returns the violations and the expectations that were not met.
 func (s *Scenario) finish(world *World) []string {
 	world.run(s.until)
 	for _, id := range world.users.sortedIDs() {
@@ -179,17 +179,17 @@
 		}
 	}
 	world.users.queryUnknownJob()
-	world.run(s.until + lastQueriesTime)
-	faults := append([]string(nil), world.checker.violations...)
+	world.run(s.until + finalQueryTimeout)
+	failures := append([]string(nil), world.checker.violations...)
 	for _, line := range s.expectations {
 		if why := world.checkExpectation(line); why != "" {
-			faults = append(faults, fmt.Sprintf("line %d: %s", line.lineNumber, why))
+			failures = append(failures, fmt.Sprintf("line %d: %s", line.lineNumber, why))
 		}
 	}
-	return faults
+	return failures
 }
 
-// queryUnknownJob asks for a job that nobody submitted.
+// queryUnknownJob queries a job that was never submitted, which controllers must not find.
 func (u *users) queryUnknownJob() {
 	c := u.pickController()
 	if !c.alive {
@@ -197,7 +197,7 @@
 	}
 	c.request(userEndpoint, "GET", submissionsPath+"/job-999999999999", nil, queryTimeout, func(status int, _ []byte) {
 		if status == httpstatus.OK {
-			u.world.checker.addViolation("invented", "a job that nobody submitted is known")
+			u.world.checker.addViolation("invented", "query found a job that was never submitted")
 		}
 	})
 }
--- a/internal/sim/scenario_actions.go
+++ b/internal/sim/scenario_actions.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// actions are what the words of timed lines do.
+// actions maps the words of timed lines to what they do.
 var actions = map[string]func(w *World, line scenarioLine){
 	// Requests of users.
 	"submit":        (*World).submitJob,
@@ -41,12 +41,12 @@
 	"copies":       (*World).duplicateAllHeartbeats,
 }
 
-// perform carries out the action of a line.
+// perform executes the action of a line.
 func (w *World) perform(line scenarioLine) {
 	if line.hasFlag(busyTarget) && w.busiestMachine() == nil {
 		return // no machine is up
 	}
-	w.debugf("action %s %v", line.word, line.args)
+	w.debugf("scenario action %s %v", line.word, line.args)
 	action := actions[line.word]
 	if action == nil {
 		panic(fmt.Sprintf("line %d: unknown action %q", line.lineNumber, line.word))
@@ -54,12 +54,11 @@
 	action(w, line)
 }
 
-// longestBootS is about the longest time in seconds that a machine of a scenario usually takes
-// to boot.
+// longestBootS is an estimate of the longest boot time in seconds of the machines in scenarios.
 const longestBootS = 60
 
-// faultDuration is for how long after its beginning the fault of a line may have effects; false
-// if the line is none.
+// faultDuration returns for how long after its start the fault of a line may have effects; false
+// if the line is not a fault.
 func (l *scenarioLine) faultDuration(lease time.Duration) (time.Duration, bool) {
 	duration := l.duration()
 	switch l.word {
@@ -82,7 +81,7 @@
 func (w *World) submitJob(line scenarioLine) {
 	when := submitWhenAccepted
 	if line.hasFlag("early") {
-		when = submitAtOnce
+		when = submitImmediately
 	} else if line.hasFlag("after") {
 		when = submitWhenFinished
 	}
@@ -117,7 +116,7 @@
 	}
 }
 
-// cutConnections blocks messages between two targets, or from the first to the second only.
+// cutConnections blocks messages between two targets, or only those from the first to the second.
 func (w *World) cutConnections(line scenarioLine) {
 	from, to := w.endpointName(line.arg(0)), w.endpointName(line.arg(1))
 	if line.hasFlag("oneway") {
@@ -127,7 +126,7 @@
 	w.partitionBothWays(from, to, line.duration(), line.hasFlag("hold"))
 }
 
-// isolateControllers cuts controllers off from the key-value store and their peers.
+// isolateControllers partitions controllers from the key-value store and their peers.
 func (w *World) isolateControllers(line scenarioLine) {
 	for _, c := range w.controllersNamed(line.arg(0)) {
 		w.partitionBothWays(c.name, storeEndpoint, line.duration(), false)
@@ -143,25 +142,25 @@
 	w.cloud.outageUntil = w.now + line.duration()
 }
 
-// slowStore delays every request to the key-value store but watches.
+// slowStore delays every request to the key-value store except watches.
 func (w *World) slowStore(line scenarioLine) {
 	w.store.latency, w.store.slowUntil = seconds(line.number("by", 0.3)), w.now+line.duration()
 }
 
-// refuseController makes the key-value store refuse the requests of one controller.
+// refuseController makes the key-value store reject the requests of one controller.
 func (w *World) refuseController(line scenarioLine) {
 	w.store.refusedUntil[w.endpointName(line.arg(0))] = w.now + line.duration()
 }
 
-// delayCommits leaves a share of transactions unanswered and carries them out later.
+// delayCommits makes the key-value store commit a share of transactions late and without an answer.
 func (w *World) delayCommits(line scenarioLine) {
 	w.store.delayedCommits = randomFault{line.number("share", 0.1), w.now + line.duration()}
 }
 
-// defaultBootFactor is how many times as long a machine takes to boot while boots are delayed.
+// defaultBootFactor is the default factor by which delayed boots take longer.
 const defaultBootFactor = 3
 
-// bootFault is the fault of boots that the line describes, until a time.
+// bootFault returns the boot fault that the line describes, until a time.
 func (l *scenarioLine) bootFault(until time.Duration) bootFault {
 	return bootFault{
 		randomFault: randomFault{l.number("share", 1), until}, machineType: l.options["type"], zone: l.options["zone"],
@@ -169,7 +168,7 @@
 	}
 }
 
-// machineFault makes an action of a fault that affects the machines that a line means.
+// machineFault returns an action that injects a fault into the machines that a line selects.
 func machineFault(inject func(m *machine, duration time.Duration)) func(*World, scenarioLine) {
 	return func(w *World, line scenarioLine) {
 		for _, m := range w.selectMachines(line) {
@@ -178,41 +177,41 @@
 	}
 }
 
-// kill ends the machine without notice.
+// kill removes the machine without a preemption notice.
 func (m *machine) kill(time.Duration) { m.world.cloud.removeMachine(m.name) }
 
-// preempt gives a preemption notice and takes the machine back when it ends.
+// preempt gives a preemption notice and removes the machine when the notice period ends.
 func (m *machine) preempt(notice time.Duration) {
 	m.preemptionAt = m.world.now + notice
 	m.statusChanged = true
 	m.world.after(notice, func() { m.world.cloud.removeMachine(m.name) })
 }
 
-// hang makes the worker do nothing for a while. Its lease still expires.
+// hang makes the worker do nothing for a duration. Its lease can still expire.
 func (m *machine) hang(duration time.Duration) { m.hangUntil = m.world.now + duration }
 
-// failTasks makes every task exit with an error, for good.
+// failTasks makes every task that starts on the machine from now on exit with an error.
 func (m *machine) failTasks(time.Duration) { m.faulty = true }
 
-// blockInbound is an asymmetric partition: heartbeats arrive, answers and direct commands do
-// not reach the worker.
+// blockInbound injects an asymmetric partition: heartbeats reach the controllers, but answers and
+// direct commands do not reach the worker.
 func (m *machine) blockInbound(duration time.Duration) {
 	m.world.partition(controllersPattern, m.name, duration, false)
 }
 
-// blockOutbound is an asymmetric partition: the worker reaches no controller, direct commands
-// reach the worker.
+// blockOutbound injects an asymmetric partition: heartbeats do not reach the controllers, but
+// direct commands reach the worker.
 func (m *machine) blockOutbound(duration time.Duration) {
 	m.outboundBlockedUntil = m.world.now + duration
 }
 
-// duplicateSomeHeartbeats sends a share of heartbeats a second time, after a random delay.
+// duplicateSomeHeartbeats sends a copy of a share of heartbeats after a random delay.
 func (w *World) duplicateSomeHeartbeats(line scenarioLine) {
 	w.duplicateHeartbeats = randomFault{line.number("share", 0.1), w.now + line.duration()}
 }
 
-// duplicateAllHeartbeats sends all heartbeats of the present machines a second time, after a
-// fixed delay.
+// duplicateAllHeartbeats sends a copy of every heartbeat of the current machines after a fixed
+// delay.
 func (w *World) duplicateAllHeartbeats(line scenarioLine) {
 	for _, m := range w.cloud.machines {
 		m.duplicateUntil, m.duplicateDelay = w.now+line.duration(), line.duplicateDelay()
--- a/internal/sim/scenario_line.go
+++ b/internal/sim/scenario_line.go
@@ -12,18 +12,18 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// scenarioLine is a line of a scenario: a word with arguments, of which those of the form
-// key=value are options. Its accessors panic with the line's number if the line is wrong.
+// scenarioLine is a line of a scenario: a word with arguments, and options of the form key=value.
+// Its accessors panic with a message that contains the line's number if the line is invalid.
 type scenarioLine struct {
 	lineNumber int
-	timed      bool          // it is an action
-	at         time.Duration // of an action
+	timed      bool          // whether the line is an action, which has a time
+	at         time.Duration // time of the action
 	word       string
 	args       []string
 	options    map[string]string
 }
 
-// parseLine reads a line; false if there is nothing on it but a comment.
+// parseLine parses a line; false if it is empty or contains only a comment.
 func parseLine(lineNumber int, raw string) (line scenarioLine, found bool, err error) {
 	raw, _, _ = strings.Cut(raw, "#")
 	words := strings.Fields(raw)
@@ -33,7 +33,7 @@
 	line = scenarioLine{lineNumber: lineNumber, options: map[string]string{}}
 	if words[0] == "at" {
 		if len(words) < 3 {
-			return scenarioLine{}, false, errors.New("at lacks a time or an action")
+			return scenarioLine{}, false, errors.New("\"at\" requires a time and an action")
 		}
 		at, err := strconv.ParseFloat(words[1], 64)
 		if err != nil {
@@ -53,28 +53,28 @@
 	return line, true, nil
 }
 
-// number is the value of an option, or a default.
-func (l *scenarioLine) number(key string, byDefault float64) float64 {
+// number returns the numeric value of an option, or a default.
+func (l *scenarioLine) number(key string, defaultValue float64) float64 {
 	text, given := l.options[key]
 	if !given {
-		return byDefault
+		return defaultValue
 	}
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		panic(fmt.Sprintf("line %d: %s: %v", l.lineNumber, key, err))
+		panic(fmt.Sprintf("line %d: invalid number in option %s: %v", l.lineNumber, key, err))
 	}
 	return value
 }
 
-// text is the value of an option, or a default.
-func (l *scenarioLine) text(key, byDefault string) string {
+// text returns the value of an option, or a default.
+func (l *scenarioLine) text(key, defaultValue string) string {
 	if value, given := l.options[key]; given {
 		return value
 	}
-	return byDefault
+	return defaultValue
 }
 
-// list is the value of an option that holds words separated by commas; nil if it is empty.
+// list returns the words of an option that holds a comma-separated list; nil if it is empty.
 func (l *scenarioLine) list(key string) []string {
 	if l.options[key] == "" {
 		return nil
@@ -84,17 +84,17 @@
 
 func (l *scenarioLine) arg(i int) string {
 	if i >= len(l.args) {
-		panic(fmt.Sprintf("line %d: %s lacks an argument", l.lineNumber, l.word))
+		panic(fmt.Sprintf("line %d: an argument of %s is missing", l.lineNumber, l.word))
 	}
 	return l.args[i]
 }
 
 func (l *scenarioLine) hasFlag(flag string) bool { return slices.Contains(l.args, flag) }
 
-// duration is how long the action goes on.
+// duration returns the duration of the action.
 func (l *scenarioLine) duration() time.Duration { return seconds(l.number("for", 10)) }
 
-// storeLimits are limits of the key-value store, changed as the line says.
+// storeLimits returns limits of the key-value store with the line's options applied.
 func (l *scenarioLine) storeLimits(limits config.StoreLimits) config.StoreLimits {
 	limits.Next = nil
 	limits.ValueKB = l.number("value_kb", limits.ValueKB)
@@ -103,10 +103,10 @@
 	return limits
 }
 
-// jobShapes are the shapes of jobs by their names in scenarios.
+// jobShapes maps the names of job shapes in scenarios to the shapes.
 var jobShapes = map[string]wire.Shape{"": wire.ShapeArray, "array": wire.ShapeArray, "gang": wire.ShapeGang, "service": wire.ShapeService}
 
-// job is the job that the line describes.
+// job returns the job that the line describes.
 func (l *scenarioLine) job() *groundTruth {
 	shape, known := jobShapes[l.options["shape"]]
 	if !known {
--- a/internal/sim/scenario_targets.go
+++ b/internal/sim/scenario_targets.go
@@ -6,11 +6,11 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// busyTarget stands in scenarios for the machine with the most tasks.
+// busyTarget is the word in scenarios for the machine with the most tasks.
 const busyTarget = "busy"
 
-// controllersNamed returns the controllers that a scenario means by a name, "leader",
-// "follower" or "all". Without a leader the first controller takes its place.
+// controllersNamed returns the controllers that a target selects: a controller's name, "leader",
+// "follower" or "all". Without a leader, "leader" is the first controller.
 func (w *World) controllersNamed(target string) []*controller {
 	leader := w.leader()
 	switch target {
@@ -33,10 +33,10 @@
 			return []*controller{c}
 		}
 	}
-	panic("no such controller: " + target)
+	panic("scenario: no such controller: " + target)
 }
 
-// endpointName is the endpoint, or pattern of endpoints, that a scenario means.
+// endpointName returns the endpoint or pattern of endpoints that a target selects.
 func (w *World) endpointName(target string) string {
 	switch target {
 	case "leader", "follower":
@@ -49,8 +49,8 @@
 	return target
 }
 
-// busiestMachine is the machine with the most tasks, the first of them by name; nil if there is
-// no machine.
+// busiestMachine returns the machine with the most tasks, of equal ones the first by name; nil if
+// there is no machine.
 func (w *World) busiestMachine() *machine {
 	var busiest *machine
 	mostTasks := -1
@@ -63,7 +63,7 @@
 	return busiest
 }
 
-// taskCount is how many tasks have not exited.
+// taskCount returns how many of the machine's tasks have not exited.
 func (m *machine) taskCount() int {
 	count := 0
 	for _, t := range m.tasks {
@@ -81,15 +81,15 @@
 	if m := w.cloud.machines[target]; m != nil {
 		return m
 	}
-	panic("no such machine: " + target)
+	panic("scenario: no such machine: " + target)
 }
 
-// defaultShare is the share of machines that "some" stands for.
+// defaultShare is the share of machines that "some" selects by default.
 const defaultShare = 0.1
 
-// selectMachines returns the machines that a line means: one by its name, or a count or share
-// of all that are up ("some") or of those in a zone ("zone:" with its name). Without a count or
-// share it is a tenth of all, and the whole of a zone.
+// selectMachines returns the machines that a line selects: one by its name, or a count or share
+// of all machines that are up ("some") or that are up in a zone ("zone:" with its name). The
+// default share is defaultShare for "some" and all machines for a zone.
 func (w *World) selectMachines(line scenarioLine) []*machine {
 	target := line.arg(0)
 	zone, inZone := strings.CutPrefix(target, zonePattern)
@@ -110,8 +110,8 @@
 	return machines[:count]
 }
 
-// machinesUp returns the machines that are up, in random order; of a zone, or of all if it is
-// empty.
+// machinesUp returns the machines that are up in a zone, or in all zones if it is empty, in random
+// order.
 func (w *World) machinesUp(zone string) []*machine {
 	var up []*machine
 	for _, name := range w.cloud.machineNames() {
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -9,16 +9,16 @@
 	"golang.org/x/tools/txtar"
 )
 
-// minSeeds is how many days of a scenario are played at the least: some that were played once
-// passed by the luck of their seed.
+// minSeeds is the minimum number of seeds with which a scenario is run: some scenarios that were
+// run with one seed passed by chance.
 const minSeeds = 5
 
-// TestScenarios plays every scenario file. A file has a comment on what it guards, and a section
-// for each variant.
+// TestScenarios runs every scenario file. A file has a comment that describes what it tests, and a
+// section for each variant.
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatal("found no scenario files in testdata; error: ", err)
 	}
 	for _, file := range files {
 		data, err := os.ReadFile(file)
@@ -28,21 +28,21 @@
 		for _, section := range txtar.Parse(data).Files {
 			t.Run(strings.TrimSuffix(filepath.Base(file), ".txtar")+"/"+section.Name, func(t *testing.T) {
 				t.Parallel()
-				playSection(t, string(section.Data))
+				runSection(t, string(section.Data))
 			})
 		}
 	}
 }
 
-// playSection plays a section of a scenario file with several seeds.
-func playSection(t *testing.T, text string) {
+// runSection runs a section of a scenario file with several seeds.
+func runSection(t *testing.T, text string) {
 	t.Helper()
 	scenario := parseScenario(t, text)
 	first := scenario.seed
 	for ; scenario.seed < first+uint64(max(scenario.seedCount, minSeeds)); scenario.seed++ {
-		_, faults := scenario.Run(testLog())
-		for _, fault := range faults {
-			t.Errorf("seed %d: %s", scenario.seed, fault)
+		_, failures := scenario.Run(testLog())
+		for _, failure := range failures {
+			t.Errorf("seed %d: %s", scenario.seed, failure)
 		}
 	}
 }
--- a/internal/sim/starvation.go
+++ b/internal/sim/starvation.go
@@ -6,9 +6,10 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// fleetSnapshot is what the machines hold of jobs and teams at a moment.
+// fleetSnapshot is the free capacity of machines and the placed tasks of jobs and teams at one
+// time.
 type fleetSnapshot struct {
-	free        []freeCapacity     // of the machines that serve
+	free        []freeCapacity     // of machines that are serving, see isServing
 	gpus, cpus  map[string]float64 // by team
 	placedTasks map[*groundTruth]map[int]bool
 	tasksByZone map[*groundTruth]map[string]int
@@ -44,7 +45,7 @@
 	s.tasksByZone[job][zone]++
 }
 
-// missingTasks lists a job's tasks that are neither done nor on a machine.
+// missingTasks returns the indices of a job's tasks that are neither done nor on a machine.
 func (s *fleetSnapshot) missingTasks(job *groundTruth) map[int]bool {
 	missing := map[int]bool{}
 	for i := range job.Tasks {
@@ -57,27 +58,27 @@
 
 // waitingJob is a job with tasks that are on no machine.
 type waitingJob struct {
-	missing         map[int]bool             // tasks neither done nor on a machine
+	missing         map[int]bool             // indices of tasks that are neither done nor on a machine
 	roomSince       map[string]time.Duration // by machine with room, or wholeGang
-	steadyRoomSince time.Duration            // since when there has been steady room at all times; 0 if there is none
+	steadyRoomSince time.Duration            // since when there has been steady room without a gap; 0 if there is none now
 	reported        bool
 }
 
-// wholeGang stands for the room of a gang, which is not that of one machine.
+// wholeGang is the key in roomSince for the room of a gang, which spans several machines.
 const wholeGang = ""
 
 const (
-	// starvationLimit is how long a job may wait although there is room.
+	// starvationLimit is how long a job may wait while there is room for it.
 	starvationLimit = 90 * time.Second
-	// steadyRoomTime is how long a machine has to have room before the room counts: others
-	// may take it at once.
+	// steadyRoomTime is how long a machine must have had room before the room counts: shorter
+	// room may be taken by other jobs right away.
 	steadyRoomTime = 6 * time.Second
 )
 
 // checkStarvation checks that no job waits for longer than starvationLimit while there is room
-// for it: for one more task on some machine, or for all tasks that a gang lacks. A job of which
-// a task was started meanwhile does not starve, nor does one that waits for dependencies or is
-// to be cancelled with one of them.
+// for it: for one more task on some machine, or for all missing tasks of a gang. The start of a
+// task restarts the time. Jobs whose tasks all fail, that wait for dependencies, or that are
+// to be cancelled, also with a dependency, are exempt.
 func (c *checker) checkStarvation(job *userJob, snapshot *fleetSnapshot) {
 	truth := c.world.jobs[job.id]
 	missing := map[int]bool{}
@@ -97,12 +98,14 @@
 	waiting.updateRoom(c.roomFor(truth, len(missing), snapshot), c.world.now)
 	if waiting.steadyRoomSince != 0 && c.world.now-waiting.steadyRoomSince > starvationLimit && !waiting.reported {
 		waiting.reported = true
-		c.addViolation("left_waiting", "%s lacks %d tasks, room since %.0f s: %v", job.id, len(missing), waiting.steadyRoomSince.Seconds(), waiting.roomSince)
+		c.addViolation("left_waiting",
+			"%s: %d tasks are on no machine though there is room since %.0f s (start of room by machine: %v)",
+			job.id, len(missing), waiting.steadyRoomSince.Seconds(), waiting.roomSince)
 	}
 }
 
-// updateMissing records which tasks are missing now. If one of those that were missing has
-// started, the times of room begin anew.
+// updateMissing records which tasks are missing now. If a task that was missing has started, the
+// times since when there is room are reset.
 func (j *waitingJob) updateMissing(missing map[int]bool) {
 	for i := range j.missing {
 		if !missing[i] {
@@ -136,8 +139,9 @@
 	}
 }
 
-// roomFor returns the machines with room for a task of a job that lacks some; for a gang,
-// whether there is room for all that it lacks.
+// roomFor returns the machines with room for a missing task of a job; for a gang, under the key
+// wholeGang, whether there is room for all its missing tasks. It returns nil if the team's limit
+// does not allow these tasks.
 func (c *checker) roomFor(job *groundTruth, missing int, snapshot *fleetSnapshot) map[string]bool {
 	needed := 1
 	if job.Shape == wire.ShapeGang {
@@ -152,7 +156,7 @@
 	}
 	onMachine, inZone := map[string]bool{}, map[string]int{}
 	for _, free := range snapshot.free {
-		if count := roomBesideOthers(free, job, snapshot.tasksByZone[job]); count > 0 {
+		if count := placeableTasks(free, job, snapshot.tasksByZone[job]); count > 0 {
 			inZone[free.machine.zone] += count
 			onMachine[free.machine.name] = true
 		}
@@ -163,9 +167,9 @@
 	return map[string]bool{wholeGang: gangRoom(job, inZone, snapshot.tasksByZone[job]) >= needed}
 }
 
-// roomBesideOthers is for how many tasks of a job a machine has room, given how many of them
-// each zone holds.
-func roomBesideOthers(free freeCapacity, job *groundTruth, tasksByZone map[string]int) int {
+// placeableTasks returns how many more tasks of a job may be placed on a machine, given how many
+// of the job's tasks are in each zone.
+func placeableTasks(free freeCapacity, job *groundTruth, tasksByZone map[string]int) int {
 	count := free.tasksThatFit(job)
 	if count == 0 {
 		return 0
@@ -182,8 +186,8 @@
 	return count
 }
 
-// gangRoom is for how many tasks of a gang there is room, given the room in each zone and how
-// many of its tasks each zone holds.
+// gangRoom returns for how many tasks of a gang there is room, given the room in each zone and
+// how many of the gang's tasks are there.
 func gangRoom(job *groundTruth, roomByZone, tasksByZone map[string]int) int {
 	sum, largest := 0, 0
 	for zone, room := range roomByZone {
--- a/internal/sim/store_txn.go
+++ b/internal/sim/store_txn.go
@@ -11,34 +11,34 @@
 )
 
 const (
-	// maxTxnBytes is the largest request with a transaction.
+	// maxTxnBytes is the maximum size of a transaction request.
 	maxTxnBytes = 64 << 10
-	// conditionsPerWrite is how many conditions a transaction may have for each write that
-	// it may have.
+	// conditionsPerWrite is how many conditions a transaction may have for each write that the
+	// limits allow.
 	conditionsPerWrite = 4
 )
 
-// Bounds of the delay of a transaction that is carried out without an answer.
+// Bounds of the delay of a transaction that is committed late and without an answer.
 const (
 	minCommitDelay   = 2 * time.Second
 	commitDelayRange = 10 * time.Second
 )
 
-// txnError is the body of an answer to a transaction that is wrong.
+// txnError is the body of an answer to an invalid transaction.
 type txnError struct {
 	Error string `json:"error"`
 }
 
-// handleTxn handles a transaction: commits it, commits it later without an answer, or refuses
-// it.
+// handleTxn handles a transaction: it commits or rejects the transaction, or commits it later
+// without an answer.
 func (s *keyValueStore) handleTxn(body []byte, send responder) {
 	var txn wire.Txn
 	if json.Unmarshal(body, &txn) != nil {
-		send(httpstatus.BadRequest, noMessage)
+		send(httpstatus.BadRequest, emptyBody)
 		return
 	}
 	if len(body) > maxTxnBytes {
-		s.world.checker.addViolation("limits", "a transaction of %d bytes", len(body))
+		s.world.checker.addViolation("limits", "a transaction request of %d bytes", len(body))
 	}
 	s.checkLimits(&txn)
 	if s.exceedsReducedLimits(&txn) {
@@ -48,7 +48,7 @@
 	}
 	if _, ok := s.writeBudget.ReserveAt(s.world.wallClock(), float64(len(txn.Writes)), 0); !ok {
 		s.throttled++
-		send(httpstatus.TooManyRequests, noMessage)
+		send(httpstatus.TooManyRequests, emptyBody)
 		return
 	}
 	if s.delayedCommits.occurs(s.world) {
@@ -58,8 +58,8 @@
 	s.commit(&txn, send)
 }
 
-// checkLimits checks that a transaction keeps the limits in the settings, and the limit of
-// operations that the settings announce.
+// checkLimits checks that a transaction is within the limits in the settings, and within the
+// announced limit on operations if it is lower.
 func (s *keyValueStore) checkLimits(txn *wire.Txn) {
 	limits := s.world.settings.Deployment.Store
 	ops := limits.TxnOps
@@ -67,11 +67,11 @@
 		ops = min(ops, limits.Next.TxnOps)
 	}
 	if len(txn.Writes) > ops || len(txn.Conditions) > conditionsPerWrite*ops {
-		s.world.checker.addViolation("limits", "a transaction of %d writes and %d conditions", len(txn.Writes), len(txn.Conditions))
+		s.world.checker.addViolation("limits", "a transaction with %d writes and %d conditions", len(txn.Writes), len(txn.Conditions))
 	}
 	for _, write := range txn.Writes {
 		if isTooLarge(write, limits) {
-			s.world.checker.addViolation("limits", "a value of %d bytes", len(write.Value))
+			s.world.checker.addViolation("limits", "a write of a value of %d bytes", len(write.Value))
 		}
 	}
 }
@@ -80,13 +80,13 @@
 	return float64(len(write.Value)) > limits.ValueKB*1024
 }
 
-// reduceLimits makes the store reject transactions beyond new limits. Stored values stay.
+// reduceLimits makes the store reject transactions that exceed new limits. Stored values remain.
 func (s *keyValueStore) reduceLimits(to config.StoreLimits) {
 	s.reducedLimits = &to
 	s.writeBudget = budget.New(to.WriteRPS, to.WriteRPS)
 }
 
-// exceedsReducedLimits reports whether a transaction is beyond limits that were reduced.
+// exceedsReducedLimits reports whether a transaction exceeds the reduced limits.
 func (s *keyValueStore) exceedsReducedLimits(txn *wire.Txn) bool {
 	limits := s.reducedLimits
 	if limits == nil {
@@ -100,8 +100,8 @@
 	return len(txn.Writes) > limits.TxnOps || len(txn.Conditions) > conditionsPerWrite*limits.TxnOps
 }
 
-// commitDelayed commits a transaction for whose answer nobody waits any more, after newer
-// transactions. During an outage it waits for the outage's end.
+// commitDelayed commits a transaction late, when the client has stopped waiting for the answer
+// and newer transactions may have been committed. During an outage it waits until the end.
 func (s *keyValueStore) commitDelayed(txn *wire.Txn) {
 	if s.world.now < s.outageUntil {
 		s.world.after(s.outageUntil-s.world.now+time.Millisecond, func() { s.commitDelayed(txn) })
@@ -112,7 +112,7 @@
 	}
 }
 
-// commit carries out a transaction if its conditions hold.
+// commit applies a transaction if its conditions hold.
 func (s *keyValueStore) commit(txn *wire.Txn, send responder) {
 	for _, write := range txn.Writes {
 		if _, exists := s.leaseEnds[write.Lease]; write.Lease != 0 && !exists {
@@ -135,7 +135,7 @@
 	send(httpstatus.OK, wire.TxnResult{Revision: s.revision})
 }
 
-// conflicts lists the keys that have another version than the transaction names.
+// conflicts returns the keys whose version differs from the one in the transaction's condition.
 func (s *keyValueStore) conflicts(txn *wire.Txn) []string {
 	var conflicts []string
 	for _, condition := range txn.Conditions {
@@ -150,7 +150,7 @@
 	return conflicts
 }
 
-// apply carries out a write at the present revision.
+// apply applies a write at the current revision.
 func (s *keyValueStore) apply(write wire.Write) {
 	switch {
 	case write.Delete == "":
@@ -161,7 +161,7 @@
 	}
 }
 
-// delete deletes a key at the present revision.
+// delete deletes a key at the current revision.
 func (s *keyValueStore) delete(key string) {
 	delete(s.keys, key)
 	s.changeLog = append(s.changeLog, change{wire.Event{Delete: key, Version: s.revision}, key, s.revision})
--- a/internal/sim/store_watch.go
+++ b/internal/sim/store_watch.go
@@ -11,32 +11,34 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// change is a change of a key in the log of changes.
+// change is an entry of the change log.
 type change struct {
 	wire.Event
 	key      string
 	revision uint64
 }
 
-// maxLoggedChanges is how many changes the store keeps for watches.
+// maxLoggedChanges is how many changes the change log keeps for watches.
 const maxLoggedChanges = 10000
 
-// watcher is a watch that is open.
+// watcher is an open watch.
 type watcher struct {
 	prefix   string
-	since    uint64 // revision after which changes count
+	since    uint64 // the watch is for changes after this revision
 	reply    func(int, []byte)
 	answered bool
 }
 
-// watch answers once a key below a prefix changes, or when the time of the watch is over.
+// watch serves a watch: it answers as soon as a key with the prefix has changed, or without
+// events when the hold time of the watch is over. If the change log no longer reaches back to
+// the revision, it answers 410.
 func (s *keyValueStore) watch(query url.Values, send responder, reply func(int, []byte)) {
 	since, err := strconv.ParseUint(query.Get("since"), 10, 64)
 	if err != nil {
 		since = 0
 	}
 	if len(s.changeLog) >= maxLoggedChanges && since < s.changeLog[0].revision {
-		send(httpstatus.Gone, noMessage)
+		send(httpstatus.Gone, emptyBody)
 		return
 	}
 	opened := &watcher{prefix: query.Get("under"), since: since, reply: reply}
@@ -56,7 +58,7 @@
 	})
 }
 
-// notifyWatcher answers a watch if there are changes for it.
+// notifyWatcher answers a watch if there are changes for it, and reports whether it did.
 func (s *keyValueStore) notifyWatcher(watcher *watcher) bool {
 	changes := wire.Changes{Revision: s.revision}
 	newer := sort.Search(len(s.changeLog), func(i int) bool { return s.changeLog[i].revision > watcher.since })
@@ -73,7 +75,7 @@
 	return true
 }
 
-// notifyWatchers answers the watches for which there are changes, and shortens the log.
+// notifyWatchers truncates the change log and answers the watches for which there are changes.
 func (s *keyValueStore) notifyWatchers() {
 	if excess := len(s.changeLog) - maxLoggedChanges; excess > 0 {
 		s.changeLog = s.changeLog[excess:]
--- a/internal/sim/task.go
+++ b/internal/sim/task.go
@@ -17,25 +17,26 @@
 	attempt uint64
 	state   wire.TaskState
 	cause   wire.ExitCause
-	placed  bool // it counts as being on the machine, see World.addPlacement
+	placed  bool // it counts as placed on the machine, see World.addPlacement
 
-	commandedAt  time.Duration // when the command to start it was carried out
+	commandedAt  time.Duration // when the start command was executed
 	imageReadyAt time.Duration
-	waitingSince time.Duration // for the other tasks of its gang
+	waitingSince time.Duration // since when it waits for the other tasks of its gang
 	runningSince time.Duration
-	baseProgress float64 // progress in seconds at the start of this run
+	baseProgress float64 // seconds of work that were done before this run
 
 	checkpointed  bool          // it saved a checkpoint before it was stopped
-	checkpointEnd time.Duration // when the checkpoint that it saves is complete
-	peerLostAt    time.Duration // when another task of its gang was lost; 0 for not
+	checkpointEnd time.Duration // when the checkpoint that is being saved is complete
+	peerLostAt    time.Duration // when another task of its gang was lost; 0 if none was
 }
 
-// compareTasks orders tasks by name and attempt.
+// compareTasks compares tasks by name, then attempt.
 func compareTasks(a, b *task) int {
 	return cmp.Or(strings.Compare(a.name, b.name), cmp.Compare(a.attempt, b.attempt))
 }
 
-// splitTaskName returns the job's ID and the index of a task; index 0 if the name holds none.
+// splitTaskName splits a task's name into the job's ID and the task's index. Without a slash in
+// the name it returns an empty ID and index 0.
 func splitTaskName(name string) (jobID string, index int) {
 	jobID, number, found := strings.Cut(name, "/")
 	if !found {
@@ -45,23 +46,24 @@
 	return jobID, index
 }
 
-// beginRunning starts the task's run, from the last checkpoint.
+// beginRunning starts the task's run from the last checkpoint.
 func (t *task) beginRunning(now time.Duration) {
 	t.state, t.runningSince, t.baseProgress = wire.TaskRunning, now, t.job.savedProgress[t.progressKey()]
 }
 
-// progressAt is how many seconds of work are done.
+// progressAt returns how many seconds of work are done.
 func (t *task) progressAt(now time.Duration) float64 {
 	return t.baseProgress + max(0, (now-t.runningSince).Seconds())
 }
 
-// saveProgress saves a checkpoint outside the machine, unless a later one is saved.
+// saveProgress saves a checkpoint outside the machine, unless one with more progress exists.
 func (t *task) saveProgress(progress float64) {
 	key := t.progressKey()
 	t.job.savedProgress[key] = max(t.job.savedProgress[key], progress)
 }
 
-// progressKey is where checkpoints of the task are kept: a gang's tasks share one.
+// progressKey returns the key of the task's checkpoint in savedProgress: the tasks of a gang
+// share one.
 func (t *task) progressKey() int {
 	if t.job.Shape == wire.ShapeGang {
 		return 0
@@ -69,7 +71,7 @@
 	return t.index
 }
 
-// startGang starts the tasks of a gang once all of them wait.
+// startGang starts the tasks of a gang if all of them are waiting.
 func (w *World) startGang(t *task) {
 	var waiting []placement
 	for _, p := range w.sortedPlacements(t.job) {
--- a/internal/sim/user_cancel.go
+++ b/internal/sim/user_cancel.go
@@ -9,21 +9,21 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// cancel asks to cancel a job, and repeats the request as a submission is repeated. A job that
-// is not submitted yet is cancelled once it is.
+// cancel requests the cancellation of a job, with retries as for a submission. A job that is not
+// submitted yet is cancelled once it is.
 func (u *users) cancel(id string) {
 	if u.unsubmitted[id] != nil {
-		u.world.after(dependencyCheck, func() { u.cancel(id) })
+		u.world.after(dependencyCheckInterval, func() { u.cancel(id) })
 		return
 	}
-	u.tryCancel(u.jobs[id], u.world.now+requestTimeout)
+	u.tryCancel(u.jobs[id], u.world.now+retryTimeout)
 }
 
 func (u *users) tryCancel(job *userJob, until time.Duration) {
 	if job.cancelRequestedAt == 0 {
 		job.cancelRequestedAt = u.world.now
 	}
-	// A cancellation sent while the submission is under way may arrive first, and be refused.
+	// A cancellation that is sent while the submission is in flight may arrive first and be refused.
 	accepted := job.accepted
 	u.pickController().requestAnswer(userEndpoint, "POST", cancelPath(job.id), nil, submitTimeout, func(answer core.Answer) {
 		if answer.Status == httpstatus.OK {
@@ -31,7 +31,7 @@
 			return
 		}
 		if accepted && isRefusal(answer.Status) {
-			u.world.checker.addViolation("forgotten", "%s: its cancellation got %d", job.id, answer.Status)
+			u.world.checker.addViolation("forgotten", "%s: cancellation of an accepted job got status %d", job.id, answer.Status)
 		}
 		wait := max(userRetryDelay, min(maxRetryDelay, time.Duration(answer.RetryAfterS)*time.Second))
 		if u.world.now+wait < until {
@@ -42,20 +42,20 @@
 
 func cancelPath(id string) string { return submissionsPath + "/" + id + "/cancel" }
 
-// isRefusal reports whether a status says that a request about a job is wrong.
+// isRefusal reports whether a status says that a request is invalid or its job unknown.
 func isRefusal(status int) bool {
 	return status == httpstatus.BadRequest || status == httpstatus.NotFound || status == httpstatus.UnprocessableEntity
 }
 
 // Bounds of cancelRunningJobs.
 const (
-	minRemainingS   = 20                     // seconds of work that the jobs have left at least
-	cancelTimeRange = 200 * time.Millisecond // within which they are cancelled
+	minRemainingS   = 20                     // seconds of work that the jobs must have left
+	cancelTimeRange = 200 * time.Millisecond // all cancellations are sent within this time
 	maxHangMachines = 8
 )
 
-// cancelRunningJobs cancels a number of running jobs that have long to go, nearly at the same
-// time, and makes some of their machines hang for a while.
+// cancelRunningJobs cancels a number of running jobs with at least minRemainingS of work left,
+// nearly simultaneously, and makes up to maxHangMachines of their machines hang for a duration.
 func (u *users) cancelRunningJobs(count int, hang time.Duration) {
 	machines := u.machinesOfLongJobs()
 	var ids []string
@@ -76,8 +76,8 @@
 	}
 }
 
-// machinesOfLongJobs lists, by job, the machines with running tasks of jobs that have long to
-// go and that nobody cancels.
+// machinesOfLongJobs returns, by job ID, the machines with running tasks of jobs that have at
+// least minRemainingS of work left and for which no cancellation was requested.
 func (u *users) machinesOfLongJobs() map[string][]*machine {
 	machines := map[string][]*machine{}
 	for _, name := range u.world.cloud.machineNames() {
@@ -96,7 +96,7 @@
 	return machines
 }
 
-// cancelFinishedJob cancels a job at the moment of its end, if that fault is on.
+// cancelFinishedJob cancels a job that has just completed, if the cancellationsAtEnd fault occurs.
 func (w *World) cancelFinishedJob(truth *groundTruth) {
 	job := w.users.jobs[truth.ID]
 	isDone := len(truth.doneTasks) == truth.Tasks
--- a/internal/sim/user_invalid.go
+++ b/internal/sim/user_invalid.go
@@ -15,8 +15,8 @@
 	invalidIntervalRange = time.Second
 )
 
-// sendInvalidRequests sends requests, until a time, that controllers have to refuse or to
-// recognize as repeated.
+// sendInvalidRequests sends, until a time, random requests that controllers must reject or must
+// handle as repeated ones.
 func (u *users) sendInvalidRequests(until time.Duration) {
 	if u.world.now >= until {
 		return
@@ -34,7 +34,7 @@
 	}
 }
 
-// randomJob chooses one of the accepted jobs for which a condition holds; nil if there is none.
+// randomJob returns a random accepted job that fits; nil if there is none.
 func (u *users) randomJob(fits func(*userJob) bool) *userJob {
 	var fitting []*userJob
 	for _, id := range u.sortedIDs() {
@@ -48,7 +48,7 @@
 	return fitting[u.world.rng.IntN(len(fitting))]
 }
 
-// repeatSubmission submits a job again that is accepted and not finished.
+// repeatSubmission repeats the submission of an accepted job that is not finished.
 func (u *users) repeatSubmission() {
 	job := u.randomJob(func(job *userJob) bool { return job.finalStatus == "" })
 	if job == nil {
@@ -61,12 +61,12 @@
 			u.recordStatus(job, body, askedAt)
 		}
 		if status == httpstatus.Created || isRefusal(status) {
-			u.world.checker.addViolation("forgotten", "%s: a repeated submission got %d", job.id, status)
+			u.world.checker.addViolation("forgotten", "%s: repeated submission of an accepted job got status %d", job.id, status)
 		}
 	})
 }
 
-// cancelDoneJob asks to cancel a job that is done.
+// cancelDoneJob requests the cancellation of a job that is done.
 func (u *users) cancelDoneJob() {
 	job := u.randomJob(func(job *userJob) bool { return job.finalStatus == wire.StatusDone })
 	if job == nil {
@@ -77,19 +77,19 @@
 			u.recordStatus(job, body, u.world.now)
 		}
 		if isRefusal(status) {
-			u.world.checker.addViolation("forgotten", "%s: a cancellation after its end got %d", job.id, status)
+			u.world.checker.addViolation("forgotten", "%s: cancellation of a done job got status %d", job.id, status)
 		}
 	})
 }
 
-// submitOversizedJob submits a job that fits no machine.
+// submitOversizedJob submits a job that fits on no machine type.
 func (u *users) submitOversizedJob() {
 	truth := u.newInvalidJob()
 	truth.CPUs = 1e6
-	u.tryInvalidSubmission(truth.ID, submissionBody(truth), httpstatus.UnprocessableEntity, u.world.now+requestTimeout)
+	u.tryInvalidSubmission(truth.ID, submissionBody(truth), httpstatus.UnprocessableEntity, u.world.now+retryTimeout)
 }
 
-// requiredFields are fields without which a submission is refused.
+// requiredFields are fields that a submission must have.
 var requiredFields = []string{
 	"nameId", "jobclass", "crew", "shape", "urgency", "shards", "cpus", "accelerators", "memGb",
 	"together", "apart", "standby", "bundle", "pullGb", "guessS", "markS", "stowS",
@@ -103,11 +103,11 @@
 		panic(err)
 	}
 	delete(fields, requiredFields[u.world.rng.IntN(len(requiredFields))])
-	u.tryInvalidSubmission(truth.ID, encode(fields), httpstatus.BadRequest, u.world.now+requestTimeout)
+	u.tryInvalidSubmission(truth.ID, encode(fields), httpstatus.BadRequest, u.world.now+retryTimeout)
 }
 
-// newInvalidJob is a small job of a team that exists, with an ID of its own. It is valid until
-// the caller changes it.
+// newInvalidJob returns a small job of an existing team with a new ID. The caller makes it
+// invalid.
 func (u *users) newInvalidJob() *groundTruth {
 	u.invalidCount++
 	return newGroundTruth(wire.Job{
@@ -116,17 +116,17 @@
 	})
 }
 
-// tryInvalidSubmission submits a job that must be refused with a status, and again until a time
-// if there is no answer.
+// tryInvalidSubmission submits a job that must be rejected with a status. It retries until a time
+// if the submission is neither accepted nor rejected.
 func (u *users) tryInvalidSubmission(id string, body []byte, want int, until time.Duration) {
 	u.pickController().request(userEndpoint, "POST", submissionsPath, body, submitTimeout, func(status int, _ []byte) {
 		switch status {
 		case want:
 			u.checkUnknown(id)
 		case httpstatus.OK, httpstatus.Created:
-			u.world.checker.addViolation("accepted_impossible", "%s: %s", id, body)
+			u.world.checker.addViolation("accepted_impossible", "%s: invalid submission was accepted: %s", id, body)
 		case httpstatus.BadRequest, httpstatus.UnprocessableEntity:
-			u.world.checker.addViolation("wrong_answer", "%s got %d, not %d: %s", id, status, want, body)
+			u.world.checker.addViolation("wrong_answer", "%s: invalid submission got status %d, want %d: %s", id, status, want, body)
 		default:
 			if u.world.now+userRetryDelay < until {
 				u.world.after(userRetryDelay, func() { u.tryInvalidSubmission(id, body, want, until) })
@@ -135,11 +135,11 @@
 	})
 }
 
-// checkUnknown checks that controllers do not know a job that was refused.
+// checkUnknown checks that a query for a rejected job does not find it.
 func (u *users) checkUnknown(id string) {
 	u.pickController().request(userEndpoint, "GET", submissionsPath+"/"+id, nil, queryTimeout, func(status int, _ []byte) {
 		if status == httpstatus.OK {
-			u.world.checker.addViolation("invented", "%s is known, though it was refused", id)
+			u.world.checker.addViolation("invented", "%s: query found the job though its submission was rejected", id)
 		}
 	})
 }
--- a/internal/sim/user_status.go
+++ b/internal/sim/user_status.go
@@ -8,8 +8,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// recordStatus handles an answer to a question that was asked at a time, and checks it: it
-// may not be older than what any controller had told the user before the question.
+// recordStatus records the job status in an answer to a request that was sent at askedAt, and
+// checks it. The status must not be older than one that any controller reported to the user
+// before the request.
 func (u *users) recordStatus(job *userJob, body []byte, askedAt time.Duration) {
 	var status wire.JobStatus
 	if json.Unmarshal(body, &status) != nil {
@@ -18,30 +19,31 @@
 	job.lastStatus = status
 	u.checkStillFinal(job, status.Status, askedAt)
 	if job.finalStatus == "" {
-		job.toldFinalAt = u.world.now
+		job.finalReportedAt = u.world.now
 	}
 	switch status.Status {
 	case wire.StatusDone:
-		u.toldDone(job)
+		u.recordDone(job)
 	case wire.StatusCancelled:
-		u.toldCancelled(job)
+		u.recordCancelled(job)
 	default:
 		u.world.checker.checkOrphaned(job, status.Status)
 	}
 }
 
-// checkStillFinal checks that a user who was told of a job's end is told the same again.
+// checkStillFinal checks that no answer contradicts a final status that was reported earlier. An
+// unfinished status is allowed in the answer to a request that was sent before that report.
 func (u *users) checkStillFinal(job *userJob, status wire.JobState, askedAt time.Duration) {
 	if job.finalStatus == "" || status == job.finalStatus {
 		return
 	}
 	otherEnd := status == wire.StatusDone || status == wire.StatusCancelled
-	if otherEnd || askedAt >= min(job.lastAnswerAt, job.toldFinalAt) {
-		u.world.checker.addViolation("went_back", "%s: %s after %s", job.id, status, job.finalStatus)
+	if otherEnd || askedAt >= min(job.lastAnswerAt, job.finalReportedAt) {
+		u.world.checker.addViolation("went_back", "%s: status %s reported after final status %s", job.id, status, job.finalStatus)
 	}
 }
 
-func (u *users) toldDone(job *userJob) {
+func (u *users) recordDone(job *userJob) {
 	u.world.checker.checkDone(job)
 	first := job.finalStatus == ""
 	job.finalStatus = wire.StatusDone
@@ -50,18 +52,18 @@
 	}
 }
 
-func (u *users) toldCancelled(job *userJob) {
+func (u *users) recordCancelled(job *userJob) {
 	if !u.cancelRequested(job) {
-		u.world.checker.addViolation("went_back", "%s: cancelled without its user's request", job.id)
+		u.world.checker.addViolation("went_back", "%s: reported as cancelled though no cancellation was requested", job.id)
 	}
 	if job.finalStatus == "" {
-		job.toldCancelledAt = u.world.now
+		job.cancelReportedAt = u.world.now
 	}
 	job.finalStatus = wire.StatusCancelled
 }
 
-// checkCancelledDependents checks that no job was cancelled with a dependency that is now said
-// to be done.
+// checkCancelledDependents checks that no job was reported as cancelled because of a dependency
+// that is now reported as done.
 func (u *users) checkCancelledDependents(done *userJob) {
 	if done.cancelRequestedAt == 0 {
 		return
@@ -69,12 +71,12 @@
 	for _, id := range u.sortedIDs() {
 		job := u.jobs[id]
 		if job.finalStatus == wire.StatusCancelled && slices.Contains(u.dependencies(u.world.jobs[id]), done) && !u.cancelRequested(job) {
-			u.world.checker.addViolation("went_back", "%s: cancelled with %s, which is done", id, done.id)
+			u.world.checker.addViolation("went_back", "%s: cancelled because of its dependency %s, which is done", id, done.id)
 		}
 	}
 }
 
-// dependencies lists all jobs that a job depends on, directly or through others.
+// dependencies returns all submitted jobs that a job depends on, directly or indirectly.
 func (u *users) dependencies(truth *groundTruth) []*userJob {
 	if len(truth.Dependencies) == 0 {
 		return nil
@@ -94,8 +96,8 @@
 	return found
 }
 
-// cancelRequested reports whether a user asked to cancel a job, or one of its dependencies
-// that no user was told to be done.
+// cancelRequested reports whether the cancellation was requested of a job, or of one of its
+// dependencies that has not been reported as done.
 func (u *users) cancelRequested(job *userJob) bool {
 	for _, dependency := range u.dependencies(u.world.jobs[job.id]) {
 		if dependency.cancelRequestedAt != 0 && dependency.finalStatus != wire.StatusDone {
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -9,53 +9,54 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// users stands in for the people who submit, query and cancel jobs, and for the load balancer
-// in front of the controllers.
+// users simulates the people who submit, query and cancel jobs, and the load balancer in front
+// of the controllers.
 type users struct {
 	world        *World
 	jobs         map[string]*userJob
-	unsubmitted  map[string]*groundTruth // jobs that wait for their dependencies
-	invalidCount int                     // jobs that were submitted to be rejected
+	unsubmitted  map[string]*groundTruth // jobs whose submission waits for their dependencies, by ID
+	invalidCount int                     // invalid jobs that were submitted
 
 	pollStormUntil  time.Duration // until then users poll pollStormFactor times as often
 	pollStormFactor float64
 }
 
-// userJob is what a job's user was told. Times are 0 for what has not happened.
+// userJob is what the user of a job has learned from answers. Times of events that have not
+// happened are 0.
 type userJob struct {
-	id              string
-	submittedAtOnce bool // without waiting for its dependencies
+	id                   string
+	submittedImmediately bool // without waiting for the job's dependencies
 
 	accepted        bool
 	acceptedAt      time.Duration
 	rejectionStatus int // HTTP status of a rejection; 0 for none
 	// unavailableBefore is World.unavailableTime at the first attempt to submit the job.
 	unavailableBefore time.Duration
-	// excused means that the submission got no answer, since no user could be served for
-	// nearly all of the time in which it was repeated.
-	excused bool
+	// excusedByOutage means that the submission was not answered because no user could be
+	// served for nearly all of the time in which the submission was retried.
+	excusedByOutage bool
 
 	lastStatus   wire.JobStatus
 	lastAnswerAt time.Duration
 
-	finalStatus       wire.JobState // empty before the user was told of the end
-	toldFinalAt       time.Duration
+	finalStatus       wire.JobState // empty until the user is told that the job is finished
+	finalReportedAt   time.Duration
 	cancelRequestedAt time.Duration
-	toldCancelledAt   time.Duration
+	cancelReportedAt  time.Duration
 }
 
-// How users repeat requests.
+// Timing of users' requests and retries.
 const (
-	requestTimeout  = 60 * time.Second // for how long a request is repeated
-	submitTimeout   = 5 * time.Second  // of one attempt to submit or cancel a job
-	queryTimeout    = 2 * time.Second
-	userRetryDelay  = time.Second
-	maxRetryDelay   = 30 * time.Second // whatever the answer asks for
-	pollInterval    = 5 * time.Second
-	dependencyCheck = 50 * time.Millisecond // interval at which a job's dependencies are looked at
-	// excusingTime is for how long of requestTimeout no user could be served where a
-	// submission without an answer is excused.
-	excusingTime = 50 * time.Second
+	retryTimeout            = 60 * time.Second // for how long a request is retried
+	submitTimeout           = 5 * time.Second  // of one attempt to submit or cancel a job
+	queryTimeout            = 2 * time.Second
+	userRetryDelay          = time.Second
+	maxRetryDelay           = 30 * time.Second // limits the delay that an answer asks for
+	pollInterval            = 5 * time.Second
+	dependencyCheckInterval = 50 * time.Millisecond // how often the dependencies of an unsubmitted job are checked
+	// minExcusingOutage is for how much of retryTimeout no user must have been served for a
+	// submission without an answer to be excused.
+	minExcusingOutage = 50 * time.Second
 )
 
 func newUsers(world *World) *users {
@@ -64,11 +65,12 @@
 
 func (u *users) sortedIDs() []string { return slices.Sorted(maps.Keys(u.jobs)) }
 
-// probeTimeout is how long the load balancer takes to notice that a controller does not
-// answer its probes.
+// probeTimeout is the time after which the load balancer detects that a controller does not answer
+// its health probes.
 const probeTimeout = 3 * time.Second
 
-// pickController chooses a controller as the load balancer does.
+// pickController chooses a random controller that the load balancer considers healthy, or the
+// first controller if none is.
 func (u *users) pickController() *controller {
 	var up []*controller
 	for _, c := range u.world.controllers {
@@ -83,31 +85,31 @@
 	return up[u.world.rng.IntN(len(up))]
 }
 
-// submitTime is when users submit a job that has dependencies.
+// submitTime is when a user submits a job with dependencies.
 type submitTime int
 
 const (
-	submitWhenAccepted submitTime = iota // once the dependencies are accepted
-	submitWhenFinished                   // once the dependencies are finished
-	submitAtOnce
+	submitWhenAccepted submitTime = iota // once all dependencies are accepted
+	submitWhenFinished                   // once all dependencies are finished
+	submitImmediately
 )
 
-// submit submits a job, at its time, and polls its status until it is finished.
+// submit submits a job at the given time, and polls its status until it is finished.
 func (u *users) submit(truth *groundTruth, when submitTime) {
-	if when != submitAtOnce && !u.canSubmit(truth, when) {
+	if when != submitImmediately && !u.canSubmit(truth, when) {
 		u.unsubmitted[truth.ID] = truth
-		u.world.after(dependencyCheck, func() { u.submit(truth, when) })
+		u.world.after(dependencyCheckInterval, func() { u.submit(truth, when) })
 		return
 	}
 	delete(u.unsubmitted, truth.ID)
 	u.world.jobs[truth.ID] = truth
-	job := &userJob{id: truth.ID, submittedAtOnce: when == submitAtOnce, unavailableBefore: u.world.unavailableTime()}
+	job := &userJob{id: truth.ID, submittedImmediately: when == submitImmediately, unavailableBefore: u.world.unavailableTime()}
 	u.jobs[truth.ID] = job
 	truth.submittedAt = u.world.now
-	u.trySubmit(job, truth, u.world.now+requestTimeout)
+	u.trySubmit(job, truth, u.world.now+retryTimeout)
 }
 
-// canSubmit reports whether the time to submit a job has come.
+// canSubmit reports whether the dependencies of a job allow its submission now.
 func (u *users) canSubmit(truth *groundTruth, when submitTime) bool {
 	for _, id := range truth.Dependencies {
 		job := u.jobs[id]
@@ -118,11 +120,11 @@
 	return true
 }
 
-// neverSubmitted reports whether a job is never submitted, since the submission of one of its
-// dependencies got no answer.
+// neverSubmitted reports whether a job will never be submitted because the submission of a
+// direct or indirect dependency got no answer.
 func (u *users) neverSubmitted(truth *groundTruth) bool {
 	for _, id := range truth.Dependencies {
-		if job := u.jobs[id]; job != nil && job.excused {
+		if job := u.jobs[id]; job != nil && job.excusedByOutage {
 			return true
 		}
 		if waiting := u.unsubmitted[id]; waiting != nil && u.neverSubmitted(waiting) {
@@ -132,8 +134,8 @@
 	return false
 }
 
-// submissionBody is the request that submits a job. It has fields that a record may leave out,
-// but a user may not.
+// submissionBody returns the body of a job's submission. It always contains the fields that are
+// optional in stored records but required in submissions.
 func submissionBody(truth *groundTruth) []byte {
 	return encode(struct {
 		wire.Job
@@ -143,7 +145,8 @@
 	}{truth.Job, truth.OneZone, truth.SpreadZones, truth.AllowSpot})
 }
 
-// trySubmit submits a job, and again until a time if there is no answer.
+// trySubmit submits a job. It retries until a time if the submission is neither accepted nor
+// rejected.
 func (u *users) trySubmit(job *userJob, truth *groundTruth, until time.Duration) {
 	u.pickController().request(userEndpoint, "POST", submissionsPath, submissionBody(truth), submitTimeout, func(status int, body []byte) {
 		switch status {
@@ -156,7 +159,7 @@
 				u.world.after(userRetryDelay, func() { u.trySubmit(job, truth, until) })
 				return
 			}
-			job.excused = u.world.unavailableTime()-job.unavailableBefore > excusingTime
+			job.excusedByOutage = u.world.unavailableTime()-job.unavailableBefore > minExcusingOutage
 		}
 	})
 }
@@ -173,14 +176,14 @@
 func (u *users) submissionRejected(job *userJob, truth *groundTruth, status int) {
 	job.rejectionStatus = status
 	if job.accepted {
-		u.world.checker.addViolation("forgotten", "%s: a repeated submission got %d", job.id, status)
+		u.world.checker.addViolation("forgotten", "%s: repeated submission of an accepted job got status %d", job.id, status)
 	}
-	if len(truth.Dependencies) > 0 && !job.submittedAtOnce {
-		u.world.checker.addViolation("forgotten", "%s got %d, though all its dependencies are accepted: %v", job.id, status, truth.Dependencies)
+	if len(truth.Dependencies) > 0 && !job.submittedImmediately {
+		u.world.checker.addViolation("forgotten", "%s: submission got status %d though all its dependencies are accepted: %v", job.id, status, truth.Dependencies)
 	}
 }
 
-// poll asks for a job's status until the user was told of its end.
+// poll queries the status of a job periodically until the user is told that it is finished.
 func (u *users) poll(job *userJob) {
 	if job.finalStatus != "" {
 		return
@@ -193,7 +196,7 @@
 	u.queryStatus(job, u.pickController())
 }
 
-// queryStatus asks a controller for the status of an accepted job.
+// queryStatus queries a controller for the status of an accepted job.
 func (u *users) queryStatus(job *userJob, from *controller) {
 	askedAt := u.world.now
 	from.request(userEndpoint, "GET", submissionsPath+"/"+job.id, nil, queryTimeout, func(status int, body []byte) {
@@ -202,7 +205,7 @@
 			job.lastAnswerAt = u.world.now
 			u.recordStatus(job, body, askedAt)
 		case httpstatus.NotFound:
-			u.world.checker.addViolation("forgotten", "%s: 404 for an accepted job", job.id)
+			u.world.checker.addViolation("forgotten", "%s: query for an accepted job got status 404", job.id)
 		}
 	})
 }
--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -172,7 +172,7 @@
 	// Each of these days fails once a guard is removed: the driver's own lease, the
 	// conditions of a claim, the order of the records of a sleep, the server that is kept.
 	seeds := []uint64{156, 167, 177, 184}
-	for seed := uint64(1); seed <= uint64(soakDays(60)); seed++ {
+	for seed := uint64(1); seed <= uint64(soakRunCount(60)); seed++ {
 		seeds = append(seeds, seed)
 	}
 	for _, seed := range seeds {
--- a/internal/sim/worker_commands.go
+++ b/internal/sim/worker_commands.go
@@ -5,8 +5,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// handleDirect serves a controller's request to the worker's own address: a direct command or
-// a probe.
+// handleDirect serves a controller's request to the worker's own address: direct commands or a
+// probe.
 func (m *machine) handleDirect(method, path string, body []byte, reply func(int, []byte)) {
 	if m.removed || m.world.now < m.upAt {
 		return
@@ -29,7 +29,7 @@
 	reply(status, encode(m.heartbeat()))
 }
 
-// execute carries commands out in order.
+// execute executes commands in order.
 func (m *machine) execute(commands []wire.Command) {
 	for _, command := range commands {
 		m.executeOne(command)
@@ -38,7 +38,7 @@
 
 func (m *machine) executeOne(command wire.Command) {
 	if exited := exitedKey(command.Task, command.Attempt); m.tasks[exited] != nil {
-		// An earlier attempt, which can only be forgotten.
+		// An earlier attempt that has exited: only a forget command applies to it.
 		if command.Verb == wire.VerbForget {
 			m.forgetTask(exited)
 		}
@@ -62,16 +62,16 @@
 	}
 }
 
-// forgetTask drops a task from the heartbeats.
+// forgetTask removes an exited task, so that heartbeats no longer report it.
 func (m *machine) forgetTask(key string) {
 	delete(m.tasks, key)
 	m.sortedCache = nil
 	m.statusChanged = true
 }
 
-// stopTask stops a task, after a checkpoint if it can save one within the grace period in
-// seconds. Without a grace period a checkpoint that is being saved is completed, with one of 0
-// it is not.
+// stopTask stops a task. If the task can save a checkpoint within the grace period in seconds, it
+// does so first. A checkpoint that is already being saved is completed, unless the grace period
+// is 0.
 func (m *machine) stopTask(t *task, gracePeriodS *float64) {
 	m.statusChanged = true
 	if t.state == wire.TaskCheckpointing {
@@ -89,8 +89,8 @@
 	m.exit(t, wire.CauseStopped)
 }
 
-// startTask carries out a start command: the worker pulls the image, or reports why it does not
-// start the task. A command for a task of which another attempt has not exited is ignored.
+// startTask executes a start command: the worker pulls the image, or reports why it does not
+// start the task. It ignores the command if another attempt of the task has not exited.
 func (m *machine) startTask(command wire.Command) {
 	world := m.world
 	world.taskStarts++
@@ -102,7 +102,7 @@
 		if earlier.state != wire.TaskExited {
 			return
 		}
-		m.tasks[exitedKey(command.Task, earlier.attempt)] = earlier // reported until it is to be forgotten
+		m.tasks[exitedKey(command.Task, earlier.attempt)] = earlier // reported until a forget command
 	}
 	m.tasks[command.Task], m.sortedCache = t, nil
 	if t.job == nil || t.index >= t.job.Tasks {
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,10 +1,9 @@
-// Package sim runs the controllers' core, in virtual time, against stand-ins of the key-value
-// store, the cloud, the workers and the users, and injects faults. A checker holds what happens
-// against the rules of the protocol. All randomness comes from a seed, so that a run can be
-// repeated.
+// Package sim runs the controllers' core in virtual time against a simulated key-value store,
+// cloud, workers and users, and injects faults. A checker verifies that what happens follows the
+// rules of the protocol. All randomness comes from a seed, so that a run can be reproduced.
 //
-// The tests of this package play scenarios. Package hollow plays the same world by the real
-// clock around controller processes, see Live. The tests of model activation use ModelServer.
+// The tests of this package run scenarios. Package hollow runs the same world in real time
+// around controller processes, see Live. The tests of model activation use ModelServer.
 // Nothing here is part of a controller.
 package sim
 
@@ -40,47 +39,48 @@
 	jobs            map[string]*groundTruth
 	placementsByJob map[*groundTruth]*jobPlacements  // see placements.go
 	jobsByTeam      map[string]map[*groundTruth]bool // jobs with tasks on machines
-	taskStarts      int                              // start commands that workers carried out
+	taskStarts      int                              // start commands that workers executed
 	expiredTasks    int                              // tasks that a worker killed at its lease expiry
 
 	partitions          []*partition
 	pauses              []interval    // during which all controllers are paused
-	faultsEnd           time.Duration // when the last fault is over
-	duplicateHeartbeats randomFault   // heartbeats of which a copy arrives later
-	cancellationsAtEnd  randomFault   // jobs that are cancelled at the moment they are done
+	faultsEnd           time.Duration // when the last fault ends
+	duplicateHeartbeats randomFault   // heartbeats of which a delayed copy is delivered too
+	cancellationsAtEnd  randomFault   // jobs that are cancelled at the moment they complete
 
-	// mutate, if set, changes the output of a core: it stands for a broken core in the
-	// checker's own test.
+	// mutate, if set, changes the output of a core. The tests of the checker use it to simulate
+	// a broken core.
 	mutate func(c *controller, out *core.Output)
-	// newCore, if set, makes the core of a controller that starts, in place of one of this
+	// newCore, if set, makes the core of a starting controller; otherwise it is a core of this
 	// version.
 	newCore func(c *controller, incarnation uint64) stepper
 
-	// sendToRegion, if set, carries a message to another region.
+	// sendToRegion, if set, delivers a message to another region.
 	sendToRegion func(c *controller, s core.RegionSend)
-	// reservedElsewhere, if set, is how many GPUs of a team's limit other regions use or have
-	// guaranteed.
+	// reservedElsewhere, if set, returns how many GPUs of a team's limit other regions use or
+	// reserve for guarantees.
 	reservedElsewhere func(team string) float64
-	// usageChanged, if set, gets the changes of a team's usage.
+	// usageChanged, if set, is called with each change of a team's usage.
 	usageChanged func(team string, cpus, gpus float64)
-	// usageIncreased, if set, gets a team whose usage has grown.
+	// usageIncreased, if set, is called with a team whose usage has increased.
 	usageIncreased func(team string)
 }
 
-// stepper is what a controller runs: a core of this version, or a child process with one of
-// another version.
+// stepper is the core that a controller runs: one of this version, or a child process that runs
+// one of another version.
 type stepper interface {
 	Step(now time.Duration, wall time.Time, in core.Input) core.Output
 }
 
-// groundTruth is what is really the case with a job, as the stand-ins know it.
+// groundTruth is the actual state of a job in the simulation, whatever the controllers have
+// recorded of it.
 type groundTruth struct {
 	wire.Job
 	runS          float64 // run time of a task in seconds
 	fails         bool    // every task exits with an error
 	doneTasks     map[int]bool
-	savedProgress map[int]float64 // seconds, by task; a gang uses task 0
-	submittedAt   time.Duration   // first attempt to submit it
+	savedProgress map[int]float64 // seconds of checkpointed work, by task; a gang uses task 0
+	submittedAt   time.Duration   // time of the first attempt to submit it
 	startedTasks  map[int]bool    // tasks that have run, for the observer
 }
 
@@ -88,8 +88,8 @@
 	return &groundTruth{Job: job, doneTasks: map[int]bool{}, savedProgress: map[int]float64{}}
 }
 
-// startInterval is the time between the starts of two controllers of a new world.
-const startInterval = 30 * time.Millisecond
+// controllerStartInterval is the time between the starts of two controllers of a new world.
+const controllerStartInterval = 30 * time.Millisecond
 
 func newWorld(settings *config.Settings, seed uint64, log *slog.Logger) *World {
 	world := &World{
@@ -103,17 +103,17 @@
 	for i := range settings.Deployment.Size {
 		c := &controller{world: world, index: i, name: controllerPrefix + strconv.Itoa(i)}
 		world.controllers = append(world.controllers, c)
-		world.after(time.Duration(i)*startInterval, c.start)
+		world.after(time.Duration(i)*controllerStartInterval, c.start)
 	}
 	return world
 }
 
-// after runs a function a while from now.
+// after schedules a function to run after a delay.
 func (w *World) after(delay time.Duration, run func()) {
 	w.events.Add(w.now+max(delay, 0), run)
 }
 
-// run carries out all events up to a time.
+// run executes all events up to a time.
 func (w *World) run(until time.Duration) {
 	for {
 		event, ok := w.events.TakeUntil(until)
@@ -128,15 +128,15 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// randomDuration draws a time below a bound.
+// randomDuration returns a random duration below a bound.
 func (w *World) randomDuration(bound time.Duration) time.Duration {
 	return time.Duration(w.rng.Int64N(int64(bound)))
 }
 
-// wallClock is the time of day, for rate limits and the cores.
+// wallClock returns the simulated time of day, for rate limits and the cores.
 func (w *World) wallClock() time.Time { return time.UnixMilli(1e12).Add(w.now) }
 
-// leader is the controller that holds the leader key, or nil.
+// leader returns the controller that holds the leader key, or nil.
 func (w *World) leader() *controller {
 	entry := w.store.keys["leader"]
 	if entry == nil {
