--- a/internal/core/election_host.go
+++ b/internal/core/election_host.go
@@ -38,8 +38,8 @@
 	return h.core.leader.leadership, true
 }
 
-// Lead begins to lead: it loads the records, and tells peers and waiting workers at once.
-func (h electionHost) Lead(won election.Leadership) {
+// StartLeading begins to lead: it loads the records, and tells peers and waiting workers at once.
+func (h electionHost) StartLeading(won election.Leadership) {
 	h.core.leader = newLeader(h.core, won)
 	h.core.leader.loader.Load()
 	h.core.sendDigests()
@@ -52,14 +52,14 @@
 // ObserveStore receives the status of calls that show whether the store answers.
 func (h electionHost) ObserveStore(status kv.Status) { h.core.store.Observe(status) }
 
-// HearsPeer reports whether any other controller is heard.
-func (h electionHost) HearsPeer() bool { return h.core.membership.HearsPeer() }
+// HasPeerContact reports whether any other controller is heard.
+func (h electionHost) HasPeerContact() bool { return h.core.membership.HasPeerContact() }
 
 // LeaderLost reports whether the leader is lost although it may hold its key.
 func (h electionHost) LeaderLost() bool { return h.core.membership.LeaderLost() }
 
-// LeaderKnown forwards the heartbeats that wait for a leader.
-func (h electionHost) LeaderKnown() { h.core.forwardPending() }
+// LeaderObserved forwards the heartbeats that wait for a leader.
+func (h electionHost) LeaderObserved() { h.core.forwardPending() }
 
 // stepDown ends this controller's leadership. Results of calls that the leader has sent are
 // ignored from then on.
--- a/internal/core/placement/memo_test.go
+++ b/internal/core/placement/memo_test.go
@@ -2,25 +2,25 @@
 
 import "testing"
 
-// TestMemo records what does not fit for one class; another class with the same requirements is
-// only affected by what holds for every machine.
+// TestMemo checks that failures recorded for one class do not affect another class with the same
+// requirements, while a task that fits on no machine affects both.
 func TestMemo(t *testing.T) {
 	task := Requirements{Types: "small"}
 	class, sameTask := EquivalenceClass{Requirements: task, Priority: 1}, EquivalenceClass{Requirements: task, Priority: 2}
 	memo := NewMemo()
-	if !memo.MayFit(class) || !memo.MachineMayFit(task) || !memo.MayPreempt(class) {
-		t.Error("a pass begins with something that does not fit")
+	if !memo.MayFit(class) || !memo.AnyMachineMayFit(task) || !memo.MayPreempt(class) {
+		t.Error("new memo: MayFit, AnyMachineMayFit or MayPreempt is false, want all true")
 	}
-	memo.RecordFull(class, true)
+	memo.RecordDoesNotFit(class, true)
 	memo.RecordNoVictims(class, true)
 	if memo.MayFit(class) || memo.MayPreempt(class) {
-		t.Error("the class is tried again")
+		t.Error("class recorded as full and without victims: MayFit or MayPreempt is true, want both false")
 	}
 	if !memo.MayFit(sameTask) || !memo.MayPreempt(sameTask) {
-		t.Error("another class is not tried")
+		t.Error("another class with the same requirements: MayFit or MayPreempt is false, want both true")
 	}
-	memo.RecordMachineFits(task, false)
-	if memo.MayFit(sameTask) || memo.MachineMayFit(task) {
-		t.Error("tried again though no machine holds a task")
+	memo.RecordAnyMachineFits(task, false)
+	if memo.MayFit(sameTask) || memo.AnyMachineMayFit(task) {
+		t.Error("task that fits on no machine: MayFit or AnyMachineMayFit is true, want both false")
 	}
 }
--- a/internal/core/scale_out_plan.go
+++ b/internal/core/scale_out_plan.go
@@ -79,7 +79,7 @@
 
 // addRequested adds the machines of provisioning requests without an answer.
 func (p *scaleOutPlan) addRequested() {
-	for _, request := range p.leader.fleet.requests.Open() {
+	for _, request := range p.leader.fleet.requests.OpenRequests() {
 		if machineType := p.leader.core.machineTypes[request.Type]; machineType != nil {
 			p.AddRequested(request.Offer(), cluster.TypeCapacity(machineType), request.Count)
 		}
@@ -109,7 +109,7 @@
 func (p *scaleOutPlan) packPending(candidates []*candidate, usage map[string]topology.Resources) {
 	for _, candidate := range candidates {
 		if candidate.Faulty {
-			p.leader.logWait(candidate.Job, cluster.WaitFaulty)
+			p.leader.logWait(candidate.Job, cluster.WaitJobFaulty)
 			continue
 		}
 		p.packCandidate(candidate, usage)
--- a/internal/core/team_usage.go
+++ b/internal/core/team_usage.go
@@ -25,7 +25,7 @@
 func (c *Core) configuredLimit(name string) teamlimit.Limit {
 	team := c.team(name)
 	if team == nil {
-		return teamlimit.UnknownTeam
+		return teamlimit.UnknownTeamLimit
 	}
 	return teamlimit.FromSettings(team.CPUsMax, team.GPUsMax)
 }
@@ -52,11 +52,11 @@
 
 // refreshUsage brings what machines and teams use up to date, and returns the latter by team.
 func (l *leader) refreshUsage() map[string]topology.Resources {
-	if !l.teamUsage.Started() || l.core.now >= l.teamUsage.recountAt {
+	if !l.teamUsage.IsCounting() || l.core.now >= l.teamUsage.recountAt {
 		l.recountUsage()
 	}
 	for _, m := range l.MachinesByName {
-		if m.EvaluationStale {
+		if m.NeedsRefresh {
 			m.Refresh()
 		}
 	}
@@ -68,7 +68,7 @@
 	l.teamUsage.recountAt = l.core.now + l.core.workerLease()
 	l.teamUsage.Reset()
 	for _, m := range l.MachinesByName {
-		m.EvaluationStale = true
+		m.NeedsRefresh = true
 		for _, ref := range m.Placements {
 			l.teamUsage.add(ref.Job, 1)
 		}
