--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -173,8 +173,8 @@
 	}
 }
 
-// Ask sends a request of a user or a worker.
-func (c *controllerProcess) Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
+// Request sends a request of a user or a worker.
+func (c *controllerProcess) Request(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	go func() {
 		answer := c.request(from, method, path, body, timeout)
 		c.withWorld(func() { done(answer) })
--- a/internal/sim/controller.go
+++ b/internal/sim/controller.go
@@ -167,7 +167,7 @@
 // requestAnswer is like request, but passes the whole answer to done.
 func (c *controller) requestAnswer(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	if c.process != nil {
-		c.process.Ask(from, method, path, body, timeout, done)
+		c.process.Request(from, method, path, body, timeout, done)
 		return
 	}
 	finished := false
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -20,10 +20,10 @@
 	Start()
 	// Kill kills the process.
 	Kill()
-	// Ask sends a request of a user ("user") or of a worker (its machine's name). done is
+	// Request sends a request of a user ("user") or of a worker (its machine's name). done is
 	// called once, by Live.Do, with the answer; its status is 0 if none came within the
 	// timeout.
-	Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer))
+	Request(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer))
 }
 
 // TaskStart is the beginning of a task's run.
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -21,8 +21,8 @@
 func (*misbehavingController) Start() {}
 func (*misbehavingController) Kill()  {}
 
-// Ask answers from another goroutine, as a process does.
-func (c *misbehavingController) Ask(from, method, path string, body []byte, _ time.Duration, done func(core.Answer)) {
+// Request answers from another goroutine, as a process does.
+func (c *misbehavingController) Request(from, method, path string, body []byte, _ time.Duration, done func(core.Answer)) {
 	answer := core.Answer{Status: 200}
 	if path == heartbeatPath {
 		list := wire.CommandList{FencingToken: 1}
