--- a/internal/sim/model_server.go
+++ b/internal/sim/model_server.go
@@ -156,38 +156,39 @@
 	return wake.ReplicaStatus{State: wake.ReplicaReady, InFlight: r.activeRequests, IdleSeconds: (now - r.lastRequestAt).Seconds()}
 }
 
-// AskResult is how a server handles a request.
-type AskResult int
+// RequestResult is how a server handles a request.
+type RequestResult int
 
 // How a server handles a request: no replica accepts it; its processing starts; a request with
 // the same key is in progress; a request with the same key has been answered.
 const (
-	AskRejected AskResult = iota
-	AskStarted
-	AskInProgress
-	AskAnswered
+	RequestRejected RequestResult = iota
+	RequestStarted
+	RequestInProgress
+	RequestAnswered
 )
 
-// Ask handles a request with an idempotency key. The answer is set only for AskAnswered.
-func (s *ModelServer) Ask(model, key string, now time.Duration) (AskResult, []byte) {
+// HandleRequest handles a request with an idempotency key. The answer is set only for
+// RequestAnswered.
+func (s *ModelServer) HandleRequest(model, key string, now time.Duration) (RequestResult, []byte) {
 	served := s.model(model, now)
 	r := served.replica
 	if r == nil || now < r.readyAt || r.failAt != 0 {
-		return AskRejected, nil
+		return RequestRejected, nil
 	}
 	if answer, known := served.answers[key]; known {
 		if answer == nil {
-			return AskInProgress, nil
+			return RequestInProgress, nil
 		}
-		return AskAnswered, answer
+		return RequestAnswered, answer
 	}
 	if r.closed {
-		return AskRejected, nil
+		return RequestRejected, nil
 	}
 	r.activeRequests++
 	r.lastRequestAt = now
 	served.answers[key] = nil
-	return AskStarted, nil
+	return RequestStarted, nil
 }
 
 // Finish records the answer of a request that a replica has processed. It returns false if the
--- a/internal/sim/wake_world_test.go
+++ b/internal/sim/wake_world_test.go
@@ -104,18 +104,18 @@
 // serve makes a model server answer a request.
 func (w *wakeWorld) serve(server string, request *wake.Request, reply func(func()), done func(wake.Outcome, []byte)) {
 	modelServer, incarnation := w.servers[server], w.serverIncarnations[server]
-	result, answer := modelServer.Ask(request.Model, request.IdempotencyKey, w.now)
+	result, answer := modelServer.HandleRequest(request.Model, request.IdempotencyKey, w.now)
 	switch result {
-	case AskRejected:
+	case RequestRejected:
 		reply(func() { done(wake.OutcomeRejected, nil) })
 		return
-	case AskAnswered:
+	case RequestAnswered:
 		reply(func() { done(wake.OutcomeServed, answer) })
 		return
-	case AskInProgress:
+	case RequestInProgress:
 		w.after(inProgressRetry, func() { w.serve(server, request, reply, done) })
 		return
-	case AskStarted:
+	case RequestStarted:
 	}
 	w.executions[fmt.Sprint(request.IdempotencyKey, " on replica ", modelServer.ReplicaNumber(request.Model, w.now), " of ", server)]++
 	w.after(minServeTime+time.Duration(w.rng.IntN(serveTimeRange))*time.Millisecond, func() {
--- a/internal/wake/activator/activator_test.go
+++ b/internal/wake/activator/activator_test.go
@@ -196,19 +196,19 @@
 	parts := strings.Split(request.Path, "/") // /ask/MODEL/KEY
 	model, key := parts[2], parts[3]
 	p.mu.Lock()
-	result, answer := server.Ask(model, key, p.now())
-	if result == sim.AskStarted {
+	result, answer := server.HandleRequest(model, key, p.now())
+	if result == sim.RequestStarted {
 		p.executions[key]++
 	}
 	p.mu.Unlock()
 	switch result {
-	case sim.AskRejected:
+	case sim.RequestRejected:
 		reply(httpserve.Response{Status: httpstatus.Conflict})
-	case sim.AskAnswered:
+	case sim.RequestAnswered:
 		reply(httpserve.Response{Status: httpstatus.OK, Body: answer})
-	case sim.AskInProgress:
+	case sim.RequestInProgress:
 		time.AfterFunc(service, func() { p.serveModel(server, request, service, reply) })
-	case sim.AskStarted:
+	case sim.RequestStarted:
 		time.AfterFunc(service, func() {
 			p.mu.Lock()
 			defer p.mu.Unlock()
