--- a/internal/hollow/runner_setup.go
+++ b/internal/hollow/runner_setup.go
@@ -36,7 +36,7 @@
 func (r *runner) prepare() error {
 	settings := r.settings()
 	r.live = sim.NewLive(sim.LiveConfig{
-		Settings: settings, Types: r.machineTypes(), Stock: r.stock(), Seed: r.experiment.Seed,
+		Settings: settings, Types: r.machineTypes(), Capacity: r.stock(), Seed: r.experiment.Seed,
 		Observer: r.observer, Log: r.options.Log, WorkerAddress: r.serveWorker, MachineRemoved: r.stopWorker, UsageChanged: r.usageObserver(),
 	})
 	store, err := r.serve("key-value store", &r.storeTraffic, r.live.ServeStore)
@@ -239,15 +239,15 @@
 }
 
 // stock spreads the machines of each type evenly over the zones.
-func (r *runner) stock() []sim.Stock {
-	var stock []sim.Stock
+func (r *runner) stock() []sim.Capacity {
+	var stock []sim.Capacity
 	zones := len(r.experiment.Zones)
 	for _, t := range r.experiment.Types {
 		for i, zone := range r.experiment.Zones {
 			inZone := func(count int) int { return count*(i+1)/zones - count*i/zones }
 			onDemand := inZone(t.OnDemandCount)
-			stock = append(stock, sim.Stock{Type: t.Name, Zone: zone, Count: onDemand, Up: int(t.UpShare * float64(onDemand))},
-				sim.Stock{Type: t.Name, Zone: zone, Spot: true, Count: inZone(t.SpotCount)})
+			stock = append(stock, sim.Capacity{Type: t.Name, Zone: zone, Count: onDemand, Up: int(t.UpShare * float64(onDemand))},
+				sim.Capacity{Type: t.Name, Zone: zone, Spot: true, Count: inZone(t.SpotCount)})
 		}
 	}
 	return stock
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -42,8 +42,8 @@
 	Started(TaskStart)
 }
 
-// Stock is how many machines of a type the cloud has in a zone.
-type Stock struct {
+// Capacity is the number of machines of a type that the cloud has in a zone.
+type Capacity struct {
 	Type, Zone string
 	Spot       bool
 	Count      int
@@ -54,7 +54,7 @@
 type LiveConfig struct {
 	Settings *config.Settings // of the deployment; those of a single controller are ignored
 	Types    []wire.MachineType
-	Stock    []Stock
+	Capacity []Capacity
 	Seed     uint64
 	Observer Observer // may be nil
 	Log      *slog.Logger
@@ -89,10 +89,10 @@
 	world.after(0, world.store.expireLeases)
 	world.after(sweepInterval, world.checker.sweep)
 	heartbeatInterval := seconds(c.Settings.Deployment.Workers.ReportS)
-	for _, stock := range c.Stock {
-		kind := offer{stock.Type, stock.Zone, stock.Spot}
-		world.cloud.capacity[kind] = stock.Count - stock.Up
-		for range stock.Up {
+	for _, capacity := range c.Capacity {
+		kind := offer{capacity.Type, capacity.Zone, capacity.Spot}
+		world.cloud.capacity[kind] = capacity.Count - capacity.Up
+		for range capacity.Up {
 			world.cloud.addMachine(kind).startWorkerAfter(world.randomDuration(heartbeatInterval))
 		}
 	}
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -48,7 +48,7 @@
 	live := NewLive(LiveConfig{
 		Settings: settings, Log: slog.New(slog.DiscardHandler),
 		Types:         []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 8, PullGBPerS: 100, Zones: settings.Deployment.Zones}},
-		Stock:         []Stock{{Type: "small", Zone: "east", Count: 2, Up: 2}},
+		Capacity:      []Capacity{{Type: "small", Zone: "east", Count: 2, Up: 2}},
 		WorkerAddress: func(machine string) string { return machine },
 	})
 	live.Attach(0, &misbehavingController{live: live})
