--- a/internal/hollow/observer.go
+++ b/internal/hollow/observer.go
@@ -36,8 +36,8 @@
 	return hdrhistogram.New(1, longestWait, waitPrecision)
 }
 
-// Started counts a start.
-func (o *observer) Started(start sim.TaskStart) {
+// TaskStarted counts a start.
+func (o *observer) TaskStarted(start sim.TaskStart) {
 	o.starts++
 	if o.killedTerm != 0 && start.FencingToken > o.killedTerm {
 		o.failoverTimes = append(o.failoverTimes, start.At-o.killedAt)
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -30,7 +30,7 @@
 	})
 	report := &Report{
 		Experiment: r.experiment.Name, Seconds: duration.Seconds(),
-		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.Jobs, Accepted: counts.Accepted,
+		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.UnfinishedJobs, Accepted: counts.AcceptedJobs,
 		StartsSent: counts.Starts, ExpiredTasks: counts.ExpiredTasks,
 		StoreKeys: counts.StoreKeys, StoreThrottled: counts.StoreThrottled,
 		StoreChangesPerS: perSecond(float64(counts.StoreChanges), duration.Seconds()),
--- a/internal/hollow/sampling.go
+++ b/internal/hollow/sampling.go
@@ -54,7 +54,7 @@
 	now, counts, urgent := r.live.Now(), r.live.Counts(), waitStats(r.observer.urgentWaits)
 	starts := r.observer.startsPerSecond
 	r.history.Add("Tasks and jobs", "tasks on machines", now, float64(counts.Tasks))
-	r.history.Add("Tasks and jobs", "jobs not over", now, float64(counts.Jobs))
+	r.history.Add("Tasks and jobs", "jobs not over", now, float64(counts.UnfinishedJobs))
 	r.history.Add("Starts", "starts in the last second", now, float64(starts[len(starts)-1]))
 	r.history.Add("Wait of urgent work", "p50 so far, s", now, urgent.P50)
 	r.history.Add("Wait of urgent work", "p99 so far, s", now, urgent.P99)
@@ -73,5 +73,5 @@
 	var now time.Duration
 	r.live.Do(func() { counts, now = r.live.Counts(), r.live.Now() })
 	r.options.writeProgress("%4.0f of %.0f s: %d workers, %d tasks on machines, %d jobs, %d starts, %d rules broken\n",
-		now.Seconds(), r.experiment.Seconds, counts.Workers, counts.Tasks, counts.Jobs, counts.Starts, len(counts.Violations))
+		now.Seconds(), r.experiment.Seconds, counts.Workers, counts.Tasks, counts.UnfinishedJobs, counts.Starts, len(counts.Violations))
 }
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -38,8 +38,8 @@
 
 // Observer receives events of a live world. Its methods are called with the world locked.
 type Observer interface {
-	// Started reports that a task starts to run.
-	Started(TaskStart)
+	// TaskStarted reports that a task starts to run.
+	TaskStarted(TaskStart)
 }
 
 // Capacity is the number of machines of a type that the cloud has in a zone.
@@ -260,8 +260,8 @@
 type Counts struct {
 	Workers        int // up
 	Tasks          int // on machines
-	Jobs           int // accepted and not finished
-	Accepted       int // all jobs ever accepted
+	UnfinishedJobs int // accepted and not finished
+	AcceptedJobs   int // accepted since the start
 	Starts         int // start commands that workers have executed
 	ExpiredTasks   int // tasks that a worker killed at its lease expiry
 	StoreKeys      int
@@ -289,9 +289,9 @@
 		if !job.accepted {
 			continue
 		}
-		counts.Accepted++
+		counts.AcceptedJobs++
 		if job.finalStatus == "" {
-			counts.Jobs++
+			counts.UnfinishedJobs++
 		}
 	}
 	return counts
--- a/internal/sim/placements.go
+++ b/internal/sim/placements.go
@@ -113,5 +113,5 @@
 	}
 	first := !job.startedTasks[t.index]
 	job.startedTasks[t.index] = true
-	w.observer.Started(TaskStart{At: w.now, Class: job.Class, Priority: job.Priority, Waited: w.now - job.submittedAt, FencingToken: m.fencingToken, First: first})
+	w.observer.TaskStarted(TaskStart{At: w.now, Class: job.Class, Priority: job.Priority, Waited: w.now - job.submittedAt, FencingToken: m.fencingToken, First: first})
 }
