--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -98,7 +98,7 @@
 	Error string `json:"error"`
 }
 
-// handle serves a request of a controller.
+// handle serves a request of a controller. It calls reply after cloudLatency.
 func (c *cloudService) handle(method, path string, body []byte, reply func(int, []byte)) {
 	send := func(status int, message any) {
 		encoded := encode(message)
--- a/internal/sim/helpers_test.go
+++ b/internal/sim/helpers_test.go
@@ -22,8 +22,8 @@
 // soakRunCount returns how many random scenarios a soak test runs: the number in BROOKWALK_SOAK, or
 // a sample.
 func soakRunCount(sample int) int {
-	if days, err := strconv.Atoi(os.Getenv("BROOKWALK_SOAK")); err == nil {
-		return days
+	if count, err := strconv.Atoi(os.Getenv("BROOKWALK_SOAK")); err == nil {
+		return count
 	}
 	return sample
 }
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -29,7 +29,7 @@
 	incarnation    uint64
 	sequence       uint64
 	fencingToken   uint64
-	acknowledgedAt time.Duration // send time of the last heartbeat that was answered
+	acknowledgedAt time.Duration // send time of the last answered heartbeat; the lease counts from it
 	tasks          map[string]*task
 	sortedCache    []*task // see sortedTasks; nil when tasks have changed
 
@@ -40,7 +40,7 @@
 	statusChanged   bool // since the last heartbeat
 
 	// Faults.
-	faulty               bool          // every task exits with an error
+	faulty               bool          // every task that starts exits with an error
 	preemptionAt         time.Duration // when the cloud preempts the machine; 0 without a notice
 	duplicateUntil       time.Duration // until then a delayed copy of each heartbeat is sent too
 	duplicateDelay       time.Duration
@@ -198,7 +198,8 @@
 	}
 }
 
-// imagePulled starts a task whose image is in the cache; a task of a gang waits for the others.
+// imagePulled places a task whose image has been pulled and starts it. A task of a gang waits for
+// the others. A task that is already done, or that a fault makes fail, exits instead.
 func (m *machine) imagePulled(t *task) {
 	m.cachedImages[t.job.Image] = true
 	m.world.addPlacement(m, t)
@@ -241,7 +242,8 @@
 	m.world.cancelFinishedJob(job)
 }
 
-// terminate ends a task without a cause to report.
+// terminate ends a task and removes its placement. If a running task of a gang ends before it is
+// done, the other running tasks of the attempt record that they have lost a peer.
 func (m *machine) terminate(t *task) {
 	if t.state == wire.TaskExited {
 		return
@@ -259,7 +261,7 @@
 	}
 }
 
-// exit ends a task with a cause that the worker reports.
+// exit terminates a task with a cause that the worker reports.
 func (m *machine) exit(t *task, cause wire.ExitCause) {
 	m.terminate(t)
 	t.cause = cause
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -18,7 +18,7 @@
 type Scenario struct {
 	settings     *config.Settings
 	seed         uint64
-	seedCount    int // in how many runs the scenario is run, each with the next seed
+	seedCount    int // number of runs, each with the next seed
 	until        time.Duration
 	machineTypes []scenarioLine
 	actions      []scenarioLine
--- a/internal/sim/starvation.go
+++ b/internal/sim/starvation.go
@@ -77,8 +77,8 @@
 
 // checkStarvation checks that no job waits for longer than starvationLimit while there is room
 // for it: for one more task on some machine, or for all missing tasks of a gang. The start of a
-// task restarts the time. Jobs whose tasks all fail, that wait for dependencies, or that are
-// to be cancelled, also with a dependency, are exempt.
+// task resets the time. Jobs are exempt if their tasks all fail, if they wait for dependencies,
+// or if their cancellation, or that of a dependency, was requested.
 func (c *checker) checkStarvation(job *userJob, snapshot *fleetSnapshot) {
 	truth := c.world.jobs[job.id]
 	missing := map[int]bool{}
@@ -202,8 +202,8 @@
 	return sum
 }
 
-// isServing reports whether a machine is up, without a fault, and in contact with the
-// controllers.
+// isServing reports whether a machine is up, without a fault, and has had a heartbeat answered
+// within the last two heartbeat intervals.
 func (c *checker) isServing(m *machine) bool {
 	now := c.world.now
 	switch {
--- a/internal/sim/user_cancel.go
+++ b/internal/sim/user_cancel.go
@@ -49,13 +49,13 @@
 
 // Bounds of cancelRunningJobs.
 const (
-	minRemainingS   = 20                     // seconds of work that the jobs must have left
+	minRemainingS   = 20                     // seconds of work that the tasks must have left
 	cancelTimeRange = 200 * time.Millisecond // all cancellations are sent within this time
 	maxHangMachines = 8
 )
 
-// cancelRunningJobs cancels a number of running jobs with at least minRemainingS of work left,
-// nearly simultaneously, and makes up to maxHangMachines of their machines hang for a duration.
+// cancelRunningJobs cancels a number of the jobs that machinesOfLongJobs returns, nearly
+// simultaneously, and makes up to maxHangMachines of their machines hang for a duration.
 func (u *users) cancelRunningJobs(count int, hang time.Duration) {
 	machines := u.machinesOfLongJobs()
 	var ids []string
@@ -76,8 +76,8 @@
 	}
 }
 
-// machinesOfLongJobs returns, by job ID, the machines with running tasks of jobs that have at
-// least minRemainingS of work left and for which no cancellation was requested.
+// machinesOfLongJobs returns, by job ID, the machines with running tasks that are services or have
+// at least minRemainingS of work left. It omits jobs whose cancellation was requested.
 func (u *users) machinesOfLongJobs() map[string][]*machine {
 	machines := map[string][]*machine{}
 	for _, name := range u.world.cloud.machineNames() {
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -54,8 +54,8 @@
 	maxRetryDelay           = 30 * time.Second // limits the delay that an answer asks for
 	pollInterval            = 5 * time.Second
 	dependencyCheckInterval = 50 * time.Millisecond // how often the dependencies of an unsubmitted job are checked
-	// minExcusingOutage is for how much of retryTimeout no user must have been served for a
-	// submission without an answer to be excused.
+	// minExcusingOutage is how long users must have been without service while a submission was
+	// retried for a missing answer to be excused.
 	minExcusingOutage = 50 * time.Second
 )
 
@@ -94,7 +94,8 @@
 	submitImmediately
 )
 
-// submit submits a job at the given time, and polls its status until it is finished.
+// submit submits a job at the time that the parameter when defines, and polls its status until it
+// is finished.
 func (u *users) submit(truth *groundTruth, when submitTime) {
 	if when != submitImmediately && !u.canSubmit(truth, when) {
 		u.unsubmitted[truth.ID] = truth
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -44,12 +44,12 @@
 
 	partitions          []*partition
 	pauses              []interval    // during which all controllers are paused
-	faultsEnd           time.Duration // when the last fault ends
+	faultsEnd           time.Duration // when the last fault ends, with its delayed effects
 	duplicateHeartbeats randomFault   // heartbeats of which a delayed copy is delivered too
 	cancellationsAtEnd  randomFault   // jobs that are cancelled at the moment they complete
 
-	// mutate, if set, changes the output of a core. The tests of the checker use it to simulate
-	// a broken core.
+	// mutate, if set, may change the output of a core. Tests use it to simulate a broken core or
+	// to record outputs.
 	mutate func(c *controller, out *core.Output)
 	// newCore, if set, makes the core of a starting controller; otherwise it is a core of this
 	// version.
@@ -57,8 +57,8 @@
 
 	// sendToRegion, if set, delivers a message to another region.
 	sendToRegion func(c *controller, s core.RegionSend)
-	// reservedElsewhere, if set, returns how many GPUs of a team's limit other regions use or
-	// reserve for guarantees.
+	// reservedElsewhere, if set, returns how many GPUs of a team's limit this region cannot use:
+	// the sum, over the other regions, of the larger of the team's usage and its guarantee there.
 	reservedElsewhere func(team string) float64
 	// usageChanged, if set, is called with each change of a team's usage.
 	usageChanged func(team string, cpus, gpus float64)
