--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -174,9 +174,9 @@
 	}
 }
 
-// Ask sends a request of a user or a worker asynchronously and calls done with the answer, with the
+// Request sends a request of a user or a worker asynchronously and calls done with the answer, with the
 // simulation locked.
-func (c *controllerProcess) Ask(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
+func (c *controllerProcess) Request(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	go func() {
 		answer := c.request(from, method, path, body, timeout)
 		c.withLock(func() { done(answer) })
--- a/internal/hollow/observer.go
+++ b/internal/hollow/observer.go
@@ -37,9 +37,9 @@
 	return hdrhistogram.New(1, maxWaitMS, significantDigits)
 }
 
-// Started records the start of a task. A start with a fencing token above killedTerm ends the
+// TaskStarted records the start of a task. A start with a fencing token above killedTerm ends the
 // failover.
-func (o *observer) Started(start sim.TaskStart) {
+func (o *observer) TaskStarted(start sim.TaskStart) {
 	o.starts++
 	if o.killedTerm != 0 && start.FencingToken > o.killedTerm {
 		o.failoverTimes = append(o.failoverTimes, start.At-o.killedAt)
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -29,8 +29,8 @@
 		}
 	})
 	report := &Report{
-		Experiment: r.experiment.Name, DurationS: duration.Seconds(),
-		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.Jobs, AcceptedJobs: counts.Accepted,
+		Experiment: r.experiment.Name, DurationS: duration.DurationS(),
+		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.UnfinishedJobs, AcceptedJobs: counts.AcceptedJobs,
 		StartCommands: counts.Starts, ExpiredTasks: counts.ExpiredTasks,
 		StoreKeys: counts.StoreKeys, StoreThrottled: counts.StoreThrottled,
 		StoreChangesPerS: perSecond(float64(counts.StoreChanges), duration.Seconds()),
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -21,8 +21,8 @@
 func (*misbehavingController) Start() {}
 func (*misbehavingController) Kill()  {}
 
-// Ask answers from another goroutine, as a process does.
-func (c *misbehavingController) Ask(from, method, path string, body []byte, _ time.Duration, done func(core.Answer)) {
+// Request answers from another goroutine, as a process does.
+func (c *misbehavingController) Request(from, method, path string, body []byte, _ time.Duration, done func(core.Answer)) {
 	answer := core.Answer{Status: 200}
 	if path == heartbeatPath {
 		list := wire.CommandList{FencingToken: 1}
@@ -48,7 +48,7 @@
 	live := NewLive(LiveConfig{
 		Settings: settings, Log: slog.New(slog.DiscardHandler),
 		Types:         []wire.MachineType{{Name: "small", CPUs: 4, MemGB: 8, PullGBPerS: 100, Zones: settings.Deployment.Zones}},
-		Stock:         []Stock{{Type: "small", Zone: "east", Count: 2, Up: 2}},
+		Capacity:      []Capacity{{Type: "small", Zone: "east", Count: 2, Up: 2}},
 		WorkerAddress: func(machine string) string { return machine },
 	})
 	live.Attach(0, &misbehavingController{live: live})
--- a/internal/wake/activator/activator_test.go
+++ b/internal/wake/activator/activator_test.go
@@ -195,19 +195,19 @@
 	parts := strings.Split(request.Path, "/") // /ask/MODEL/KEY
 	model, key := parts[2], parts[3]
 	c.mu.Lock()
-	result, answer := server.Ask(model, key, c.now())
-	if result == sim.AskStarted {
+	result, answer := server.HandleRequest(model, key, c.now())
+	if result == sim.RequestStarted {
 		c.executions[key]++
 	}
 	c.mu.Unlock()
 	switch result {
-	case sim.AskRejected:
+	case sim.RequestRejected:
 		reply(httpserve.Response{Status: httpstatus.Conflict})
-	case sim.AskAnswered:
+	case sim.RequestAnswered:
 		reply(httpserve.Response{Status: httpstatus.OK, Body: answer})
-	case sim.AskInProgress:
+	case sim.RequestInProgress:
 		time.AfterFunc(service, func() { c.serveModel(server, request, service, reply) })
-	case sim.AskStarted:
+	case sim.RequestStarted:
 		time.AfterFunc(service, func() {
 			c.mu.Lock()
 			defer c.mu.Unlock()
