--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -29,7 +29,7 @@
 		}
 	})
 	report := &Report{
-		Experiment: r.experiment.Name, DurationS: duration.DurationS(),
+		Experiment: r.experiment.Name, DurationS: duration.Seconds(),
 		Workers: counts.Workers, Tasks: counts.Tasks, Jobs: counts.UnfinishedJobs, AcceptedJobs: counts.AcceptedJobs,
 		StartCommands: counts.Starts, ExpiredTasks: counts.ExpiredTasks,
 		StoreKeys: counts.StoreKeys, StoreThrottled: counts.StoreThrottled,
--- a/internal/hollow/sampling.go
+++ b/internal/hollow/sampling.go
@@ -76,5 +76,5 @@
 	var now time.Duration
 	r.live.Do(func() { counts, now = r.live.Counts(), r.live.Now() })
 	r.options.writeProgress("%4.0f of %.0f s: %d workers, %d tasks on machines, %d jobs, %d starts, %d rules broken\n",
-		now.DurationS(), r.experiment.DurationS, counts.Workers, counts.Tasks, counts.UnfinishedJobs, counts.Starts, len(counts.Violations))
+		now.Seconds(), r.experiment.DurationS, counts.Workers, counts.Tasks, counts.UnfinishedJobs, counts.Starts, len(counts.Violations))
 }
