--- a/internal/core/image_pull.go
+++ b/internal/core/image_pull.go
@@ -42,7 +42,7 @@
 	if pull.Since == 0 || pull.QueuedGB == 0 || machineType == nil || machineType.PullGBPerS <= 0 {
 		return
 	}
-	evidence := &l.pullStatistics
+	evidence := &l.pullEvidence
 	wasSequential := evidence.isSequential()
 	// The threshold is halfway between the duration of the pull alone and that of the pull after
 	// all earlier ones.
--- a/internal/core/image_pull_test.go
+++ b/internal/core/image_pull_test.go
@@ -54,12 +54,12 @@
 		startPull(leader, "job-2", "y", machine)
 		leader.core.now += 20 * time.Second
 		leader.recordPulled(machine, "x")
-		if leader.pullStatistics != (pullEvidence{}) {
-			t.Errorf("%s: evidence from a pull that began alone: got %+v, want none", tc.name, leader.pullStatistics)
+		if leader.pullEvidence != (pullEvidence{}) {
+			t.Errorf("%s: evidence from a pull that began alone: got %+v, want none", tc.name, leader.pullEvidence)
 		}
 		leader.core.now += tc.took - 20*time.Second
 		leader.recordPulled(machine, "y")
-		if got := leader.pullStatistics.isSequential(); got != tc.sequential {
+		if got := leader.pullEvidence.isSequential(); got != tc.sequential {
 			t.Errorf("%s: sequential: got %v, want %v", tc.name, got, tc.sequential)
 		}
 	}
@@ -75,8 +75,8 @@
 	machine.RefreshPulls()
 	leader.core.now += time.Second
 	leader.recordPulled(machine, "y")
-	if leader.pullStatistics != (pullEvidence{}) {
-		t.Errorf("evidence: got %+v, want none", leader.pullStatistics)
+	if leader.pullEvidence != (pullEvidence{}) {
+		t.Errorf("evidence: got %+v, want none", leader.pullEvidence)
 	}
 }
 
@@ -102,7 +102,7 @@
 	for _, sequential := range []bool{true, false, true} {
 		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, Leader: true, FetchesQueue: sequential}}})
 		harness.step(PeerInput{Message: &wire.PeerMessage{From: "n1", Digest: &wire.Digest{Term: 6, FetchesQueue: !sequential}}})
-		if got := newLeader(harness.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullStatistics.isSequential(); got != sequential {
+		if got := newLeader(harness.core, election.Leadership{Term: 7, TermVersion: 1, Lease: 1}).pullEvidence.isSequential(); got != sequential {
 			t.Errorf("sequential for the new leader: got %v, want %v as for the previous one", got, sequential)
 		}
 	}
@@ -114,11 +114,11 @@
 	leader.core.leader = leader
 	setPeers(leader.core, config.Peer{Name: "n1", Zone: "b"})
 	for _, sequential := range []int{0, 1} {
-		leader.pullStatistics.sequential = sequential
+		leader.pullEvidence.sequential = sequential
 		leader.core.out = Output{}
 		leader.core.sendDigests()
 		if sent := leader.core.out.PeerSends; len(sent) == 0 || sent[0].Message.Digest.FetchesQueue != (sequential > 0) {
-			t.Errorf("evidence %+v: sent %+v, want a digest with FetchesQueue true only if pulls are sequential", leader.pullStatistics, sent)
+			t.Errorf("evidence %+v: sent %+v, want a digest with FetchesQueue true only if pulls are sequential", leader.pullEvidence, sent)
 		}
 	}
 }
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -39,10 +39,10 @@
 	cancelledWithoutDependents []*cluster.Job          // those of cancelledJobs that may have no dependents left
 
 	// Reconciliation.
-	openProbes     int
-	zoneReachedAt  map[string]time.Duration // by zone; last heartbeat or response that this controller received
-	outliers       *outlier.Detector
-	pullStatistics pullEvidence
+	openProbes    int
+	zoneReachedAt map[string]time.Duration // by zone; last heartbeat or response that this controller received
+	outliers      *outlier.Detector
+	pullEvidence  pullEvidence
 
 	// Scheduling and quotas.
 	scheduler       *scheduler.Scheduler
@@ -81,7 +81,7 @@
 		arrivalsByClass:       map[string]*classArrivals{},
 		runTimesByClass:       map[string]*forecast.RunTimeCorrection{},
 		fleet:                 newFleet(&c.settings.Deployment, leadership.Term),
-		pullStatistics:        pullEvidence{inherited: c.pullsAreSequential},
+		pullEvidence:          pullEvidence{inherited: c.pullsAreSequential},
 		outliers:              outlier.New(),
 		provisioningLatencies: bootlatency.New(),
 	}
--- a/internal/core/leader_placement_test.go
+++ b/internal/core/leader_placement_test.go
@@ -143,7 +143,7 @@
 		"g4": {Name: "g4", CPUs: cmp.Or(tc.cpus, 4), GPUs: 4, MemGB: 64, BootS: 30, PullGBPerS: 1, CacheGB: 200, Price: 4, Zones: tc.offered},
 	}
 	leader.core.now = 1000 * time.Second
-	leader.pullStatistics.sequential = tc.sequential
+	leader.pullEvidence.sequential = tc.sequential
 	tc.addMachines(leader)
 	running := tc.addRunning(leader)
 	job := cluster.NewJob(records.Open{Job: tc.job}, 9)
--- a/internal/core/peers.go
+++ b/internal/core/peers.go
@@ -133,7 +133,7 @@
 		return digest
 	}
 	digest.Leader = true
-	digest.FetchesQueue = c.leader.pullStatistics.isSequential()
+	digest.FetchesQueue = c.leader.pullEvidence.isSequential()
 	if c.now >= c.jobCountsDueAt {
 		c.jobCountsDueAt = c.now + c.leaderLeaseDuration()
 		digest.HasJobs, digest.Jobs = true, c.leader.jobCounts()
--- a/internal/core/scheduler_host.go
+++ b/internal/core/scheduler_host.go
@@ -80,7 +80,7 @@
 func (h schedulerHost) MachinePrice(m *cluster.Machine) float64 { return h.leader.machinePrice(m) }
 
 // PullsAreSequential reports whether a machine pulls one image at a time.
-func (h schedulerHost) PullsAreSequential() bool { return h.leader.pullStatistics.isSequential() }
+func (h schedulerHost) PullsAreSequential() bool { return h.leader.pullEvidence.isSequential() }
 
 // AnyOfferFor reports whether the cloud may offer a machine for a job now.
 func (h schedulerHost) AnyOfferFor(job *wire.Job) bool { return h.leader.anyOfferFor(job) }
