--- a/cmd/brookwalk-hollow/main.go
+++ b/cmd/brookwalk-hollow/main.go
@@ -111,7 +111,7 @@
 		return nil, err
 	}
 	if r.Scale <= 0 {
-		return nil, fmt.Errorf("--scale: must be above 0, is %v", r.Scale)
+		return nil, fmt.Errorf("--scale: must be greater than 0, is %v", r.Scale)
 	}
 	experiment.Scale(r.Scale)
 	if r.Seconds > 0 {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -131,7 +131,7 @@
 		{"a lease of another type", `lease_s = 10.0`, `lease_s = true`, "deployment.workers.lease_s"},
 		{"a lease shorter than the heartbeat interval", `lease_s = 10.0`, `lease_s = 1.0`, "deployment.workers.lease_s: must be greater than 1.875"},
 		{"a lease equal to the longest heartbeat interval", `lease_s = 10.0`, `lease_s = 1.875`, "deployment.workers.lease_s: must be greater than 1.875"},
-		{"a cancellation time equal to the lease", `cancel_s = 35.0`, `cancel_s = 10.0`, "deployment.workers.cancel_s: must be greater than lease_s, 10, is 10"},
+		{"a cancellation time equal to the lease", `cancel_s = 35.0`, `cancel_s = 10.0`, "deployment.workers.cancel_s: must be greater than lease_s (10), is 10"},
 		{"a cancellation time that is not a number", `cancel_s = 35.0`, `cancel_s = nan`, "deployment.workers.cancel_s: must be greater than 0"},
 		{"a gang wait of 0", `gang_wait_s = 50.0`, `gang_wait_s = 0.0`, "deployment.workers.gang_wait_s: must be greater than 0"},
 		{"a negative list lag", `list_lag_s = 10.0`, `list_lag_s = -1.0`, "deployment.cloud.list_lag_s: must be 0 or greater, is -1"},
@@ -161,11 +161,11 @@
 	path := filepath.Join(t.TempDir(), "op.toml")
 	for _, tc := range []struct{ text, want string }{
 		{"warm_machines = 3\nidle_return_s = 20.0\nlog_level = \"debug\"", ""},
-		{"warm_machine = 3", "unknown key"},
+		{"warm_machine = 3", "warm_machine: unknown field"},
 		{"warm_machines = -1", "warm_machines: must be 0 or greater"},
 		{"idle_return_s = -1.0", "idle_return_s: must be 0 or greater"},
 		{"regions_file = \"r.toml\"\nregion = \"north\"\nregion_listen = \"127.0.0.1:9301\"", ""},
-		{"regions_file = \"r.toml\"\nregion_listen = \"127.0.0.1:9301\"", "region: missing"},
+		{"regions_file = \"r.toml\"\nregion_listen = \"127.0.0.1:9301\"", "region: missing; regions_file, region and region_listen must be set together"},
 		{"region = \"north\"\nregion_listen = \"127.0.0.1:9301\"", "regions_file: missing"},
 		{"regions_file = \"r.toml\"\nregion = \"north\"\nregion_listen = \"here\"", "region_listen"},
 	} {
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -23,8 +23,8 @@
 	RegionListen string `toml:"region_listen"`
 }
 
-// LoadOperatorSettings reads and validates the operators' settings. An unknown key is an error. An
-// empty path gives the defaults.
+// LoadOperatorSettings reads and validates the operators' settings. An unknown field is an error.
+// An empty path gives the defaults.
 func LoadOperatorSettings(path string) (*OperatorSettings, error) {
 	var operator OperatorSettings
 	if path == "" {
@@ -35,7 +35,7 @@
 		return nil, fmt.Errorf("parse operators' settings: %w", err)
 	}
 	if undecoded := metadata.Undecoded(); len(undecoded) > 0 {
-		return nil, fmt.Errorf("operators' settings %s: unknown key %q", path, undecoded[0].String())
+		return nil, fmt.Errorf("operators' settings %s: %s: unknown field", path, undecoded[0].String())
 	}
 	if err := operator.validate(); err != nil {
 		return nil, fmt.Errorf("operators' settings %s: %w", path, err)
@@ -65,7 +65,7 @@
 		{"region", o.Region},
 	} {
 		if field.value == "" {
-			found.addf("%s: missing, regions_file, region and region_listen must be set together", field.name)
+			found.addf("%s: missing; regions_file, region and region_listen must be set together", field.name)
 		}
 	}
 	found.address("region_listen", o.RegionListen)
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -125,7 +125,7 @@
 	if lease && cancel && w.CancelS <= w.LeaseS {
 		// An unreachable worker terminates the tasks of a cancelled job only when its lease
 		// expires.
-		found.addf("deployment.workers.cancel_s: must be greater than lease_s, %v, is %v", w.LeaseS, w.CancelS)
+		found.addf("deployment.workers.cancel_s: must be greater than lease_s (%v), is %v", w.LeaseS, w.CancelS)
 	}
 }
 
--- a/internal/core/dependencylist/reader.go
+++ b/internal/core/dependencylist/reader.go
@@ -54,7 +54,9 @@
 	Err error
 }
 
-func (e *UnreadableError) Error() string { return fmt.Sprintf("list record %s: %v", e.Key, e.Err) }
+func (e *UnreadableError) Error() string {
+	return fmt.Sprintf("cannot decode list record %s: %v", e.Key, e.Err)
+}
 
 // Unwrap returns the decoder's error.
 func (e *UnreadableError) Unwrap() error { return e.Err }
--- a/internal/core/reasons.go
+++ b/internal/core/reasons.go
@@ -18,6 +18,6 @@
 // Reasons to step down, in addition to those that package election detects.
 const (
 	stepDownWorkerHigherTerm election.StepDownReason = "a worker has seen a higher term"
-	stepDownPeerHigherTerm   election.StepDownReason = "a peer knows a higher term"
+	stepDownPeerHigherTerm   election.StepDownReason = "a peer has seen a higher term"
 	stepDownTermChanged      election.StepDownReason = "the term has changed"
 )
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -110,7 +110,7 @@
 	offer := request.Offer()
 	if result.DecodeError != nil {
 		// The machines exist; the inventory will find them in the cloud's list.
-		l.core.log.Warn("provisioning response malformed", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot,
+		l.core.log.Warn("cannot decode provisioning response", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot,
 			"error", result.DecodeError)
 	}
 	l.core.log.Info("machines provisioned", "type", offer.Type, "zone", offer.Zone, "spot", offer.Spot,
--- a/internal/core/store_transport.go
+++ b/internal/core/store_transport.go
@@ -33,6 +33,6 @@
 	if !c.store.LowerMaxWrites(writes) {
 		return false
 	}
-	c.log.Info("store rejected transaction; reduced maximum writes per transaction", "writes", c.store.MaxWrites())
+	c.log.Info("store rejected a transaction; reducing the maximum writes per transaction", "writes", c.store.MaxWrites())
 	return true
 }
--- a/internal/hollow/process_usage.go
+++ b/internal/hollow/process_usage.go
@@ -33,7 +33,7 @@
 	// time are the 14th and 15th fields: the 12th and 13th after the name.
 	fields := strings.Fields(string(stat[strings.LastIndexByte(string(stat), ')')+1:]))
 	if len(fields) < 13 {
-		return used, fmt.Errorf("%s/stat: %d fields", dir, len(fields))
+		return used, fmt.Errorf("%s/stat: got %d fields after the command name, want at least 13", dir, len(fields))
 	}
 	for _, field := range fields[11:13] {
 		ticks, err := strconv.ParseInt(field, 10, 64)
--- a/internal/quota/commit.go
+++ b/internal/quota/commit.go
@@ -88,7 +88,7 @@
 func (m *Manager) reduceLimits(writes int) {
 	m.MaxWrites = max(minWrites, writes/2)
 	m.MaxValueBytes = max(minValueBytes, m.MaxValueBytes/2)
-	m.Log.Info("state service rejected a quota transaction, reducing the size of later ones", "max_writes", m.MaxWrites, "max_value_bytes", m.MaxValueBytes)
+	m.Log.Info("store rejected a quota transaction; reducing the size of later ones", "max_writes", m.MaxWrites, "max_value_bytes", m.MaxValueBytes)
 }
 
 // retryPending retries a pending transaction whose outcome is unknown, once the retry is due.
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -122,7 +122,7 @@
 func (m *Manager) onLedgerLoaded(items []wire.Item) {
 	loaded, err := ledger.Load(items)
 	if err != nil {
-		m.Log.Error("quota ledger cannot be decoded, region grants nothing", "region", m.Region, "error", err)
+		m.Log.Error("cannot decode quota ledger; region grants nothing", "region", m.Region, "error", err)
 		m.fenceReason = err.Error()
 		return
 	}
--- a/internal/quota/report/read.go
+++ b/internal/quota/report/read.go
@@ -16,7 +16,7 @@
 
 // ErrNoLedger means that the store has no complete ledger, as in a region that shares no limits
 // with others.
-var ErrNoLedger = errors.New("the state service has no quota ledger")
+var ErrNoLedger = errors.New("the key-value store has no quota ledger")
 
 // Read reads the ledger and the placements from the store at an address. The timeout applies to each
 // request. The error names the prefix or record that could not be read.
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	if kv.StatusOf(response.Status) != kv.OK {
-		return nil, fmt.Errorf("the state service answered with status %d", response.Status)
+		return nil, fmt.Errorf("the key-value store answered with status %d", response.Status)
 	}
 	var page wire.Page
 	if err := json.Unmarshal(response.Body, &page); err != nil {
--- a/internal/wake/registry.go
+++ b/internal/wake/registry.go
@@ -42,7 +42,7 @@
 		return nil, fmt.Errorf("wake registry: %w", err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
-		return nil, fmt.Errorf("wake registry: unknown field %s", unknown[0])
+		return nil, fmt.Errorf("wake registry: %s: unknown field", unknown[0])
 	}
 	if err := registry.validate(); err != nil {
 		return nil, fmt.Errorf("wake registry: %w", err)
@@ -67,10 +67,10 @@
 			problems = append(problems, fmt.Sprintf(format, args...))
 		}
 	}
-	require(r.LeaseSeconds > 0, "lease_s: got %v, must be more than 0", r.LeaseSeconds)
-	require(r.ReplicaLeaseSeconds > r.LeaseSeconds, "copy_lease_s: got %v, must be more than lease_s (%v)", r.ReplicaLeaseSeconds, r.LeaseSeconds)
-	require(r.MaxConcurrentStarts > 0, "max_waking: got %d, must be at least 1", r.MaxConcurrentStarts)
-	require(r.MaxQueuedRequests > 0, "max_waiting: got %d, must be at least 1", r.MaxQueuedRequests)
+	require(r.LeaseSeconds > 0, "lease_s: must be greater than 0, is %v", r.LeaseSeconds)
+	require(r.ReplicaLeaseSeconds > r.LeaseSeconds, "copy_lease_s: must be greater than lease_s (%[2]v), is %[1]v", r.ReplicaLeaseSeconds, r.LeaseSeconds)
+	require(r.MaxConcurrentStarts > 0, "max_waking: must be greater than 0, is %d", r.MaxConcurrentStarts)
+	require(r.MaxQueuedRequests > 0, "max_waiting: must be greater than 0, is %d", r.MaxQueuedRequests)
 	require(len(r.Models) > 0, "models: missing, at least one model is required")
 	seen := map[string]bool{}
 	for i, model := range r.Models {
@@ -78,8 +78,8 @@
 			"models[%d].name: %q is empty, repeated or contains a slash", i, model.Name)
 		seen[model.Name] = true
 		require(len(model.Servers) > 0, "models[%d].servers: missing, at least one server is required", i)
-		require(model.LoadSeconds > 0, "models[%d].load_s: got %v, must be more than 0", i, model.LoadSeconds)
-		require(model.IdleSeconds >= 0, "models[%d].idle_s: got %v, must be at least 0", i, model.IdleSeconds)
+		require(model.LoadSeconds > 0, "models[%d].load_s: must be greater than 0, is %v", i, model.LoadSeconds)
+		require(model.IdleSeconds >= 0, "models[%d].idle_s: must be 0 or greater, is %v", i, model.IdleSeconds)
 	}
 	if len(problems) > 0 {
 		return errors.New(strings.Join(problems, "; "))
--- a/internal/wake/registry_test.go
+++ b/internal/wake/registry_test.go
@@ -26,10 +26,10 @@
 		t.Fatalf("valid registry: got %+v, error %v, want one model whose second server is y:1", r, err)
 	}
 	for _, tc := range []struct{ old, new, want string }{
-		{"max_waking = 2", "max_wakin = 2", "unknown field max_wakin"},
+		{"max_waking = 2", "max_wakin = 2", "max_wakin: unknown field"},
 		{"load_s = 10", "load_s = 0", "models[0].load_s"},
-		{"load_s = 10", "load = 1\nload_s = 10", "unknown field models.load"},
-		{"copy_lease_s = 12", "copy_lease_s = 3", "copy_lease_s: got 3, must be more than lease_s (4)"},
+		{"load_s = 10", "load = 1\nload_s = 10", "models.load: unknown field"},
+		{"copy_lease_s = 12", "copy_lease_s = 3", "copy_lease_s: must be greater than lease_s (4), is 3"},
 		{`servers = ["x:1", "y:1"]`, "", "models[0].servers: missing"},
 		{`name = "a"`, `name = "a/b"`, "models[0].name"},
 		{"max_waiting = 100", "max_waiting = 0", "max_waiting"},
--- a/internal/wake/view.go
+++ b/internal/wake/view.go
@@ -72,7 +72,7 @@
 func decode[T any](log *slog.Logger, item wire.Item) kv.Versioned[T] {
 	decoded, err := kv.Decode[T](item.Value, item.Version)
 	if err != nil {
-		log.Error("store record malformed", "key", item.Key, "error", err)
+		log.Error("cannot decode record", "key", item.Key, "error", err)
 	}
 	return decoded
 }
