--- a/internal/commandlinetest/commandlinetest.go
+++ b/internal/commandlinetest/commandlinetest.go
@@ -1,4 +1,5 @@
-// Package commandlinetest lists the names of a command line, for tests that pin them.
+// Package commandlinetest lists the commands, flags and arguments of a command line. The tests of
+// the commands compare the list with the names that scripts use.
 package commandlinetest
 
 import (
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -27,7 +27,7 @@
 //
 // A user whose cancellation takes longer is asked to retry, immediately if tasks are unreachable.
 // Earlier versions acknowledged a cancellation as soon as the request was recorded: if the store
-// became unavailable right after that, a new leader could not learn of the cancelled jobs and
+// became unavailable right after that, a new leader could not read which jobs were cancelled, and
 // their tasks ran for longer than cancel_s.
 
 // UserRetryPeriod is how long a user retries a request, as defined by the protocol.
--- a/internal/core/frontend_host.go
+++ b/internal/core/frontend_host.go
@@ -62,7 +62,7 @@
 		h.core.leader.applyOpenRecord(job, open.Version, open.Record)
 		return h.core.leader.terminationDelayed(job)
 	case h.core.membership.HasLeaderContact():
-		// The leader learns of the cancellation through its watch or, if the store is currently
+		// The leader receives the cancellation through its watch or, if the store is currently
 		// unavailable to it, from the digest.
 		h.core.sendDigests()
 		return false
--- a/internal/core/heartbeat_forwarding.go
+++ b/internal/core/heartbeat_forwarding.go
@@ -98,8 +98,8 @@
 		return true
 	}
 	if !c.store.Available() && !c.membership.HasPeerContact() {
-		// This controller can neither take part in an election nor learn of a leader. The
-		// worker may have more success with another controller.
+		// This controller can neither take part in an election nor detect a new leader.
+		// Another controller may be able to accept the heartbeat.
 		c.answer(requestID, httpstatus.ServiceUnavailable, nil, 0)
 		return true
 	}
--- a/internal/core/leader_cancellation.go
+++ b/internal/core/leader_cancellation.go
@@ -25,7 +25,7 @@
 	}
 	if record.CancelAcknowledged() {
 		// cancel_s counts from the recorded time of the acknowledgement, if there is one, not
-		// from the time at which this leader learns of it.
+		// from the time at which this leader receives it.
 		acknowledgedAt := l.core.now
 		if record.CancelAcknowledgedAt != 0 {
 			acknowledgedAt = l.monotonicTimeOf(record.CancelAcknowledgedAt, l.core.settings.Deployment.SkewMs)
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -171,7 +171,7 @@
 				t.Errorf("maximum writes per transaction: got %d, want 16, since only the values' limit was lowered", harness.core.store.MaxWrites())
 			}
 			if tc.bytes < 16384 && harness.core.settings.Deployment.Store.Next == nil {
-				// A controller that starts now learns the lower limit from the records.
+				// A controller that starts now derives the lower limit from the records.
 				harness.core.store = kv.NewClient(storeTransport{harness.core}, &harness.core.settings.Deployment)
 				recordedTasks(harness, jobID(0), 300)
 				if harness.core.store.MaxPlacementValue() != kv.SmallValueBytes {
@@ -356,14 +356,14 @@
 		name        string
 		settings    func(*config.Settings)
 		others      int  // further unfinished dependencies
-		late        bool // the leader learns of the dependent after the job's end
+		late        bool // the leader receives the dependent's open record after the job's end
 		maxRejected int
 	}{
 		{"announced", withAnnouncedLimits(5), 0, false, 0},
 		{"not announced", withoutAnnouncedLimits, 0, false, 2},
 		{"more dependencies than one transaction can mark", withAnnouncedLimits(5), 9, false, 0},
 		{"not announced, more dependencies than one transaction can mark", withoutAnnouncedLimits, 9, false, 6},
-		{"the leader learns of the dependent late", withAnnouncedLimits(5), 0, true, 0},
+		{"the leader receives the dependent late", withAnnouncedLimits(5), 0, true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			harness, leader := newLeadingHarness(t, tc.settings)
@@ -389,7 +389,7 @@
 			if request.HasDependents {
 				t.Error("the oversized open record was rewritten with the mark")
 			}
-			learn := func() {
+			applyDependent := func() {
 				item, open := harness.store[records.OpenKey(dependent)]
 				if !open {
 					t.Fatal("the dependent has no open record")
@@ -397,13 +397,13 @@
 				leader.applyOpenRecord(dependent, item.Version, harness.openRecord(dependent))
 			}
 			if !tc.late {
-				learn()
+				applyDependent()
 			}
 			harness.lastRequestID++
 			harness.step(Request{ID: harness.lastRequestID, Method: "POST", Path: "/submissions/" + jobID(1) + "/cancel"})
 			harness.run(3 * time.Second)
 			if tc.late {
-				learn()
+				applyDependent()
 				harness.run(time.Second)
 			}
 			if !request.Cancelled || !request.HasDependents {
--- a/internal/eventqueue/eventqueue.go
+++ b/internal/eventqueue/eventqueue.go
@@ -1,5 +1,6 @@
 // Package eventqueue is a priority queue of the events of a discrete-event simulation, ordered by
 // time. It has no clock and uses no randomness, so that simulations are reproducible.
+// Package sim and the simulation in the tests of package quota use it.
 package eventqueue
 
 import (
--- a/internal/httpserve/server.go
+++ b/internal/httpserve/server.go
@@ -1,6 +1,6 @@
 // Package httpserve is an HTTP server that handles the requests of a connection in sequence. It
 // owns a listener, its connections and a goroutine for each. The activator of sleeping models and
-// the simulated services of the scale run use it; the controllers' front end is in package node.
+// the simulated services of package hollow use it; the controllers' front end is in package node.
 package httpserve
 
 import (
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,10 +1,9 @@
 // Package kv is the interface to the consensus-backed key-value store that holds all state.
 //
 // It owns the store's protocol: paths, status codes, the encoding of values and the typed
-// results of each call. Client adds what a controller learns about the store: its limits and
-// whether it is available. The package has no clock, socket or goroutine: requests are sent by a
-// Transport, and results are passed to callbacks. internal/core, internal/wake and
-// internal/quota use it.
+// results of each call. Client also tracks the store's limits and whether it is available.
+// The package has no clock, socket or goroutine: requests are sent by a Transport, and results are
+// passed to callbacks. internal/core, internal/wake and internal/quota use it.
 package kv
 
 import (
--- a/internal/kv/limits.go
+++ b/internal/kv/limits.go
@@ -65,7 +65,7 @@
 
 // LowerMaxWrites lowers MaxWrites after the store has rejected a transaction with that many
 // writes, since its limits are lower than announced. Otherwise a transaction that is too large
-// would be retried for ever and block those behind it. It reports whether smaller transactions
+// would be retried indefinitely and block those behind it. It reports whether smaller transactions
 // may be accepted. They are not if the transaction had so few writes that every store accepts
 // them: then its values must be the cause.
 func (l *Limits) LowerMaxWrites(writes int) bool {
--- a/internal/loopback/loopbacktest/loopbacktest.go
+++ b/internal/loopback/loopbacktest/loopbacktest.go
@@ -1,4 +1,4 @@
-// Package loopbacktest reserves loopback addresses for tests.
+// Package loopbacktest reserves loopback addresses (package loopback) until the end of a test.
 package loopbacktest
 
 import (
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node runs one controller: evio serves users, workers and peers in one event loop,
+// Package node runs one controller: an event loop (package evio) serves users, workers and peers,
 // clients execute the calls that the core requests, and a ticker advances the core's time. The
 // package owns the controller's sockets and goroutines; the core makes all decisions and is only
 // called under Node's lock. Command brookwalk starts it.
--- a/internal/quota/ledger/records.go
+++ b/internal/quota/ledger/records.go
@@ -4,7 +4,7 @@
 // Over all regions, owned shares and transfers in transit add up to each limit at every moment:
 // one transaction debits a transfer's shares at its source and records the transfer there, and
 // one credits them at its destination and records the transfer's number. The package builds these
-// transactions and applies their outcome. It does no I/O, has no clock and takes no decisions:
+// transactions and applies their outcome. It does no I/O, has no clock and makes no decisions:
 // package quota decides and commits the transactions, and package report only reads the records.
 // The package owns the keys below Prefix. docs/design-quota.md compares the alternatives.
 package ledger
--- a/internal/quota/plan/plan.go
+++ b/internal/quota/plan/plan.go
@@ -1,5 +1,5 @@
-// Package plan reads the regions file (deploy/regions.toml), which lists the regions and divides
-// the teams' limits initially among them.
+// Package plan reads the regions file (deploy/regions.toml), which lists the regions and the
+// initial division of the teams' limits among them.
 //
 // It defines the file's format and validates it, and does nothing else. Controllers read the file
 // when they start; the ledger (package ledger) then records the current shares. docs/quota.md
--- a/internal/quota/ports.go
+++ b/internal/quota/ports.go
@@ -1,4 +1,5 @@
-// Package quota enforces the limits of teams over any number of regions, whatever fails.
+// Package quota enforces the limits of teams over any number of regions, even when controllers,
+// stores or links between regions fail.
 //
 // Each region owns a share of every team's limit and grants only within it. Shares move between
 // regions by transfers that are debited at their source before they are sent, and credited once
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -273,7 +273,7 @@
 	r.sim.after(duration, paused.resume)
 }
 
-// end ends tasks. The leader learns of their end after a delay.
+// end ends tasks. The leader detects their end after a delay.
 func (r *simRegion) end(team string, size amount.Amount) {
 	r.used[team] = r.used[team].Sub(size)
 	if r.sim.optimistic {
--- a/internal/quota/workload_test.go
+++ b/internal/quota/workload_test.go
@@ -76,8 +76,8 @@
 	w.sim.after(time.Duration(gap*float64(time.Second)), w.arrive)
 }
 
-// ended is called when a task's leader learns that the task has ended. The region that grants for
-// all learns of it at the same time.
+// ended is called when a task's leader detects that the task has ended. The region that grants
+// for all detects it at the same time.
 func (w *workload) ended(team string, size amount.Amount) {
 	w.granted[team] = w.granted[team].Sub(size)
 }
