--- a/internal/sim/dependency_graph_test.go
+++ b/internal/sim/dependency_graph_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// graphSetup is a fleet that is large enough for the graphs below.
+// graphSetup begins a scenario whose fleet is large enough for the graphs below.
 const graphSetup = `
 seed %d
 workers report=1.5 lease=10 cancel=35
@@ -14,8 +14,8 @@
 type small cpus=8 mem=32 boot=10 cap=6
 `
 
-// writeSubmissions writes the submissions of a graph, each as soon as the dependencies are accepted.
-// rootOptions are options of the first job. Jobs are numbered from 1.
+// writeSubmissions writes the submissions of a graph's jobs, which are numbered from 1. Each job is
+// submitted as soon as its dependencies are accepted. rootOptions are options of the first job.
 func writeSubmissions(text *strings.Builder, graph dependencyGraph, rootOptions string) {
 	for n, list := range graph {
 		fmt.Fprintf(text, "at 1 submit job-%06d tasks=1 image_gb=0 run=%d", n+1, 2+n%3)
@@ -29,13 +29,15 @@
 	}
 }
 
-// longDependencyList is more dependencies than an open record holds where values are small.
+// longDependencyList is the length of a dependency list that does not fit into one open record when
+// the store's value size limit is small.
 const longDependencyList = 180
 
-// dependencyGraph lists the dependencies of each job by number.
+// dependencyGraph holds, for each job by index, the indexes of its dependencies.
 type dependencyGraph [][]int
 
-// dependencyGraphs are graphs of several kinds with a number of jobs; one of them has more.
+// dependencyGraphs returns graphs of several kinds by name. Each has the given number of jobs, except
+// for the graph of one job with all dependencies, which has longDependencyList+1.
 func dependencyGraphs(jobs int) map[string]dependencyGraph {
 	chain, oneForAll, layers := make(dependencyGraph, jobs), make(dependencyGraph, jobs), make(dependencyGraph, jobs)
 	allForOne := make(dependencyGraph, longDependencyList+1)
@@ -53,7 +55,8 @@
 	return map[string]dependencyGraph{"chain": chain, "one dependency of all": oneForAll, "layers": layers, "one with all dependencies": allForOne}
 }
 
-// dependentsOfRoot reports for each job whether it is the first one or depends on it.
+// dependentsOfRoot reports for each job whether it is the first job or depends on it, directly or
+// indirectly.
 func (g dependencyGraph) dependentsOfRoot() []bool {
 	isDependent := make([]bool, len(g))
 	isDependent[0] = true
@@ -66,9 +69,10 @@
 }
 
 // TestCancelledGraphs cancels the root of large graphs while its task runs and faults are injected.
-// Every job that depends on it is cancelled at the end, and the rules hold throughout: no job starts
-// early, no job is said to run too long after its user was told of the root. Transactions beyond limits
-// that fall without notice are sent only a few times.
+// At the end every job that depends on the root must be cancelled. Throughout, no job may start before
+// its dependencies are done, or be reported as running for longer than the cancellation timeout after
+// the root was reported as cancelled. When the store's limits are reduced without announcement, only a
+// few transactions may exceed them.
 func TestCancelledGraphs(t *testing.T) {
 	faults := map[string]string{
 		"none":               "",
@@ -91,7 +95,7 @@
 	})
 }
 
-// TestFinishedGraphs runs large graphs to their ends under faults.
+// TestFinishedGraphs checks that all jobs of large graphs are done in spite of faults.
 func TestFinishedGraphs(t *testing.T) {
 	faults := map[string]string{
 		"none":               "",
@@ -112,13 +116,13 @@
 	})
 }
 
-// playGraphs plays graphs of every kind with each of the faults, whose lines are given by name. write
-// writes the rest of the scenario.
+// playGraphs runs a scenario for each kind of graph and each fault. faults holds the lines of each
+// fault by its name; write writes the rest of the scenario.
 func playGraphs(t *testing.T, jobs int, faults map[string]string, write func(*strings.Builder, dependencyGraph)) {
 	t.Helper()
 	for kind, graph := range dependencyGraphs(jobs) {
-		for fault, lines := range faults {
-			t.Run(kind+"/"+fault, func(t *testing.T) {
+		for faultName, lines := range faults {
+			t.Run(kind+"/"+faultName, func(t *testing.T) {
 				t.Parallel()
 				var text strings.Builder
 				fmt.Fprintf(&text, graphSetup, 1)
@@ -130,21 +134,21 @@
 	}
 }
 
-// maxRejected is how many transactions beyond limits that fell without notice may be sent: a few by
-// each controller until it has detected the limits.
+// maxRejected is how many transactions the store may reject after its limits were reduced without
+// announcement: each controller sends a few until it has detected the new limits.
 const maxRejected = 40
 
-// maxReported is how many faults of a graph are reported.
+// maxReported limits the failures that are reported for one graph.
 const maxReported = 6
 
-// playGraph plays a scenario and checks how many transactions the key-value store rejected.
+// playGraph runs a scenario and checks how many transactions the key-value store rejected.
 func playGraph(t *testing.T, text string) {
 	t.Helper()
-	world, faults := parseScenario(t, text).Run(testLog())
-	for _, fault := range faults[:min(len(faults), maxReported)] {
-		t.Error(fault)
+	world, failures := parseScenario(t, text).Run(testLog())
+	for _, failure := range failures[:min(len(failures), maxReported)] {
+		t.Error(failure)
 	}
 	if world.store.rejected > maxRejected {
-		t.Errorf("%d transactions beyond the limits, want at most %d", world.store.rejected, maxRejected)
+		t.Errorf("transactions rejected by the store: got %d, want at most %d", world.store.rejected, maxRejected)
 	}
 }
--- a/internal/sim/fault_pairs_test.go
+++ b/internal/sim/fault_pairs_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// faultPairSetup has two teams with a guarantee and a best-effort team.
+// faultPairSetup has two teams with a guarantee, and team g, which is best-effort.
 const faultPairSetup = `
 team t gpus=8 gpus_max=24
 team u gpus=8 gpus_max=16
@@ -16,22 +16,22 @@
 wait web within=2
 `
 
-// When the two faults of a faultPairDay begin, in seconds, and when the day ends.
+// Start times of the two faults of a scenario, and its end, in seconds.
 const (
 	firstFaultAt      = 40
-	secondFaultAt     = 50 // at the earliest, at the latest by secondFaultSpread later
+	secondFaultAt     = 50 // earliest start; the latest is secondFaultSpread later
 	secondFaultSpread = 50
 	faultPairEnd      = 480
 )
 
-// faultKind writes a fault that begins at a time in seconds.
+// faultKind is a kind of fault. write adds one that begins at a time in seconds to a scenario.
 type faultKind struct {
 	name  string
 	write func(d *dayWriter, at float64)
 }
 
-// faultKinds are the faults that operators met, and those of overlappingFaultsDay that they met with
-// them.
+// faultKinds are the faults that occurred in production, and those of overlappingFaultsDay that occurred
+// together with them.
 var faultKinds = []faultKind{
 	{"delayed boots of a type", func(d *dayWriter, at float64) {
 		d.event(at, "lateboot type=%s factor=%d for=%d", d.pick("small", "big"), d.between(2, 5), d.between(40, 120))
@@ -113,8 +113,8 @@
 	}},
 }
 
-// faultPair returns the pair of faults of a number: each fault with itself and every later one. The
-// numbers begin anew after the last pair.
+// faultPair returns the pair of fault kinds with a number. The pairs are each kind with itself and with
+// every later one; after the last pair, the numbering starts over.
 func faultPair(number uint64) (first, second faultKind) {
 	n := number % uint64(len(faultKinds)*(len(faultKinds)+1)/2)
 	for i := range faultKinds {
@@ -124,10 +124,11 @@
 		}
 		n -= row
 	}
-	panic("no such pair")
+	panic("fault pair number out of range")
 }
 
-// faultPairDay writes a day on which two faults overlap: the second begins a while after the first.
+// faultPairDay generates a scenario in which two faults overlap: the second begins 0 to 60 s after the
+// first. name names both faults.
 func faultPairDay(seed uint64) (name, text string) {
 	first, second := faultPair(seed)
 	day := &dayWriter{rng: rand.New(rand.NewPCG(seed, 17))}
@@ -141,7 +142,7 @@
 	return first.name + ", " + second.name, day.String()
 }
 
-// writeUsualWork submits jobs of all shapes, of which users cancel a few.
+// writeUsualWork writes submissions of jobs of all shapes, and cancellations of a few of them.
 func (d *dayWriter) writeUsualWork() {
 	for range 24 {
 		at, id := 150*d.rng.Float64(), d.newJobID()
@@ -165,8 +166,9 @@
 	}
 }
 
-// TestFaultPairs plays days on which two of the faults that operators met overlap: a sample of the
-// pairs, or as many days as BROOKWALK_SOAK says, each pair with other random numbers.
+// TestFaultPairs runs scenarios in which two of the faults that occurred in production overlap: a
+// sample of the pairs, or as many scenarios as BROOKWALK_SOAK sets. A pair that is run again gets
+// another seed.
 func TestFaultPairs(t *testing.T) {
 	days := uint64(soakDays(42))
 	step := max(1, uint64(len(faultKinds)*(len(faultKinds)+1)/2)/days)
--- a/internal/sim/fingerprint_test.go
+++ b/internal/sim/fingerprint_test.go
@@ -17,21 +17,21 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// A fingerprint is a hash over all that the controllers of a simulated day do: every answer,
-// call and message with its time. Log lines do not count. Two builds whose fingerprints are
-// equal behaved the same on that day, so refactoring is checked by them:
+// A fingerprint is a hash over the outputs of all controllers in a simulated scenario: every answer,
+// call and message with its time, but no log lines. Two builds with equal fingerprints behaved the
+// same in that scenario, which verifies that a refactoring changed no behavior:
 //
 //	BROOKWALK_FINGERPRINTS=7 go test ./internal/sim -run TestFingerprints -v
 //
-// prints those of seven days of each kind, one a line.
+// prints the fingerprints of seven scenarios of each kind, one per line.
 type fingerprint struct{ hash.Hash }
 
 func newFingerprint() fingerprint { return fingerprint{sha256.New()} }
 
-// add hashes values. Structures are hashed by their fields' values alone.
+// add hashes values. Of a struct, only the values of the fields are hashed, not their names.
 func (f fingerprint) add(values ...any) { f.Write(fmt.Appendf(nil, "%v\n", values)) }
 
-// addJSON hashes a message as JSON, in which maps are sorted.
+// addJSON hashes a message as JSON, which sorts the keys of maps.
 func (f fingerprint) addJSON(message any) {
 	text, err := json.Marshal(message)
 	if err != nil {
@@ -42,7 +42,7 @@
 
 func (f fingerprint) String() string { return hex.EncodeToString(f.Sum(nil)[:12]) }
 
-// recordCores hashes all outputs of the world's cores.
+// recordCores makes f hash all outputs of the world's cores from now on.
 func (f fingerprint) recordCores(world *World) {
 	world.mutate = func(controller *controller, out *core.Output) {
 		for _, a := range out.Answers {
@@ -62,7 +62,8 @@
 	}
 }
 
-// fingerprintKinds are the kinds of random days, each with a function that plays one.
+// fingerprintKinds are the kinds of random scenarios. play runs the one with a seed and returns its
+// fingerprint.
 var fingerprintKinds = []struct {
 	name string
 	play func(t *testing.T, seed uint64) string
@@ -79,14 +80,14 @@
 	{"wake", wakeFingerprint},
 }
 
-// grownDay writes a day of TestSoakGrown with at most 48 machines.
+// grownDay generates a scenario as in TestSoakGrown, with at most 48 machines.
 func grownDay(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	controllers := fmt.Sprint("controllers ", 3+2*rng.IntN(2))
 	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(rng, 200)...)...)
 }
 
-// fleetDay writes a day of TestSoakFleet at its smallest size.
+// fleetDay generates a scenario as in TestSoakFleet, at its smallest size.
 func fleetDay(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*rng.IntN(2))}
@@ -126,8 +127,8 @@
 	return f.String()
 }
 
-// TestFingerprints plays days twice. What the controllers do may depend on the seed only. With
-// BROOKWALK_FINGERPRINTS it prints the days' fingerprints instead.
+// TestFingerprints runs each scenario twice: the behavior of the controllers may depend on the seed
+// only. With BROOKWALK_FINGERPRINTS it runs each once and prints the fingerprints.
 func TestFingerprints(t *testing.T) {
 	seeds, print := 1, false
 	if v, err := strconv.Atoi(os.Getenv("BROOKWALK_FINGERPRINTS")); err == nil {
@@ -141,13 +142,13 @@
 				name := fmt.Sprint(kind.name, " ", seed+1)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					day := kind.play(t, seed+1)
-					if !print && kind.play(t, seed+1) != day {
-						t.Error("the same seed gives another day")
+					first := kind.play(t, seed+1)
+					if !print && kind.play(t, seed+1) != first {
+						t.Error("fingerprints of two runs with the same seed differ")
 					}
 					mu.Lock()
 					defer mu.Unlock()
-					found[name] = day
+					found[name] = first
 				})
 			}
 		}
@@ -163,6 +164,6 @@
 		}
 	}
 	if len(different) != len(found) {
-		t.Errorf("%d days have %d fingerprints", len(found), len(different))
+		t.Errorf("different fingerprints of %d scenarios: got %d, want one per scenario", len(found), len(different))
 	}
 }
--- a/internal/sim/fleet_scenarios_test.go
+++ b/internal/sim/fleet_scenarios_test.go
@@ -6,12 +6,12 @@
 	"strings"
 )
 
-// grownFleetScenario writes a scenario of a fleet of a number of machines: services, arrays and wide
-// gangs of several teams, in proportion to the fleet.
+// grownFleetScenario generates a scenario for a fleet with a number of machines. Two teams submit
+// services, arrays and wide gangs in proportion to the size of the fleet. faults are added as lines.
 func grownFleetScenario(machines int, seed uint64, until int, faults ...string) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	var text strings.Builder
-	perOffer := (machines + 11) / 12 // machines of a type and zone, spot or not
+	perOffer := (machines + 11) / 12 // machines for each combination of type, zone and spot or on-demand
 	gpus := float64(machines)
 	fmt.Fprintf(&text, "seed %d\nuntil %d\n", seed, until)
 	fmt.Fprintf(&text, "team t gpus=%g gpus_max=%g\nteam u gpus=%g gpus_max=%g\n", 1.5*gpus, 4*gpus, 1.5*gpus, 4*gpus)
@@ -52,11 +52,11 @@
 	return text.String()
 }
 
-// randomFleetFaults writes random faults that overlap, for a fleet.
+// randomFleetFaults returns the lines of random faults that overlap and begin before a time in seconds.
 func randomFleetFaults(rng *rand.Rand, until int) []string {
-	const from = 30 // seconds; the fleet is up by then
+	const from = 30 // seconds; gives the first machines time to boot
 	var lines []string
-	who := func() string { return []string{"leader", "follower", "all", "leader"}[rng.IntN(4)] }
+	controllers := func() string { return []string{"leader", "follower", "all", "leader"}[rng.IntN(4)] }
 	zone := func() string { return "zone:" + []string{"east", "north", "west"}[rng.IntN(3)] }
 	for range 7 {
 		at, duration := from+rng.IntN(until-from), 5+rng.IntN(45)
@@ -66,7 +66,7 @@
 		}
 		switch rng.IntN(8) {
 		case 0:
-			add("crash %s for=%g", who(), []float64{0.2, 3, 10}[rng.IntN(3)])
+			add("crash %s for=%g", controllers(), []float64{0.2, 3, 10}[rng.IntN(3)])
 		case 1, 2:
 			isolated := zone()
 			for _, other := range []string{"zone:east", "zone:north", "zone:west", "state", "cloud"} {
@@ -92,7 +92,7 @@
 	return lines
 }
 
-// massMachineFaults writes faults of hundreds of machines at once.
+// massMachineFaults returns the lines of faults that each affect 10 to 50 % of the machines at once.
 func massMachineFaults(rng *rand.Rand, from, to int) []string {
 	var lines []string
 	for range 3 {
@@ -102,9 +102,9 @@
 	return lines
 }
 
-// startupWaveScenario writes a scenario of the start of a large fleet: hundreds of small services
-// spread over zones, for which all machines are rented at once. At scale 1 there are some 1,000
-// machines at the most.
+// startupWaveScenario generates a scenario in which a large fleet starts up: hundreds of small services
+// that are spread over zones cause all machines to be rented at once. Scale 1 allows about 1,000
+// machines.
 func startupWaveScenario(scale float64, until int, faults ...string) string {
 	w := &waveWriter{dayWriter: dayWriter{rng: rand.New(rand.NewPCG(1, 11))}, scale: scale, until: until}
 	w.writeSetup()
@@ -116,14 +116,14 @@
 	return w.String()
 }
 
-// waveWriter writes a startupWaveScenario.
+// waveWriter generates the text of a startupWaveScenario.
 type waveWriter struct {
 	dayWriter
 	scale float64
 	until int // in seconds
 }
 
-// scaled is a count at the scale of the scenario.
+// scaled multiplies a count by the scale of the scenario.
 func (w *waveWriter) scaled(count float64) int { return int(count * w.scale) }
 
 func (w *waveWriter) writeSetup() {
@@ -136,7 +136,7 @@
 	w.WriteString("wait gate within=1\nwait chat within=30\nwait wide within=100\n")
 }
 
-// writeStart writes the submissions of the first seconds.
+// writeStart writes the submissions of the startup phase.
 func (w *waveWriter) writeStart() {
 	for range w.scaled(650) {
 		w.submitGate(w.firstSeconds())
@@ -154,7 +154,7 @@
 	}
 }
 
-// writeSteadyLoad writes the submissions of the time after that.
+// writeSteadyLoad writes the submissions that follow the startup phase.
 func (w *waveWriter) writeSteadyLoad() {
 	for at := 5; at < w.until-10; at++ {
 		if w.rng.Float64() < 0.68*w.scale {
@@ -166,9 +166,10 @@
 	}
 }
 
+// firstSeconds returns a random time in the startup phase.
 func (w *waveWriter) firstSeconds() float64 { return 1 + 3*w.rng.Float64() }
 
-// submit writes a submission, and the cancellation of every eighth job.
+// submit writes the submission of a job and, with a probability of 1/8, its cancellation.
 func (w *waveWriter) submit(at float64, format string, args ...any) {
 	id := w.newJobID()
 	w.event(at, "submit %s team=%s %s", id, w.pick("t", "u"), fmt.Sprintf(format, args...))
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -8,7 +8,7 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// startedJobs is how many accepted jobs are finished or run, and how many are accepted.
+// startedJobs returns how many accepted jobs are running or finished, and how many jobs are accepted.
 func (w *World) startedJobs() (started, accepted int) {
 	for _, id := range w.users.sortedIDs() {
 		job := w.users.jobs[id]
@@ -23,8 +23,8 @@
 	return started, accepted
 }
 
-// TestSoakFleet plays random days of a large fleet on which hundreds of machines fail at once,
-// beside partitions, crashes and duplicate heartbeats.
+// TestSoakFleet runs random scenarios of a large fleet in which up to hundreds of machines fail at once,
+// together with partitions, crashes and duplicate heartbeats.
 func TestSoakFleet(t *testing.T) {
 	for _, seed := range soakSeeds(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -36,17 +36,18 @@
 			lines = append(lines, massMachineFaults(rng, 40, 130)...)
 			world := playScenario(t, startupWaveScenario(scale, 200, lines...))
 			if started, accepted := world.startedJobs(); started*2 < accepted {
-				t.Errorf("%d of %d jobs have started", started, accepted)
+				t.Errorf("started jobs: got %d of %d accepted, want at least half", started, accepted)
 			}
 		})
 	}
 }
 
-// TestSoakGrown plays random days of a larger fleet with five controllers and wide gangs.
+// TestSoakGrown runs random scenarios of fleets of several sizes with three or five controllers and wide
+// gangs.
 func TestSoakGrown(t *testing.T) {
-	// Seed 91 once ran a task twice: a worker whose lease a leader that had stepped down
-	// extended heard of the new term from a direct command, while the new leader counted its
-	// lease from a delayed copy of a heartbeat.
+	// Seed 91 ran a task twice: a leader that had already stepped down extended a worker's lease,
+	// the worker learned the new term from a direct command, and the new leader computed the
+	// worker's lease from a delayed duplicate of a heartbeat.
 	for _, seed := range soakSeeds(4, 91) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
@@ -56,29 +57,29 @@
 			world := playScenario(t, grownFleetScenario(machines, seed, 280, lines...))
 			started, _ := world.startedJobs()
 			if all := len(world.users.jobs); started*2 < all {
-				t.Errorf("%d of %d jobs have started", started, all)
+				t.Errorf("started jobs: got %d of %d submitted, want at least half", started, all)
 			}
 		})
 	}
 }
 
-// TestWaveCost plays the start of a large fleet at two sizes. The decisions may look at machines in
-// proportion to machines and jobs, not more: a pass for every job over every task of every machine
-// once took more than a tick at 1,500 machines.
+// TestWaveCost starts up a large fleet at two sizes. The number of machine evaluations may grow in
+// proportion to machines times jobs, but not faster: a loop over every task of every machine for every
+// job took more than a tick at 1,500 machines.
 func TestWaveCost(t *testing.T) {
 	if small, large := evaluationsPerPair(t, 300), evaluationsPerPair(t, 1500); large > 2*small {
-		t.Errorf("%.0f evaluations for each machine and job at 1,500, %.0f at 300", large, small)
+		t.Errorf("evaluations per machine and job with 1,500 machines: got %.0f, want at most twice the %.0f with 300", large, small)
 	}
 }
 
-// evaluationsPerPair plays the start of a fleet of some machines and returns how often the leader
-// looked at a machine for a decision, divided by the product of machines and jobs.
+// evaluationsPerPair starts up a fleet with about the given number of machines. It returns how often the
+// leader evaluated a machine for a placement, divided by the product of machines and jobs.
 func evaluationsPerPair(t *testing.T, machines int) float64 {
 	t.Helper()
 	world := playScenario(t, startupWaveScenario(float64(machines)/1000, 60))
 	leader := world.leader()
 	if leader == nil || leader.core.(*core.Core).Evaluations() == 0 {
-		t.Fatal("there is no leader")
+		t.Fatal("no leader, or a leader without evaluations, at the end")
 	}
 	wanted, running := 0, 0
 	for _, id := range world.users.sortedIDs() {
@@ -87,7 +88,7 @@
 		}
 	}
 	if running*20 < wanted*19 {
-		t.Errorf("%d machines: %d of %d replicas run", machines, running, wanted)
+		t.Errorf("%d machines: got %d of %d replicas running, want at least 95%%", machines, running, wanted)
 	}
 	return float64(leader.core.(*core.Core).Evaluations()) / float64(len(world.cloud.machines)*len(world.users.jobs))
 }
@@ -99,14 +100,14 @@
 	}
 }
 
-// BenchmarkGrown plays 200 s of fleets of several sizes.
+// BenchmarkGrown simulates 200 s of fleets of several sizes.
 func BenchmarkGrown(b *testing.B) {
 	for _, machines := range []int{50, 300, 800, 1500, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkScenario(b, grownFleetScenario(machines, 1, 200)) })
 	}
 }
 
-// BenchmarkWave plays the first 90 s of large fleets.
+// BenchmarkWave simulates the first 90 s of the startup of large fleets.
 func BenchmarkWave(b *testing.B) {
 	for _, machines := range []int{300, 1000, 1500, 4200} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkScenario(b, startupWaveScenario(float64(machines)/1000, 90)) })
--- a/internal/sim/huge_array_test.go
+++ b/internal/sim/huge_array_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// hugeArray is an array of as many tasks as the protocol allows, beside a service, on some 1,400
-// machines; the leader crashes while it runs.
+// hugeArray is a scenario with an array of the maximum number of tasks and a service, on some 1,400
+// machines. The leader crashes while the array runs.
 const hugeArray = `
 seed 1
 team t
@@ -20,12 +20,12 @@
 expect expired most=0
 `
 
-// TestHugeArray plays an array of 100,000 tasks to its end. The stand-ins once sorted all of a job's
-// tasks at each start, and took 505 s for it.
+// TestHugeArray runs an array of 100,000 tasks to completion. The simulation used to sort all tasks of a
+// job at each task start, which took 505 s.
 func TestHugeArray(t *testing.T) {
 	t.Parallel()
 	world := playScenario(t, hugeArray)
 	if world.cloud.rentedTotal < 1000 {
-		t.Errorf("%d machines were rented", world.cloud.rentedTotal)
+		t.Errorf("rented machines: got %d, want at least 1000", world.cloud.rentedTotal)
 	}
 }
--- a/internal/sim/large_fleet_test.go
+++ b/internal/sim/large_fleet_test.go
@@ -9,9 +9,9 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// TestFourThousandMachines boots a fleet of 4,200 machines, on which users poll many times as often,
-// the leader is paused for 90 s, most machines of a zone are lost and the next leader crashes. No rule
-// may be violated and the fleet has to serve again.
+// TestFourThousandMachines boots a fleet of 4,200 machines. Then users poll 8 times as often, the leader
+// is paused for 90 s, 70 % of the machines of a zone are lost and the next leader crashes. No rule may be
+// violated, and at least 99 % of the replicas must run at the end.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	const replicas, services = 100, 42
@@ -30,25 +30,25 @@
 	scenario := parseScenario(t, text.String())
 	world := scenario.newWorld(slog.New(slog.DiscardHandler))
 	longestStep, machines := 0, 0
-	evaluations := map[*controller]int{}                 // of each controller, at its last step
-	world.mutate = func(c *controller, _ *core.Output) { // changes nothing
+	evaluations := map[*controller]int{}                 // of each controller up to its last step
+	world.mutate = func(c *controller, _ *core.Output) { // records only
 		now := c.core.(*core.Core).Evaluations()
 		longestStep = max(longestStep, now-evaluations[c])
 		evaluations[c] = now
 	}
 	world.after(seconds(100), func() { machines = world.cloud.rentedMachines("") })
-	for _, fault := range scenario.finish(world) {
-		t.Error(fault)
+	for _, failure := range scenario.finish(world) {
+		t.Error(failure)
 	}
 	running := 0
 	for i := range services {
 		running += world.runningTasks(fmt.Sprintf("job-%06d", i+1))
 	}
-	t.Logf("%d machines, %d evaluations in the longest step, %d replicas run at the end", machines, longestStep, running)
+	t.Logf("%d machines after 100 s, at most %d evaluations in one step, %d replicas running at the end", machines, longestStep, running)
 	if machines < replicas*services {
-		t.Errorf("%d machines", machines)
+		t.Errorf("machines after 100 s: got %d, want at least 4200", machines)
 	}
 	if running < replicas*services*99/100 {
-		t.Errorf("%d of %d replicas run at the end", running, replicas*services)
+		t.Errorf("replicas running at the end: got %d of %d, want at least 99%%", running, replicas*services)
 	}
 }
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -11,8 +11,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// misbehavingController is a controller that accepts every job and makes every worker start the first
-// task of each.
+// misbehavingController is a Process that accepts every job and commands every worker to start the
+// first task of each job.
 type misbehavingController struct {
 	live *Live
 	jobs []string
@@ -21,7 +21,7 @@
 func (*misbehavingController) Start() {}
 func (*misbehavingController) Kill()  {}
 
-// Ask answers from another goroutine, as a process does.
+// Ask answers from another goroutine, as a real process does.
 func (c *misbehavingController) Ask(from, method, path string, body []byte, _ time.Duration, done func(core.Answer)) {
 	answer := core.Answer{Status: 200}
 	if path == heartbeatPath {
@@ -39,7 +39,7 @@
 	go c.live.Do(func() { done(answer) })
 }
 
-// TestLiveChecksRules plays a live world around a controller that makes two workers run one task. The
+// TestLiveChecksRules runs a live world with a controller that makes two workers run the same task. The
 // checker has to report it.
 func TestLiveChecksRules(t *testing.T) {
 	settings := defaultSettings()
@@ -60,7 +60,7 @@
 	var violations []string
 	live.Do(func() { violations = live.Counts().Violations })
 	if len(violations) == 0 || !strings.HasPrefix(violations[0], "ran_twice") {
-		t.Errorf("found %v, want ran_twice", violations)
+		t.Errorf("violations: got %v, want ran_twice first", violations)
 	}
 }
 
--- a/internal/sim/one_type_test.go
+++ b/internal/sim/one_type_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// oneTypeDay writes a random day of a deployment with one type of machine: gangs that take whole
-// machines of one zone beside small services that are spread over zones, teams with guarantees beyond
-// the on-demand machines, and more images than a machine's cache holds. The settings differ from day
-// to day as well, so that the code depends on none of their values.
+// oneTypeDay generates a random scenario of a deployment with a single machine type: gangs that need
+// whole machines in one zone, small services that are spread over zones, teams whose guarantees exceed
+// the on-demand machines, and more images than a machine's cache holds. The settings are random too,
+// which reveals code that depends on particular values.
 func oneTypeDay(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	var text strings.Builder
-	pick := func(of ...float64) float64 { return of[rng.IntN(len(of))] }
+	pick := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
 	report := pick(0.5, 1, 2, 3)
 	lease := max(report*pick(4, 8, 16), 5)
 	fmt.Fprintf(&text, "seed %d\nuntil 540\ncontrollers %d\n", seed, []int{3, 5}[rng.IntN(2)])
@@ -59,9 +59,9 @@
 	return text.String()
 }
 
-// TestOneType plays random days of such a deployment.
+// TestOneType runs random scenarios of a deployment with a single machine type.
 func TestOneType(t *testing.T) {
-	// On seed 474 a gang of whole machines once never began: replicas were scattered over all
-	// machines that the cloud had.
+	// With seed 474 a gang that needs whole machines never started: replicas were scattered over
+	// all machines that the cloud had.
 	playSeeds(t, soakSeeds(25, 474), oneTypeDay)
 }
--- a/internal/sim/rental_test.go
+++ b/internal/sim/rental_test.go
@@ -6,11 +6,11 @@
 	"testing"
 )
 
-// TestExpensiveTypeIsRented submits thousands of tasks while the cloud has no machine of the cheap
-// type and plenty of an expensive one. The plan has to rent the expensive one as fast as the cloud
-// allows. Plans that looked at each machine for each task once came so rarely that the refusal of
-// the cheap type was forgotten before each of them, so that it was requested again and again and
-// nearly nothing was rented of the other one for minutes.
+// TestExpensiveTypeIsRented submits thousands of tasks while the cloud has no machines of the cheap
+// type but plenty of an expensive one, which must be rented as fast as the cloud's rate limit allows.
+// When planning evaluated each machine for each task, it ran so rarely that the refusal of the cheap
+// type had expired before each run: the cheap type was requested again and again, and almost no
+// machine of the expensive type was rented for minutes.
 func TestExpensiveTypeIsRented(t *testing.T) {
 	const jobs, tasksOfJob, tasksOfMachine = 100, 100, 8
 	var text strings.Builder
@@ -22,6 +22,6 @@
 	}
 	world := playScenario(t, text.String())
 	if want := jobs * tasksOfJob / tasksOfMachine; world.cloud.rentedTotal < want {
-		t.Errorf("%d machines rented within 30 s, %d wanted", world.cloud.rentedTotal, want)
+		t.Errorf("machines rented within 30 s: got %d, want at least %d", world.cloud.rentedTotal, want)
 	}
 }
