--- a/internal/sim/dependency_graph_test.go
+++ b/internal/sim/dependency_graph_test.go
@@ -17,12 +17,12 @@
 // writeSubmissions writes the submissions of a graph's jobs, which are numbered from 1. Each job is
 // submitted as soon as its dependencies are accepted. rootOptions are options of the first job.
 func writeSubmissions(text *strings.Builder, graph dependencyGraph, rootOptions string) {
-	for n, list := range graph {
+	for n, dependencies := range graph {
 		fmt.Fprintf(text, "at 1 submit job-%06d tasks=1 image_gb=0 run=%d", n+1, 2+n%3)
 		if n == 0 {
 			fmt.Fprintf(text, " %s", rootOptions)
 		}
-		for i, dependency := range list {
+		for i, dependency := range dependencies {
 			fmt.Fprintf(text, "%s%06d", []string{" awaits=job-", ",job-"}[min(i, 1)], dependency+1)
 		}
 		text.WriteByte('\n')
@@ -60,8 +60,8 @@
 func (g dependencyGraph) dependentsOfRoot() []bool {
 	isDependent := make([]bool, len(g))
 	isDependent[0] = true
-	for n, list := range g {
-		for _, dependency := range list {
+	for n, dependencies := range g {
+		for _, dependency := range dependencies {
 			isDependent[n] = isDependent[n] || isDependent[dependency]
 		}
 	}
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -13,8 +13,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pipelinesDay writes a scenario of chains, diamonds and long lists of dependent jobs, with
-// cancellations, overlapping faults and limits of the key-value store that may fall.
+// pipelinesDay generates a scenario of chains, diamonds and long lists of dependent jobs, with
+// cancellations and overlapping faults. In half of the scenarios the store's limits are reduced.
 func pipelinesDay(seed uint64) string {
 	d := &dayWriter{rng: rand.New(rand.NewPCG(seed, 13))}
 	d.printf("seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[d.rng.IntN(2)], soakSetup)
@@ -31,8 +31,8 @@
 	return d.String()
 }
 
-// pipeline writes a pipeline of jobs and returns their IDs, and that of an earlier job that it
-// depends on.
+// pipeline writes the submissions of a pipeline of jobs and returns their IDs. The pipeline may depend
+// on one of the earlier jobs, whose ID is returned too.
 func (d *dayWriter) pipeline(earlier []string) []string {
 	at := 1 + 120*d.rng.Float64()
 	ids := []string{d.stage(at, nil)}
@@ -59,7 +59,7 @@
 	}
 }
 
-// stage writes the submission of a job with dependencies, and returns its ID.
+// stage writes the submission of a job with dependencies and returns the job's ID.
 func (d *dayWriter) stage(at float64, dependencies []string) string {
 	id := d.newJobID()
 	d.event(at, "%s", d.stageText(id, dependencies))
@@ -67,7 +67,8 @@
 	return id
 }
 
-// lastStage writes the submission of a pipeline's last job, which has a deadline.
+// lastStage writes the submission of a pipeline's last job, which has a deadline, and returns the job's
+// ID.
 func (d *dayWriter) lastStage(at float64, dependencies []string) string {
 	id := d.newJobID()
 	text := d.stageText(id, dependencies)
@@ -76,6 +77,7 @@
 	return id
 }
 
+// stageText returns the submission of a random job with dependencies.
 func (d *dayWriter) stageText(id string, dependencies []string) string {
 	text := fmt.Sprintf("submit %s team=%s image=i%d image_gb=%d", id, d.pick("t", "u"), d.rng.IntN(4), []int{0, 2}[d.rng.IntN(2)])
 	switch d.rng.IntN(5) {
@@ -94,17 +96,17 @@
 	return text
 }
 
-// maybeCancel writes the cancellation of every tenth job.
+// maybeCancel writes the cancellation of a job with a probability of 1/10.
 func (d *dayWriter) maybeCancel(at float64, id string) {
 	if d.rng.IntN(10) == 0 {
 		d.event(at+1+80*d.rng.Float64(), "cancel %s", id)
 	}
 }
 
-// TestPipelines plays random days on which jobs depend on others and faults overlap.
+// TestPipelines runs random scenarios in which jobs depend on others and faults overlap.
 func TestPipelines(t *testing.T) {
-	// On day 58 a leader returned machines whose last exits it could not record; the next
-	// leader held up the jobs, and all their dependents, for minutes.
+	// With seed 58 a leader returned machines to the cloud although it could not record the last
+	// task exits on them; the next leader delayed the jobs and all their dependents for minutes.
 	seeds := []uint64{58}
 	for _, seed := range soakSeeds(15) {
 		if seed != 58 {
@@ -114,12 +116,12 @@
 	playSeeds(t, seeds, pipelinesDay)
 }
 
-// commitStatus commits a transaction of writes, with values of a size in bytes, and conditions that
-// hold, a second later. It returns the status of the answer.
+// commitStatus advances the time by a second and commits a transaction with the given numbers of writes
+// and of conditions that hold. Each value has the given size in bytes. It returns the HTTP status.
 func commitStatus(world *World, writes, conditions, size int) int {
 	var txn wire.Txn
 	for i := range writes {
-		value := encode(strings.Repeat("x", size-2)) // with its quotes
+		value := encode(strings.Repeat("x", size-2)) // the size includes the JSON quotes
 		txn.Writes = append(txn.Writes, wire.Write{Put: fmt.Sprintf("a/%d", i), Value: value})
 	}
 	for i := range conditions {
@@ -131,12 +133,12 @@
 	return got
 }
 
-// TestLoweredLimits lowers the limits of the key-value store. It rejects what is beyond them and
-// keeps what it has stored.
+// TestLoweredLimits reduces the limits of the key-value store. The store must reject transactions beyond
+// the new limits and keep the larger values that it has stored.
 func TestLoweredLimits(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
 	if got := commitStatus(world, 6, 24, 8192); got != httpstatus.OK {
-		t.Errorf("before the limits fall: %d", got)
+		t.Errorf("commit before the limits are reduced: got status %d, want 200", got)
 	}
 	world.store.reduceLimits(config.StoreLimits{RPS: 200, WriteRPS: 4, ValueKB: 2, TxnOps: 5})
 	for _, tc := range []struct {
@@ -154,13 +156,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := commitStatus(world, tc.writes, tc.conditions, tc.size); got != tc.want {
-				t.Errorf("status %d, want %d", got, tc.want)
+				t.Errorf("commit: got status %d, want %d", got, tc.want)
 			}
 		})
 	}
 	world.store.handle("node-0", "GET", "/store/a/5", nil, func(status int, body []byte) {
 		if status != httpstatus.OK || len(body) < 8192 {
-			t.Errorf("a stored value: %d, %d bytes", status, len(body))
+			t.Errorf("value stored before the limits were reduced: got status %d and %d bytes, want 200 and at least 8192", status, len(body))
 		}
 	})
 	if world.checker.violations != nil {
@@ -168,8 +170,9 @@
 	}
 }
 
-// TestCancelledWithDone tells users that a job is cancelled with a dependency that is then said to be
-// done. The first answer is right when it is given, so the second one is the violation.
+// TestCancelledWithDone reports a job as cancelled because of a dependency whose cancellation was
+// requested, and then reports that dependency as done. The first answer was valid when it was given, so
+// the checker has to report the second one as the violation.
 func TestCancelledWithDone(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
 	for i, dependencies := range [][]string{nil, {"job-000000"}, {"job-000001"}} {
@@ -179,19 +182,19 @@
 		world.jobs[id] = truth
 		world.users.jobs[id] = &userJob{id: id, accepted: true}
 	}
-	tell := func(id string, status wire.JobState, wantViolations int) {
+	report := func(id string, status wire.JobState, wantViolations int) {
 		t.Helper()
 		world.users.recordStatus(world.users.jobs[id], encode(wire.JobStatus{ID: id, Status: status}), world.now)
 		if found := world.checker.violations; len(found) != wantViolations {
-			t.Errorf("%s %s: %d violations, want %d: %v", id, status, len(found), wantViolations, found)
+			t.Errorf("%s reported as %s: got %d violations, want %d: %v", id, status, len(found), wantViolations, found)
 		}
 	}
 	world.users.jobs["job-000000"].cancelRequestedAt = time.Second
 	world.now = 2 * time.Second
-	tell("job-000002", wire.StatusCancelled, 0)
-	tell("job-000000", wire.StatusDone, 1)
+	report("job-000002", wire.StatusCancelled, 0)
+	report("job-000000", wire.StatusDone, 1)
 	if !strings.HasPrefix(world.checker.violations[0], "went_back") {
 		t.Error(world.checker.violations)
 	}
-	tell("job-000001", wire.StatusCancelled, 2)
+	report("job-000001", wire.StatusCancelled, 2)
 }
--- a/internal/sim/random_days_test.go
+++ b/internal/sim/random_days_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// soakSetup has two teams and two types of machines in all zones.
+// soakSetup has two teams, and two machine types in all zones.
 const soakSetup = `
 team t gpus=8 gpus_max=24
 team u gpus=8 gpus_max=16
@@ -16,7 +16,7 @@
 wait web within=2
 `
 
-// soakDay writes a scenario of random jobs and faults.
+// soakDay generates a scenario of random jobs and faults.
 func soakDay(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var text strings.Builder
@@ -49,8 +49,8 @@
 }
 
 func writeSoakFaults(text *strings.Builder, rng *rand.Rand) {
-	who := func() string { return []string{"leader", "follower", "all", "leader"}[rng.IntN(4)] }
-	side := func() string {
+	controllers := func() string { return []string{"leader", "follower", "all", "leader"}[rng.IntN(4)] }
+	endpoint := func() string {
 		return []string{"state", "workers", "nodes", "cloud", "zone:east", "zone:north", "busy"}[rng.IntN(7)]
 	}
 	mode := func() string { return []string{"hold", "", "oneway", "hold oneway"}[rng.IntN(4)] }
@@ -59,9 +59,9 @@
 		duration := 1 + rng.IntN(40)
 		switch rng.IntN(10) {
 		case 0, 1:
-			fmt.Fprintf(text, "at %d crash %s for=%g\n", at, who(), []float64{0.2, 3, 10}[rng.IntN(3)])
+			fmt.Fprintf(text, "at %d crash %s for=%g\n", at, controllers(), []float64{0.2, 3, 10}[rng.IntN(3)])
 		case 2, 3:
-			fmt.Fprintf(text, "at %d cut %s %s for=%d %s\n", at, []string{"leader", "follower"}[rng.IntN(2)], side(), duration, mode())
+			fmt.Fprintf(text, "at %d cut %s %s for=%d %s\n", at, []string{"leader", "follower"}[rng.IntN(2)], endpoint(), duration, mode())
 		case 4:
 			fmt.Fprintf(text, "at %d outage %s for=%d\n", at, []string{"state", "cloud"}[rng.IntN(2)], duration)
 		case 5:
@@ -78,7 +78,7 @@
 	}
 }
 
-// overlappingFaultsDay writes a scenario in which faults of all kinds overlap, with three or five
+// overlappingFaultsDay generates a scenario in which faults of all kinds overlap, with three or five
 // controllers, jobs of all shapes and cancellations.
 func overlappingFaultsDay(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
@@ -106,7 +106,7 @@
 			fmt.Fprintf(text, "at %d submit %s shape=gang team=%s priority=urgent tasks=%d cpus=6 gpus=2 mem=16 run=%d checkpoint=5 save=2 %s together\n", at, id, team, 1+rng.IntN(3), 10+rng.IntN(60), image)
 		case 3:
 			fmt.Fprintf(text, "at %d submit %s team=%s tasks=%d cpus=2 run=%d %s together\n", at, id, team, 1+rng.IntN(6), 5+rng.IntN(90), image)
-		case 4: // two or three tasks that end at different times, since there is not enough room
+		case 4: // two or three tasks that do not all fit at once, so that they end at different times
 			fmt.Fprintf(text, "at %d submit %s team=%s tasks=%d cpus=8 run=%d %s zone=%s\n", at, id, team, 2+rng.IntN(2), 20+rng.IntN(60), image, []string{"east", "west"}[rng.IntN(2)])
 		case 5:
 			fmt.Fprintf(text, "at %d submit %s shape=gang team=%s tasks=%d cpus=3 run=%d %s apart\n", at, id, team, 2+rng.IntN(4), 10+rng.IntN(60), image)
@@ -117,26 +117,26 @@
 	}
 }
 
-// writeOverlappingFaults writes faults of all kinds that overlap.
+// writeOverlappingFaults writes ten random faults of all kinds, which overlap.
 func writeOverlappingFaults(text *strings.Builder, rng *rand.Rand) {
-	pick := func(of ...string) string { return of[rng.IntN(len(of))] }
+	pick := func(values ...string) string { return values[rng.IntN(len(values))] }
 	for range 10 {
 		at := 20 + 200*rng.Float64()
 		duration := 1 + rng.IntN(45)
-		who := pick("leader", "leader", "follower", "node-0", "node-1", "node-2")
+		target := pick("leader", "leader", "follower", "node-0", "node-1", "node-2")
 		machines := pick("busy", "some share=0.3", "some count=2", "zone:east", "zone:north")
 		mode := pick("hold", "", "oneway", "hold oneway")
 		event := func(format string, args ...any) { fmt.Fprintf(text, "at %.2f %s\n", at, fmt.Sprintf(format, args...)) }
 		switch rng.IntN(18) {
 		case 0, 1:
-			event("crash %s for=%g", pick("all", who), []float64{0.2, 3, 10}[rng.IntN(3)])
+			event("crash %s for=%g", pick("all", target), []float64{0.2, 3, 10}[rng.IntN(3)])
 		case 2:
-			for range 10 { // failover after failover
+			for range 10 { // repeated failovers
 				at += 5 + 6*rng.Float64()
 				event("crash leader for=%g", []float64{0.3, 4, 12}[rng.IntN(3)])
 			}
 		case 3, 4:
-			event("cut %s %s for=%d %s", who, pick("state", "workers", "nodes", "cloud", "zone:east", "busy"), duration, mode)
+			event("cut %s %s for=%d %s", target, pick("state", "workers", "nodes", "cloud", "zone:east", "busy"), duration, mode)
 		case 5:
 			event("cut zone:%s zone:%s for=%d %s", pick("east", "north"), pick("west", "north"), duration, mode)
 		case 6:
@@ -159,7 +159,7 @@
 		case 13:
 			event("mute %s for=%d", machines, duration)
 		case 14:
-			event("isolate %s for=%d", who, duration)
+			event("isolate %s for=%d", target, duration)
 			at += float64(duration) * rng.Float64()
 			event("cancel_now count=%d", 1+rng.IntN(4))
 		case 15:
@@ -172,23 +172,23 @@
 	}
 }
 
-// TestSoak plays random days. No rule may be violated, and all work that can be done is done once
-// the faults are over.
+// TestSoak runs random scenarios. No rule may be violated, and all work that can be done must be done
+// once the faults are over.
 func TestSoak(t *testing.T) {
-	// Seed 174 once ran a task twice: an incarnation that the leader had learned from a
-	// direct answer seemed to have expired by the clock of the one before. Seed 65 found no
-	// machine for a fault.
+	// Seed 174 ran a task twice: the leader had learned of a worker's new incarnation from a
+	// direct answer, and took it for expired by the clock of the previous incarnation. With seed
+	// 65 there was no machine to inject a fault into.
 	playSeeds(t, soakSeeds(40, 65, 174), soakDay)
 }
 
-// TestOverlappingFaults plays random days on which faults overlap.
+// TestOverlappingFaults runs random scenarios in which faults overlap.
 func TestOverlappingFaults(t *testing.T) {
 	playSeeds(t, soakSeeds(25), overlappingFaultsDay)
 }
 
-// operationsDay writes an overlappingFaultsDay on which, besides, machines boot late or never,
-// controllers are paused, users poll many times as often, a best-effort team has work and jobs are
-// submitted whose tasks fail.
+// operationsDay generates an overlappingFaultsDay with the faults that occurred in production added:
+// machines boot late or never, controllers are paused, users poll many times as often, a best-effort
+// team submits work, and jobs are submitted whose tasks fail.
 func operationsDay(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	var text strings.Builder
@@ -220,11 +220,11 @@
 		at, duration := 10+rng.IntN(200), 5+rng.IntN(90)
 		switch rng.IntN(4) {
 		case 0:
-			who := []string{"leader", "follower", "all", "leader"}[rng.IntN(4)]
-			if who == "all" {
-				duration = min(duration, 25) // users try to submit for a minute
+			target := []string{"leader", "follower", "all", "leader"}[rng.IntN(4)]
+			if target == "all" {
+				duration = min(duration, 25) // users give up a submission after a minute
 			}
-			fmt.Fprintf(text, "at %d pause %s for=%d\n", at, who, duration)
+			fmt.Fprintf(text, "at %d pause %s for=%d\n", at, target, duration)
 		case 1:
 			fmt.Fprintf(text, "at %d lateboot share=%g factor=%d for=%d\n", at, []float64{0.3, 1}[rng.IntN(2)], 2+rng.IntN(4), duration)
 		case 2:
@@ -235,7 +235,7 @@
 	}
 }
 
-// TestOperations plays random days of the faults that operators met.
+// TestOperations runs random scenarios with the faults that occurred in production.
 func TestOperations(t *testing.T) {
 	playSeeds(t, soakSeeds(25), operationsDay)
 }
--- a/internal/sim/region_worlds_test.go
+++ b/internal/sim/region_worlds_test.go
@@ -14,26 +14,26 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// regionWorlds plays several regions at a time: each is a world of its own with real cores, and the
-// cores' messages to other regions pass between the worlds. It checks what the tasks of a team use on
-// the workers of all regions.
+// regionWorlds simulates several regions together. Each region is a World with real cores, and the cores'
+// messages to other regions are delivered between the worlds. It checks that each team's tasks on the
+// workers of all regions together stay within the team's limit.
 type regionWorlds struct {
 	now          time.Duration
 	rng          *rand.Rand
 	plan         *plan.Plan
 	names        []string
 	worlds       []*World
-	partitions   map[regionLink]time.Duration // until when no message passes
-	delayedShare float64                      // share of messages that are delayed by seconds, and partly duplicated
+	partitions   map[regionLink]time.Duration // end of the partition
+	delayedShare float64                      // share of messages delayed by up to maxRegionFaultDelay; half of these also arrive on time
 	violations   []string
-	peakGPUs     map[string]float64 // most GPUs used at a time, by team
+	peakGPUs     map[string]float64 // most GPUs in use at a time, by team
 	jobCount     int
 }
 
 // regionLink is the connection from one region to another.
 type regionLink struct{ from, to string }
 
-// regionSetup is a region's world. The limits are scarce, not the machines.
+// regionSetup is the scenario of each region. It has enough machines for the teams' limits.
 const regionSetup = `
 seed 1
 until 1
@@ -46,7 +46,7 @@
 // regionGuarantee is how many GPUs each team is guaranteed in each region.
 const regionGuarantee = 2
 
-// newRegionPlan divides the limits evenly among regions; a part of each share is guaranteed.
+// newRegionPlan divides each team's limit evenly among regions and guarantees a part of each share.
 func newRegionPlan(regions, teams int, gpus float64) *plan.Plan {
 	quotaPlan := &plan.Plan{}
 	for i := range regions {
@@ -87,7 +87,7 @@
 	return regions
 }
 
-// nextEvent returns the world with the first event, and the event's time; nil if there is none.
+// nextEvent returns the world with the earliest event, and the event's time; nil if there is none.
 func (g *regionWorlds) nextEvent() (next *World, first time.Duration) {
 	for _, world := range g.worlds {
 		if at, ok := world.events.NextTime(); ok && (next == nil || at < first) {
@@ -97,7 +97,7 @@
 	return next, first
 }
 
-// run plays all worlds in the order of their events.
+// run runs the events of all worlds in order of time, until a time.
 func (g *regionWorlds) run(until time.Duration) {
 	for {
 		next, at := g.nextEvent()
@@ -113,33 +113,33 @@
 	}
 }
 
-// schedule runs a function at a time.
+// schedule runs a function at a point in time.
 func (g *regionWorlds) schedule(at time.Duration, run func()) {
 	g.worlds[0].now = max(g.worlds[0].now, g.now)
 	g.worlds[0].after(at-g.worlds[0].now, run)
 }
 
-// world is the world of a region, brought up to the present time.
+// world returns the world of a region, with its time advanced to the present.
 func (g *regionWorlds) world(name string) *World {
 	world := g.worlds[slices.Index(g.names, name)]
 	world.now = max(world.now, g.now)
 	return world
 }
 
-// Bounds of the time that a message to another region takes.
+// Bounds of the latency of messages to other regions.
 const (
 	minRegionDelay   = 20 * time.Millisecond
 	regionDelayRange = 60 * time.Millisecond
-	// maxRegionFaultDelay bounds the further delay of the messages that a fault delays.
+	// maxRegionFaultDelay bounds the additional delay of a delayed message, see delayedShare.
 	maxRegionFaultDelay = 30 * time.Second
 )
 
-// randomDuration draws a time below a bound.
+// randomDuration returns a random duration below a bound.
 func (g *regionWorlds) randomDuration(bound time.Duration) time.Duration {
 	return time.Duration(g.rng.Int64N(int64(bound)))
 }
 
-// deliver carries a message to any controller of another region.
+// deliver delivers a message to a random controller of another region.
 func (g *regionWorlds) deliver(from string, send core.RegionSend) {
 	if g.partitions[regionLink{from, send.To}] > g.now {
 		return
@@ -160,7 +160,8 @@
 	world.after(delay, receive)
 }
 
-// reservedElsewhere is how many GPUs of a team other regions use or have guaranteed.
+// reservedElsewhere returns how many GPUs of a team's limit the other regions reserve: each region the
+// larger of the team's usage and its guarantee there.
 func (g *regionWorlds) reservedElsewhere(region, team string) float64 {
 	sum := 0.0
 	for i, world := range g.worlds {
@@ -173,7 +174,7 @@
 	return sum
 }
 
-// guaranteedGPUs is how many GPUs a team is guaranteed in a region.
+// guaranteedGPUs returns how many GPUs a team is guaranteed in a region.
 func (g *regionWorlds) guaranteedGPUs(region, team string) float64 {
 	for _, t := range g.plan.Teams {
 		for _, share := range t.Shares {
@@ -185,7 +186,7 @@
 	return 0
 }
 
-// checkUsage checks that a team uses no more on the workers of all regions than its limit.
+// checkUsage checks that a team's usage on the workers of all regions is within its limit.
 func (g *regionWorlds) checkUsage(team string) {
 	sum := 0.0
 	for _, world := range g.worlds {
@@ -195,12 +196,12 @@
 	g.peakGPUs[team] = max(g.peakGPUs[team], sum)
 	for _, t := range g.plan.Teams {
 		if t.Name == team && sum > t.GPUsMax+amountTolerance {
-			g.violations = append(g.violations, fmt.Sprintf("%.3f s: %s uses %v GPUs of %v", g.now.Seconds(), team, sum, t.GPUsMax))
+			g.violations = append(g.violations, fmt.Sprintf("%.3f s: team %s uses %v GPUs in all regions, limit %v", g.now.Seconds(), team, sum, t.GPUsMax))
 		}
 	}
 }
 
-// submit submits a job to a region and returns its ID. runS is the run time of its tasks in seconds.
+// submit submits a job to a region and returns the job's ID. Each of its tasks runs for runS seconds.
 func (g *regionWorlds) submit(region string, job wire.Job, runS float64) string {
 	g.jobCount++
 	job.ID = fmt.Sprintf("job-%06d", g.jobCount)
@@ -212,8 +213,8 @@
 	return job.ID
 }
 
-// submitBursts submits work of every team to every region at the same time, again and again until a
-// time.
+// submitBursts submits jobs of every team to every region at the same time, and repeats this every 2 to
+// 10 s until a time.
 func (g *regionWorlds) submitBursts(until time.Duration) {
 	if g.now >= until {
 		return
@@ -231,7 +232,8 @@
 	g.schedule(g.now+2*time.Second+g.randomDuration(8*time.Second), func() { g.submitBursts(until) })
 }
 
-// injectRandomFaults injects random faults until a time, one after the other.
+// injectRandomFaults injects a random fault, and another one every 0.2 to 5.2 s until a time. Faults may
+// overlap.
 func (g *regionWorlds) injectRandomFaults(until time.Duration) {
 	if g.now >= until {
 		return
@@ -259,20 +261,20 @@
 		world.store.beginOutage(duration(5 * time.Second))
 	case 6:
 		world.store.delayedCommits = randomFault{probability: 0.3, until: world.now + duration(8*time.Second)}
-	case 7: // workers that their leader cannot reach, whose tasks go on
+	case 7: // controllers cannot reach the workers of a zone, whose tasks continue to run
 		zone := zonePattern + world.settings.Deployment.Zones[g.rng.IntN(3)]
 		world.partitionBothWays(controllersPattern, zone, duration(15*time.Second), false)
-	case 8: // a leader that crashes while it hears none of its workers
+	case 8: // the leader crashes while the workers' heartbeats are held back
 		world.partition(workersPattern, controllersPattern, duration(10*time.Second), true)
 		world.controllersNamed("leader")[0].crash(duration(time.Second))
 	}
 	g.schedule(g.now+duration(5*time.Second), func() { g.injectRandomFaults(until) })
 }
 
-// maxRegionReports is how many violations are reported of each region, and over all.
+// maxRegionReports limits the violations that are reported for each region, and for all regions together.
 const maxRegionReports = 3
 
-// reportViolations reports the violations over all regions and within each.
+// reportViolations reports the violations of limits over all regions, and those of rules in each region.
 func (g *regionWorlds) reportViolations(t *testing.T, seed uint64) {
 	t.Helper()
 	for _, violation := range g.violations[:min(maxRegionReports, len(g.violations))] {
--- a/internal/sim/regions_test.go
+++ b/internal/sim/regions_test.go
@@ -9,8 +9,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestRegions plays days on which regions compete for limits: three to five regions of three
-// controllers each, with faults of every kind. No limit is exceeded and no rule violated in any region.
+// TestRegions runs scenarios in which three to five regions of three controllers each compete for the
+// teams' limits while faults of every kind occur. No limit may be exceeded, and no rule violated in any
+// region.
 func TestRegions(t *testing.T) {
 	t.Parallel()
 	days := soakDays(4)
@@ -28,15 +29,15 @@
 				started[seed] += world.taskStarts
 			}
 			if started[seed] == 0 {
-				t.Errorf("nothing was started")
+				t.Errorf("started tasks: got none, want some")
 			}
-			t.Logf("%d starts, peak usage %v", started[seed], regions.peakGPUs)
+			t.Logf("%d task starts, most GPUs in use by team: %v", started[seed], regions.peakGPUs)
 		})
 	}
 }
 
-// TestShareMoves submits all of a team's work to one region. The region gets the shares that the others
-// do not need, and all of the work runs at once.
+// TestShareMoves submits all of a team's work to one region. The other regions must transfer the shares
+// that they do not need, so that all of the work runs at once.
 func TestShareMoves(t *testing.T) {
 	t.Parallel()
 	regions := newRegionWorlds(t, 1, newRegionPlan(3, 1, 24), slog.New(slog.DiscardHandler))
@@ -47,17 +48,17 @@
 	regions.run(30 * time.Second)
 	regions.reportViolations(t, 1)
 	if running := regions.world("region-1").runningTasks(id); running != 20 {
-		t.Errorf("%d of 20 tasks of the gang run", running)
+		t.Errorf("running tasks of the gang: got %d, want 20", running)
 	}
 }
 
-// TestGuaranteeWhilePartitioned submits guaranteed work to a region whose machines run long tasks of
-// another team, while the region is partitioned from the others and its leader crashes. The region owns
-// the guaranteed part of the share: the work runs within twice a worker's lease.
+// TestGuaranteeWhilePartitioned submits guaranteed work to a region whose machines are full of long tasks
+// of another team, while the region is partitioned from the others and its leader crashes. The region
+// owns the guaranteed part of the share, so the work has to run within two worker leases.
 func TestGuaranteeWhilePartitioned(t *testing.T) {
 	t.Parallel()
 	quotaPlan := newRegionPlan(3, 2, 36)
-	quotaPlan.Teams[1].Shares[0].GPUs = 8 // of team-1 in region-0
+	quotaPlan.Teams[1].Shares[0].GPUs = 8 // guarantee of team-1 in region-0
 	for seed := range uint64(soakDays(3)) {
 		regions := newRegionWorlds(t, seed, quotaPlan, slog.New(slog.DiscardHandler))
 		world := regions.world("region-0")
@@ -73,7 +74,7 @@
 				regions.partitions[regionLink{other, "region-0"}] = time.Hour
 			}
 			if gpus, _ := world.teamUsage("team-0"); gpus != 24 {
-				t.Errorf("seed %d: team-0 uses %v of 24 GPUs", seed, gpus)
+				t.Errorf("seed %d: GPUs used by team-0: got %v, want 24", seed, gpus)
 			}
 		})
 		var id string
@@ -83,7 +84,7 @@
 		})
 		regions.run(32*time.Second + 2*seconds(world.settings.Deployment.Workers.LeaseS))
 		if running := world.runningTasks(id); running != 8 {
-			t.Errorf("seed %d: %d of 8 guaranteed tasks run", seed, running)
+			t.Errorf("seed %d: running guaranteed tasks: got %d, want 8", seed, running)
 		}
 		regions.reportViolations(t, seed)
 	}
--- a/internal/sim/upgrade_build_test.go
+++ b/internal/sim/upgrade_build_test.go
@@ -13,7 +13,7 @@
 	"github.com/BurntSushi/toml"
 )
 
-// productionCommit is the commit of the version that deploy/service.toml names as in production.
+// productionCommit returns the commit that deploy/service.toml names as the version in production.
 func productionCommit(root string) (string, error) {
 	var service struct {
 		Production string `toml:"production"`
@@ -27,11 +27,11 @@
 	return service.Production, nil
 }
 
-// buildDriver builds testdata/upgrade/driver.go.txt in a directory, with the core of a commit from the
-// history of the repository at root, and returns the program's path.
+// buildDriver builds testdata/upgrade/driver.go.txt with the core of a commit in the history of the
+// repository at root. It builds in dir and returns the path of the program.
 func buildDriver(root, commit, dir string) (string, error) {
 	if err := runCommand(root, "git", "cat-file", "-e", commit+"^{commit}"); err != nil {
-		return "", fmt.Errorf("commit %s is not in the repository's history, from which the old version is built: "+
+		return "", fmt.Errorf("cannot build the old version: commit %s is not in the repository's history: "+
 			"the full history is needed, in a shallow clone run `git fetch --unshallow` (%w)", commit, err)
 	}
 	sources := filepath.Join(dir, "src")
@@ -61,7 +61,7 @@
 	return program, err
 }
 
-// runCommand runs a command in a directory. An error holds its output.
+// runCommand runs a command in a directory. If it fails, the error includes its output.
 func runCommand(dir, name string, args ...string) error {
 	cmd := exec.Command(name, args...)
 	cmd.Dir = dir
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// TestMissingHistory builds a commit that the history lacks, as a shallow clone lacks the old versions.
-// The error says what to do.
+// TestMissingHistory builds a commit that is not in the history, as in a shallow clone. The error has to
+// name the commit and the command that fetches the full history.
 func TestMissingHistory(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
@@ -84,7 +84,7 @@
 	_, err = buildDriver(root, missing, t.TempDir())
 	for _, part := range []string{missing, "full history is needed", "git fetch --unshallow"} {
 		if err == nil || !strings.Contains(err.Error(), part) {
-			t.Errorf("the error does not say %q: %v", part, err)
+			t.Errorf("error of a build without history: want it to contain %q, got %v", part, err)
 		}
 	}
 }
--- a/internal/sim/upgrade_child_test.go
+++ b/internal/sim/upgrade_child_test.go
@@ -14,16 +14,16 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// The types below are the messages of a child of another version, see testdata/upgrade/driver.go.txt;
-// their fields have the same names there. Messages of peers pass as they do between controllers:
-// encoded by one version's types, decoded by the other's.
+// The types below are the messages exchanged with a child process of another version, see
+// testdata/upgrade/driver.go.txt; their fields must have the same names there. Peer messages are encoded
+// with one version's types and decoded with the other's, as between real controllers.
 
 type childStart struct {
 	Settings string // TOML
 	Boot     uint64
 }
 
-// childInput is a Tick if it holds nothing but the times.
+// childInput is the input of a step: a Tick if only the times are set.
 type childInput struct {
 	Now     time.Duration
 	WallMS  int64
@@ -73,7 +73,7 @@
 	Msg *wire.PeerMessage
 }
 
-// child is a process that runs a core of another version.
+// child is a child process that runs a core of another version.
 type child struct {
 	test    *testing.T
 	cmd     *exec.Cmd
@@ -83,7 +83,7 @@
 	decoder *gob.Decoder
 }
 
-// startChild starts the core of a controller in a process of its own.
+// startChild starts a child process with the core of a controller.
 func startChild(t *testing.T, program string, c *controller, incarnation uint64) *child {
 	t.Helper()
 	var settings bytes.Buffer
@@ -112,7 +112,8 @@
 	return started
 }
 
-// kill ends the process. It may have ended already, and always ends with an error.
+// kill ends the process. Errors are ignored: the process may have ended already, and Wait always returns
+// an error for a killed process.
 func (c *child) kill() {
 	_ = c.cmd.Process.Kill()
 	_ = c.cmd.Wait()
@@ -123,7 +124,7 @@
 	var answer childOutput
 	if err := c.exchange(c.encode(now, wall, in), &answer); err != nil {
 		c.kill()
-		c.test.Fatalf("a controller of the old version ended: %v\n%s", err, c.stderr.String())
+		c.test.Fatalf("step of a controller of the old version failed: %v\n%s", err, c.stderr.String())
 	}
 	return c.decode(answer)
 }
@@ -150,12 +151,12 @@
 	case core.PeerInput:
 		message.Message = in.Message
 	default:
-		c.test.Fatalf("the old version takes no %T", in)
+		c.test.Fatalf("the old version does not support inputs of type %T", in)
 	}
 	return message
 }
 
-// childDestinations are the destinations of calls by their names in messages of children.
+// childDestinations are the destinations of calls by their names in a child's messages.
 var childDestinations = map[string]core.Destination{"store": core.DestinationStore, "cloud": core.DestinationCloud, "worker": core.DestinationWorker}
 
 func (c *child) decode(message childOutput) core.Output {
@@ -166,7 +167,7 @@
 	for _, call := range message.Calls {
 		destination, known := childDestinations[call.Dest]
 		if !known {
-			c.test.Fatalf("unknown destination %q", call.Dest)
+			c.test.Fatalf("call of the old version has unknown destination %q", call.Dest)
 		}
 		out.Calls = append(out.Calls, core.Call{
 			ID: call.ID, Destination: destination, Address: call.Addr, Method: call.Method, Path: call.Path,
--- a/internal/sim/upgrade_run_test.go
+++ b/internal/sim/upgrade_run_test.go
@@ -11,21 +11,21 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// upgradeRun is a day on which every controller begins with an old version, and is replaced by one of
-// this version.
+// upgradeRun is the run of a scenario in which every controller starts with an old version and is later
+// replaced by one of this version.
 type upgradeRun struct {
 	test     *testing.T
 	world    *World
 	program  string
-	upgraded map[string]bool   // controllers
+	upgraded map[string]bool   // by controller; true once it is replaced
 	children map[string]*child // by controller
-	leaders  []string          // "old NAME" and "new NAME", in order
+	leaders  []string          // successive leaders as "old NAME" or "new NAME"
 
 	visits map[string]*versionVisits // by machine or job
 }
 
-// versionVisits is which version the last request about a machine or a job came to, and how often that
-// was another one than before.
+// versionVisits records which version received the last request about a machine or a job, and how often
+// successive requests went to different versions.
 type versionVisits struct {
 	isNew bool
 	turns int
@@ -45,7 +45,7 @@
 	return r.stepper.Step(now, wall, in)
 }
 
-// recordVisit records that a request about a machine or a job came to a version.
+// recordVisit records that a version received a request about a machine or a job.
 func (u *upgradeRun) recordVisit(request core.Request, newVersion bool) {
 	subject := strings.TrimPrefix(request.Path, submissionsPath+"/")
 	if request.Path == heartbeatPath {
@@ -64,7 +64,8 @@
 	}
 }
 
-// mostTurns is the largest number of turns of any machine or job whose name has a prefix.
+// mostTurns returns the largest number of version switches of any machine or job whose name has a
+// prefix.
 func (u *upgradeRun) mostTurns(prefix string) int {
 	most := 0
 	for subject, v := range u.visits {
@@ -81,7 +82,7 @@
 	return ok && r.isNew
 }
 
-// newCore makes the core of a controller that starts; of the old version, a new process each time.
+// newCore makes the core of a starting controller. A core of the old version runs in a new process.
 func (u *upgradeRun) newCore(c *controller, incarnation uint64) stepper {
 	u.killChild(c.name)
 	if u.upgraded[c.name] {
@@ -105,7 +106,7 @@
 	}
 }
 
-// upgradeControllers kills the controllers that a line means and starts them again with this version.
+// upgradeControllers kills the controllers that a line names and restarts them with this version.
 func (u *upgradeRun) upgradeControllers(line scenarioLine) {
 	for _, c := range u.controllersToUpgrade(line.arg(0)) {
 		u.world.debugf("upgrade %s", c.name)
@@ -114,11 +115,12 @@
 	}
 }
 
-// upgradeTime is how long a controller is down for its upgrade.
+// upgradeTime returns how long a controller is down during its upgrade.
 func upgradeTime(line scenarioLine) time.Duration { return seconds(line.number("for", 3)) }
 
-// controllersToUpgrade returns the controllers that a scenario means: "follower" is the first one of
-// the old version that does not lead, "next" that one or else the leader.
+// controllersToUpgrade returns the controllers that a line names. "follower" is the first controller of
+// the old version that is not the leader; "next" is the same, or the leader if there is none and the
+// leader still runs the old version.
 func (u *upgradeRun) controllersToUpgrade(target string) []*controller {
 	if target != "follower" && target != "next" {
 		return u.world.controllersNamed(target)
@@ -135,7 +137,7 @@
 	return nil
 }
 
-// recordLeaders records who leads, again and again.
+// recordLeaders records the leader and its version every 200 ms.
 func (u *upgradeRun) recordLeaders() {
 	if leader := u.world.leader(); leader != nil && leader.alive {
 		version := "old "
@@ -150,8 +152,8 @@
 	u.world.after(200*time.Millisecond, u.recordLeaders)
 }
 
-// ledBy reports whether versions, or controllers with them ("old:node-0"), led in this order; others
-// may have led between them.
+// ledBy reports whether versions, or controllers with a version ("old:node-0"), led in this order. Other
+// leaders between them are allowed.
 func (u *upgradeRun) ledBy(versions []string) bool {
 	for _, leader := range u.leaders {
 		if len(versions) > 0 && strings.HasPrefix(leader, strings.Replace(versions[0], ":", " ", 1)) {
@@ -161,24 +163,25 @@
 	return len(versions) == 0
 }
 
-// checkExpectation checks an expectation of the upgrade and says what is wrong; empty if it is met.
+// checkExpectation checks an expectation about the upgrade. It returns why the expectation is not met,
+// or an empty string.
 func (u *upgradeRun) checkExpectation(line scenarioLine) string {
 	switch line.arg(0) {
 	case "leaders":
 		if !u.ledBy(line.args[1:]) {
-			return fmt.Sprintf("line %d: leaders were %v", line.lineNumber, u.leaders)
+			return fmt.Sprintf("line %d: the leaders %v do not include the expected ones in this order", line.lineNumber, u.leaders)
 		}
 	case "turns":
 		for what, prefix := range map[string]string{"worker": machinePrefix, "user": "job-"} {
 			if got, least := u.mostTurns(prefix), int(line.number(what, 0)); got < least {
-				return fmt.Sprintf("line %d: no %s changed versions more than %d times", line.lineNumber, what, got)
+				return fmt.Sprintf("line %d: most version switches between the requests of a %s: got %d, want more", line.lineNumber, what, got)
 			}
 		}
 	}
 	return ""
 }
 
-// splitLines splits lines into those for which a condition holds, and the others.
+// splitLines separates the lines that match a condition from the others.
 func splitLines(lines []scenarioLine, condition func(scenarioLine) bool) (matching, others []scenarioLine) {
 	for _, line := range lines {
 		if condition(line) {
@@ -190,20 +193,21 @@
 	return matching, others
 }
 
-// playUpgrade plays a scenario with three lines more than others have:
+// playUpgrade runs a scenario that may contain three kinds of lines in addition to those of other
+// scenarios:
 //
-//	at T upgrade WHO for=    a controller is killed and started with this version, 3 s later by default
+//	at T upgrade WHO for=    a controller is killed and restarted with this version, 3 s later by default
 //	expect leaders old|new...    versions that led, in this order
-//	expect turns worker= user=    how often the requests about one of them came to the other version, at least
-func playUpgrade(t *testing.T, program string, scenario *Scenario, mutate mutation) (world *World, faults []string) {
+//	expect turns worker= user=    minimum of version switches between the requests of one worker or about one job
+func playUpgrade(t *testing.T, program string, scenario *Scenario, mutate mutation) (world *World, failures []string) {
 	t.Helper()
 	upgrades, actions := splitLines(scenario.actions, func(line scenarioLine) bool { return line.word == "upgrade" })
-	ofUpgrade, expectations := splitLines(scenario.expectations, func(line scenarioLine) bool {
+	upgradeExpectations, expectations := splitLines(scenario.expectations, func(line scenarioLine) bool {
 		return line.arg(0) == "leaders" || line.arg(0) == "turns"
 	})
-	day := *scenario
-	day.actions, day.expectations = actions, expectations
-	world = day.newWorld(testLog())
+	withoutUpgrade := *scenario
+	withoutUpgrade.actions, withoutUpgrade.expectations = actions, expectations
+	world = withoutUpgrade.newWorld(testLog())
 	run := &upgradeRun{test: t, world: world, program: program, upgraded: map[string]bool{}, children: map[string]*child{}, visits: map[string]*versionVisits{}}
 	world.newCore, world.mutate = run.newCore, mutate
 	defer run.killChildren()
@@ -212,16 +216,16 @@
 		world.faultsEnd = max(world.faultsEnd, line.at+upgradeTime(line))
 	}
 	world.after(0, run.recordLeaders)
-	faults = day.finish(world)
-	for _, line := range ofUpgrade {
+	failures = withoutUpgrade.finish(world)
+	for _, line := range upgradeExpectations {
 		if why := run.checkExpectation(line); why != "" {
-			faults = append(faults, why)
+			failures = append(failures, why)
 		}
 	}
 	for _, c := range world.controllers {
 		if !c.runsThisVersion() || !c.alive {
-			faults = append(faults, c.name+" does not run this version at the end")
+			failures = append(failures, c.name+" is down or runs the old version at the end")
 		}
 	}
-	return world, faults
+	return world, failures
 }
--- a/internal/sim/upgrade_test.go
+++ b/internal/sim/upgrade_test.go
@@ -14,20 +14,20 @@
 	"golang.org/x/tools/txtar"
 )
 
-// chainsVersion is the last commit before upgrades from two versions were supported. It knows
-// dependencies of jobs and announced limits. Operators may run it as well as the version that
-// deploy/service.toml names. That one has to stay the last version without these, so that upgrades
-// from it are tested too.
+// chainsVersion is the last commit before upgrades from two versions were supported. It supports job
+// dependencies and announced limits. Operators may run either it or the version that
+// deploy/service.toml names, which has to stay the last version without these two features so that
+// upgrades from such a version are tested too.
 const chainsVersion = "b39e01dd13644fcdc220b403f4ac32c4cd433bbc"
 
 // oldVersion is a version that is replaced by this one.
 type oldVersion struct {
 	name, commit    string
-	hasDependencies bool   // it knows dependencies of jobs
-	program         string // path of its driver
+	hasDependencies bool   // supports job dependencies
+	program         string // path of the driver built from it
 }
 
-// oldVersions builds the drivers of the old versions.
+// oldVersions returns the old versions, with their drivers built.
 func oldVersions(t *testing.T) []oldVersion {
 	t.Helper()
 	root, err := filepath.Abs("../..")
@@ -49,13 +49,12 @@
 	return versions
 }
 
-// valueLimitsKB are the limits of values with which days are played, for records of 128, 32 and 16
-// tasks.
+// valueLimitsKB are the value size limits with which scenarios are run in turn. They allow records of
+// 128, 32 and 16 tasks.
 var valueLimitsKB = []float64{16, 4, 2}
 
-// TestUpgrade plays days on which an old version, built from the repository's history, is replaced by
-// this one while jobs run: the version in production, and the one after it that knows dependencies of
-// jobs.
+// TestUpgrade runs scenarios in which an old version, built from the repository's history, is replaced
+// by this one while jobs run. The old version is the one in production, or the later chainsVersion.
 func TestUpgrade(t *testing.T) {
 	for _, version := range oldVersions(t) {
 		t.Run(version.name, func(t *testing.T) {
@@ -78,7 +77,7 @@
 	}
 }
 
-// playUpgradeFile plays the scenarios of a file in an upgrade from a version.
+// playUpgradeFile runs the scenarios of a file during an upgrade from an old version.
 func playUpgradeFile(t *testing.T, version oldVersion, file string) {
 	t.Helper()
 	data, err := os.ReadFile(file)
@@ -91,16 +90,16 @@
 			scenario := parseScenario(t, string(section.Data))
 			for first := scenario.seed; scenario.seed < first+uint64(scenario.seedCount); scenario.seed++ {
 				scenario.settings.Deployment.Store.ValueKB = valueLimitsKB[(scenario.seed-first)%uint64(len(valueLimitsKB))]
-				_, faults := playUpgrade(t, version.program, scenario, nil)
-				for _, fault := range faults {
-					t.Errorf("seed %d: %s", scenario.seed, fault)
+				_, failures := playUpgrade(t, version.program, scenario, nil)
+				for _, failure := range failures {
+					t.Errorf("seed %d: %s", scenario.seed, failure)
 				}
 			}
 		})
 	}
 }
 
-// playUpgradeDays plays random days during an upgrade from a version.
+// playUpgradeDays runs random scenarios during an upgrade from an old version.
 func playUpgradeDays(t *testing.T, version oldVersion, name string, days int, day func(seed uint64) string) {
 	t.Helper()
 	for _, seed := range soakSeeds(days) {
@@ -109,9 +108,9 @@
 			text := day(seed) + randomUpgrades(seed)
 			scenario := parseScenario(t, text)
 			scenario.settings.Deployment.Store.ValueKB = valueLimitsKB[seed%uint64(len(valueLimitsKB))]
-			world, faults := playUpgrade(t, version.program, scenario, nil)
-			for _, fault := range append(faults, world.unfinishedWork()...) {
-				t.Error(fault)
+			world, failures := playUpgrade(t, version.program, scenario, nil)
+			for _, failure := range append(failures, world.unfinishedWork()...) {
+				t.Error(failure)
 			}
 			if t.Failed() {
 				t.Log(text)
@@ -120,8 +119,8 @@
 	}
 }
 
-// misplacePlacements makes controllers of this version record placements where no other version looks
-// for them.
+// misplacePlacements makes controllers of this version write placement records under keys that other
+// versions do not read.
 func misplacePlacements(c *controller, out *core.Output) {
 	if !c.runsThisVersion() {
 		return
@@ -131,9 +130,9 @@
 	}
 }
 
-// testMisplacedRecordsDetected makes this version record a job's placements where the old one does not
-// look for them. Once the old one leads, tasks run twice: there is a machine with some of them of which
-// it learns from the records only.
+// testMisplacedRecordsDetected checks that upgrade tests detect incompatible records: this version writes
+// a job's placement records under keys that the old version does not read. Once the old version leads,
+// tasks run twice: those on a machine whose heartbeats are lost are known from the records only.
 func testMisplacedRecordsDetected(t *testing.T, program string) {
 	t.Helper()
 	scenario := parseScenario(t, `
@@ -150,26 +149,26 @@
 until 150
 expect leaders old new old new
 `)
-	// Whether tasks run twice depends on which machine has room at the time: of a few days at least
-	// one shows it, and none without the fault.
+	// Whether tasks run twice depends on which machine has room at the time. At least one of five
+	// seeds has to show it, and none may without the incompatible records.
 	var reported []string
 	for ; scenario.seed <= 5; scenario.seed++ {
-		_, faults := playUpgrade(t, program, scenario, nil)
-		for _, fault := range faults {
-			t.Errorf("seed %d, without the fault: %s", scenario.seed, fault)
+		_, failures := playUpgrade(t, program, scenario, nil)
+		for _, failure := range failures {
+			t.Errorf("seed %d, with compatible records: %s", scenario.seed, failure)
 		}
-		_, faults = playUpgrade(t, program, scenario, misplacePlacements)
-		reported = append(reported, faults...)
+		_, failures = playUpgrade(t, program, scenario, misplacePlacements)
+		reported = append(reported, failures...)
 	}
 	if all := strings.Join(reported, "\n"); !strings.Contains(all, "ran_twice") {
-		t.Errorf("ran_twice was not reported; reported: %s", all)
+		t.Errorf("failures with incompatible records: want ran_twice, got: %s", all)
 	}
 }
 
-// testOldLeaderFindsCurrentAttempts makes workers that report to a controller of this version list
-// exited attempts beside the current ones while the old version leads, which takes the first one listed
-// as the current one. The controller of this version puts the current one first; else running tasks
-// would count as lost and be started again.
+// testOldLeaderFindsCurrentAttempts makes workers list exited earlier attempts of their running tasks
+// while the old version leads, which takes the first attempt listed for the current one. A controller of
+// this version that receives such a heartbeat has to put the current attempt first; otherwise running
+// tasks would count as lost and be started again.
 func testOldLeaderFindsCurrentAttempts(t *testing.T, program string) {
 	t.Helper()
 	for seed := uint64(1); seed <= 5; seed++ {
@@ -187,22 +186,22 @@
 `)
 		scenario.seed = seed
 		listed := 0
-		_, faults := playUpgrade(t, program, scenario, func(c *controller, _ *core.Output) {
+		_, failures := playUpgrade(t, program, scenario, func(c *controller, _ *core.Output) {
 			if listed == 0 && c.world.now > 50*time.Second {
 				listed = c.world.listEarlierAttempts()
 			}
 		})
 		if listed != 32 {
-			t.Errorf("seed %d: %d tasks have an earlier attempt beside them, want 32", seed, listed)
+			t.Errorf("seed %d: running tasks with an exited earlier attempt: got %d, want 32", seed, listed)
 		}
-		for _, fault := range faults {
-			t.Errorf("seed %d: %s", seed, fault)
+		for _, failure := range failures {
+			t.Errorf("seed %d: %s", seed, failure)
 		}
 	}
 }
 
-// listEarlierAttempts makes the workers list an exited earlier attempt of every running task, until they
-// are told to forget it.
+// listEarlierAttempts adds an exited earlier attempt of every running task to the workers' lists, where
+// it stays until the worker is commanded to delete it. It returns the number of attempts added.
 func (w *World) listEarlierAttempts() (listed int) {
 	for _, name := range w.cloud.machineNames() {
 		m := w.cloud.machines[name]
@@ -219,22 +218,22 @@
 	return listed
 }
 
-// randomUpgrades writes the upgrades of the controllers of a random day.
+// randomUpgrades returns lines that upgrade all controllers of a random scenario.
 func randomUpgrades(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	var text strings.Builder
 	at := 30 + 60*rng.Float64()
 	for i := range 5 {
-		who := "next"
+		target := "next"
 		if i == 0 && rng.IntN(2) == 0 {
-			who = "leader"
+			target = "leader"
 		}
-		fmt.Fprintf(&text, "at %.2f upgrade %s for=%g\n", at, who, []float64{0.5, 3, 8}[rng.IntN(3)])
-		if rng.IntN(3) > 0 { // else two at a time
+		fmt.Fprintf(&text, "at %.2f upgrade %s for=%g\n", at, target, []float64{0.5, 3, 8}[rng.IntN(3)])
+		if rng.IntN(3) > 0 { // otherwise the next upgrade begins at the same time
 			at += 30 * rng.Float64()
 		}
 	}
-	// A controller may still run the old version, since it led or another one was named twice.
+	// Upgrade the controllers that still run the old version, for example since one was named twice.
 	for i := range 5 {
 		fmt.Fprintf(&text, "at %d upgrade next\n", 230+5*i)
 	}
--- a/internal/sim/wake_activator_test.go
+++ b/internal/sim/wake_activator_test.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// activator is a process with a wake.Controller. It implements the controller's ports: the key-value
-// store, the model servers and the process around it.
+// activator simulates a process that runs a wake.Controller. It implements the controller's interfaces
+// to the key-value store, the model servers and the host process.
 type activator struct {
 	world           *wakeWorld
 	name            string
@@ -19,10 +19,10 @@
 	alive           bool
 	pausedUntil     time.Duration
 	heldCalls       []func()
-	pendingRequests map[uint64]bool // requests whose clients wait for an answer of this process
+	pendingRequests map[uint64]bool // requests whose clients are connected to this process
 }
 
-// start starts the process, without any state of an earlier one.
+// start starts the process without state from an earlier run.
 func (a *activator) start() {
 	a.alive, a.pausedUntil, a.heldCalls, a.pendingRequests = true, 0, nil, map[uint64]bool{}
 	a.incarnation++
@@ -30,14 +30,14 @@
 	a.tick(a.incarnation)
 }
 
-// crash ends the process without notice and starts it again after a while.
+// crash kills the process and starts it again after a delay.
 func (a *activator) crash(restartAfter time.Duration) {
 	if !a.alive {
 		return
 	}
 	a.alive = false
 	a.incarnation++
-	for id := range a.pendingRequests { // their clients see the connection close
+	for id := range a.pendingRequests { // the connections of their clients are closed
 		delete(a.world.requests, id)
 	}
 	a.world.after(restartAfter, a.start)
@@ -53,7 +53,7 @@
 	a.world.after(activatorTickInterval, func() { a.tick(incarnation) })
 }
 
-// pause pauses the process. Calls that come meanwhile are handled when it goes on.
+// pause pauses the process. Calls that arrive during the pause are handled when it resumes.
 func (a *activator) pause(duration time.Duration) {
 	a.pausedUntil = a.world.now + duration
 	incarnation := a.incarnation
@@ -69,7 +69,8 @@
 	})
 }
 
-// runUnlessPaused runs a function in an incarnation of the process, once it is not paused.
+// runUnlessPaused runs a function in an incarnation of the process, after the pause if the process is
+// paused. The function is dropped if that incarnation has ended.
 func (a *activator) runUnlessPaused(incarnation int, run func()) {
 	switch {
 	case a.incarnation != incarnation || !a.alive:
@@ -80,7 +81,7 @@
 	}
 }
 
-// Times of activators.
+// Time intervals of activators.
 const (
 	activatorTickInterval = 100 * time.Millisecond
 	callTimeout           = 2 * time.Second
@@ -88,9 +89,10 @@
 	watchTimeout          = watchHold + callTimeout
 )
 
-// call carries a request to a service. serve runs there and hands a function to reply, which runs
-// in the process; lost runs there after the timeout. Only one of the two runs.
-func (a *activator) call(to string, timeout time.Duration, serve func(reply func(run func())), lost func()) {
+// call sends a request to a service. serve runs in the service and passes a function to reply, which
+// then runs in the calling process. After the timeout, onTimeout runs in the calling process. Only one of the
+// two runs.
+func (a *activator) call(to string, timeout time.Duration, serve func(reply func(run func())), onTimeout func()) {
 	incarnation, finished := a.incarnation, false
 	finish := func(run func()) func() {
 		return func() {
@@ -102,20 +104,20 @@
 			})
 		}
 	}
-	a.world.after(timeout, finish(lost))
+	a.world.after(timeout, finish(onTimeout))
 	a.world.deliver(a.name, to, func() {
 		serve(func(run func()) { a.world.deliver(to, a.name, finish(run)) })
 	})
 }
 
-// recordAction passes what the controller does to the recorder of the world.
+// recordAction passes an action of the controller to the world's record function, if there is one.
 func (a *activator) recordAction(values ...any) {
 	if a.world.record != nil {
 		a.world.record(append([]any{a.world.now, a.name}, values...)...)
 	}
 }
 
-// storeCall sends a request to the key-value store. done gets an empty response after the timeout.
+// storeCall sends a request to the key-value store. On a timeout, done gets an empty response.
 func (a *activator) storeCall(method, path string, body []byte, timeout time.Duration, done func(kv.Response)) {
 	a.world.storeCalls++
 	a.recordAction(method, path, string(body), timeout)
@@ -152,8 +154,8 @@
 func (a *activator) Command(server string, c wake.Command, done func(wake.ReplicaStatus)) {
 	a.recordAction("command", server, c)
 	a.call(server, callTimeout, func(reply func(func())) {
-		report := a.world.servers[server].Command(c, a.world.now)
-		reply(func() { done(report) })
+		status := a.world.servers[server].Command(c, a.world.now)
+		reply(func() { done(status) })
 	}, func() { done(wake.ReplicaStatus{}) })
 }
 
@@ -164,23 +166,23 @@
 
 func (a *activator) Now() time.Duration { return a.world.now }
 
-// Reply checks the one answer that a request gets.
+// Reply records the answer to a request and checks it. A request must get exactly one answer.
 func (a *activator) Reply(id uint64, r wake.Reply) {
 	a.recordAction("reply", id, r)
 	delete(a.pendingRequests, id)
 	request := a.world.requests[id]
 	if request == nil {
-		return // its client was connected to an earlier incarnation
+		return // its client was connected to an earlier incarnation, which has crashed
 	}
 	request.answers++
-	request.status, request.latency = r.Status, a.world.now-request.askedAt
+	request.status, request.latency = r.Status, a.world.now-request.sentAt
 	if request.answers > 1 {
-		a.world.addViolation("request %d (%s) got %d answers", id, request.key, request.answers)
+		a.world.addViolation("request %d (key %s) got %d answers, want 1", id, request.key, request.answers)
 	}
 	if r.Status == wake.StatusServed && string(r.Body) != request.key {
-		a.world.addViolation("request %d (%s) got the answer to %s", id, request.key, r.Body)
+		a.world.addViolation("request %d (key %s) got the answer to key %s", id, request.key, r.Body)
 	}
 	if r.Status == wake.StatusUnavailable && r.RetryAfterSeconds < 1 {
-		a.world.addViolation("request %d was refused without a time after which to retry", id)
+		a.world.addViolation("request %d was answered as unavailable without a retry delay", id)
 	}
 }
--- a/internal/sim/wake_cost_test.go
+++ b/internal/sim/wake_cost_test.go
@@ -10,15 +10,16 @@
 	"github.com/brookwalk/brookwalk/internal/wake"
 )
 
-// wakeCost is what one wake costs.
+// wakeCost holds measurements of one wake of a model.
 type wakeCost struct {
-	storeRequests           int           // of all activators, from the first request to the last answer
-	firstAnswer, lastAnswer time.Duration // since the requests
+	storeRequests           int           // of all activators, from the first client request to the last answer
+	firstAnswer, lastAnswer time.Duration // latencies, since the requests were sent
 	replicasStarted         int
 	loadTime                time.Duration
 }
 
-// measureWake wakes a model once for some requests, spread evenly over the activators.
+// measureWake wakes a model by requests that are sent at once, spread evenly over the activators, and
+// measures the cost.
 func measureWake(seed uint64, controllers, requests int) wakeCost {
 	world := newWakeWorld(seed, controllers, wakeRegistry)
 	var cost wakeCost
@@ -43,7 +44,7 @@
 				continue
 			}
 			answered++
-			if request.status == wake.StatusServed { // those beyond max_waiting are refused at once
+			if request.status == wake.StatusServed { // requests beyond max_waiting are rejected at once
 				cost.firstAnswer, cost.lastAnswer = min(cost.firstAnswer, request.latency), max(cost.lastAnswer, request.latency)
 			}
 		}
@@ -59,40 +60,41 @@
 	return cost
 }
 
-// TestWakeCost wakes a model for 10 to 10,000 requests. The load on the key-value store does not
-// grow with them, and the first answer comes soon after the replica is ready.
+// TestWakeCost wakes a model by 10 to 10,000 requests. From 10 to 10,000 requests, the number of
+// requests to the key-value store may grow by half and one per controller at most. The median latency of
+// the first answer must be at most 1.2 load times.
 func TestWakeCost(t *testing.T) {
 	for _, controllers := range []int{1, 3, 5, 17} {
 		var few, many wakeCost
 		for _, requests := range []int{10, 100, 1000, 10000} {
-			var overheads []float64
+			var latencies []float64
 			for seed := range uint64(5) {
 				many = measureWake(seed+1, controllers, requests)
 				if many.replicasStarted != 1 {
-					t.Errorf("%d controllers, %d requests: %d starts", controllers, requests, many.replicasStarted)
+					t.Errorf("%d controllers, %d requests: got %d replica starts, want 1", controllers, requests, many.replicasStarted)
 				}
-				overheads = append(overheads, float64(many.firstAnswer)/float64(many.loadTime))
+				latencies = append(latencies, float64(many.firstAnswer)/float64(many.loadTime))
 			}
-			slices.Sort(overheads)
+			slices.Sort(latencies)
 			if requests == 10 {
 				few = many
 			}
-			t.Logf("%d controllers, %d requests: %d requests to the key-value store, first answer after %.2f load times at the median, the last after %v",
-				controllers, requests, many.storeRequests, overheads[2], many.lastAnswer)
-			if overheads[2] > 1.2 {
-				t.Errorf("%d controllers, %d requests: the first answer came after %.2f load times", controllers, requests, overheads[2])
+			t.Logf("%d controllers, %d requests: %d requests to the key-value store, median latency of the first answer %.2f load times, last answer after %v",
+				controllers, requests, many.storeRequests, latencies[2], many.lastAnswer)
+			if latencies[2] > 1.2 {
+				t.Errorf("%d controllers, %d requests: median latency of the first answer: got %.2f load times, want at most 1.2", controllers, requests, latencies[2])
 			}
 		}
 		if many.storeRequests > few.storeRequests+few.storeRequests/2+controllers {
-			t.Errorf("%d controllers: %d requests to the key-value store for 10 that wait, %d for 10,000", controllers, few.storeRequests, many.storeRequests)
+			t.Errorf("%d controllers: requests to the key-value store grow with waiting requests: %d for 10, %d for 10,000", controllers, few.storeRequests, many.storeRequests)
 		}
 	}
 }
 
-// TestDriverFailoverTime crashes the driver while the replica loads. Another one drives it within
-// two leases, so the answers come no later than that after the load.
+// TestDriverFailoverTime crashes the replica's owner while the replica loads. Another controller takes
+// the replica over within two leases, so answers are at most two leases later than without the crash.
 func TestDriverFailoverTime(t *testing.T) {
-	var worst time.Duration
+	var longest time.Duration
 	for seed := range uint64(40) {
 		world := newWakeWorld(seed+1, 3, wakeRegistry)
 		world.run(5 * time.Second)
@@ -102,21 +104,21 @@
 		world.after(time.Duration(200+200*seed)*time.Millisecond, func() { world.activators[0].crash(50 * time.Second) })
 		world.finish(t, 60*time.Second)
 		if request := world.requests[id]; request.status == wake.StatusServed {
-			worst = max(worst, request.latency)
+			longest = max(longest, request.latency)
 		} else {
-			t.Errorf("seed %d: answered %d", seed, request.status)
+			t.Errorf("seed %d: got status %d, want served", seed, request.status)
 		}
 	}
-	// The load takes 9.6 s at the most, the driver crashes 8.2 s after the request at the latest.
+	// The load takes at most 9.6 s. The owner crashes at most 8 s after the first request.
 	lease := seconds(4)
-	t.Logf("the last answer came after %v", worst)
-	if worst > 10*time.Second+2*lease {
-		t.Errorf("an answer came after %v", worst)
+	t.Logf("longest latency: %v", longest)
+	if longest > 10*time.Second+2*lease {
+		t.Errorf("longest latency: got %v, want at most 18 s", longest)
 	}
 }
 
-// TestBaselineWakesTwice lets each activator wake a replica of its own, without consensus. The
-// checker reports it.
+// TestBaselineWakesTwice makes two activators each start a replica of the same model, without
+// coordination. The checker has to report it.
 func TestBaselineWakesTwice(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	world.run(3 * time.Second)
@@ -128,15 +130,15 @@
 	}
 	world.run(5 * time.Second)
 	if len(world.violations) == 0 {
-		t.Error("two replicas at a time were not reported")
+		t.Error("violations: got none, want one for two replicas of a model")
 	}
 }
 
-// TestWaitingMemory bounds the memory of a waiting request.
+// TestWaitingMemory checks that a waiting request takes at most 1 KiB of memory.
 func TestWaitingMemory(t *testing.T) {
 	const requests = 5000
 	world := newWakeWorld(1, 1, wakeRegistry)
-	world.store.beginOutage(time.Hour) // nothing wakes
+	world.store.beginOutage(time.Hour) // no model wakes, so all requests wait
 	world.run(time.Second)
 	c := wake.New("node-9", 1, world.registry, world.activators[0], world.activators[0], world.activators[0], world.log)
 	var before, after runtime.MemStats
@@ -150,7 +152,7 @@
 	each := (float64(after.HeapAlloc) - float64(before.HeapAlloc)) / requests
 	t.Logf("%.0f bytes for each waiting request", each)
 	if each > 1024 {
-		t.Errorf("%.0f bytes for each waiting request", each)
+		t.Errorf("memory of a waiting request: got %.0f bytes, want at most 1024", each)
 	}
 	runtime.KeepAlive(c)
 }
--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/internal/wake"
 )
 
-// TestWakeOnce sends thousands of requests to all controllers in the same millisecond. They wake
-// one replica.
+// TestWakeOnce sends 2,000 requests for a sleeping model to all controllers at the same time. Exactly one
+// replica must be started.
 func TestWakeOnce(t *testing.T) {
 	for _, controllers := range []int{1, 3, 5, 17} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
@@ -24,33 +24,33 @@
 			}
 			world.finish(t, 20*time.Second)
 			if world.replicasStarted() != 1 || world.servedRequests() != 2000 {
-				t.Errorf("%d replicas started, %d of 2000 requests served", world.replicasStarted(), world.servedRequests())
+				t.Errorf("got %d replicas started and %d requests served, want 1 and 2000", world.replicasStarted(), world.servedRequests())
 			}
 		})
 	}
 }
 
-// TestWakeAfterSleep lets an idle model sleep. It wakes again, also for a request that comes at
-// that moment.
+// TestWakeAfterSleep lets an idle model go to sleep and sends a request at about that moment. The model
+// must wake again to serve it.
 func TestWakeAfterSleep(t *testing.T) {
 	for offset := range 40 {
 		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
 		world.run(3 * time.Second)
 		world.sendRequest(world.activators[0], "b", "first", 30*time.Second)
-		// It is idle some 15 s after its answer, which comes some 8 s after the request.
+		// The model goes to sleep after 15 s without requests; the first answer comes after about 8 s.
 		world.after(seconds(21.5)+time.Duration(offset)*100*time.Millisecond, func() { world.sendRequest(world.activators[1], "b", "second", 40*time.Second) })
 		world.finish(t, 90*time.Second)
 		if n := world.replicasStarted(); n > 2 || world.servedRequests() != 2 {
-			t.Errorf("offset %d: %d replicas started, %d of 2 requests served", offset, n, world.servedRequests())
+			t.Errorf("offset %d: got %d replicas started and %d requests served, want at most 2 and 2", offset, n, world.servedRequests())
 		}
 		if world.servers["gpu-1"].HasReplica("b", world.now) {
-			t.Errorf("offset %d: the replica does not sleep at the end", offset)
+			t.Errorf("offset %d: model b has a replica at the end, want none", offset)
 		}
 	}
 }
 
-// TestDriverCrashDuringWake crashes the driver at every moment of a wake. The replica that it
-// started is used, and no other one is started.
+// TestDriverCrashDuringWake crashes the replica's owner at many moments of a wake. The replica that it
+// started must be used, and no other one be started.
 func TestDriverCrashDuringWake(t *testing.T) {
 	for offset := range 140 {
 		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
@@ -64,12 +64,13 @@
 		world.after(at, func() { world.activators[0].crash(30 * time.Second) })
 		world.finish(t, 100*time.Second)
 		if n := world.replicasStarted(); n != 1 || world.servedRequests() < 1 {
-			t.Errorf("the driver crashes after %v: %d replicas started, %d requests served", at, n, world.servedRequests())
+			t.Errorf("owner crashes after %v: got %d replicas started and %d requests served, want 1 and at least 1", at, n, world.servedRequests())
 		}
 	}
 }
 
-// TestDriverPause pauses a driver until after a failover. It does no harm when it goes on.
+// TestDriverPause pauses the replica's owner until another controller has taken the replica over. The
+// previous owner must not interfere when it resumes.
 func TestDriverPause(t *testing.T) {
 	for offset := range 40 {
 		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
@@ -79,13 +80,13 @@
 		world.after(time.Second, func() { world.sendRequest(world.activators[2], "c", "y", 60*time.Second) })
 		world.finish(t, 100*time.Second)
 		if n := world.replicasStarted(); n != 1 || world.servedRequests() != 2 {
-			t.Errorf("offset %d: %d replicas started, %d of 2 requests served", offset, n, world.servedRequests())
+			t.Errorf("offset %d: got %d replicas started and %d requests served, want 1 and 2", offset, n, world.servedRequests())
 		}
 	}
 }
 
-// TestWakeAcrossPartition lets both sides of a partition reach the model server, and one of them
-// the key-value store.
+// TestWakeAcrossPartition partitions a controller from the key-value store but not from the model
+// servers, which both sides reach. Exactly one replica must be started.
 func TestWakeAcrossPartition(t *testing.T) {
 	for seed := range uint64(30) {
 		world := newWakeWorld(seed+1, 3, wakeRegistry)
@@ -97,13 +98,13 @@
 		world.after(100*time.Millisecond, func() { world.sendRequest(world.activators[1], "c", "y", 60*time.Second) })
 		world.finish(t, 100*time.Second)
 		if n := world.replicasStarted(); n != 1 || world.servedRequests() != 2 {
-			t.Errorf("seed %d: %d replicas started, %d of 2 requests served", seed, n, world.servedRequests())
+			t.Errorf("seed %d: got %d replicas started and %d requests served, want 1 and 2", seed, n, world.servedRequests())
 		}
 	}
 }
 
-// TestServerUnreachable partitions the model server with the replica off. The model wakes on the
-// next server once the first replica has certainly ended.
+// TestServerUnreachable partitions the model server that runs the replica from the controllers. The model
+// must wake on the next server, once the first replica's lease has certainly expired.
 func TestServerUnreachable(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	world.run(3 * time.Second)
@@ -114,12 +115,12 @@
 	world.after(20*time.Second, func() { world.sendRequest(world.activators[1], "a", "y", 60*time.Second) })
 	world.finish(t, 140*time.Second)
 	if world.replicasStarted() != 2 || world.servedRequests() != 2 {
-		t.Errorf("%d replicas started, %d of 2 requests served", world.replicasStarted(), world.servedRequests())
+		t.Errorf("got %d replicas started and %d requests served, want 2 and 2", world.replicasStarted(), world.servedRequests())
 	}
 }
 
-// TestWakeWithFailingLoads makes every load fail. Starts are retried with a backoff, and every
-// request is answered by its deadline.
+// TestWakeWithFailingLoads makes every load fail. Starts must be retried with backoff, and every request
+// must be answered by its deadline.
 func TestWakeWithFailingLoads(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	for _, s := range world.servers {
@@ -131,31 +132,32 @@
 	}
 	world.finish(t, 360*time.Second)
 	if n := world.replicasStarted(); n < 3 || n > 8 {
-		t.Errorf("%d starts in 300 s", n)
+		t.Errorf("replica starts: got %d, want 3 to 8", n)
 	}
 }
 
-// TestConcurrentWakes allows one wake at a time. The others wait for their turn.
+// TestConcurrentWakes sets max_waking to 1 and requests three models. They must load one after the other.
 func TestConcurrentWakes(t *testing.T) {
 	world := newWakeWorld(1, 3, strings.Replace(wakeRegistry, "max_waking = 2", "max_waking = 1", 1))
 	world.run(3 * time.Second)
 	for i, model := range []string{"a", "b", "c"} {
 		world.sendRequest(world.activators[i], model, model, 100*time.Second)
 	}
-	mostLoading := 0
+	maxLoading := 0
 	var watch func()
 	watch = func() {
-		mostLoading = max(mostLoading, world.loadingReplicas())
+		maxLoading = max(maxLoading, world.loadingReplicas())
 		world.after(50*time.Millisecond, watch)
 	}
 	watch()
 	world.finish(t, 120*time.Second)
-	if mostLoading != 1 || world.servedRequests() != 3 {
-		t.Errorf("%d replicas loaded at once, %d of 3 requests served", mostLoading, world.servedRequests())
+	if maxLoading != 1 || world.servedRequests() != 3 {
+		t.Errorf("got %d replicas loading at once and %d requests served, want 1 and 3", maxLoading, world.servedRequests())
 	}
 }
 
-// TestRepeatedRequest repeats a request. It gets the answer of the one execution.
+// TestRepeatedRequest sends a request twice with the same idempotency key. It must be executed once, and
+// both get the answer.
 func TestRepeatedRequest(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	world.run(3 * time.Second)
@@ -163,14 +165,15 @@
 	world.after(14*time.Second, func() { world.sendRequest(world.activators[1], "a", "x", 60*time.Second) })
 	world.finish(t, 60*time.Second)
 	if len(world.executions) != 1 || world.servedRequests() != 2 {
-		t.Errorf("ran %v, %d of 2 answers", world.executions, world.servedRequests())
+		t.Errorf("got executions %v and %d requests served, want one execution and 2", world.executions, world.servedRequests())
 	}
 }
 
-// TestWakeDays plays random days with several failures at a time.
+// TestWakeDays runs random scenarios with several faults at a time.
 func TestWakeDays(t *testing.T) {
-	// Each of these days fails once a guard is removed: the driver's own lease, the
-	// conditions of a claim, the order of the records of a sleep, the server that is kept.
+	// Each of these seeds fails if one safeguard is removed: the check of the owner's own lease,
+	// the conditions of a claim, the order of the records when a model goes to sleep, keeping the
+	// server when a replica is taken over.
 	seeds := []uint64{156, 167, 177, 184}
 	for seed := uint64(1); seed <= uint64(soakDays(60)); seed++ {
 		seeds = append(seeds, seed)
@@ -183,14 +186,14 @@
 	}
 }
 
-// playWakeDay plays a random day with several faults at a time; record, if set, gets all that
-// activators do.
+// playWakeDay runs a random scenario with several faults at a time. record, if set, is called for every
+// action of the activators.
 func playWakeDay(t *testing.T, seed uint64, record func(values ...any)) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 23))
 	world := newWakeWorld(seed, []int{1, 3, 5, 5}[rng.IntN(4)], wakeRegistry)
 	world.record = record
-	for _, name := range slices.Sorted(maps.Keys(world.servers)) { // in order, so that each draws its own share of failing loads
+	for _, name := range slices.Sorted(maps.Keys(world.servers)) { // in a fixed order: each draws its share of failing loads
 		world.servers[name].Load = RandomLoad(world.rng, meanLoadTime, []float64{0, 0, 0.3}[rng.IntN(3)])
 	}
 	world.run(3 * time.Second)
@@ -203,8 +206,8 @@
 		at := seconds(180 * rng.Float64())
 		world.after(at, world.randomFault(rng))
 	}
-	// Once all faults are over and loads succeed again, every model wakes, after the longest
-	// time between two wakes at the latest: sixteen load times of up to 10 s.
+	// Once all faults are over and loads succeed again, every model must wake, at the latest after
+	// the maximum backoff: 16 load times of up to 10 s.
 	world.after(320*time.Second, func() {
 		for _, server := range world.servers {
 			server.Load = RandomLoad(world.rng, meanLoadTime, 0)
@@ -216,7 +219,7 @@
 	world.finish(t, 530*time.Second)
 	for _, request := range world.requests {
 		if strings.HasPrefix(request.key, "last") && request.status != wake.StatusServed {
-			t.Errorf("%s: answered %d after all faults are over", request.key, request.status)
+			t.Errorf("request %s after the end of all faults: got status %d, want served", request.key, request.status)
 		}
 	}
 }
@@ -225,7 +228,7 @@
 	return w.activators[rng.IntN(len(w.activators))]
 }
 
-// randomFault chooses a fault and returns what injects it.
+// randomFault chooses a fault and returns a function that injects it.
 func (w *wakeWorld) randomFault(rng *rand.Rand) func() {
 	duration := seconds(1 + 30*rng.Float64())
 	target, holdsMessages := w.randomActivator(rng), rng.IntN(2) == 0
--- a/internal/sim/wake_world_test.go
+++ b/internal/sim/wake_world_test.go
@@ -33,17 +33,17 @@
 load_s = 8
 `
 
-// The models and servers of wakeRegistry.
+// Names of the models and servers in wakeRegistry.
 var (
 	wakeModels  = []string{"a", "b", "c"}
 	wakeServers = []string{"gpu-0", "gpu-1"}
 )
 
-// meanLoadTime is how long the servers take to load a model, on average.
+// meanLoadTime is the mean time in which a server loads a model.
 const meanLoadTime = 8 * time.Second
 
-// wakeWorld plays activators that wake models. The key-value store and the network with its
-// partitions are those of World.
+// wakeWorld simulates activators that wake models. The key-value store and the network with its
+// partitions are those of the embedded World.
 type wakeWorld struct {
 	*World
 	registry           *wake.Registry
@@ -52,20 +52,20 @@
 	activators         []*activator
 	requests           map[uint64]*wakeRequest
 	lastRequestID      uint64
-	executions         map[string]int // by the client's key and the replica
+	executions         map[string]int // by idempotency key and replica
 	violations         []string
 	storeCalls         int
-	// record, if set, gets all that an activator does.
+	// record, if set, is called for every action of an activator.
 	record func(values ...any)
 }
 
-// wakeRequest is what a client knows of its request.
+// wakeRequest is a request as its client sees it.
 type wakeRequest struct {
-	model, key        string
-	askedAt, deadline time.Duration
-	answers           int
-	status            wake.Status
-	latency           time.Duration
+	model, key       string
+	sentAt, deadline time.Duration
+	answers          int
+	status           wake.Status
+	latency          time.Duration
 }
 
 func newWakeWorld(seed uint64, controllers int, registry string) *wakeWorld {
@@ -92,16 +92,17 @@
 	return world
 }
 
-// Bounds of the time that a replica takes over a request.
+// Bounds of the time in which a replica serves a request.
 const (
 	minServeTime   = 50 * time.Millisecond
 	serveTimeRange = 400 // milliseconds
 )
 
-// inProgressRetry is after how long a request is handed to a replica again that works on it.
+// inProgressRetry is the delay after which a repeated request is sent to the replica again while the
+// first one is in progress.
 const inProgressRetry = 50 * time.Millisecond
 
-// serve makes a model server answer a request.
+// serve sends a request to a model server and passes the outcome to done.
 func (w *wakeWorld) serve(server string, request *wake.Request, reply func(func()), done func(wake.Outcome, []byte)) {
 	modelServer, incarnation := w.servers[server], w.serverIncarnations[server]
 	result, answer := modelServer.Ask(request.Model, request.IdempotencyKey, w.now)
@@ -125,16 +126,17 @@
 	})
 }
 
+// addViolation records a violation with the present time.
 func (w *wakeWorld) addViolation(format string, args ...any) {
 	w.violations = append(w.violations, fmt.Sprintf("%.3f s: %s", w.now.Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// sendRequest makes a client send a request for a model to an activator, and returns its ID; 0 if
-// the connection is refused.
+// sendRequest makes a client send a request for a model to an activator. It returns the request's ID, or
+// 0 if the activator is down, which refuses the connection.
 func (w *wakeWorld) sendRequest(activator *activator, model, key string, timeout time.Duration) uint64 {
 	w.lastRequestID++
 	id := w.lastRequestID
-	request := &wakeRequest{model: model, key: key, askedAt: w.now, deadline: w.now + timeout}
+	request := &wakeRequest{model: model, key: key, sentAt: w.now, deadline: w.now + timeout}
 	if !activator.alive {
 		return 0
 	}
@@ -149,7 +151,7 @@
 // replicaCheckInterval is the time between two checks of the replicas.
 const replicaCheckInterval = 20 * time.Millisecond
 
-// checkReplicas checks, again and again, that no model has two replicas.
+// checkReplicas checks periodically that no model has more than one replica.
 func (w *wakeWorld) checkReplicas() {
 	for _, m := range w.registry.Models {
 		var live []string
@@ -165,7 +167,7 @@
 	w.after(replicaCheckInterval, w.checkReplicas)
 }
 
-// replicasStarted is how many replicas were started on all servers.
+// replicasStarted returns how many replicas were started on all servers.
 func (w *wakeWorld) replicasStarted() int {
 	sum := 0
 	for _, server := range w.servers {
@@ -174,7 +176,7 @@
 	return sum
 }
 
-// loadingReplicas is how many replicas are loading on all servers.
+// loadingReplicas returns how many replicas are loading on all servers.
 func (w *wakeWorld) loadingReplicas() int {
 	count := 0
 	for _, server := range w.servers {
@@ -187,18 +189,19 @@
 	return count
 }
 
-// finish plays until a time, well after the last request's end, and checks the requests.
+// finish runs until a time, well after the last request's deadline. It checks that each request got one
+// answer and that no request was executed twice, and reports all violations.
 func (w *wakeWorld) finish(t *testing.T, until time.Duration) {
 	t.Helper()
 	w.run(until)
 	for id, request := range w.requests {
 		if request.answers != 1 && request.deadline+10*time.Second < until {
-			w.addViolation("request %d (%s for %s, asked at %.1f s) got %d answers", id, request.key, request.model, request.askedAt.Seconds(), request.answers)
+			w.addViolation("request %d (key %s, model %s, sent at %.1f s) got %d answers, want 1", id, request.key, request.model, request.sentAt.Seconds(), request.answers)
 		}
 	}
 	for key, count := range w.executions {
 		if count > 1 {
-			w.addViolation("%s ran %d times", key, count)
+			w.addViolation("%s was executed %d times, want once", key, count)
 		}
 	}
 	for _, violation := range append(w.violations, w.checker.violations...) {
