--- a/internal/sim/dependency_graph_test.go
+++ b/internal/sim/dependency_graph_test.go
@@ -36,8 +36,8 @@
 // dependencyGraph holds, for each job by index, the indexes of its dependencies.
 type dependencyGraph [][]int
 
-// dependencyGraphs returns graphs of several kinds by name. Each has the given number of jobs, except
-// for the graph of one job with all dependencies, which has longDependencyList+1.
+// dependencyGraphs returns graphs of several kinds by name. Each has the given number of jobs,
+// except for the graph of one job with all dependencies, which has longDependencyList+1.
 func dependencyGraphs(jobs int) map[string]dependencyGraph {
 	chain, oneForAll, layers := make(dependencyGraph, jobs), make(dependencyGraph, jobs), make(dependencyGraph, jobs)
 	allForOne := make(dependencyGraph, longDependencyList+1)
@@ -69,10 +69,10 @@
 }
 
 // TestCancelledGraphs cancels the root of large graphs while its task runs and faults are injected.
-// At the end every job that depends on the root must be cancelled. Throughout, no job may start before
-// its dependencies are done, or be reported as running for longer than the cancellation timeout after
-// the root was reported as cancelled. When the store's limits are reduced without announcement, only a
-// few transactions may exceed them.
+// At the end every job that depends on the root must be cancelled. Throughout, no job may start
+// before its dependencies are done, or be reported as running for longer than the cancellation
+// timeout after the root was reported as cancelled. When the store's limits are reduced without
+// announcement, only a few transactions may exceed them.
 func TestCancelledGraphs(t *testing.T) {
 	faults := map[string]string{
 		"none":               "",
@@ -82,7 +82,7 @@
 		"unannounced limits": "at 40 limits value_kb=4 txn_ops=4 write_rps=30\nat 61 crash leader for=3\n",
 		"several at once":    "next value_kb=2 txn_ops=5 write_rps=40\nat 40 limits value_kb=2 txn_ops=5 write_rps=40\nat 58 slow for=40 by=0.25\nat 60.5 crash leader for=3\n",
 	}
-	playGraphs(t, 240, faults, func(text *strings.Builder, graph dependencyGraph) {
+	runGraphScenarios(t, 240, faults, func(text *strings.Builder, graph dependencyGraph) {
 		writeSubmissions(text, graph, "run=400")
 		text.WriteString("at 60 cancel job-000001\nuntil 108\n")
 		for n, isCancelled := range graph.dependentsOfRoot() {
@@ -105,7 +105,7 @@
 		"unannounced limits": "at 40 limits value_kb=4 txn_ops=4 write_rps=30\n",
 		"delayed commits, partition, duplicate heartbeats": "at 30 late_writes share=0.3 for=30\nat 70 cut leader state for=12\nat 90 late_reports share=0.5 for=20\n",
 	}
-	playGraphs(t, 31, faults, func(text *strings.Builder, graph dependencyGraph) {
+	runGraphScenarios(t, 31, faults, func(text *strings.Builder, graph dependencyGraph) {
 		writeSubmissions(text, graph, "")
 		fmt.Fprintf(text, "at 2 submit job-000900 priority=urgent tasks=2 run=3 due=300 awaits=job-%06d\n", len(graph))
 		text.WriteString("until 420\n")
@@ -116,9 +116,9 @@
 	})
 }
 
-// playGraphs runs a scenario for each kind of graph and each fault. faults holds the lines of each
-// fault by its name; write writes the rest of the scenario.
-func playGraphs(t *testing.T, jobs int, faults map[string]string, write func(*strings.Builder, dependencyGraph)) {
+// runGraphScenarios runs a scenario for each kind of graph and each fault. faults holds the lines
+// of each fault by its name; write writes the rest of the scenario.
+func runGraphScenarios(t *testing.T, jobs int, faults map[string]string, write func(*strings.Builder, dependencyGraph)) {
 	t.Helper()
 	for kind, graph := range dependencyGraphs(jobs) {
 		for faultName, lines := range faults {
@@ -128,7 +128,7 @@
 				fmt.Fprintf(&text, graphSetup, 1)
 				text.WriteString(lines)
 				write(&text, graph)
-				playGraph(t, text.String())
+				runGraphScenario(t, text.String())
 			})
 		}
 	}
@@ -138,14 +138,14 @@
 // announcement: each controller sends a few until it has detected the new limits.
 const maxRejected = 40
 
-// maxReported limits the failures that are reported for one graph.
-const maxReported = 6
+// maxReportedFailures limits the failures that are reported for one graph.
+const maxReportedFailures = 6
 
-// playGraph runs a scenario and checks how many transactions the key-value store rejected.
-func playGraph(t *testing.T, text string) {
+// runGraphScenario runs a scenario and checks how many transactions the key-value store rejected.
+func runGraphScenario(t *testing.T, text string) {
 	t.Helper()
 	world, failures := parseScenario(t, text).Run(testLog())
-	for _, failure := range failures[:min(len(failures), maxReported)] {
+	for _, failure := range failures[:min(len(failures), maxReportedFailures)] {
 		t.Error(failure)
 	}
 	if world.store.rejected > maxRejected {
--- a/internal/sim/fingerprint_test.go
+++ b/internal/sim/fingerprint_test.go
@@ -62,37 +62,37 @@
 	}
 }
 
-// fingerprintKinds are the kinds of random scenarios. play runs the one with a seed and returns its
+// fingerprintKinds are the kinds of random scenarios. run runs the one with a seed and returns its
 // fingerprint.
 var fingerprintKinds = []struct {
 	name string
-	play func(t *testing.T, seed uint64) string
+	run  func(t *testing.T, seed uint64) string
 }{
-	{"soak", scenarioFingerprint(soakDay)},
-	{"meetings", scenarioFingerprint(overlappingFaultsDay)},
-	{"operations", scenarioFingerprint(operationsDay)},
-	{"pairs", scenarioFingerprint(func(seed uint64) string { _, text := faultPairDay(seed * 13); return text })},
-	{"pipelines", scenarioFingerprint(pipelinesDay)},
-	{"one type", scenarioFingerprint(oneTypeDay)},
-	{"grown", scenarioFingerprint(grownDay)},
-	{"fleet", scenarioFingerprint(fleetDay)},
+	{"soak", scenarioFingerprint(soakScenario)},
+	{"meetings", scenarioFingerprint(overlappingFaultsScenario)},
+	{"operations", scenarioFingerprint(operationsScenario)},
+	{"pairs", scenarioFingerprint(func(seed uint64) string { _, text := faultPairScenario(seed * 13); return text })},
+	{"pipelines", scenarioFingerprint(pipelinesScenario)},
+	{"one type", scenarioFingerprint(oneTypeScenario)},
+	{"grown", scenarioFingerprint(smallMixedFleetScenario)},
+	{"fleet", scenarioFingerprint(smallFleetStartupScenario)},
 	{"regions", regionsFingerprint},
 	{"wake", wakeFingerprint},
 }
 
-// grownDay generates a scenario as in TestSoakGrown, with at most 48 machines.
-func grownDay(seed uint64) string {
+// smallMixedFleetScenario generates a scenario as in TestSoakGrown, with at most 48 machines.
+func smallMixedFleetScenario(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 5))
 	controllers := fmt.Sprint("controllers ", 3+2*rng.IntN(2))
-	return grownFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(rng, 200)...)...)
+	return mixedFleetScenario([]int{24, 48}[seed%2], seed, 280, append([]string{controllers}, randomFleetFaults(rng, 200)...)...)
 }
 
-// fleetDay generates a scenario as in TestSoakFleet, at its smallest size.
-func fleetDay(seed uint64) string {
+// smallFleetStartupScenario generates a scenario as in TestSoakFleet, at its smallest size.
+func smallFleetStartupScenario(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 6))
 	lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*rng.IntN(2))}
 	lines = append(lines, randomFleetFaults(rng, 130)...)
-	return startupWaveScenario(0.15, 200, append(lines, massMachineFaults(rng, 40, 130)...)...)
+	return fleetStartupScenario(0.15, 200, append(lines, massMachineFaults(rng, 40, 130)...)...)
 }
 
 func scenarioFingerprint(write func(seed uint64) string) func(*testing.T, uint64) string {
@@ -123,7 +123,7 @@
 func wakeFingerprint(t *testing.T, seed uint64) string {
 	t.Helper()
 	f := newFingerprint()
-	playWakeDay(t, seed, f.add)
+	runRandomWakeScenario(t, seed, f.add)
 	return f.String()
 }
 
@@ -142,8 +142,8 @@
 				name := fmt.Sprint(kind.name, " ", seed+1)
 				t.Run(name, func(t *testing.T) {
 					t.Parallel()
-					first := kind.play(t, seed+1)
-					if !print && kind.play(t, seed+1) != first {
+					first := kind.run(t, seed+1)
+					if !print && kind.run(t, seed+1) != first {
 						t.Error("fingerprints of two runs with the same seed differ")
 					}
 					mu.Lock()
--- a/internal/sim/fleet_scenarios_test.go
+++ b/internal/sim/fleet_scenarios_test.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// grownFleetScenario generates a scenario for a fleet with a number of machines. Two teams submit
+// mixedFleetScenario generates a scenario for a fleet with a number of machines. Two teams submit
 // services, arrays and wide gangs in proportion to the size of the fleet. faults are added as lines.
-func grownFleetScenario(machines int, seed uint64, until int, faults ...string) string {
+func mixedFleetScenario(machines int, seed uint64, until int, faults ...string) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	var text strings.Builder
 	perOffer := (machines + 11) / 12 // machines for each combination of type, zone and spot or on-demand
@@ -52,7 +52,8 @@
 	return text.String()
 }
 
-// randomFleetFaults returns the lines of random faults that overlap and begin before a time in seconds.
+// randomFleetFaults returns the lines of random faults that overlap and begin before a time in
+// seconds.
 func randomFleetFaults(rng *rand.Rand, until int) []string {
 	const from = 30 // seconds; gives the first machines time to boot
 	var lines []string
@@ -102,13 +103,13 @@
 	return lines
 }
 
-// startupWaveScenario generates a scenario in which a large fleet starts up: hundreds of small services
-// that are spread over zones cause all machines to be rented at once. Scale 1 allows about 1,000
-// machines.
-func startupWaveScenario(scale float64, until int, faults ...string) string {
-	w := &waveWriter{dayWriter: dayWriter{rng: rand.New(rand.NewPCG(1, 11))}, scale: scale, until: until}
+// fleetStartupScenario generates a scenario in which a large fleet starts up: hundreds of small
+// services that are spread over zones cause all machines to be rented at once. Scale 1 allows about
+// 1,000 machines.
+func fleetStartupScenario(scale float64, until int, faults ...string) string {
+	w := &fleetStartupWriter{scenarioWriter: scenarioWriter{rng: rand.New(rand.NewPCG(1, 11))}, scale: scale, until: until}
 	w.writeSetup()
-	w.writeStart()
+	w.writeStartup()
 	w.writeSteadyLoad()
 	for _, line := range faults {
 		w.WriteString(line + "\n")
@@ -116,17 +117,17 @@
 	return w.String()
 }
 
-// waveWriter generates the text of a startupWaveScenario.
-type waveWriter struct {
-	dayWriter
+// fleetStartupWriter generates the text of a fleetStartupScenario.
+type fleetStartupWriter struct {
+	scenarioWriter
 	scale float64
 	until int // in seconds
 }
 
 // scaled multiplies a count by the scale of the scenario.
-func (w *waveWriter) scaled(count float64) int { return int(count * w.scale) }
+func (w *fleetStartupWriter) scaled(count float64) int { return int(count * w.scale) }
 
-func (w *waveWriter) writeSetup() {
+func (w *fleetStartupWriter) writeSetup() {
 	w.printf("seed 1\nuntil %d\nworkers report=4 lease=22 cancel=42\n", w.until)
 	for _, team := range []string{"t", "u"} {
 		w.printf("team %s gpus=%d gpus_max=%d\n", team, w.scaled(1200), w.scaled(4000))
@@ -136,29 +137,29 @@
 	w.WriteString("wait gate within=1\nwait chat within=30\nwait wide within=100\n")
 }
 
-// writeStart writes the submissions of the startup phase.
-func (w *waveWriter) writeStart() {
+// writeStartup writes the submissions of the startup phase.
+func (w *fleetStartupWriter) writeStartup() {
 	for range w.scaled(650) {
-		w.submitGate(w.firstSeconds())
+		w.submitSmallService(w.startupTime())
 	}
 	for range w.scaled(60) {
-		w.submit(w.firstSeconds(), "shape=service class=chat priority=critical tasks=%d cpus=22 gpus=4 mem=150 image=c%d image_gb=68 apart",
+		w.submit(w.startupTime(), "shape=service class=chat priority=critical tasks=%d cpus=22 gpus=4 mem=150 image=c%d image_gb=68 apart",
 			1+w.rng.IntN(3), w.rng.IntN(6))
 	}
 	for range w.scaled(33) {
-		w.submitSweep(w.firstSeconds())
+		w.submitSweep(w.startupTime())
 	}
 	for range w.scaled(10) {
-		w.submit(w.firstSeconds(), "shape=gang class=wide priority=urgent tasks=2 cpus=57 gpus=8 mem=410 run=250 checkpoint=15 save=2 image=w%d image_gb=118 together types=big",
+		w.submit(w.startupTime(), "shape=gang class=wide priority=urgent tasks=2 cpus=57 gpus=8 mem=410 run=250 checkpoint=15 save=2 image=w%d image_gb=118 together types=big",
 			w.rng.IntN(6))
 	}
 }
 
 // writeSteadyLoad writes the submissions that follow the startup phase.
-func (w *waveWriter) writeSteadyLoad() {
+func (w *fleetStartupWriter) writeSteadyLoad() {
 	for at := 5; at < w.until-10; at++ {
 		if w.rng.Float64() < 0.68*w.scale {
-			w.submitGate(float64(at))
+			w.submitSmallService(float64(at))
 		}
 		if w.rng.Float64() < 0.25*w.scale {
 			w.submitSweep(float64(at))
@@ -166,11 +167,11 @@
 	}
 }
 
-// firstSeconds returns a random time in the startup phase.
-func (w *waveWriter) firstSeconds() float64 { return 1 + 3*w.rng.Float64() }
+// startupTime returns a random time in the startup phase.
+func (w *fleetStartupWriter) startupTime() float64 { return 1 + 3*w.rng.Float64() }
 
 // submit writes the submission of a job and, with a probability of 1/8, its cancellation.
-func (w *waveWriter) submit(at float64, format string, args ...any) {
+func (w *fleetStartupWriter) submit(at float64, format string, args ...any) {
 	id := w.newJobID()
 	w.event(at, "submit %s team=%s %s", id, w.pick("t", "u"), fmt.Sprintf(format, args...))
 	if w.rng.IntN(8) == 0 {
@@ -178,10 +179,10 @@
 	}
 }
 
-func (w *waveWriter) submitGate(at float64) {
+func (w *fleetStartupWriter) submitSmallService(at float64) {
 	w.submit(at, "shape=service class=gate priority=critical tasks=%d cpus=1 mem=1.8 image=g%d image_gb=1.8 apart", []int{3, 4, 9}[w.rng.IntN(3)], w.rng.IntN(16))
 }
 
-func (w *waveWriter) submitSweep(at float64) {
+func (w *fleetStartupWriter) submitSweep(at float64) {
 	w.submit(at, "class=sweep tasks=%d cpus=5 gpus=1 mem=35 run=80 checkpoint=10 save=4 image=s%d image_gb=42 spot", 5+w.rng.IntN(20), w.rng.IntN(10))
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -8,7 +8,8 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// startedJobs returns how many accepted jobs are running or finished, and how many jobs are accepted.
+// startedJobs returns how many accepted jobs are running or finished, and how many jobs are
+// accepted.
 func (w *World) startedJobs() (started, accepted int) {
 	for _, id := range w.users.sortedIDs() {
 		job := w.users.jobs[id]
@@ -23,8 +24,8 @@
 	return started, accepted
 }
 
-// TestSoakFleet runs random scenarios of a large fleet in which up to hundreds of machines fail at once,
-// together with partitions, crashes and duplicate heartbeats.
+// TestSoakFleet runs random scenarios of a large fleet in which up to hundreds of machines fail at
+// once, together with partitions, crashes and duplicate heartbeats.
 func TestSoakFleet(t *testing.T) {
 	for _, seed := range soakSeeds(3) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -34,7 +35,7 @@
 			lines := []string{fmt.Sprint("seed ", seed), fmt.Sprint("controllers ", 3+2*rng.IntN(2))}
 			lines = append(lines, randomFleetFaults(rng, 130)...)
 			lines = append(lines, massMachineFaults(rng, 40, 130)...)
-			world := playScenario(t, startupWaveScenario(scale, 200, lines...))
+			world := playScenario(t, fleetStartupScenario(scale, 200, lines...))
 			if started, accepted := world.startedJobs(); started*2 < accepted {
 				t.Errorf("started jobs: got %d of %d accepted, want at least half", started, accepted)
 			}
@@ -42,8 +43,8 @@
 	}
 }
 
-// TestSoakGrown runs random scenarios of fleets of several sizes with three or five controllers and wide
-// gangs.
+// TestSoakGrown runs random scenarios of fleets of several sizes with three or five controllers and
+// wide gangs.
 func TestSoakGrown(t *testing.T) {
 	// Seed 91 ran a task twice: a leader that had already stepped down extended a worker's lease,
 	// the worker learned the new term from a direct command, and the new leader computed the
@@ -54,7 +55,7 @@
 			rng := rand.New(rand.NewPCG(seed, 5))
 			machines := []int{24, 48, 100, 240}[seed%4]
 			lines := append([]string{fmt.Sprint("controllers ", 3+2*rng.IntN(2))}, randomFleetFaults(rng, 200)...)
-			world := playScenario(t, grownFleetScenario(machines, seed, 280, lines...))
+			world := playScenario(t, mixedFleetScenario(machines, seed, 280, lines...))
 			started, _ := world.startedJobs()
 			if all := len(world.users.jobs); started*2 < all {
 				t.Errorf("started jobs: got %d of %d submitted, want at least half", started, all)
@@ -63,20 +64,21 @@
 	}
 }
 
-// TestWaveCost starts up a large fleet at two sizes. The number of machine evaluations may grow in
-// proportion to machines times jobs, but not faster: a loop over every task of every machine for every
-// job took more than a tick at 1,500 machines.
-func TestWaveCost(t *testing.T) {
-	if small, large := evaluationsPerPair(t, 300), evaluationsPerPair(t, 1500); large > 2*small {
+// TestStartupEvaluations starts up a large fleet at two sizes. The number of machine evaluations
+// may grow in proportion to machines times jobs, but not faster: a loop over every task of every
+// machine for every job took more than a tick at 1,500 machines.
+func TestStartupEvaluations(t *testing.T) {
+	if small, large := evaluationsPerMachineAndJob(t, 300), evaluationsPerMachineAndJob(t, 1500); large > 2*small {
 		t.Errorf("evaluations per machine and job with 1,500 machines: got %.0f, want at most twice the %.0f with 300", large, small)
 	}
 }
 
-// evaluationsPerPair starts up a fleet with about the given number of machines. It returns how often the
-// leader evaluated a machine for a placement, divided by the product of machines and jobs.
-func evaluationsPerPair(t *testing.T, machines int) float64 {
+// evaluationsPerMachineAndJob starts up a fleet with about the given number of machines. It returns
+// how often the leader evaluated a machine for a placement, divided by the product of machines and
+// jobs.
+func evaluationsPerMachineAndJob(t *testing.T, machines int) float64 {
 	t.Helper()
-	world := playScenario(t, startupWaveScenario(float64(machines)/1000, 60))
+	world := playScenario(t, fleetStartupScenario(float64(machines)/1000, 60))
 	leader := world.leader()
 	if leader == nil || leader.core.(*core.Core).Evaluations() == 0 {
 		t.Fatal("no leader, or a leader without evaluations, at the end")
@@ -103,13 +105,13 @@
 // BenchmarkGrown simulates 200 s of fleets of several sizes.
 func BenchmarkGrown(b *testing.B) {
 	for _, machines := range []int{50, 300, 800, 1500, 4200} {
-		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkScenario(b, grownFleetScenario(machines, 1, 200)) })
+		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkScenario(b, mixedFleetScenario(machines, 1, 200)) })
 	}
 }
 
 // BenchmarkWave simulates the first 90 s of the startup of large fleets.
 func BenchmarkWave(b *testing.B) {
 	for _, machines := range []int{300, 1000, 1500, 4200} {
-		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkScenario(b, startupWaveScenario(float64(machines)/1000, 90)) })
+		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkScenario(b, fleetStartupScenario(float64(machines)/1000, 90)) })
 	}
 }
--- a/internal/sim/huge_array_test.go
+++ b/internal/sim/huge_array_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// hugeArray is a scenario with an array of the maximum number of tasks and a service, on some 1,400
-// machines. The leader crashes while the array runs.
-const hugeArray = `
+// hugeArrayScenario is a scenario with an array of the maximum number of tasks and a service, on
+// some 1,400 machines. The leader crashes while the array runs.
+const hugeArrayScenario = `
 seed 1
 team t
 workers report=4 lease=17.5 cancel=40
@@ -20,11 +20,11 @@
 expect expired most=0
 `
 
-// TestHugeArray runs an array of 100,000 tasks to completion. The simulation used to sort all tasks of a
-// job at each task start, which took 505 s.
+// TestHugeArray runs an array of 100,000 tasks to completion. The simulation used to sort all tasks
+// of a job at each task start, which took 505 s.
 func TestHugeArray(t *testing.T) {
 	t.Parallel()
-	world := playScenario(t, hugeArray)
+	world := playScenario(t, hugeArrayScenario)
 	if world.cloud.rentedTotal < 1000 {
 		t.Errorf("rented machines: got %d, want at least 1000", world.cloud.rentedTotal)
 	}
--- a/internal/sim/large_fleet_test.go
+++ b/internal/sim/large_fleet_test.go
@@ -9,9 +9,9 @@
 	"github.com/brookwalk/brookwalk/internal/core"
 )
 
-// TestFourThousandMachines boots a fleet of 4,200 machines. Then users poll 8 times as often, the leader
-// is paused for 90 s, 70 % of the machines of a zone are lost and the next leader crashes. No rule may be
-// violated, and at least 99 % of the replicas must run at the end.
+// TestFourThousandMachines boots a fleet of 4,200 machines. Then users poll 8 times as often, the
+// leader is paused for 90 s, 70 % of the machines of a zone are lost and the next leader crashes.
+// No rule may be violated, and at least 99 % of the replicas must run at the end.
 func TestFourThousandMachines(t *testing.T) {
 	t.Parallel()
 	const replicas, services = 100, 42
--- a/internal/sim/live_test.go
+++ b/internal/sim/live_test.go
@@ -39,8 +39,8 @@
 	go c.live.Do(func() { done(answer) })
 }
 
-// TestLiveChecksRules runs a live world with a controller that makes two workers run the same task. The
-// checker has to report it.
+// TestLiveChecksRules runs a live world with a controller that makes two workers run the same task.
+// The checker has to report it.
 func TestLiveChecksRules(t *testing.T) {
 	settings := defaultSettings()
 	settings.Deployment.Size = 1
--- a/internal/sim/one_type_test.go
+++ b/internal/sim/one_type_test.go
@@ -7,11 +7,11 @@
 	"testing"
 )
 
-// oneTypeDay generates a random scenario of a deployment with a single machine type: gangs that need
-// whole machines in one zone, small services that are spread over zones, teams whose guarantees exceed
-// the on-demand machines, and more images than a machine's cache holds. The settings are random too,
-// which reveals code that depends on particular values.
-func oneTypeDay(seed uint64) string {
+// oneTypeScenario generates a random scenario of a deployment with a single machine type: gangs
+// that need whole machines in one zone, small services that are spread over zones, teams whose
+// guarantees exceed the on-demand machines, and more images than a machine's cache holds. The
+// settings are random too, which reveals code that depends on particular values.
+func oneTypeScenario(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	var text strings.Builder
 	pick := func(values ...float64) float64 { return values[rng.IntN(len(values))] }
@@ -63,5 +63,5 @@
 func TestOneType(t *testing.T) {
 	// With seed 474 a gang that needs whole machines never started: replicas were scattered over
 	// all machines that the cloud had.
-	playSeeds(t, soakSeeds(25, 474), oneTypeDay)
+	playSeeds(t, soakSeeds(25, 474), oneTypeScenario)
 }
--- a/internal/sim/pipelines_test.go
+++ b/internal/sim/pipelines_test.go
@@ -13,82 +13,82 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// pipelinesDay generates a scenario of chains, diamonds and long lists of dependent jobs, with
+// pipelinesScenario generates a scenario of chains, diamonds and long lists of dependent jobs, with
 // cancellations and overlapping faults. In half of the scenarios the store's limits are reduced.
-func pipelinesDay(seed uint64) string {
-	d := &dayWriter{rng: rand.New(rand.NewPCG(seed, 13))}
-	d.printf("seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[d.rng.IntN(2)], soakSetup)
-	if d.rng.IntN(2) == 0 {
-		d.printf("next value_kb=2 txn_ops=%d write_rps=40\nat %d limits value_kb=2 txn_ops=5 write_rps=40\n", 5+d.rng.IntN(2), 20+d.rng.IntN(100))
+func pipelinesScenario(seed uint64) string {
+	w := &scenarioWriter{rng: rand.New(rand.NewPCG(seed, 13))}
+	w.printf("seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[w.rng.IntN(2)], soakSetup)
+	if w.rng.IntN(2) == 0 {
+		w.printf("next value_kb=2 txn_ops=%d write_rps=40\nat %d limits value_kb=2 txn_ops=5 write_rps=40\n", 5+w.rng.IntN(2), 20+w.rng.IntN(100))
 	}
 	var earlier []string // jobs of earlier pipelines
 	for range 7 {
-		earlier = append(earlier, d.pipeline(earlier)...)
+		earlier = append(earlier, w.pipeline(earlier)...)
 	}
-	d.printf("at 1 submit job-000900 shape=service priority=critical tasks=4 cpus=1 apart\n")
-	writeOverlappingFaults(&d.Builder, d.rng)
-	d.WriteString("until 540\n")
-	return d.String()
+	w.printf("at 1 submit job-000900 shape=service priority=critical tasks=4 cpus=1 apart\n")
+	writeOverlappingFaults(&w.Builder, w.rng)
+	w.WriteString("until 540\n")
+	return w.String()
 }
 
-// pipeline writes the submissions of a pipeline of jobs and returns their IDs. The pipeline may depend
-// on one of the earlier jobs, whose ID is returned too.
-func (d *dayWriter) pipeline(earlier []string) []string {
-	at := 1 + 120*d.rng.Float64()
-	ids := []string{d.stage(at, nil)}
-	if earlier != nil && d.rng.IntN(3) == 0 {
-		ids = append(ids, earlier[d.rng.IntN(len(earlier))])
-	}
-	if d.rng.IntN(2) == 0 {
-		at += 40 * d.rng.Float64()
-	}
-	switch d.rng.IntN(3) {
+// pipeline writes the submissions of a pipeline of jobs and returns their IDs. The pipeline may
+// depend on one of the earlier jobs, whose ID is returned too.
+func (w *scenarioWriter) pipeline(earlier []string) []string {
+	at := 1 + 120*w.rng.Float64()
+	ids := []string{w.stage(at, nil)}
+	if earlier != nil && w.rng.IntN(3) == 0 {
+		ids = append(ids, earlier[w.rng.IntN(len(earlier))])
+	}
+	if w.rng.IntN(2) == 0 {
+		at += 40 * w.rng.Float64()
+	}
+	switch w.rng.IntN(3) {
 	case 0: // a chain
-		for range d.rng.IntN(3) {
-			ids = append(ids, d.stage(at, ids[len(ids)-1:]))
+		for range w.rng.IntN(3) {
+			ids = append(ids, w.stage(at, ids[len(ids)-1:]))
 		}
-		return append(ids, d.lastStage(at, ids[len(ids)-1:]))
+		return append(ids, w.lastStage(at, ids[len(ids)-1:]))
 	case 1: // a diamond
-		left, right := d.stage(at, ids), d.stage(at, ids[:1])
-		return append(ids, left, right, d.lastStage(at, []string{left, right}))
+		left, right := w.stage(at, ids), w.stage(at, ids[:1])
+		return append(ids, left, right, w.lastStage(at, []string{left, right}))
 	default: // a job with many dependencies
-		for range 1 + d.rng.IntN(5) {
-			ids = append(ids, d.stage(at, ids[:d.rng.IntN(2)]))
+		for range 1 + w.rng.IntN(5) {
+			ids = append(ids, w.stage(at, ids[:w.rng.IntN(2)]))
 		}
-		return append(ids, d.lastStage(at, append(ids, ids[0])))
+		return append(ids, w.lastStage(at, append(ids, ids[0])))
 	}
 }
 
 // stage writes the submission of a job with dependencies and returns the job's ID.
-func (d *dayWriter) stage(at float64, dependencies []string) string {
-	id := d.newJobID()
-	d.event(at, "%s", d.stageText(id, dependencies))
-	d.maybeCancel(at, id)
+func (w *scenarioWriter) stage(at float64, dependencies []string) string {
+	id := w.newJobID()
+	w.event(at, "%s", w.stageText(id, dependencies))
+	w.maybeCancel(at, id)
 	return id
 }
 
-// lastStage writes the submission of a pipeline's last job, which has a deadline, and returns the job's
-// ID.
-func (d *dayWriter) lastStage(at float64, dependencies []string) string {
-	id := d.newJobID()
-	text := d.stageText(id, dependencies)
-	d.event(at, "%s priority=urgent due=%d%s", text, 30+d.rng.IntN(200), []string{"", "", " after"}[d.rng.IntN(3)])
-	d.maybeCancel(at, id)
+// lastStage writes the submission of a pipeline's last job, which has a deadline, and returns the
+// job's ID.
+func (w *scenarioWriter) lastStage(at float64, dependencies []string) string {
+	id := w.newJobID()
+	text := w.stageText(id, dependencies)
+	w.event(at, "%s priority=urgent due=%d%s", text, 30+w.rng.IntN(200), []string{"", "", " after"}[w.rng.IntN(3)])
+	w.maybeCancel(at, id)
 	return id
 }
 
 // stageText returns the submission of a random job with dependencies.
-func (d *dayWriter) stageText(id string, dependencies []string) string {
-	text := fmt.Sprintf("submit %s team=%s image=i%d image_gb=%d", id, d.pick("t", "u"), d.rng.IntN(4), []int{0, 2}[d.rng.IntN(2)])
-	switch d.rng.IntN(5) {
+func (w *scenarioWriter) stageText(id string, dependencies []string) string {
+	text := fmt.Sprintf("submit %s team=%s image=i%d image_gb=%d", id, w.pick("t", "u"), w.rng.IntN(4), []int{0, 2}[w.rng.IntN(2)])
+	switch w.rng.IntN(5) {
 	case 0:
-		text += fmt.Sprintf(" priority=idle tasks=%d cpus=1 run=%d spot", 1+d.rng.IntN(40), 3+d.rng.IntN(10))
+		text += fmt.Sprintf(" priority=idle tasks=%d cpus=1 run=%d spot", 1+w.rng.IntN(40), 3+w.rng.IntN(10))
 	case 1, 2:
-		text += fmt.Sprintf(" tasks=%d cpus=2 run=%d", 1+d.rng.IntN(6), 2+d.rng.IntN(20))
+		text += fmt.Sprintf(" tasks=%d cpus=2 run=%d", 1+w.rng.IntN(6), 2+w.rng.IntN(20))
 	case 3:
-		text += fmt.Sprintf(" shape=gang tasks=%d cpus=2 run=%d checkpoint=10 save=2 together", 1+d.rng.IntN(4), 5+d.rng.IntN(20))
+		text += fmt.Sprintf(" shape=gang tasks=%d cpus=2 run=%d checkpoint=10 save=2 together", 1+w.rng.IntN(4), 5+w.rng.IntN(20))
 	case 4:
-		text += fmt.Sprintf(" priority=idle tasks=%d cpus=1 gpus=1 run=%d checkpoint=5 save=1 spot", 1+d.rng.IntN(8), 5+d.rng.IntN(15))
+		text += fmt.Sprintf(" priority=idle tasks=%d cpus=1 gpus=1 run=%d checkpoint=5 save=1 spot", 1+w.rng.IntN(8), 5+w.rng.IntN(15))
 	}
 	if dependencies != nil {
 		text += " awaits=" + strings.Join(dependencies, ",")
@@ -97,9 +97,9 @@
 }
 
 // maybeCancel writes the cancellation of a job with a probability of 1/10.
-func (d *dayWriter) maybeCancel(at float64, id string) {
-	if d.rng.IntN(10) == 0 {
-		d.event(at+1+80*d.rng.Float64(), "cancel %s", id)
+func (w *scenarioWriter) maybeCancel(at float64, id string) {
+	if w.rng.IntN(10) == 0 {
+		w.event(at+1+80*w.rng.Float64(), "cancel %s", id)
 	}
 }
 
@@ -113,11 +113,12 @@
 			seeds = append(seeds, seed)
 		}
 	}
-	playSeeds(t, seeds, pipelinesDay)
+	playSeeds(t, seeds, pipelinesScenario)
 }
 
-// commitStatus advances the time by a second and commits a transaction with the given numbers of writes
-// and of conditions that hold. Each value has the given size in bytes. It returns the HTTP status.
+// commitStatus advances the time by a second and commits a transaction with the given numbers of
+// writes and of conditions that hold. Each value has the given size in bytes. It returns the HTTP
+// status.
 func commitStatus(world *World, writes, conditions, size int) int {
 	var txn wire.Txn
 	for i := range writes {
@@ -133,9 +134,9 @@
 	return got
 }
 
-// TestLoweredLimits reduces the limits of the key-value store. The store must reject transactions beyond
-// the new limits and keep the larger values that it has stored.
-func TestLoweredLimits(t *testing.T) {
+// TestReducedStoreLimits reduces the limits of the key-value store. The store must reject
+// transactions beyond the new limits and keep the larger values that it has stored.
+func TestReducedStoreLimits(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
 	if got := commitStatus(world, 6, 24, 8192); got != httpstatus.OK {
 		t.Errorf("commit before the limits are reduced: got status %d, want 200", got)
@@ -170,10 +171,10 @@
 	}
 }
 
-// TestCancelledWithDone reports a job as cancelled because of a dependency whose cancellation was
-// requested, and then reports that dependency as done. The first answer was valid when it was given, so
-// the checker has to report the second one as the violation.
-func TestCancelledWithDone(t *testing.T) {
+// TestDoneAfterDependentCancelled reports a job as cancelled because of a dependency whose
+// cancellation was requested, and then reports that dependency as done. The first answer was valid
+// when it was given, so the checker has to report the second one as the violation.
+func TestDoneAfterDependentCancelled(t *testing.T) {
 	world := newWorld(defaultSettings(), 1, slog.New(slog.DiscardHandler))
 	for i, dependencies := range [][]string{nil, {"job-000000"}, {"job-000001"}} {
 		id := fmt.Sprintf("job-%06d", i)
--- a/internal/sim/random_days_test.go
+++ b/internal/sim/random_scenarios_test.go
@@ -16,8 +16,8 @@
 wait web within=2
 `
 
-// soakDay generates a scenario of random jobs and faults.
-func soakDay(seed uint64) string {
+// soakScenario generates a scenario of random jobs and faults.
+func soakScenario(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d\n%suntil 330\n", seed, soakSetup)
@@ -78,9 +78,9 @@
 	}
 }
 
-// overlappingFaultsDay generates a scenario in which faults of all kinds overlap, with three or five
-// controllers, jobs of all shapes and cancellations.
-func overlappingFaultsDay(seed uint64) string {
+// overlappingFaultsScenario generates a scenario in which faults of all kinds overlap, with three
+// or five controllers, jobs of all shapes and cancellations.
+func overlappingFaultsScenario(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	var text strings.Builder
 	fmt.Fprintf(&text, "seed %d\ncontrollers %d\n%s", seed, []int{3, 5}[rng.IntN(2)], soakSetup)
@@ -172,28 +172,28 @@
 	}
 }
 
-// TestSoak runs random scenarios. No rule may be violated, and all work that can be done must be done
-// once the faults are over.
+// TestSoak runs random scenarios. No rule may be violated, and all work that can be done must be
+// done once the faults are over.
 func TestSoak(t *testing.T) {
 	// Seed 174 ran a task twice: the leader had learned of a worker's new incarnation from a
 	// direct answer, and took it for expired by the clock of the previous incarnation. With seed
 	// 65 there was no machine to inject a fault into.
-	playSeeds(t, soakSeeds(40, 65, 174), soakDay)
+	playSeeds(t, soakSeeds(40, 65, 174), soakScenario)
 }
 
 // TestOverlappingFaults runs random scenarios in which faults overlap.
 func TestOverlappingFaults(t *testing.T) {
-	playSeeds(t, soakSeeds(25), overlappingFaultsDay)
+	playSeeds(t, soakSeeds(25), overlappingFaultsScenario)
 }
 
-// operationsDay generates an overlappingFaultsDay with the faults that occurred in production added:
-// machines boot late or never, controllers are paused, users poll many times as often, a best-effort
-// team submits work, and jobs are submitted whose tasks fail.
-func operationsDay(seed uint64) string {
+// operationsScenario generates an overlappingFaultsScenario with the faults that occurred in
+// production added: machines boot late or never, controllers are paused, users poll many times as
+// often, a best-effort team submits work, and jobs are submitted whose tasks fail.
+func operationsScenario(seed uint64) string {
 	rng := rand.New(rand.NewPCG(seed, 13))
 	var text strings.Builder
 	text.WriteString("team g\n")
-	text.WriteString(overlappingFaultsDay(seed))
+	text.WriteString(overlappingFaultsScenario(seed))
 	writeOperationsJobs(&text, rng)
 	writeOperationsFaults(&text, rng)
 	return text.String()
@@ -237,5 +237,5 @@
 
 // TestOperations runs random scenarios with the faults that occurred in production.
 func TestOperations(t *testing.T) {
-	playSeeds(t, soakSeeds(25), operationsDay)
+	playSeeds(t, soakSeeds(25), operationsScenario)
 }
--- a/internal/sim/region_worlds_test.go
+++ b/internal/sim/region_worlds_test.go
@@ -14,9 +14,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// regionWorlds simulates several regions together. Each region is a World with real cores, and the cores'
-// messages to other regions are delivered between the worlds. It checks that each team's tasks on the
-// workers of all regions together stay within the team's limit.
+// regionWorlds simulates several regions together. Each region is a World with real cores, and the
+// cores' messages to other regions are delivered between the worlds. It checks that each team's
+// tasks on the workers of all regions together stay within the team's limit.
 type regionWorlds struct {
 	now          time.Duration
 	rng          *rand.Rand
@@ -160,8 +160,8 @@
 	world.after(delay, receive)
 }
 
-// reservedElsewhere returns how many GPUs of a team's limit the other regions reserve: each region the
-// larger of the team's usage and its guarantee there.
+// reservedElsewhere returns how many GPUs of a team's limit the other regions reserve: each region
+// the larger of the team's usage and its guarantee there.
 func (g *regionWorlds) reservedElsewhere(region, team string) float64 {
 	sum := 0.0
 	for i, world := range g.worlds {
@@ -201,7 +201,8 @@
 	}
 }
 
-// submit submits a job to a region and returns the job's ID. Each of its tasks runs for runS seconds.
+// submit submits a job to a region and returns the job's ID. Each of its tasks runs for runS
+// seconds.
 func (g *regionWorlds) submit(region string, job wire.Job, runS float64) string {
 	g.jobCount++
 	job.ID = fmt.Sprintf("job-%06d", g.jobCount)
@@ -213,8 +214,8 @@
 	return job.ID
 }
 
-// submitBursts submits jobs of every team to every region at the same time, and repeats this every 2 to
-// 10 s until a time.
+// submitBursts submits jobs of every team to every region at the same time, and repeats this every
+// 2 to 10 s until a time.
 func (g *regionWorlds) submitBursts(until time.Duration) {
 	if g.now >= until {
 		return
@@ -232,8 +233,8 @@
 	g.schedule(g.now+2*time.Second+g.randomDuration(8*time.Second), func() { g.submitBursts(until) })
 }
 
-// injectRandomFaults injects a random fault, and another one every 0.2 to 5.2 s until a time. Faults may
-// overlap.
+// injectRandomFaults injects a random fault, and another one every 0.2 to 5.2 s until a time.
+// Faults may overlap.
 func (g *regionWorlds) injectRandomFaults(until time.Duration) {
 	if g.now >= until {
 		return
@@ -271,10 +272,12 @@
 	g.schedule(g.now+duration(5*time.Second), func() { g.injectRandomFaults(until) })
 }
 
-// maxRegionReports limits the violations that are reported for each region, and for all regions together.
+// maxRegionReports limits the violations that are reported for each region, and for all regions
+// together.
 const maxRegionReports = 3
 
-// reportViolations reports the violations of limits over all regions, and those of rules in each region.
+// reportViolations reports the violations of limits over all regions, and those of rules in each
+// region.
 func (g *regionWorlds) reportViolations(t *testing.T, seed uint64) {
 	t.Helper()
 	for _, violation := range g.violations[:min(maxRegionReports, len(g.violations))] {
--- a/internal/sim/regions_test.go
+++ b/internal/sim/regions_test.go
@@ -9,14 +9,14 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestRegions runs scenarios in which three to five regions of three controllers each compete for the
-// teams' limits while faults of every kind occur. No limit may be exceeded, and no rule violated in any
-// region.
+// TestRegions runs scenarios in which three to five regions of three controllers each compete for
+// the teams' limits while faults of every kind occur. No limit may be exceeded, and no rule
+// violated in any region.
 func TestRegions(t *testing.T) {
 	t.Parallel()
-	days := soakDays(4)
-	started := make([]int, days)
-	for seed := range uint64(days) {
+	count := soakDays(4)
+	started := make([]int, count)
+	for seed := range uint64(count) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
 			t.Parallel()
 			regions := newRegionWorlds(t, seed, newRegionPlan(3+int(seed%3), 2, 24), slog.New(slog.DiscardHandler))
@@ -36,9 +36,9 @@
 	}
 }
 
-// TestShareMoves submits all of a team's work to one region. The other regions must transfer the shares
-// that they do not need, so that all of the work runs at once.
-func TestShareMoves(t *testing.T) {
+// TestUnusedSharesAreTransferred submits all of a team's work to one region. The other regions must
+// transfer the shares that they do not need, so that all of the work runs at once.
+func TestUnusedSharesAreTransferred(t *testing.T) {
 	t.Parallel()
 	regions := newRegionWorlds(t, 1, newRegionPlan(3, 1, 24), slog.New(slog.DiscardHandler))
 	var id string
@@ -52,9 +52,10 @@
 	}
 }
 
-// TestGuaranteeWhilePartitioned submits guaranteed work to a region whose machines are full of long tasks
-// of another team, while the region is partitioned from the others and its leader crashes. The region
-// owns the guaranteed part of the share, so the work has to run within two worker leases.
+// TestGuaranteeWhilePartitioned submits guaranteed work to a region whose machines are full of long
+// tasks of another team, while the region is partitioned from the others and its leader crashes.
+// The region owns the guaranteed part of the share, so the work has to run within two worker
+// leases.
 func TestGuaranteeWhilePartitioned(t *testing.T) {
 	t.Parallel()
 	quotaPlan := newRegionPlan(3, 2, 36)
--- a/internal/sim/rental_test.go
+++ b/internal/sim/rental_test.go
@@ -7,10 +7,10 @@
 )
 
 // TestExpensiveTypeIsRented submits thousands of tasks while the cloud has no machines of the cheap
-// type but plenty of an expensive one, which must be rented as fast as the cloud's rate limit allows.
-// When planning evaluated each machine for each task, it ran so rarely that the refusal of the cheap
-// type had expired before each run: the cheap type was requested again and again, and almost no
-// machine of the expensive type was rented for minutes.
+// type but plenty of an expensive one, which must be rented as fast as the cloud's rate limit
+// allows. When planning evaluated each machine for each task, it ran so rarely that the refusal of
+// the cheap type had expired before each run: the cheap type was requested again and again, and
+// almost no machine of the expensive type was rented for minutes.
 func TestExpensiveTypeIsRented(t *testing.T) {
 	const jobs, tasksOfJob, tasksOfMachine = 100, 100, 8
 	var text strings.Builder
--- a/internal/sim/upgrade_build_test.go
+++ b/internal/sim/upgrade_build_test.go
@@ -73,8 +73,8 @@
 	return nil
 }
 
-// TestMissingHistory builds a commit that is not in the history, as in a shallow clone. The error has to
-// name the commit and the command that fetches the full history.
+// TestMissingHistory builds a commit that is not in the history, as in a shallow clone. The error
+// has to name the commit and the command that fetches the full history.
 func TestMissingHistory(t *testing.T) {
 	root, err := filepath.Abs("../..")
 	if err != nil {
--- a/internal/sim/upgrade_child_test.go
+++ b/internal/sim/upgrade_child_test.go
@@ -15,8 +15,8 @@
 )
 
 // The types below are the messages exchanged with a child process of another version, see
-// testdata/upgrade/driver.go.txt; their fields must have the same names there. Peer messages are encoded
-// with one version's types and decoded with the other's, as between real controllers.
+// testdata/upgrade/driver.go.txt; their fields must have the same names there. Peer messages are
+// encoded with one version's types and decoded with the other's, as between real controllers.
 
 type childStart struct {
 	Settings string // TOML
@@ -112,8 +112,8 @@
 	return started
 }
 
-// kill ends the process. Errors are ignored: the process may have ended already, and Wait always returns
-// an error for a killed process.
+// kill ends the process. Errors are ignored: the process may have ended already, and Wait always
+// returns an error for a killed process.
 func (c *child) kill() {
 	_ = c.cmd.Process.Kill()
 	_ = c.cmd.Wait()
--- a/internal/sim/upgrade_run_test.go
+++ b/internal/sim/upgrade_run_test.go
@@ -11,8 +11,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// upgradeRun is the run of a scenario in which every controller starts with an old version and is later
-// replaced by one of this version.
+// upgradeRun is the run of a scenario in which every controller starts with an old version and is
+// later replaced by one of this version.
 type upgradeRun struct {
 	test     *testing.T
 	world    *World
@@ -21,14 +21,14 @@
 	children map[string]*child // by controller
 	leaders  []string          // successive leaders as "old NAME" or "new NAME"
 
-	visits map[string]*versionVisits // by machine or job
+	switchesBySubject map[string]*versionSwitches // by machine or job
 }
 
-// versionVisits records which version received the last request about a machine or a job, and how often
-// successive requests went to different versions.
-type versionVisits struct {
-	isNew bool
-	turns int
+// versionSwitches records which version received the last request about a machine or a job, and how
+// often successive requests went to different versions.
+type versionSwitches struct {
+	isNew    bool
+	switches int
 }
 
 // requestRecorder records the requests that a core handles.
@@ -40,13 +40,13 @@
 
 func (r *requestRecorder) Step(now time.Duration, wall time.Time, in core.Input) core.Output {
 	if request, ok := in.(core.Request); ok {
-		r.run.recordVisit(request, r.isNew)
+		r.run.recordRequest(request, r.isNew)
 	}
 	return r.stepper.Step(now, wall, in)
 }
 
-// recordVisit records that a version received a request about a machine or a job.
-func (u *upgradeRun) recordVisit(request core.Request, newVersion bool) {
+// recordRequest records that a version received a request about a machine or a job.
+func (u *upgradeRun) recordRequest(request core.Request, newVersion bool) {
 	subject := strings.TrimPrefix(request.Path, submissionsPath+"/")
 	if request.Path == heartbeatPath {
 		var heartbeat wire.Heartbeat
@@ -55,22 +55,22 @@
 		}
 		subject = heartbeat.Machine
 	}
-	switch v := u.visits[subject]; {
+	switch v := u.switchesBySubject[subject]; {
 	case v == nil:
-		u.visits[subject] = &versionVisits{isNew: newVersion}
+		u.switchesBySubject[subject] = &versionSwitches{isNew: newVersion}
 	case v.isNew != newVersion:
 		v.isNew = newVersion
-		v.turns++
+		v.switches++
 	}
 }
 
-// mostTurns returns the largest number of version switches of any machine or job whose name has a
+// maxSwitches returns the largest number of version switches of any machine or job whose name has a
 // prefix.
-func (u *upgradeRun) mostTurns(prefix string) int {
+func (u *upgradeRun) maxSwitches(prefix string) int {
 	most := 0
-	for subject, v := range u.visits {
+	for subject, v := range u.switchesBySubject {
 		if strings.HasPrefix(subject, prefix) {
-			most = max(most, v.turns)
+			most = max(most, v.switches)
 		}
 	}
 	return most
@@ -111,16 +111,16 @@
 	for _, c := range u.controllersToUpgrade(line.arg(0)) {
 		u.world.debugf("upgrade %s", c.name)
 		u.upgraded[c.name] = true
-		c.crash(upgradeTime(line))
+		c.crash(upgradeDowntime(line))
 	}
 }
 
-// upgradeTime returns how long a controller is down during its upgrade.
-func upgradeTime(line scenarioLine) time.Duration { return seconds(line.number("for", 3)) }
+// upgradeDowntime returns how long a controller is down during its upgrade.
+func upgradeDowntime(line scenarioLine) time.Duration { return seconds(line.number("for", 3)) }
 
-// controllersToUpgrade returns the controllers that a line names. "follower" is the first controller of
-// the old version that is not the leader; "next" is the same, or the leader if there is none and the
-// leader still runs the old version.
+// controllersToUpgrade returns the controllers that a line names. "follower" is the first
+// controller of the old version that is not the leader; "next" is the same, or the leader if there
+// is none and the leader still runs the old version.
 func (u *upgradeRun) controllersToUpgrade(target string) []*controller {
 	if target != "follower" && target != "next" {
 		return u.world.controllersNamed(target)
@@ -152,8 +152,8 @@
 	u.world.after(200*time.Millisecond, u.recordLeaders)
 }
 
-// ledBy reports whether versions, or controllers with a version ("old:node-0"), led in this order. Other
-// leaders between them are allowed.
+// ledBy reports whether versions, or controllers with a version ("old:node-0"), led in this order.
+// Other leaders between them are allowed.
 func (u *upgradeRun) ledBy(versions []string) bool {
 	for _, leader := range u.leaders {
 		if len(versions) > 0 && strings.HasPrefix(leader, strings.Replace(versions[0], ":", " ", 1)) {
@@ -163,8 +163,8 @@
 	return len(versions) == 0
 }
 
-// checkExpectation checks an expectation about the upgrade. It returns why the expectation is not met,
-// or an empty string.
+// checkExpectation checks an expectation about the upgrade. It returns why the expectation is not
+// met, or an empty string.
 func (u *upgradeRun) checkExpectation(line scenarioLine) string {
 	switch line.arg(0) {
 	case "leaders":
@@ -173,7 +173,7 @@
 		}
 	case "turns":
 		for what, prefix := range map[string]string{"worker": machinePrefix, "user": "job-"} {
-			if got, least := u.mostTurns(prefix), int(line.number(what, 0)); got < least {
+			if got, least := u.maxSwitches(prefix), int(line.number(what, 0)); got < least {
 				return fmt.Sprintf("line %d: most version switches between the requests of a %s: got %d, want more", line.lineNumber, what, got)
 			}
 		}
@@ -193,13 +193,13 @@
 	return matching, others
 }
 
-// playUpgrade runs a scenario that may contain three kinds of lines in addition to those of other
-// scenarios:
+// runUpgradeScenario runs a scenario that may contain three kinds of lines in addition to those of
+// other scenarios:
 //
 //	at T upgrade WHO for=    a controller is killed and restarted with this version, 3 s later by default
 //	expect leaders old|new...    versions that led, in this order
-//	expect turns worker= user=    minimum of version switches between the requests of one worker or about one job
-func playUpgrade(t *testing.T, program string, scenario *Scenario, mutate mutation) (world *World, failures []string) {
+//	expect turns worker= user=    at least so many version switches between requests of a worker or about a job
+func runUpgradeScenario(t *testing.T, program string, scenario *Scenario, mutate mutation) (world *World, failures []string) {
 	t.Helper()
 	upgrades, actions := splitLines(scenario.actions, func(line scenarioLine) bool { return line.word == "upgrade" })
 	upgradeExpectations, expectations := splitLines(scenario.expectations, func(line scenarioLine) bool {
@@ -208,12 +208,12 @@
 	withoutUpgrade := *scenario
 	withoutUpgrade.actions, withoutUpgrade.expectations = actions, expectations
 	world = withoutUpgrade.newWorld(testLog())
-	run := &upgradeRun{test: t, world: world, program: program, upgraded: map[string]bool{}, children: map[string]*child{}, visits: map[string]*versionVisits{}}
+	run := &upgradeRun{test: t, world: world, program: program, upgraded: map[string]bool{}, children: map[string]*child{}, switchesBySubject: map[string]*versionSwitches{}}
 	world.newCore, world.mutate = run.newCore, mutate
 	defer run.killChildren()
 	for _, line := range upgrades {
 		world.after(line.at, func() { run.upgradeControllers(line) })
-		world.faultsEnd = max(world.faultsEnd, line.at+upgradeTime(line))
+		world.faultsEnd = max(world.faultsEnd, line.at+upgradeDowntime(line))
 	}
 	world.after(0, run.recordLeaders)
 	failures = withoutUpgrade.finish(world)
--- a/internal/sim/upgrade_test.go
+++ b/internal/sim/upgrade_test.go
@@ -14,11 +14,11 @@
 	"golang.org/x/tools/txtar"
 )
 
-// chainsVersion is the last commit before upgrades from two versions were supported. It supports job
-// dependencies and announced limits. Operators may run either it or the version that
+// dependenciesVersion is the last commit before upgrades from two versions were supported. It
+// supports job dependencies and announced limits. Operators may run either it or the version that
 // deploy/service.toml names, which has to stay the last version without these two features so that
 // upgrades from such a version are tested too.
-const chainsVersion = "b39e01dd13644fcdc220b403f4ac32c4cd433bbc"
+const dependenciesVersion = "b39e01dd13644fcdc220b403f4ac32c4cd433bbc"
 
 // oldVersion is a version that is replaced by this one.
 type oldVersion struct {
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	versions := []oldVersion{{name: "production", commit: production}, {name: "chains", commit: chainsVersion, hasDependencies: true}}
+	versions := []oldVersion{{name: "production", commit: production}, {name: "chains", commit: dependenciesVersion, hasDependencies: true}}
 	dir := t.TempDir()
 	for i := range versions {
 		version := &versions[i]
@@ -49,18 +49,19 @@
 	return versions
 }
 
-// valueLimitsKB are the value size limits with which scenarios are run in turn. They allow records of
-// 128, 32 and 16 tasks.
+// valueLimitsKB are the value size limits with which scenarios are run in turn. They allow records
+// of 128, 32 and 16 tasks.
 var valueLimitsKB = []float64{16, 4, 2}
 
-// TestUpgrade runs scenarios in which an old version, built from the repository's history, is replaced
-// by this one while jobs run. The old version is the one in production, or the later chainsVersion.
+// TestUpgrade runs scenarios in which an old version, built from the repository's history, is
+// replaced by this one while jobs run. The old version is the one in production, or the later
+// dependenciesVersion.
 func TestUpgrade(t *testing.T) {
 	for _, version := range oldVersions(t) {
 		t.Run(version.name, func(t *testing.T) {
 			t.Parallel()
-			playUpgradeFile(t, version, "testdata/upgrade/upgrade.txtar")
-			playUpgradeDays(t, version, "overlapping faults", 9, overlappingFaultsDay)
+			runUpgradeScenarioFile(t, version, "testdata/upgrade/upgrade.txtar")
+			runRandomUpgradeScenarios(t, version, "overlapping faults", 9, overlappingFaultsScenario)
 			t.Run("misplaced placement records", func(t *testing.T) {
 				t.Parallel()
 				testMisplacedRecordsDetected(t, version.program)
@@ -70,15 +71,15 @@
 				testOldLeaderFindsCurrentAttempts(t, version.program)
 			})
 			if version.hasDependencies {
-				playUpgradeFile(t, version, "testdata/upgrade/chains.txtar")
-				playUpgradeDays(t, version, "dependencies and overlapping faults", 12, pipelinesDay)
+				runUpgradeScenarioFile(t, version, "testdata/upgrade/chains.txtar")
+				runRandomUpgradeScenarios(t, version, "dependencies and overlapping faults", 12, pipelinesScenario)
 			}
 		})
 	}
 }
 
-// playUpgradeFile runs the scenarios of a file during an upgrade from an old version.
-func playUpgradeFile(t *testing.T, version oldVersion, file string) {
+// runUpgradeScenarioFile runs the scenarios of a file during an upgrade from an old version.
+func runUpgradeScenarioFile(t *testing.T, version oldVersion, file string) {
 	t.Helper()
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -90,7 +91,7 @@
 			scenario := parseScenario(t, string(section.Data))
 			for first := scenario.seed; scenario.seed < first+uint64(scenario.seedCount); scenario.seed++ {
 				scenario.settings.Deployment.Store.ValueKB = valueLimitsKB[(scenario.seed-first)%uint64(len(valueLimitsKB))]
-				_, failures := playUpgrade(t, version.program, scenario, nil)
+				_, failures := runUpgradeScenario(t, version.program, scenario, nil)
 				for _, failure := range failures {
 					t.Errorf("seed %d: %s", scenario.seed, failure)
 				}
@@ -99,16 +100,16 @@
 	}
 }
 
-// playUpgradeDays runs random scenarios during an upgrade from an old version.
-func playUpgradeDays(t *testing.T, version oldVersion, name string, days int, day func(seed uint64) string) {
+// runRandomUpgradeScenarios runs random scenarios during an upgrade from an old version.
+func runRandomUpgradeScenarios(t *testing.T, version oldVersion, name string, count int, generate func(seed uint64) string) {
 	t.Helper()
-	for _, seed := range soakSeeds(days) {
+	for _, seed := range soakSeeds(count) {
 		t.Run(fmt.Sprintf("%s/%d", name, seed), func(t *testing.T) {
 			t.Parallel()
-			text := day(seed) + randomUpgrades(seed)
+			text := generate(seed) + randomUpgrades(seed)
 			scenario := parseScenario(t, text)
 			scenario.settings.Deployment.Store.ValueKB = valueLimitsKB[seed%uint64(len(valueLimitsKB))]
-			world, failures := playUpgrade(t, version.program, scenario, nil)
+			world, failures := runUpgradeScenario(t, version.program, scenario, nil)
 			for _, failure := range append(failures, world.unfinishedWork()...) {
 				t.Error(failure)
 			}
@@ -130,9 +131,10 @@
 	}
 }
 
-// testMisplacedRecordsDetected checks that upgrade tests detect incompatible records: this version writes
-// a job's placement records under keys that the old version does not read. Once the old version leads,
-// tasks run twice: those on a machine whose heartbeats are lost are known from the records only.
+// testMisplacedRecordsDetected checks that upgrade tests detect incompatible records: this version
+// writes a job's placement records under keys that the old version does not read. Once the old
+// version leads, tasks run twice: those on a machine whose heartbeats are lost are known from the
+// records only.
 func testMisplacedRecordsDetected(t *testing.T, program string) {
 	t.Helper()
 	scenario := parseScenario(t, `
@@ -153,11 +155,11 @@
 	// seeds has to show it, and none may without the incompatible records.
 	var reported []string
 	for ; scenario.seed <= 5; scenario.seed++ {
-		_, failures := playUpgrade(t, program, scenario, nil)
+		_, failures := runUpgradeScenario(t, program, scenario, nil)
 		for _, failure := range failures {
 			t.Errorf("seed %d, with compatible records: %s", scenario.seed, failure)
 		}
-		_, failures = playUpgrade(t, program, scenario, misplacePlacements)
+		_, failures = runUpgradeScenario(t, program, scenario, misplacePlacements)
 		reported = append(reported, failures...)
 	}
 	if all := strings.Join(reported, "\n"); !strings.Contains(all, "ran_twice") {
@@ -165,10 +167,10 @@
 	}
 }
 
-// testOldLeaderFindsCurrentAttempts makes workers list exited earlier attempts of their running tasks
-// while the old version leads, which takes the first attempt listed for the current one. A controller of
-// this version that receives such a heartbeat has to put the current attempt first; otherwise running
-// tasks would count as lost and be started again.
+// testOldLeaderFindsCurrentAttempts makes workers list exited earlier attempts of their running
+// tasks while the old version leads, which takes the first attempt listed for the current one. A
+// controller of this version that receives such a heartbeat has to put the current attempt first;
+// otherwise running tasks would count as lost and be started again.
 func testOldLeaderFindsCurrentAttempts(t *testing.T, program string) {
 	t.Helper()
 	for seed := uint64(1); seed <= 5; seed++ {
@@ -186,7 +188,7 @@
 `)
 		scenario.seed = seed
 		listed := 0
-		_, failures := playUpgrade(t, program, scenario, func(c *controller, _ *core.Output) {
+		_, failures := runUpgradeScenario(t, program, scenario, func(c *controller, _ *core.Output) {
 			if listed == 0 && c.world.now > 50*time.Second {
 				listed = c.world.listEarlierAttempts()
 			}
@@ -200,8 +202,9 @@
 	}
 }
 
-// listEarlierAttempts adds an exited earlier attempt of every running task to the workers' lists, where
-// it stays until the worker is commanded to delete it. It returns the number of attempts added.
+// listEarlierAttempts adds an exited earlier attempt of every running task to the workers' lists,
+// where it stays until the worker is commanded to delete it. It returns the number of attempts
+// added.
 func (w *World) listEarlierAttempts() (listed int) {
 	for _, name := range w.cloud.machineNames() {
 		m := w.cloud.machines[name]
--- a/internal/sim/wake_activator_test.go
+++ b/internal/sim/wake_activator_test.go
@@ -9,8 +9,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// activator simulates a process that runs a wake.Controller. It implements the controller's interfaces
-// to the key-value store, the model servers and the host process.
+// activator simulates a process that runs a wake.Controller. It implements the controller's
+// interfaces to the key-value store, the model servers and the host process.
 type activator struct {
 	world           *wakeWorld
 	name            string
@@ -69,8 +69,8 @@
 	})
 }
 
-// runUnlessPaused runs a function in an incarnation of the process, after the pause if the process is
-// paused. The function is dropped if that incarnation has ended.
+// runUnlessPaused runs a function in an incarnation of the process, after the pause if the process
+// is paused. The function is dropped if that incarnation has ended.
 func (a *activator) runUnlessPaused(incarnation int, run func()) {
 	switch {
 	case a.incarnation != incarnation || !a.alive:
@@ -89,9 +89,9 @@
 	watchTimeout          = watchHold + callTimeout
 )
 
-// call sends a request to a service. serve runs in the service and passes a function to reply, which
-// then runs in the calling process. After the timeout, onTimeout runs in the calling process. Only one of the
-// two runs.
+// call sends a request to a service. serve runs in the service and passes a function to reply,
+// which then runs in the calling process. After the timeout, onTimeout runs in the calling process.
+// Only one of the two runs.
 func (a *activator) call(to string, timeout time.Duration, serve func(reply func(run func())), onTimeout func()) {
 	incarnation, finished := a.incarnation, false
 	finish := func(run func()) func() {
--- a/internal/sim/wake_cost_test.go
+++ b/internal/sim/wake_cost_test.go
@@ -18,8 +18,8 @@
 	loadTime                time.Duration
 }
 
-// measureWake wakes a model by requests that are sent at once, spread evenly over the activators, and
-// measures the cost.
+// measureWake wakes a model by requests that are sent at once, spread evenly over the activators,
+// and measures the cost.
 func measureWake(seed uint64, controllers, requests int) wakeCost {
 	world := newWakeWorld(seed, controllers, wakeRegistry)
 	var cost wakeCost
@@ -61,8 +61,8 @@
 }
 
 // TestWakeCost wakes a model by 10 to 10,000 requests. From 10 to 10,000 requests, the number of
-// requests to the key-value store may grow by half and one per controller at most. The median latency of
-// the first answer must be at most 1.2 load times.
+// requests to the key-value store may grow by half and one per controller at most. The median
+// latency of the first answer must be at most 1.2 load times.
 func TestWakeCost(t *testing.T) {
 	for _, controllers := range []int{1, 3, 5, 17} {
 		var few, many wakeCost
@@ -91,9 +91,10 @@
 	}
 }
 
-// TestDriverFailoverTime crashes the replica's owner while the replica loads. Another controller takes
-// the replica over within two leases, so answers are at most two leases later than without the crash.
-func TestDriverFailoverTime(t *testing.T) {
+// TestOwnerFailoverTime crashes the replica's owner while the replica loads. Another controller
+// takes the replica over within two leases, so answers are at most two leases later than without
+// the crash.
+func TestOwnerFailoverTime(t *testing.T) {
 	var longest time.Duration
 	for seed := range uint64(40) {
 		world := newWakeWorld(seed+1, 3, wakeRegistry)
@@ -117,9 +118,9 @@
 	}
 }
 
-// TestBaselineWakesTwice makes two activators each start a replica of the same model, without
-// coordination. The checker has to report it.
-func TestBaselineWakesTwice(t *testing.T) {
+// TestUncoordinatedWakesReported makes two activators each start a replica of the same model,
+// without coordination. The checker has to report it.
+func TestUncoordinatedWakesReported(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	world.run(3 * time.Second)
 	for i, server := range []string{"gpu-0", "gpu-1"} {
--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -12,8 +12,8 @@
 	"github.com/brookwalk/brookwalk/internal/wake"
 )
 
-// TestWakeOnce sends 2,000 requests for a sleeping model to all controllers at the same time. Exactly one
-// replica must be started.
+// TestWakeOnce sends 2,000 requests for a sleeping model to all controllers at the same time.
+// Exactly one replica must be started.
 func TestWakeOnce(t *testing.T) {
 	for _, controllers := range []int{1, 3, 5, 17} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
@@ -30,14 +30,15 @@
 	}
 }
 
-// TestWakeAfterSleep lets an idle model go to sleep and sends a request at about that moment. The model
-// must wake again to serve it.
+// TestWakeAfterSleep lets an idle model go to sleep and sends a request at about that moment. The
+// model must wake again to serve it.
 func TestWakeAfterSleep(t *testing.T) {
 	for offset := range 40 {
 		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
 		world.run(3 * time.Second)
 		world.sendRequest(world.activators[0], "b", "first", 30*time.Second)
-		// The model goes to sleep after 15 s without requests; the first answer comes after about 8 s.
+		// The model goes to sleep after 15 s without requests; the first answer comes after about 8
+		// s.
 		world.after(seconds(21.5)+time.Duration(offset)*100*time.Millisecond, func() { world.sendRequest(world.activators[1], "b", "second", 40*time.Second) })
 		world.finish(t, 90*time.Second)
 		if n := world.replicasStarted(); n > 2 || world.servedRequests() != 2 {
@@ -49,9 +50,9 @@
 	}
 }
 
-// TestDriverCrashDuringWake crashes the replica's owner at many moments of a wake. The replica that it
-// started must be used, and no other one be started.
-func TestDriverCrashDuringWake(t *testing.T) {
+// TestOwnerCrashDuringWake crashes the replica's owner at many moments of a wake. The replica that
+// it started must be used, and no other one be started.
+func TestOwnerCrashDuringWake(t *testing.T) {
 	for offset := range 140 {
 		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
 		world.run(3 * time.Second)
@@ -69,9 +70,9 @@
 	}
 }
 
-// TestDriverPause pauses the replica's owner until another controller has taken the replica over. The
+// TestOwnerPause pauses the replica's owner until another controller has taken the replica over. The
 // previous owner must not interfere when it resumes.
-func TestDriverPause(t *testing.T) {
+func TestOwnerPause(t *testing.T) {
 	for offset := range 40 {
 		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
 		world.run(3 * time.Second)
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestServerUnreachable partitions the model server that runs the replica from the controllers. The model
-// must wake on the next server, once the first replica's lease has certainly expired.
+// TestServerUnreachable partitions the model server that runs the replica from the controllers. The
+// model must wake on the next server, once the first replica's lease has certainly expired.
 func TestServerUnreachable(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	world.run(3 * time.Second)
@@ -119,8 +120,8 @@
 	}
 }
 
-// TestWakeWithFailingLoads makes every load fail. Starts must be retried with backoff, and every request
-// must be answered by its deadline.
+// TestWakeWithFailingLoads makes every load fail. Starts must be retried with backoff, and every
+// request must be answered by its deadline.
 func TestWakeWithFailingLoads(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	for _, s := range world.servers {
@@ -136,7 +137,8 @@
 	}
 }
 
-// TestConcurrentWakes sets max_waking to 1 and requests three models. They must load one after the other.
+// TestConcurrentWakes sets max_waking to 1 and requests three models. They must load one after the
+// other.
 func TestConcurrentWakes(t *testing.T) {
 	world := newWakeWorld(1, 3, strings.Replace(wakeRegistry, "max_waking = 2", "max_waking = 1", 1))
 	world.run(3 * time.Second)
@@ -156,8 +158,8 @@
 	}
 }
 
-// TestRepeatedRequest sends a request twice with the same idempotency key. It must be executed once, and
-// both get the answer.
+// TestRepeatedRequest sends a request twice with the same idempotency key. It must be executed
+// once, and both get the answer.
 func TestRepeatedRequest(t *testing.T) {
 	world := newWakeWorld(1, 3, wakeRegistry)
 	world.run(3 * time.Second)
@@ -181,14 +183,14 @@
 	for _, seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			playWakeDay(t, seed, nil)
+			runRandomWakeScenario(t, seed, nil)
 		})
 	}
 }
 
-// playWakeDay runs a random scenario with several faults at a time. record, if set, is called for every
-// action of the activators.
-func playWakeDay(t *testing.T, seed uint64, record func(values ...any)) {
+// runRandomWakeScenario runs a random scenario with several faults at a time. record, if set, is
+// called for every action of the activators.
+func runRandomWakeScenario(t *testing.T, seed uint64, record func(values ...any)) {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 23))
 	world := newWakeWorld(seed, []int{1, 3, 5, 5}[rng.IntN(4)], wakeRegistry)
--- a/internal/sim/wake_world_test.go
+++ b/internal/sim/wake_world_test.go
@@ -131,8 +131,8 @@
 	w.violations = append(w.violations, fmt.Sprintf("%.3f s: %s", w.now.Seconds(), fmt.Sprintf(format, args...)))
 }
 
-// sendRequest makes a client send a request for a model to an activator. It returns the request's ID, or
-// 0 if the activator is down, which refuses the connection.
+// sendRequest makes a client send a request for a model to an activator. It returns the request's
+// ID, or 0 if the activator is down, which refuses the connection.
 func (w *wakeWorld) sendRequest(activator *activator, model, key string, timeout time.Duration) uint64 {
 	w.lastRequestID++
 	id := w.lastRequestID
@@ -189,8 +189,8 @@
 	return count
 }
 
-// finish runs until a time, well after the last request's deadline. It checks that each request got one
-// answer and that no request was executed twice, and reports all violations.
+// finish runs until a time, well after the last request's deadline. It checks that each request got
+// one answer and that no request was executed twice, and reports all violations.
 func (w *wakeWorld) finish(t *testing.T, until time.Duration) {
 	t.Helper()
 	w.run(until)
