--- a/internal/sim/region_worlds_test.go
+++ b/internal/sim/region_worlds_test.go
@@ -33,7 +33,7 @@
 // regionLink is the connection from one region to another.
 type regionLink struct{ from, to string }
 
-// regionSetup is the scenario of each region. It has enough machines for the teams' limits.
+// regionSetup is the scenario of each region. The teams' limits are scarce, not the machines.
 const regionSetup = `
 seed 1
 until 1
--- a/internal/sim/upgrade_run_test.go
+++ b/internal/sim/upgrade_run_test.go
@@ -16,7 +16,7 @@
 type upgradeRun struct {
 	test     *testing.T
 	world    *World
-	program  string
+	program  string            // path of the old version's driver
 	upgraded map[string]bool   // by controller; true once it is replaced
 	children map[string]*child // by controller
 	leaders  []string          // successive leaders as "old NAME" or "new NAME"
--- a/internal/sim/wake_cost_test.go
+++ b/internal/sim/wake_cost_test.go
@@ -60,9 +60,9 @@
 	return cost
 }
 
-// TestWakeCost wakes a model by 10 to 10,000 requests. From 10 to 10,000 requests, the number of
-// requests to the key-value store may grow by half and one per controller at most. The median
-// latency of the first answer must be at most 1.2 load times.
+// TestWakeCost wakes a model by 10 to 10,000 requests. 10,000 requests may cause at most 1.5 times
+// as many requests to the key-value store as 10, plus one per controller. The median latency of the
+// first answer must be at most 1.2 load times.
 func TestWakeCost(t *testing.T) {
 	for _, controllers := range []int{1, 3, 5, 17} {
 		var few, many wakeCost
--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -37,8 +37,7 @@
 		world := newWakeWorld(uint64(offset+1), 3, wakeRegistry)
 		world.run(3 * time.Second)
 		world.sendRequest(world.activators[0], "b", "first", 30*time.Second)
-		// The model goes to sleep after 15 s without requests; the first answer comes after about 8
-		// s.
+		// The first answer comes after about 8 s. The model goes to sleep 15 s later.
 		world.after(seconds(21.5)+time.Duration(offset)*100*time.Millisecond, func() { world.sendRequest(world.activators[1], "b", "second", 40*time.Second) })
 		world.finish(t, 90*time.Second)
 		if n := world.replicasStarted(); n > 2 || world.servedRequests() != 2 {
