--- a/internal/core/cluster/cluster_test.go
+++ b/internal/core/cluster/cluster_test.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// TestReportedAttempt checks that an attempt is not confused with an earlier one that is also listed.
+// TestReportedAttempt checks that an attempt is not confused with an earlier one that is also
+// listed.
 func TestReportedAttempt(t *testing.T) {
 	machine := NewMachine("n-1", 0)
 	machine.ReportedTasks = []wire.TaskStatus{
--- a/internal/core/cluster/job.go
+++ b/internal/core/cluster/job.go
@@ -70,7 +70,8 @@
 	WriteBackoffUntil time.Duration // its records are not written before this time
 }
 
-// RetryState is the retry state of a job after failures of its tasks. Reconciliation sets it.
+// RetryState is the retry state of a job after failures of its tasks. The leader sets it when a task
+// exits or has started successfully (outliers.go and termination.go of package core).
 type RetryState struct {
 	RetryAt             time.Duration // no task is placed before this time
 	ConsecutiveFailures int
@@ -80,7 +81,7 @@
 type PlacementState struct {
 	GangPreemptions     int              // how often the job was preempted as a gang
 	ReschedulingTargets map[int]*Machine // targets of replicas being rescheduled, by task
-	ReservedMachines    []*Machine       // reserved for the job while tasks on them are preempted
+	ReservedMachines    []*Machine       // reserved for the job, see Reservation
 	PreemptedWithinTeam bool             // tasks of its own team were preempted for the job
 }
 
--- a/internal/core/cluster/machine.go
+++ b/internal/core/cluster/machine.go
@@ -47,7 +47,7 @@
 	HeartbeatIncarnation, HeartbeatSequence uint64 // of the newest heartbeat
 	FencingToken                            uint64 // highest token that the worker has reported
 	LastHeartbeat                           time.Duration
-	HeartbeatController                     string        // controller that forwarded the last heartbeat
+	HeartbeatController                     string        // controller through which the last heartbeat came
 	HeartbeatsRegularSince                  time.Duration // start of the current period of regular heartbeats
 	LastAnswered                            time.Duration // when a heartbeat was last answered in this term
 	LeaseExtendedAt                         time.Duration // last lease extension by a controller that could not reach the leader
@@ -65,7 +65,7 @@
 type CommandState struct {
 	OpenDirectCalls   int
 	DirectRetryAt     time.Duration
-	UnconfirmedStarts map[AttemptID]int // number of direct starts whose outcome is unknown
+	UnconfirmedStarts map[AttemptID]int // number of direct starts whose outcome is unknown, by attempt
 	ProbeOpen         bool              // a probe or a term announcement is in progress
 	NextProbeAt       time.Duration     // earliest time of the next probe
 	LastProbeFailure  time.Duration     // when the last probe that failed was sent
@@ -109,8 +109,8 @@
 	Pulls        []ImagePull // images that its tasks wait for, in pull order
 }
 
-// Reservation reserves a machine for a job while tasks on the machine are preempted to make room
-// for that job. Preemption sets it.
+// Reservation reserves a machine for a job while tasks on it are stopped to make room for the job,
+// or while a replica of the job is rescheduled to it. The scheduling pass sets it.
 type Reservation struct {
 	ReservedFor   *Job
 	ReservedUntil time.Duration
--- a/internal/core/cluster/state.go
+++ b/internal/core/cluster/state.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// GetOrAddMachine returns the machine of a name, and adds it as created now if it is unknown.
+// GetOrAddMachine returns the machine of a name, and adds it as first seen now if it is unknown.
 func (s *State) GetOrAddMachine(name string, now time.Duration) *Machine {
 	if m := s.Machines[name]; m != nil {
 		return m
--- a/internal/core/outlier/detector.go
+++ b/internal/core/outlier/detector.go
@@ -1,8 +1,9 @@
 // Package outlier detects whether task failures are caused by faulty jobs or by faulty machines
-// (outlier detection). Tasks of a misconfigured job fail on every machine; on a faulty machine, tasks
-// of every job fail. Each failure is evidence against both, so the detector compares the two: a job
-// is the more likely cause if it failed on more machines than there are failed jobs on each of them,
-// and a machine is the more likely cause if several jobs failed on it that succeed elsewhere.
+// (outlier detection). Tasks of a misconfigured job fail on every machine; on a faulty machine,
+// tasks of every job fail. Each failure is evidence against both, so the detector compares the two:
+// a job is the more likely cause of a failure if it failed on more machines than jobs failed on the
+// machine in question, and a machine is the more likely cause if several jobs failed on it that
+// succeed elsewhere.
 //
 // Package core reports failures and successes to the detector and decides how to react. The package
 // performs no I/O and reads no clock. Its state is not stored: a new leader starts without evidence.
--- a/internal/core/placement/memo_test.go
+++ b/internal/core/placement/memo_test.go
@@ -14,7 +14,7 @@
 	memo.RecordDoesNotFit(class, true)
 	memo.RecordNoVictims(class, true)
 	if memo.MayFit(class) || memo.MayPreempt(class) {
-		t.Error("class recorded as full and without victims: MayFit or MayPreempt is true, want both false")
+		t.Error("class recorded as not fitting and without victims: MayFit or MayPreempt is true, want both false")
 	}
 	if !memo.MayFit(sameTask) || !memo.MayPreempt(sameTask) {
 		t.Error("another class with the same requirements: MayFit or MayPreempt is false, want both true")
--- a/internal/core/reconcile/heartbeat_test.go
+++ b/internal/core/reconcile/heartbeat_test.go
@@ -8,9 +8,9 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// TestLeaseCountedFrom checks the time from which a worker's lease is counted: not from a response to
-// an earlier incarnation, and not from a response that preceded a renewal by a leader of an earlier
-// term.
+// TestLeaseCountedFrom checks the time from which a worker's lease is counted: not from a response
+// to an earlier incarnation, and not from a response after which a leader of an earlier term may have
+// renewed the lease.
 func TestLeaseCountedFrom(t *testing.T) {
 	const answered, now = time.Minute, time.Hour
 	for _, tc := range []struct {
@@ -38,7 +38,7 @@
 					machine.LeaseExpiries, machine.FencingToken, tc.wantAnswered, tc.wantExpiries, tc.wantToken)
 			}
 			if expired != (tc.wantExpiries > 0) {
-				t.Errorf("lease expired: got %v, want the opposite", expired)
+				t.Errorf("lease expired: got %v, want true for a later incarnation only", expired)
 			}
 			if forgotten := len(machine.UnconfirmedStarts) == 0; forgotten != tc.wantStartsForgotten {
 				t.Errorf("unconfirmed starts forgotten: got %v, want %v", forgotten, tc.wantStartsForgotten)
--- a/internal/core/reconcile/probes.go
+++ b/internal/core/reconcile/probes.go
@@ -18,8 +18,8 @@
 	machine.NextProbeAt = now + 2*timing.HeartbeatInterval
 }
 
-// BeginTermAnnouncement records that this term is being announced to a worker. No probe is sent to the
-// worker in the meantime.
+// BeginTermAnnouncement records that this term is being announced to a worker. No probe is sent to
+// the worker in the meantime.
 func BeginTermAnnouncement(machine *cluster.Machine) { machine.ProbeOpen = true }
 
 // EndProbe records that a probe or an announcement has returned.
--- a/internal/core/reconcile/reconcile.go
+++ b/internal/core/reconcile/reconcile.go
@@ -38,8 +38,8 @@
 const workerFailoverTime = 5 * time.Second
 
 // deadAfter returns the silence after which a machine that does not answer probes is considered
-// dead, provided that other machines of its zone and controller are not silent. It is long enough for
-// the worker to switch controllers, with a margin, and for a heartbeat to be missed.
+// dead, provided that other machines of its zone and controller are heard from. It is long enough
+// for the worker to switch controllers, with a margin, and for a heartbeat to be missed.
 func (t Timing) deadAfter() time.Duration {
 	return max(workerFailoverTime*8/5, 2*t.HeartbeatInterval)
 }
--- a/internal/core/reconcile/termination.go
+++ b/internal/core/reconcile/termination.go
@@ -104,7 +104,7 @@
 func RecordLeaseExpiry(machine *cluster.Machine) { machine.LeaseExpired = true }
 
 // LostOnLeaseExpiry reports whether a task is lost when its machine's lease expires (case 4 above).
-// A task that was placed for a later incarnation does not.
+// A task that was placed for a later incarnation is not.
 func LostOnLeaseExpiry(machine *cluster.Machine, task *cluster.Task) bool {
 	return task.Machine == machine && task.Incarnation <= machine.Incarnation
 }
--- a/internal/core/scheduler/candidates.go
+++ b/internal/core/scheduler/candidates.go
@@ -82,7 +82,7 @@
 		Job:                job,
 		WithinQuota:        job.WithinQuota,
 		slack:              candidate.slack,
-		remainingWork:      candidate.remainingWork - 1,
+		remainingWork:      candidate.remainingWork - 1, // sorted before the job's other tasks
 		Pending:            pending[:1:1],
 		PreemptionPriority: candidate.PreemptionPriority,
 	}
--- a/internal/core/scheduler/filter.go
+++ b/internal/core/scheduler/filter.go
@@ -5,8 +5,8 @@
 	"github.com/brookwalk/brookwalk/wire"
 )
 
-// ZoneBound returns a function for how many more tasks of a job a zone may take; nil if there is no
-// bound. Every task that still has a machine counts, even if it may have terminated.
+// ZoneBound returns a function that tells how many more tasks of a job a zone may take; nil if there
+// is no bound. Every placed task counts until it is confirmed to have terminated.
 func ZoneBound(job *cluster.Job) func(zone string) int {
 	if !job.SpreadZones && !job.OneZone {
 		return nil
--- a/internal/core/scheduler/pass.go
+++ b/internal/core/scheduler/pass.go
@@ -177,8 +177,8 @@
 	return noVictims
 }
 
-// anyMachineFits reports whether a task of a job fits on any machine of a type, zone and kind that
-// the job may use.
+// anyMachineFits reports whether a task of a job fits on any machine that the job may use, see
+// AllowsMachine.
 func (s *Scheduler) anyMachineFits(tree *topology.Tree, job *cluster.Job) bool {
 	defer s.countEvaluations(tree)()
 	return tree.AnyFits(cluster.TaskSize(&job.Job), func(leaf *topology.Machine) bool {
--- a/internal/core/scheduler/preempt.go
+++ b/internal/core/scheduler/preempt.go
@@ -18,8 +18,8 @@
 // with eight tasks per pass, an array of sixty took half a minute.
 const maxPreemptingTasksPerPass = 8
 
-// machinesPerPreemptingTask raises that bound on large fleets to one task per so many machines, so
-// that making room takes no longer there than on small ones.
+// machinesPerPreemptingTask raises that bound on large fleets to one task for each
+// machinesPerPreemptingTask machines, so that making room takes no longer there than on small fleets.
 const machinesPerPreemptingTask = 40
 
 // maxPreemptingTasks returns for how many of a candidate's tasks a pass may preempt others.
--- a/internal/core/scheduler/preemption_slots.go
+++ b/internal/core/scheduler/preemption_slots.go
@@ -96,8 +96,8 @@
 	return slices.Sorted(maps.Keys(zones))
 }
 
-// canPreemptAnywhere reports whether a task of the candidate would fit on any machine of a type,
-// zone and kind that the job may use if all possible victims there were stopped.
+// canPreemptAnywhere reports whether a task of the candidate would fit on any machine that the job
+// may use, see AllowsMachine, if all possible victims there were stopped.
 func (s *Scheduler) canPreemptAnywhere(candidate *Candidate) bool {
 	s.evaluations += len(s.machines)
 	size := cluster.TaskSize(&candidate.Job.Job)
--- a/internal/core/scheduler/scheduler.go
+++ b/internal/core/scheduler/scheduler.go
@@ -11,7 +11,7 @@
 //     machines are reserved for the job, and a later pass binds its tasks there.
 //
 // Tasks that are still not placed are left to provisioning. The package changes
-// PriorityState.WithinQuota, PlacingState and Reservation of package cluster, and which images a
+// PriorityState.WithinQuota, PlacementState and Reservation of package cluster, and which images a
 // machine pulls. Everything else that a decision changes goes through Host, which the leader of
 // package core implements. The package has no clock, socket or goroutine.
 package scheduler
--- a/internal/core/scheduler/team_limit_test.go
+++ b/internal/core/scheduler/team_limit_test.go
@@ -60,7 +60,7 @@
 			want: []string{"job-2/0"}, reserved: []string{"n-2"},
 		},
 		{
-			name:     "tasks that are already being stopped count as victims",
+			name:     "resources of tasks that are already being stopped count as free within the limit",
 			machines: []string{"n-1 a", "n-2 a"},
 			running: []runningJob{
 				{Job: array("job-1", "vision", wire.PriorityIdle, 2), machines: []string{"n-2"}},
@@ -111,7 +111,7 @@
 			want: []string{"job-1/0", "job-1/1"}, reserved: []string{"n-3"},
 		},
 		{
-			name:     "another team's task does not reduce the usage of the limit",
+			name:     "another team's cheaper task is not preempted for the limit",
 			machines: []string{"n-1 a", "n-2 a", "n-3 a"},
 			running: []runningJob{
 				{Job: idle, machines: []string{"n-1"}, ranFor: 100 * time.Second},
--- a/internal/core/teamlimit/victims_test.go
+++ b/internal/core/teamlimit/victims_test.go
@@ -31,7 +31,7 @@
 		{"a victim chosen before counts", 4, []Victim[string]{singleTask("a", gpus(1))}, []Victim[string]{singleTask("a", gpus(1)), singleTask("b", gpus(1))}, []int{1}, true},
 		{"a gang chosen before counts once", 5, []Victim[string]{gang, gang}, nil, nil, true},
 		{"all tasks of a gang count", 5, nil, []Victim[string]{gang}, []int{0}, true},
-		{"no task that uses none of the exceeded resource", 3, nil, []Victim[string]{singleTask("a", topology.Resources{CPUs: 8}), singleTask("b", gpus(1))}, []int{1}, true},
+		{"a task that uses none of the exceeded resource is not chosen", 3, nil, []Victim[string]{singleTask("a", topology.Resources{CPUs: 8}), singleTask("b", gpus(1))}, []int{1}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			shortage := Shortage{Limit: FromSettings(0, 4), Used: gpus(tc.used), TaskSize: gpus(1), Count: 2}
--- a/internal/core/topology/place.go
+++ b/internal/core/topology/place.go
@@ -2,7 +2,7 @@
 
 import "sort"
 
-// domain is a subtree, a zone or a machine, that may fit a whole request.
+// domain is a subtree (a zone or a machine) that is considered for all tasks of a request.
 type domain struct {
 	level   Level
 	name    string
--- a/internal/core/topology/topology.go
+++ b/internal/core/topology/topology.go
@@ -111,8 +111,9 @@
 	MachineBound func(*Machine) int
 	// ZoneBound bounds the tasks in a zone; nil sets no bound.
 	ZoneBound func(zone string) int
-	// RequiredLevel is the highest level at which the whole request may be placed in one domain;
-	// LevelRoot sets no requirement. Place always prefers a single machine, then a single zone.
+	// RequiredLevel is the level of the domain that must hold all tasks of the request:
+	// LevelMachine requires a single machine, LevelZone a single zone, LevelRoot nothing. Place
+	// always prefers a single machine, then a single zone.
 	RequiredLevel Level
 	// Penalty ranks the allowed machines, the lowest first; nil means 0 for all.
 	Penalty func(*Machine) int
