--- a/internal/core/scheduler/rescheduling_test.go
+++ b/internal/core/scheduler/rescheduling_test.go
@@ -122,7 +122,7 @@
 			want: []string{"job-1/0"}, targets: []string{"n-2"}, reserved: []string{"n-1"},
 		},
 		{
-			name:     "a spread job's replica does not move to another zone beyond the zone bound",
+			name:     "a spread job's replica does not move to a zone where it does not fit",
 			machines: []cachedMachine{{"n-1", "a", []string{"x", "y"}}, {"n-2", "b", []string{"y"}}},
 			running: []runningJob{
 				{Job: with(service("job-1", "y", 4, 2), func(j *wire.Job) { j.SpreadZones = true }), machines: []string{"n-1"}, ranFor: longRun},
