--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -146,9 +146,9 @@
 	return spec
 }
 
-// A plan provisions as many task slots for an array that each slot has work for
-// bootTimesOfWorkPerSlot boot times, but at least minPlannedTasks. Tens of thousands of tasks that
-// run for a second or two would be done before machines for all of them have booted.
+// For an array, a plan provisions only so many task slots that each has work for
+// bootTimesOfWorkPerSlot boot times, but at least minPlannedTasks: tens of thousands of tasks that
+// run for a second or two are done before machines for all of them have booted.
 const (
 	bootTimesOfWorkPerSlot = 4
 	minPlannedTasks        = 500
--- a/internal/core/compat_test.go
+++ b/internal/core/compat_test.go
@@ -241,14 +241,14 @@
 }
 
 // expectSameJSON checks that this version's encoding has the same JSON fields as an old version's.
-func expectSameJSON(t *testing.T, old, present []byte) {
+func expectSameJSON(t *testing.T, old, current []byte) {
 	t.Helper()
 	var a, b any
-	if json.Unmarshal(old, &a) != nil || json.Unmarshal(present, &b) != nil {
-		t.Fatalf("invalid JSON in one of %s and %s", old, present)
+	if json.Unmarshal(old, &a) != nil || json.Unmarshal(current, &b) != nil {
+		t.Fatalf("invalid JSON in one of %s and %s", old, current)
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("an old version encoded\n%s\nthis version encodes it as\n%s", old, present)
+		t.Errorf("an old version encoded\n%s\nthis version encodes it as\n%s", old, current)
 	}
 }
 
--- a/internal/core/consolidation.go
+++ b/internal/core/consolidation.go
@@ -11,9 +11,8 @@
 	"github.com/brookwalk/brookwalk/internal/core/topology"
 )
 
-// machinesPerConsolidation is the fleet size per machine that is emptied in a base interval: the
-// interval is divided by the number of such units, so that a larger fleet shrinks at the same
-// relative rate.
+// machinesPerConsolidation is the number of machines in the fleet for each one that is emptied per
+// baseConsolidationInterval, so that a larger fleet shrinks at the same relative rate.
 const machinesPerConsolidation = 400
 
 // consolidate empties one machine whose replicas all fit on other usable machines that have their
@@ -45,9 +44,8 @@
 	}
 }
 
-// mayConsolidate reports whether a machine may be emptied now: the consolidation interval has
-// passed, the records were loaded at least a worker lease ago, no task waits and no machine is to
-// be provisioned.
+// mayConsolidate reports whether a machine may be emptied now: the next search is due, the records
+// were loaded at least a worker lease ago, no task waits and no machine is to be provisioned.
 func (l *leader) mayConsolidate(bins []*provisioning.Bin, candidates []*candidate) bool {
 	if l.core.now < l.fleet.nextConsolidationAt || l.core.now-l.recordsLoadedAt < l.core.workerLease() {
 		return false
@@ -132,8 +130,8 @@
 }
 
 // baseConsolidationInterval returns the consolidation interval of a small fleet. Returning a
-// machine loses its cached images, so the interval is longer while jobs arrive of a class whose
-// image takes too long to pull on every machine type.
+// machine loses its cached images, so the interval is longer while there are arrivals of a class
+// whose image takes too long to pull on every machine type.
 func (l *leader) baseConsolidationInterval() time.Duration {
 	for _, class := range sortedKeys(l.arrivalsByClass) {
 		arrivals := l.arrivalsByClass[class]
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -103,7 +103,7 @@
 	c.out = Output{}
 	in.apply(c)
 	if leader := c.leader; leader != nil {
-		// Scheduling passes run only on ticks, so that they do not delay answers to
+		// Placement passes run only on ticks, so that they do not delay answers to
 		// heartbeats. Their changes are recorded immediately.
 		if _, tick := in.(Tick); tick {
 			leader.runDuePass()
@@ -113,7 +113,7 @@
 	return c.out
 }
 
-// Evaluations returns the number of machines that scheduling passes of the current term have
+// Evaluations returns the number of machines that placement passes of the current term have
 // evaluated: a measure of their cost that does not depend on a clock. It is 0 on a follower.
 func (c *Core) Evaluations() int {
 	if c.leader == nil {
--- a/internal/core/dependencies.go
+++ b/internal/core/dependencies.go
@@ -125,8 +125,9 @@
 	}
 }
 
-// dependencyEnded updates the dependents of a job whose end is recorded. If the job is done, marks
-// those whose dependencies are all done, so that their ReadyAt is written. Otherwise cancels them.
+// dependencyEnded updates the dependents of a job whose end is recorded. If the job is done, it
+// marks those whose dependencies are all done, so that their ReadyAt is written. Otherwise it
+// cancels all of them.
 func (l *leader) dependencyEnded(id string, status wire.JobState) {
 	if l.dependencies.HasDependents(id) {
 		l.core.log.Debug("dependency ended", "job", id, "status", status)
--- a/internal/core/dependency_lifecycle_test.go
+++ b/internal/core/dependency_lifecycle_test.go
@@ -16,15 +16,15 @@
 // its submission, and its waiting time from the end of its last dependency, also under a new leader
 // that has only the records.
 func TestWaitingJobTimes(t *testing.T) {
-	harness, present := newLeadingHarness(t, func(*config.Settings) {})
+	harness, current := newLeadingHarness(t, func(*config.Settings) {})
 	due := 300.0
-	addRecord(harness, present, wire.Job{ID: jobID(1)}, nil)
-	addRecord(harness, present, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, func(r *records.Open) { r.Job.DeadlineS = &due })
+	addRecord(harness, current, wire.Job{ID: jobID(1)}, nil)
+	addRecord(harness, current, wire.Job{ID: jobID(2), Dependencies: []string{jobID(1)}}, func(r *records.Open) { r.Job.DeadlineS = &due })
 	submitted := harness.core.wallClockMS
 	harness.run(60 * time.Second)
-	present.markDone(present.Jobs[jobID(1)], 0)
+	current.markDone(current.Jobs[jobID(1)], 0)
 	harness.run(2 * time.Second)
-	for name, leader := range map[string]*leader{"current leader": present, "next leader": startNextLeader(harness, present, "")} {
+	for name, leader := range map[string]*leader{"current leader": current, "next leader": startNextLeader(harness, current, "")} {
 		job := leader.Jobs[jobID(2)]
 		if job.AwaitingDependencies {
 			t.Fatalf("%s: job waits although its dependency is done", name)
--- a/internal/core/fleet_size.go
+++ b/internal/core/fleet_size.go
@@ -7,9 +7,9 @@
 	return deployment.MaxWorkers(deployment.Size - 1)
 }
 
-// checkFleetSize logs a warning, once each time, when the fleet has more machines than the
+// checkFleetSize logs a warning when the fleet grows beyond the number of workers that the
 // controllers have connections for while one of them is down: the leases of the workers without a
-// connection would expire.
+// connection would expire. It warns again only after the fleet has been smaller.
 func (l *leader) checkFleetSize() {
 	machines, capacity := len(l.MachinesByName), l.core.failoverWorkerCapacity()
 	outgrown := machines > capacity
--- a/internal/core/forecast.go
+++ b/internal/core/forecast.go
@@ -16,8 +16,8 @@
 	lastJob *cluster.Job // submitted last
 }
 
-// recordArrival records the arrival of a job at the time, stored in its record, from which its
-// waiting time counts. A new leader thus knows the recent arrivals from the records of open jobs.
+// recordArrival records the arrival of a job. It uses the start of the job's waiting time, which is
+// in the job's record, so that a new leader knows the recent arrivals from the open jobs.
 func (l *leader) recordArrival(job *cluster.Job) {
 	arrivals := l.arrivalsByClass[job.Class]
 	if arrivals == nil {
@@ -65,11 +65,11 @@
 	return job != nil && job.WithinQuota && l.core.anyGuaranteeFor(&job.Job)
 }
 
-// expectedTasks returns the number of future tasks of a class to provision for: the tasks expected
-// to be submitted while a machine boots and pulls the class's image. It is 0 if even a slow boot
-// and the pull finish within the waiting time of the objective. The objective's share is the
-// probability that the number suffices. A class with a recorded submission has capacity for at
-// least one task.
+// expectedTasks returns the number of future tasks of a class to provision for: as many as
+// may be submitted while a machine boots and pulls the class's image. The objective's share is the
+// probability that the number suffices. It is 0 if no machine type can run the class's last job or
+// if even a slow boot and the pull finish within the objective's waiting time; otherwise it is at
+// least 1, unless the operators' limit is 0.
 func (l *leader) expectedTasks(arrivals *classArrivals, objective config.Objective) int {
 	leadS, slowLeadS, ok := l.leadTime(arrivals.lastJob)
 	if !ok || slowLeadS <= objective.WithinS {
--- a/internal/core/forecast_objectives_test.go
+++ b/internal/core/forecast_objectives_test.go
@@ -12,7 +12,8 @@
 // TestCapacityForGuaranteedWork checks that machines are provisioned for future jobs of a class
 // without an objective of its own, if its jobs are within the team's guarantee and there is an
 // objective for guaranteed jobs. They are provisioned for whole arrays, because the objective
-// measures the wait until the last task starts.
+// measures the wait until the last task starts. Nothing is provisioned for jobs beyond the
+// guarantee, for jobs that use only resources without a guarantee, or without the objective.
 func TestCapacityForGuaranteedWork(t *testing.T) {
 	const types = `{"hulls":[{"label":"g8","cpus":96,"accelerators":8,"memGb":768,"fetchGbPerS":1,"rate":12,"lowPrice":4,"bootS":40,"berths":["a"]}]}`
 	wait := []config.Objective{{Kind: "guarantee", WithinS: 20, Share: 0.85}}
@@ -48,7 +49,7 @@
 				provisioned += 8 * float64(request.Count)
 			}
 			if (provisioned > 0) != tc.want || tc.want && provisioned < 2*float64(tc.tasks) {
-				t.Errorf("provisioned GPUs: got %v, want enough for two arrays of %d tasks within the guarantee, else none", provisioned, tc.tasks)
+				t.Errorf("provisioned GPUs: got %v, want enough for two arrays of %d tasks if guaranteed with an objective, else none", provisioned, tc.tasks)
 			}
 		})
 	}
--- a/internal/core/heartbeat_forwarding_test.go
+++ b/internal/core/heartbeat_forwarding_test.go
@@ -71,8 +71,8 @@
 			t.Fatal("sorted heartbeat cannot be decoded")
 		}
 		for i := range tasks {
-			if present := oldLeaderAttempt(got, fmt.Sprintf("job-000001/%d", i)); present.Attempt != 40 {
-				t.Fatalf("heartbeat with %d tasks: old leader finds attempt %d of task %d, want 40", tasks, present.Attempt, i)
+			if found := oldLeaderAttempt(got, fmt.Sprintf("job-000001/%d", i)); found.Attempt != 40 {
+				t.Fatalf("heartbeat with %d tasks: old leader finds attempt %d of task %d, want 40", tasks, found.Attempt, i)
 			}
 		}
 		if !slices.Equal(sortedRows(got), sortedRows(want)) {
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -122,7 +122,7 @@
 // and the records are loaded.
 func (l *leader) isActive() bool { return !l.steppedDown && l.recordsLoaded }
 
-// runDuePass runs a scheduling pass if one is requested and due.
+// runDuePass runs a placement pass if one is requested and due.
 func (l *leader) runDuePass() {
 	if !l.isActive() || !l.passes.requested || l.core.now < l.passes.earliestStart {
 		return
--- a/internal/core/offers.go
+++ b/internal/core/offers.go
@@ -65,7 +65,7 @@
 	return available
 }
 
-// anyOfferFor reports whether there is an offer for a job that is not in its backoff.
+// anyOfferFor reports whether any offer of a machine for a job is not in backoff.
 func (l *leader) anyOfferFor(job *wire.Job) bool {
 	for _, machineType := range l.core.machineTypes { // map order has no effect: one is enough
 		if !cluster.TypeCapacity(machineType).Holds(cluster.TaskSize(job)) {
--- a/internal/core/overdue_cancellation_test.go
+++ b/internal/core/overdue_cancellation_test.go
@@ -12,9 +12,10 @@
 )
 
 // TestOverdueOnUnreachableMachine checks when a cancelled task on a machine that commands do not
-// reach becomes overdue, so that the machine and everything on it is returned to the cloud. Without
-// an acknowledged cancellation, that is shortly before the user stops retrying; after an
-// acknowledgement, it is within cancel_s.
+// reach becomes overdue, so that the machine and everything on it is returned to the cloud. As long
+// as the cancellation is not acknowledged, the user still retries and nothing has been promised:
+// the machine is returned only in time for the user's last retries. After an acknowledgement, it is
+// returned within cancel_s.
 func TestOverdueOnUnreachableMachine(t *testing.T) {
 	for _, acknowledged := range []bool{false, true} {
 		t.Run(fmt.Sprintf("acknowledged %v", acknowledged), func(t *testing.T) {
--- a/internal/core/persistence_host.go
+++ b/internal/core/persistence_host.go
@@ -61,7 +61,7 @@
 }
 
 // BatchAnswered handles the response to a transaction: it sends the job ends that have just been
-// recorded to the other controllers, and requests a scheduling pass.
+// recorded to the other controllers, and requests a placement pass.
 func (h persistenceHost) BatchAnswered(ends []wire.JobEnd) {
 	h.leader.sendJobEnds(wire.Ends{Over: ends})
 	h.leader.passes.requested = true
--- a/internal/core/probes.go
+++ b/internal/core/probes.go
@@ -43,8 +43,8 @@
 }
 
 // handleProbeResult handles the result of a probe that was sent at the given time. If there is no
-// response, a reference machine is probed too, if the health check names one. A response with
-// another status than OK contains no information about the worker.
+// response, a reference machine is probed too, if the health check names one. A response with a
+// status other than OK contains no information about the worker.
 func (l *leader) handleProbeResult(machine *cluster.Machine, sentAt time.Duration, result Result) {
 	switch result.Status {
 	case httpstatus.NoAnswer:
--- a/internal/core/rejected_records_test.go
+++ b/internal/core/rejected_records_test.go
@@ -151,7 +151,7 @@
 			addRecord(harness, leader, wire.Job{ID: jobID(9), Dependencies: []string{jobID(8)}}, nil)
 			rejected := lowerStoreLimits(harness, tc.ops, tc.bytes)
 			if harness.core.settings.Deployment.Store.Next != nil {
-				leader.writer.AllowNamedRanges() // as once every controller reads them
+				leader.writer.AllowNamedRanges() // as if every controller could read them
 			}
 			for n := range 6 {
 				changeAttempts(leader, leader.Jobs[jobID(n)])
@@ -257,7 +257,7 @@
 			harness.run(time.Second)
 			rejected := lowerStoreLimits(harness, 5, 2048)
 			if harness.core.settings.Deployment.Store.Next != nil {
-				leader.writer.AllowNamedRanges() // as once every controller reads them
+				leader.writer.AllowNamedRanges() // as if every controller could read them
 			}
 			placeAndRecord(leader, leader.Jobs[jobID(3)], 90, 100) // again, with new attempts
 			addRecord(harness, leader, wire.Job{ID: jobID(4)}, nil)
--- a/internal/core/scheduler_host.go
+++ b/internal/core/scheduler_host.go
@@ -62,7 +62,7 @@
 // Now returns the monotonic time.
 func (h schedulerHost) Now() time.Duration { return h.leader.core.now }
 
-// WallClockMS returns the wall clock time, in ms.
+// WallClockMS returns the wall-clock time, in ms.
 func (h schedulerHost) WallClockMS() int64 { return h.leader.core.wallClockMS }
 
 // Usable reports whether a machine accepts tasks.
--- a/internal/core/task_accounting.go
+++ b/internal/core/task_accounting.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// forgetJob removes a job whose end is stored. Its tasks that are still placed on machines count
+// forgetJob removes a job whose end is recorded. Its tasks that are still placed on machines count
 // there until they are confirmed to have terminated.
 func (l *leader) forgetJob(job *cluster.Job) {
 	l.DropJob(job)
--- a/internal/core/urgency_inheritance.go
+++ b/internal/core/urgency_inheritance.go
@@ -73,7 +73,7 @@
 }
 
 // inheritedUrgency returns the highest priority level and the earliest deadline that a job has by
-// itself or inherits from its dependents. The deadline is a wall clock time in seconds.
+// itself or inherits from its dependents. The deadline is a wall-clock time in seconds.
 func (l *leader) inheritedUrgency(job *cluster.Job) (level int, deadline float64) {
 	level, deadline = cluster.PriorityLevel[job.Priority], cluster.OwnDeadline(&job.Record)
 	l.dependencies.EachDependent(job.ID, func(id string) {
--- a/internal/core/wait_reason.go
+++ b/internal/core/wait_reason.go
@@ -10,8 +10,8 @@
 // time between two such lines for a job.
 const logWaitAfter = 30 * time.Second
 
-// logWait logs why a job waits when the reason has changed: at level info once the job has waited
-// for logWaitAfter, otherwise at level debug.
+// logWait logs why a job waits: at level info if the job has waited for logWaitAfter and
+// waitInfoDue allows it, otherwise at level debug if the reason has changed.
 func (l *leader) logWait(job *cluster.Job, reason cluster.WaitReason) {
 	logged := &job.WaitLog
 	waited := l.scheduler.WaitingTime(job)
