--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -14,8 +14,8 @@
 // packCandidate packs a candidate's pending tasks, adds them to their team's usage and logs why
 // they wait.
 func (p *scaleOutPlan) packCandidate(candidate *candidate, usage map[string]topology.Resources) {
-	// No machines are provisioned for tasks that other tasks are being preempted for, even if the
-	// placement pass ended before it reached this candidate.
+	// Tasks for which other tasks are being preempted need no new machines. They count as reserved
+	// even if the placement pass ended before it reached this candidate.
 	candidate.ReservedTasks = max(candidate.ReservedTasks, p.leader.reservedTasks(candidate.Job))
 	packing := p.newCandidatePacking(candidate, usage[candidate.Job.Team])
 	reason := packing.packTasks()
--- a/internal/core/fleet.go
+++ b/internal/core/fleet.go
@@ -23,7 +23,7 @@
 // consolidationState is the state of emptying machines whose replicas fit on other machines. Only
 // consolidation.go changes it.
 type consolidationState struct {
-	resumeConsolidationFrom string        // machine at which the next search starts, if the last one exceeded its budget
+	resumeConsolidationFrom string        // machine at which to resume a search that exceeded its budget
 	nextConsolidationAt     time.Duration // earliest time of the next search
 }
 
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -58,7 +58,7 @@
 	// Provisioning.
 	fleet                   fleet
 	returnedMachines        map[string]time.Duration // by name; when the cloud confirmed their return
-	fleetExceedsControllers bool                     // the fleet is larger than the controllers can serve, see checkFleetSize
+	fleetExceedsControllers bool                     // set by checkFleetSize, to warn only once
 	arrivalsByClass         map[string]*classArrivals
 	runTimesByClass         map[string]*forecast.RunTimeCorrection
 	provisioningLatencies   *bootlatency.History
--- a/internal/core/scale_in.go
+++ b/internal/core/scale_in.go
@@ -53,7 +53,7 @@
 	})
 }
 
-// sendReturns sends a request to return queued machines, up to the maximum of one request.
+// sendReturns sends one request to return queued machines, as many as it may contain.
 func (l *leader) sendReturns() {
 	names := sortedKeys(l.fleet.pendingReturns)
 	if len(names) > cloudapi.MaxMachinesPerReturn {
--- a/internal/core/scale_out.go
+++ b/internal/core/scale_out.go
@@ -13,13 +13,13 @@
 	requests        *provisioning.Queue
 	availability    *provisioning.Availability
 	plannedMachines map[string]bool   // machines used by the last plan, which are not returned as idle
-	loggedPurposes  map[string]string // logged purposes of the empty machines that are kept
+	loggedPurposes  map[string]string // by name of the empty machines that are kept; last logged purpose
 }
 
 // Intervals of provisioning, as numbers of calls that the cloud's rate limit allows in that time.
 const (
 	requestIntervalCalls = 2  // between two new requests; the remaining calls are for retries and other purposes
-	offerBackoffCalls    = 48 // before a refused offer is requested again; all offers together stay well below the rate limit
+	offerBackoffCalls    = 48 // before a refused offer is requested again; keeps all offers well below the rate limit
 )
 
 // cloudCallDuration returns how long a number of calls takes at the cloud's rate limit.
