--- a/internal/core/dependencies_test.go
+++ b/internal/core/dependencies_test.go
@@ -44,8 +44,9 @@
 // and uses none of its team's guarantee until its open record has a ReadyAt.
 func TestWaitingJobClaimsNoResources(t *testing.T) {
 	harness, leader := newLeadingHarness(t, func(*config.Settings) {})
+	// Each job uses 4 of the 8 guaranteed CPUs.
 	addRecord(harness, leader, wire.Job{ID: "job-1"}, nil)
-	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, nil) // 4 of 8 CPUs guaranteed
+	addRecord(harness, leader, wire.Job{ID: "job-2", Dependencies: []string{"job-1"}}, nil)
 	addRecord(harness, leader, wire.Job{ID: "job-3"}, nil)
 	leader.markWithinQuota()
 	if !leader.Jobs["job-1"].WithinQuota || leader.Jobs["job-2"].WithinQuota || !leader.Jobs["job-3"].WithinQuota {
--- a/internal/core/dependency_lists_test.go
+++ b/internal/core/dependency_lists_test.go
@@ -297,7 +297,7 @@
 	record := func(key string, age time.Duration) {
 		harness.write(key, "", kv.Encode(dependencylist.Record{StartedAtMS: harness.core.wallClockMS - age.Milliseconds(), Names: []string{jobID(1000)}}))
 	}
-	old := time.Duration(0)
+	old := time.Duration(0) // written now: old enough by the time of the cleanup
 	for _, key := range []string{"a/job-7/x-1/0", "a/job-7/x-1/1", "a/job-7/x-1/10", "a/job-7/x-1/2", "a/job-7/x-1/3", "a/job-7/x-1/4", "a/job-7/x-1/5"} {
 		record(key, old)
 	}
