--- a/internal/core/candidate_packing.go
+++ b/internal/core/candidate_packing.go
@@ -14,8 +14,8 @@
 // packCandidate packs a candidate's pending tasks, adds them to their team's usage and logs why
 // they wait.
 func (p *scaleOutPlan) packCandidate(candidate *candidate, usage map[string]topology.Resources) {
-	// No machines are provisioned for tasks that other tasks are being preempted for, even if the
-	// placement pass ended before it reached this candidate.
+	// Tasks for which other tasks are being preempted need no new machines. They count as reserved
+	// even if the placement pass ended before it reached this candidate.
 	candidate.ReservedTasks = max(candidate.ReservedTasks, p.leader.reservedTasks(candidate.Job))
 	packing := p.newCandidatePacking(candidate, usage[candidate.Job.Team])
 	reason := packing.packTasks()
@@ -146,9 +146,9 @@
 	return spec
 }
 
-// A plan provisions as many task slots for an array that each slot has work for
-// bootTimesOfWorkPerSlot boot times, but at least minPlannedTasks. Tens of thousands of tasks that
-// run for a second or two would be done before machines for all of them have booted.
+// For an array, a plan provisions only so many task slots that each has work for
+// bootTimesOfWorkPerSlot boot times, but at least minPlannedTasks: tens of thousands of tasks that
+// run for a second or two are done before machines for all of them have booted.
 const (
 	bootTimesOfWorkPerSlot = 4
 	minPlannedTasks        = 500
--- a/internal/core/leader.go
+++ b/internal/core/leader.go
@@ -58,7 +58,7 @@
 	// Provisioning.
 	fleet                   fleet
 	returnedMachines        map[string]time.Duration // by name; when the cloud confirmed their return
-	fleetExceedsControllers bool                     // the fleet is larger than the controllers can serve, see checkFleetSize
+	fleetExceedsControllers bool                     // set by checkFleetSize, to warn only once
 	arrivalsByClass         map[string]*classArrivals
 	runTimesByClass         map[string]*forecast.RunTimeCorrection
 	provisioningLatencies   *bootlatency.History
@@ -122,7 +122,7 @@
 // and the records are loaded.
 func (l *leader) isActive() bool { return !l.steppedDown && l.recordsLoaded }
 
-// runDuePass runs a scheduling pass if one is requested and due.
+// runDuePass runs a placement pass if one is requested and due.
 func (l *leader) runDuePass() {
 	if !l.isActive() || !l.passes.requested || l.core.now < l.passes.earliestStart {
 		return
