--- a/internal/core/cancellation/progress.go
+++ b/internal/core/cancellation/progress.go
@@ -9,7 +9,7 @@
 	requestedAt    time.Duration
 	acknowledged   bool // or may have been
 	acknowledgedAt time.Duration
-	terminatedAt   time.Duration // when no task was left; 0 while tasks are left
+	terminatedAt   time.Duration // since when no task has been left; 0 while any is left
 	announced      bool          // the other controllers have been told that no task is left
 }
 
--- a/internal/core/depgraph/depgraph.go
+++ b/internal/core/depgraph/depgraph.go
@@ -138,7 +138,7 @@
 }
 
 // DropDependencies removes the edges from a job to all its dependencies, when the job no longer
-// waits for them. The edges to its dependents stay.
+// waits for them, whether or not they are done. The edges to its dependents stay.
 func (g *Graph) DropDependencies(id string) {
 	g.EachDependency(id, func(dependency string) {
 		if g.dependents[dependency].remove(id) == 0 {
--- a/internal/core/forecast/arrivals.go
+++ b/internal/core/forecast/arrivals.go
@@ -27,7 +27,8 @@
 }
 
 // Record records a job that was submitted at the time at. tasks is its number of tasks; arrivals
-// is how many of them count as arrivals: one for an array, all for a service or a gang.
+// is how many of them count as arrivals, which are those expected to start separately: one for an
+// array, all for a service or a gang.
 func (a *Arrivals) Record(at, now time.Duration, tasks, arrivals int) {
 	for range min(arrivals, MaxCountedTasksPerJob) {
 		a.times = append(a.times, at)
--- a/internal/core/forecast/run_time_correction.go
+++ b/internal/core/forecast/run_time_correction.go
@@ -10,8 +10,8 @@
 	minWeight = 0.05
 )
 
-// RunTimeCorrection holds the moving average of a class's ratio of run times to the owners' estimates. The
-// zero value leaves estimates unchanged.
+// RunTimeCorrection holds the moving average of a class's ratio of run times to the owners'
+// estimates. The zero value leaves estimates unchanged.
 type RunTimeCorrection struct {
 	correction float64 // average ratio minus 1
 	runs       int
--- a/internal/core/forecast/run_time_correction_test.go
+++ b/internal/core/forecast/run_time_correction_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestRunTimeCorrection checks that the correction converges to the ratio of the observed runs, here 2, and
-// that the ratio of an outlier is clamped to 4.
+// TestRunTimeCorrection checks that the correction converges to the ratio of the observed runs,
+// here 2, and that the ratio of an outlier is clamped to 4.
 func TestRunTimeCorrection(t *testing.T) {
 	var runTimes RunTimeCorrection
 	if got := runTimes.Correct(10); got != 10 {
--- a/internal/core/frontend/cancel.go
+++ b/internal/core/frontend/cancel.go
@@ -25,7 +25,8 @@
 //     reach the store, it is acknowledged when the leader reports that no task is left and its
 //     term is confirmed to be still the latest.
 //
-// A user whose cancellation takes longer is asked to retry, immediately if tasks are unreachable.
+// A user whose cancellation takes longer than cancellationTimeout is asked to retry, immediately if
+// tasks are unreachable.
 // Earlier versions acknowledged a cancellation as soon as the request was recorded: if the store
 // became unavailable right after that, a new leader could not read which jobs were cancelled, and
 // their tasks ran for longer than cancel_s.
--- a/internal/core/frontend/frontend.go
+++ b/internal/core/frontend/frontend.go
@@ -41,8 +41,7 @@
 	TeamLimit(team string) (limit teamlimit.Limit, known bool)
 	// TaskCounts returns the task counts of an open job.
 	TaskCounts(job string) wire.JobCount
-	// AllPeersSupport reports whether every controller runs a peer protocol version or a later
-	// one.
+	// AllPeersSupport reports whether every controller supports a version of the peer protocol.
 	AllPeersSupport(peerVersion int) bool
 	// RejectedWrites records that the store rejected a transaction with a number of writes,
 	// and reports whether the same changes may be accepted in smaller transactions.
--- a/internal/core/frontend/lookup.go
+++ b/internal/core/frontend/lookup.go
@@ -65,7 +65,7 @@
 
 // expireLookups fails the queued lookups that have timed out.
 func (f *FrontEnd) expireLookups() {
-	var order []string
+	var remaining []string
 	for _, job := range f.lookups.queue {
 		var kept []*lookupWaiter
 		for _, waiter := range f.lookups.waiters[job] {
@@ -77,12 +77,12 @@
 		}
 		if len(kept) > 0 {
 			f.lookups.waiters[job] = kept
-			order = append(order, job)
+			remaining = append(remaining, job)
 		} else {
 			delete(f.lookups.waiters, job)
 		}
 	}
-	f.lookups.queue = order
+	f.lookups.queue = remaining
 }
 
 // startLookups confirms cached jobs, many in one transaction without writes, and reads the others.
--- a/internal/core/membership/lease_extension_test.go
+++ b/internal/core/membership/lease_extension_test.go
@@ -51,7 +51,7 @@
 		{"leader has received one of an earlier incarnation", wire.Digest{Term: 5, EchoBoot: 9, Echo: later}, 2*workerLease + 1, true},
 		{"leader's term earlier than the worker's", wire.Digest{Term: 4, EchoBoot: 1, Echo: later}, 2*workerLease + 1, true},
 		{"leader's term later than the worker's", wire.Digest{Term: 6, EchoBoot: 1, Echo: later}, 2*workerLease + 1, false},
-		{"extension less than two leases ago", wire.Digest{Term: 5, EchoBoot: 1, Echo: later}, 2 * workerLease, true},
+		{"extension exactly two leases ago", wire.Digest{Term: 5, EchoBoot: 1, Echo: later}, 2 * workerLease, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := newTestController("n0", 1)
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestLeaseExpired checks whether the leader n0 finds the lease of a worker expired that it last
-// renewed at the time zero.
+// TestLeaseExpired checks when the leader n0 finds a worker's lease expired. The leader last renewed
+// it at the time zero.
 func TestLeaseExpired(t *testing.T) {
 	zero := time.Minute
 	report := func(incarnation uint64, until time.Duration) wire.Digest {
--- a/internal/core/persistence/layout.go
+++ b/internal/core/persistence/layout.go
@@ -35,7 +35,8 @@
 }
 
 // AllowNamedRanges allows records with named ranges before every peer has announced that it reads
-// them. It is called when the store no longer accepts the numbered records.
+// them. It is called when the store has rejected a transaction, of this leader or an earlier one,
+// since it may no longer accept the numbered records.
 func (w *Writer) AllowNamedRanges() { w.namedRangesAllowed = true }
 
 // writesNamedRanges reports whether to write records with named ranges.
--- a/internal/core/provisioning/availability_test.go
+++ b/internal/core/provisioning/availability_test.go
@@ -35,7 +35,7 @@
 			t.Errorf("step %+v: got %d machines, want the number in the step", step, got)
 		}
 		if got := availability.InBackoff(offer, step.now); got != (step.now < refusedFor) {
-			t.Errorf("step %+v: got refused %v, want the opposite", step, got)
+			t.Errorf("step %+v: got InBackoff %v, want the opposite", step, got)
 		}
 		if got := availability.AllowedMachines(other, step.now, 0); got != Unlimited {
 			t.Errorf("step %+v: got %d machines of the other offer, want no limit", step, got)
--- a/internal/core/records/records.go
+++ b/internal/core/records/records.go
@@ -104,7 +104,7 @@
 	Tasks  int           `json:"n"`
 }
 
-// JobStatus returns the response to a user's status query for the job.
+// JobStatus returns the status of the ended job, as it is sent to users.
 func (f Final) JobStatus(job string) wire.JobStatus {
 	s := wire.JobStatus{ID: job, Status: f.Status}
 	if f.Status == wire.StatusDone {
