--- a/internal/core/frontend/dependency_list.go
+++ b/internal/core/frontend/dependency_list.go
@@ -23,13 +23,13 @@
 		f.host.Refuse(pending.request, overloaded)
 		return
 	}
-	list := pending.listWriter
-	txn := list.NextTxn(f.store.MaxWrites())
+	writer := pending.listWriter
+	txn := writer.NextTxn(f.store.MaxWrites())
 	f.store.Commit(txn, func(r kv.TxnResult) {
 		switch r.Status {
 		case kv.OK:
-			list.MarkCommitted(txn, r.Revision)
-			if !list.Complete() {
+			writer.MarkCommitted(txn, r.Revision)
+			if !writer.Complete() {
 				f.writeListRecords(pending)
 				return
 			}
