--- a/cmd/brookwalk/commands.go
+++ b/cmd/brookwalk/commands.go
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// wakeCommand runs the activator, which starts a replica of a sleeping model when a request comes.
+// wakeCommand runs the activator, which starts a model that is scaled to zero when a request comes.
 type wakeCommand struct {
-	Registry       string        `help:"Models that may sleep (TOML)." required:"" type:"path" placeholder:"FILE"`
+	Registry       string        `help:"Models that may be scaled to zero (TOML)." required:"" type:"path" placeholder:"FILE"`
 	Listen         string        `help:"Address for requests to models." default:"127.0.0.1:8090"`
 	RequestTimeout time.Duration `help:"Longest time that a request waits for a model." default:"60s" name:"patience"`
 }
--- a/cmd/brookwalk/main.go
+++ b/cmd/brookwalk/main.go
@@ -1,6 +1,6 @@
 // Command brookwalk runs one controller of a fleet that serves language models. It parses the
 // command line, loads and validates all settings, and runs a command: the controller, the activator
-// of sleeping models (models without a replica), or a check or report for operators.
+// of models that are scaled to zero, or a check or report for operators.
 package main
 
 import (
@@ -21,7 +21,7 @@
 
 	Serve serveCommand `cmd:"" default:"1" help:"Run the controller (default)."`
 	Check checkCommand `cmd:"" help:"Check the settings and exit."`
-	Wake  wakeCommand  `cmd:"" help:"Serve requests to models that may sleep."`
+	Wake  wakeCommand  `cmd:"" help:"Serve requests to models that may be scaled to zero."`
 	Quota struct {
 		Show  quotaShowCommand  `cmd:"" help:"Show what this region owns of the teams' limits, from its key-value store."`
 		Check quotaCheckCommand `cmd:"" help:"Check a regions file and exit."`
--- a/internal/config/settings.go
+++ b/internal/config/settings.go
@@ -79,7 +79,7 @@
 	LeaseS float64 `toml:"lease_s"`
 	// GangWaitS is how long a task waits for the other tasks of its gang before it exits.
 	GangWaitS float64 `toml:"gang_wait_s"`
-	// GangPeerS is within what time the tasks of a gang detect that one of them has ended.
+	// GangPeerS is the time within which the tasks of a gang detect that one of them has ended.
 	GangPeerS float64 `toml:"gang_peer_s"`
 	// CancelS is how soon after a confirmed cancellation no task of the job may run.
 	CancelS float64 `toml:"cancel_s"`
--- a/internal/httpserve/server.go
+++ b/internal/httpserve/server.go
@@ -1,6 +1,7 @@
 // Package httpserve is an HTTP server that handles the requests of a connection in sequence. It
-// owns a listener, its connections and a goroutine for each. The activator of sleeping models and
-// the simulated services of package hollow use it; the controllers' front end is in package node.
+// owns a listener, its connections and a goroutine for each. The activator (package
+// wake/activator) and the simulated services of package hollow use it; the controllers' front end
+// is in package node.
 package httpserve
 
 import (
--- a/internal/kv/kv_test.go
+++ b/internal/kv/kv_test.go
@@ -34,7 +34,7 @@
 				t.Errorf("got %+v, want %+v", got, tc.want)
 			}
 			if got.Committed() != (tc.want.Status == OK) {
-				t.Errorf("Committed: got %v, want the opposite", got.Committed())
+				t.Errorf("Committed: got %v, want true only for status OK", got.Committed())
 			}
 		})
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -57,7 +57,7 @@
 	for i := range node.cfg.Deployment.MachineLimits.MaxIncoming() - 1 {
 		user, ok := openConnection(node)
 		if !ok {
-			t.Fatalf("connection of user %d was rejected, want %d accepted", i, node.cfg.Deployment.MachineLimits.MaxIncoming())
+			t.Fatalf("connection of user %d was rejected, want it accepted below the limit of %d", i, node.cfg.Deployment.MachineLimits.MaxIncoming())
 		}
 		user.connection(t).lastActive = time.Unix(int64(1000+i), 0)
 		users = append(users, user)
--- a/internal/quota/changes.go
+++ b/internal/quota/changes.go
@@ -95,8 +95,8 @@
 	return missing
 }
 
-// initialSharesAgree reports whether all shares of a team that other regions offer came from the
-// same regions file.
+// initialSharesAgree reports whether no other region offers a share of the team that came from a
+// different regions file than this region's.
 func (m *Manager) initialSharesAgree(team string) bool {
 	for _, remote := range m.remotes {
 		if offer, ok := remote.offers[team]; ok && offer.Plan != m.planFingerprint {
--- a/internal/quota/interleaving_test.go
+++ b/internal/quota/interleaving_test.go
@@ -65,7 +65,7 @@
 	region  *stepRegion
 	manager *Manager
 	term    wire.Condition
-	used    int // GPUs that it has granted
+	used    int // GPUs of the tasks that it counts as running
 	calls   []stepCall
 	ended   bool
 }
@@ -372,7 +372,7 @@
 		t.Skip()
 	}
 	region.restoreLedger()
-	// The store that would have carried out late transactions no longer exists.
+	// The store that would have committed the late transactions no longer exists.
 	s.lateTxns = slices.DeleteFunc(s.lateTxns, func(late stepTxn) bool { return late.region == region.index })
 }
 
--- a/internal/quota/ledger/ledger_test.go
+++ b/internal/quota/ledger/ledger_test.go
@@ -102,7 +102,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, err := newTestLedger().Debit(testTerm, "south", 0, tc.parts); (err == nil) != tc.ok {
-				t.Errorf("Debit: got error %v, want the opposite result", err)
+				t.Errorf("Debit: got error %v, want one only if the amount may not be debited", err)
 			}
 		})
 	}
--- a/internal/quota/manager.go
+++ b/internal/quota/manager.go
@@ -22,7 +22,7 @@
 	incarnation      uint64                    // identifies this loading of the ledger
 	sequence         uint64                    // of the last message sent in this incarnation
 	ledger           *ledger.Ledger            // nil until it is loaded
-	fenceReason      string                    // why the region is fenced; empty if it is not
+	fenceReason      string                    // of a fence that this manager has found necessary; empty for none
 	pending          *pendingChange            // nil if no transaction is pending
 	recentCredits    map[string][]recentCredit // by team, oldest first
 	loggedRejections map[rejection]bool
@@ -157,7 +157,8 @@
 func (m *Manager) ledgerComplete() bool { return m.ledger != nil && m.ledger.Epoch() != 0 }
 
 // fenced reports whether the region may grant nothing, because its ledger is malformed, violates an
-// invariant or contradicts what another region has recorded about it.
+// invariant or contradicts what another region has recorded about it. The reason is in fenceReason,
+// or in the ledger if a fence is recorded there.
 func (m *Manager) fenced() bool {
 	return m.fenceReason != "" || m.ledger != nil && m.ledger.FenceReason() != ""
 }
--- a/internal/quota/plan/plan_test.go
+++ b/internal/quota/plan/plan_test.go
@@ -68,7 +68,7 @@
 		t.Errorf("share of north: got %+v, want 2.5 GPUs guaranteed, 8 GPUs owned and CPUs unlimited", north)
 	}
 	if sum := north.Owned.Add(south.Owned).Add(other.Owned); sum.GPUs != north.Limit.GPUs {
-		t.Errorf("owned shares add up to %v, want the limit of %v", sum, north.Limit)
+		t.Errorf("GPUs of the owned shares: got a sum of %v, want the GPUs of the limit, %v", sum, north.Limit)
 	}
 }
 
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -217,8 +217,8 @@
 }
 
 // TestRestoredStore replaces a region's ledger by an older copy, or deletes it, while shares are
-// being transferred. No limit may be exceeded, and some region must notice that its ledger is older
-// or missing.
+// being transferred and tasks continue to run. No limit may be exceeded, and some region must notice
+// that its ledger is older or missing.
 func TestRestoredStore(t *testing.T) {
 	fenced := 0
 	for seed := range uint64(soakRuns(60)) {
@@ -243,7 +243,7 @@
 	}
 	t.Logf("%d regions were fenced or have no ledger", fenced)
 	if fenced == 0 {
-		t.Error("no region is fenced or has no ledger, want at least one that noticed its older or missing ledger")
+		t.Error("got no region that is fenced or without a ledger, want at least one that noticed its older or missing ledger")
 	}
 }
 
--- a/internal/quota/simulation_test.go
+++ b/internal/quota/simulation_test.go
@@ -160,7 +160,7 @@
 	}
 }
 
-// checkShares checks that the recorded shares of each team add up exactly to its limit.
+// checkShares checks that the recorded GPU shares of each team add up exactly to its limit.
 func (s *simulation) checkShares() {
 	if s.restored || s.optimistic {
 		return
@@ -180,7 +180,7 @@
 		team := &s.plan.Teams[i]
 		sum, limit := sumOfShares(ledgers, team.Name), team.InitialShare("").Limit
 		if sum.GPUs != limit.GPUs {
-			s.addViolation("sum of the shares of %s: got %v, want the limit of %v", team.Name, sum, limit)
+			s.addViolation("GPUs of the shares of %s: got a sum of %v, want the GPUs of the limit, %v", team.Name, sum, limit)
 		}
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
 // Package store is the client of the key-value store. It stays within the store's rate limits for
 // requests and writes, bounds the sockets in use, and retries calls that the store rejected for
-// their rate as well as, once, reads without an answer. Package node calls it; the simulation uses
-// the rate limiter and the times of retries.
+// their rate. It also retries a read without an answer, once. Package node calls it; the simulation
+// uses the rate limiter and the times of retries.
 package store
 
 import (
--- a/internal/wake/lease.go
+++ b/internal/wake/lease.go
@@ -36,7 +36,7 @@
 			c.leaseID = 0
 			c.nextLeaseCall = c.host.Now()
 			c.relist()
-		default: // the lease may still be valid; the next renewal will tell
+		default: // the lease may still be valid; the next renewal will show whether it is
 		}
 	})
 }
--- a/internal/wake/replica.go
+++ b/internal/wake/replica.go
@@ -121,7 +121,7 @@
 			c.writeRecord(model, Record{Phase: PhaseScaledToZero, Epoch: record.Epoch, Failures: record.Failures + 1}, slotReleased)
 			return
 		}
-		if startToken != 0 { // no replica was started under this epoch: start it now
+		if startToken != 0 { // no replica was seen under this epoch: start it now
 			model.ownership.startToken, model.ownership.nextCommand = startToken, c.host.Now()
 			c.reconcileReplica(model)
 		}
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -3,7 +3,7 @@
 // During an upgrade, controllers of two versions exchange these messages. Gob sends the names of
 // types and fields, and drops fields that the receiver's type lacks. So the names below never
 // change, whatever terms the rest of the program uses; fields may be added. compat_test.go checks
-// the names, except that of Region.
+// the names, except those of PeerMessage.Region and Digest.FetchesQueue.
 
 // PeerMessage is a message from one controller to another. Messages are sent as a stream of gob
 // values, each with a four-byte length prefix, over one connection per direction. Exactly one of
