--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// isDefined reports whether a key is in the file. It distinguishes a limit of 0 from one that is left out.
+// isDefined reports whether a key is in the file. It distinguishes a limit of 0 from one that is left
+// out.
 type isDefined func(key ...string) bool
 
 // validate returns an error with all missing and invalid fields.
--- a/wire/peer.go
+++ b/wire/peer.go
@@ -46,8 +46,9 @@
 }
 
 // Digest is sent by every controller to its peers several times per leader lease. It holds the
-// highest term that the sender knows, whether the sender receives the leader's digests, and whether
-// the key-value store answers it. Once per lease the leader adds its jobs' task counts for display.
+// highest term that the sender knows, whether the sender is the leader or has had contact with it
+// recently, and whether the key-value store answers the sender. Once per lease the leader adds its
+// jobs' task counts for display.
 type Digest struct {
 	// Version is the sender's PeerVersion; 0 for programs that are older than this field.
 	Version     int
@@ -59,8 +60,8 @@
 	Jobs        []JobCount
 	// More is set if Jobs continues the list of the previous digest.
 	More bool
-	// FetchesQueue is set in a leader's digest if the leader has observed that a machine pulls
-	// its images sequentially rather than in parallel.
+	// FetchesQueue is set in a leader's digest if machines pull their images sequentially rather
+	// than in parallel, as far as the leader or its predecessor has observed.
 	FetchesQueue bool
 	// Boot is the sender's incarnation, and Clock its monotonic clock at this digest, in
 	// nanoseconds. EchoBoot and Echo are Boot and Clock of the newest digest that the sender has
