--- a/internal/history/page.go
+++ b/internal/history/page.go
@@ -48,7 +48,8 @@
 	return os.WriteFile(path, out.Bytes(), 0o644)
 }
 
-// chartNames lists the names of the charts in the order of their first values. The log is locked.
+// chartNames lists the names of the charts in the order of their first values. The caller must hold
+// l.mu.
 func (l *Log) chartNames() []string {
 	var names []string
 	seen := map[string]bool{}
--- a/internal/history/plot.go
+++ b/internal/history/plot.go
@@ -30,7 +30,7 @@
 	maxValue float64 // highest value or limit
 }
 
-// chart collects the data of a chart's plot. The log is locked.
+// chart collects the data of a chart's plot. The caller must hold l.mu.
 func (l *Log) chart(name string) *chart {
 	c := &chart{series: map[string]plotter.XYs{}, limit: l.limits[name], events: l.events, maxValue: l.limits[name]}
 	for _, point := range l.points {
--- a/internal/hollow/controller_process.go
+++ b/internal/hollow/controller_process.go
@@ -120,7 +120,7 @@
 }
 
 // startsAndExits returns how often the process was started and how often it exited unexpectedly.
-func (c *controllerProcess) startsAndExits() (starts, unexpectedEnds int) {
+func (c *controllerProcess) startsAndExits() (starts, unexpectedExits int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.starts, c.unexpectedExits
@@ -174,8 +174,8 @@
 	}
 }
 
-// Request sends a request of a user or a worker asynchronously and calls done with the answer, with the
-// simulation locked.
+// Request sends a request of a user or a worker asynchronously. It calls done with the answer, with
+// the simulation locked.
 func (c *controllerProcess) Request(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer)) {
 	go func() {
 		answer := c.request(from, method, path, body, timeout)
@@ -222,7 +222,7 @@
 	if pid == 0 {
 		return
 	}
-	if used, err := readUsage(pid); err == nil { // fails if the process has just exited
+	if used, err := readUsage(pid); err == nil { // an error means that the process has just exited
 		c.usage.addSample(pid, used, time.Now(), phase)
 	}
 }
--- a/internal/hollow/hollow_test.go
+++ b/internal/hollow/hollow_test.go
@@ -159,8 +159,9 @@
 		if _, err := strconv.Atoi(entry.Name()); err != nil {
 			continue
 		}
+		// An error means that the process has just exited.
 		commandLine, err := os.ReadFile("/proc/" + entry.Name() + "/cmdline")
-		if err == nil && strings.Contains(string(commandLine), dir) { // fails if the process has just exited
+		if err == nil && strings.Contains(string(commandLine), dir) {
 			return true
 		}
 	}
--- a/internal/hollow/observer.go
+++ b/internal/hollow/observer.go
@@ -24,9 +24,9 @@
 	startsPerSecond       []int           // starts in each past second of the run
 	startsBeforeSecond    int             // starts before the current second
 	killedAt              time.Duration   // when the last leader was killed
-	killedTerm            uint64          // highest term that a worker had seen then; 0 if no failover is open
-	failoverTimes         []time.Duration // from the kill of a leader to the first task start by a later leader
-	failoversWithoutStart int             // kills followed by another kill before a later leader started a task
+	killedTerm            uint64          // highest term seen by a worker then; 0 if no failover is open
+	failoverTimes         []time.Duration // from a leader's kill to the first task start by a later leader
+	failoversWithoutStart int             // kills after which no later leader started a task before the next kill
 }
 
 func newObserver() *observer {
--- a/internal/hollow/regions.go
+++ b/internal/hollow/regions.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeLogged(options.Log, "address claim", claim) // runs last: the processes have exited by then
+	defer closeLogged(options.Log, "address claim", claim) // runs last, after the processes have exited
 	run := &regionRun{experiment: experiment, options: options, usage: newUsageMeter(experiment), links: map[linkDirection]*regionLink{}, addresses: claim}
 	defer run.close()
 	if err := run.prepare(); err != nil {
@@ -129,9 +129,9 @@
 	return quotaPlan
 }
 
-// teamPlan divides the limits and guarantees of a team among the regions. Owned parts are rounded
-// down to whole CPUs and GPUs. The last region owns the remainder, so that they add up to the
-// limit.
+// teamPlan divides the limits and guarantees of a team among the regions. Both are rounded down to
+// whole CPUs and GPUs, but the last region owns the remainder of each limit, so that the owned parts
+// add up to it.
 func (g *regionRun) teamPlan(i int) plan.Team {
 	limit := g.experiment.teamLimit()
 	team := plan.Team{Name: teamName(i), CPUsMax: limit.CPUsMax, GPUsMax: limit.GPUsMax}
--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -47,7 +47,7 @@
 	Role             string  `json:"role"` // leader or follower at the end, or stand-ins (the simulation)
 	Cores            float64 `json:"cores"`
 	SteadyCores      float64 `json:"cores_steady"` // mean over the last two fifths of the run
-	PeakCores        float64 `json:"cores_peak"`   // highest mean over one sampling interval
+	PeakCores        float64 `json:"cores_peak"`   // highest mean over one sampling interval of 1 s
 	PeakMemoryMB     float64 `json:"peak_memory_mb"`
 	ReadBytesPerS    float64 `json:"read_bytes_per_s"`
 	WrittenBytesPerS float64 `json:"written_bytes_per_s"`
@@ -56,7 +56,8 @@
 	UnexpectedExits  int     `json:"ended_by_itself"`
 }
 
-// TrafficStats is the traffic between the controllers and one kind of peer.
+// TrafficStats is the traffic of one channel: between the controllers and the workers, users or a
+// service, or among the controllers.
 type TrafficStats struct {
 	MessagesPerS      float64 `json:"messages_per_s"` // requests; each has one response
 	RequestBytesPerS  float64 `json:"request_bytes_per_s"`
--- a/internal/hollow/report_build.go
+++ b/internal/hollow/report_build.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// reportTraffic adds the traffic between the controllers and each kind of peer to the report.
+// reportTraffic adds the traffic of each channel to the report.
 func (r *runner) reportTraffic(report *Report, duration time.Duration) {
 	report.Traffic = map[string]TrafficStats{
 		"workers' reports":    newTrafficStats(&r.workerTraffic, duration),
--- a/internal/hollow/runner.go
+++ b/internal/hollow/runner.go
@@ -15,7 +15,8 @@
 
 // Options configures the run of an experiment.
 type Options struct {
-	// Command is the command line that starts a controller. The path of its settings file is appended.
+	// Command is the command line that starts a controller. The path of its settings file is
+	// appended.
 	Command []string
 	// Dir is the directory for the settings files and the controllers' logs.
 	Dir string
@@ -59,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer closeLogged(options.Log, "address claim", addresses) // runs last: the processes have exited by then
+	defer closeLogged(options.Log, "address claim", addresses) // runs last, after the processes have exited
 	runner := newRunner(experiment, options, addresses)
 	defer runner.close()
 	if err := runner.prepare(); err != nil {
--- a/internal/hollow/runner_setup.go
+++ b/internal/hollow/runner_setup.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	// serviceHost is the IP address of the key-value store, the cloud and the region links. They listen
-	// during the whole run.
+	// serviceHost is the IP address of the key-value store, the cloud and the region links. They
+	// listen during the whole run.
 	serviceHost = "127.0.0.1"
-	// unservedAddress is reported for a worker that could not listen. Nothing listens on this port.
+	// unservedAddress is the address of a worker that could not listen. Nothing listens on it.
 	unservedAddress = serviceHost + ":9"
 	// machinePrefix is the prefix of machine names. A number follows.
 	machinePrefix = "n-"
@@ -38,7 +38,7 @@
 func (r *runner) prepare() error {
 	settings := r.settings()
 	r.live = sim.NewLive(sim.LiveConfig{
-		Settings: settings, Types: r.machineTypes(), Capacity: r.stock(), Seed: r.experiment.Seed,
+		Settings: settings, Types: r.machineTypes(), Capacity: r.capacity(), Seed: r.experiment.Seed,
 		Observer: r.observer, Log: r.options.Log, WorkerAddress: r.serveWorker, MachineRemoved: r.stopWorker, UsageChanged: r.usageObserver(),
 	})
 	store, err := r.serve("key-value store", &r.storeTraffic, r.live.ServeStore)
@@ -242,17 +242,18 @@
 	return types
 }
 
-// stock returns the cloud's machines per type and zone, spread evenly over the zones.
-func (r *runner) stock() []sim.Capacity {
-	var stock []sim.Capacity
+// capacity returns how many machines of each type the cloud has in each zone. The machines of a type
+// are spread evenly over the zones.
+func (r *runner) capacity() []sim.Capacity {
+	var capacity []sim.Capacity
 	zones := len(r.experiment.Zones)
 	for _, t := range r.experiment.Types {
 		for i, zone := range r.experiment.Zones {
 			inZone := func(count int) int { return count*(i+1)/zones - count*i/zones }
 			onDemand := inZone(t.OnDemandCount)
-			stock = append(stock, sim.Capacity{Type: t.Name, Zone: zone, Count: onDemand, Up: int(t.UpShare * float64(onDemand))},
+			capacity = append(capacity, sim.Capacity{Type: t.Name, Zone: zone, Count: onDemand, Up: int(t.UpShare * float64(onDemand))},
 				sim.Capacity{Type: t.Name, Zone: zone, Spot: true, Count: inZone(t.SpotCount)})
 		}
 	}
-	return stock
+	return capacity
 }
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// checkCancelled checks that the job of a placed task, or a dependency of the job, has not been
-// cancelled for longer than the cancellation timeout.
+// checkCancelled checks a placed task: its user, or that of a dependency of its job, must not have
+// been told of a cancellation longer than the cancellation timeout ago.
 func (c *checker) checkCancelled(m *machine, t *task) {
 	if id := c.cancelledDependency(t.job); id != "" {
 		c.addViolation("ran_cancelled", "%s is on %s, but its dependency %s is cancelled", t.name, m.name, id)
--- a/internal/sim/checker_test.go
+++ b/internal/sim/checker_test.go
@@ -13,8 +13,8 @@
 // taskZones lists the zones of a job's tasks: "zone", or "zone spot" for a spot machine.
 type taskZones []string
 
-// TestCheckerPlacement starts the last task of a job after the others. The checker must report the
-// violation by its placement or by the team's usage, and nothing else.
+// TestCheckerPlacement starts the last task of a job after the others. The checker must report a
+// violation if the task's placement or the team's usage breaks a rule, and nothing else.
 func TestCheckerPlacement(t *testing.T) {
 	const machineType = "small"
 	for _, tc := range []struct {
--- a/internal/sim/heartbeat.go
+++ b/internal/sim/heartbeat.go
@@ -20,7 +20,7 @@
 	// minDuplicateDelay is the minimum delay of a random copy of a heartbeat.
 	minDuplicateDelay = 2 * time.Second
 
-	// An interval is the one in the settings times a random factor in this range.
+	// An interval is the one in the settings times a random factor from 0.75 to 1.25.
 	minIntervalFactor   = 0.75
 	intervalFactorRange = 0.5
 )
--- a/internal/sim/key_value_store.go
+++ b/internal/sim/key_value_store.go
@@ -187,13 +187,14 @@
 	serve()
 }
 
-// Limits of a page of keys.
+// Limits of a page of items.
 const (
 	maxPageItems = 1000
 	maxPageBytes = 512 << 10
 )
 
-// page returns a page of the keys with a prefix that follow the key in the query.
+// page returns a page of the items whose keys have the prefix "under" and follow the key "since" of
+// the query, in the order of the keys.
 func (s *keyValueStore) page(query url.Values) wire.Page {
 	limit, err := strconv.Atoi(query.Get("limit"))
 	if err != nil || limit == 0 || limit > maxPageItems {
--- a/internal/sim/live.go
+++ b/internal/sim/live.go
@@ -18,7 +18,7 @@
 type Process interface {
 	// Start starts the process.
 	Start()
-	// Kill kills the process.
+	// Kill kills the process at once, without letting it shut down.
 	Kill()
 	// Request sends a request of a user ("user") or of a worker (its machine's name). done is
 	// called once, by Live.Do, with the answer; its status is 0 if none came within the
@@ -26,7 +26,7 @@
 	Request(from, method, path string, body []byte, timeout time.Duration, done func(core.Answer))
 }
 
-// TaskStart is the beginning of a task's run.
+// TaskStart describes the start of a task's run.
 type TaskStart struct {
 	Class        string
 	Priority     wire.Priority
@@ -146,7 +146,7 @@
 	}
 }
 
-// Now returns how long the world has run. It is called with the world locked.
+// Now returns how long the world has run. It must be called with the world locked.
 func (l *Live) Now() time.Duration { return l.world.now }
 
 // After schedules a function to be called after a delay, with the world locked. After itself must
@@ -250,8 +250,8 @@
 	}
 }
 
-// Records returns the keys of the key-value store with a prefix, in order, up to the limits of one
-// page.
+// Records returns the items of the key-value store whose keys have a prefix, in the order of the
+// keys, up to the limits of one page.
 func (l *Live) Records(prefix string) []wire.Item {
 	return l.world.store.page(url.Values{"under": {prefix}}).Items
 }
--- a/internal/sim/machine.go
+++ b/internal/sim/machine.go
@@ -63,7 +63,7 @@
 	return m
 }
 
-// A machine's boot time is the one that the cloud states times a random factor in this range.
+// A machine's boot time is the one that the cloud states times a random factor from 0.6 to 1.5.
 const (
 	minBootFactor   = 0.6
 	bootFactorRange = 0.9
@@ -242,8 +242,9 @@
 	m.world.cancelFinishedJob(job)
 }
 
-// terminate ends a task and removes its placement. If a running task of a gang ends before it is
-// done, the other running tasks of the attempt record that they have lost a peer.
+// terminate ends a task and removes its placement. It does not make the worker report the end, see
+// exit. If a running task of a gang ends before it is done, the other running tasks of the attempt
+// record that they have lost a peer.
 func (m *machine) terminate(t *task) {
 	if t.state == wire.TaskExited {
 		return
--- a/internal/sim/model_server.go
+++ b/internal/sim/model_server.go
@@ -47,7 +47,7 @@
 	return &ModelServer{ReplicaLease: replicaLease, Load: load, models: map[string]*servedModel{}}
 }
 
-// A load takes the mean time times a random factor in this range.
+// A load takes the mean time times a random factor from 0.8 to 1.2.
 const (
 	minLoadFactor   = 0.8
 	loadFactorRange = 0.4
--- a/internal/sim/random_scenarios_test.go
+++ b/internal/sim/random_scenarios_test.go
@@ -176,8 +176,8 @@
 // done once the faults are over.
 func TestSoak(t *testing.T) {
 	// Seed 174 ran a task twice: the leader had learned of a worker's new incarnation from a
-	// direct answer, and took it for expired by the clock of the previous incarnation. With seed
-	// 65 there was no machine to inject a fault into.
+	// direct answer, and considered it expired because it used the clock of the previous
+	// incarnation. With seed 65 there was no machine to inject a fault into.
 	runSeeds(t, soakSeeds(40, 65, 174), soakScenario)
 }
 
--- a/internal/sim/region_worlds_test.go
+++ b/internal/sim/region_worlds_test.go
@@ -18,13 +18,15 @@
 // cores' messages to other regions are delivered between the worlds. It checks that each team's
 // tasks on the workers of all regions together stay within the team's limit.
 type regionWorlds struct {
-	now          time.Duration
-	rng          *rand.Rand
-	plan         *plan.Plan
-	names        []string
-	worlds       []*World
-	partitions   map[regionLink]time.Duration // end of the partition
-	delayedShare float64                      // share of messages delayed by up to maxRegionFaultDelay; half of these also arrive on time
+	now        time.Duration
+	rng        *rand.Rand
+	plan       *plan.Plan
+	names      []string
+	worlds     []*World
+	partitions map[regionLink]time.Duration // end of the partition
+	// delayedShare is the share of messages that are delayed by up to maxRegionFaultDelay. Half of
+	// these also arrive on time.
+	delayedShare float64
 	violations   []string
 	peakGPUs     map[string]float64 // most GPUs in use at a time, by team
 	jobCount     int
--- a/internal/sim/scenario_actions.go
+++ b/internal/sim/scenario_actions.go
@@ -44,7 +44,7 @@
 // perform executes the action of a line.
 func (w *World) perform(line scenarioLine) {
 	if line.hasFlag(busyTarget) && w.busiestMachine() == nil {
-		return // no machine is up
+		return // no machine is rented
 	}
 	w.debugf("scenario action %s %v", line.word, line.args)
 	action := actions[line.word]
--- a/internal/sim/starvation.go
+++ b/internal/sim/starvation.go
@@ -58,9 +58,9 @@
 
 // waitingJob is a job with tasks that are on no machine.
 type waitingJob struct {
-	missing         map[int]bool             // indices of tasks that are neither done nor on a machine
+	missing         map[int]bool             // indices of tasks neither done nor on a machine
 	roomSince       map[string]time.Duration // by machine with room, or wholeGang
-	steadyRoomSince time.Duration            // since when there has been steady room without a gap; 0 if there is none now
+	steadyRoomSince time.Duration            // start of the present steady room; 0 if there is none
 	reported        bool
 }
 
@@ -202,8 +202,8 @@
 	return sum
 }
 
-// isServing reports whether a machine is up, without a fault, and has had a heartbeat answered
-// within the last two heartbeat intervals.
+// isServing reports whether a machine is up, without a fault, and has sent its last answered
+// heartbeat no longer than two heartbeat intervals ago.
 func (c *checker) isServing(m *machine) bool {
 	now := c.world.now
 	switch {
--- a/internal/sim/upgrade_run_test.go
+++ b/internal/sim/upgrade_run_test.go
@@ -82,7 +82,8 @@
 	return ok && r.isNew
 }
 
-// newCore makes the core of a starting controller. A core of the old version runs in a new process.
+// newCore makes the core of a starting controller. A core of the old version runs in a new process
+// at each start.
 func (u *upgradeRun) newCore(c *controller, incarnation uint64) stepper {
 	u.killChild(c.name)
 	if u.upgraded[c.name] {
--- a/internal/sim/upgrade_test.go
+++ b/internal/sim/upgrade_test.go
@@ -236,7 +236,8 @@
 			at += 30 * rng.Float64()
 		}
 	}
-	// Upgrade the controllers that still run the old version, for example since one was named twice.
+	// The upgrades above may have left out a controller, because it led or because another one was
+	// named twice: upgrade it now.
 	for i := range 5 {
 		fmt.Fprintf(&text, "at %d upgrade next\n", 230+5*i)
 	}
--- a/internal/sim/user_invalid.go
+++ b/internal/sim/user_invalid.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// randomJob returns a random accepted job that fits; nil if there is none.
+// randomJob returns a random accepted job for which fits returns true; nil if there is none.
 func (u *users) randomJob(fits func(*userJob) bool) *userJob {
 	var fitting []*userJob
 	for _, id := range u.sortedIDs() {
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -53,7 +53,7 @@
 	userRetryDelay          = time.Second
 	maxRetryDelay           = 30 * time.Second // limits the delay that an answer asks for
 	pollInterval            = 5 * time.Second
-	dependencyCheckInterval = 50 * time.Millisecond // how often the dependencies of an unsubmitted job are checked
+	dependencyCheckInterval = 50 * time.Millisecond // for the dependencies of an unsubmitted job
 	// minExcusingOutage is how long users must have been without service while a submission was
 	// retried for a missing answer to be excused.
 	minExcusingOutage = 50 * time.Second
--- a/internal/sim/wake_test.go
+++ b/internal/sim/wake_test.go
@@ -194,7 +194,8 @@
 	rng := rand.New(rand.NewPCG(seed, 23))
 	world := newWakeWorld(seed, []int{1, 3, 5, 5}[rng.IntN(4)], wakeRegistry)
 	world.record = record
-	for _, name := range slices.Sorted(maps.Keys(world.servers)) { // in a fixed order: each draws its share of failing loads
+	// In a fixed order, because each server draws its share of failing loads.
+	for _, name := range slices.Sorted(maps.Keys(world.servers)) {
 		world.servers[name].Load = RandomLoad(world.rng, meanLoadTime, []float64{0, 0, 0.3}[rng.IntN(3)])
 	}
 	world.run(3 * time.Second)
