--- a/internal/hollow/report.go
+++ b/internal/hollow/report.go
@@ -13,7 +13,7 @@
 	Tasks         int `json:"tasks"`   // on machines at the end
 	Jobs          int `json:"jobs"`    // accepted and not finished at the end
 	AcceptedJobs  int `json:"jobs_accepted"`
-	StartCommands int `json:"start_commands"`          // carried out by workers
+	StartCommands int `json:"start_commands"`          // executed by workers
 	ExpiredTasks  int `json:"tasks_lost_with_a_lease"` // killed by their worker when its lease expired
 
 	Processes []ProcessReport         `json:"roles"`
